--- a/members/src/letters.rs
+++ b/members/src/letters.rs
@@ -139,3 +139,7 @@
     }
     Ok((head, claims))
 }
+
+#[cfg(test)]
+#[path = "letter_bytes_tests.rs"]
+mod bytes_tests;
--- a/node/src/connections/passing.rs
+++ b/node/src/connections/passing.rs
@@ -288,3 +288,7 @@
         Some(id)
     }
 }
+
+#[cfg(test)]
+#[path = "passing_bytes_tests.rs"]
+mod bytes_tests;
--- /dev/null
+++ b/node/src/connections/passing_bytes_tests.rs
@@ -0,0 +1,74 @@
+//! The exact bytes of a connection that goes on in another process.
+
+use super::*;
+use reedferry::{Circle, Effect};
+
+fn hex(value: &impl Serialize) -> String {
+    postcard::to_allocvec(value).unwrap().iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn flowing(waiting: &[u8], unfinished: &[u8]) -> Flowing {
+    let mut scanner = Scanner::default();
+    scanner.step(unfinished).unwrap();
+    Flowing { waiting: waiting.to_vec(), scanner, ended: true }
+}
+
+fn offering() -> Offering {
+    Offering {
+        effect: Effect::Labelled,
+        circle: Circle::Cell,
+        window: 20,
+        payoff: 1.5,
+        contract_time: 30,
+        message_time: 40,
+        offered: true,
+    }
+}
+
+#[test]
+fn an_open_connection_keeps_its_bytes() {
+    let open = Open {
+        host: "s-1".into(),
+        load: Some(0.5),
+        up: flowing(b"he", b"he"),
+        down: flowing(b"", b"LOAD 2"),
+        asked: vec![1, 2],
+        moving: Some(3),
+        broken: true,
+        client_ended: Some(4),
+        bye: true,
+        moved: false,
+    };
+    let handed_over = HandedOver {
+        clock_ahead: 5,
+        came: 6,
+        since: 7,
+        pings: 8,
+        letter: Vec::new(),
+        name: Some("9b1f".into()),
+        offering: Some(("chat".into(), offering())),
+        key: Some(9),
+        group: Some(10),
+        usual_load: Some(0.0125),
+        open: Some(open),
+    };
+    assert_eq!(hex(&handed_over), "0506070800010439623166010463686174010214000000000000f83f1e28010109010a019a9999999999893f0103732d3101000000000000e03f02686568650000000000000000000000000000000000000000000000000000000000000201004c4f414420320000000000000000000000000000000000000000000000000000060102010201030101040100");
+}
+
+#[test]
+fn a_client_without_a_whole_first_line_keeps_its_bytes() {
+    let handed_over = HandedOver {
+        clock_ahead: 5,
+        came: 6,
+        since: 7,
+        pings: 0,
+        letter: b"OPEN 9b".to_vec(),
+        name: None,
+        offering: None,
+        key: None,
+        group: None,
+        usual_load: None,
+        open: None,
+    };
+    assert_eq!(hex(&handed_over), "05060700074f50454e203962000000000000");
+}
--- a/node/src/operators/articles.rs
+++ b/node/src/operators/articles.rs
@@ -569,3 +569,7 @@
         assert_eq!(wrong(&format!("{head}[forward]\n{}", PLANNERS.replace("127.0.0.1", "here"))).0, 5);
     }
 }
+
+#[cfg(test)]
+#[path = "articles_keys_tests.rs"]
+mod keys_tests;
--- a/node/src/operators/counts.rs
+++ b/node/src/operators/counts.rs
@@ -170,3 +170,7 @@
         assert_eq!(names.len(), Violation::ALL.len());
     }
 }
+
+#[cfg(test)]
+#[path = "counts_text_tests.rs"]
+mod text_tests;
--- /dev/null
+++ b/node/src/operators/counts_text_tests.rs
@@ -0,0 +1,81 @@
+//! The exact lines of all figures by kind, as those who watch them know them.
+
+use super::*;
+
+#[test]
+fn each_kind_keeps_its_line() {
+    let refusals = [
+        Refusal::Expired,
+        Refusal::ClientGone,
+        Refusal::MayHaveRun,
+        Refusal::OutsideWindow,
+        Refusal::OutsideGroup,
+        Refusal::HostLeaving,
+        Refusal::HostMoved,
+        Refusal::ListNotHeard,
+    ];
+    let endings = [
+        Ending::Done,
+        Ending::Error,
+        Ending::Refused,
+        Ending::TimedOut,
+        Ending::Unconnected,
+        Ending::Broken,
+        Ending::CalledOff,
+        Ending::NeverSent,
+        Ending::Unroutable,
+        Ending::PassedOn,
+    ];
+    let closes = [
+        Close::Answered,
+        Close::ClientEnded,
+        Close::ClientBroke,
+        Close::HostBroke,
+        Close::HostStalled,
+        Close::Malformed,
+        Close::MadeRoom,
+        Close::PassedOn,
+    ];
+    let mut counts = Counts::default();
+    refusals.into_iter().for_each(|refusal| counts.add(Count::NotBegun(refusal)));
+    endings.into_iter().for_each(|ending| counts.add(Count::AttemptEnded(ending)));
+    closes.into_iter().for_each(|close| counts.add(Count::Closed(close)));
+    counts.add(Count::MachineTrouble("epoll_ctl"));
+    let wanted = [
+        "app.attempts_ended.broken:1|c",
+        "app.attempts_ended.called_off:1|c",
+        "app.attempts_ended.done:1|c",
+        "app.attempts_ended.error:1|c",
+        "app.attempts_ended.never_sent:1|c",
+        "app.attempts_ended.passed_on:1|c",
+        "app.attempts_ended.refused:1|c",
+        "app.attempts_ended.silent:1|c",
+        "app.attempts_ended.unconnected:1|c",
+        "app.attempts_ended.unroutable:1|c",
+        "app.attempts_not_begun.client_gone:1|c",
+        "app.attempts_not_begun.expired:1|c",
+        "app.attempts_not_begun.host_leaving:1|c",
+        "app.attempts_not_begun.host_moved:1|c",
+        "app.attempts_not_begun.list_not_heard:1|c",
+        "app.attempts_not_begun.may_have_run:1|c",
+        "app.attempts_not_begun.outside_group:1|c",
+        "app.attempts_not_begun.outside_window:1|c",
+        "app.closed.answered:1|c",
+        "app.closed.client_broke:1|c",
+        "app.closed.client_ended:1|c",
+        "app.closed.host_broke:1|c",
+        "app.closed.host_stalled:1|c",
+        "app.closed.made_room:1|c",
+        "app.closed.malformed:1|c",
+        "app.closed.passed_on:1|c",
+        "app.machine_trouble.epoll_ctl:1|c",
+        "app.violations.answered_late:0|c",
+        "app.violations.attempted_late:0|c",
+        "app.violations.dismissed_after_run:0|c",
+        "app.violations.ran_twice:0|c",
+        "app.violations.repeated_late:0|c",
+        "app.violations.sent_to_leaving_host:0|c",
+        "app.violations.unanswered:0|c",
+    ];
+    assert_eq!(counts.text().lines().collect::<Vec<_>>(), wanted);
+}
--- a/node/src/peers/wards.rs
+++ b/node/src/peers/wards.rs
@@ -366,3 +366,7 @@
         assert_eq!((passed.history.ran, passed.history.hand_offs), (Some((6, 3 * SECOND)), 3));
     }
 }
+
+#[cfg(test)]
+#[path = "ward_bytes_tests.rs"]
+mod bytes_tests;
--- a/node/src/roles/succession.rs
+++ b/node/src/roles/succession.rs
@@ -479,3 +479,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "succession_bytes_tests.rs"]
+mod bytes_tests;
--- a/node/tests/members.rs
+++ b/node/tests/members.rs
@@ -340,3 +340,22 @@
         assert!(broken.is_empty(), "{schedule}{broken:#?}");
     }
 }
+
+/// The keys of the view that operators see: whoever watches them knows them by these names.
+#[test]
+fn the_view_that_operators_see_keeps_its_keys() {
+    let _turn = alone();
+    let (_service, fleet) = agreed(2, 9);
+    let status = fleet.status(0).unwrap();
+    let keys =
+        |value: &serde_json::Value| value.as_object().unwrap().keys().cloned().collect::<Vec<_>>().join(" ");
+    assert_eq!(
+        keys(&status),
+        "address digest ill life looks members name state still_ms superseded turns wards word"
+    );
+    assert_eq!(keys(&status["members"][0]), "address build life name of place role since_ms state word zone");
+    assert_eq!(
+        (status["state"].as_str(), status["members"][0]["role"].as_str()),
+        (Some("at work"), Some("node"))
+    );
+}
