--- a/node/src/connections/audit.rs
+++ b/node/src/connections/audit.rs
@@ -39,7 +39,11 @@
     /// The last byte of an attempt has been written.
     pub(super) fn audit_attempt(&self, context: &mut Context, slot: usize) {
         let connection = &self.slab[slot];
-        let Some(landing) = connection.landing.as_ref().filter(|_| connection.stage == Stage::Held) else {
+        let Some(landing) = connection
+            .landing
+            .as_ref()
+            .filter(|_| connection.stage == Stage::Held)
+        else {
             return;
         };
         let now = context.clock.read();
@@ -60,7 +64,12 @@
             offering.effect == Effect::Irreversible && may_repeat(offering, first_run, now).is_err()
         });
         if again {
-            self.violated(context, slot, Violation::RanTwice, now - first_run.unwrap_or(now));
+            self.violated(
+                context,
+                slot,
+                Violation::RanTwice,
+                now - first_run.unwrap_or(now),
+            );
         }
     }
 
@@ -75,9 +84,16 @@
             self.violated(context, slot, Violation::AnsweredLate, now - expiry);
         }
         let first_run = connection.may_have_run;
-        let harmless = self.offering(context, slot).is_none_or(|o| may_dismiss(o, first_run.is_some()));
+        let harmless = self
+            .offering(context, slot)
+            .is_none_or(|o| may_dismiss(o, first_run.is_some()));
         if dismissed && !harmless {
-            self.violated(context, slot, Violation::DismissedAfterRun, now - first_run.unwrap_or(now));
+            self.violated(
+                context,
+                slot,
+                Violation::DismissedAfterRun,
+                now - first_run.unwrap_or(now),
+            );
         }
     }
 
@@ -86,7 +102,12 @@
         context.tally.add(Count::Closed(why));
         let connection = &self.slab[slot];
         if connection.owed() && connection.client.is_some() {
-            self.violated(context, slot, Violation::Unanswered, context.now - connection.since);
+            self.violated(
+                context,
+                slot,
+                Violation::Unanswered,
+                context.now - connection.since,
+            );
         }
         let ordinary = matches!(why, Close::Answered | Close::ClientEnded | Close::PassedOn);
         if !ordinary && context.request_lines.room(context.now) {
--- a/node/src/connections/endings.rs
+++ b/node/src/connections/endings.rs
@@ -22,7 +22,11 @@
     pub fn dismiss(&mut self, context: &mut Context, id: AttachmentId, wait: Nanos) {
         let Some(slot) = self.find(id) else { return };
         if wait >= MILLI {
-            self.answer(context, slot, format!("BUSY {}\r\n", wait / MILLI).as_bytes());
+            self.answer(
+                context,
+                slot,
+                format!("BUSY {}\r\n", wait / MILLI).as_bytes(),
+            );
         } else {
             self.answer(context, slot, b"BUSY\r\n");
         }
@@ -38,7 +42,10 @@
         let Some(slot) = self.find(id) else { return };
         let connection = &self.slab[slot];
         if connection.stage == Stage::Held
-            && connection.landing.as_ref().is_some_and(|l| l.number == hand_off)
+            && connection
+                .landing
+                .as_ref()
+                .is_some_and(|l| l.number == hand_off)
         {
             self.fell_through(context, slot, Ending::CalledOff);
         }
@@ -49,8 +56,15 @@
         self.audit_answer(context, slot, line.starts_with(b"BUSY"));
         let connection = &mut self.slab[slot];
         if connection.owed() && connection.client.is_some() {
-            let outcome = if line.starts_with(b"BUSY") { Outcome::Refused } else { Outcome::Failed };
-            context.tally.came_to(&context.terms.offerings[connection.arrival.offering], outcome);
+            let outcome = if line.starts_with(b"BUSY") {
+                Outcome::Refused
+            } else {
+                Outcome::Failed
+            };
+            context.tally.came_to(
+                &context.terms.offerings[connection.arrival.offering],
+                outcome,
+            );
         }
         connection.letter = None;
         connection.landing = None;
@@ -58,10 +72,17 @@
             return self.remove(context, slot, Close::ClientEnded);
         }
         // Guards: an answer to a ping, of which a part is with the client, cut in the middle of its line.
-        let unsent = connection.down.buffer.take().filter(|_| connection.stage == Stage::Unasked);
+        let unsent = connection
+            .down
+            .buffer
+            .take()
+            .filter(|_| connection.stage == Stage::Unasked);
         let mut buffer = unsent.unwrap_or_else(|| context.pool.take_for_answer());
         buffer.put(line);
-        connection.down = Lane { buffer: Some(buffer), ..Lane::default() };
+        connection.down = Lane {
+            buffer: Some(buffer),
+            ..Lane::default()
+        };
         self.close(context, slot);
     }
 
@@ -97,7 +118,9 @@
         }
         // Guards: an answer lost in the reset that closing over unread input brings, and a loop or a share of
         // the processor taken up by who sends without end: so much between two sweeps, and so long.
-        let Some(mut space) = context.pool.take() else { return };
+        let Some(mut space) = context.pool.take() else {
+            return;
+        };
         while client.readable && connection.wasted < WASTE && self.waste > 0 {
             match client.socket.discard(space.spare()) {
                 Ok(0) => return self.remove(context, slot, Close::Answered),
--- a/node/src/connections/landing.rs
+++ b/node/src/connections/landing.rs
@@ -119,12 +119,20 @@
         until: Nanos,
         by: Nanos,
     ) {
-        let held = |f: &Connection| f.stage == Stage::Held && f.landing.is_none() && f.client.is_some();
+        let held =
+            |f: &Connection| f.stage == Stage::Held && f.landing.is_none() && f.client.is_some();
         let slot = self.find(id).filter(|&slot| held(&self.slab[slot]));
         let Some(slot) = slot.filter(|&slot| self.waits(context, slot)) else {
             // Guards: a record kept for ever of a client that left while the module chose.
             let (ending, gauges) = (Ending::NeverSent, Vec::new());
-            context.events.push(Event::Ended { id, hand_off: 0, host, over: true, ending, gauges });
+            context.events.push(Event::Ended {
+                id,
+                hand_off: 0,
+                host,
+                over: true,
+                ending,
+                gauges,
+            });
             return;
         };
         let connection = &mut self.slab[slot];
@@ -139,7 +147,14 @@
         };
         if let Err(ending) = launched {
             let gauges = Vec::new();
-            context.events.push(Event::Ended { id, hand_off: number, host, over: false, ending, gauges });
+            context.events.push(Event::Ended {
+                id,
+                hand_off: number,
+                host,
+                over: false,
+                ending,
+                gauges,
+            });
         }
     }
 
@@ -152,7 +167,11 @@
         until: Nanos,
         by: Nanos,
     ) -> Result<(), Ending> {
-        let address = context.hosts.record(host).address.ok_or(Ending::Unconnected)?;
+        let address = context
+            .hosts
+            .record(host)
+            .address
+            .ok_or(Ending::Unconnected)?;
         // Who has asked goes before whoever has not.
         while !context.budget.room(1) && self.make_room(context, 0) {}
         let connection = &mut self.slab[slot];
@@ -182,7 +201,12 @@
             context.machine_trouble("epoll_ctl");
             Ending::NeverSent
         })?;
-        let side = Side { socket, stamp: mark.stamp, readable: false, writable: connected };
+        let side = Side {
+            socket,
+            stamp: mark.stamp,
+            readable: false,
+            writable: connected,
+        };
         connection.landing = Some(Landing {
             side,
             host,
@@ -212,8 +236,14 @@
     /// A time that was set for a hand-off has come.
     pub fn due(&mut self, context: &mut Context, mark: Mark, word: u64) {
         let slot = mark.slot as usize;
-        let Some(connection) = self.slab.get(slot) else { return };
-        let Some(landing) = connection.landing.as_ref().filter(|l| l.side.stamp == mark.stamp) else {
+        let Some(connection) = self.slab.get(slot) else {
+            return;
+        };
+        let Some(landing) = connection
+            .landing
+            .as_ref()
+            .filter(|l| l.side.stamp == mark.stamp)
+        else {
             return;
         };
         if !matches!(connection.stage, Stage::Held | Stage::Returning(_)) {
@@ -222,11 +252,17 @@
         // Guards: a host taken for one that can't be reached, as its connection came up while this process stood still or had
         // much to do.
         if !landing.connected && landing.side.socket.stands() {
-            self.slab[slot].landing.iter_mut().for_each(|landing| landing.side.writable = true);
+            self.slab[slot]
+                .landing
+                .iter_mut()
+                .for_each(|landing| landing.side.writable = true);
             self.land_on(context, slot);
         }
         let out = |landing: &&Landing| landing.side.stamp == mark.stamp;
-        let landing = self.slab.get(slot).and_then(|connection| connection.landing.as_ref().filter(out));
+        let landing = self
+            .slab
+            .get(slot)
+            .and_then(|connection| connection.landing.as_ref().filter(out));
         if landing.is_some_and(|landing| word != CONNECT || !landing.connected) {
             self.time_is_up(context, slot);
         }
@@ -234,13 +270,18 @@
 
     /// The hand-off that is out has had its time, or all that is left: it is waited for no longer, unless its answer is there.
     pub(super) fn time_is_up(&mut self, context: &mut Context, slot: usize) {
-        let Some(connection) = self.slab.get(slot) else { return };
-        let Some(landing) = connection.landing.as_ref() else { return };
+        let Some(connection) = self.slab.get(slot) else {
+            return;
+        };
+        let Some(landing) = connection.landing.as_ref() else {
+            return;
+        };
         let stamp = landing.side.stamp;
         if landing.written && context.now <= connection.since + connection.waits {
             self.read_answer(context, slot);
         }
-        let out = |c: &&Connection| c.owed() && c.landing.as_ref().is_some_and(|l| l.side.stamp == stamp);
+        let out =
+            |c: &&Connection| c.owed() && c.landing.as_ref().is_some_and(|l| l.side.stamp == stamp);
         if self.slab.get(slot).filter(out).is_some() {
             self.out_of_time(context, slot);
         }
@@ -249,13 +290,18 @@
     /// Reads what a host has said by now, whatever the poller has said so far. Guards: an answer that lies unread in its
     /// socket while its attempt is given up, as one turn takes in no more than what is before it.
     fn read_answer(&mut self, context: &mut Context, slot: usize) {
-        self.slab[slot].landing.iter_mut().for_each(|landing| landing.side.readable = true);
+        self.slab[slot]
+            .landing
+            .iter_mut()
+            .for_each(|landing| landing.side.readable = true);
         self.land_on(context, slot);
     }
 
     /// The hand-off that is out is waited for no longer.
     fn out_of_time(&mut self, context: &mut Context, slot: usize) {
-        let Some(landing) = self.slab[slot].landing.as_ref() else { return };
+        let Some(landing) = self.slab[slot].landing.as_ref() else {
+            return;
+        };
         let ending = match (landing.written, landing.connected) {
             (true, _) => Ending::TimedOut,
             // Its line was not written for want of something at this machine: not the host's doing.
@@ -268,10 +314,20 @@
     /// A hand-off that came to nothing.
     pub(super) fn fell_through(&mut self, context: &mut Context, slot: usize, ending: Ending) {
         let connection = &mut self.slab[slot];
-        let Some(landing) = connection.landing.take() else { return };
-        let moved = context.hosts.record(landing.host).readdressed.is_some_and(|at| at > landing.since);
+        let Some(landing) = connection.landing.take() else {
+            return;
+        };
+        let moved = context
+            .hosts
+            .record(landing.host)
+            .readdressed
+            .is_some_and(|at| at > landing.since);
         // Guards: a host avoided at its new address, as nobody is left at the old one.
-        let ending = if moved && ending == Ending::Unconnected { Ending::NeverSent } else { ending };
+        let ending = if moved && ending == Ending::Unconnected {
+            Ending::NeverSent
+        } else {
+            ending
+        };
         (connection.up, connection.down) = (Lane::default(), Lane::default());
         connection.errors += u32::from(ending == Ending::Error);
         if landing.written && !ending.never_ran() {
@@ -304,7 +360,9 @@
     /// old, and the process may have stood still since the host's connection came up.
     fn may_write(&mut self, context: &mut Context, slot: usize) -> Result<(), Refusal> {
         let connection = &self.slab[slot];
-        let Some(landing) = connection.landing.as_ref() else { return Ok(()) };
+        let Some(landing) = connection.landing.as_ref() else {
+            return Ok(());
+        };
         if connection.stage != Stage::Held || landing.written {
             return Ok(());
         }
@@ -361,8 +419,12 @@
 
     /// Whether the connection to the host stands.
     fn came_up(&mut self, context: &mut Context, slot: usize) -> bool {
-        let Some(connection) = self.slab.get_mut(slot) else { return false };
-        let Some(landing) = connection.landing.as_mut() else { return false };
+        let Some(connection) = self.slab.get_mut(slot) else {
+            return false;
+        };
+        let Some(landing) = connection.landing.as_mut() else {
+            return false;
+        };
         if landing.connected {
             return true;
         }
@@ -379,20 +441,27 @@
 
     /// Writes what it can of the attempt's line, and says whether the host has all of it.
     fn write_line(&mut self, context: &mut Context, slot: usize) -> bool {
-        let Some(connection) = self.slab.get_mut(slot) else { return false };
-        let Some(landing) = connection.landing.as_mut() else { return false };
+        let Some(connection) = self.slab.get_mut(slot) else {
+            return false;
+        };
+        let Some(landing) = connection.landing.as_mut() else {
+            return false;
+        };
         if landing.written {
             return true;
         }
         if connection.up.buffer.is_none() {
-            let (Some(letter), Some(mut out)) = (connection.letter.as_ref(), context.pool.take()) else {
+            let (Some(letter), Some(mut out)) = (connection.letter.as_ref(), context.pool.take())
+            else {
                 self.fell_through(context, slot, Ending::NeverSent);
                 return false;
             };
             let wait = (landing.since + connection.given).saturating_sub(context.now);
             let mut digits = String::new();
             let line = &letter.waiting()[..connection.letter_length];
-            lines::onward(line, wait, &mut digits).iter().for_each(|piece| _ = out.put(piece));
+            lines::onward(line, wait, &mut digits)
+                .iter()
+                .for_each(|piece| _ = out.put(piece));
             connection.up.buffer = Some(out);
         }
         match connection.up.flush(&mut landing.side) {
@@ -416,11 +485,19 @@
 
     /// Reads the host's first word.
     fn hear_host(&mut self, context: &mut Context, slot: usize) {
-        let Some(connection) = self.slab.get_mut(slot) else { return };
-        let Some(landing) = connection.landing.as_mut() else { return };
+        let Some(connection) = self.slab.get_mut(slot) else {
+            return;
+        };
+        let Some(landing) = connection.landing.as_mut() else {
+            return;
+        };
         let mut said = Vec::new();
         while landing.side.readable && said.is_empty() {
-            match connection.down.fill(&context.pool, &mut landing.side, &mut |word| said.push(word)) {
+            match connection
+                .down
+                .fill(&context.pool, &mut landing.side, &mut |word| {
+                    said.push(word)
+                }) {
                 Flow::Idle if connection.down.ended && said.is_empty() => {
                     return self.fell_through(context, slot, Ending::Broken);
                 }
@@ -431,7 +508,12 @@
             }
         }
         match said.first() {
-            None if connection.down.buffer.as_ref().is_some_and(Buffer::is_empty) => {
+            None if connection
+                .down
+                .buffer
+                .as_ref()
+                .is_some_and(Buffer::is_empty) =>
+            {
                 connection.down.buffer = None
             }
             None => {}
@@ -445,19 +527,29 @@
     /// The host has taken it: from here on lines pass both ways.
     pub(super) fn begin(&mut self, context: &mut Context, slot: usize, behind: &[Word]) {
         let connection = &mut self.slab[slot];
-        let Some(landing) = connection.landing.as_mut() else { return };
+        let Some(landing) = connection.landing.as_mut() else {
+            return;
+        };
         if connection.client.is_none() {
             return self.fell_through(context, slot, Ending::CalledOff);
         }
         let (id, host) = (connection.arrival.id, context.hosts.record(landing.host).id);
         if connection.stage == Stage::Held {
             let seen_from = context.hosts.stalls.moved_on(landing.since, context.now);
-            context.events.push(Event::Begun { id, took: context.now - seen_from });
+            context.events.push(Event::Begun {
+                id,
+                took: context.now - seen_from,
+            });
         } else {
-            context.events.push(Event::Standing(connection.arrival, host));
+            context
+                .events
+                .push(Event::Standing(connection.arrival, host));
         }
         connection.stage = Stage::Open;
-        context.tally.came_to(&context.terms.offerings[connection.arrival.offering], Outcome::Served);
+        context.tally.came_to(
+            &context.terms.offerings[connection.arrival.offering],
+            Outcome::Served,
+        );
         // Guards: a first load told in one piece with the answer, and lost to the module.
         behind.iter().for_each(|word| {
             landing.said.heard(
--- a/node/src/connections/lane.rs
+++ b/node/src/connections/lane.rs
@@ -44,7 +44,13 @@
 }
 
 impl Lane {
-    pub fn run(&mut self, pool: &Pool, from: &mut Side, to: &mut Side, mut heard: impl FnMut(Word)) -> Flow {
+    pub fn run(
+        &mut self,
+        pool: &Pool,
+        from: &mut Side,
+        to: &mut Side,
+        mut heard: impl FnMut(Word),
+    ) -> Flow {
         for _ in 0..TURN {
             match self.flush(to) {
                 Flow::Ended => {}
@@ -89,7 +95,9 @@
         if self.buffer.is_none() {
             self.buffer = pool.take();
         }
-        let Some(buffer) = self.buffer.as_mut() else { return Flow::Starved };
+        let Some(buffer) = self.buffer.as_mut() else {
+            return Flow::Starved;
+        };
         let had = buffer.waiting().len();
         match from.socket.receive(buffer.spare()) {
             Ok(0) => self.ended = true,
--- a/node/src/connections/lines.rs
+++ b/node/src/connections/lines.rs
@@ -48,18 +48,25 @@
         return None;
     }
     let hex = text.len() <= 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    let value = if hex { u64::from_str_radix(text, 16).unwrap_or(0) } else { hash(text) };
+    let value = if hex {
+        u64::from_str_radix(text, 16).unwrap_or(0)
+    } else {
+        hash(text)
+    };
     (value != 0).then_some(value)
 }
 
 /// FNV-1a; the same at every node, so that nodes agree on homes without talking.
 pub fn hash(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 /// A plain decimal figure. Guards: `1e9`, `inf`, `nan` and signs, which a parser of floats lets pass.
 fn figure(text: &str) -> Option<f64> {
-    let plain = text.bytes().all(|b| b.is_ascii_digit() || b == b'.') && text.starts_with(|c| c != '.');
+    let plain =
+        text.bytes().all(|b| b.is_ascii_digit() || b == b'.') && text.starts_with(|c| c != '.');
     text.parse().ok().filter(|_| plain)
 }
 
@@ -75,7 +82,8 @@
     if words.next() != Some("OPEN") {
         return Err("neither PING nor OPEN");
     }
-    let (Some(id), Some(key), Some(list), None) = (words.next(), words.next(), words.next(), words.next())
+    let (Some(id), Some(key), Some(list), None) =
+        (words.next(), words.next(), words.next(), words.next())
     else {
         return Err("not three words after OPEN");
     };
@@ -85,11 +93,19 @@
     if key.is_empty() {
         return Err("no key");
     }
-    let mut request = Request { id, key: word(key), ..Request::default() };
+    let mut request = Request {
+        id,
+        key: word(key),
+        ..Request::default()
+    };
     let mut told = false;
     for (n, pair) in list.split(',').enumerate() {
         let (name, value) = pair.split_once('=').ok_or("a figure without a name")?;
-        if list.split(',').take(n).any(|p| p.split_once('=').is_some_and(|(other, _)| other == name)) {
+        if list
+            .split(',')
+            .take(n)
+            .any(|p| p.split_once('=').is_some_and(|(other, _)| other == name))
+        {
             return Err("a figure told twice");
         }
         match name {
@@ -124,7 +140,12 @@
     let mut from = list;
     for pair in line[list..].split(|&b| b == b',') {
         if pair.starts_with(b"d=") {
-            return [&line[..from + 2], digits.as_bytes(), &line[from + pair.len()..], b"\r\n"];
+            return [
+                &line[..from + 2],
+                digits.as_bytes(),
+                &line[from + pair.len()..],
+                b"\r\n",
+            ];
         }
         from += pair.len() + 1;
     }
@@ -170,15 +191,27 @@
 /// missing. They stand as `name=value` or `name:value`, or bare in that order.
 pub fn report(line: &[u8], names: &[String]) -> Vec<f64> {
     let text = std::str::from_utf8(line).unwrap_or("");
-    let words = || text.split([' ', ',', ';', '{', '}', '"']).skip(1).filter(|w| !w.is_empty());
+    let words = || {
+        text.split([' ', ',', ';', '{', '}', '"'])
+            .skip(1)
+            .filter(|w| !w.is_empty())
+    };
     let figure = |w: &str| w.parse::<f64>().ok().filter(|f| f.is_finite());
     let named = |name: &str| {
         let mut found = words().filter_map(|w| w.split_once(['=', ':']));
-        found.find(|(n, _)| *n == name).and_then(|(_, value)| figure(value))
+        found
+            .find(|(n, _)| *n == name)
+            .and_then(|(_, value)| figure(value))
     };
     let all: Option<Vec<f64>> = names.iter().map(|n| named(n)).collect();
-    let bare = || words().take(names.len()).map(figure).collect::<Option<Vec<f64>>>();
-    all.or_else(|| bare().filter(|b| b.len() == names.len())).unwrap_or_default()
+    let bare = || {
+        words()
+            .take(names.len())
+            .map(figure)
+            .collect::<Option<Vec<f64>>>()
+    };
+    all.or_else(|| bare().filter(|b| b.len() == names.len()))
+        .unwrap_or_default()
 }
 
 const HEAD: usize = 32;
@@ -210,7 +243,9 @@
             self.head[had..had + more].copy_from_slice(&piece[..more]);
         }
         self.length = length as u16;
-        let Some(end) = end else { return Ok((bytes.len(), None)) };
+        let Some(end) = end else {
+            return Ok((bytes.len(), None));
+        };
         let head = &self.head[..length.min(HEAD)];
         let said = meaning(head.strip_suffix(b"\r").unwrap_or(head));
         self.length = 0;
@@ -222,17 +257,29 @@
 mod tests {
     use super::*;
 
-    const LINE: &[u8] = b"OPEN 9b1f 7f3a9c21e0b4d655 c=chat,t=acme,d=2000,g=5c0f,at=s-1,h=12.5,zz=1";
+    const LINE: &[u8] =
+        b"OPEN 9b1f 7f3a9c21e0b4d655 c=chat,t=acme,d=2000,g=5c0f,at=s-1,h=12.5,zz=1";
 
     #[test]
     fn reads_a_whole_opening_and_rewrites_only_its_wait() {
-        let Ok(Opening::Open(request)) = opening(LINE) else { panic!() };
-        assert_eq!((request.offering, request.tenant, request.at), ("chat", "acme", Some("s-1")));
+        let Ok(Opening::Open(request)) = opening(LINE) else {
+            panic!()
+        };
+        assert_eq!(
+            (request.offering, request.tenant, request.at),
+            ("chat", "acme", Some("s-1"))
+        );
         assert_eq!((request.wait, request.group), (2000 * MILLI, Some(0x5c0f)));
-        assert_eq!((request.key, request.usual_load), (Some(0x7f3a_9c21_e0b4_d655), Some(0.0125)));
+        assert_eq!(
+            (request.key, request.usual_load),
+            (Some(0x7f3a_9c21_e0b4_d655), Some(0.0125))
+        );
         let mut digits = String::new();
         let sent = onward(LINE, 1_234_900_000, &mut digits).concat();
-        let wanted = String::from_utf8(LINE.to_vec()).unwrap().replace("d=2000", "d=1234") + "\r\n";
+        let wanted = String::from_utf8(LINE.to_vec())
+            .unwrap()
+            .replace("d=2000", "d=1234")
+            + "\r\n";
         assert_eq!(String::from_utf8(sent).unwrap(), wanted);
         assert_eq!(opening(b"PING"), Ok(Opening::Ping));
     }
@@ -272,7 +319,13 @@
         let names = ["x0".to_string(), "x1".to_string()];
         assert_eq!(report(b"PONG x1=0.5,x0=2", &names), [2.0, 0.5]);
         assert_eq!(report(b"PONG 2 0.5", &names), [2.0, 0.5]);
-        for poor in [&b"PONG"[..], b"PONG x0=2", b"PONG x0=nan,x1=1", b"PONG \xff", b"ERR no such thing"] {
+        for poor in [
+            &b"PONG"[..],
+            b"PONG x0=2",
+            b"PONG x0=nan,x1=1",
+            b"PONG \xff",
+            b"ERR no such thing",
+        ] {
             assert!(report(poor, &names).is_empty());
         }
     }
@@ -290,7 +343,10 @@
                     heard.extend(said);
                 }
             }
-            assert_eq!(heard, [Word::Up, Word::Load(0.0025), Word::Other, Word::Bye]);
+            assert_eq!(
+                heard,
+                [Word::Up, Word::Load(0.0025), Word::Other, Word::Bye]
+            );
             assert!(!scanner.between_lines());
         }
         assert!(Scanner::default().step(&[b'x'; LONGEST]).is_err());
--- a/node/src/connections/listener.rs
+++ b/node/src/connections/listener.rs
@@ -93,7 +93,10 @@
         for _ in 0..ACCEPTS {
             // Guards: usual clients kept out by hundreds that connect and say nothing. Where all have just
             // come, those behind them wait at the listener until the next sweep.
-            if !context.budget.room(1) && !self.make_room(context, FLEETING) && context.budget.tight() {
+            if !context.budget.room(1)
+                && !self.make_room(context, FLEETING)
+                && context.budget.tight()
+            {
                 return;
             }
             let socket = match context.budget.accept(listener) {
@@ -107,9 +110,18 @@
                 },
             };
             let slot = self.slab.vacant_key();
-            let mark = Mark { part: CLIENT, slot: slot as u32, stamp: context.stamp() };
+            let mark = Mark {
+                part: CLIENT,
+                slot: slot as u32,
+                stamp: context.stamp(),
+            };
             self.watch(context, &socket, mark);
-            let client = Side { socket, stamp: mark.stamp, readable: false, writable: true };
+            let client = Side {
+                socket,
+                stamp: mark.stamp,
+                readable: false,
+                writable: true,
+            };
             self.listener.idle.push_back((slot, mark.stamp));
             self.slab.insert(Connection::new(client, slot, context.now));
         }
@@ -120,7 +132,8 @@
     /// has just come is not asked to, nor one whose attachment has come meanwhile.
     pub(super) fn make_room(&mut self, context: &mut Context, safe: Nanos) -> bool {
         while let Some(&(slot, stamp)) = self.listener.idle.front() {
-            let same = |f: &&Connection| f.idles() && f.client.as_ref().is_some_and(|c| c.stamp == stamp);
+            let same =
+                |f: &&Connection| f.idles() && f.client.as_ref().is_some_and(|c| c.stamp == stamp);
             let Some(connection) = self.slab.get(slot).filter(same) else {
                 self.listener.idle.pop_front();
                 continue;
@@ -133,7 +146,10 @@
                 self.read_again(context, slot);
                 let Some(connection) = self.slab.get(slot).filter(same) else {
                     // Its attachment has come, or it was gone.
-                    if self.slab.get(slot).is_none_or(|f| f.client.as_ref().is_none_or(|c| c.stamp != stamp))
+                    if self
+                        .slab
+                        .get(slot)
+                        .is_none_or(|f| f.client.as_ref().is_none_or(|c| c.stamp != stamp))
                     {
                         return true;
                     }
@@ -191,7 +207,10 @@
 
     /// Reads what one that has not asked has sent by now, whatever the poller has said so far.
     fn read_again(&mut self, context: &mut Context, slot: usize) {
-        self.slab[slot].client.iter_mut().for_each(|client| client.readable = true);
+        self.slab[slot]
+            .client
+            .iter_mut()
+            .for_each(|client| client.readable = true);
         self.read_opening(context, slot);
     }
 
@@ -202,8 +221,14 @@
         let before = stamp(&self.slab[slot]);
         self.read_again(context, slot);
         let still = |f: &&Connection| f.stage == Stage::Unasked && stamp(f) == before;
-        let Some(connection) = self.slab.get(slot).filter(still) else { return };
-        if connection.letter.as_ref().is_some_and(|letter| !letter.is_empty()) {
+        let Some(connection) = self.slab.get(slot).filter(still) else {
+            return;
+        };
+        if connection
+            .letter
+            .as_ref()
+            .is_some_and(|letter| !letter.is_empty())
+        {
             return self.turn_away(context, slot, "no whole line in time");
         }
         *self.listener.turned.entry("nothing in time").or_default() += 1;
@@ -224,7 +249,9 @@
     /// Reads the client's first line.
     pub(super) fn read_opening(&mut self, context: &mut Context, slot: usize) {
         let connection = &mut self.slab[slot];
-        let Some(client) = connection.client.as_mut() else { return };
+        let Some(client) = connection.client.as_mut() else {
+            return;
+        };
         loop {
             if connection.letter.is_none() {
                 connection.letter = context.pool.take();
@@ -243,7 +270,9 @@
                             context.machine_trouble("receive");
                             return self.retry_soon(context, slot);
                         }
-                        Trouble::Connection => return self.remove(context, slot, Close::ClientBroke),
+                        Trouble::Connection => {
+                            return self.remove(context, slot, Close::ClientBroke)
+                        }
                     },
                 }
             }
@@ -251,9 +280,14 @@
             while letter.waiting().starts_with(b"PING\r\n") && connection.pings < MOST_PINGS {
                 letter.sent(6);
                 connection.pings += 1;
-                let pong = if context.standby.is_some() { b"BUSY\r\n" } else { b"PONG\r\n" };
+                let pong = if context.standby.is_some() {
+                    b"BUSY\r\n"
+                } else {
+                    b"PONG\r\n"
+                };
                 let out = &mut connection.down.buffer;
-                out.get_or_insert_with(|| context.pool.take_for_answer()).put(pong);
+                out.get_or_insert_with(|| context.pool.take_for_answer())
+                    .put(pong);
             }
             // What follows waits until the client has those.
             match connection.down.flush(client) {
@@ -314,9 +348,15 @@
     }
 
     /// What the module is told of a request, or why it is none that this node serves.
-    fn arrival(context: &Context, id: AttachmentId, request: &Request) -> Result<Arrival, &'static str> {
+    fn arrival(
+        context: &Context,
+        id: AttachmentId,
+        request: &Request,
+    ) -> Result<Arrival, &'static str> {
         let terms = &context.terms;
-        let offering = terms.offering(request.offering).ok_or("an unknown offering")?;
+        let offering = terms
+            .offering(request.offering)
+            .ok_or("an unknown offering")?;
         if !terms.tenants.is_empty() && !terms.tenants.iter().any(|t| t == request.tenant) {
             return Err("an unknown tenant");
         }
@@ -324,19 +364,42 @@
         if request.at.is_some() && context.now > context.start + 2 * STANDING_WITHIN {
             return Err("a standing connection long after the start");
         }
-        let longest = if terms.longest_expiry > 0 { terms.longest_expiry } else { Nanos::MAX / WILD };
+        let longest = if terms.longest_expiry > 0 {
+            terms.longest_expiry
+        } else {
+            Nanos::MAX / WILD
+        };
         if request.at.is_none() && request.wait > WILD * longest {
             return Err("a wild wait");
         }
-        let time_left = if request.at.is_some() { request.wait } else { request.wait.min(longest) };
-        let Request { key, group, usual_load, .. } = *request;
-        Ok(Arrival { id, offering, key, group, time_left, usual_load, midway: false })
+        let time_left = if request.at.is_some() {
+            request.wait
+        } else {
+            request.wait.min(longest)
+        };
+        let Request {
+            key,
+            group,
+            usual_load,
+            ..
+        } = *request;
+        Ok(Arrival {
+            id,
+            offering,
+            key,
+            group,
+            time_left,
+            usual_load,
+            midway: false,
+        })
     }
 
     /// Notices a client that leaves while it waits, or that goes on talking.
     pub(super) fn listen(&mut self, context: &mut Context, slot: usize) {
         let connection = &mut self.slab[slot];
-        let Some(client) = connection.client.as_mut().filter(|client| client.readable) else { return };
+        let Some(client) = connection.client.as_mut().filter(|client| client.readable) else {
+            return;
+        };
         // Guards: an end that is never seen behind a first line which fills its buffer.
         let left = match client.socket.receive(&mut [0; 64]) {
             Err(e) if on_connection(e) == Trouble::NotReady => {
@@ -361,11 +424,17 @@
         connection.letter = None;
         let held = connection.stage == Stage::Held;
         if held {
-            context.events.push(Event::Left { id: connection.arrival.id });
+            context.events.push(Event::Left {
+                id: connection.arrival.id,
+            });
         }
         if !held || connection.landing.is_none() {
             self.remove(context, slot, Close::ClientEnded);
-        } else if connection.landing.as_ref().is_some_and(|landing| !landing.written) {
+        } else if connection
+            .landing
+            .as_ref()
+            .is_some_and(|landing| !landing.written)
+        {
             // Guards: a line that begins for a client which had gone while its host's connection came up, where the
             // settings allow none to be called off: this one has not begun, or never ends.
             self.fell_through(context, slot, Ending::NeverSent);
@@ -389,17 +458,27 @@
     /// A record of its own for a client that has left its attachment.
     fn parted(&mut self, context: &mut Context, mut client: Side, came: Nanos) -> usize {
         let slot = self.slab.vacant_key();
-        let mark = Mark { part: CLIENT, slot: slot as u32, stamp: context.stamp() };
+        let mark = Mark {
+            part: CLIENT,
+            slot: slot as u32,
+            stamp: context.stamp(),
+        };
         self.watch(context, &client.socket, mark);
         client.stamp = mark.stamp;
-        self.slab.insert(Connection { came, ..Connection::new(client, slot, context.now) })
+        self.slab.insert(Connection {
+            came,
+            ..Connection::new(client, slot, context.now)
+        })
     }
 
     /// Whether the client still waits, as its socket has it now, whatever the poller has said so far. Guards: an attempt
     /// that begins for one which has gone, and whose end waits behind many events or a process that stood still.
     pub(super) fn waits(&mut self, context: &mut Context, slot: usize) -> bool {
         let id = self.slab[slot].arrival.id;
-        self.slab[slot].client.iter_mut().for_each(|client| client.readable = true);
+        self.slab[slot]
+            .client
+            .iter_mut()
+            .for_each(|client| client.readable = true);
         self.listen(context, slot);
         self.slab
             .get(slot)
@@ -409,7 +488,9 @@
     /// The id of what is answered or gone is no longer in use, unless hosts would not have it.
     pub(super) fn free_name(&mut self, slot: usize) {
         let connection = &mut self.slab[slot];
-        let Some(name) = connection.name.take() else { return };
+        let Some(name) = connection.name.take() else {
+            return;
+        };
         self.listener.names.remove(&name);
         if connection.errors >= STRIKES && connection.stage == Stage::Held {
             self.listener.struck.push_back(name);
--- a/node/src/connections/mod.rs
+++ b/node/src/connections/mod.rs
@@ -94,7 +94,10 @@
             stage: Stage::Unasked,
             came: now,
             since: now,
-            arrival: Arrival { id, ..Arrival::default() },
+            arrival: Arrival {
+                id,
+                ..Arrival::default()
+            },
             name: None,
             pings: 0,
             errors: 0,
@@ -149,14 +152,22 @@
 
     /// Whether any attachment goes by this place of an offering.
     pub fn holds(&self, offering: usize) -> bool {
-        self.slab.iter().any(|(_, connection)| !connection.idles() && connection.arrival.offering == offering)
+        self.slab
+            .iter()
+            .any(|(_, connection)| !connection.idles() && connection.arrival.offering == offering)
     }
 
     /// The offerings that any attachment goes by, by their names, and what they mean.
     pub fn held(&self, context: &Context) -> Vec<(String, Offering)> {
-        let all = context.terms.offerings.iter().zip(&context.offerings).enumerate();
+        let all = context
+            .terms
+            .offerings
+            .iter()
+            .zip(&context.offerings)
+            .enumerate();
         let held = all.filter(|(n, _)| self.holds(*n));
-        held.map(|(_, (name, offering))| (name.clone(), offering.clone())).collect()
+        held.map(|(_, (name, offering))| (name.clone(), offering.clone()))
+            .collect()
     }
 
     /// The clients whose attachment is held or open.
@@ -164,7 +175,8 @@
         self.slab
             .iter()
             .filter(|(_, connection)| {
-                (connection.owed() || connection.stage == Stage::Open) && connection.client.is_some()
+                (connection.owed() || connection.stage == Stage::Open)
+                    && connection.client.is_some()
             })
             .count()
     }
@@ -176,17 +188,24 @@
 
     pub(super) fn find(&self, id: AttachmentId) -> Option<usize> {
         let slot = id.0 as u32 as usize;
-        self.slab.get(slot).filter(|f| f.arrival.id == id).map(|_| slot)
+        self.slab
+            .get(slot)
+            .filter(|f| f.arrival.id == id)
+            .map(|_| slot)
     }
 
     pub fn ready(&mut self, context: &mut Context, ready: Readiness) {
         let (slot, stamp) = (ready.mark.slot as usize, ready.mark.stamp);
-        let Some(connection) = self.slab.get_mut(slot) else { return };
+        let Some(connection) = self.slab.get_mut(slot) else {
+            return;
+        };
         let side = match ready.mark.part {
             CLIENT => connection.client.as_mut(),
             _ => connection.landing.as_mut().map(|l| &mut l.side),
         };
-        let Some(side) = side.filter(|s| s.stamp == stamp) else { return };
+        let Some(side) = side.filter(|s| s.stamp == stamp) else {
+            return;
+        };
         side.readable |= ready.read;
         side.writable |= ready.write;
         self.go(context, slot);
@@ -210,7 +229,9 @@
 
     fn time_retry(&mut self, context: &mut Context) {
         if !std::mem::replace(&mut self.retries, true) {
-            context.poller.remind(context.now + RETRY_AFTER, context::mark(context::RETRY), 0);
+            context
+                .poller
+                .remind(context.now + RETRY_AFTER, context::mark(context::RETRY), 0);
         }
     }
 
@@ -229,13 +250,17 @@
         self.more.append(&mut self.starved);
         for mark in std::mem::take(&mut self.unwatched) {
             let slot = mark.slot as usize;
-            let Some(connection) = self.slab.get_mut(slot) else { continue };
+            let Some(connection) = self.slab.get_mut(slot) else {
+                continue;
+            };
             let sides = connection
                 .client
                 .as_mut()
                 .into_iter()
                 .chain(connection.landing.as_mut().map(|l| &mut l.side));
-            let Some(side) = sides.into_iter().find(|side| side.stamp == mark.stamp) else { continue };
+            let Some(side) = sides.into_iter().find(|side| side.stamp == mark.stamp) else {
+                continue;
+            };
             if context.poller.watch_anyway(&side.socket, mark).is_err() {
                 context.machine_trouble("epoll_ctl");
                 self.unwatched.push(mark);
@@ -250,7 +275,9 @@
     }
 
     pub(super) fn go(&mut self, context: &mut Context, slot: usize) {
-        let Some(connection) = self.slab.get(slot) else { return };
+        let Some(connection) = self.slab.get(slot) else {
+            return;
+        };
         match connection.stage {
             Stage::Unasked => self.read_opening(context, slot),
             Stage::Held | Stage::Returning(_) => {
@@ -266,7 +293,12 @@
     /// Carries out what is for an attachment, whoever decided it, and gives back what is not.
     pub fn carry_out(&mut self, context: &mut Context, action: Action) -> Option<Action> {
         match action {
-            Action::HandOff { id, host, until, by } => self.hand_off(context, id, host, until, by),
+            Action::HandOff {
+                id,
+                host,
+                until,
+                by,
+            } => self.hand_off(context, id, host, until, by),
             Action::Dismiss { id, wait } => self.dismiss(context, id, wait),
             Action::GiveUp { id } => self.give_up(context, id),
             Action::Move { id } => self.move_on(context, id),
@@ -283,14 +315,18 @@
         self.waste = MOST_WASTE;
         let slots: Vec<usize> = self.slab.iter().map(|(slot, _)| slot).collect();
         for slot in slots {
-            let Some(connection) = self.slab.get_mut(slot) else { continue };
+            let Some(connection) = self.slab.get_mut(slot) else {
+                continue;
+            };
             match connection.stage {
                 // Guards: clients that wait or rest until the program is ended from outside, and never have an answer.
                 Stage::Unasked if now >= stopped => self.send_away(context, slot),
                 Stage::Held if now >= stopped && connection.landing.is_some() => {
                     self.time_is_up(context, slot)
                 }
-                Stage::Unasked if now >= connection.came + SILENT_CLIENT => self.rests(context, slot),
+                Stage::Unasked if now >= connection.came + SILENT_CLIENT => {
+                    self.rests(context, slot)
+                }
                 Stage::Returning(next) if connection.landing.is_none() && now >= next => {
                     self.go_back(context, slot)
                 }
@@ -305,8 +341,12 @@
         }
         context.say_left_out();
         let slab = &self.slab;
-        let same = |f: &Connection, stamp| f.idles() && f.client.as_ref().is_some_and(|c| c.stamp == stamp);
-        self.listener.idle.retain(|&(slot, stamp)| slab.get(slot).is_some_and(|f| same(f, stamp)));
+        let same = |f: &Connection, stamp| {
+            f.idles() && f.client.as_ref().is_some_and(|c| c.stamp == stamp)
+        };
+        self.listener
+            .idle
+            .retain(|&(slot, stamp)| slab.get(slot).is_some_and(|f| same(f, stamp)));
         // Once a second. Guards: a log that bad clients fill.
         if now >= self.listener.told + SECOND {
             self.listener.told = now;
--- a/node/src/connections/passage.rs
+++ b/node/src/connections/passage.rs
@@ -23,7 +23,9 @@
     /// Passes lines both ways, and ends the one side as the other ended.
     pub(super) fn pass(&mut self, context: &mut Context, slot: usize) {
         let connection = &mut self.slab[slot];
-        let (Some(client), Some(landing)) = (connection.client.as_mut(), connection.landing.as_mut()) else {
+        let (Some(client), Some(landing)) =
+            (connection.client.as_mut(), connection.landing.as_mut())
+        else {
             return;
         };
         let (now, host, id) = (context.now, landing.host, connection.arrival.id);
@@ -31,16 +33,36 @@
         let asked = &mut connection.asked;
         let up = match connection.client_ended {
             Some(_) => Flow::Idle,
-            None => connection.up.run(&context.pool, client, &mut landing.side, |_| asked.push_back(now)),
+            None => connection
+                .up
+                .run(&context.pool, client, &mut landing.side, |_| {
+                    asked.push_back(now)
+                }),
         };
         let (events, hosts) = (&mut context.events, &mut context.hosts);
         let said = &mut landing.said;
-        let down = connection.down.run(&context.pool, &mut landing.side, client, |word| {
-            said.heard(word, (id, host), now, &mut connection.asked, (events, hosts));
-        });
+        let down = connection
+            .down
+            .run(&context.pool, &mut landing.side, client, |word| {
+                said.heard(
+                    word,
+                    (id, host),
+                    now,
+                    &mut connection.asked,
+                    (events, hosts),
+                );
+            });
 
-        let broke = if landing.said.bye { Ending::Done } else { Ending::Broken };
-        let ended = match (landing.said.bye, landing.said.moved, connection.client_ended) {
+        let broke = if landing.said.bye {
+            Ending::Done
+        } else {
+            Ending::Broken
+        };
+        let ended = match (
+            landing.said.bye,
+            landing.said.moved,
+            connection.client_ended,
+        ) {
             (true, ..) => Ending::Done,
             (_, false, None) => Ending::Broken,
             _ => Ending::CalledOff,
@@ -88,7 +110,12 @@
     }
 
     /// Tells the module how an open connection ended, and takes its host's side off.
-    pub(super) fn over(&mut self, context: &mut Context, slot: usize, ending: Ending) -> Option<Landing> {
+    pub(super) fn over(
+        &mut self,
+        context: &mut Context,
+        slot: usize,
+        ending: Ending,
+    ) -> Option<Landing> {
         let connection = &mut self.slab[slot];
         let landing = connection.landing.take()?;
         context.events.push(Event::Ended {
@@ -115,8 +142,15 @@
 
     /// Sends the client away once it stands between two lines.
     pub(super) fn move_now(&mut self, context: &mut Context, slot: usize) {
-        let Some(connection) = self.slab.get_mut(slot) else { return };
-        let Some(by) = connection.moving.filter(|_| connection.stage == Stage::Open) else { return };
+        let Some(connection) = self.slab.get_mut(slot) else {
+            return;
+        };
+        let Some(by) = connection
+            .moving
+            .filter(|_| connection.stage == Stage::Open)
+        else {
+            return;
+        };
         let between = connection.down.buffer.as_ref().is_none_or(Buffer::is_empty)
             && connection.down.scanner.between_lines();
         if !between || (!connection.up.scanner.between_lines() && context.now < by) {
@@ -130,15 +164,28 @@
     pub(super) fn look_after(&mut self, context: &mut Context, slot: usize) {
         let now = context.now;
         let connection = &mut self.slab[slot];
-        let late = connection.asked.front().is_some_and(|&then| now >= then + SILENT_HOST);
+        let late = connection
+            .asked
+            .front()
+            .is_some_and(|&then| now >= then + SILENT_HOST);
         if late && connection.moving.is_none() {
             // Guards: a host taken for silent whose answer lies unread, as one turn takes in no more than what is before it.
-            connection.landing.iter_mut().for_each(|landing| landing.side.readable = true);
+            connection
+                .landing
+                .iter_mut()
+                .for_each(|landing| landing.side.readable = true);
             self.pass(context, slot);
         }
-        let Some(connection) = self.slab.get_mut(slot).filter(|c| c.stage == Stage::Open) else { return };
-        let Some(landing) = connection.landing.as_ref() else { return };
-        if connection.client_ended.is_some_and(|t| now >= t + LAST_WORDS) {
+        let Some(connection) = self.slab.get_mut(slot).filter(|c| c.stage == Stage::Open) else {
+            return;
+        };
+        let Some(landing) = connection.landing.as_ref() else {
+            return;
+        };
+        if connection
+            .client_ended
+            .is_some_and(|t| now >= t + LAST_WORDS)
+        {
             self.over(context, slot, Ending::CalledOff);
             return self.remove(context, slot, Close::ClientEnded);
         }
@@ -149,7 +196,11 @@
                 connection.moving = Some(now + LONGEST_MOVE);
                 // Guards: a host that answers all others, masked and cut for one connection.
                 let alone = context.hosts.answers_since(landing.host, then);
-                connection.ending = if alone { Ending::CalledOff } else { Ending::Broken };
+                connection.ending = if alone {
+                    Ending::CalledOff
+                } else {
+                    Ending::Broken
+                };
             }
         }
         let empty = context.empty_by();
@@ -158,12 +209,21 @@
             let moving = connection.moving.get_or_insert(now);
             *moving = now.min(*moving);
             self.move_now(context, slot);
-            if self.slab.get(slot).is_none_or(|connection| connection.stage != Stage::Open) {
+            if self
+                .slab
+                .get(slot)
+                .is_none_or(|connection| connection.stage != Stage::Open)
+            {
                 return;
             }
         }
-        let Some(connection) = self.slab.get_mut(slot) else { return };
-        if connection.moving.is_some_and(|by| now >= (by + LINGER).min(empty)) {
+        let Some(connection) = self.slab.get_mut(slot) else {
+            return;
+        };
+        if connection
+            .moving
+            .is_some_and(|by| now >= (by + LINGER).min(empty))
+        {
             // The host has stopped in the middle of a line, and the client takes no other there.
             self.over(context, slot, Ending::Broken);
             return self.remove(context, slot, Close::HostStalled);
--- a/node/src/connections/passing.rs
+++ b/node/src/connections/passing.rs
@@ -75,8 +75,15 @@
 
 impl Flowing {
     fn of(lane: &Lane) -> Self {
-        let waiting = lane.buffer.as_ref().map_or(Vec::new(), |b| b.waiting().to_vec());
-        Flowing { waiting, scanner: lane.scanner, ended: lane.ended }
+        let waiting = lane
+            .buffer
+            .as_ref()
+            .map_or(Vec::new(), |b| b.waiting().to_vec());
+        Flowing {
+            waiting,
+            scanner: lane.scanner,
+            ended: lane.ended,
+        }
     }
 
     /// None where it holds more than there are buffers for.
@@ -87,7 +94,11 @@
             fresh.put(&self.waiting).then_some(())?;
             buffer = Some(fresh);
         }
-        Some(Lane { buffer, scanner: self.scanner, ended: self.ended })
+        Some(Lane {
+            buffer,
+            scanner: self.scanner,
+            ended: self.ended,
+        })
     }
 }
 
@@ -112,7 +123,10 @@
         let open = connection.stage == Stage::Open;
         connection.stage = Stage::Passing(open);
         let arrival = connection.arrival;
-        let sides = connection.client.iter().chain(connection.landing.as_ref().map(|l| &l.side));
+        let sides = connection
+            .client
+            .iter()
+            .chain(connection.landing.as_ref().map(|l| &l.side));
         sides.for_each(|side| _ = context.poller.unwatch(&side.socket));
         let landing = connection.landing.as_ref().filter(|_| open);
         let open = landing.map(|landing| Open {
@@ -128,8 +142,10 @@
             moved: landing.said.moved,
         });
         let offering = open.as_ref().and_then(|_| {
-            let (name, means) =
-                (context.terms.offerings.get(arrival.offering), context.offerings.get(arrival.offering));
+            let (name, means) = (
+                context.terms.offerings.get(arrival.offering),
+                context.offerings.get(arrival.offering),
+            );
             Some((name?.clone(), means?.clone()))
         });
         let handed_over = HandedOver {
@@ -137,7 +153,10 @@
             came: connection.came,
             since: connection.since,
             pings: connection.pings,
-            letter: connection.letter.as_ref().map_or(Vec::new(), |l| l.waiting().to_vec()),
+            letter: connection
+                .letter
+                .as_ref()
+                .map_or(Vec::new(), |l| l.waiting().to_vec()),
             name: connection.name.as_deref().map(str::to_string),
             offering,
             key: arrival.key,
@@ -161,12 +180,16 @@
     /// The descriptors that go with it: its client's, and its host's.
     pub fn descriptors(&self, slot: usize) -> Vec<BorrowedFd<'_>> {
         let connection = &self.slab[slot];
-        let sides = connection.client.iter().chain(connection.landing.as_ref().map(|l| &l.side));
+        let sides = connection
+            .client
+            .iter()
+            .chain(connection.landing.as_ref().map(|l| &l.side));
         sides.map(|side| side.socket.as_fd()).collect()
     }
 
     fn passing(&self, id: AttachmentId) -> Option<usize> {
-        self.find(id).filter(|&slot| matches!(self.slab[slot].stage, Stage::Passing(_)))
+        self.find(id)
+            .filter(|&slot| matches!(self.slab[slot].stage, Stage::Passing(_)))
     }
 
     /// The next process has it.
@@ -181,13 +204,22 @@
     pub fn keep(&mut self, context: &mut Context, id: AttachmentId) {
         let Some(slot) = self.passing(id) else { return };
         let connection = &mut self.slab[slot];
-        connection.stage =
-            if connection.stage == Stage::Passing(true) { Stage::Open } else { Stage::Unasked };
-        let sides =
-            [(CLIENT, connection.client.as_mut()), (HOST, connection.landing.as_mut().map(|l| &mut l.side))];
+        connection.stage = if connection.stage == Stage::Passing(true) {
+            Stage::Open
+        } else {
+            Stage::Unasked
+        };
+        let sides = [
+            (CLIENT, connection.client.as_mut()),
+            (HOST, connection.landing.as_mut().map(|l| &mut l.side)),
+        ];
         for (part, side) in sides {
             let Some(side) = side else { continue };
-            let mark = Mark { part, slot: slot as u32, stamp: context.stamp() };
+            let mark = Mark {
+                part,
+                slot: slot as u32,
+                stamp: context.stamp(),
+            };
             side.stamp = mark.stamp;
             if context.poller.watch_anyway(&side.socket, mark).is_err() {
                 context.machine_trouble("epoll_ctl");
@@ -197,8 +229,13 @@
         if let Some(landing) = &connection.landing {
             let host = context.hosts.record(landing.host).id;
             let (arrival, load) = (connection.arrival, landing.said.load);
-            context.events.push(Event::PassedOn(arrival, host, connection.since));
-            context.events.extend(load.map(|load| Event::LoadNow { id: arrival.id, load }));
+            context
+                .events
+                .push(Event::PassedOn(arrival, host, connection.since));
+            context.events.extend(load.map(|load| Event::LoadNow {
+                id: arrival.id,
+                load,
+            }));
         } else if let Some(client) = &connection.client {
             self.listener.idle.push_back((slot, client.stamp));
         }
@@ -245,28 +282,53 @@
         let slot = self.slab.vacant_key();
         let mut sockets = sockets.into_iter();
         let client = sockets.next()?;
-        let client = Side { socket: client, stamp: context.stamp(), readable: false, writable: true };
+        let client = Side {
+            socket: client,
+            stamp: context.stamp(),
+            readable: false,
+            writable: true,
+        };
         let mut connection = Connection::new(client, slot, handed_over.came);
         (connection.since, connection.pings) = (handed_over.since, handed_over.pings);
         match handed_over.open {
             Some(open) => {
                 let host = sockets.next()?;
-                let (Some(up), Some(down)) = (open.up.lane(context), open.down.lane(context)) else {
+                let (Some(up), Some(down)) = (open.up.lane(context), open.down.lane(context))
+                else {
                     return None;
                 };
-                let side = Side { socket: host, stamp: context.stamp(), readable: false, writable: true };
+                let side = Side {
+                    socket: host,
+                    stamp: context.stamp(),
+                    readable: false,
+                    writable: true,
+                };
                 let index = context.hosts.adopt(context.now, &open.host);
                 let record = context.hosts.record(index);
-                let said = Said { bye: open.bye, moved: open.moved, load: open.load };
-                connection.landing =
-                    Some(Landing::stood(side, index, record.lease.clone(), handed_over.since, said));
+                let said = Said {
+                    bye: open.bye,
+                    moved: open.moved,
+                    load: open.load,
+                };
+                connection.landing = Some(Landing::stood(
+                    side,
+                    index,
+                    record.lease.clone(),
+                    handed_over.since,
+                    said,
+                ));
                 (connection.up, connection.down) = (up, down);
                 (connection.asked, connection.moving, connection.client_ended) =
                     (open.asked.into(), open.moving, open.client_ended);
-                connection.ending = if open.broken { Ending::Broken } else { Ending::CalledOff };
+                connection.ending = if open.broken {
+                    Ending::Broken
+                } else {
+                    Ending::CalledOff
+                };
                 connection.stage = Stage::Passing(true);
                 connection.arrival.offering = goes_by.unwrap_or_default();
-                (connection.arrival.key, connection.arrival.group) = (handed_over.key, handed_over.group);
+                (connection.arrival.key, connection.arrival.group) =
+                    (handed_over.key, handed_over.group);
                 connection.arrival.usual_load = handed_over.usual_load;
                 if let Some(name) = handed_over.name {
                     let name = std::rc::Rc::from(name);
--- a/node/src/connections/passing_bytes_tests.rs
+++ b/node/src/connections/passing_bytes_tests.rs
@@ -4,13 +4,21 @@
 use reedferry::{Circle, Effect};
 
 fn hex(value: &impl Serialize) -> String {
-    postcard::to_allocvec(value).unwrap().iter().map(|byte| format!("{byte:02x}")).collect()
+    postcard::to_allocvec(value)
+        .unwrap()
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect()
 }
 
 fn flowing(waiting: &[u8], unfinished: &[u8]) -> Flowing {
     let mut scanner = Scanner::default();
     scanner.step(unfinished).unwrap();
-    Flowing { waiting: waiting.to_vec(), scanner, ended: true }
+    Flowing {
+        waiting: waiting.to_vec(),
+        scanner,
+        ended: true,
+    }
 }
 
 fn offering() -> Offering {
--- a/node/src/connections/probe.rs
+++ b/node/src/connections/probe.rs
@@ -22,7 +22,10 @@
 
 impl Probes {
     pub fn send(&mut self, context: &mut Context, host: HostId) {
-        let address = context.hosts.index(host).and_then(|h| context.hosts.record(h).address);
+        let address = context
+            .hosts
+            .index(host)
+            .and_then(|h| context.hosts.record(h).address);
         let opened = match address {
             Some(address) if context.budget.room(1) => context.budget.connect(&address).ok(),
             _ => None,
@@ -34,13 +37,23 @@
         let Ok(mark) = context.watch(&socket, PROBE, entry.key()) else {
             return Self::tell(context, host, Ending::Unconnected, Vec::new());
         };
-        entry.insert(Probe { host, socket, stamp: mark.stamp, asked: false, heard: None });
+        entry.insert(Probe {
+            host,
+            socket,
+            stamp: mark.stamp,
+            asked: false,
+            heard: None,
+        });
         let until: Nanos = context.now + 2 * context.terms.connect_within;
         context.poller.remind(until, mark, 0);
     }
 
     fn tell(context: &mut Context, host: HostId, ending: Ending, gauges: Vec<f64>) {
-        context.events.push(Event::Probed { host, ending, gauges });
+        context.events.push(Event::Probed {
+            host,
+            ending,
+            gauges,
+        });
     }
 
     fn end(&mut self, context: &mut Context, slot: usize, ending: Ending, gauges: Vec<f64>) {
@@ -56,21 +69,37 @@
             self.read(context, slot);
         }
         if let Some(probe) = self.out(mark) {
-            let ending = if probe.asked { Ending::TimedOut } else { Ending::Unconnected };
+            let ending = if probe.asked {
+                Ending::TimedOut
+            } else {
+                Ending::Unconnected
+            };
             self.end(context, slot, ending, Vec::new());
         }
     }
 
     /// The probe of this mark, while it is out.
     fn out(&self, mark: Mark) -> Option<&Probe> {
-        self.slab.get(mark.slot as usize).filter(|probe| probe.stamp == mark.stamp)
+        self.slab
+            .get(mark.slot as usize)
+            .filter(|probe| probe.stamp == mark.stamp)
     }
 
     pub fn ready(&mut self, context: &mut Context, ready: Readiness) {
         let slot = ready.mark.slot as usize;
-        let Some(probe) = self.slab.get_mut(slot).filter(|p| p.stamp == ready.mark.stamp) else { return };
+        let Some(probe) = self
+            .slab
+            .get_mut(slot)
+            .filter(|p| p.stamp == ready.mark.stamp)
+        else {
+            return;
+        };
         if ready.write && !probe.asked {
-            let line: &[u8] = if context.terms.gauges.is_empty() { b"PING\r\n" } else { b"STATS\r\n" };
+            let line: &[u8] = if context.terms.gauges.is_empty() {
+                b"PING\r\n"
+            } else {
+                b"STATS\r\n"
+            };
             if probe.socket.connected().is_err() || probe.socket.send(line) != Ok(line.len()) {
                 return self.end(context, slot, Ending::Unconnected, Vec::new());
             }
@@ -101,9 +130,15 @@
         match lines::first(heard.waiting()) {
             Ok(None) => probe.heard = Some(heard),
             Ok(Some((line, length))) => {
-                let said =
-                    Scanner::default().step(&heard.waiting()[..length]).ok().and_then(|(_, said)| said);
-                let ending = if said == Some(Word::Pong) { Ending::Done } else { Ending::Error };
+                let said = Scanner::default()
+                    .step(&heard.waiting()[..length])
+                    .ok()
+                    .and_then(|(_, said)| said);
+                let ending = if said == Some(Word::Pong) {
+                    Ending::Done
+                } else {
+                    Ending::Error
+                };
                 let gauges = lines::report(line, &context.terms.gauges);
                 self.end(context, slot, ending, gauges);
             }
--- a/node/src/connections/wire.rs
+++ b/node/src/connections/wire.rs
@@ -21,7 +21,13 @@
 
 impl Wire {
     pub fn new(socket: Socket, stamp: u32, stands: bool) -> Self {
-        Wire { socket, stamp, stands, readable: false, writable: stands }
+        Wire {
+            socket,
+            stamp,
+            stands,
+            readable: false,
+            writable: stands,
+        }
     }
 
     pub fn ready(&mut self, ready: Readiness) {
@@ -46,7 +52,11 @@
     ///
     /// # Errors
     /// How the connection ended, in a word.
-    pub fn read(&mut self, space: &mut [u8], mut each: impl FnMut(&[u8])) -> Result<bool, &'static str> {
+    pub fn read(
+        &mut self,
+        space: &mut [u8],
+        mut each: impl FnMut(&[u8]),
+    ) -> Result<bool, &'static str> {
         let mut left = TURN;
         while self.readable && self.stands {
             if left == 0 {
@@ -103,7 +113,11 @@
 
 impl Default for Wires {
     fn default() -> Self {
-        Wires { all: BTreeMap::new(), more: false, space: vec![0; PIECE] }
+        Wires {
+            all: BTreeMap::new(),
+            more: false,
+            space: vec![0; PIECE],
+        }
     }
 }
 
@@ -122,7 +136,10 @@
     }
 
     /// Has `each` write what waits for a connection; it is told as much of it as was taken.
-    pub fn write(&mut self, mut each: impl FnMut(u32, &mut Wire) -> Result<(), &'static str>) -> Ended {
+    pub fn write(
+        &mut self,
+        mut each: impl FnMut(u32, &mut Wire) -> Result<(), &'static str>,
+    ) -> Ended {
         let one = |(&line, wire): (&u32, &mut Wire)| each(line, wire).err().map(|why| (line, why));
         self.all.iter_mut().filter_map(one).collect()
     }
--- a/node/src/context.rs
+++ b/node/src/context.rs
@@ -70,7 +70,11 @@
 const EMPTY_WITHIN: Nanos = 4 * SECOND;
 
 pub fn mark(part: u8) -> Mark {
-    Mark { part, slot: 0, stamp: 0 }
+    Mark {
+        part,
+        slot: 0,
+        stamp: 0,
+    }
 }
 
 pub struct Context {
@@ -112,7 +116,11 @@
 
 impl Context {
     /// What every role starts with, and the log that its loop drains.
-    pub fn open(papers: &Papers, clock: &Clock, start: &AtStart) -> Result<(Context, Backlog), String> {
+    pub fn open(
+        papers: &Papers,
+        clock: &Clock,
+        start: &AtStart,
+    ) -> Result<(Context, Backlog), String> {
         let (log, backlog) = log::logger(&papers.name);
         let wrong = |e| format!("cannot poll: {e}");
         let poller = patiently(START_WITHIN, Poller::new).map_err(wrong)?;
@@ -131,7 +139,10 @@
             budget: Budget::new(papers.sockets),
             // A quarter of the memory; the rest is the program's own and a reserve.
             pool: Pool::new((papers.memory / 4 / pool::SIZE).max(64)),
-            hosts: Hosts::new(papers.terms.zones.clone(), papers.charter.shortest_message_time()),
+            hosts: Hosts::new(
+                papers.terms.zones.clone(),
+                papers.charter.shortest_message_time(),
+            ),
             terms: papers.terms.clone(),
             offerings: papers.charter.offerings.clone(),
             events: Vec::new(),
@@ -177,7 +188,10 @@
     pub fn inherit(&mut self, number: i32) -> Result<Socket, String> {
         let wrong = |e: Errno| format!("GW_ACCEPT_FD {number} is no listener: {e}");
         let listener = patiently(START_WITHIN, || self.budget.inherit(number)).map_err(wrong)?;
-        patiently(START_WITHIN, || self.poller.watch(&listener, mark(LISTENER))).map_err(wrong)?;
+        patiently(START_WITHIN, || {
+            self.poller.watch(&listener, mark(LISTENER))
+        })
+        .map_err(wrong)?;
         Ok(listener)
     }
 
@@ -222,7 +236,10 @@
         // find nobody; a client is served here as well as anywhere until it has to go.
         let span = (expiry + beyond).saturating_sub(LAST_MOVES);
         let from = now + STILL_COME.max(span / 3);
-        Event::Leaving { from, by: from.max(now + span) }
+        Event::Leaving {
+            from,
+            by: from.max(now + span),
+        }
     }
 
     /// Operators want the node empty: what the module is told. The front looks every moment whether the node
@@ -231,7 +248,10 @@
         let by = self.now + EMPTY_WITHIN - LAST_MOVES;
         self.standby = Some(by);
         warn!(self.log, "standing by"; "connections" => connections);
-        Event::Leaving { from: self.now + STILL_COME, by: by - LONGEST_MOVE }
+        Event::Leaving {
+            from: self.now + STILL_COME,
+            by: by - LONGEST_MOVE,
+        }
     }
 
     /// Operators want it back at work.
@@ -243,7 +263,11 @@
 
     /// By when nobody is held any more, whatever the reason.
     pub fn empty_by(&self) -> Nanos {
-        self.standby.into_iter().chain(self.stopped_by).min().unwrap_or(Nanos::MAX)
+        self.standby
+            .into_iter()
+            .chain(self.stopped_by)
+            .min()
+            .unwrap_or(Nanos::MAX)
     }
 
     pub fn stamp(&mut self) -> u32 {
@@ -258,7 +282,11 @@
 
     /// Watches a socket under a fresh stamp.
     pub fn watch(&mut self, socket: &Socket, part: u8, slot: usize) -> Result<Mark, Errno> {
-        let mark = Mark { part, slot: slot as u32, stamp: self.stamp() };
+        let mark = Mark {
+            part,
+            slot: slot as u32,
+            stamp: self.stamp(),
+        };
         self.poller.watch(socket, mark)?;
         Ok(mark)
     }
--- a/node/src/listing/discovery.rs
+++ b/node/src/listing/discovery.rs
@@ -134,7 +134,11 @@
             // What was missed since a version that is known comes at once, by the call that then waits on, unless the
             // node may have missed something: whoever waits is not heard.
             let waits = self.versions.may_wait() && !self.hearing.pressed();
-            self.call(context, WATCH, if waits { self.hearing.hold() } else { MILLI });
+            self.call(
+                context,
+                WATCH,
+                if waits { self.hearing.hold() } else { MILLI },
+            );
         }
     }
 
@@ -147,9 +151,13 @@
             None => "/v1/servers".to_string(),
         };
         let call = &mut self.calls[which];
-        call.request = format!("GET {path} HTTP/1.1\r\nHost: {}\r\n\r\n", self.address).into_bytes();
+        call.request =
+            format!("GET {path} HTTP/1.1\r\nHost: {}\r\n\r\n", self.address).into_bytes();
         (call.out, call.since, call.hold) = (true, context.now, hold);
-        (call.until, call.used) = (self.hearing.silent_at(context.now, hold), call.line.is_some());
+        (call.until, call.used) = (
+            self.hearing.silent_at(context.now, hold),
+            call.line.is_some(),
+        );
         if which == WATCH {
             self.next = None;
             self.hearing.out(context.now, hold);
@@ -164,10 +172,13 @@
         (call.written, call.body, call.came) = (0, 0, false);
         (call.answer, call.reader) = (Answer::default(), Reader::default());
         if call.line.is_none() {
-            let opened = context.budget.connect(&self.address).and_then(|(socket, _)| {
-                let mark = context.watch(&socket, DISCOVERY, which)?;
-                Ok((socket, mark.stamp))
-            });
+            let opened = context
+                .budget
+                .connect(&self.address)
+                .and_then(|(socket, _)| {
+                    let mark = context.watch(&socket, DISCOVERY, which)?;
+                    Ok((socket, mark.stamp))
+                });
             match opened {
                 Ok(line) => call.line = Some(line),
                 // What this machine is short of says nothing of the service.
@@ -183,22 +194,35 @@
 
     pub fn ready(&mut self, context: &mut Context, ready: Readiness) {
         let which = ready.mark.slot as usize;
-        let Some(call) = self.calls.get(which) else { return };
-        if call.line.as_ref().is_none_or(|(_, stamp)| *stamp != ready.mark.stamp) {
+        let Some(call) = self.calls.get(which) else {
+            return;
+        };
+        if call
+            .line
+            .as_ref()
+            .is_none_or(|(_, stamp)| *stamp != ready.mark.stamp)
+        {
             return;
         }
         if ready.write {
             self.write(context, which);
         }
         // Writing may have failed and closed it.
-        if ready.read && self.calls[which].line.as_ref().is_some_and(|(_, s)| *s == ready.mark.stamp) {
+        if ready.read
+            && self.calls[which]
+                .line
+                .as_ref()
+                .is_some_and(|(_, s)| *s == ready.mark.stamp)
+        {
             self.read(context, which);
         }
     }
 
     fn write(&mut self, context: &mut Context, which: usize) {
         let call = &mut self.calls[which];
-        let Some((socket, _)) = &call.line else { return };
+        let Some((socket, _)) = &call.line else {
+            return;
+        };
         while call.out && call.written < call.request.len() {
             match socket.send(&call.request[call.written..]) {
                 Ok(count) => call.written += count,
@@ -212,10 +236,14 @@
 
     fn read(&mut self, context: &mut Context, which: usize) {
         // Guards: a list that is lost because clients hold all buffers; it is read when one is free.
-        let Some(mut buffer) = context.pool.take() else { return };
+        let Some(mut buffer) = context.pool.take() else {
+            return;
+        };
         loop {
             let call = &mut self.calls[which];
-            let Some((socket, _)) = &call.line else { return };
+            let Some((socket, _)) = &call.line else {
+                return;
+            };
             buffer.clear();
             let count = match socket.receive(buffer.spare()) {
                 Ok(0) => {
@@ -246,7 +274,12 @@
             });
             match took {
                 Ok(took) if call.answer.done() && took < count => {
-                    return self.fail(context, which, Failure::Unread, "bytes that nobody asked for");
+                    return self.fail(
+                        context,
+                        which,
+                        Failure::Unread,
+                        "bytes that nobody asked for",
+                    );
                 }
                 Ok(_) if call.answer.done() => {
                     self.answered(context, which);
@@ -279,7 +312,12 @@
         };
         let (since, hold, news) = (call.since, call.hold, !list.members.is_empty());
         if !self.take(context, which, list) {
-            return self.fail(context, which, Failure::Unread, "a revision that runs backwards");
+            return self.fail(
+                context,
+                which,
+                Failure::Unread,
+                "a revision that runs backwards",
+            );
         }
         self.hearing.answered(context.now, since, hold);
         if which != WATCH {
@@ -307,7 +345,9 @@
     fn wait_on(&mut self, context: &mut Context) {
         let watch = &mut self.calls[WATCH];
         if watch.out && !watch.came {
-            watch.until = watch.until.max(self.hearing.silent_at(watch.since, watch.hold));
+            watch.until = watch
+                .until
+                .max(self.hearing.silent_at(watch.since, watch.hold));
         }
         context.deaf = self.hearing.deaf();
     }
@@ -325,11 +365,17 @@
 
     /// Whether the list counts, if only as no news.
     fn take(&mut self, context: &mut Context, which: usize, mut list: List) -> bool {
-        match self.versions.told(which == WATCH, list.revision, list.complete) {
+        match self
+            .versions
+            .told(which == WATCH, list.revision, list.complete)
+        {
             // Guards: a host that drains and counts as ready again, by changes from before.
             Worth::Backwards => return false,
             Worth::Stale => {
-                context.events.push(Event::Roll { kind: RollKind::Changes, hosts: Vec::new() });
+                context.events.push(Event::Roll {
+                    kind: RollKind::Changes,
+                    hosts: Vec::new(),
+                });
                 return true;
             }
             // Guards: new work for hosts that drain, by a service that came back with an older list. What it says
@@ -342,8 +388,10 @@
             Worth::News => {}
         }
         let now = context.now;
-        let source =
-            Source::Told { learned: self.learned(which, now), counts_from: self.hearing.counts_from(now) };
+        let source = Source::Told {
+            learned: self.learned(which, now),
+            counts_from: self.hearing.counts_from(now),
+        };
         self.heard_at = Some(now);
         let event = context.hosts.told(now, list, source, &context.log);
         context.events.push(event);
@@ -371,7 +419,12 @@
         if !matches!(status, 429 | 503) {
             self.versions.broke();
         }
-        self.ended(context, which, Failure::Refused, &format!("status {status}"));
+        self.ended(
+            context,
+            which,
+            Failure::Refused,
+            &format!("status {status}"),
+        );
     }
 
     fn fail(&mut self, context: &mut Context, which: usize, how: Failure, why: &str) {
@@ -396,7 +449,10 @@
         }
         // Nobody else says when the watch is taken up again.
         if which == ASK {
-            context.events.push(Event::Roll { kind: RollKind::Failed, hosts: Vec::new() });
+            context.events.push(Event::Roll {
+                kind: RollKind::Failed,
+                hosts: Vec::new(),
+            });
         }
     }
 
@@ -404,7 +460,11 @@
     fn fell_silent(&mut self, context: &mut Context) {
         let mut silent = std::mem::take(&mut self.calls[WATCH]);
         if let Some((socket, stamp)) = &mut silent.line {
-            let mark = Mark { part: DISCOVERY, slot: SILENT as u32, stamp: context.stamp() };
+            let mark = Mark {
+                part: DISCOVERY,
+                slot: SILENT as u32,
+                stamp: context.stamp(),
+            };
             if context.poller.rewatch(socket, mark).is_ok() {
                 *stamp = mark.stamp;
                 silent.until = Nanos::MAX;
--- a/node/src/listing/hearing.rs
+++ b/node/src/listing/hearing.rs
@@ -130,7 +130,8 @@
     pub fn retune(&mut self, charter: &Charter, grace: Nanos) {
         let place = (f64::from(charter.node) + 0.5) / f64::from(charter.nodes.max(1));
         (self.place, self.spread) = (place.min(1.0), charter.ask_within.min(HOLD / 2));
-        (self.ask_within, self.grace, self.unasked) = (charter.ask_within, grace, !charter.roll_on_request);
+        (self.ask_within, self.grace, self.unasked) =
+            (charter.ask_within, grace, !charter.roll_on_request);
         let pause = (EACH * u64::from(charter.nodes)).min(charter.ask_within / 8);
         self.pause = pause.clamp(AGAIN, TOLD / 5);
     }
@@ -168,7 +169,11 @@
 
     /// When a call that began at `since` and may wait so long counts as silent: later where the service is known to be slow.
     pub fn silent_at(&self, since: Nanos, hold: Nanos) -> Nanos {
-        let usual = if hold > SILENT { SILENT_AFTER_WAIT } else { SILENT };
+        let usual = if hold > SILENT {
+            SILENT_AFTER_WAIT
+        } else {
+            SILENT
+        };
         let known = (self.latency as f64 * PATIENCE_OVER_LATENCY) as Nanos;
         since + hold + known.clamp(usual, MOST_PATIENCE)
     }
@@ -207,8 +212,16 @@
     /// as one that comes late is a new one. Guards: a service that ends every watch at once with nothing, called as
     /// fast as it answers.
     pub fn next(&mut self, now: Nanos, since: Nanos, hold: Nanos, news: bool) -> Nanos {
-        self.idle = if news || hold < IDLE || now > since + IDLE { 0 } else { self.idle + 1 };
-        now + if self.idle > 1 { IDLE << (self.idle - 2).min(3) } else { 0 }
+        self.idle = if news || hold < IDLE || now > since + IDLE {
+            0
+        } else {
+            self.idle + 1
+        };
+        now + if self.idle > 1 {
+            IDLE << (self.idle - 2).min(3)
+        } else {
+            0
+        }
     }
 
     /// The node was led to another service. Guards: a call there that is turned away, and made again too late.
@@ -228,7 +241,10 @@
     /// end of the grace on, and for as long as it may not ask by the settings, as the service is down for long then.
     /// Guards: new work for hosts that drain, by a node that stood still, or whose calls a busy service turned away.
     pub fn deaf(&self) -> Range<Nanos> {
-        let from = self.held.or(self.lease).map_or(Nanos::MAX, |told| told.saturating_add(self.grace));
+        let from = self
+            .held
+            .or(self.lease)
+            .map_or(Nanos::MAX, |told| told.saturating_add(self.grace));
         from..from.saturating_add(self.ask_within)
     }
 
@@ -236,7 +252,8 @@
     /// told 6 s after the service had it, heard of later, as what failed was no silence.
     fn told(&mut self, now: Nanos, how: Failure, lease: Option<Nanos>) -> Nanos {
         // A watch that goes on has told all until it ended, but for one that was silent; between two, nothing was out.
-        let goes_on = self.held.is_none() && how != Failure::Silent && self.since <= self.sure + IDLE;
+        let goes_on =
+            self.held.is_none() && how != Failure::Silent && self.since <= self.sure + IDLE;
         if goes_on {
             self.sure = self.awake.max(self.since).min(now);
         }
@@ -257,7 +274,11 @@
         let lease = self.lease.take().filter(|_| self.begun || !self.unasked);
         self.begun = true;
         let told = self.told(now, how, lease);
-        self.gone = if how == Failure::Broken { self.since.max(self.sure) } else { self.gone };
+        self.gone = if how == Failure::Broken {
+            self.since.max(self.sure)
+        } else {
+            self.gone
+        };
         let first = self.failures == 0 && self.held.is_none();
         if self.held.is_none() || how == Failure::Unread {
             self.failed_at = now;
@@ -276,7 +297,9 @@
             // the whole list, the next watch.
             _ if first => now + (self.place * TURNS.min(self.ask_within / 2) as f64) as Nanos,
             // Ever shorter ones while there is time, then even ones.
-            Failure::Unread if now < deaf.start => step(((deaf.start - now) / 4).max(self.grace / 8)),
+            Failure::Unread if now < deaf.start => {
+                step(((deaf.start - now) / 4).max(self.grace / 8))
+            }
             _ if now < deaf.start => step(((deaf.start - now) / 4).max(self.pause)),
             _ if now < deaf.end => step(LONGEST_AGAIN.max(self.pause)),
             _ => step(DOWN_AGAIN.min(self.ask_within / 4).max(self.pause)),
--- a/node/src/listing/hearing_tests.rs
+++ b/node/src/listing/hearing_tests.rs
@@ -10,7 +10,16 @@
 const GRACE: Nanos = 50 * MILLI;
 
 fn one(node: u32, nodes: u32, pushed: bool) -> Hearing {
-    Hearing::new(&Charter { node, nodes, roll_on_request: !pushed, ..Charter::default() }, GRACE, 0)
+    Hearing::new(
+        &Charter {
+            node,
+            nodes,
+            roll_on_request: !pushed,
+            ..Charter::default()
+        },
+        GRACE,
+        0,
+    )
 }
 
 /// So many nodes whose watches begin at one moment, as after a change, and fall silent at drawn ones, beside a
@@ -51,7 +60,11 @@
             how = Failure::Refused;
         }
         let at = hearing.failed(now, how);
-        let late = if at > now { rng.random_range(0..LOOK) } else { 0 };
+        let late = if at > now {
+            rng.random_range(0..LOOK)
+        } else {
+            0
+        };
         next.push(Reverse((at + late, node, 2)));
     }
     (latest / MILLI as i64, calls)
@@ -64,7 +77,10 @@
         for nodes in [1, 6, 40, 350, 1100] {
             // Little more than the terms ask of a service: a call of each within ten seconds, and two a second.
             let (latest, calls) = silence(seed, nodes, f64::from(nodes.max(20)) / 10.0, pushed);
-            assert!(latest < 0, "seed {seed}, {nodes} nodes: {latest} ms too late");
+            assert!(
+                latest < 0,
+                "seed {seed}, {nodes} nodes: {latest} ms too late"
+            );
             assert!(
                 calls as f64 <= 1.2 * f64::from(nodes) + 1.0,
                 "seed {seed}, {nodes} nodes: {calls} calls"
@@ -88,7 +104,11 @@
     let mut hearing = one(0, 1, false);
     let first = noticed(&mut hearing);
     let held = first - SILENT_AFTER_WAIT + TOLD_AFTER_WAIT;
-    assert_eq!(hearing.deaf(), held + GRACE..held + GRACE + 10 * SECOND, "the call in its place is out");
+    assert_eq!(
+        hearing.deaf(),
+        held + GRACE..held + GRACE + 10 * SECOND,
+        "the call in its place is out"
+    );
     let (mut now, mut tries) = (first, 0);
     let told = 10 * SECOND + TOLD + GRACE;
     while now < told + 10 * SECOND {
@@ -99,7 +119,10 @@
         (now, tries) = (at, tries + 1);
     }
     assert!((1..30).contains(&tries), "{tries} tries");
-    assert!(hearing.failed(now, Failure::Refused) <= now + 4 * SECOND, "it goes on for ever");
+    assert!(
+        hearing.failed(now, Failure::Refused) <= now + 4 * SECOND,
+        "it goes on for ever"
+    );
     hearing.heard(now);
     assert_eq!(hearing.deaf().start, Nanos::MAX, "shut for ever");
 }
@@ -107,7 +130,10 @@
 /// Guards: a node that calls again only after what it may have missed counts as told.
 #[test]
 fn a_watch_that_was_refused_or_broke_is_called_again_several_times_within_six_seconds() {
-    for (how, node) in [Failure::Refused, Failure::Broken].into_iter().flat_map(|h| [(h, 0), (h, 349)]) {
+    for (how, node) in [Failure::Refused, Failure::Broken]
+        .into_iter()
+        .flat_map(|h| [(h, 0), (h, 349)])
+    {
         let mut hearing = one(node, 350, false);
         hearing.heard(10 * SECOND);
         hearing.out(10 * SECOND, hearing.hold());
@@ -118,9 +144,19 @@
             hearing.out(now, hearing.hold());
             (now, tries) = (hearing.failed(now, how), tries + 1);
         }
-        assert!((2..12).contains(&tries), "{how:?}, node {node}: {tries} tries");
+        assert!(
+            (2..12).contains(&tries),
+            "{how:?}, node {node}: {tries} tries"
+        );
         let deaf = hearing.deaf().start;
-        assert!(if how == Failure::Refused { deaf == 21 * SECOND + GRACE } else { deaf > now }, "{how:?}");
+        assert!(
+            if how == Failure::Refused {
+                deaf == 21 * SECOND + GRACE
+            } else {
+                deaf > now
+            },
+            "{how:?}"
+        );
     }
 }
 
@@ -131,8 +167,13 @@
     for (nodes, most) in [(6, 6), (16, 10), (40, 24), (350, 180)] {
         let mut calls = Vec::new();
         for node in 0..nodes {
-            let charter =
-                Charter { node, nodes, roll_on_request: true, ask_within: 4 * SECOND, ..Charter::default() };
+            let charter = Charter {
+                node,
+                nodes,
+                roll_on_request: true,
+                ask_within: 4 * SECOND,
+                ..Charter::default()
+            };
             let mut hearing = Hearing::new(&charter, 300 * MILLI, 0);
             hearing.heard(SECOND);
             hearing.out(SECOND, hearing.hold());
@@ -145,13 +186,29 @@
             calls.extend([first, second, second]);
         }
         calls.sort_unstable();
-        let within =
-            |from: &Nanos| calls.iter().filter(|at| *at >= from && **at < from + 300 * MILLI).count();
-        let soon = calls.iter().filter(|at| **at < 2 * SECOND + 300 * MILLI).count();
+        let within = |from: &Nanos| {
+            calls
+                .iter()
+                .filter(|at| *at >= from && **at < from + 300 * MILLI)
+                .count()
+        };
+        let soon = calls
+            .iter()
+            .filter(|at| **at < 2 * SECOND + 300 * MILLI)
+            .count();
         let at_once = calls.iter().map(within).max().unwrap_or(0);
-        assert!(soon <= most, "{nodes} nodes: {soon} calls in the first moment");
-        assert!(at_once <= most + 3, "{nodes} nodes: {at_once} calls in one moment");
-        assert!(calls.iter().all(|at| *at < 5 * SECOND), "{nodes} nodes: late");
+        assert!(
+            soon <= most,
+            "{nodes} nodes: {soon} calls in the first moment"
+        );
+        assert!(
+            at_once <= most + 3,
+            "{nodes} nodes: {at_once} calls in one moment"
+        );
+        assert!(
+            calls.iter().all(|at| *at < 5 * SECOND),
+            "{nodes} nodes: late"
+        );
     }
 }
 
@@ -167,7 +224,10 @@
             hearing.out(now, MILLI);
             hearing.runs(now);
             now = hearing.failed(now + MILLI, Failure::Broken);
-            assert!(hearing.deaf().start >= now.min(hearing.since + TOLD), "pushed {pushed}");
+            assert!(
+                hearing.deaf().start >= now.min(hearing.since + TOLD),
+                "pushed {pushed}"
+            );
             assert!(!hearing.deaf().contains(&now), "pushed {pushed}");
         }
         let mut hearing = one(0, 1, pushed);
@@ -189,7 +249,11 @@
     assert_eq!(hearing.failed(SECOND, Failure::Unread), SECOND);
     let again = hearing.failed(SECOND + MILLI, Failure::Unread);
     assert!(again > SECOND + MILLI && again < SECOND + GRACE);
-    assert_eq!(hearing.deaf(), SECOND + GRACE..SECOND + GRACE + 10 * SECOND, "told when it was written");
+    assert_eq!(
+        hearing.deaf(),
+        SECOND + GRACE..SECOND + GRACE + 10 * SECOND,
+        "told when it was written"
+    );
     let (mut now, mut tries) = (again, 0);
     while now < 20 * SECOND {
         (now, tries) = (hearing.failed(now, Failure::Unread), tries + 1);
@@ -221,7 +285,8 @@
 /// Guards: any order of silence, reset, refusal and garbled lists in which a node hands something to a host that drains, as
 /// it does not know by when it had to have heard. A change may come in any moment in which the service is there.
 #[test]
-fn whatever_the_service_does_a_node_is_shut_wherever_it_may_have_missed_a_change_that_counts_as_told() {
+fn whatever_the_service_does_a_node_is_shut_wherever_it_may_have_missed_a_change_that_counts_as_told(
+) {
     let mut shut = 0;
     for seed in 0..400 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -235,8 +300,17 @@
         let (mut kept, mut seen) = (false, true);
         for now in (0..120 * SECOND).step_by(10 * MILLI as usize) {
             if now >= until {
-                let all = [Service::Well, Service::Gone, Service::Busy, Service::Mute, Service::Garbled];
-                (service, until) = (all[rng.random_range(0..5)], now + rng.random_range(0..9 * SECOND));
+                let all = [
+                    Service::Well,
+                    Service::Gone,
+                    Service::Busy,
+                    Service::Mute,
+                    Service::Garbled,
+                ];
+                (service, until) = (
+                    all[rng.random_range(0..5)],
+                    now + rng.random_range(0..9 * SECOND),
+                );
                 // Nobody can know that it was there between two tries.
                 missed = missed.filter(|_| service != Service::Gone || seen);
                 seen &= service != Service::Gone;
@@ -274,10 +348,19 @@
             seen |= service != Service::Gone && (failed.is_some() || call.is_some());
             if let Some(how) = failed {
                 if call.is_none() {
-                    hearing.out(now, if how == Failure::Unread { hearing.hold() } else { MILLI });
+                    hearing.out(
+                        now,
+                        if how == Failure::Unread {
+                            hearing.hold()
+                        } else {
+                            MILLI
+                        },
+                    );
                 }
                 if how == Failure::Unread {
-                    missed = missed.or(Some(now)).map(|at: Nanos| at.min(now.saturating_sub(TOLD)));
+                    missed = missed
+                        .or(Some(now))
+                        .map(|at: Nanos| at.min(now.saturating_sub(TOLD)));
                 }
                 if how == Failure::Broken && call.is_some() {
                     // A watch that was silent and then broke can't be told from one that was well until then.
@@ -301,10 +384,16 @@
                 missed = missed.or(Some(now));
             }
             let waits = kept || call.is_some_and(|(_, hold, _)| hold > SILENT);
-            let told = missed.filter(|_| !waits).is_some_and(|at| now > at + TOLD + GRACE + 20 * MILLI);
+            let told = missed
+                .filter(|_| !waits)
+                .is_some_and(|at| now > at + TOLD + GRACE + 20 * MILLI);
             let deaf = hearing.deaf();
             shut += u64::from(deaf.contains(&now));
-            assert!(!told || now >= deaf.start, "seed {seed}, at {} ms: {service:?}, {deaf:?}", now / MILLI);
+            assert!(
+                !told || now >= deaf.start,
+                "seed {seed}, at {} ms: {service:?}, {deaf:?}",
+                now / MILLI
+            );
         }
     }
     assert!(shut > 0, "too tame");
@@ -313,16 +402,26 @@
 /// Guards: a node that hears seconds late that a service is back, whose lists are pushed.
 #[test]
 fn a_pushed_service_that_is_gone_is_looked_for_within_the_grace_and_a_busy_one_less_often() {
-    for (how, most) in [(Failure::Broken, GRACE), (Failure::Refused, 2 * SECOND), (Failure::Silent, 0)] {
+    for (how, most) in [
+        (Failure::Broken, GRACE),
+        (Failure::Refused, 2 * SECOND),
+        (Failure::Silent, 0),
+    ] {
         let mut hearing = one(5, 9, true);
         assert_eq!(hearing.failed(0, how), 0);
         let mut now = 0;
         for _ in 0..30 {
             let at = hearing.failed(now, how);
-            assert!(at <= now + most && (at > now || how == Failure::Silent), "{how:?}");
+            assert!(
+                at <= now + most && (at > now || how == Failure::Silent),
+                "{how:?}"
+            );
             now = at;
         }
-        assert!(how != Failure::Refused || now > 10 * SECOND, "a storm at a busy service");
+        assert!(
+            how != Failure::Refused || now > 10 * SECOND,
+            "a storm at a busy service"
+        );
     }
     let mut hearing = one(5, 9, true);
     hearing.moved(0);
@@ -346,7 +445,11 @@
         (0, usual),
     ] {
         hearing.answered(10 * SECOND + took, 10 * SECOND, 0);
-        assert_eq!((hearing.silent_at(0, 0), hearing.silent_at(0, 10 * SECOND)), wanted, "{took}");
+        assert_eq!(
+            (hearing.silent_at(0, 0), hearing.silent_at(0, 10 * SECOND)),
+            wanted,
+            "{took}"
+        );
     }
     // News tells nothing of that; another service has a pace of its own.
     hearing.answered(15 * SECOND, 10 * SECOND, 0);
@@ -389,10 +492,17 @@
             hearing.out(0, HOLD);
             assert_eq!(hearing.deaf().start, first);
             hearing.failed(2 * SECOND, how);
-            assert!(hearing.deaf().start >= TOLD + GRACE, "{how:?}: {:?}", hearing.deaf());
+            assert!(
+                hearing.deaf().start >= TOLD + GRACE,
+                "{how:?}: {:?}",
+                hearing.deaf()
+            );
             hearing.heard(3 * SECOND);
             hearing.out(3 * SECOND, HOLD);
-            assert_eq!(hearing.deaf().start, 3 * SECOND + HOLD + TOLD_AFTER_WAIT + GRACE);
+            assert_eq!(
+                hearing.deaf().start,
+                3 * SECOND + HOLD + TOLD_AFTER_WAIT + GRACE
+            );
         }
     }
 }
--- a/node/src/listing/hosts.rs
+++ b/node/src/listing/hosts.rs
@@ -86,10 +86,15 @@
     /// answered in good time. Guards: a jam told by the age of what waits in it, which is a fraction of it.
     fn piled_up(&self, now: Nanos) -> Nanos {
         let since = |then: Nanos| now.saturating_sub(then) as f64;
-        let steep = |(sent, time): (Nanos, Nanos)| time as f64 / sent.saturating_sub(self.well).max(1) as f64;
+        let steep = |(sent, time): (Nanos, Nanos)| {
+            time as f64 / sent.saturating_sub(self.well).max(1) as f64
+        };
         let waiting = self.oldest.filter(|&then| !self.answered_since(then));
         let waiting = waiting.map(|then| (then, now.saturating_sub(then)));
-        let risen = waiting.into_iter().chain(self.latest).filter(|(sent, _)| *sent > self.well);
+        let risen = waiting
+            .into_iter()
+            .chain(self.latest)
+            .filter(|(sent, _)| *sent > self.well);
         let steepest = risen.map(steep).fold(0.0, f64::max);
         (steepest.min(Self::STEEPEST) * since(self.well)) as Nanos
     }
@@ -103,10 +108,15 @@
         };
         let stuck = self.oldest.filter(|&then| !alone(then));
         let age = stuck.map_or(0, |then| now.saturating_sub(then));
-        let last = self.latest.filter(|(sent, time)| sent + time + SECOND / 2 > now).map_or(0, |(_, t)| t);
+        let last = self
+            .latest
+            .filter(|(sent, time)| sent + time + SECOND / 2 > now)
+            .map_or(0, |(_, t)| t);
         // What waits may be paused or hung: it is given more time than what was answered late.
         let worst = last.max(if age > Self::HUNG { age } else { 0 });
-        let answers = self.latest.is_some_and(|(sent, time)| sent + time + age > now);
+        let answers = self
+            .latest
+            .is_some_and(|(sent, time)| sent + time + age > now);
         let hung = age > Self::HUNG && self.waiting > 1 && !answers;
         let time = if hung && !self.told_hung {
             worst.max(Self::HUNG_TELLS)
@@ -125,7 +135,11 @@
         };
         self.looked = now;
         self.times.clear();
-        let time = time.saturating_sub(if self.shortest > SECOND { 0 } else { self.shortest });
+        let time = time.saturating_sub(if self.shortest > SECOND {
+            0
+        } else {
+            self.shortest
+        });
         let tell = time > long || self.told_long;
         (self.told_long, self.told_hung) = (time > long, hung);
         tell.then_some(time)
@@ -138,7 +152,10 @@
     /// It was kept by this process or another, or given at the start.
     Kept,
     /// The list service has just told it; from when it counts as told.
-    Told { learned: Learned, counts_from: Nanos },
+    Told {
+        learned: Learned,
+        counts_from: Nanos,
+    },
 }
 
 impl Source {
@@ -192,7 +209,11 @@
 
 impl Hosts {
     pub fn new(zones: Vec<String>, shortest_message_time: Nanos) -> Self {
-        Hosts { zones, long: shortest_message_time / 3, ..Hosts::default() }
+        Hosts {
+            zones,
+            long: shortest_message_time / 3,
+            ..Hosts::default()
+        }
     }
 
     /// Goes by other names of zones, and another time from which the module is told.
@@ -205,7 +226,10 @@
     }
 
     pub fn ids(&self) -> impl Iterator<Item = u64> + '_ {
-        self.all.iter().filter(|record| record.said.is_some()).map(|record| record.id.0)
+        self.all
+            .iter()
+            .filter(|record| record.said.is_some())
+            .map(|record| record.id.0)
     }
 
     pub fn index(&self, id: HostId) -> Option<usize> {
@@ -220,10 +244,15 @@
     /// since drains on. Gives how many that are.
     pub fn keep_drains(&self, list: &mut List) -> usize {
         let mut kept = 0;
-        for member in list.members.iter_mut().filter(|m| m.standing == Standing::Ready) {
+        for member in list
+            .members
+            .iter_mut()
+            .filter(|m| m.standing == Standing::Ready)
+        {
             let host = self.index(HostId(lines::hash(&member.name)));
             let said = host.and_then(|host| self.all[host].said.as_ref());
-            if said.is_some_and(|s| s.standing == Standing::Draining && s.started == member.started) {
+            if said.is_some_and(|s| s.standing == Standing::Draining && s.started == member.started)
+            {
                 member.standing = Standing::Draining;
                 kept += 1;
             }
@@ -239,7 +268,11 @@
             _ => RollKind::Changes,
         };
         if list.complete {
-            let named: HashSet<HostId> = list.members.iter().map(|m| HostId(lines::hash(&m.name))).collect();
+            let named: HashSet<HostId> = list
+                .members
+                .iter()
+                .map(|m| HostId(lines::hash(&m.name)))
+                .collect();
             for record in self.all.iter_mut().filter(|b| !named.contains(&b.id)) {
                 record.left_since.get_or_insert(source.counts_from(now));
                 record.was = record.said.take().or(record.was.take());
@@ -247,8 +280,11 @@
         }
         self.lists += 1;
         let mut progress = Progress::default();
-        let hosts =
-            list.members.into_iter().map(|m| self.listed((now, source), m, &mut progress, log)).collect();
+        let hosts = list
+            .members
+            .into_iter()
+            .map(|m| self.listed((now, source), m, &mut progress, log))
+            .collect();
         if progress.named > MOST_NAMED {
             info!(log, "more hosts listed"; "count" => progress.named - MOST_NAMED);
         }
@@ -265,7 +301,16 @@
             let (zone, size) = (String::new(), 1.0);
             self.listed(
                 (now, Source::Kept),
-                Member { name, address, zone, cell: 0, standing, size, started: None, believed: Some(None) },
+                Member {
+                    name,
+                    address,
+                    zone,
+                    cell: 0,
+                    standing,
+                    size,
+                    started: None,
+                    believed: Some(None),
+                },
                 &mut Progress::default(),
                 log,
             );
@@ -284,7 +329,10 @@
     pub fn adopt(&mut self, now: Nanos, name: &str) -> usize {
         let id = HostId(lines::hash(name));
         self.index(id).unwrap_or_else(|| {
-            let record = HostRecord { left_since: Some(now), ..HostRecord::new(name.to_string(), id, now) };
+            let record = HostRecord {
+                left_since: Some(now),
+                ..HostRecord::new(name.to_string(), id, now)
+            };
             self.put(self.all.len(), record);
             self.all.len() - 1
         })
@@ -292,26 +340,46 @@
 
     /// What the list says of the hosts that it names.
     pub fn members(&self) -> Vec<Member> {
-        self.all.iter().filter_map(|record| record.said.clone()).collect()
+        self.all
+            .iter()
+            .filter_map(|record| record.said.clone())
+            .collect()
     }
 
     /// What it said last of those that are gone, and known still.
     pub fn former(&self) -> Vec<Member> {
-        let former = |was: &Member| Member { standing: Standing::Gone, ..was.clone() };
-        self.all.iter().filter_map(|record| record.was.as_ref().map(former)).collect()
+        let former = |was: &Member| Member {
+            standing: Standing::Gone,
+            ..was.clone()
+        };
+        self.all
+            .iter()
+            .filter_map(|record| record.was.as_ref().map(former))
+            .collect()
     }
 
     /// The place of a zone: by the settings, by its number where these name none, or one of its own. Guards: two zones that
     /// the settings do not name taken for one, and a repeat sent out of the zone that drops it.
     fn zone(&mut self, name: &str) -> u16 {
-        let number = || name.parse().ok().filter(|n| self.zones.is_empty() && *n < MOST_ZONES);
-        if let Some(place) = self.zones.iter().position(|zone| zone == name).or_else(number) {
+        let number = || {
+            name.parse()
+                .ok()
+                .filter(|n| self.zones.is_empty() && *n < MOST_ZONES)
+        };
+        if let Some(place) = self
+            .zones
+            .iter()
+            .position(|zone| zone == name)
+            .or_else(number)
+        {
             return place as u16;
         }
         let next = u16::MAX - self.others.len().min(MOST_ZONES - 1) as u16;
         match self.others.get(name) {
             Some(place) => *place,
-            None if self.others.len() < MOST_ZONES => *self.others.entry(name.to_string()).or_insert(next),
+            None if self.others.len() < MOST_ZONES => {
+                *self.others.entry(name.to_string()).or_insert(next)
+            }
             None => next,
         }
     }
@@ -353,15 +421,23 @@
         }
         // Guards: a repeat matched against the circle of a host that is gone, of which no more than that was said.
         let member = match (member.standing, before) {
-            (Standing::Gone, Some(was)) => Member { standing: Standing::Gone, ..was },
-            (_, Some(was)) if was.started == member.started => {
-                Member { believed: member.believed.or(was.believed), ..member }
-            }
+            (Standing::Gone, Some(was)) => Member {
+                standing: Standing::Gone,
+                ..was
+            },
+            (_, Some(was)) if was.started == member.started => Member {
+                believed: member.believed.or(was.believed),
+                ..member
+            },
             _ => member,
         };
-        let started =
-            member.believed.unwrap_or_else(|| starts::believed(member.started, source.learned(), now));
-        let member = Member { believed: Some(started), ..member };
+        let started = member
+            .believed
+            .unwrap_or_else(|| starts::believed(member.started, source.learned(), now));
+        let member = Member {
+            believed: Some(started),
+            ..member
+        };
         match member.standing {
             Standing::Gone => record.was = Some(member.clone()),
             _ => record.said = Some(member.clone()),
@@ -371,7 +447,14 @@
             _ => _ = record.left_since.get_or_insert(source.counts_from(now)),
         }
         let zone = self.zone(&member.zone);
-        Listing { id, zone, cell: member.cell, standing: member.standing, size: member.size, started }
+        Listing {
+            id,
+            zone,
+            cell: member.cell,
+            standing: member.standing,
+            size: member.size,
+            started,
+        }
     }
 
     /// A line that went at `sent` has been answered.
@@ -407,7 +490,10 @@
     pub fn look(&mut self, now: Nanos, events: &mut Vec<Event>) {
         for record in &mut self.all {
             if let Some(time) = record.look(now, self.long) {
-                events.push(Event::MessageTime { host: record.id, time });
+                events.push(Event::MessageTime {
+                    host: record.id,
+                    time,
+                });
             }
             (record.oldest, record.waiting) = (None, 0);
         }
--- a/node/src/listing/hosts_tests.rs
+++ b/node/src/listing/hosts_tests.rs
@@ -9,7 +9,12 @@
     let text = br#"{"revision":1,"complete":true,"members":[{"id":"a","phase":"active"}]}"#;
     let mut reader = crate::listing::list::Reader::default();
     reader.feed(text).unwrap();
-    hosts.told(T, reader.finish().unwrap(), Source::Kept, &Logger::root(slog::Discard, slog::o!()));
+    hosts.told(
+        T,
+        reader.finish().unwrap(),
+        Source::Kept,
+        &Logger::root(slog::Discard, slog::o!()),
+    );
     hosts.answered(0, T + 100 * MILLI, T + 102 * MILLI);
     hosts
 }
@@ -30,12 +35,20 @@
     hosts.answered(0, T + 300 * MILLI, T + 500 * MILLI);
     assert!((395..=400).contains(&look(&mut hosts, T + 500 * MILLI).unwrap()));
     hosts.unanswered(0, T + 300 * MILLI, T + 10_000 * MILLI);
-    assert_eq!(look(&mut hosts, T + 600 * MILLI), None, "told again within the second");
+    assert_eq!(
+        look(&mut hosts, T + 600 * MILLI),
+        None,
+        "told again within the second"
+    );
     hosts.unanswered(0, T + 300 * MILLI, T + 10_000 * MILLI);
     hosts.unanswered(0, T + 320 * MILLI, T + 10_000 * MILLI);
     assert_eq!(look(&mut hosts, T + 1600 * MILLI), Some(1298));
     hosts.answered(0, T + 1700 * MILLI, T + 1705 * MILLI);
-    assert_eq!(look(&mut hosts, T + 2600 * MILLI), Some(3), "and once more when it is over");
+    assert_eq!(
+        look(&mut hosts, T + 2600 * MILLI),
+        Some(3),
+        "and once more when it is over"
+    );
     hosts.answered(0, T + 2700 * MILLI, T + 2705 * MILLI);
     assert_eq!(look(&mut hosts, T + 3600 * MILLI), None);
 }
@@ -43,7 +56,12 @@
 #[test]
 fn a_host_that_answers_none_of_several_is_told_as_hung_and_once() {
     let mut hosts = one();
-    for (now, wanted) in [(640, None), (660, Some(998)), (760, None), (1660, Some(1998))] {
+    for (now, wanted) in [
+        (640, None),
+        (660, Some(998)),
+        (760, None),
+        (1660, Some(1998)),
+    ] {
         hosts.unanswered(0, T + 250 * MILLI, T + 10_000 * MILLI);
         hosts.unanswered(0, T + 300 * MILLI, T + 10_000 * MILLI);
         assert_eq!(look(&mut hosts, T + now * MILLI), wanted, "at {now}");
@@ -87,7 +105,10 @@
     match hosts.told(
         T,
         reader.finish().unwrap(),
-        Source::Told { learned: Learned::WithWholeList, counts_from: T },
+        Source::Told {
+            learned: Learned::WithWholeList,
+            counts_from: T,
+        },
         &Logger::root(slog::Discard, slog::o!()),
     ) {
         Event::Roll { hosts, .. } => hosts,
@@ -101,8 +122,14 @@
     let zones = |hosts: &mut Hosts, names: &[&str]| -> Vec<u16> {
         let member = |n: &&str| format!(r#"{{"id":"s-{n}","locality":"{n}","phase":"active"}}"#);
         let members: Vec<String> = names.iter().map(member).collect();
-        let list = format!(r#"{{"revision":1,"complete":true,"members":[{}]}}"#, members.join(","));
-        told(hosts, &list).iter().map(|listing| listing.zone).collect()
+        let list = format!(
+            r#"{{"revision":1,"complete":true,"members":[{}]}}"#,
+            members.join(",")
+        );
+        told(hosts, &list)
+            .iter()
+            .map(|listing| listing.zone)
+            .collect()
     };
     let mut hosts = Hosts::new(vec!["a".to_string(), "b".to_string()], 48 * MILLI);
     let mut all = zones(&mut hosts, &["a", "b", "x", "y", "1", "70000"]);
@@ -110,9 +137,15 @@
     all.sort_unstable();
     all.dedup();
     assert_eq!(all.len(), 6, "{all:?}");
-    assert_eq!(zones(&mut hosts, &["y", "x"]), zones(&mut hosts, &["y", "x"]));
+    assert_eq!(
+        zones(&mut hosts, &["y", "x"]),
+        zones(&mut hosts, &["y", "x"])
+    );
     // Where the settings name none, a number is a place.
-    assert_eq!(zones(&mut Hosts::new(Vec::new(), 48 * MILLI), &["0", "3"]), [0, 3]);
+    assert_eq!(
+        zones(&mut Hosts::new(Vec::new(), 48 * MILLI), &["0", "3"]),
+        [0, 3]
+    );
     // Thousands of names have places, and none of the settings' own.
     let mut hosts = Hosts::new(vec!["a".to_string()], 48 * MILLI);
     let places: HashSet<u16> = (0..3000).map(|n| hosts.zone(&format!("z{n}"))).collect();
@@ -130,14 +163,37 @@
     told(&mut hosts, list);
     let left = r#"{"revision":2,"complete":false,"members":[{"id":"s-0","phase":"left"}]}"#;
     let listing = told(&mut hosts, left)[0];
-    assert_eq!((listing.standing, listing.zone, listing.cell, listing.size), (Standing::Gone, 1, 3, 2.0));
+    assert_eq!(
+        (listing.standing, listing.zone, listing.cell, listing.size),
+        (Standing::Gone, 1, 3, 2.0)
+    );
     // Another is missing from a whole list.
     told(&mut hosts, r#"{"revision":3,"complete":true,"members":[]}"#);
     assert!(hosts.members().is_empty() && hosts.ids().next().is_none());
     hosts.renew(vec!["b".to_string()], 48 * MILLI);
-    let former = List { revision: 3, complete: true, members: hosts.former() };
-    let event = hosts.told(T, former, Source::Kept, &Logger::root(slog::Discard, slog::o!()));
-    let Event::Roll { hosts: listings, .. } = event else { panic!("{event:?}") };
-    assert_eq!(listings.iter().map(|l| (l.zone, l.cell)).collect::<Vec<_>>(), [(0, 3), (0, 4)]);
+    let former = List {
+        revision: 3,
+        complete: true,
+        members: hosts.former(),
+    };
+    let event = hosts.told(
+        T,
+        former,
+        Source::Kept,
+        &Logger::root(slog::Discard, slog::o!()),
+    );
+    let Event::Roll {
+        hosts: listings, ..
+    } = event
+    else {
+        panic!("{event:?}")
+    };
+    assert_eq!(
+        listings
+            .iter()
+            .map(|l| (l.zone, l.cell))
+            .collect::<Vec<_>>(),
+        [(0, 3), (0, 4)]
+    );
     assert!(listings.iter().all(|l| l.standing == Standing::Gone));
 }
--- a/node/src/listing/http.rs
+++ b/node/src/listing/http.rs
@@ -117,9 +117,15 @@
         self.at = match self.at {
             At::Status => {
                 let mut words = text.split(' ');
-                let version = words.next().filter(|v| v.starts_with("HTTP/1.")).ok_or("no status line")?;
+                let version = words
+                    .next()
+                    .filter(|v| v.starts_with("HTTP/1."))
+                    .ok_or("no status line")?;
                 self.last = version == "HTTP/1.0";
-                let status = words.next().filter(|w| w.len() == 3).and_then(|w| w.parse().ok());
+                let status = words
+                    .next()
+                    .filter(|w| w.len() == 3)
+                    .and_then(|w| w.parse().ok());
                 self.status = status.ok_or("no status")?;
                 At::Header
             }
@@ -206,7 +212,9 @@
             }
         }
         let mut answer = Answer::default();
-        answer.feed(b"HTTP/1.1 200 OK\r\n\r\nx", |_| Ok(())).unwrap();
+        answer
+            .feed(b"HTTP/1.1 200 OK\r\n\r\nx", |_| Ok(()))
+            .unwrap();
         assert!(!answer.done() && answer.ended());
     }
 
--- a/node/src/listing/list.rs
+++ b/node/src/listing/list.rs
@@ -132,7 +132,9 @@
                 self.lexing = Lexing::Between;
                 let token = std::mem::take(&mut self.token);
                 let text = std::str::from_utf8(&token).map_err(|_| "a token that is no text")?;
-                if !matches!(text, "true" | "false" | "null") && !text.parse().is_ok_and(f64::is_finite) {
+                if !matches!(text, "true" | "false" | "null")
+                    && !text.parse().is_ok_and(f64::is_finite)
+                {
                     return Err("an unknown token");
                 }
                 self.value(Value::Bare(text))?;
@@ -143,7 +145,8 @@
                 b'"' => {
                     self.lexing = Lexing::Between;
                     let token = std::mem::take(&mut self.token);
-                    let text = std::str::from_utf8(&token).map_err(|_| "a string that is no text")?;
+                    let text =
+                        std::str::from_utf8(&token).map_err(|_| "a string that is no text")?;
                     if matches!(self.expect, Expect::Key | Expect::KeyOrEnd) {
                         self.key(text);
                         Ok(())
@@ -178,7 +181,11 @@
             Lexing::Code(left) => {
                 let digit = char::from(byte).to_digit(16).ok_or("a wild escape")?;
                 self.code = self.code << 4 | digit;
-                self.lexing = if left > 1 { Lexing::Code(left - 1) } else { Lexing::Text };
+                self.lexing = if left > 1 {
+                    Lexing::Code(left - 1)
+                } else {
+                    Lexing::Text
+                };
                 if left > 1 {
                     return Ok(());
                 }
@@ -193,7 +200,10 @@
                     (_, code) => code,
                 };
                 let mut space = [0; 4];
-                let text = char::from_u32(whole).unwrap_or('\u{fffd}').encode_utf8(&mut space).to_string();
+                let text = char::from_u32(whole)
+                    .unwrap_or('\u{fffd}')
+                    .encode_utf8(&mut space)
+                    .to_string();
                 self.keep(text.as_bytes())
             }
         }
@@ -220,7 +230,11 @@
                     return Err("no object");
                 }
                 self.within.push(object);
-                self.expect = if object { Expect::KeyOrEnd } else { Expect::ValueOrEnd };
+                self.expect = if object {
+                    Expect::KeyOrEnd
+                } else {
+                    Expect::ValueOrEnd
+                };
                 if object && self.in_member() {
                     (self.member, self.cell) = (Some(blank()), None);
                 }
@@ -262,7 +276,11 @@
 
     fn close(&mut self) {
         self.within.pop();
-        self.expect = if self.within.is_empty() { Expect::Nothing } else { Expect::CommaOrEnd };
+        self.expect = if self.within.is_empty() {
+            Expect::Nothing
+        } else {
+            Expect::CommaOrEnd
+        };
     }
 
     fn key(&mut self, text: &str) {
@@ -275,7 +293,9 @@
     }
 
     fn add(&mut self) -> Told {
-        let Some(mut member) = self.member.take() else { return Ok(()) };
+        let Some(mut member) = self.member.take() else {
+            return Ok(());
+        };
         if member.name.is_empty() {
             return Err("a member without an id");
         }
@@ -295,7 +315,8 @@
         if self.within.len() == 1 {
             match (self.outer.as_str(), value) {
                 ("revision", Value::Bare(text)) => {
-                    (self.list.revision, self.revised) = (text.parse().map_err(|_| "a wild revision")?, true);
+                    (self.list.revision, self.revised) =
+                        (text.parse().map_err(|_| "a wild revision")?, true);
                 }
                 ("complete", Value::Bare(text)) => self.list.complete = text == "true",
                 _ => {}
@@ -305,7 +326,9 @@
         if !self.in_member() {
             return Ok(());
         }
-        let Some(member) = self.member.as_mut() else { return Ok(()) };
+        let Some(member) = self.member.as_mut() else {
+            return Ok(());
+        };
         let number = |text: &str| text.parse::<f64>().ok();
         match (self.field.as_str(), value) {
             ("id", Value::Text(text)) => member.name = text.to_string(),
@@ -314,7 +337,9 @@
             }
             ("locality", Value::Text(text) | Value::Bare(text)) => member.zone = text.to_string(),
             ("cell", Value::Bare("null")) => self.cell = None,
-            ("cell", Value::Bare(text)) => self.cell = Some(text.parse().unwrap_or_else(|_| hash(text))),
+            ("cell", Value::Bare(text)) => {
+                self.cell = Some(text.parse().unwrap_or_else(|_| hash(text)))
+            }
             ("cell", Value::Text(text)) => self.cell = Some(hash(text)),
             ("phase", Value::Text(text)) => {
                 member.standing = match text {
@@ -356,12 +381,24 @@
     fn reads_a_list_however_it_is_split() {
         for size in 1..LIST.len() {
             let list = read(LIST, size).unwrap();
-            assert_eq!((list.revision, list.complete, list.members.len()), (41, true, 2));
+            assert_eq!(
+                (list.revision, list.complete, list.members.len()),
+                (41, true, 2)
+            );
             let first = &list.members[0];
-            assert_eq!((first.name.as_str(), first.zone.as_str(), first.cell), ("s-5b\u{e9}\"", "a", 3));
-            assert_eq!((first.size, first.started), (1.5, Some(1_700_000_000_000 * MILLI)));
+            assert_eq!(
+                (first.name.as_str(), first.zone.as_str(), first.cell),
+                ("s-5b\u{e9}\"", "a", 3)
+            );
+            assert_eq!(
+                (first.size, first.started),
+                (1.5, Some(1_700_000_000_000 * MILLI))
+            );
             assert_eq!(first.address, Some("10.1.0.18:5000".parse().unwrap()));
-            assert_eq!((list.members[1].standing, list.members[1].started), (Standing::Draining, None));
+            assert_eq!(
+                (list.members[1].standing, list.members[1].started),
+                (Standing::Draining, None)
+            );
         }
     }
 
@@ -384,7 +421,11 @@
         ] {
             assert!(read(text, 5).is_err(), "{text}");
         }
-        assert!(read(&format!("{{\"revision\":1,\"x\":\"{}\"}}", "y".repeat(300)), 9).is_err());
+        assert!(read(
+            &format!("{{\"revision\":1,\"x\":\"{}\"}}", "y".repeat(300)),
+            9
+        )
+        .is_err());
         assert!(read(&format!("{{\"revision\":1,\"x\":{}", "[".repeat(30)), 9).is_err());
         let long = "y".repeat(LIST.len() - 1);
         assert!(read(&long, 7).is_err());
--- a/node/src/listing/starts.rs
+++ b/node/src/listing/starts.rs
@@ -25,7 +25,9 @@
     let claim = claim?;
     let possible = match learned {
         Learned::WithWholeList => claim <= now,
-        Learned::AsNews { heard_until } => claim <= now && claim >= heard_until.saturating_sub(LATEST_NEWS),
+        Learned::AsNews { heard_until } => {
+            claim <= now && claim >= heard_until.saturating_sub(LATEST_NEWS)
+        }
     };
     Some(if possible { claim } else { now })
 }
@@ -39,14 +41,19 @@
 
     #[test]
     fn a_claim_that_can_be_true_is_believed() {
-        let news = Learned::AsNews { heard_until: NOW - SECOND };
+        let news = Learned::AsNews {
+            heard_until: NOW - SECOND,
+        };
         for learned in [Learned::WithWholeList, news] {
             assert_eq!(believed(None, learned, NOW), None);
             for age in [0, SECOND, 6 * SECOND] {
                 assert_eq!(believed(Some(NOW - age), learned, NOW), Some(NOW - age));
             }
         }
-        assert_eq!(believed(Some(NOW - HOUR), Learned::WithWholeList, NOW), Some(NOW - HOUR));
+        assert_eq!(
+            believed(Some(NOW - HOUR), Learned::WithWholeList, NOW),
+            Some(NOW - HOUR)
+        );
     }
 
     /// Guards: a cold host taken for warm, and a warm one taken for cold for as long as clocks differ.
@@ -54,7 +61,10 @@
     fn one_that_can_not_counts_from_when_it_was_learned() {
         let news = Learned::AsNews { heard_until: NOW };
         assert_eq!(believed(Some(NOW + HOUR), news, NOW), Some(NOW));
-        assert_eq!(believed(Some(NOW + 5 * SECOND), Learned::WithWholeList, NOW), Some(NOW));
+        assert_eq!(
+            believed(Some(NOW + 5 * SECOND), Learned::WithWholeList, NOW),
+            Some(NOW)
+        );
         assert_eq!(believed(Some(NOW - HOUR), news, NOW), Some(NOW));
         assert_eq!(believed(Some(NOW - 7 * SECOND), news, NOW), Some(NOW));
     }
--- a/node/src/listing/versions.rs
+++ b/node/src/listing/versions.rs
@@ -25,7 +25,10 @@
 
 impl Versions {
     pub fn new(known: Option<u64>) -> Self {
-        Versions { known, ..Versions::default() }
+        Versions {
+            known,
+            ..Versions::default()
+        }
     }
 
     pub fn known(&self) -> Option<u64> {
@@ -53,7 +56,11 @@
             self.passed = self.passed.max(self.known.take());
             return Worth::Backwards;
         }
-        let older = complete && self.passed.max(self.known).is_some_and(|known| revision < known);
+        let older = complete
+            && self
+                .passed
+                .max(self.known)
+                .is_some_and(|known| revision < known);
         (self.known, self.passed, self.doubted) = (Some(revision), None, self.doubted && !watch);
         if older {
             Worth::Older
@@ -72,9 +79,15 @@
     fn an_older_whole_list_is_known_as_such_and_older_changes_are_not_believed() {
         let mut versions = Versions::new(Some(9));
         assert_eq!(versions.told(true, 4, true), Worth::Older);
-        assert_eq!((versions.told(true, 5, false), versions.known()), (Worth::News, Some(5)));
+        assert_eq!(
+            (versions.told(true, 5, false), versions.known()),
+            (Worth::News, Some(5))
+        );
         assert_eq!(versions.told(false, 4, true), Worth::Stale);
-        assert_eq!((versions.told(true, 2, false), versions.known()), (Worth::Backwards, None));
+        assert_eq!(
+            (versions.told(true, 2, false), versions.known()),
+            (Worth::Backwards, None)
+        );
         assert!(!versions.may_wait(), "there is nothing to wait for");
         // A call beside the watch may come first.
         assert_eq!(versions.told(false, 3, true), Worth::Older);
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -68,16 +68,24 @@
 
 fn run() -> Result<(), String> {
     // First of all. Guards: a node ended by a call to read its papers that comes while it starts.
-    let start = AtStart { stop: Signal::told(SIGTERM)?, reread: Signal::told(SIGHUP)? };
+    let start = AtStart {
+        stop: Signal::told(SIGTERM)?,
+        reread: Signal::told(SIGHUP)?,
+    };
     match Line::parse().command {
         None => roles::alone::run(roles::alone::Told::Environment, start),
-        Some(Command::Node(file)) => roles::alone::run(roles::alone::Told::Operator(&file.config), start),
+        Some(Command::Node(file)) => {
+            roles::alone::run(roles::alone::Told::Operator(&file.config), start)
+        }
         Some(Command::Forward(file)) => roles::forward::run(&file.config, start),
         Some(Command::Plan(file)) => roles::plan::run(&file.config, start),
         Some(Command::Check { file }) => {
             let articles = operators::articles::Articles::read(&file)?;
             let (role, papers) = (articles.role.word(), articles.papers_at.display());
-            println!("{}: in order, for `reedferry {role}`, with the papers {papers}", file.display());
+            println!(
+                "{}: in order, for `reedferry {role}`, with the papers {papers}",
+                file.display()
+            );
             Ok(())
         }
     }
--- a/node/src/operators/articles.rs
+++ b/node/src/operators/articles.rs
@@ -162,14 +162,21 @@
     ) -> Result<Nanos, String> {
         let Some(text) = text else { return Ok(or) };
         let (at, text) = (text.span(), text.into_inner());
-        let shown = |n: Nanos| humantime::format_duration(std::time::Duration::from_nanos(n)).to_string();
+        let shown =
+            |n: Nanos| humantime::format_duration(std::time::Duration::from_nanos(n)).to_string();
         let span = humantime::parse_duration(&text).map_err(|_| {
-            self.wrong(at.clone(), format!("{name} is {text:?}, not a time with its unit, such as \"250ms\""))
+            self.wrong(
+                at.clone(),
+                format!("{name} is {text:?}, not a time with its unit, such as \"250ms\""),
+            )
         })?;
         let span = Nanos::try_from(span.as_nanos()).unwrap_or(Nanos::MAX);
         if !(range.0..=range.1).contains(&span) {
             let (least, most) = (shown(range.0), shown(range.1));
-            return Err(self.wrong(at, format!("{name} is {text}, not between {least} and {most}")));
+            return Err(self.wrong(
+                at,
+                format!("{name} is {text}, not between {least} and {most}"),
+            ));
         }
         Ok(span)
     }
@@ -192,9 +199,15 @@
     }
 
     fn address(&self, name: &str, text: &Spanned<String>) -> Result<SocketAddr, String> {
-        let what =
-            || format!("{name} {:?} is no address with a port, such as \"127.0.0.1:7000\"", text.get_ref());
-        text.get_ref().parse().map_err(|_| self.wrong(text.span(), what()))
+        let what = || {
+            format!(
+                "{name} {:?} is no address with a port, such as \"127.0.0.1:7000\"",
+                text.get_ref()
+            )
+        };
+        text.get_ref()
+            .parse()
+            .map_err(|_| self.wrong(text.span(), what()))
     }
 }
 
@@ -212,7 +225,10 @@
     if !papers.charter.peers {
         return match (at, peers) {
             (None, []) => Ok(None),
-            _ => Err((None, "peers without leave: policy_limits.peers in the papers is false".into())),
+            _ => Err((
+                None,
+                "peers without leave: policy_limits.peers in the papers is false".into(),
+            )),
         };
     }
     let Some(at) = at else {
@@ -222,7 +238,10 @@
         ));
     };
     if peers.is_empty() {
-        return Err((None, "policy_limits.peers: messages are allowed and there is no [[peer]]".into()));
+        return Err((
+            None,
+            "policy_limits.peers: messages are allowed and there is no [[peer]]".into(),
+        ));
     }
     for (n, peer) in peers.iter().enumerate() {
         let wrong = |what: &str| Err((Some(n), format!("peer {peer} {what}")));
@@ -239,7 +258,11 @@
             return wrong("is one too many: settings.balancers counts this node and all its peers");
         }
     }
-    Ok(Some(Correspondence { at, peers: peers.to_vec(), fleet: None }))
+    Ok(Some(Correspondence {
+        at,
+        peers: peers.to_vec(),
+        fleet: None,
+    }))
 }
 
 impl Articles {
@@ -254,12 +277,21 @@
     fn decode(path: &Path, text: &str) -> Result<Articles, String> {
         let text = Text { path, text };
         let sheet: Sheet = toml::from_str(text.text).map_err(|e| {
-            let first = e.message().lines().next().unwrap_or("cannot be read").to_string();
+            let first = e
+                .message()
+                .lines()
+                .next()
+                .unwrap_or("cannot be read")
+                .to_string();
             text.wrong(e.span().unwrap_or(0..0), first)
         })?;
         let at = sheet.papers.span();
-        let papers_at = path.parent().unwrap_or(Path::new(".")).join(sheet.papers.into_inner());
-        let papers = Papers::read_at(&papers_at).map_err(|e| text.wrong(at.clone(), String::from(e)))?;
+        let papers_at = path
+            .parent()
+            .unwrap_or(Path::new("."))
+            .join(sheet.papers.into_inner());
+        let papers =
+            Papers::read_at(&papers_at).map_err(|e| text.wrong(at.clone(), String::from(e)))?;
         let planners = Self::planners(&text, &sheet.planner)?;
         let grace = papers.terms.drain_grace;
         let mut roles: Vec<Span> = [
@@ -272,11 +304,15 @@
         .collect();
         roles.sort_by_key(|span| span.start);
         if let [_, second, ..] = &roles[..] {
-            return Err(
-                text.wrong(second.clone(), "a second role; one of [node], [forward] and [plan] is wanted")
-            );
+            return Err(text.wrong(
+                second.clone(),
+                "a second role; one of [node], [forward] and [plan] is wanted",
+            ));
         }
-        let messages = sheet.node.as_ref().and_then(|part| part.get_ref().messages.as_ref());
+        let messages = sheet
+            .node
+            .as_ref()
+            .and_then(|part| part.get_ref().messages.as_ref());
         let messages = messages.map(|m| text.address("messages", m)).transpose()?;
         let peers: Vec<SocketAddr> = sheet
             .peer
@@ -285,19 +321,29 @@
             .collect::<Result<_, _>>()?;
         let single = sheet.forward.is_none() && sheet.plan.is_none();
         let fleet_at = sheet.fleet.as_ref().map(Spanned::span);
-        let fleet = sheet.fleet.map(|part| Self::fleet(&text, part, &papers)).transpose()?;
-        if let (Some(fleet_at), true) = (&fleet_at, !single || messages.is_some() || !peers.is_empty()) {
+        let fleet = sheet
+            .fleet
+            .map(|part| Self::fleet(&text, part, &papers))
+            .transpose()?;
+        if let (Some(fleet_at), true) = (
+            &fleet_at,
+            !single || messages.is_some() || !peers.is_empty(),
+        ) {
             let what =
                 "fleet: only a node takes part, with neither messages nor [[peer]]: members are its peers";
             return Err(text.wrong(fleet_at.clone(), what));
         }
         if let (false, Some(peer)) = (single, sheet.peer.first()) {
-            return Err(
-                text.wrong(peer.span(), "peer: only a node has peers; planners hear their forwarders")
-            );
+            return Err(text.wrong(
+                peer.span(),
+                "peer: only a node has peers; planners hear their forwarders",
+            ));
         }
         if !single && papers.charter.peers {
-            return Err(text.wrong(at, "policy_limits.peers: forwarders and planners send no messages"));
+            return Err(text.wrong(
+                at,
+                "policy_limits.peers: forwarders and planners send no messages",
+            ));
         }
         let role = match (sheet.forward, sheet.plan) {
             (Some(part), _) => {
@@ -310,15 +356,25 @@
             (None, Some(part)) => Role::Plan(Self::plans(&text, part.into_inner(), &planners)?),
             (None, None) => {
                 if let Some(planner) = sheet.planner.first() {
-                    return Err(text
-                        .wrong(planner.span(), "a node follows no planner; [forward] or [plan] is wanted"));
+                    return Err(text.wrong(
+                        planner.span(),
+                        "a node follows no planner; [forward] or [plan] is wanted",
+                    ));
                 }
                 let place = |n: Option<usize>| {
-                    let named = n.or((!sheet.peer.is_empty()).then_some(0)).map(|n| sheet.peer[n].span());
-                    named.or(sheet.node.as_ref().map(Spanned::span)).unwrap_or(at.clone())
+                    let named = n
+                        .or((!sheet.peer.is_empty()).then_some(0))
+                        .map(|n| sheet.peer[n].span());
+                    named
+                        .or(sheet.node.as_ref().map(Spanned::span))
+                        .unwrap_or(at.clone())
                 };
                 let correspondence = match fleet {
-                    Some(fleet) => Some(Correspondence { at: fleet.listen, peers, fleet: Some(fleet) }),
+                    Some(fleet) => Some(Correspondence {
+                        at: fleet.listen,
+                        peers,
+                        fleet: Some(fleet),
+                    }),
                     None => {
                         let reach = reach(&papers, messages, &peers);
                         reach.map_err(|(n, why)| text.wrong(place(n), why))?
@@ -327,37 +383,58 @@
                 Role::Node(correspondence)
             }
         };
-        Ok(Articles { papers, papers_at, role, planners })
+        Ok(Articles {
+            papers,
+            papers_at,
+            role,
+            planners,
+        })
     }
 
-    fn fleet(text: &Text, sheet: Spanned<FleetSheet>, papers: &Papers) -> Result<FleetTerms, String> {
+    fn fleet(
+        text: &Text,
+        sheet: Spanned<FleetSheet>,
+        papers: &Papers,
+    ) -> Result<FleetTerms, String> {
         let (span, part) = (sheet.span(), sheet.into_inner());
         if !papers.charter.peers {
             return Err(text.wrong(span, "fleet: policy_limits.peers in the papers is false"));
         }
         let address = text.address("address", &part.address)?;
-        let listen = part.listen.as_ref().map(|l| text.address("listen", l)).transpose()?.unwrap_or(address);
+        let listen = part
+            .listen
+            .as_ref()
+            .map(|l| text.address("listen", l))
+            .transpose()?
+            .unwrap_or(address);
         let reached = |at: SocketAddr| at.port() != 0 && !at.ip().is_unspecified();
         if !reached(address) || listen.is_ipv4() != address.is_ipv4() {
-            return Err(
-                text.wrong(part.address.span(), format!("address {address} can't be reached by others"))
-            );
+            return Err(text.wrong(
+                part.address.span(),
+                format!("address {address} can't be reached by others"),
+            ));
         }
         let mut seeds = Vec::new();
         for seed in &part.seeds {
             let at = text.address("seed", seed)?;
             if !reached(at) || at.is_ipv4() != address.is_ipv4() || seeds.contains(&at) {
-                return Err(
-                    text.wrong(seed.span(), format!("seed {at} can't be reached, or stands here twice"))
-                );
+                return Err(text.wrong(
+                    seed.span(),
+                    format!("seed {at} can't be reached, or stands here twice"),
+                ));
             }
             seeds.push(at);
         }
         let name = part.name.unwrap_or_default();
-        if [&name, &papers.name].into_iter().any(|n| n.len() > reedferry_members::LONGEST_NAME)
+        if [&name, &papers.name]
+            .into_iter()
+            .any(|n| n.len() > reedferry_members::LONGEST_NAME)
             || papers.name.is_empty()
         {
-            return Err(text.wrong(span, "a fleet's name has 64 bytes at most, a node's 1 to 64"));
+            return Err(text.wrong(
+                span,
+                "a fleet's name has 64 bytes at most, a node's 1 to 64",
+            ));
         }
         let period = text.span("period", part.period, SECOND, (50 * MILLI, 60 * SECOND))?;
         let most = text.count("most", part.most, 1024, 1 << 16)?;
@@ -368,7 +445,15 @@
             Ok::<_, String>(WardTerms { life, within, most })
         });
         let wards = wards.transpose()?;
-        Ok(FleetTerms { address, listen, name, seeds, period, most, wards })
+        Ok(FleetTerms {
+            address,
+            listen,
+            name,
+            seeds,
+            period,
+            most,
+            wards,
+        })
     }
 
     fn planners(text: &Text, sheets: &[Spanned<PlannerSheet>]) -> Result<Vec<PlannerAt>, String> {
@@ -380,32 +465,51 @@
                 return Err(text.wrong(sheet.span(), "a planner's name has 1 to 256 bytes"));
             }
             if !names.insert(name.clone()) || !addresses.insert(address) {
-                return Err(
-                    text.wrong(sheet.span(), format!("planner {name:?} or its address stands here twice"))
-                );
+                return Err(text.wrong(
+                    sheet.span(),
+                    format!("planner {name:?} or its address stands here twice"),
+                ));
             }
-            planners.push(PlannerAt { name: name.clone(), address });
+            planners.push(PlannerAt {
+                name: name.clone(),
+                address,
+            });
         }
         Ok(planners)
     }
 
-    fn forwards(text: &Text, span: Span, part: ForwardSheet, grace: Nanos) -> Result<Forwards, String> {
+    fn forwards(
+        text: &Text,
+        span: Span,
+        part: ForwardSheet,
+        grace: Nanos,
+    ) -> Result<Forwards, String> {
         let most = grace.saturating_sub(MILLI).min(LONGEST_LEASE);
         let usual = grace.saturating_sub(MARGIN).min(LONGEST_LEASE);
         if usual < SHORTEST_LEASE {
             let grace = grace / MILLI;
-            let what =
-                format!("the papers grant {grace} ms for drains; a planner's word needs 90 ms or more");
+            let what = format!(
+                "the papers grant {grace} ms for drains; a planner's word needs 90 ms or more"
+            );
             return Err(text.wrong(span, what));
         }
         // A word that holds as long as the grace or longer would let new work reach a host that drains.
         let lease = text.span("lease", part.lease, usual, (SHORTEST_LEASE, most))?;
         let least = lease + lease / 4;
-        let decide_within =
-            text.span("decide_within", part.decide_within, least + lease / 4, (least, 30 * SECOND))?;
+        let decide_within = text.span(
+            "decide_within",
+            part.decide_within,
+            least + lease / 4,
+            (least, 30 * SECOND),
+        )?;
         let settle = text.span("settle", part.settle, 2 * SECOND, (0, 600 * SECOND))?;
         let most_asked = text.count("most_asked", part.most_asked, 1024, 1 << 20)?;
-        Ok(Forwards { lease, decide_within, most_asked, settle })
+        Ok(Forwards {
+            lease,
+            decide_within,
+            most_asked,
+            settle,
+        })
     }
 
     fn plans(text: &Text, part: PlanSheet, planners: &[PlannerAt]) -> Result<Plans, String> {
@@ -442,7 +546,10 @@
 
     fn wrong(text: &str) -> (usize, String) {
         let why = read(text).err().expect("it was taken");
-        let rest = why.split("x.toml:").nth(1).unwrap_or_else(|| panic!("no place: {why}"));
+        let rest = why
+            .split("x.toml:")
+            .nth(1)
+            .unwrap_or_else(|| panic!("no place: {why}"));
         let (line, what) = rest.split_once(": ").unwrap();
         (line.parse().unwrap(), what.to_string())
     }
@@ -460,32 +567,50 @@
     fn times_have_units_and_a_lease_is_under_the_grace() {
         let head = "papers = \"papers.example.json\"\n[forward]\n";
         let role = |text: &str| read(&format!("{head}{text}{PLANNERS}")).map(|a| a.role);
-        let usual =
-            Forwards { lease: 250 * MILLI, decide_within: 375 * MILLI, most_asked: 1024, settle: 2 * SECOND };
+        let usual = Forwards {
+            lease: 250 * MILLI,
+            decide_within: 375 * MILLI,
+            most_asked: 1024,
+            settle: 2 * SECOND,
+        };
         assert_eq!(role(""), Ok(Role::Forward(usual)));
         for (text, why) in [
-            ("lease = \"300ms\"\n", "lease is 300ms, not between 40ms and 299ms"),
+            (
+                "lease = \"300ms\"\n",
+                "lease is 300ms, not between 40ms and 299ms",
+            ),
             ("lease = \"250\"\n", "not a time with its unit"),
             ("lease = 250\n", "invalid type"),
-            ("lease = \"200ms\"\ndecide_within = \"100ms\"\n", "decide_within is 100ms"),
+            (
+                "lease = \"200ms\"\ndecide_within = \"100ms\"\n",
+                "decide_within is 100ms",
+            ),
             ("most_asked = 0\n", "between 1 and"),
             ("leese = \"200ms\"\n", "unknown field"),
         ] {
             let (line, what) = wrong(&format!("{head}{text}{PLANNERS}"));
-            assert!(what.contains(why) && line == 2 + text.lines().count(), "{line}: {what}");
+            assert!(
+                what.contains(why) && line == 2 + text.lines().count(),
+                "{line}: {what}"
+            );
         }
     }
 
     /// A node's file, with papers of five nodes that give leave to send messages or not.
     fn among(name: &str, leave: bool, text: &str) -> Result<Articles, String> {
-        let folder = std::env::temp_dir().join(format!("reedferry-articles-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("reedferry-articles-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/papers.example.json");
-        let mut papers: serde_json::Value = serde_json::from_slice(&std::fs::read(example).unwrap()).unwrap();
+        let mut papers: serde_json::Value =
+            serde_json::from_slice(&std::fs::read(example).unwrap()).unwrap();
         papers["settings"]["balancers"] = 4.into();
         papers["settings"]["policy_limits"]["peers"] = leave.into();
         std::fs::write(folder.join("papers.json"), papers.to_string()).unwrap();
-        let read = Articles::decode(&folder.join("x.toml"), &format!("papers = \"papers.json\"\n{text}"));
+        let read = Articles::decode(
+            &folder.join("x.toml"),
+            &format!("papers = \"papers.json\"\n{text}"),
+        );
         std::fs::remove_dir_all(&folder).unwrap();
         read
     }
@@ -497,31 +622,108 @@
         let peer = |at: &str| format!("[[peer]]\naddress = \"{at}\"\n");
         let (one, two) = (peer("127.0.0.1:7101"), peer("127.0.0.1:7102"));
         let good = among("good", true, &format!("{node}{one}{two}")).unwrap();
-        let Role::Node(Some(correspondence)) = good.role else { panic!("no correspondence") };
-        assert_eq!((correspondence.at.port(), correspondence.peers.len()), (7100, 2));
-        assert_eq!(among("none", false, "[node]\n").unwrap().role, Role::Node(None));
+        let Role::Node(Some(correspondence)) = good.role else {
+            panic!("no correspondence")
+        };
+        assert_eq!(
+            (correspondence.at.port(), correspondence.peers.len()),
+            (7100, 2)
+        );
+        assert_eq!(
+            among("none", false, "[node]\n").unwrap().role,
+            Role::Node(None)
+        );
         let forward = format!("[forward]\n{PLANNERS}");
         for (leave, text, why) in [
-            (true, "[node]\n".into(), "policy_limits.peers: messages in [node]"),
+            (
+                true,
+                "[node]\n".into(),
+                "policy_limits.peers: messages in [node]",
+            ),
             (true, one.clone(), "policy_limits.peers: messages in [node]"),
-            (true, node.to_string(), "policy_limits.peers: messages are allowed and there is no [[peer]]"),
-            (false, format!("{node}{one}"), "policy_limits.peers in the papers is false"),
-            (false, node.to_string(), "policy_limits.peers in the papers is false"),
-            (false, one.clone(), "policy_limits.peers in the papers is false"),
-            (true, format!("{node}{}", peer("over there")), "address \"over there\" is no address"),
-            (true, format!("{node}{}", peer("127.0.0.1")), "is no address"),
-            (true, format!("{node}{}", peer("127.0.0.1:0")), "cannot be reached"),
-            (true, format!("{node}{}", peer("0.0.0.0:7101")), "cannot be reached"),
-            (true, format!("{node}{}", peer("[::1]:7101")), "cannot be reached"),
+            (
+                true,
+                node.to_string(),
+                "policy_limits.peers: messages are allowed and there is no [[peer]]",
+            ),
+            (
+                false,
+                format!("{node}{one}"),
+                "policy_limits.peers in the papers is false",
+            ),
+            (
+                false,
+                node.to_string(),
+                "policy_limits.peers in the papers is false",
+            ),
+            (
+                false,
+                one.clone(),
+                "policy_limits.peers in the papers is false",
+            ),
+            (
+                true,
+                format!("{node}{}", peer("over there")),
+                "address \"over there\" is no address",
+            ),
+            (
+                true,
+                format!("{node}{}", peer("127.0.0.1")),
+                "is no address",
+            ),
+            (
+                true,
+                format!("{node}{}", peer("127.0.0.1:0")),
+                "cannot be reached",
+            ),
+            (
+                true,
+                format!("{node}{}", peer("0.0.0.0:7101")),
+                "cannot be reached",
+            ),
+            (
+                true,
+                format!("{node}{}", peer("[::1]:7101")),
+                "cannot be reached",
+            ),
             (true, format!("{node}{one}{one}"), "stands here twice"),
-            (true, format!("{node}{}", peer("127.0.0.1:7100")), "is this node itself"),
-            (true, format!("{node}{one}{two}{}{}", peer("127.0.0.1:1"), peer("127.0.0.1:2")), "one too many"),
-            (true, node.replace("7100", "x"), "messages \"127.0.0.1:x\" is no address"),
-            (true, forward.clone(), "policy_limits.peers: forwarders and planners"),
-            (false, format!("{forward}{one}"), "peer: only a node has peers"),
+            (
+                true,
+                format!("{node}{}", peer("127.0.0.1:7100")),
+                "is this node itself",
+            ),
+            (
+                true,
+                format!(
+                    "{node}{one}{two}{}{}",
+                    peer("127.0.0.1:1"),
+                    peer("127.0.0.1:2")
+                ),
+                "one too many",
+            ),
+            (
+                true,
+                node.replace("7100", "x"),
+                "messages \"127.0.0.1:x\" is no address",
+            ),
+            (
+                true,
+                forward.clone(),
+                "policy_limits.peers: forwarders and planners",
+            ),
+            (
+                false,
+                format!("{forward}{one}"),
+                "peer: only a node has peers",
+            ),
         ] {
-            let got = among("bad", leave, &text).err().unwrap_or_else(|| panic!("taken: {text}"));
-            assert!(got.contains(why) && got.contains("x.toml:") && !got.contains('\n'), "{got}");
+            let got = among("bad", leave, &text)
+                .err()
+                .unwrap_or_else(|| panic!("taken: {text}"));
+            assert!(
+                got.contains(why) && got.contains("x.toml:") && !got.contains('\n'),
+                "{got}"
+            );
         }
     }
 
@@ -532,28 +734,59 @@
             format!("[fleet]\naddress = \"127.0.0.1:7400\"\nseeds = [\"127.0.0.1:7401\"]\n{more}")
         };
         let good = among("fleet", true, &fleet("period = \"200ms\"\n")).unwrap();
-        let Role::Node(Some(Correspondence { fleet: Some(terms), .. })) = good.role else {
+        let Role::Node(Some(Correspondence {
+            fleet: Some(terms), ..
+        })) = good.role
+        else {
             panic!("no fleet")
         };
-        assert_eq!((terms.listen, terms.period, terms.most), (terms.address, 200 * MILLI, 1024));
+        assert_eq!(
+            (terms.listen, terms.period, terms.most),
+            (terms.address, 200 * MILLI, 1024)
+        );
         let peer = "[[peer]]\naddress = \"127.0.0.1:7101\"\n";
         for (leave, text, why) in [
-            (false, fleet(""), "policy_limits.peers in the papers is false"),
+            (
+                false,
+                fleet(""),
+                "policy_limits.peers in the papers is false",
+            ),
             (true, fleet(peer), "neither messages nor [[peer]]"),
             (
                 true,
                 format!("[node]\nmessages = \"127.0.0.1:7100\"\n{}", fleet("")),
                 "neither messages nor [[peer]]",
             ),
-            (true, fleet("").replace("7400", "0"), "can't be reached by others"),
-            (true, fleet("").replace("7401", "0"), "seed 127.0.0.1:0 can't be reached"),
-            (true, fleet("").replace("\"127.0.0.1:7401\"", "\"[::1]:7401\""), "can't be reached"),
-            (true, fleet("period = \"1ms\"\n"), "period is 1ms, not between 50ms"),
+            (
+                true,
+                fleet("").replace("7400", "0"),
+                "can't be reached by others",
+            ),
+            (
+                true,
+                fleet("").replace("7401", "0"),
+                "seed 127.0.0.1:0 can't be reached",
+            ),
+            (
+                true,
+                fleet("").replace("\"127.0.0.1:7401\"", "\"[::1]:7401\""),
+                "can't be reached",
+            ),
+            (
+                true,
+                fleet("period = \"1ms\"\n"),
+                "period is 1ms, not between 50ms",
+            ),
             (true, fleet("most = 0\n"), "most is 0, not between 1"),
             (true, fleet("perod = \"1s\"\n"), "unknown field"),
         ] {
-            let got = among("bad-fleet", leave, &text).err().unwrap_or_else(|| panic!("taken: {text}"));
-            assert!(got.contains(why) && got.contains("x.toml:") && !got.contains('\n'), "{got}");
+            let got = among("bad-fleet", leave, &text)
+                .err()
+                .unwrap_or_else(|| panic!("taken: {text}"));
+            assert!(
+                got.contains(why) && got.contains("x.toml:") && !got.contains('\n'),
+                "{got}"
+            );
         }
     }
 
@@ -562,11 +795,30 @@
         let head = "papers = \"papers.example.json\"\n";
         assert_eq!(wrong(&format!("{head}[forward]\n")).0, 2);
         assert_eq!(wrong(&format!("{head}{PLANNERS}")).0, 2);
-        assert_eq!(wrong(&format!("{head}[plan]\nname = \"p9\"\n{PLANNERS}")).0, 3);
-        assert_eq!(wrong(&format!("{head}[plan]\nname = \"p0\"\n[forward]\n{PLANNERS}")).0, 4);
-        assert_eq!(wrong(&format!("{head}[forward]\n{PLANNERS}{PLANNERS}")).0, 6);
+        assert_eq!(
+            wrong(&format!("{head}[plan]\nname = \"p9\"\n{PLANNERS}")).0,
+            3
+        );
+        assert_eq!(
+            wrong(&format!(
+                "{head}[plan]\nname = \"p0\"\n[forward]\n{PLANNERS}"
+            ))
+            .0,
+            4
+        );
+        assert_eq!(
+            wrong(&format!("{head}[forward]\n{PLANNERS}{PLANNERS}")).0,
+            6
+        );
         assert_eq!(wrong("papers = \"no such.json\"\n").0, 1);
-        assert_eq!(wrong(&format!("{head}[forward]\n{}", PLANNERS.replace("127.0.0.1", "here"))).0, 5);
+        assert_eq!(
+            wrong(&format!(
+                "{head}[forward]\n{}",
+                PLANNERS.replace("127.0.0.1", "here")
+            ))
+            .0,
+            5
+        );
     }
 }
 
--- a/node/src/operators/articles_keys_tests.rs
+++ b/node/src/operators/articles_keys_tests.rs
@@ -7,14 +7,19 @@
 
 fn read(peers: bool, text: &str) -> Result<Articles, String> {
     let number = NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-    let folder = std::env::temp_dir().join(format!("reedferry-keys-{}-{number}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("reedferry-keys-{}-{number}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/papers.example.json");
-    let mut papers: serde_json::Value = serde_json::from_slice(&std::fs::read(example).unwrap()).unwrap();
+    let mut papers: serde_json::Value =
+        serde_json::from_slice(&std::fs::read(example).unwrap()).unwrap();
     papers["settings"]["balancers"] = 4.into();
     papers["settings"]["policy_limits"]["peers"] = peers.into();
     std::fs::write(folder.join("papers.json"), papers.to_string()).unwrap();
-    let read = Articles::decode(&folder.join("x.toml"), &format!("papers = \"papers.json\"\n{text}"));
+    let read = Articles::decode(
+        &folder.join("x.toml"),
+        &format!("papers = \"papers.json\"\n{text}"),
+    );
     std::fs::remove_dir_all(&folder).unwrap();
     read
 }
@@ -29,9 +34,21 @@
 fn a_forwarders_keys_are_read() {
     let text = "[forward]\nlease = \"200ms\"\ndecide_within = \"300ms\"\nmost_asked = 7\nsettle = \"3s\"\n";
     let file = read(false, &format!("{text}{PLANNERS}")).unwrap();
-    let wanted = Forwards { lease: ms(200), decide_within: ms(300), most_asked: 7, settle: ms(3000) };
-    assert_eq!((file.role.word(), &file.role), ("forward", &Role::Forward(wanted)));
-    let named: Vec<_> = file.planners.iter().map(|p| (p.name.as_str(), p.address.port())).collect();
+    let wanted = Forwards {
+        lease: ms(200),
+        decide_within: ms(300),
+        most_asked: 7,
+        settle: ms(3000),
+    };
+    assert_eq!(
+        (file.role.word(), &file.role),
+        ("forward", &Role::Forward(wanted))
+    );
+    let named: Vec<_> = file
+        .planners
+        .iter()
+        .map(|p| (p.name.as_str(), p.address.port()))
+        .collect();
     assert_eq!(named, [("p0", 7000), ("p1", 7001)]);
 }
 
@@ -47,7 +64,10 @@
         settle: ms(60),
         most_held: 9,
     };
-    assert_eq!((file.role.word(), &file.role), ("plan", &Role::Plan(wanted)));
+    assert_eq!(
+        (file.role.word(), &file.role),
+        ("plan", &Role::Plan(wanted))
+    );
 }
 
 #[test]
@@ -55,8 +75,13 @@
     let text = "[node]\nmessages = \"127.0.0.1:7100\"\n[[peer]]\naddress = \"127.0.0.1:7101\"\n";
     let file = read(true, text).unwrap();
     assert_eq!(file.role.word(), "node");
-    let Role::Node(Some(correspondence)) = file.role else { panic!("no messages") };
-    assert_eq!((correspondence.at.port(), correspondence.peers[0].port()), (7100, 7101));
+    let Role::Node(Some(correspondence)) = file.role else {
+        panic!("no messages")
+    };
+    assert_eq!(
+        (correspondence.at.port(), correspondence.peers[0].port()),
+        (7100, 7101)
+    );
 }
 
 #[test]
@@ -64,11 +89,28 @@
     let text = "[fleet]\naddress = \"127.0.0.1:7400\"\nlisten = \"127.0.0.1:7402\"\nname = \"f\"\n\
         seeds = [\"127.0.0.1:7401\"]\nperiod = \"200ms\"\nmost = 7\n\
         [fleet.wards]\nlife = \"30s\"\nwithin = \"40ms\"\nmost = 8\n";
-    let Role::Node(Some(Correspondence { fleet: Some(fleet), .. })) = read(true, text).unwrap().role else {
+    let Role::Node(Some(Correspondence {
+        fleet: Some(fleet), ..
+    })) = read(true, text).unwrap().role
+    else {
         panic!("no fleet")
     };
-    let wards = WardTerms { life: ms(30_000), within: ms(40), most: 8 };
-    assert_eq!((fleet.address.port(), fleet.listen.port(), fleet.name.as_str()), (7400, 7402, "f"));
-    assert_eq!((fleet.seeds[0].port(), fleet.period, fleet.most), (7401, ms(200), 7));
+    let wards = WardTerms {
+        life: ms(30_000),
+        within: ms(40),
+        most: 8,
+    };
+    assert_eq!(
+        (
+            fleet.address.port(),
+            fleet.listen.port(),
+            fleet.name.as_str()
+        ),
+        (7400, 7402, "f")
+    );
+    assert_eq!(
+        (fleet.seeds[0].port(), fleet.period, fleet.most),
+        (7401, ms(200), 7)
+    );
     assert_eq!(fleet.wards, Some(wards));
 }
--- a/node/src/operators/counts.rs
+++ b/node/src/operators/counts.rs
@@ -87,7 +87,10 @@
 
     /// Whether the client's connection is ended by a reset, as its other end was.
     pub fn resets(self) -> bool {
-        matches!(self, Close::ClientBroke | Close::HostBroke | Close::HostStalled | Close::Malformed)
+        matches!(
+            self,
+            Close::ClientBroke | Close::HostBroke | Close::HostStalled | Close::Malformed
+        )
     }
 }
 
@@ -121,7 +124,12 @@
 impl Default for Counts {
     /// Violations have their lines from the start, so that whoever watches them need not wait for the first.
     fn default() -> Self {
-        Counts(Violation::ALL.into_iter().map(|v| (Count::Violated(v).key(), 0)).collect())
+        Counts(
+            Violation::ALL
+                .into_iter()
+                .map(|v| (Count::Violated(v).key(), 0))
+                .collect(),
+        )
     }
 }
 
@@ -166,7 +174,8 @@
 
     #[test]
     fn each_kind_has_a_name_of_its_own() {
-        let names: std::collections::BTreeSet<_> = Violation::ALL.iter().map(|v| v.name()).collect();
+        let names: std::collections::BTreeSet<_> =
+            Violation::ALL.iter().map(|v| v.name()).collect();
         assert_eq!(names.len(), Violation::ALL.len());
     }
 }
--- a/node/src/operators/counts_text_tests.rs
+++ b/node/src/operators/counts_text_tests.rs
@@ -37,9 +37,15 @@
         Close::PassedOn,
     ];
     let mut counts = Counts::default();
-    refusals.into_iter().for_each(|refusal| counts.add(Count::NotBegun(refusal)));
-    endings.into_iter().for_each(|ending| counts.add(Count::AttemptEnded(ending)));
-    closes.into_iter().for_each(|close| counts.add(Count::Closed(close)));
+    refusals
+        .into_iter()
+        .for_each(|refusal| counts.add(Count::NotBegun(refusal)));
+    endings
+        .into_iter()
+        .for_each(|ending| counts.add(Count::AttemptEnded(ending)));
+    closes
+        .into_iter()
+        .for_each(|close| counts.add(Count::Closed(close)));
     counts.add(Count::MachineTrouble("epoll_ctl"));
     let wanted = [
         "app.attempts_ended.broken:1|c",
--- a/node/src/operators/files.rs
+++ b/node/src/operators/files.rs
@@ -46,7 +46,11 @@
 pub fn read(path: &Path) -> Result<Vec<u8>, NotRead> {
     let once = || std::fs::read(path).map_err(|e| Errno::from_io_error(&e).unwrap_or(Errno::IO));
     patiently(READ_WITHIN, once).map_err(|error| {
-        let why = format!("cannot read {}: {}", path.display(), std::io::Error::from(error));
+        let why = format!(
+            "cannot read {}: {}",
+            path.display(),
+            std::io::Error::from(error)
+        );
         if for_a_moment(error) || error == Errno::IO {
             NotRead::Moment(why)
         } else {
--- a/node/src/operators/ops.rs
+++ b/node/src/operators/ops.rs
@@ -47,7 +47,10 @@
 
 impl Reply {
     pub fn new(status: u16, text: impl Into<String>) -> Self {
-        Reply { status, text: text.into() }
+        Reply {
+            status,
+            text: text.into(),
+        }
     }
 
     fn bytes(&self, head: &str) -> Vec<u8> {
@@ -67,7 +70,11 @@
         };
         let Reply { status, text } = self;
         let length = text.len();
-        let kind = if text.starts_with('{') { "application/json" } else { "text/plain; charset=utf-8" };
+        let kind = if text.starts_with('{') {
+            "application/json"
+        } else {
+            "text/plain; charset=utf-8"
+        };
         format!(
             "HTTP/1.1 {status} {why}\r\nContent-Type: {kind}\r\nContent-Length: {length}\r\n\
              Cache-Control: no-store\r\nConnection: close\r\n{head}\r\n{text}"
@@ -177,7 +184,13 @@
         patiently(START_WITHIN, watch).map_err(wrong)?;
         let at = listener.address().unwrap_or(*address);
         info!(context.log, "operators"; "at" => %at);
-        Ok(Ops { listener, budget, pool: Pool::new(CALLERS), lines: Slab::new(), calls: Vec::new() })
+        Ok(Ops {
+            listener,
+            budget,
+            pool: Pool::new(CALLERS),
+            lines: Slab::new(),
+            calls: Vec::new(),
+        })
     }
 
     /// Takes in the callers that wait at the listener.
@@ -195,9 +208,17 @@
                     NotAccepted::Machine => return context.machine_trouble("accept"),
                 },
             };
-            let (Some(head), slot) = (self.pool.take(), self.lines.vacant_key()) else { continue };
+            let (Some(head), slot) = (self.pool.take(), self.lines.vacant_key()) else {
+                continue;
+            };
             let (stamp, stage) = (context.stamp(), Stage::Head(head));
-            self.lines.insert(Line { socket, stamp, since: context.now, stage, watched: false });
+            self.lines.insert(Line {
+                socket,
+                stamp,
+                since: context.now,
+                stage,
+                watched: false,
+            });
             self.watch(context, slot);
             // What has come with it is read at once. Guards: a caller put out by those behind it, unread.
             self.read(context, slot);
@@ -209,7 +230,11 @@
     /// Has one watched, now or at the next sweep.
     fn watch(&mut self, context: &mut Context, slot: usize) {
         let line = &mut self.lines[slot];
-        let mark = Mark { part: OPS, slot: slot as u32, stamp: line.stamp };
+        let mark = Mark {
+            part: OPS,
+            slot: slot as u32,
+            stamp: line.stamp,
+        };
         line.watched = context.poller.watch(&line.socket, mark).is_ok();
         if !line.watched {
             context.machine_trouble("epoll_ctl");
@@ -233,7 +258,10 @@
     fn make_room(&mut self) {
         let answered = |line: &Line| matches!(line.stage, Stage::Ending);
         // Guards: of those that came in one turn the last put out, as it stands in the first place that was free.
-        let first = self.lines.iter().min_by_key(|(_, line)| (!answered(line), line.since, line.stamp));
+        let first = self
+            .lines
+            .iter()
+            .min_by_key(|(_, line)| (!answered(line), line.since, line.stamp));
         if let Some(slot) = first.map(|(slot, _)| slot) {
             self.lines.remove(slot);
         }
@@ -241,7 +269,11 @@
 
     pub fn ready(&mut self, context: &mut Context, ready: Readiness) {
         let slot = ready.mark.slot as usize;
-        if self.lines.get(slot).is_none_or(|line| line.stamp != ready.mark.stamp) {
+        if self
+            .lines
+            .get(slot)
+            .is_none_or(|line| line.stamp != ready.mark.stamp)
+        {
             return;
         }
         if ready.write {
@@ -269,7 +301,9 @@
     fn read(&mut self, context: &mut Context, slot: usize) {
         let mut waste = [0; 4096];
         loop {
-            let Some(line) = self.lines.get_mut(slot) else { return };
+            let Some(line) = self.lines.get_mut(slot) else {
+                return;
+            };
             let space = match &mut line.stage {
                 Stage::Head(head) => head.spare(),
                 _ => &mut waste,
@@ -299,7 +333,8 @@
                         Heard::Part => {}
                         Heard::Head(call, left) => line.stage = Stage::Body(call, left),
                         Heard::Wrong(reply, head) => {
-                            (line.stage, line.since) = (Stage::Answered(reply.bytes(head), 0), context.now);
+                            (line.stage, line.since) =
+                                (Stage::Answered(reply.bytes(head), 0), context.now);
                             self.write(context, slot);
                             continue;
                         }
@@ -310,15 +345,25 @@
                 _ => {}
             }
             if let Stage::Body(call, 0) = line.stage {
-                self.calls.push((Caller { slot, stamp: line.stamp }, call));
+                self.calls.push((
+                    Caller {
+                        slot,
+                        stamp: line.stamp,
+                    },
+                    call,
+                ));
                 line.stage = Stage::Asked;
             }
         }
     }
 
     fn write(&mut self, context: &mut Context, slot: usize) {
-        let Some(line) = self.lines.get_mut(slot) else { return };
-        let Stage::Answered(answer, written) = &mut line.stage else { return };
+        let Some(line) = self.lines.get_mut(slot) else {
+            return;
+        };
+        let Stage::Answered(answer, written) = &mut line.stage else {
+            return;
+        };
         while *written < answer.len() {
             match line.socket.send(&answer[*written..]) {
                 Ok(count) => *written += count,
@@ -337,8 +382,12 @@
     pub fn sweep(&mut self, context: &mut Context) {
         let now = context.now;
         self.go_on(context);
-        let late: Vec<usize> =
-            self.lines.iter().filter(|(_, l)| now >= l.since + WITHIN).map(|l| l.0).collect();
+        let late: Vec<usize> = self
+            .lines
+            .iter()
+            .filter(|(_, l)| now >= l.since + WITHIN)
+            .map(|l| l.0)
+            .collect();
         for slot in late {
             let line = &mut self.lines[slot];
             if matches!(line.stage, Stage::Head(_) | Stage::Body(..)) {
--- a/node/src/operators/papers.rs
+++ b/node/src/operators/papers.rs
@@ -83,12 +83,16 @@
     }
 
     pub fn decode(text: &[u8]) -> Result<Papers, String> {
-        let mut whole: serde_json::Value = serde_json::from_slice(text).map_err(|e| e.to_string())?;
+        let mut whole: serde_json::Value =
+            serde_json::from_slice(text).map_err(|e| e.to_string())?;
         let sheet = Sheet::deserialize(&whole).map_err(|e| e.to_string())?;
         reedferry_terms::sound(&whole["settings"])?;
-        whole.as_object_mut().and_then(|all| all.insert("known".into(), serde_json::Value::Null));
+        whole
+            .as_object_mut()
+            .and_then(|all| all.insert("known".into(), serde_json::Value::Null));
         let address = |what: &str, text: &str| {
-            text.parse::<SocketAddr>().map_err(|_| format!("{what} {text:?} is no address with a port"))
+            text.parse::<SocketAddr>()
+                .map_err(|_| format!("{what} {text:?} is no address with a port"))
         };
         if !(1.0..1e9).contains(&sheet.limits.memory_mb) {
             return Err(format!("limits: memory_mb is {}", sheet.limits.memory_mb));
@@ -118,7 +122,10 @@
     /// The parts that those papers change and that a node which runs does not take up.
     pub fn kept_from(&self, other: &Papers) -> Vec<&'static str> {
         let differ = |name: &&str| self.whole[*name] != other.whole[*name];
-        ["name", "listen", "ops", "limits"].into_iter().filter(differ).collect()
+        ["name", "listen", "ops", "limits"]
+            .into_iter()
+            .filter(differ)
+            .collect()
     }
 
     /// Whether those papers have every key that these have. Guards: half a file taken up where what is missing
--- a/node/src/operators/tally.rs
+++ b/node/src/operators/tally.rs
@@ -43,7 +43,9 @@
 /// A name as a part of a figure's: what separates parts there, or would end the line, is an underscore.
 fn part(name: &str) -> String {
     let apart = |c: char| c.is_whitespace() || c.is_control() || ".:|@#,/".contains(c);
-    name.chars().map(|c| if apart(c) { '_' } else { c }).collect()
+    name.chars()
+        .map(|c| if apart(c) { '_' } else { c })
+        .collect()
 }
 
 impl Tally {
@@ -51,14 +53,19 @@
     pub fn offers(&mut self, names: &[String]) {
         for name in names.iter().map(|name| part(name)) {
             if !self.offerings.iter().any(|o| o.name == name) {
-                self.offerings.push(Outcomes { name, ..Outcomes::default() });
+                self.offerings.push(Outcomes {
+                    name,
+                    ..Outcomes::default()
+                });
             }
         }
     }
 
     pub fn came_to(&mut self, offering: &str, outcome: Outcome) {
         let name = part(offering);
-        let Some(of) = self.offerings.iter_mut().find(|o| o.name == name) else { return };
+        let Some(of) = self.offerings.iter_mut().find(|o| o.name == name) else {
+            return;
+        };
         match outcome {
             Outcome::Served => of.served += 1,
             Outcome::Refused => of.refused += 1,
@@ -86,12 +93,17 @@
     /// All figures, a line each.
     pub fn text(&self, now: &Now) -> String {
         let mut text = String::new();
-        let mut line = |name: &str, value: u64, kind: &str| _ = writeln!(text, "app.{name}:{value}|{kind}");
+        let mut line =
+            |name: &str, value: u64, kind: &str| _ = writeln!(text, "app.{name}:{value}|{kind}");
         for of in &self.offerings {
-            let outcomes = [("served", of.served), ("refused", of.refused), ("failed", of.failed)];
-            outcomes
-                .into_iter()
-                .for_each(|(what, count)| line(&format!("requests.{}.{what}", of.name), count, "c"));
+            let outcomes = [
+                ("served", of.served),
+                ("refused", of.refused),
+                ("failed", of.failed),
+            ];
+            outcomes.into_iter().for_each(|(what, count)| {
+                line(&format!("requests.{}.{what}", of.name), count, "c")
+            });
         }
         line("attempts", self.attempts, "c");
         line("in_flight", now.in_flight as u64, "g");
@@ -118,7 +130,11 @@
         tally.attempted();
         tally.reread(true);
         tally.reread(false);
-        let text = tally.text(&Now { in_flight: 14, hosts_known: 9, hosts_excluded: 2 });
+        let text = tally.text(&Now {
+            in_flight: 14,
+            hosts_known: 9,
+            hosts_excluded: 2,
+        });
         let wanted =
             "app.requests.chat.served:1|c\napp.requests.chat.refused:1|c\napp.requests.chat.failed:0|c\n\
             app.requests.a_b_c_d_e.served:0|c\napp.requests.a_b_c_d_e.refused:0|c\n\
--- a/node/src/peers/fleet.rs
+++ b/node/src/peers/fleet.rs
@@ -61,21 +61,42 @@
 }
 
 impl Fleet {
-    pub fn open(context: &mut Context, terms: &FleetTerms, papers: &Papers) -> Result<Fleet, String> {
+    pub fn open(
+        context: &mut Context,
+        terms: &FleetTerms,
+        papers: &Papers,
+    ) -> Result<Fleet, String> {
         let charter = &papers.charter;
         let who = Who {
             name: papers.name.clone(),
             address: terms.address,
             role: Role::Node,
-            zone: papers.terms.zones.get(usize::from(charter.zone)).cloned().unwrap_or_default(),
+            zone: papers
+                .terms
+                .zones
+                .get(usize::from(charter.zone))
+                .cloned()
+                .unwrap_or_default(),
             build: env!("CARGO_PKG_VERSION").to_string(),
             place: charter.node,
             roster: charter.nodes,
         };
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_millis() as u64);
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |t| t.as_millis() as u64);
         let fleet = crate::connections::lines::hash(&terms.name) as u32;
-        let FleetTerms { seeds, period, most, .. } = terms.clone();
-        let core_terms = members::Terms { period, seeds, most, fleet };
+        let FleetTerms {
+            seeds,
+            period,
+            most,
+            ..
+        } = terms.clone();
+        let core_terms = members::Terms {
+            period,
+            seeds,
+            most,
+            fleet,
+        };
         let core = Members::new(who, core_terms, context.now, unix, papers.seed ^ unix);
         let (lines, odd) = (LineLimit::new(MOST_LINES), BTreeMap::new());
         let (shares, looks) = (Vec::new(), Vec::new());
@@ -116,9 +137,16 @@
             match action {
                 Action::Send { to, bytes } => {
                     // Whom it can't reach is found out by its silence.
-                    self.socket.iter().for_each(|socket| _ = socket.send_to(&bytes, &to));
+                    self.socket
+                        .iter()
+                        .for_each(|socket| _ = socket.send_to(&bytes, &to));
                 }
-                Action::Changed { name, address, before, state } if self.lines.room(context.now) => {
+                Action::Changed {
+                    name,
+                    address,
+                    before,
+                    state,
+                } if self.lines.room(context.now) => {
                     let before = before.map_or("unknown", State::word);
                     info!(context.log, "member {}", state.word(); "name" => name, "address" => %address, "before" => before);
                 }
@@ -167,9 +195,14 @@
             };
             match space[..length] {
                 [WORD, ref word @ ..] => {
-                    let known = self.core.others().any(|m| m.who.address == from && m.state != State::Gone);
+                    let known = self
+                        .core
+                        .others()
+                        .any(|m| m.who.address == from && m.state != State::Gone);
                     if known && word.len() <= reedferry::word::LONGEST {
-                        context.events.push(Event::Heard { message: word.to_vec() });
+                        context.events.push(Event::Heard {
+                            message: word.to_vec(),
+                        });
                     } else {
                         self.odd(context, "a word of no member's", from);
                     }
@@ -219,8 +252,8 @@
         if std::mem::replace(&mut self.lending, shares_turns) != shares_turns {
             self.handle(context, members::Event::Lending(shares_turns));
         }
-        let by =
-            Some((self.core.digest(), context.hosts.lists)).filter(|_| !self.core.holds_off(context.now));
+        let by = Some((self.core.digest(), context.hosts.lists))
+            .filter(|_| !self.core.holds_off(context.now));
         if looks && (by.is_none() || by != self.looked_by) {
             let mine = self.core.duties(context.now, context.hosts.ids());
             self.look(context, mine);
@@ -230,8 +263,14 @@
 
     fn look(&mut self, context: &mut Context, mine: Vec<u64>) {
         // Those of a host that is new are told though none is this node's.
-        if mine != self.looks || self.looked_by.is_none_or(|(_, lists)| lists != context.hosts.lists) {
-            context.events.push(Event::Looks(mine.iter().map(|id| HostId(*id)).collect()));
+        if mine != self.looks
+            || self
+                .looked_by
+                .is_none_or(|(_, lists)| lists != context.hosts.lists)
+        {
+            context
+                .events
+                .push(Event::Looks(mine.iter().map(|id| HostId(*id)).collect()));
             self.looks = mine;
         }
     }
@@ -239,8 +278,14 @@
     /// Tells all that are at work.
     pub fn tell(&self, word: &[u8]) {
         let datagram = [&[WORD], word].concat();
-        for member in self.core.others().filter(|m| matches!(m.state, State::Working | State::Suspect)) {
-            self.socket.iter().for_each(|socket| _ = socket.send_to(&datagram, &member.who.address));
+        for member in self
+            .core
+            .others()
+            .filter(|m| matches!(m.state, State::Working | State::Suspect))
+        {
+            self.socket
+                .iter()
+                .for_each(|socket| _ = socket.send_to(&datagram, &member.who.address));
         }
     }
 
@@ -279,7 +324,13 @@
     /// Takes up other seeds and another place; the rest holds until the next start. Gives what does.
     pub fn renew(&mut self, context: &mut Context, terms: &FleetTerms, place: (u32, u32)) -> bool {
         self.handle(context, members::Event::Seeds(terms.seeds.clone()));
-        self.handle(context, members::Event::Placed { place: place.0, roster: place.1 });
+        self.handle(
+            context,
+            members::Event::Placed {
+                place: place.0,
+                roster: place.1,
+            },
+        );
         self.terms.seeds = terms.seeds.clone();
         self.terms == *terms
     }
--- a/node/src/peers/wards.rs
+++ b/node/src/peers/wards.rs
@@ -5,7 +5,9 @@
 
 use crate::context::{mark, Context, WARDS};
 use crate::peers::fleet::Fleet;
-use reedferry::{Action, Arrival, AttachmentId, Effect, Ending, Event, HostId, Nanos, Past, SECOND};
+use reedferry::{
+    Action, Arrival, AttachmentId, Effect, Ending, Event, HostId, Nanos, Past, SECOND,
+};
 use reedferry_wards::{guardians, Answer, Guardian, Holder, Keeper, Outcome, Question, Record};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -127,7 +129,11 @@
 
     /// What operators see.
     pub fn figures(&self) -> serde_json::Value {
-        let Figures { written, taken_over, turned_away } = &self.figures;
+        let Figures {
+            written,
+            taken_over,
+            turned_away,
+        } = &self.figures;
         let (kept, held) = (self.guardian.count(), self.held.len());
         json!({"kept_for_others": kept, "held": held, "written_ahead": written, "taken_over": taken_over,
             "turned_away": turned_away})
@@ -137,15 +143,23 @@
         for place in guardians(key, self.roster) {
             self.out.push((place, Word::Question(question.clone())));
         }
-        context.poller.remind(context.now + self.terms.within, mark(WARDS), 0);
+        context
+            .poller
+            .remind(context.now + self.terms.within, mark(WARDS), 0);
     }
 
     /// An event on its way to the module: one that waits for a ward does not get there yet.
-    pub fn before(&mut self, context: &mut Context, effects: &[Effect], event: Event) -> Option<Event> {
+    pub fn before(
+        &mut self,
+        context: &mut Context,
+        effects: &[Effect],
+        event: Event,
+    ) -> Option<Event> {
         match &event {
             Event::Arrived(arrival) if effects.get(arrival.offering) != Some(&Effect::Redoable) => {
                 // Without a key nobody can bring it again; and this is one whose ward has come.
-                let Some(client) = arrival.key.filter(|_| !self.keys.contains_key(&arrival.id)) else {
+                let Some(client) = arrival.key.filter(|_| !self.keys.contains_key(&arrival.id))
+                else {
                     return Some(event);
                 };
                 let key = client.rotate_left(17)
@@ -161,7 +175,11 @@
                         id,
                         arrival,
                         came,
-                        passed: Passed { history: History::default(), ran_at: context.now, ran_by: 0 },
+                        passed: Passed {
+                            history: History::default(),
+                            ran_at: context.now,
+                            ran_by: 0,
+                        },
                         waits: None,
                     },
                 );
@@ -178,7 +196,9 @@
                     self.keeper.drop(key);
                 }
             }
-            Event::Ended { id, host, ending, .. } if ending.never_ran() => {
+            Event::Ended {
+                id, host, ending, ..
+            } if ending.never_ran() => {
                 if let Some(held) = self.keys.get(id).and_then(|key| self.held.get_mut(key)) {
                     held.passed.never_ran(host.0);
                 }
@@ -193,13 +213,17 @@
         match &action {
             Action::HandOff { id, .. } if self.refused.contains(id) => return None,
             Action::HandOff { id, host, .. } => {
-                let Some(&key) = self.keys.get(id) else { return Some(action) };
+                let Some(&key) = self.keys.get(id) else {
+                    return Some(action);
+                };
                 let host = host.0;
                 let held = self.held.get_mut(&key)?;
                 held.passed.handed_off(context.now, host);
                 let history = &held.passed.history;
-                let record =
-                    Record { history: postcard::to_allocvec(history).unwrap_or_default(), over: false };
+                let record = Record {
+                    history: postcard::to_allocvec(history).unwrap_or_default(),
+                    over: false,
+                };
                 held.waits = Some((action, context.now));
                 match self.keeper.keep(context.now, key, record) {
                     Some(question) => self.ask(context, key, &question),
@@ -215,10 +239,18 @@
 
     /// It has had its final answer: what comes under its key from here on is another one.
     fn answered(&mut self, context: &mut Context, id: AttachmentId) {
-        let Some(key) = self.keys.remove(&id) else { return };
+        let Some(key) = self.keys.remove(&id) else {
+            return;
+        };
         self.held.remove(&key);
-        if let Some(question) = self.keeper.keep(context.now, key, Record { history: Vec::new(), over: true })
-        {
+        if let Some(question) = self.keeper.keep(
+            context.now,
+            key,
+            Record {
+                history: Vec::new(),
+                over: true,
+            },
+        ) {
             self.ask(context, key, &question);
         }
     }
@@ -226,18 +258,31 @@
     /// Answers one that the module knows nothing of.
     fn turn_away(&mut self, id: AttachmentId) {
         self.figures.turned_away += 1;
-        self.ready.push(Action::Dismiss { id, wait: COME_BACK });
+        self.ready.push(Action::Dismiss {
+            id,
+            wait: COME_BACK,
+        });
     }
 
     /// The ward is not to be had: what has not run is dismissed, the rest given up; nothing more is handed off.
     fn refuse(&mut self, context: &mut Context, key: u64) {
-        let Some(held) = self.held.remove(&key) else { return };
+        let Some(held) = self.held.remove(&key) else {
+            return;
+        };
         self.keys.remove(&held.id);
         self.keeper.drop(key);
         let waits = held.waits.map(|(action, _)| action);
         if let Some(Action::HandOff { id, host, .. }) = waits {
-            let (hand_off, ending, gauges) = (held.passed.history.hand_offs, Ending::NeverSent, Vec::new());
-            context.events.push(Event::Ended { id, hand_off, host, over: true, ending, gauges });
+            let (hand_off, ending, gauges) =
+                (held.passed.history.hand_offs, Ending::NeverSent, Vec::new());
+            context.events.push(Event::Ended {
+                id,
+                hand_off,
+                host,
+                over: true,
+                ending,
+                gauges,
+            });
             context.events.push(Event::Left { id });
             self.refused.insert(id);
         }
@@ -253,28 +298,50 @@
     fn came(&mut self, context: &mut Context, outcome: Outcome) {
         match outcome {
             Outcome::Owned { key, record, age } => {
-                let Some(held) = self.held.get_mut(&key) else { return };
+                let Some(held) = self.held.get_mut(&key) else {
+                    return;
+                };
                 let waited = context.now.saturating_sub(held.came);
-                let arrival =
-                    Arrival { time_left: held.arrival.time_left.saturating_sub(waited), ..held.arrival };
-                let known =
-                    if record.over { None } else { postcard::from_bytes::<History>(&record.history).ok() };
+                let arrival = Arrival {
+                    time_left: held.arrival.time_left.saturating_sub(waited),
+                    ..held.arrival
+                };
+                let known = if record.over {
+                    None
+                } else {
+                    postcard::from_bytes::<History>(&record.history).ok()
+                };
                 held.passed.history = known.unwrap_or_default();
                 if held.passed.history.hand_offs == 0 {
                     return context.events.push(Event::Arrived(arrival));
                 }
                 self.figures.taken_over += 1;
-                let History { hand_offs, ran, tried } = &held.passed.history;
+                let History {
+                    hand_offs,
+                    ran,
+                    tried,
+                } = &held.passed.history;
                 // No two clocks are compared: so long before it was written, since then there, and on the way here.
                 let ago = ran.map_or(0, |(_, before)| before) + age + self.terms.within;
                 held.passed.ran_at = context.now.saturating_sub(ago);
                 let ran = ran.map(|(host, _)| (HostId(host), held.passed.ran_at));
                 let tried = tried.iter().map(|host| HostId(*host)).collect();
-                context.events.push(Event::TakenUp(arrival, Past { hand_offs: *hand_offs, ran, tried }));
+                context.events.push(Event::TakenUp(
+                    arrival,
+                    Past {
+                        hand_offs: *hand_offs,
+                        ran,
+                        tried,
+                    },
+                ));
             }
             Outcome::Written { key } => {
-                let Some(held) = self.held.get_mut(&key) else { return self.keeper.drop(key) };
-                let Some((action, since)) = held.waits.take() else { return };
+                let Some(held) = self.held.get_mut(&key) else {
+                    return self.keeper.drop(key);
+                };
+                let Some((action, since)) = held.waits.take() else {
+                    return;
+                };
                 // Guards: a hand-off by a record that another has taken up, after a stand-still.
                 if context.now >= since + self.terms.within {
                     held.waits = Some((action, since));
@@ -322,7 +389,9 @@
                         let answer = self.guardian.answer(context.now, &question);
                         self.hear(context, place, answer);
                     }
-                    word => fleet.send_letter(place, &postcard::to_allocvec(&word).unwrap_or_default()),
+                    word => {
+                        fleet.send_letter(place, &postcard::to_allocvec(&word).unwrap_or_default())
+                    }
                 }
             }
         }
@@ -356,14 +425,21 @@
     /// Guards: a labelled line that may have run at a host, sent outside its circle as a second try there was refused.
     #[test]
     fn what_may_have_run_is_not_forgotten_by_a_later_hand_off_that_did_not() {
-        let mut passed = Passed { history: History::default(), ran_at: 0, ran_by: 0 };
+        let mut passed = Passed {
+            history: History::default(),
+            ran_at: 0,
+            ran_by: 0,
+        };
         passed.handed_off(SECOND, 5);
         passed.never_ran(5);
         assert_eq!(passed.history.ran, None);
         passed.handed_off(2 * SECOND, 6);
         passed.handed_off(5 * SECOND, 6);
         passed.never_ran(6);
-        assert_eq!((passed.history.ran, passed.history.hand_offs), (Some((6, 3 * SECOND)), 3));
+        assert_eq!(
+            (passed.history.ran, passed.history.hand_offs),
+            (Some((6, 3 * SECOND)), 3)
+        );
     }
 }
 
--- a/node/src/peers/words.rs
+++ b/node/src/peers/words.rs
@@ -33,12 +33,18 @@
 impl Peers {
     pub fn open(context: &mut Context, correspondence: &Correspondence) -> Result<Peers, String> {
         let wrong = |e: Errno| format!("cannot take messages on {}: {e}", correspondence.at);
-        let socket =
-            patiently(START_WITHIN, || context.budget.datagrams(&correspondence.at)).map_err(wrong)?;
+        let socket = patiently(START_WITHIN, || {
+            context.budget.datagrams(&correspondence.at)
+        })
+        .map_err(wrong)?;
         patiently(START_WITHIN, || context.poller.watch(&socket, mark(PEERS))).map_err(wrong)?;
         let at = socket.address().unwrap_or(correspondence.at);
         info!(context.log, "messages"; "at" => %at, "peers" => correspondence.peers.len());
-        Ok(Peers { socket, peers: correspondence.peers.clone(), warned: false })
+        Ok(Peers {
+            socket,
+            peers: correspondence.peers.clone(),
+            warned: false,
+        })
     }
 
     /// To all of them; whom it cannot reach does without.
@@ -59,7 +65,9 @@
             };
             let known = from.is_some_and(|from| self.peers.contains(&from));
             if known && length <= LONGEST {
-                context.events.push(Event::Heard { message: space[..length].to_vec() });
+                context.events.push(Event::Heard {
+                    message: space[..length].to_vec(),
+                });
             } else if !std::mem::replace(&mut self.warned, true) {
                 let from = from.map_or("nobody".to_string(), |from| from.to_string());
                 warn!(context.log, "message dropped"; "from" => from, "known" => known, "length" => length);
