--- a/node/src/roles/alone.rs
+++ b/node/src/roles/alone.rs
@@ -43,7 +43,11 @@
                 Ok((papers, reach.map_err(|(_, why)| why)?))
             }
             Told::Operator(path) => match Articles::read(path)? {
-                Articles { papers, role: Role::Node(correspondence), .. } => Ok((papers, correspondence)),
+                Articles {
+                    papers,
+                    role: Role::Node(correspondence),
+                    ..
+                } => Ok((papers, correspondence)),
                 Articles { role, .. } => {
                     Err(format!("{} is for `reedferry {}`", path.display(), role.word()).into())
                 }
@@ -85,34 +89,63 @@
     let mut succession = Succession::open(&mut context, &papers)?;
     let mut knowledge = succession.begin(&mut context, &clock);
     if let Some(knowledge) = &mut knowledge {
-        renewal::keep((&mut papers.charter, &mut papers.terms), std::mem::take(&mut knowledge.held));
-        (context.terms, context.offerings) = (papers.terms.clone(), papers.charter.offerings.clone());
+        renewal::keep(
+            (&mut papers.charter, &mut papers.terms),
+            std::mem::take(&mut knowledge.held),
+        );
+        (context.terms, context.offerings) =
+            (papers.terms.clone(), papers.charter.offerings.clone());
     }
     let knowledge = knowledge.map(|e| e.in_terms_of(&papers.terms.offerings));
-    let ops = papers.ops.map(|at| Ops::open(&mut context, &at)).transpose()?;
+    let ops = papers
+        .ops
+        .map(|at| Ops::open(&mut context, &at))
+        .transpose()?;
     let (now, log) = (context.now, context.log.clone());
     let mut actions = Vec::new();
     let fleet = correspondence.as_ref().and_then(|c| c.fleet.as_ref());
-    let fleet = fleet.map(|terms| Fleet::open(&mut context, terms, &papers)).transpose()?;
+    let fleet = fleet
+        .map(|terms| Fleet::open(&mut context, terms, &papers))
+        .transpose()?;
     let wards = fleet.as_ref().and_then(|fleet| {
         let terms = correspondence.as_ref()?.fleet.as_ref()?.wards.as_ref()?;
         let Charter { node, nodes, .. } = papers.charter;
         Some(Wards::new(&context, terms, node, nodes, fleet.life()))
     });
     let peers = correspondence.as_ref().filter(|c| c.fleet.is_none());
-    let peers = peers.map(|correspondence| Peers::open(&mut context, correspondence)).transpose()?;
+    let peers = peers
+        .map(|correspondence| Peers::open(&mut context, correspondence))
+        .transpose()?;
     let module = Balancer::new(papers.charter.clone(), papers.seed, now, &mut actions);
     let mut revision = context.known(&papers)?;
-    if let Some(Knowledge { discovery, revision: reached, members, legacy, .. }) = knowledge {
+    if let Some(Knowledge {
+        discovery,
+        revision: reached,
+        members,
+        legacy,
+        ..
+    }) = knowledge
+    {
         // What another process was told last is newer than what this one was started with.
-        let roll = List { revision: reached.unwrap_or(0), complete: true, members };
-        let event = context.hosts.told(context.now, roll, Source::Kept, &context.log);
-        context.events.extend([event, Event::Inherited(Box::new(legacy))]);
+        let roll = List {
+            revision: reached.unwrap_or(0),
+            complete: true,
+            members,
+        };
+        let event = context
+            .hosts
+            .told(context.now, roll, Source::Kept, &context.log);
+        context
+            .events
+            .extend([event, Event::Inherited(Box::new(legacy))]);
         revision = reached.filter(|_| discovery == papers.discovery);
     }
     let hosts = context.hosts.count();
     // The system deals out the port where none is named.
-    let listen = succession.listener().and_then(Socket::address).unwrap_or(papers.listen);
+    let listen = succession
+        .listener()
+        .and_then(Socket::address)
+        .unwrap_or(papers.listen);
     info!(log, "started"; "listen" => %listen, "hosts" => hosts, "revision" => revision,
         "sockets" => papers.sockets, "memory_mb" => papers.memory >> 20);
     let AtStart { stop, reread } = start;
@@ -121,7 +154,13 @@
         context,
         module,
         connections: Connections::default(),
-        discovery: Discovery::new(papers.discovery, revision, &papers.charter, papers.terms.drain_grace, now),
+        discovery: Discovery::new(
+            papers.discovery,
+            revision,
+            &papers.charter,
+            papers.terms.drain_grace,
+            now,
+        ),
         probes: Probes::default(),
         peers,
         fleet,
@@ -141,7 +180,9 @@
     // Guards: clients handed to hosts that drain, by a process that asks for a pushed list only when it first looks round:
     // what that says counts as told from the process's start.
     node.discovery.sweep(&mut node.context);
-    node.context.poller.remind(now + SWEEP, mark(context::SWEEP), 0);
+    node.context
+        .poller
+        .remind(now + SWEEP, mark(context::SWEEP), 0);
     loop {
         node.decide();
         node.guard();
@@ -154,7 +195,8 @@
             backlog.drain();
             return Ok(());
         }
-        node.gather(&clock).map_err(|e| format!("cannot poll: {e}"))?;
+        node.gather(&clock)
+            .map_err(|e| format!("cannot poll: {e}"))?;
     }
 }
 
@@ -168,7 +210,9 @@
         self.context.poller.wait(waited, at_once, &mut ready)?;
         let before = self.context.look_round(waited, clock.read(), behind);
         self.ready.add(ready);
-        self.fleet.iter_mut().for_each(|fleet| fleet.mind(&mut self.context));
+        self.fleet
+            .iter_mut()
+            .for_each(|fleet| fleet.mind(&mut self.context));
         // Guards: an operator who waits behind a crowd of clients; clients handed to a host that drains, by the word
         // of a list that came before them, while the process stood still.
         self.ready.order_by(|one| match one.mark.part {
@@ -201,10 +245,13 @@
         }
         while let Some((caller, call)) = self.ops.as_mut().and_then(Ops::next) {
             let reply = self.called(call);
-            self.ops.iter_mut().for_each(|ops| ops.reply(&mut self.context, caller, &reply));
+            self.ops
+                .iter_mut()
+                .for_each(|ops| ops.reply(&mut self.context, caller, &reply));
         }
         if self.connections.busy() {
-            self.connections.resume(&mut self.context, self.succession.listener());
+            self.connections
+                .resume(&mut self.context, self.succession.listener());
         }
         while let Some((mark, word)) = self.context.poller.due(self.context.now) {
             let context = &mut self.context;
@@ -240,7 +287,8 @@
                 held: self.connections.held(context),
                 legacy: self.module.leave(),
             };
-            self.succession.leave(context, &mut self.connections, &knowledge);
+            self.succession
+                .leave(context, &mut self.connections, &knowledge);
         }
         if context.leaving.is_some() {
             self.succession.pass_on(context, &mut self.connections);
@@ -253,7 +301,13 @@
     /// Hands what was gathered to the module and carries out what it orders.
     fn decide(&mut self) {
         let effects: Vec<Effect> = match &self.wards {
-            Some(_) => self.papers.charter.offerings.iter().map(|o| o.effect).collect(),
+            Some(_) => self
+                .papers
+                .charter
+                .offerings
+                .iter()
+                .map(|o| o.effect)
+                .collect(),
             None => Vec::new(),
         };
         for event in std::mem::take(&mut self.context.events) {
@@ -265,7 +319,8 @@
             if self.trace {
                 info!(self.context.log, "event {:?}", event);
             }
-            self.module.handle(self.context.now, event, &mut self.actions);
+            self.module
+                .handle(self.context.now, event, &mut self.actions);
         }
         for action in std::mem::take(&mut self.actions) {
             let context = &mut self.context;
@@ -277,7 +332,9 @@
                 None => Some(action),
             };
             let Some(action) = action else { continue };
-            let Some(action) = self.connections.carry_out(context, action) else { continue };
+            let Some(action) = self.connections.carry_out(context, action) else {
+                continue;
+            };
             match action {
                 Action::WakeAt { time, mark: word } => {
                     context.poller.remind(time, mark(context::MODULE), word)
@@ -298,7 +355,9 @@
 
     /// What wards let go ahead, and what they ask of others.
     fn guard(&mut self) {
-        let (Some(wards), Some(fleet)) = (&mut self.wards, &mut self.fleet) else { return };
+        let (Some(wards), Some(fleet)) = (&mut self.wards, &mut self.fleet) else {
+            return;
+        };
         wards.turn(&mut self.context, fleet);
         for action in wards.ready() {
             self.connections.carry_out(&mut self.context, action);
@@ -316,29 +375,45 @@
         context.spare();
         self.succession.sweep(context, &mut self.connections);
         self.discovery.sweep(context);
-        let (shares, looks) = (self.module.shares_turns(context.now), self.papers.charter.probe_for_gauges);
+        let (shares, looks) = (
+            self.module.shares_turns(context.now),
+            self.papers.charter.probe_for_gauges,
+        );
         if let Some(fleet) = &mut self.fleet {
             fleet.sweep(context);
             fleet.serve(context, shares, looks);
         }
         context.hosts.look(context.now, &mut context.events);
-        context.poller.remind(context.now + SWEEP, mark(context::SWEEP), 0);
+        context
+            .poller
+            .remind(context.now + SWEEP, mark(context::SWEEP), 0);
     }
 
     /// Does what operators ask for, and says how it stands.
     fn called(&mut self, call: Call) -> Reply {
-        let (stops, stands_by) = (self.context.leaving.is_some(), self.context.standby.is_some());
+        let (stops, stands_by) = (
+            self.context.leaving.is_some(),
+            self.context.standby.is_some(),
+        );
         let held = self.connections.count();
         match call {
             Call::Figures => {
                 let (hosts_known, hosts_excluded) = self.module.regard(self.context.now);
                 let in_flight = self.connections.in_flight();
-                Reply::new(200, self.context.tally.text(&Now { in_flight, hosts_known, hosts_excluded }))
+                Reply::new(
+                    200,
+                    self.context.tally.text(&Now {
+                        in_flight,
+                        hosts_known,
+                        hosts_excluded,
+                    }),
+                )
             }
             Call::Fleet => match &self.fleet {
-                Some(fleet) => {
-                    Reply::new(200, fleet.text(self.context.now, self.wards.as_ref().map(Wards::figures)))
-                }
+                Some(fleet) => Reply::new(
+                    200,
+                    fleet.text(self.context.now, self.wards.as_ref().map(Wards::figures)),
+                ),
                 None => Reply::new(404, "no fleet\n"),
             },
             Call::Status if stops => Reply::new(503, "stopping\n"),
@@ -380,7 +455,9 @@
     /// Tells the fleet how this node stands.
     fn stands(&mut self, state: State) {
         let Node { fleet, context, .. } = self;
-        fleet.iter_mut().for_each(|fleet| fleet.stands(context, state));
+        fleet
+            .iter_mut()
+            .for_each(|fleet| fleet.stands(context, state));
     }
 
     /// Takes the papers up afresh: discovery and settings may change in a node that runs.
@@ -428,7 +505,8 @@
         let moved = fresh.discovery != self.papers.discovery;
         self.papers = fresh;
         if moved {
-            self.discovery.go_over(&mut self.context, self.papers.discovery);
+            self.discovery
+                .go_over(&mut self.context, self.papers.discovery);
         }
     }
 
@@ -442,15 +520,25 @@
         let context = &mut self.context;
         (context.terms, context.offerings) = (terms.clone(), charter.offerings.clone());
         context.tally.offers(&terms.offerings);
-        context.hosts.renew(terms.zones.clone(), charter.shortest_message_time());
+        context
+            .hosts
+            .renew(terms.zones.clone(), charter.shortest_message_time());
         self.discovery.retune(charter, terms.drain_grace);
-        context.events.push(Event::Renewed(Box::new(charter.clone()), others));
+        context
+            .events
+            .push(Event::Renewed(Box::new(charter.clone()), others));
         if zones {
             // Hosts are known by the places of their zones, those that are gone too while anything may go by them. Guards: a
             // repeat matched against the zone that now has the place of the one in which it may have run.
             let members = [context.hosts.members(), context.hosts.former()].concat();
-            let roll = List { revision: self.discovery.revision().unwrap_or(0), complete: true, members };
-            let event = context.hosts.told(context.now, roll, Source::Kept, &context.log);
+            let roll = List {
+                revision: self.discovery.revision().unwrap_or(0),
+                complete: true,
+                members,
+            };
+            let event = context
+                .hosts
+                .told(context.now, roll, Source::Kept, &context.log);
             context.events.push(event);
         }
     }
--- a/node/src/roles/forward.rs
+++ b/node/src/roles/forward.rs
@@ -35,9 +35,18 @@
 }
 
 pub fn run(path: &Path, start: AtStart) -> Result<(), String> {
-    let Articles { papers, role, planners, .. } = Articles::read(path)?;
+    let Articles {
+        papers,
+        role,
+        planners,
+        ..
+    } = Articles::read(path)?;
     let Role::Forward(forwards) = role else {
-        return Err(format!("{} is for `reedferry {}`", path.display(), role.word()));
+        return Err(format!(
+            "{} is for `reedferry {}`",
+            path.display(),
+            role.word()
+        ));
     };
     let clock = Clock::start();
     let (mut context, backlog) = Context::open(&papers, &clock, &start)?;
@@ -57,7 +66,9 @@
     let log = context.log.clone();
     info!(log, "started"; "listen" => %listen, "role" => "forward", "planners" => planners.len(),
         "sockets" => papers.sockets, "memory_mb" => papers.memory >> 20);
-    context.poller.remind(context.now + SWEEP, mark(context::SWEEP), 0);
+    context
+        .poller
+        .remind(context.now + SWEEP, mark(context::SWEEP), 0);
     let AtStart { stop, reread } = start;
     let mut forward = Forward {
         context,
@@ -77,14 +88,19 @@
     loop {
         forward.turn();
         backlog.drain();
-        if forward.context.leaving.is_some_and(|t| forward.context.now >= t)
+        if forward
+            .context
+            .leaving
+            .is_some_and(|t| forward.context.now >= t)
             && forward.connections.count() == 0
         {
             info!(log, "stopped");
             backlog.drain();
             return Ok(());
         }
-        forward.gather(&clock).map_err(|e| format!("cannot poll: {e}"))?;
+        forward
+            .gather(&clock)
+            .map_err(|e| format!("cannot poll: {e}"))?;
     }
 }
 
@@ -97,7 +113,8 @@
         }
         let mut ready = Vec::new();
         let behind = self.ready.is_behind();
-        let at_once = behind || !self.context.events.is_empty() || self.connections.busy() || self.wires.more;
+        let at_once =
+            behind || !self.context.events.is_empty() || self.connections.busy() || self.wires.more;
         let waited = clock.read();
         self.context.poller.wait(waited, at_once, &mut ready)?;
         self.context.look_round(waited, clock.read(), behind);
@@ -113,7 +130,8 @@
             }
         }
         if self.connections.busy() {
-            self.connections.resume(&mut self.context, Some(&self.listener));
+            self.connections
+                .resume(&mut self.context, Some(&self.listener));
         }
         while let Some((mark, word)) = self.context.poller.due(self.context.now) {
             match mark.part {
@@ -135,12 +153,19 @@
         self.connections.sweep(context);
         context.spare();
         context.hosts.look(context.now, &mut context.events);
-        context.poller.remind(context.now + SWEEP, mark(context::SWEEP), 0);
+        context
+            .poller
+            .remind(context.now + SWEEP, mark(context::SWEEP), 0);
     }
 
     fn ready(&mut self, ready: Readiness) {
         let line = ready.mark.slot;
-        let Some(wire) = self.wires.all.get_mut(&line).filter(|w| w.stamp == ready.mark.stamp) else {
+        let Some(wire) = self
+            .wires
+            .all
+            .get_mut(&line)
+            .filter(|w| w.stamp == ready.mark.stamp)
+        else {
             return;
         };
         wire.ready(ready);
@@ -160,8 +185,12 @@
     fn turn(&mut self) {
         let now = self.context.now;
         let (core, deeds) = (&mut self.core, &mut self.deeds);
-        let ended = self.wires.read(|line, bytes| core.came(now, line, bytes, deeds));
-        ended.into_iter().for_each(|(line, why)| self.lost(line, why));
+        let ended = self
+            .wires
+            .read(|line, bytes| core.came(now, line, bytes, deeds));
+        ended
+            .into_iter()
+            .for_each(|(line, why)| self.lost(line, why));
         for event in std::mem::take(&mut self.context.events) {
             self.core.event(now, event, &mut self.deeds);
         }
@@ -175,14 +204,21 @@
             core.sent(line, count);
             Ok(())
         });
-        ended.into_iter().for_each(|(line, why)| self.lost(line, why));
+        ended
+            .into_iter()
+            .for_each(|(line, why)| self.lost(line, why));
     }
 
     fn carry_out(&mut self, deed: Deed) {
         let context = &mut self.context;
         match deed {
             Deed::Act(action) => _ = self.connections.carry_out(context, action),
-            Deed::HandOff { id, host, until, by } => self.connections.hand_off(context, id, host, until, by),
+            Deed::HandOff {
+                id,
+                host,
+                until,
+                by,
+            } => self.connections.hand_off(context, id, host, until, by),
             Deed::Call { line, address } => self.call(line, address),
             Deed::Hang { line } => _ = self.wires.all.remove(&line),
             Deed::Host(line) => {
@@ -197,7 +233,11 @@
         let context = &mut self.context;
         let opened = context.budget.connect(&address).and_then(|(socket, _)| {
             // Whether it stands is told by the poller in either case.
-            let mark = Mark { part: LINK, slot: line, stamp: context.stamp() };
+            let mark = Mark {
+                part: LINK,
+                slot: line,
+                stamp: context.stamp(),
+            };
             context.poller.watch(&socket, mark)?;
             Ok(Wire::new(socket, mark.stamp, false))
         });
@@ -234,7 +274,8 @@
         info!(log, "articles read again"; "planners" => fresh.planners.len());
         if fresh.planners != self.planners {
             self.planners = fresh.planners.clone();
-            self.core.planners(self.context.now, fresh.planners, &mut self.deeds);
+            self.core
+                .planners(self.context.now, fresh.planners, &mut self.deeds);
         }
     }
 }
--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -39,9 +39,18 @@
 }
 
 pub fn run(path: &Path, start: AtStart) -> Result<(), String> {
-    let Articles { papers, role, planners, .. } = Articles::read(path)?;
+    let Articles {
+        papers,
+        role,
+        planners,
+        ..
+    } = Articles::read(path)?;
     let Role::Plan(plans) = role else {
-        return Err(format!("{} is for `reedferry {}`", path.display(), role.word()));
+        return Err(format!(
+            "{} is for `reedferry {}`",
+            path.display(),
+            role.word()
+        ));
     };
     let clock = Clock::start();
     let (mut context, backlog) = Context::open(&papers, &clock, &start)?;
@@ -65,10 +74,18 @@
     let hosts = context.hosts.count();
     info!(log, "started"; "listen" => %listen, "role" => "plan", "name" => &plans.name, "hosts" => hosts,
         "revision" => revision);
-    context.poller.remind(context.now + SWEEP, mark(context::SWEEP), 0);
+    context
+        .poller
+        .remind(context.now + SWEEP, mark(context::SWEEP), 0);
     let AtStart { stop, reread } = start;
     let Papers { charter, terms, .. } = &papers;
-    let discovery = Discovery::new(papers.discovery, revision, charter, terms.drain_grace, context.now);
+    let discovery = Discovery::new(
+        papers.discovery,
+        revision,
+        charter,
+        terms.drain_grace,
+        context.now,
+    );
     let mut plan = Plan {
         context,
         core,
@@ -88,12 +105,17 @@
         plan.turn();
         backlog.drain();
         let alone = plan.context.now >= plan.context.start && plan.core.followers() == 0;
-        if plan.context.leaving.is_some_and(|t| plan.context.now >= t || alone) {
+        if plan
+            .context
+            .leaving
+            .is_some_and(|t| plan.context.now >= t || alone)
+        {
             info!(log, "stopped"; "held" => plan.core.held());
             backlog.drain();
             return Ok(());
         }
-        plan.gather(&clock).map_err(|e| format!("cannot poll: {e}"))?;
+        plan.gather(&clock)
+            .map_err(|e| format!("cannot poll: {e}"))?;
     }
 }
 
@@ -103,7 +125,9 @@
         self.context.poller.remind(next, mark(context::TICK), 0);
         let mut ready = Vec::new();
         let at_once = !self.context.events.is_empty() || self.wires.more;
-        self.context.poller.wait(clock.read(), at_once, &mut ready)?;
+        self.context
+            .poller
+            .wait(clock.read(), at_once, &mut ready)?;
         self.context.now = clock.read();
         for one in ready {
             match one.mark.part {
@@ -124,9 +148,22 @@
             if !context.budget.room(1) {
                 return;
             }
-            let Ok(socket) = context.budget.accept(&self.listener) else { return };
+            let Ok(socket) = context.budget.accept(&self.listener) else {
+                return;
+            };
             let stamp = context.stamp();
-            if context.poller.watch(&socket, Mark { part: LINK, slot: 0, stamp }).is_err() {
+            if context
+                .poller
+                .watch(
+                    &socket,
+                    Mark {
+                        part: LINK,
+                        slot: 0,
+                        stamp,
+                    },
+                )
+                .is_err()
+            {
                 // The forwarder calls again.
                 context.machine_trouble("epoll_ctl");
                 continue;
@@ -151,7 +188,9 @@
     fn turn(&mut self) {
         let now = self.context.now;
         let (core, orders) = (&mut self.core, &mut self.orders);
-        let ended = self.wires.read(|line, bytes| core.came(now, line, bytes, orders));
+        let ended = self
+            .wires
+            .read(|line, bytes| core.came(now, line, bytes, orders));
         // Behind the forwarders' beats. Guards: a drain that was written before a beat was sent, and that an
         // order under that beat does not know.
         self.discovery.look(&mut self.context);
@@ -160,25 +199,35 @@
         }
         while let Some((mark, word)) = self.context.poller.due(now) {
             match mark.part {
-                context::MODULE => self.core.timer(now, mark.slot as u16, word, &mut self.orders),
+                context::MODULE => self
+                    .core
+                    .timer(now, mark.slot as u16, word, &mut self.orders),
                 context::PROBE => self.probes.due(&mut self.context, mark),
                 context::SWEEP => {
                     self.discovery.sweep(&mut self.context);
                     self.context.spare();
-                    self.context.poller.remind(now + SWEEP, crate::context::mark(context::SWEEP), 0);
+                    self.context.poller.remind(
+                        now + SWEEP,
+                        crate::context::mark(context::SWEEP),
+                        0,
+                    );
                 }
                 _ => {}
             }
         }
         self.core.decide(now, &mut self.orders);
-        ended.into_iter().for_each(|(line, why)| self.lost(line, why));
+        ended
+            .into_iter()
+            .for_each(|(line, why)| self.lost(line, why));
         let core = &mut self.core;
         let ended = self.wires.write(|line, wire| {
             let count = wire.write(core.outgoing(line))?;
             core.sent(line, count);
             Ok(())
         });
-        ended.into_iter().for_each(|(line, why)| self.lost(line, why));
+        ended
+            .into_iter()
+            .for_each(|(line, why)| self.lost(line, why));
         for order in std::mem::take(&mut self.orders) {
             self.carry_out(order);
         }
@@ -188,7 +237,10 @@
         let now = self.context.now;
         match event {
             Event::Roll { kind, hosts } => {
-                let lines = hosts.iter().filter_map(|listing| self.line(listing)).collect();
+                let lines = hosts
+                    .iter()
+                    .filter_map(|listing| self.line(listing))
+                    .collect();
                 self.core.roll(now, kind, hosts, lines, &mut self.orders);
             }
             event => self.core.probed(now, &event, &mut self.orders),
@@ -197,17 +249,30 @@
 
     /// A host as forwarders are told of it.
     fn line(&self, listing: &Listing) -> Option<HostLine> {
-        let record = self.context.hosts.record(self.context.hosts.index(listing.id)?);
+        let record = self
+            .context
+            .hosts
+            .record(self.context.hosts.index(listing.id)?);
         let (name, address) = (record.name.clone(), record.address);
         let as_of = self.discovery.revision().unwrap_or(0);
-        Some(HostLine { id: listing.id.0, name, address, stands: listing.standing.into(), as_of })
+        Some(HostLine {
+            id: listing.id.0,
+            name,
+            address,
+            stands: listing.standing.into(),
+            as_of,
+        })
     }
 
     fn carry_out(&mut self, order: Order) {
         let context = &mut self.context;
         match order {
             Order::Wake { time, zone, mark } => {
-                let at = Mark { part: context::MODULE, slot: zone.into(), stamp: 0 };
+                let at = Mark {
+                    part: context::MODULE,
+                    slot: zone.into(),
+                    stamp: 0,
+                };
                 context.poller.remind(time, at, mark);
             }
             Order::AskRoll => self.discovery.ask(context),
--- a/node/src/roles/succession.rs
+++ b/node/src/roles/succession.rs
@@ -122,10 +122,19 @@
     pub fn open(context: &mut Context, papers: &Papers) -> Result<Succession, String> {
         let Ok(named) = std::env::var("GW_ACCEPT_FD") else {
             let listener = context.listen(&papers.listen, context::LISTENER)?;
-            return Ok(Succession { listener: Some(listener), ..Succession::default() });
+            return Ok(Succession {
+                listener: Some(listener),
+                ..Succession::default()
+            });
         };
-        let number = named.parse().map_err(|_| format!("GW_ACCEPT_FD {named:?} is no descriptor"))?;
-        Ok(Succession { listener: Some(context.inherit(number)?), shared: true, ..Succession::default() })
+        let number = named
+            .parse()
+            .map_err(|_| format!("GW_ACCEPT_FD {named:?} is no descriptor"))?;
+        Ok(Succession {
+            listener: Some(context.inherit(number)?),
+            shared: true,
+            ..Succession::default()
+        })
     }
 
     /// Where this process takes in clients, while it does.
@@ -188,7 +197,11 @@
         }
         context.machine_trouble(call);
         if !std::mem::replace(&mut self.retries, true) {
-            context.poller.remind(context.now + RETRY_AFTER, context::mark(context::CHANNEL_RETRY), 0);
+            context.poller.remind(
+                context.now + RETRY_AFTER,
+                context::mark(context::CHANNEL_RETRY),
+                0,
+            );
         }
     }
 
@@ -196,7 +209,10 @@
     fn expect(&mut self, context: &Context) {
         match context.budget.listen_at(&self.path) {
             Ok(successor_listener)
-                if context.poller.watch(&successor_listener, context::mark(SUCCESSOR_LISTENER)).is_ok() =>
+                if context
+                    .poller
+                    .watch(&successor_listener, context::mark(SUCCESSOR_LISTENER))
+                    .is_ok() =>
             {
                 self.successor_listener = Some(successor_listener)
             }
@@ -209,7 +225,10 @@
     }
 
     fn ask(&mut self, context: &mut Context, clock: &Clock, line: Socket) -> Option<Knowledge> {
-        patiently(HELLO_WITHIN, || line.send_with(&message(&FromSuccessor::Hello(VERSION)), &[])).ok()?;
+        patiently(HELLO_WITHIN, || {
+            line.send_with(&message(&FromSuccessor::Hello(VERSION)), &[])
+        })
+        .ok()?;
         let until = clock.read() + KNOWLEDGE_WITHIN;
         let (mut space, mut bytes) = (vec![0; channel::LONGEST], Vec::new());
         let mut knowledge = None;
@@ -225,7 +244,8 @@
                 Ok((0, _)) | Err(_) => return None,
                 Ok((length, _)) => length,
             };
-            let Ok(FromPredecessor::Piece(piece, last)) = postcard::from_bytes(&space[..length]) else {
+            let Ok(FromPredecessor::Piece(piece, last)) = postcard::from_bytes(&space[..length])
+            else {
                 return None;
             };
             bytes.extend(piece);
@@ -237,7 +257,11 @@
             }
         }
         // What is still to come is read from here on.
-        let mark = Mark { part: PREDECESSOR, slot: 0, stamp: context.stamp() };
+        let mark = Mark {
+            part: PREDECESSOR,
+            slot: 0,
+            stamp: context.stamp(),
+        };
         if context.poller.watch(&line, mark).is_err() {
             // The sweep looks at it.
             context.machine_trouble("epoll_ctl");
@@ -271,13 +295,22 @@
         std::mem::take(&mut self.wanted)
     }
 
-    pub fn leave(&mut self, context: &mut Context, connections: &mut Connections, knowledge: &Knowledge) {
+    pub fn leave(
+        &mut self,
+        context: &mut Context,
+        connections: &mut Connections,
+        knowledge: &Knowledge,
+    ) {
         let bytes = message(knowledge);
-        let Some(successor) = self.successor.as_mut() else { return };
+        let Some(successor) = self.successor.as_mut() else {
+            return;
+        };
         let pieces = bytes.chunks(PIECE);
         let last = pieces.len().saturating_sub(1);
         for (n, piece) in pieces.enumerate() {
-            successor.out.push_back(message(&FromPredecessor::Piece(piece.to_vec(), n == last)));
+            successor
+                .out
+                .push_back(message(&FromPredecessor::Piece(piece.to_vec(), n == last)));
         }
         context.events.push(Event::Successor(true));
         info!(context.log, "another process comes"; "bytes" => bytes.len());
@@ -286,7 +319,9 @@
 
     fn write(&mut self, context: &mut Context, connections: &mut Connections) {
         while let Some(successor) = self.successor.as_mut() {
-            let Some(next) = successor.out.front() else { return };
+            let Some(next) = successor.out.front() else {
+                return;
+            };
             match successor.line.send_with(next, &[]) {
                 Ok(()) => _ = successor.out.pop_front(),
                 Err(e) if on_connection(e) != Trouble::Connection => {
@@ -297,14 +332,29 @@
         }
     }
 
-    pub fn ready(&mut self, context: &mut Context, connections: &mut Connections, ready: Readiness) {
+    pub fn ready(
+        &mut self,
+        context: &mut Context,
+        connections: &mut Connections,
+        ready: Readiness,
+    ) {
         match ready.mark.part {
             SUCCESSOR_LISTENER => self.called(context, connections),
-            SUCCESSOR if self.successor.as_ref().is_some_and(|h| h.stamp == ready.mark.stamp) => {
+            SUCCESSOR
+                if self
+                    .successor
+                    .as_ref()
+                    .is_some_and(|h| h.stamp == ready.mark.stamp) =>
+            {
                 self.write(context, connections);
                 self.hear(context, connections);
             }
-            PREDECESSOR if self.predecessor.as_ref().is_some_and(|e| e.1 == ready.mark.stamp) => {
+            PREDECESSOR
+                if self
+                    .predecessor
+                    .as_ref()
+                    .is_some_and(|e| e.1 == ready.mark.stamp) =>
+            {
                 self.take(context, connections)
             }
             _ => {}
@@ -320,10 +370,17 @@
         {
             self.give_up(context, connections);
             if self.successor.is_some() {
-                warn!(context.log, "a process is not followed, as another's words can't be read now");
+                warn!(
+                    context.log,
+                    "a process is not followed, as another's words can't be read now"
+                );
                 continue;
             }
-            let mark = Mark { part: SUCCESSOR, slot: 0, stamp: context.stamp() };
+            let mark = Mark {
+                part: SUCCESSOR,
+                slot: 0,
+                stamp: context.stamp(),
+            };
             if context.poller.watch(&line, mark).is_err() {
                 // The sweep looks at it.
                 context.machine_trouble("epoll_ctl");
@@ -368,7 +425,13 @@
     /// Waits for the successor no longer: what it has not said by now it can't say any more. Guards: connections that both go on
     /// with, as its word comes in the moment in which this process gives up, or lies unread.
     fn give_up(&mut self, context: &mut Context, connections: &mut Connections) {
-        let Some(successor) = self.successor.as_mut().filter(|successor| !successor.given_up) else { return };
+        let Some(successor) = self
+            .successor
+            .as_mut()
+            .filter(|successor| !successor.given_up)
+        else {
+            return;
+        };
         successor.given_up = true;
         successor.out.clear();
         successor.line.end_receiving();
@@ -377,9 +440,14 @@
 
     /// The successor is gone, if there was one: this process goes on with what it had not taken.
     fn lose_successor(&mut self, context: &mut Context, connections: &mut Connections) {
-        let Some(successor) = self.successor.take() else { return };
+        let Some(successor) = self.successor.take() else {
+            return;
+        };
         warn!(context.log, "the process that came is gone"; "kept" => successor.going.len());
-        successor.going.into_iter().for_each(|(id, _)| connections.keep(context, id));
+        successor
+            .going
+            .into_iter()
+            .for_each(|(id, _)| connections.keep(context, id));
         self.wanted = false;
         context.events.push(Event::Successor(false));
         // Guards: a next try that calls where the one that died would have listened.
@@ -395,14 +463,19 @@
             return self.give_up(context, connections);
         }
         let ready = |successor: &&mut Successor| successor.out.is_empty() && !successor.given_up;
-        let Some(successor) = self.successor.as_mut().filter(ready) else { return };
+        let Some(successor) = self.successor.as_mut().filter(ready) else {
+            return;
+        };
         for slot in connections.passable() {
             if successor.going.len() >= WINDOW {
                 return;
             }
             let (handed_over, id) = connections.release(context, slot);
             let bytes = message(&FromPredecessor::HandedOver(Box::new(handed_over)));
-            match successor.line.send_with(&bytes, &connections.descriptors(slot)) {
+            match successor
+                .line
+                .send_with(&bytes, &connections.descriptors(slot))
+            {
                 Ok(()) => successor.going.push_back((id, context.now)),
                 // The line is full, and tells when it is not; or broken, and tells that.
                 Err(e) => {
@@ -415,10 +488,14 @@
 
     /// Whether the successor takes too long to say that it has a connection, or those that it has not are to be moved now.
     fn overdue(&self, context: &Context) -> bool {
-        let Some(successor) = &self.successor else { return false };
+        let Some(successor) = &self.successor else {
+            return false;
+        };
         let first = successor.going.front();
         let late = first.is_some_and(|(_, since)| context.now >= since + TAKEN_WITHIN);
-        late || context.stopped_by.is_some_and(|by| context.now + TIME_TO_MOVE >= by)
+        late || context
+            .stopped_by
+            .is_some_and(|by| context.now + TIME_TO_MOVE >= by)
     }
 
     /// Goes on with what the predecessor has let go of.
@@ -428,7 +505,9 @@
             if !self.answer_predecessor(context, connections) {
                 return;
             }
-            let Some((line, _)) = &self.predecessor else { return };
+            let Some((line, _)) = &self.predecessor else {
+                return;
+            };
             let (length, sockets) = match context.budget.receive_with(line, &mut space) {
                 Ok((length @ 1.., sockets)) => (length, sockets),
                 Err(e) if on_connection(e) != Trouble::Connection => {
@@ -452,18 +531,28 @@
         if !self.answer_predecessor(context, connections) {
             return;
         }
-        let Some((line, stamp)) = &self.predecessor else { return };
-        let mark = Mark { part: PREDECESSOR, slot: 0, stamp: *stamp };
+        let Some((line, stamp)) = &self.predecessor else {
+            return;
+        };
+        let mark = Mark {
+            part: PREDECESSOR,
+            slot: 0,
+            stamp: *stamp,
+        };
         _ = context.poller.rewatch(line, mark);
     }
 
     /// Tells the predecessor what has become of the connection that came last; false where that has to wait, or it is gone.
     fn answer_predecessor(&mut self, context: &mut Context, connections: &mut Connections) -> bool {
-        let (Some((line, _)), Some(adopted)) = (&self.predecessor, self.owed) else { return true };
+        let (Some((line, _)), Some(adopted)) = (&self.predecessor, self.owed) else {
+            return true;
+        };
         match line.send_with(&message(&FromSuccessor::Has(adopted.is_some())), &[]) {
             Ok(()) => {
                 self.owed = None;
-                adopted.into_iter().for_each(|id| connections.keep(context, id));
+                adopted
+                    .into_iter()
+                    .for_each(|id| connections.keep(context, id));
                 true
             }
             Err(e) if on_connection(e) != Trouble::Connection => {
@@ -473,7 +562,9 @@
             // Guards: a connection that two processes go on with: the predecessor keeps what it was not told of.
             Err(_) => {
                 (self.predecessor, self.owed) = (None, None);
-                adopted.into_iter().for_each(|id| connections.abandon(context, id));
+                adopted
+                    .into_iter()
+                    .for_each(|id| connections.abandon(context, id));
                 false
             }
         }
--- a/node/src/roles/succession_bytes_tests.rs
+++ b/node/src/roles/succession_bytes_tests.rs
@@ -4,7 +4,11 @@
 use reedferry::{Circle, Client, Effect, HostId, Regard, Standing};
 
 fn hex(value: &impl Serialize) -> String {
-    postcard::to_allocvec(value).unwrap().iter().map(|byte| format!("{byte:02x}")).collect()
+    postcard::to_allocvec(value)
+        .unwrap()
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect()
 }
 
 fn regard() -> Regard {
@@ -28,7 +32,14 @@
 
 fn legacy() -> Legacy {
     Legacy {
-        clients: vec![(11, Client { length: Some(3.0), load: None, seen: 12 })],
+        clients: vec![(
+            11,
+            Client {
+                length: Some(3.0),
+                load: None,
+                seen: 12,
+            },
+        )],
         mean: Some(1.25),
         lived: 2.0,
         ended: 3.0,
@@ -43,7 +54,15 @@
 }
 
 fn offering(effect: Effect, circle: Circle) -> Offering {
-    Offering { effect, circle, window: 20, payoff: 1.5, contract_time: 30, message_time: 40, offered: false }
+    Offering {
+        effect,
+        circle,
+        window: 20,
+        payoff: 1.5,
+        contract_time: 30,
+        message_time: 40,
+        offered: false,
+    }
 }
 
 fn member() -> Member {
@@ -63,7 +82,10 @@
 fn greetings_and_pieces_keep_their_bytes() {
     assert_eq!(hex(&FromSuccessor::Hello(VERSION)), "0003");
     assert_eq!(hex(&FromSuccessor::Has(true)), "0101");
-    assert_eq!(hex(&FromPredecessor::Piece(vec![1, 2, 3], true)), "000301020301");
+    assert_eq!(
+        hex(&FromPredecessor::Piece(vec![1, 2, 3], true)),
+        "000301020301"
+    );
 }
 
 #[test]
@@ -71,7 +93,10 @@
     let held = vec![
         ("chat".to_string(), offering(Effect::Redoable, Circle::All)),
         ("pay".to_string(), offering(Effect::Labelled, Circle::Zone)),
-        ("once".to_string(), offering(Effect::Irreversible, Circle::Cell)),
+        (
+            "once".to_string(),
+            offering(Effect::Irreversible, Circle::Cell),
+        ),
     ];
     let knowledge = Knowledge {
         discovery: "127.0.0.1:8500".parse().unwrap(),
--- a/node/src/stalls.rs
+++ b/node/src/stalls.rs
@@ -49,7 +49,12 @@
     /// How much of this span the process was held up.
     pub fn within(&self, from: Nanos, to: Nanos) -> Nanos {
         let overlap = |span: &(Nanos, Nanos)| span.1.min(to).saturating_sub(span.0.max(from));
-        self.0.iter().rev().take_while(|span| span.1 > from).map(overlap).sum()
+        self.0
+            .iter()
+            .rev()
+            .take_while(|span| span.1 > from)
+            .map(overlap)
+            .sum()
     }
 
     /// How much later than `from` a span has to begin to be as long as this process could see of it up to `to`.
@@ -72,7 +77,10 @@
         stalls.looked(3 * SECOND, 3 * SECOND, 5 * SECOND);
         let (turn, wait) = (SECOND, 2 * SECOND - USUAL_WAIT);
         assert_eq!(stalls.within(0, 10 * SECOND), turn + wait);
-        assert_eq!(stalls.within(SECOND + SECOND / 2, 4 * SECOND), SECOND / 2 + SECOND - USUAL_WAIT);
+        assert_eq!(
+            stalls.within(SECOND + SECOND / 2, 4 * SECOND),
+            SECOND / 2 + SECOND - USUAL_WAIT
+        );
         assert_eq!(stalls.within(2 * SECOND, 3 * SECOND), 0);
         assert_eq!(stalls.moved_on(0, 10 * SECOND), turn + wait);
         assert_eq!(stalls.moved_on(4 * SECOND, 4 * SECOND), 4 * SECOND);
--- a/node/src/turn.rs
+++ b/node/src/turn.rs
@@ -78,7 +78,10 @@
         // The turn before ended 30 ms after what was due, and this one began 20 ms after that.
         turn.begin(Some(100 * MILLI), 130 * MILLI, 150 * MILLI);
         let account = turn.account(155 * MILLI);
-        assert_eq!((account.behind, account.overslept), (30 * MILLI, 20 * MILLI));
+        assert_eq!(
+            (account.behind, account.overslept),
+            (30 * MILLI, 20 * MILLI)
+        );
         assert_eq!((account.turn, turn.lateness()), (5 * MILLI, 50 * MILLI));
         // Woken 40 ms late.
         turn.begin(Some(200 * MILLI), 160 * MILLI, 240 * MILLI);
--- a/node/tests/clocks.rs
+++ b/node/tests/clocks.rs
@@ -16,7 +16,14 @@
 /// The time in milliseconds within which messages are wanted: longer than any here takes.
 const LENIENT_MESSAGE_TIME: f64 = 5000.0;
 /// How far the wall clock of the node and of the host's machine are off, in seconds.
-const OFF: [(i64, i64); 6] = [(0, 0), (3600, 0), (0, -3600), (-3600, 0), (0, 3600), (0, -20)];
+const OFF: [(i64, i64); 6] = [
+    (0, 0),
+    (3600, 0),
+    (0, -3600),
+    (-3600, 0),
+    (0, 3600),
+    (0, -20),
+];
 /// So many of these are played at once: each is hundreds of threads and a traced process.
 const AT_ONCE: usize = 2;
 
@@ -33,7 +40,11 @@
 
 /// The wall clock of a machine that is off by so many seconds, in milliseconds.
 fn wall(off: i64) -> i64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as i64 + 1000 * off
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis() as i64
+        + 1000 * off
 }
 
 /// Guards: a host that has just started taken for a warm one, and pushed over, or a warm one taken for cold for an hour:
@@ -58,26 +69,49 @@
     let node = Node::start_spoilt(&papers(&service, warm), &spoiler);
     service.calls(2);
     let mut standing = Clients::new(vec![node.address], &referee, 1);
-    standing.load(400.0, Duration::from_millis(100), &[0], Duration::from_secs(60));
-    eventually("they do not stand", || hosts.standing().iter().sum::<u32>() as usize >= HELD * 9 / 10);
+    standing.load(
+        400.0,
+        Duration::from_millis(100),
+        &[0],
+        Duration::from_secs(60),
+    );
+    eventually("they do not stand", || {
+        hosts.standing().iter().sum::<u32>() as usize >= HELD * 9 / 10
+    });
     let mut new = hosts.member(2, "active");
     new["up_since_ms"] = json!(wall(host_off));
     let start = Instant::now();
     service.change(new);
     let mut clients = Clients::new(vec![node.address], &referee, 2);
-    clients.load(RATE, Duration::from_secs_f64(COLD + 2.0), &[0], Duration::from_millis(100));
+    clients.load(
+        RATE,
+        Duration::from_secs_f64(COLD + 2.0),
+        &[0],
+        Duration::from_millis(100),
+    );
     let mut times: Vec<f64> = Vec::new();
     for one in referee.reached().iter().filter(|one| one.host == 2) {
         times.push(one.at.saturating_duration_since(start).as_secs_f64());
     }
     times.sort_by(f64::total_cmp);
-    for (n, first) in times.iter().enumerate().filter(|(_, first)| **first < COLD - 1.0) {
-        let came = times[n..].iter().take_while(|at| **at < first + 1.0).count() as f64;
+    for (n, first) in times
+        .iter()
+        .enumerate()
+        .filter(|(_, first)| **first < COLD - 1.0)
+    {
+        let came = times[n..]
+            .iter()
+            .take_while(|at| **at < first + 1.0)
+            .count() as f64;
         let warmth = FROM + (1.0 - FROM) * (first + 1.0) / COLD;
         // What stands at warm hosts is taken for a quarter of what one bears.
         let bears = 4.0 * (HELD as f64 + RATE * 0.1) / 2.0;
         let budget = 3.0 * warmth * bears / COLD;
-        let chance = if budget < 30.0 { 3.0 * budget.sqrt() + 3.0 } else { 2.0 * budget.sqrt() + 2.0 };
+        let chance = if budget < 30.0 {
+            3.0 * budget.sqrt() + 3.0
+        } else {
+            2.0 * budget.sqrt() + 2.0
+        };
         let most = budget + chance;
         assert!(
             came <= most,
@@ -125,10 +159,21 @@
         predecessor.stop();
         assert!(predecessor.wait().success());
         silent.hears("ERR");
-        assert!(came.elapsed() < Duration::from_secs(3), "{off}: {:?}", came.elapsed());
-        assert!(came.elapsed() > Duration::from_millis(1500), "{off}: {:?}", came.elapsed());
+        assert!(
+            came.elapsed() < Duration::from_secs(3),
+            "{off}: {:?}",
+            came.elapsed()
+        );
+        assert!(
+            came.elapsed() > Duration::from_millis(1500),
+            "{off}: {:?}",
+            came.elapsed()
+        );
         // It stands as long as a host may be silent, and is sent away then.
-        client.stream.set_read_timeout(Some(Duration::from_millis(150))).unwrap();
+        client
+            .stream
+            .set_read_timeout(Some(Duration::from_millis(150)))
+            .unwrap();
         let mut read = [0; 8];
         let early = std::io::Read::read(&mut client.stream, &mut read);
         assert!(
@@ -138,14 +183,28 @@
             successor.logged()
         );
         host.say("answer");
-        client.stream.set_read_timeout(Some(reedferry_rig::peers::PATIENCE)).unwrap();
+        client
+            .stream
+            .set_read_timeout(Some(reedferry_rig::peers::PATIENCE))
+            .unwrap();
         client.hears("answer");
         client.say("second");
         host.hears("second");
         let since = Instant::now();
         client.hears("MOVE");
-        assert!(since.elapsed() < Duration::from_secs(7), "{off}: {:?}", since.elapsed());
-        assert_eq!(successor.logged().iter().filter(|line| line.contains("panicked")).count(), 0);
+        assert!(
+            since.elapsed() < Duration::from_secs(7),
+            "{off}: {:?}",
+            since.elapsed()
+        );
+        assert_eq!(
+            successor
+                .logged()
+                .iter()
+                .filter(|line| line.contains("panicked"))
+                .count(),
+            0
+        );
         successor.stop();
         assert!(successor.wait().success());
         std::fs::remove_dir_all(&folder).unwrap();
--- a/node/tests/closing.rs
+++ b/node/tests/closing.rs
@@ -23,7 +23,9 @@
         client.hears("PONG");
     }
     let since = Instant::now();
-    eventually("no time passes", || since.elapsed() > Duration::from_millis(100));
+    eventually("no time passes", || {
+        since.elapsed() > Duration::from_millis(100)
+    });
     all
 }
 
@@ -53,15 +55,24 @@
             // There was no descriptor for a host: refused, in a line that it can read.
             None => client.hear(),
         };
-        assert!(answer.starts_with("UP") || answer.starts_with("BUSY"), "{answer}");
+        assert!(
+            answer.starts_with("UP") || answer.starts_with("BUSY"),
+            "{answer}"
+        );
     }
     let asked = all.drain(..6);
     for mut client in asked {
         // Each is still there, or was ended in order behind its answer; none was reset.
-        client.stream.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
+        client
+            .stream
+            .set_read_timeout(Some(Duration::from_millis(50)))
+            .unwrap();
         let mut byte = [0];
         let read = std::io::Read::read(&mut client.stream, &mut byte);
-        assert!(!matches!(read, Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset), "reset");
+        assert!(
+            !matches!(read, Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset),
+            "reset"
+        );
     }
 }
 
@@ -104,7 +115,12 @@
             let mut client = node.open(OPEN);
             match hosts.accept_soon() {
                 Some((at, mut host)) => {
-                    assert_eq!(at, 1, "{mode}: sent to a host that drains {:?} after", before.elapsed());
+                    assert_eq!(
+                        at,
+                        1,
+                        "{mode}: sent to a host that drains {:?} after",
+                        before.elapsed()
+                    );
                     host.say("UP 1");
                     client.hear().starts_with("UP")
                 }
@@ -183,7 +199,9 @@
     last.say("PING");
     last.hears("PONG");
     node.stand_still();
-    eventually("no time passes", || since.elapsed() > Duration::from_millis(2600));
+    eventually("no time passes", || {
+        since.elapsed() > Duration::from_millis(2600)
+    });
     crowd.iter_mut().for_each(|other| other.write("O"));
     all[0].say(&line(1));
     node.go_on();
@@ -214,10 +232,17 @@
     let since = Instant::now();
     crowd.iter_mut().for_each(|other| other.write("O"));
     host.say("down 1");
-    eventually("no time passes", || since.elapsed() > Duration::from_millis(4700));
+    eventually("no time passes", || {
+        since.elapsed() > Duration::from_millis(4700)
+    });
     node.go_on();
     client.hears("down 1");
-    assert!(node.logged().iter().all(|line| !line.contains("silent, host")), "taken for silent");
+    assert!(
+        node.logged()
+            .iter()
+            .all(|line| !line.contains("silent, host")),
+        "taken for silent"
+    );
 }
 
 /// Guards: the rest of an answer to a ping, of which a client took a part, lost as it is ended for resting.
@@ -229,8 +254,16 @@
     let node = Node::start_spoilt(&papers(&hosts, discovery.address), &spoiler);
     let mut client = Peer::connect(node.address);
     // One byte of each answer goes out, and then none for a while.
-    let short = Fault { call: Call::Send, outcome: Outcome::Short, every: 1 };
-    let fails = Fault { call: Call::Send, outcome: Outcome::Fails(Errno::NOBUFS), every: 2 };
+    let short = Fault {
+        call: Call::Send,
+        outcome: Outcome::Short,
+        every: 1,
+    };
+    let fails = Fault {
+        call: Call::Send,
+        outcome: Outcome::Fails(Errno::NOBUFS),
+        every: 2,
+    };
     spoiler.set(&[fails, short]);
     client.write("PING\r\nPING\r\n");
     assert_eq!(client.bytes(1), b"P");
@@ -238,7 +271,10 @@
     std::thread::sleep(std::time::Duration::from_millis(2300));
     spoiler.clear();
     let mut heard = vec!["P".to_string() + &client.hear()];
-    while heard.last().is_some_and(|line| line != "end" && line != "reset") {
+    while heard
+        .last()
+        .is_some_and(|line| line != "end" && line != "reset")
+    {
         heard.push(client.hear());
     }
     assert_eq!(heard, ["PONG", "PONG", "BUSY", "end"]);
--- a/node/tests/cold.rs
+++ b/node/tests/cold.rs
@@ -33,11 +33,18 @@
     let (service, referee) = (Discovery::start(), Referee::default());
     let hosts = Hosts::start(WARM + 1, &referee);
     let warm: Value = (0..WARM).map(|host| hosts.member(host, "active")).collect();
-    let mut nodes: Vec<Node> = (0..NODES).map(|n| Node::start(&papers(&service, warm.clone(), n))).collect();
+    let mut nodes: Vec<Node> = (0..NODES)
+        .map(|n| Node::start(&papers(&service, warm.clone(), n)))
+        .collect();
     let mut standing: Vec<Clients> = Vec::new();
     for (n, node) in nodes.iter().enumerate() {
         let mut clients = Clients::new(vec![node.address], &referee, n as u64);
-        clients.load(100.0, Duration::from_millis(10 * HELD as u64), &[0], Duration::from_secs(60));
+        clients.load(
+            100.0,
+            Duration::from_millis(10 * HELD as u64),
+            &[0],
+            Duration::from_secs(60),
+        );
         standing.push(clients);
     }
     reedferry_rig::eventually("they do not stand", || {
@@ -57,8 +64,14 @@
                 let (address, referee) = (node.address, &referee);
                 let rate = if n % 5 == round % 5 { 8.0 } else { 2.0 };
                 scope.spawn(move || {
-                    let mut clients = Clients::new(vec![address], referee, (1000 + round * NODES + n) as u64);
-                    clients.load(rate, Duration::from_secs(1), &[0], Duration::from_millis(100));
+                    let mut clients =
+                        Clients::new(vec![address], referee, (1000 + round * NODES + n) as u64);
+                    clients.load(
+                        rate,
+                        Duration::from_secs(1),
+                        &[0],
+                        Duration::from_millis(100),
+                    );
                     clients.end();
                 });
             }
@@ -68,17 +81,27 @@
             nodes[n] = Node::start(&papers(&service, json!(listed), n));
         }
     }
-    let mut times: Vec<Instant> =
-        referee.reached().iter().filter(|one| one.host == WARM).map(|one| one.at).collect();
+    let mut times: Vec<Instant> = referee
+        .reached()
+        .iter()
+        .filter(|one| one.host == WARM)
+        .map(|one| one.at)
+        .collect();
     times.sort();
     assert!(times.len() >= 5, "left idle: {}", times.len());
     for (n, first) in times.iter().enumerate() {
-        let came = times[n..].iter().take_while(|at| **at < *first + Duration::from_secs(1)).count() as f64;
+        let came = times[n..]
+            .iter()
+            .take_while(|at| **at < *first + Duration::from_secs(1))
+            .count() as f64;
         let age = (first.saturating_duration_since(start).as_secs_f64() + 1.0).min(COLD);
         // What the fleet holds at warm hosts of its size is taken for a quarter of what one bears.
         let bears = 4.0 * (NODES * HELD) as f64 / WARM as f64;
         let budget = 3.0 * (FROM + (1.0 - FROM) * age / COLD) * bears / COLD;
         let most = budget + 2.0 * budget.sqrt() + 2.0;
-        assert!(came <= most, "{came} of {budget:.1} in a second, {age:.1} s after the start");
+        assert!(
+            came <= most,
+            "{came} of {budget:.1} in a second, {age:.1} s after the start"
+        );
     }
 }
--- a/node/tests/fleet.rs
+++ b/node/tests/fleet.rs
@@ -30,7 +30,14 @@
         let (service, hosts) = (Discovery::start(), WarmingHosts::new(Terms::TRIAL));
         service.bound(rate, ms(1000));
         let fleet = Fleet::new(nodes, service.address, Terms::TRIAL);
-        Site { service, hosts, list: Vec::new(), fleet, from: Instant::now(), _turn: turn }
+        Site {
+            service,
+            hosts,
+            list: Vec::new(),
+            fleet,
+            from: Instant::now(),
+            _turn: turn,
+        }
     }
 
     /// Hosts start and are listed.
@@ -53,13 +60,20 @@
     fn start(&mut self, which: Range<usize>, remember: bool) {
         let known = if remember { &self.list[..] } else { &[] };
         self.from = Instant::now();
-        self.fleet.start(&which.collect::<Vec<_>>(), known, known.len() as u64);
+        self.fleet
+            .start(&which.collect::<Vec<_>>(), known, known.len() as u64);
     }
 
     /// One client at each node.
     fn one_each(&self, seed: u64) -> Guests {
         let addresses = self.fleet.addresses();
-        Guests::come(addresses.len(), &self.fleet.front, Duration::ZERO, Some(&addresses), seed)
+        Guests::come(
+            addresses.len(),
+            &self.fleet.front,
+            Duration::ZERO,
+            Some(&addresses),
+            seed,
+        )
     }
 
     /// Clients that the front deals out, until they stand.
@@ -97,7 +111,12 @@
     site.at(6500);
     let (called, turned_away) = site.service.seen();
     site.judged(guests);
-    assert!(turned_away.len() <= 4, "{} of {} calls turned away", turned_away.len(), called.len());
+    assert!(
+        turned_away.len() <= 4,
+        "{} of {} calls turned away",
+        turned_away.len(),
+        called.len()
+    );
     assert!(called.len() <= 88, "{} calls of 40 nodes", called.len());
     assert!(took <= ms(3500), "the last node served after {took:?}");
 }
@@ -130,7 +149,10 @@
     site.at(3500);
     let down = site.calls();
     // Each once in its turn, and then every second or so.
-    assert!((20..=90).contains(&down), "{down} calls of 20 nodes in 3.5 s");
+    assert!(
+        (20..=90).contains(&down),
+        "{down} calls of 20 nodes in 3.5 s"
+    );
     assert_eq!(guests.standing(), 0);
     site.service.turn_away(9);
     site.service.come_up();
@@ -139,7 +161,10 @@
     let well = Instant::now();
     eventually("each node serves", || guests.standing() == 20);
     let took = well.elapsed();
-    assert!(took <= ms(2500), "the last node served {took:?} after the service was well");
+    assert!(
+        took <= ms(2500),
+        "the last node served {took:?} after the service was well"
+    );
     site.judged(guests);
 }
 
@@ -191,9 +216,14 @@
     let from = Instant::now();
     let mut stopped: Vec<Node> = Vec::new();
     for step in 0..10 {
-        thread::sleep((from + ms(200 + 300 * step as u64)).saturating_duration_since(Instant::now()));
+        thread::sleep(
+            (from + ms(200 + 300 * step as u64)).saturating_duration_since(Instant::now()),
+        );
         let both = 2 * step..2 * step + 2;
-        stopped.extend(both.clone().filter_map(|node| site.fleet.stop(node, ms(100))));
+        stopped.extend(
+            both.clone()
+                .filter_map(|node| site.fleet.stop(node, ms(100))),
+        );
         // They remember the last list, and hear of what follows from the service.
         site.start(both, true);
         if step == 5 {
@@ -207,7 +237,10 @@
         }
     }
     thread::sleep((from + ms(6500)).saturating_duration_since(Instant::now()));
-    let (there, all) = (site.hosts.standing(new.clone()), site.hosts.standing(0..new.end));
+    let (there, all) = (
+        site.hosts.standing(new.clone()),
+        site.hosts.standing(0..new.end),
+    );
     site.judged(guests);
     // They are twelve of the twenty hosts that stay.
     assert!(2 * there >= all, "{there} of {all} at the new hosts");
@@ -226,7 +259,9 @@
         site.hosts.drains(host);
     }
     // They leave evenly over the longest expiry.
-    eventually("the hosts that drain are empty", || site.hosts.standing(0..2) == 0);
+    eventually("the hosts that drain are empty", || {
+        site.hosts.standing(0..2) == 0
+    });
     // It knows of 0 to 2 alone, and not that two of them drain.
     let before = site.calls();
     site.from = site.service.restart(3, &site.list[..3]);
@@ -234,9 +269,15 @@
         assert!(node.logs("an older list").contains("drains kept: 2"));
     }
     let took = site.from.elapsed();
-    assert!(took <= ms(3000), "the last node had the list after {took:?}");
+    assert!(
+        took <= ms(3000),
+        "the last node had the list after {took:?}"
+    );
     let called = site.service.seen().0;
-    let soon = called[before..].iter().filter(|t| **t < site.from + ms(300)).count();
+    let soon = called[before..]
+        .iter()
+        .filter(|t| **t < site.from + ms(300))
+        .count();
     assert!(soon <= 10, "{soon} of 16 called in the first moment");
     // The clients of half of the nodes come again to the rest, which have no other word than that list.
     for node in 0..8 {
@@ -246,9 +287,13 @@
     let calls = site.calls() - before;
     assert!(calls <= 16 * 4, "{calls} calls of 16 nodes");
     let pieces = site.hosts.arrived(4).len();
-    site.list[3..].iter().for_each(|member| site.service.change(member.clone()));
+    site.list[3..]
+        .iter()
+        .for_each(|member| site.service.change(member.clone()));
     drop(site.fleet.stop(8, ms(50)));
-    eventually("hosts that the pieces named are used again", || site.hosts.arrived(4).len() > pieces);
+    eventually("hosts that the pieces named are used again", || {
+        site.hosts.arrived(4).len() > pieces
+    });
     site.judged(guests);
 }
 
@@ -266,7 +311,9 @@
     thread::sleep(ms(300));
     (14..16).for_each(|node| site.fleet.stand_still(node));
     for step in 0..7 {
-        thread::sleep((from + ms(500 + 200 * step as u64)).saturating_duration_since(Instant::now()));
+        thread::sleep(
+            (from + ms(500 + 200 * step as u64)).saturating_duration_since(Instant::now()),
+        );
         site.start(2 * step..2 * step + 2, true);
     }
     thread::sleep((from + ms(3300)).saturating_duration_since(Instant::now()));
--- a/node/tests/gone.rs
+++ b/node/tests/gone.rs
@@ -60,10 +60,17 @@
 /// Guards: a line sent to a host whose connection came up after the client had gone, where settings allow no cancel.
 #[test]
 fn a_client_that_goes_while_its_hosts_connection_comes_up_is_not_sent_on() {
-    for (cancel, way) in [true, false].into_iter().flat_map(|c| WAYS.map(|way| (c, way))) {
+    for (cancel, way) in [true, false]
+        .into_iter()
+        .flat_map(|c| WAYS.map(|way| (c, way)))
+    {
         let (listener, first) = jammed();
         let discovery = Discovery::start();
-        let members = json!([member(0, &listener.local_addr().unwrap().to_string(), "active")]);
+        let members = json!([member(
+            0,
+            &listener.local_addr().unwrap().to_string(),
+            "active"
+        )]);
         let node = start(members, &discovery, cancel);
         let mut client = Peer::connect(node.address);
         client.say(&line(1));
@@ -79,7 +86,10 @@
             if let Ok((late, _)) = listener.accept() {
                 late.set_nonblocking(false).unwrap();
                 let end = Peer::new(late).hear();
-                assert!(["end", "reset"].contains(&end.as_str()), "cancel {cancel}, {way}: {end}");
+                assert!(
+                    ["end", "reset"].contains(&end.as_str()),
+                    "cancel {cancel}, {way}: {end}"
+                );
             }
             std::thread::yield_now();
         }
@@ -92,7 +102,10 @@
 /// Guards: a further attempt for a client that went while the one before was out.
 #[test]
 fn a_client_that_goes_between_two_attempts_is_not_sent_on() {
-    for (cancel, way) in [true, false].into_iter().flat_map(|c| WAYS.map(|way| (c, way))) {
+    for (cancel, way) in [true, false]
+        .into_iter()
+        .flat_map(|c| WAYS.map(|way| (c, way)))
+    {
         let hosts = Hosts::start(3);
         let discovery = Discovery::start();
         let node = start(hosts.members(), &discovery, cancel);
@@ -104,7 +117,10 @@
         let kept = goes(client, way);
         node.go_on();
         has_read(&node);
-        assert!(hosts.accept_soon().is_none(), "cancel {cancel}, {way}: sent on");
+        assert!(
+            hosts.accept_soon().is_none(),
+            "cancel {cancel}, {way}: sent on"
+        );
         drop(kept);
     }
 }
@@ -146,7 +162,10 @@
     let node = start(hosts.members(), &discovery, true);
     let mut client = Peer::connect(node.address);
     let short = line(1);
-    client.say(&format!("{short},zz={}", "z".repeat(4096 - short.len() - 6)));
+    client.say(&format!(
+        "{short},zz={}",
+        "z".repeat(4096 - short.len() - 6)
+    ));
     let (_, mut host) = hosts.accept();
     host.hear();
     drop(client);
@@ -157,7 +176,10 @@
 /// Guards: a further attempt for a client that had gone, and whose end waited behind more than one turn takes in.
 #[test]
 fn a_client_whose_end_waits_behind_hundreds_of_others_is_not_sent_on() {
-    for (cancel, way) in [true, false].into_iter().flat_map(|c| WAYS.map(|way| (c, way))) {
+    for (cancel, way) in [true, false]
+        .into_iter()
+        .flat_map(|c| WAYS.map(|way| (c, way)))
+    {
         let hosts = Hosts::start(3);
         let discovery = Discovery::start();
         let node = start(hosts.members(), &discovery, cancel);
@@ -172,7 +194,10 @@
         let kept = goes(client, way);
         node.go_on();
         has_read(&node);
-        assert!(hosts.accept_soon().is_none(), "cancel {cancel}, {way}: sent on");
+        assert!(
+            hosts.accept_soon().is_none(),
+            "cancel {cancel}, {way}: sent on"
+        );
         drop(kept);
     }
 }
--- a/node/tests/handover.rs
+++ b/node/tests/handover.rs
@@ -15,7 +15,11 @@
 const CONNECTIONS: usize = 20;
 
 fn never_succeeds(call: Call) -> Fault {
-    Fault { call, outcome: Outcome::Fails(Errno::NOBUFS), every: 1 }
+    Fault {
+        call,
+        outcome: Outcome::Fails(Errno::NOBUFS),
+        every: 1,
+    }
 }
 
 /// A node with open connections, at a listener that the test holds, and how its calls are spoilt.
@@ -31,7 +35,13 @@
     fn new() -> Self {
         let (hosts, discovery) = (Hosts::start(2), Discovery::start());
         let papers = papers(&hosts, discovery.address);
-        Site { hosts, _discovery: discovery, papers, listener: listener(), folder: folder() }
+        Site {
+            hosts,
+            _discovery: discovery,
+            papers,
+            listener: listener(),
+            folder: folder(),
+        }
     }
 
     fn start(&self, spoiler: &Spoiler) -> Node {
@@ -53,7 +63,9 @@
     let site = Site::new();
     let spoiler = Spoiler::default();
     let mut predecessor = site.start(&spoiler);
-    let mut open: Vec<_> = (0..CONNECTIONS).map(|_| predecessor.served(&site.hosts)).collect();
+    let mut open: Vec<_> = (0..CONNECTIONS)
+        .map(|_| predecessor.served(&site.hosts))
+        .collect();
     let _heir = site.start(&Spoiler::default());
     spoiler.set(&[never_succeeds(Call::ReceiveMessage)]);
     predecessor.stop();
@@ -76,7 +88,9 @@
     let site = Site::new();
     let spoiler = Spoiler::default();
     let mut predecessor = site.start(&Spoiler::default());
-    let mut open: Vec<_> = (0..CONNECTIONS).map(|_| predecessor.served(&site.hosts)).collect();
+    let mut open: Vec<_> = (0..CONNECTIONS)
+        .map(|_| predecessor.served(&site.hosts))
+        .collect();
     let _heir = site.start(&spoiler);
     spoiler.set(&[never_succeeds(Call::SendMessage)]);
     predecessor.stop();
@@ -91,7 +105,10 @@
             host.stream.set_nonblocking(true).unwrap();
             let came = host.stream.peek(&mut [0; 8]);
             host.stream.set_nonblocking(false).unwrap();
-            assert!(came.is_err(), "it touched a connection that it had not answered for: {came:?}");
+            assert!(
+                came.is_err(),
+                "it touched a connection that it had not answered for: {came:?}"
+            );
         }
         thread::sleep(Duration::from_millis(20));
     }
@@ -111,7 +128,9 @@
     site.papers["settings"]["offerings"][0]["expiry"] = json!(500.0);
     site.papers["settings"]["offerings"][0]["contract_time"] = json!(300.0);
     let mut predecessor = site.start(&Spoiler::default());
-    let mut open: Vec<_> = (0..CONNECTIONS).map(|_| predecessor.served(&site.hosts)).collect();
+    let mut open: Vec<_> = (0..CONNECTIONS)
+        .map(|_| predecessor.served(&site.hosts))
+        .collect();
     let successor = site.start(&Spoiler::default());
     successor.stand_still();
     // It stands still once this is said of it.
@@ -121,7 +140,11 @@
         client.hears("MOVE");
     }
     // The longest expiry and what a node may take beyond it.
-    assert!(asked.elapsed() < Duration::from_millis(1200), "{:?}", asked.elapsed());
+    assert!(
+        asked.elapsed() < Duration::from_millis(1200),
+        "{:?}",
+        asked.elapsed()
+    );
     successor.go_on();
     assert!(predecessor.wait().success());
     for (_, _, host) in &mut open {
--- a/node/tests/machine.rs
+++ b/node/tests/machine.rs
@@ -12,7 +12,11 @@
 const CLIENTS: usize = 60;
 
 fn fails(call: Call, errno: Errno, every: u64) -> Fault {
-    Fault { call, outcome: Outcome::Fails(errno), every }
+    Fault {
+        call,
+        outcome: Outcome::Fails(errno),
+        every,
+    }
 }
 
 /// A host that takes whoever comes at once, and sends back each line.
@@ -62,7 +66,12 @@
         });
         spoiler.set(faults);
         let node = Node::start_spoilt(&papers, &spoiler);
-        Site { node, spoiler, discovery, papers }
+        Site {
+            node,
+            spoiler,
+            discovery,
+            papers,
+        }
     }
 
     /// What so many clients hear, one after the other.
@@ -95,8 +104,22 @@
         (fails(Call::Accept, Errno::NFILE, 3), 1.0),
         (fails(Call::Accept, Errno::PROTO, 3), 1.0),
         (fails(Call::EpollWait, Errno::INTR, 2), 1.0),
-        (Fault { call: Call::Send, outcome: Outcome::Short, every: 1 }, 1.0),
-        (Fault { call: Call::Receive, outcome: Outcome::Short, every: 1 }, 1.0),
+        (
+            Fault {
+                call: Call::Send,
+                outcome: Outcome::Short,
+                every: 1,
+            },
+            1.0,
+        ),
+        (
+            Fault {
+                call: Call::Receive,
+                outcome: Outcome::Short,
+                every: 1,
+            },
+            1.0,
+        ),
     ] {
         let site = Site::start(&[]);
         site.spoiler.set(&[fault]);
@@ -105,9 +128,15 @@
         let (up, busy) = (count("UP"), count("BUSY"));
         assert!(site.spoiler.spoilt() > 5, "{fault:?}: too tame");
         assert_eq!(up + busy, CLIENTS, "{fault:?}: {heard:?}");
-        assert!(up as f64 >= least * CLIENTS as f64, "{fault:?}: {up} served, {busy} refused");
+        assert!(
+            up as f64 >= least * CLIENTS as f64,
+            "{fault:?}: {up} served, {busy} refused"
+        );
         site.spoiler.clear();
-        assert!(site.node.open(OPEN).hear().starts_with("UP"), "{fault:?}: a host is left out for it");
+        assert!(
+            site.node.open(OPEN).hear().starts_with("UP"),
+            "{fault:?}: a host is left out for it"
+        );
         assert_eq!(site.node.figure("violations.unanswered"), 0, "{fault:?}");
     }
 }
@@ -115,9 +144,11 @@
 /// Guards: open connections cut off, as a line could not be read or sent at once.
 #[test]
 fn open_connections_outlast_trouble_of_the_own_machine() {
-    for (call, errno) in
-        [(Call::Send, Errno::NOBUFS), (Call::Send, Errno::NOMEM), (Call::Receive, Errno::NOMEM)]
-    {
+    for (call, errno) in [
+        (Call::Send, Errno::NOBUFS),
+        (Call::Send, Errno::NOMEM),
+        (Call::Receive, Errno::NOMEM),
+    ] {
         let site = Site::start(&[]);
         let mut client = site.node.open(OPEN);
         client.hears("UP 1");
@@ -142,7 +173,11 @@
         fails(Call::Receive, Errno::NOMEM, 2),
     ] {
         // The loader of the system's libraries reads too, and ends a program for that.
-        let at_start: &[Fault] = if fault.call == Call::Read { &[] } else { &[fault] };
+        let at_start: &[Fault] = if fault.call == Call::Read {
+            &[]
+        } else {
+            &[fault]
+        };
         let mut site = Site::start(at_start);
         assert!(site.node.open(OPEN).hear().starts_with("UP"), "{fault:?}");
         let other = Discovery::start();
@@ -154,13 +189,21 @@
         thread::sleep(Duration::from_millis(300));
         site.spoiler.set(&[fault]);
         other.calls(1);
-        assert!(before.elapsed() < Duration::from_secs(4), "{fault:?}: {:?}", before.elapsed());
+        assert!(
+            before.elapsed() < Duration::from_secs(4),
+            "{fault:?}: {:?}",
+            before.elapsed()
+        );
         site.spoiler.set(&[Fault { every: 1, ..fault }]);
         site.node.stop();
         thread::sleep(Duration::from_millis(300));
         site.spoiler.set(&[fault]);
         assert!(site.node.wait().success(), "{fault:?}");
-        assert!(before.elapsed() < Duration::from_secs(8), "{fault:?}: {:?}", before.elapsed());
+        assert!(
+            before.elapsed() < Duration::from_secs(8),
+            "{fault:?}: {:?}",
+            before.elapsed()
+        );
         drop(site.discovery);
     }
 }
@@ -226,7 +269,11 @@
         every: 1,
     }]);
     let mut host = Peer::new(accept(&listener));
-    assert!(asked.elapsed() > Duration::from_millis(850), "too tame: {:?}", asked.elapsed());
+    assert!(
+        asked.elapsed() > Duration::from_millis(850),
+        "too tame: {:?}",
+        asked.elapsed()
+    );
     let (line, late) = (host.hear(), told.elapsed());
     assert!(
         !line.starts_with("OPEN") || late < Duration::from_millis(1050),
@@ -257,7 +304,11 @@
     // Held up right before it waits: what is ready then is seen before what is due. A process that a signal stops is woken
     // with nothing ready, and sees what is due first.
     let held = Outcome::HeldUp(Duration::from_millis(3000));
-    spoiler.set(&[Fault { call: Call::EpollWait, outcome: held, every: 1 }]);
+    spoiler.set(&[Fault {
+        call: Call::EpollWait,
+        outcome: held,
+        every: 1,
+    }]);
     // Wakes it where it waits already. Its answer is not waited for: it may be held up before that.
     other.say("PING");
     drop(first);
@@ -280,7 +331,9 @@
     let from = Instant::now();
     let mut clients = Vec::new();
     for n in 0..60u64 {
-        thread::sleep((from + Duration::from_millis(10 * n)).saturating_duration_since(Instant::now()));
+        thread::sleep(
+            (from + Duration::from_millis(10 * n)).saturating_duration_since(Instant::now()),
+        );
         let mut client = Peer::connect(node.address);
         client.write("OPEN half");
         clients.push((Instant::now(), client));
@@ -292,7 +345,12 @@
     let on = Instant::now();
     for (asked, client) in &mut clients {
         client.hears("ERR");
-        assert!(on.elapsed() < Duration::from_secs(1), "{:?}, {:?}", on.elapsed(), asked.elapsed());
+        assert!(
+            on.elapsed() < Duration::from_secs(1),
+            "{:?}, {:?}",
+            on.elapsed(),
+            asked.elapsed()
+        );
     }
     std::fs::remove_dir_all(&folder).unwrap();
 }
@@ -306,8 +364,16 @@
         fails(Call::Send, Errno::NOBUFS, 2),
         fails(Call::Accept, Errno::NFILE, 2),
         fails(Call::Accept, Errno::PROTO, 2),
-        Fault { call: Call::Send, outcome: Outcome::Short, every: 1 },
-        Fault { call: Call::Receive, outcome: Outcome::Short, every: 1 },
+        Fault {
+            call: Call::Send,
+            outcome: Outcome::Short,
+            every: 1,
+        },
+        Fault {
+            call: Call::Receive,
+            outcome: Outcome::Short,
+            every: 1,
+        },
     ] {
         let site = Site::start(&[]);
         site.spoiler.set(&[fault]);
@@ -316,7 +382,11 @@
             let (status, text) = site.node.call("GET /status");
             assert_eq!((status, text.as_str()), (200, "ready\n"), "{fault:?}");
             // A call and what its answer waits for: two rounds of looks.
-            assert!(asked.elapsed() < Duration::from_secs(1), "{fault:?}: {:?}", asked.elapsed());
+            assert!(
+                asked.elapsed() < Duration::from_secs(1),
+                "{fault:?}: {:?}",
+                asked.elapsed()
+            );
         }
         assert!(site.spoiler.spoilt() > 5, "{fault:?}: too tame");
     }
@@ -326,7 +396,11 @@
 /// sending or one that rests while descriptors are short.
 #[test]
 fn answers_are_whole_though_they_take_several_calls_to_send() {
-    let short = Fault { call: Call::Send, outcome: Outcome::Short, every: 1 };
+    let short = Fault {
+        call: Call::Send,
+        outcome: Outcome::Short,
+        every: 1,
+    };
     for fault in [short, fails(Call::Send, Errno::NOBUFS, 2)] {
         let (hosts, discovery, spoiler) = (Hosts::start(1), Discovery::start(), Spoiler::default());
         let mut papers = papers(&hosts, discovery.address);
@@ -375,6 +449,11 @@
     clients.iter_mut().for_each(|client| client.hears("ERR"));
     assert!(spoiler.spoilt() > 5, "too tame");
     spoiler.clear();
-    assert_eq!(node.figure("violations.answered_late"), 0, "{:#?}", node.logged());
+    assert_eq!(
+        node.figure("violations.answered_late"),
+        0,
+        "{:#?}",
+        node.logged()
+    );
     drop(silent);
 }
--- a/node/tests/members.rs
+++ b/node/tests/members.rs
@@ -28,7 +28,11 @@
 /// Those who were held gone though they run, by whom.
 fn wronged(fleet: &Fleet, but: &[usize]) -> Vec<String> {
     let of = |line: &String, node: &usize| format!("{line},").contains(&format!("name: n{node},"));
-    fleet.put_out().into_iter().filter(|line| !but.iter().any(|node| of(line, node))).collect()
+    fleet
+        .put_out()
+        .into_iter()
+        .filter(|line| !but.iter().any(|node| of(line, node)))
+        .collect()
 }
 
 /// Guards: deaths that some never hear of, and others taken for dead beside them.
@@ -40,10 +44,14 @@
     agree(&fleet, 11, "after one death");
     assert_eq!(wronged(&fleet, &[7]), [""; 0]);
     let half: Vec<usize> = (0..20).step_by(2).collect();
-    half.iter().for_each(|&node| fleet.kill(node, Duration::ZERO));
+    half.iter()
+        .for_each(|&node| fleet.kill(node, Duration::ZERO));
     agree(&fleet, 30, "after half died");
     assert_eq!(wronged(&fleet, &[&half[..], &[7]].concat()), [""; 0]);
-    (1..19).step_by(2).filter(|&node| node != 7).for_each(|node| fleet.kill(node, Duration::ZERO));
+    (1..19)
+        .step_by(2)
+        .filter(|&node| node != 7)
+        .for_each(|node| fleet.kill(node, Duration::ZERO));
     agree(&fleet, 40, "after all but one died");
     fleet.start(&(0..19).collect::<Vec<_>>(), &[], 0);
     agree(&fleet, 20, "after they came back");
@@ -66,7 +74,10 @@
     agree(&fleet, 10, "after one was cut off");
     fleet.put_out();
     let cut = |from, to| (from, to) == (3, 4) || (from, to) == (4, 3) || (from, to) == (7, 8);
-    fleet.view().ways.set(|from, to| Spoil { cut: cut(from, to), ..Spoil::default() });
+    fleet.view().ways.set(|from, to| Spoil {
+        cut: cut(from, to),
+        ..Spoil::default()
+    });
     thread::sleep(PERIOD * 40);
     assert_eq!(wronged(&fleet, &[]), [""; 0]);
 }
@@ -78,7 +89,12 @@
     let _turn = alone();
     let (_service, mut fleet) = agreed(12, 3);
     let delay = PERIOD / 10;
-    fleet.view().ways.set(|_, _| Spoil { loss: 0.2, double: 0.1, delay, ..Spoil::default() });
+    fleet.view().ways.set(|_, _| Spoil {
+        loss: 0.2,
+        double: 0.1,
+        delay,
+        ..Spoil::default()
+    });
     thread::sleep(PERIOD * 60);
     fleet.view().ways.heal();
     agree(&fleet, 10, "after the loss");
@@ -104,7 +120,11 @@
     fleet.go_on(9);
     agree(&fleet, 10, "after a long stop");
     assert!(word(&fleet) > Some(0));
-    assert!(fleet.nodes[9].as_ref().unwrap().logs("others held").contains("gone"));
+    assert!(fleet.nodes[9]
+        .as_ref()
+        .unwrap()
+        .logs("others held")
+        .contains("gone"));
 }
 
 /// Guards: strangers that are taken in, that put somebody out, or fill the log; and a second process of one name.
@@ -112,9 +132,18 @@
 fn strangers_are_a_line_and_of_two_under_one_name_the_later_counts() {
     let _turn = alone();
     let service = Discovery::start();
-    let view = View { ways: Ways::new(7, 4), period: PERIOD, seeds: vec![0, 1, 2] };
-    let terms = Terms { ask_within: Duration::from_secs(4), ..Terms::TRIAL };
-    let mut fleet = Fleet::new(7, service.address, terms).among(6).with_view(view);
+    let view = View {
+        ways: Ways::new(7, 4),
+        period: PERIOD,
+        seeds: vec![0, 1, 2],
+    };
+    let terms = Terms {
+        ask_within: Duration::from_secs(4),
+        ..Terms::TRIAL
+    };
+    let mut fleet = Fleet::new(7, service.address, terms)
+        .among(6)
+        .with_view(view);
     // Two of three seeds are dead.
     fleet.start(&[0, 3, 4, 5], &[], 0);
     agree(&fleet, 20, "with two dead seeds");
@@ -128,7 +157,10 @@
     thread::sleep(PERIOD * 5);
     agree(&fleet, 5, "after a flood");
     let lines = fleet.nodes[3].as_ref().unwrap().logged();
-    let dropped = lines.iter().filter(|line| line.contains("letter dropped")).count();
+    let dropped = lines
+        .iter()
+        .filter(|line| line.contains("letter dropped"))
+        .count();
     assert!((1..=5).contains(&dropped), "{dropped} lines on strangers");
     assert!(lines.iter().all(|line| !line.contains("member gone")));
     // What was said while one was taken for dead and came back, said again later; and the same by another version.
@@ -137,21 +169,33 @@
     agree(&fleet, 20, "after a death");
     fleet.start(&[5], &[], 0);
     agree(&fleet, 20, "after it came back");
-    fleet.nodes.iter().flatten().for_each(|node| drop(node.logged()));
+    fleet
+        .nodes
+        .iter()
+        .flatten()
+        .for_each(|node| drop(node.logged()));
     assert!(fleet.view().ways.replay(|_| ()) > 100);
     thread::sleep(PERIOD * 10);
     agree(&fleet, 5, "after a replay");
     assert_eq!(wronged(&fleet, &[]), [""; 0]);
-    fleet.view().ways.replay(|bytes| bytes.iter_mut().take(1).for_each(|version| *version += 1));
+    fleet
+        .view()
+        .ways
+        .replay(|bytes| bytes.iter_mut().take(1).for_each(|version| *version += 1));
     fleet.nodes[0].as_ref().unwrap().logs("another version");
     agree(&fleet, 5, "after letters of another version");
     fleet.start_twin(4, &[], 0);
-    fleet.nodes[4].as_ref().unwrap().logs("another process has this node's name");
+    fleet.nodes[4]
+        .as_ref()
+        .unwrap()
+        .logs("another process has this node's name");
     eventually("the later one is held to be there", || {
         let face = fleet.view().ways.faces[6].to_string();
         let status = fleet.status(0).unwrap();
         let members = status["members"].as_array().unwrap();
-        members.iter().any(|m| m["name"] == "n4" && m["address"] == face.as_str() && m["state"] == "at work")
+        members
+            .iter()
+            .any(|m| m["name"] == "n4" && m["address"] == face.as_str() && m["state"] == "at work")
     });
 }
 
@@ -161,17 +205,28 @@
     let _turn = alone();
     let service = Discovery::start();
     let period = PERIOD * 2;
-    let view = View { ways: Ways::new(200, 9), period, seeds: vec![0, 1, 2] };
+    let view = View {
+        ways: Ways::new(200, 9),
+        period,
+        seeds: vec![0, 1, 2],
+    };
     let mut fleet = Fleet::new(200, service.address, Terms::TRIAL).with_view(view);
     let living: Vec<usize> = (0..200).filter(|node| *node != 1 && *node != 2).collect();
     fleet.start(&living, &[], 0);
     agree(&fleet, 60, "after the start");
     let lines = |fleet: &Fleet| -> Vec<usize> {
         let of = |node: &reedferry_rig::Node| {
-            let lines = node.logged_at().into_iter().filter(|(_, line)| line.contains("member "));
+            let lines = node
+                .logged_at()
+                .into_iter()
+                .filter(|(_, line)| line.contains("member "));
             let times: Vec<Instant> = lines.map(|(at, _)| at).collect();
-            let within =
-                |from: &Instant| times.iter().filter(|t| *t >= from && **t < *from + period * 4).count();
+            let within = |from: &Instant| {
+                times
+                    .iter()
+                    .filter(|t| *t >= from && **t < *from + period * 4)
+                    .count()
+            };
             times.iter().map(within).max().unwrap_or(0)
         };
         fleet.nodes.iter().flatten().map(of).collect()
@@ -181,7 +236,10 @@
     agree(&fleet, 100, "after half died");
     // Two seconds may meet in what is less than one.
     let most = lines(&fleet).into_iter().max().unwrap();
-    assert!((33..=64).contains(&most), "{most} lines on members in a second");
+    assert!(
+        (33..=64).contains(&most),
+        "{most} lines on members in a second"
+    );
 }
 
 /// Guards: nodes that stop taken for dead, or clients left without an answer, while all are restarted in turn.
@@ -190,8 +248,13 @@
     let _turn = alone();
     let (service, hosts) = (Discovery::start(), WarmingHosts::new(Terms::TRIAL));
     let list = hosts.members(hosts.start(6, false));
-    list.iter().for_each(|member| service.change(member.clone()));
-    let view = View { ways: Ways::new(10, 5), period: PERIOD, seeds: vec![0, 1, 2] };
+    list.iter()
+        .for_each(|member| service.change(member.clone()));
+    let view = View {
+        ways: Ways::new(10, 5),
+        period: PERIOD,
+        seeds: vec![0, 1, 2],
+    };
     let mut fleet = Fleet::new(10, service.address, Terms::TRIAL).with_view(view);
     fleet.start(&(0..10).collect::<Vec<_>>(), &list, 6);
     let mut guests = Guests::come(60, &fleet.front, Duration::from_millis(500), None, 5);
@@ -214,7 +277,12 @@
     assert_eq!(hosts.broken(Duration::from_millis(300)), [""; 0]);
     assert_eq!(fleet.broken(&guests), [""; 0]);
     let suspect = fleet.nodes.iter().flatten().flat_map(|node| node.logged());
-    assert_eq!(suspect.filter(|line| line.contains("member suspect")).collect::<Vec<_>>(), [""; 0]);
+    assert_eq!(
+        suspect
+            .filter(|line| line.contains("member suspect"))
+            .collect::<Vec<_>>(),
+        [""; 0]
+    );
 }
 
 /// Guards: hosts that several nodes probe in one round, or none after a death; and a node that goes on after a stop
@@ -224,31 +292,56 @@
     let _turn = alone();
     let (service, hosts) = (Discovery::start(), WarmingHosts::new(Terms::TRIAL));
     let list = hosts.members(hosts.start(8, false));
-    list.iter().for_each(|member| service.change(member.clone()));
-    let view = View { ways: Ways::new(6, 6), period: PERIOD, seeds: vec![0, 1, 2] };
-    let mut fleet = Fleet::new(6, service.address, Terms::TRIAL).with_view(view).probing();
+    list.iter()
+        .for_each(|member| service.change(member.clone()));
+    let view = View {
+        ways: Ways::new(6, 6),
+        period: PERIOD,
+        seeds: vec![0, 1, 2],
+    };
+    let mut fleet = Fleet::new(6, service.address, Terms::TRIAL)
+        .with_view(view)
+        .probing();
     fleet.start(&(0..6).collect::<Vec<_>>(), &list, 8);
     agree(&fleet, 20, "at the start");
     let round = Duration::from_secs(2);
     // Fewest of any host within so many rounds, and most within one.
     let probed = |from: Instant, rounds: u32| {
         thread::sleep((from + round * rounds).saturating_duration_since(Instant::now()));
-        let of = |host: usize| hosts.probed(host).into_iter().filter(|t| *t >= from).collect::<Vec<_>>();
+        let of = |host: usize| {
+            hosts
+                .probed(host)
+                .into_iter()
+                .filter(|t| *t >= from)
+                .collect::<Vec<_>>()
+        };
         let within = |all: &[Instant], at: Instant| {
-            all.iter().filter(|t| **t >= at && **t < at + round * 9 / 10).count()
+            all.iter()
+                .filter(|t| **t >= at && **t < at + round * 9 / 10)
+                .count()
         };
         let all: Vec<Vec<Instant>> = (0..8).map(of).collect();
-        let most = all.iter().flat_map(|a| a.iter().map(|at| within(a, *at))).max().unwrap_or(0);
+        let most = all
+            .iter()
+            .flat_map(|a| a.iter().map(|at| within(a, *at)))
+            .max()
+            .unwrap_or(0);
         (all.iter().map(Vec::len).min().unwrap_or(0), most)
     };
     // Those who knew nobody yet went by their numbers.
     thread::sleep(round);
     let (fewest, most) = probed(Instant::now(), 3);
-    assert!(fewest >= 2 && most <= 2, "{fewest} in three rounds, {most} in one");
+    assert!(
+        fewest >= 2 && most <= 2,
+        "{fewest} in three rounds, {most} in one"
+    );
     (0..3).for_each(|node| fleet.kill(node, Duration::ZERO));
     agree(&fleet, 30, "after three died");
     let (fewest, most) = probed(Instant::now(), 3);
-    assert!(fewest >= 2 && most <= 2, "{fewest} in three rounds after deaths, {most} in one");
+    assert!(
+        fewest >= 2 && most <= 2,
+        "{fewest} in three rounds after deaths, {most} in one"
+    );
     fleet.stand_still(4);
     let from = Instant::now();
     thread::sleep(Duration::from_secs(3));
@@ -256,7 +349,10 @@
     let looks = fleet.status(4).and_then(|status| status["looks"].as_u64());
     assert_eq!(looks, Some(0), "it goes on with what others have taken up");
     let (fewest, most) = probed(from, 4);
-    assert!(fewest >= 2 && most <= 2, "{fewest} in four rounds with a stop, {most} in one");
+    assert!(
+        fewest >= 2 && most <= 2,
+        "{fewest} in four rounds with a stop, {most} in one"
+    );
 }
 
 /// Guards: turns of dead nodes that stay unused, more than the whole used by any parts of a fleet, and cold hosts
@@ -266,8 +362,13 @@
     let _turn = alone();
     let (service, hosts) = (Discovery::start(), WarmingHosts::new(Terms::TRIAL));
     let mut list = hosts.members(hosts.start(4, false));
-    list.iter().for_each(|member| service.change(member.clone()));
-    let view = View { ways: Ways::new(6, 7), period: PERIOD, seeds: vec![0, 1, 2] };
+    list.iter()
+        .for_each(|member| service.change(member.clone()));
+    let view = View {
+        ways: Ways::new(6, 7),
+        period: PERIOD,
+        seeds: vec![0, 1, 2],
+    };
     let mut fleet = Fleet::new(6, service.address, Terms::TRIAL).with_view(view);
     fleet.start(&(0..6).collect::<Vec<_>>(), &list, 4);
     let guests = Guests::come(60, &fleet.front, Duration::from_millis(300), None, 7);
@@ -302,7 +403,11 @@
     comes(&fleet, 5.5, "the half of the dead one that is lent is used");
     fleet.view().ways.split(|node| node % 2);
     // Three of six are no majority, and neither are two.
-    comes(&fleet, 2.5, "without a majority each uses its own half alone");
+    comes(
+        &fleet,
+        2.5,
+        "without a majority each uses its own half alone",
+    );
     fleet.view().ways.heal();
     let known = cold(1);
     comes(&fleet, 5.5, "after the cut");
@@ -347,15 +452,28 @@
     let _turn = alone();
     let (_service, fleet) = agreed(2, 9);
     let status = fleet.status(0).unwrap();
-    let keys =
-        |value: &serde_json::Value| value.as_object().unwrap().keys().cloned().collect::<Vec<_>>().join(" ");
+    let keys = |value: &serde_json::Value| {
+        value
+            .as_object()
+            .unwrap()
+            .keys()
+            .cloned()
+            .collect::<Vec<_>>()
+            .join(" ")
+    };
     assert_eq!(
         keys(&status),
         "address digest ill life looks members name state still_ms superseded turns wards word"
     );
-    assert_eq!(keys(&status["members"][0]), "address build life name of place role since_ms state word zone");
     assert_eq!(
-        (status["state"].as_str(), status["members"][0]["role"].as_str()),
+        keys(&status["members"][0]),
+        "address build life name of place role since_ms state word zone"
+    );
+    assert_eq!(
+        (
+            status["state"].as_str(),
+            status["members"][0]["role"].as_str()
+        ),
         (Some("at work"), Some("node"))
     );
 }
--- a/node/tests/ops.rs
+++ b/node/tests/ops.rs
@@ -19,9 +19,22 @@
     let hosts = Hosts::start(2);
     let (node, _discovery) = start(&hosts, |_| {});
     assert_eq!(node.call("GET /status"), (200, "ready\n".into()));
-    assert_eq!((node.figure("hosts_known"), node.figure("in_flight"), node.figure("attempts")), (2, 0, 0));
+    assert_eq!(
+        (
+            node.figure("hosts_known"),
+            node.figure("in_flight"),
+            node.figure("attempts")
+        ),
+        (2, 0, 0)
+    );
     let (mut client, _, mut host) = node.served(&hosts);
-    assert_eq!((node.figure("requests.chat.served"), node.figure("in_flight")), (1, 1));
+    assert_eq!(
+        (
+            node.figure("requests.chat.served"),
+            node.figure("in_flight")
+        ),
+        (1, 1)
+    );
     // Two hosts that turn it away, one by one: refused, and two attempts more.
     let mut refused = node.open(OPEN);
     for _ in 0..2 {
@@ -30,27 +43,49 @@
         host.say("BUSY");
     }
     assert!(refused.hear().starts_with("BUSY"));
-    assert_eq!((node.figure("requests.chat.refused"), node.figure("attempts")), (1, 3));
-    assert_eq!((node.figure("hosts_known"), node.figure("hosts_excluded")), (2, 2));
+    assert_eq!(
+        (
+            node.figure("requests.chat.refused"),
+            node.figure("attempts")
+        ),
+        (1, 3)
+    );
+    assert_eq!(
+        (node.figure("hosts_known"), node.figure("hosts_excluded")),
+        (2, 2)
+    );
     host.say("BYE");
     host.end_sending();
     client.hears("BYE");
     client.hears("end");
     eventually("none in flight", || node.figure("in_flight") == 0);
-    assert_eq!((node.figure("requests.chat.served"), node.figure("requests.chat.failed")), (1, 0));
+    assert_eq!(
+        (
+            node.figure("requests.chat.served"),
+            node.figure("requests.chat.failed")
+        ),
+        (1, 0)
+    );
 }
 
 #[test]
 fn a_failed_one_counts_as_failed_and_bad_papers_as_turned_down() {
     let hosts = Hosts::start(2);
-    let (node, _discovery) =
-        start(&hosts, |p| p["settings"]["offerings"][0]["effect"] = json!("single_shot"));
+    let (node, _discovery) = start(&hosts, |p| {
+        p["settings"]["offerings"][0]["effect"] = json!("single_shot")
+    });
     let mut client = node.open(OPEN);
     let (_, mut host) = hosts.accept();
     host.hear();
     host.end_sending();
     client.hears("ERR");
-    assert_eq!((node.figure("requests.chat.failed"), node.figure("requests.chat.refused")), (1, 0));
+    assert_eq!(
+        (
+            node.figure("requests.chat.failed"),
+            node.figure("requests.chat.refused")
+        ),
+        (1, 0)
+    );
     let told = node.told();
     node.reread("{");
     eventually("turned down", || node.figure("reloads_failed") == 1);
@@ -74,11 +109,26 @@
         ("GET /status\u{1} HTTP/1.1\r\n\r\n".into(), 400),
         ("GET /status HTTP/7.1\r\n\r\n".into(), 505),
         (head("POST /standby", "Content-Length: -1\r\n"), 400),
-        (head("POST /standby", "Content-Length: 1\r\nContent-Length: 2\r\n"), 400),
-        (head("POST /standby", "Content-Length: 99999999999999999999999\r\n"), 413),
+        (
+            head(
+                "POST /standby",
+                "Content-Length: 1\r\nContent-Length: 2\r\n",
+            ),
+            400,
+        ),
+        (
+            head(
+                "POST /standby",
+                "Content-Length: 99999999999999999999999\r\n",
+            ),
+            413,
+        ),
         (head("POST /standby", "Transfer-Encoding: chunked\r\n"), 411),
         (head("GET /status", &"X: y\r\n".repeat(100)), 431),
-        (head("GET /status", &format!("X: {}\r\n", "y".repeat(20_000))), 431),
+        (
+            head("GET /status", &format!("X: {}\r\n", "y".repeat(20_000))),
+            431,
+        ),
     ] {
         assert_eq!(ask(at, &sent).0, status, "{}", &sent[..sent.len().min(60)]);
     }
@@ -95,9 +145,14 @@
     let (node, _discovery) = start(&hosts, |_| {});
     let at = node.ops.unwrap();
     let mut unfinished: Vec<Peer> = (0..100).map(|_| Peer::connect(at)).collect();
-    unfinished.iter_mut().for_each(|peer| _ = std::io::Write::write(&mut peer.stream, b"GET /sta"));
+    unfinished
+        .iter_mut()
+        .for_each(|peer| _ = std::io::Write::write(&mut peer.stream, b"GET /sta"));
     let mut slow = Peer::connect(at);
-    for byte in "POST /active HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc".split("").filter(|b| !b.is_empty()) {
+    for byte in "POST /active HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
+        .split("")
+        .filter(|b| !b.is_empty())
+    {
         slow.write(byte);
     }
     assert_eq!(answered(&mut slow).0, 200);
@@ -186,7 +241,9 @@
     }
     node.call("POST /standby");
     node.stop();
-    eventually("asked to stop", || node.call("GET /status") == (503, "stopping\n".into()));
+    eventually("asked to stop", || {
+        node.call("GET /status") == (503, "stopping\n".into())
+    });
     assert_eq!(node.call("POST /active").0, 409);
     assert_eq!(node.call("POST /standby").0, 200);
     client.hears("MOVE");
@@ -202,6 +259,10 @@
         papers["ops"] = json!(ops);
         let output = program(&papers.to_string()).output().unwrap();
         let said = String::from_utf8(output.stderr).unwrap();
-        assert_eq!((output.status.code(), said.lines().count()), (Some(1), 1), "{said}");
+        assert_eq!(
+            (output.status.code(), said.lines().count()),
+            (Some(1), 1),
+            "{said}"
+        );
     }
 }
--- a/node/tests/pause.rs
+++ b/node/tests/pause.rs
@@ -53,7 +53,11 @@
         let spoiler = Spoiler::default();
         let node = Node::start_spoilt(&papers, &spoiler);
         discovery.calls(1);
-        Site { node, spoiler, _discovery: discovery }
+        Site {
+            node,
+            spoiler,
+            _discovery: discovery,
+        }
     }
 
     /// One client more: its connection, and its answer.
@@ -85,7 +89,11 @@
             thread::sleep(Duration::from_millis(20));
         }
         let log = self.node.logged();
-        assert!(served * 10 >= heard.len() * 9, "{served} of {} served: {log:#?}", heard.len());
+        assert!(
+            served * 10 >= heard.len() * 9,
+            "{served} of {} served: {log:#?}",
+            heard.len()
+        );
     }
 }
 
@@ -108,12 +116,19 @@
     let site = Site::start();
     let talking = site.talking();
     let held = Outcome::HeldUp(Duration::from_millis(140));
-    site.spoiler.set(&[Fault { call: Call::Send, outcome: held, every: 2 }]);
+    site.spoiler.set(&[Fault {
+        call: Call::Send,
+        outcome: held,
+        every: 2,
+    }]);
     let until = Instant::now() + PAUSE;
     let mut clients = Vec::new();
     while Instant::now() < until {
         let mut client = Peer::connect(site.node.address);
-        client.say(&format!("OPEN h{0} {0:x} c=free,t=acme,d=2000", clients.len()));
+        client.say(&format!(
+            "OPEN h{0} {0:x} c=free,t=acme,d=2000",
+            clients.len()
+        ));
         clients.push(client);
         thread::sleep(Duration::from_millis(40));
     }
@@ -137,7 +152,11 @@
     let (_, mut silent) = hosts.accept();
     assert!(silent.hear().starts_with("OPEN"));
     let held = Outcome::HeldUp(Duration::from_millis(100));
-    spoiler.set(&[Fault { call: Call::Send, outcome: held, every: 2 }]);
+    spoiler.set(&[Fault {
+        call: Call::Send,
+        outcome: held,
+        every: 2,
+    }]);
     // All their lines lie ready in the moment in which the answer is due.
     while asked.elapsed() < Duration::from_millis(900) {
         thread::sleep(Duration::from_millis(10));
@@ -156,7 +175,11 @@
 
 fn interrupt_waits(spoiler: &Spoiler) {
     let outcome = Outcome::Fails(rustix::io::Errno::INTR);
-    spoiler.set(&[Fault { call: Call::EpollWait, outcome, every: 1 }]);
+    spoiler.set(&[Fault {
+        call: Call::EpollWait,
+        outcome,
+        every: 1,
+    }]);
 }
 
 /// The process goes on; its waits are interrupted at first, so that what is due is seen before what is ready.
--- a/node/tests/ready.rs
+++ b/node/tests/ready.rs
@@ -30,12 +30,17 @@
             return None;
         }
         let mut client = Peer::connect(node.address);
-        client.say(&format!("OPEN {:x} {n:x} c=chat,t=acme,d=2000", named << 20 | n));
+        client.say(&format!(
+            "OPEN {:x} {n:x} c=chat,t=acme,d=2000",
+            named << 20 | n
+        ));
         if client.hear().starts_with("UP") {
             return Some(started.elapsed());
         }
         let asked = Instant::now();
-        eventually("no time passes", || asked.elapsed() > Duration::from_millis(20));
+        eventually("no time passes", || {
+            asked.elapsed() > Duration::from_millis(20)
+        });
     }
     None
 }
@@ -65,12 +70,17 @@
                 // The one half, and then the other.
                 let half = |from: usize| {
                     let all: Vec<_> = (from..from + NODES / 2).map(one).collect();
-                    all.into_iter().map(|each| each.join().unwrap()).collect::<Vec<_>>()
+                    all.into_iter()
+                        .map(|each| each.join().unwrap())
+                        .collect::<Vec<_>>()
                 };
                 [half(0), half(NODES / 2)].concat()
             }
         });
-        let late = took.iter().filter(|took| took.is_none_or(|took| took > WITHIN)).count();
+        let late = took
+            .iter()
+            .filter(|took| took.is_none_or(|took| took > WITHIN))
+            .count();
         assert!(late <= NODES / 10, "together {together}: {took:?}");
     }
 }
--- a/node/tests/relisted.rs
+++ b/node/tests/relisted.rs
@@ -39,7 +39,10 @@
         discovery.calls(3);
         host.reset();
         client.hears("ERR");
-        assert!(hosts.accept_soon().is_none(), "{circle}: sent out of its circle");
+        assert!(
+            hosts.accept_soon().is_none(),
+            "{circle}: sent out of its circle"
+        );
     }
 }
 
@@ -70,7 +73,11 @@
         let mut other = Peer::connect(node.address);
         other.say("PING");
         other.hears("PONG");
-        late["cell"] = json!(if moves { 77 } else { late["cell"].as_i64().unwrap() });
+        late["cell"] = json!(if moves {
+            77
+        } else {
+            late["cell"].as_i64().unwrap()
+        });
         discovery.change(late);
         discovery.calls(3);
         drop(first);
@@ -79,7 +86,9 @@
         let (asked, mut got) = (Instant::now(), None);
         // The system asks for a connection again a second after the first time.
         while asked.elapsed() < Duration::from_millis(2500) && got.is_none() {
-            let Ok((stream, _)) = listener.accept() else { continue };
+            let Ok((stream, _)) = listener.accept() else {
+                continue;
+            };
             stream.set_nonblocking(false).unwrap();
             let mut peer = Peer::new(stream);
             if peer.hear().starts_with("OPEN") {
@@ -89,7 +98,10 @@
         }
         assert_eq!(got.is_some(), sent, "moves {moves}");
         let said = client.hear();
-        assert!(said.starts_with(if sent { "UP 2" } else { "ERR" }), "moves {moves}: {said}");
+        assert!(
+            said.starts_with(if sent { "UP 2" } else { "ERR" }),
+            "moves {moves}: {said}"
+        );
     }
 }
 
@@ -128,7 +140,10 @@
         if let Ok((late, _)) = listener.accept() {
             late.set_nonblocking(false).unwrap();
             let end = Peer::new(late).hear();
-            assert!(["end", "reset"].contains(&end.as_str()), "at the old address: {end}");
+            assert!(
+                ["end", "reset"].contains(&end.as_str()),
+                "at the old address: {end}"
+            );
         }
     }
     let (_, mut host) = at_the_new_one.expect("nothing came to the new address");
@@ -158,7 +173,11 @@
     host.hear();
     host.say("UP 2");
     client.hears("UP 2");
-    let masks: Vec<String> = node.logged().into_iter().filter(|line| line.contains("mask host")).collect();
+    let masks: Vec<String> = node
+        .logged()
+        .into_iter()
+        .filter(|line| line.contains("mask host"))
+        .collect();
     assert!(masks.is_empty(), "{masks:?}");
     drop((first, listener));
 }
--- a/node/tests/repeats.rs
+++ b/node/tests/repeats.rs
@@ -30,7 +30,11 @@
         let (_, mut host) = hosts.accept();
         host.hear();
         // The only other host is one whose connections come up late.
-        discovery.change(member(5, &listener.local_addr().unwrap().to_string(), "active"));
+        discovery.change(member(
+            5,
+            &listener.local_addr().unwrap().to_string(),
+            "active",
+        ));
         // The first is given up; what is sent again goes there.
         host.hears("end");
         // Whoever answers this has asked for that connection.
@@ -43,12 +47,18 @@
         let mut lines = Vec::new();
         // The system asks for a connection again a second after the first time.
         while asked.elapsed() < Duration::from_millis(2500) && lines.is_empty() {
-            let Ok((late, _)) = listener.accept() else { continue };
+            let Ok((late, _)) = listener.accept() else {
+                continue;
+            };
             late.set_nonblocking(false).unwrap();
             let mut late = Peer::new(late);
             let line = late.hear();
             if line.starts_with("OPEN") {
-                assert!(asked.elapsed() > Duration::from_millis(900), "too tame: {:?}", asked.elapsed());
+                assert!(
+                    asked.elapsed() > Duration::from_millis(900),
+                    "too tame: {:?}",
+                    asked.elapsed()
+                );
                 late.say("UP 2");
                 lines.push((line, late));
             }
@@ -64,7 +74,12 @@
 #[test]
 fn a_repeat_stays_in_the_circle_of_the_host_that_may_have_run_it() {
     for (what, circle, zones, left) in [
-        ("zones that the settings do not name", "zone", ["x", "y"], false),
+        (
+            "zones that the settings do not name",
+            "zone",
+            ["x", "y"],
+            false,
+        ),
         ("a zone of which no more is said", "zone", ["b", ""], true),
         ("a cell of which no more is said", "cell", ["a", "a"], true),
         ("zones that change their places", "zone", ["a", "b"], true),
@@ -92,7 +107,11 @@
         discovery.change(named(1));
         discovery.calls(2);
         if left {
-            let mut gone = if what.contains("no more") { json!({"id": "s-0"}) } else { named(0) };
+            let mut gone = if what.contains("no more") {
+                json!({"id": "s-0"})
+            } else {
+                named(0)
+            };
             gone["phase"] = json!("left");
             discovery.change(gone);
             discovery.calls(3);
@@ -105,7 +124,10 @@
         }
         host.reset();
         client.hears("ERR");
-        assert!(hosts.accept_soon().is_none(), "{what}: sent out of its circle");
+        assert!(
+            hosts.accept_soon().is_none(),
+            "{what}: sent out of its circle"
+        );
     }
 }
 
@@ -252,8 +274,9 @@
 /// by itself or behind more than one turn takes in; and one that comes just after.
 #[test]
 fn an_answer_in_the_moment_in_which_its_attempt_is_given_up_is_the_only_one() {
-    for (effect, comes) in
-        ["free", "single_shot"].into_iter().flat_map(|e| ["with it", "behind", "after"].map(|c| (e, c)))
+    for (effect, comes) in ["free", "single_shot"]
+        .into_iter()
+        .flat_map(|e| ["with it", "behind", "after"].map(|c| (e, c)))
     {
         let what = format!("{effect}, {comes}");
         let hosts = Hosts::start(2);
--- a/node/tests/retune.rs
+++ b/node/tests/retune.rs
@@ -16,10 +16,16 @@
 
 /// Has it read this, and waits until that is counted.
 fn reread(node: &Node, text: &str, taken: bool) {
-    let name = if taken { "reloads_ok" } else { "reloads_failed" };
+    let name = if taken {
+        "reloads_ok"
+    } else {
+        "reloads_failed"
+    };
     let before = node.figure(name);
     node.reread(text);
-    eventually(&format!("{name} after {text:.60}"), || node.figure(name) == before + 1);
+    eventually(&format!("{name} after {text:.60}"), || {
+        node.figure(name) == before + 1
+    });
 }
 
 fn asks(name: &str) -> String {
@@ -45,8 +51,16 @@
     other["discovery"] = json!(nowhere().to_string());
     other["settings"]["offerings"] = json!([offering("talk", "free")]);
     let whole = other.to_string();
-    let mut broken: Vec<String> = (0..whole.len()).step_by(67).map(|cut| whole[..cut].to_string()).collect();
-    for key in papers.as_object().unwrap().keys().filter(|key| *key != "known") {
+    let mut broken: Vec<String> = (0..whole.len())
+        .step_by(67)
+        .map(|cut| whole[..cut].to_string())
+        .collect();
+    for key in papers
+        .as_object()
+        .unwrap()
+        .keys()
+        .filter(|key| *key != "known")
+    {
         let mut short = other.clone();
         short.as_object_mut().unwrap().remove(key);
         broken.push(short.to_string());
@@ -55,18 +69,38 @@
         let place = format!("/settings{part}");
         for key in papers.pointer(&place).unwrap().as_object().unwrap().keys() {
             let mut short = other.clone();
-            short.pointer_mut(&place).unwrap().as_object_mut().unwrap().remove(key);
+            short
+                .pointer_mut(&place)
+                .unwrap()
+                .as_object_mut()
+                .unwrap()
+                .remove(key);
             broken.push(short.to_string());
         }
     }
-    for place in ["offerings/0/expiry", "offerings/0/contract_time", "policy_limits/most_hand_offs"] {
-        for wild in [json!(0), json!(-5), json!("soon"), json!(null), json!([]), json!(true)] {
+    for place in [
+        "offerings/0/expiry",
+        "offerings/0/contract_time",
+        "policy_limits/most_hand_offs",
+    ] {
+        for wild in [
+            json!(0),
+            json!(-5),
+            json!("soon"),
+            json!(null),
+            json!([]),
+            json!(true),
+        ] {
             let mut wrong = other.clone();
             *wrong.pointer_mut(&format!("/settings/{place}")).unwrap() = wild;
             broken.push(wrong.to_string());
         }
     }
-    for offerings in [json!([]), json!([offering("talk", "free"), offering("talk", "free")]), json!(7)] {
+    for offerings in [
+        json!([]),
+        json!([offering("talk", "free"), offering("talk", "free")]),
+        json!(7),
+    ] {
         let mut wrong = other.clone();
         wrong["settings"]["offerings"] = offerings;
         broken.push(wrong.to_string());
@@ -77,7 +111,10 @@
     assert_eq!(node.figure("reloads_ok"), 0);
     serves(&node, &hosts, "chat");
     node.open(&asks("talk")).hears("ERR");
-    assert!(node.logged().iter().all(|line| !line.contains("discovery call failed")));
+    assert!(node
+        .logged()
+        .iter()
+        .all(|line| !line.contains("discovery call failed")));
     // Good and bad ones in quick alternation.
     for n in 0..20 {
         reread(&node, &broken[n * broken.len() / 20], false);
@@ -112,7 +149,8 @@
     let mut waits = node.open(&asks("talk"));
     let (_, mut host) = hosts.accept();
     host.hear();
-    papers["settings"]["offerings"] = json!([offering("chat", "single_shot"), offering("talk", "free")]);
+    papers["settings"]["offerings"] =
+        json!([offering("chat", "single_shot"), offering("talk", "free")]);
     reread(&node, &papers.to_string(), true);
     drop(host);
     waits.hears("ERR");
@@ -121,7 +159,13 @@
     host.hear();
     drop(host);
     strict.hears("ERR");
-    assert_eq!((node.figure("requests.chat.failed"), node.figure("requests.talk.failed")), (1, 1));
+    assert_eq!(
+        (
+            node.figure("requests.chat.failed"),
+            node.figure("requests.talk.failed")
+        ),
+        (1, 1)
+    );
     assert_eq!(node.figure("requests.chat.served"), 2);
 }
 
@@ -140,7 +184,9 @@
         host.say("BUSY");
     }
     assert!(before.hear().starts_with("BUSY"));
-    eventually("hosts are taken again", || node.figure("hosts_excluded") == 0);
+    eventually("hosts are taken again", || {
+        node.figure("hosts_excluded") == 0
+    });
     let mut after = node.open(OPEN);
     let (_, mut host) = hosts.accept();
     host.hear();
@@ -176,12 +222,18 @@
     papers["ops"] = json!("127.0.0.1:0");
     let class = |name: &str, effect: &str, window: f64| {
         let mut class = offering(name, effect);
-        (class["expiry"], class["contract_time"], class["repeat_window"]) =
-            (json!(9000.0), json!(9000.0), json!(window));
+        (
+            class["expiry"],
+            class["contract_time"],
+            class["repeat_window"],
+        ) = (json!(9000.0), json!(9000.0), json!(window));
         class
     };
-    papers["settings"]["offerings"] =
-        json!([class("chat", "free", 0.0), class("till", "single_shot", 0.0), class("seat", "guarded", 0.0)]);
+    papers["settings"]["offerings"] = json!([
+        class("chat", "free", 0.0),
+        class("till", "single_shot", 0.0),
+        class("seat", "guarded", 0.0)
+    ]);
     papers["settings"]["tenants"] = json!([{"name": "acme"}, {"name": "zeta"}]);
     let node = Node::start(&papers);
     // What each is answered when its host breaks: sent on, failed as it may have run, or dismissed as its window is over.
@@ -234,7 +286,10 @@
     host.hear();
     host.reset();
     strict.hears("ERR");
-    assert!(hosts.accept_soon().is_none(), "sent on by what its name meant before");
+    assert!(
+        hosts.accept_soon().is_none(),
+        "sent on by what its name meant before"
+    );
     asks_for(&node, "late", "acme").hears("ERR");
     let mut new = asks_for(&node, "late", "omega");
     let (_, mut host) = hosts.accept();
--- a/node/tests/silence.rs
+++ b/node/tests/silence.rs
@@ -55,19 +55,39 @@
             Node::start(&papers)
         };
         let nodes: Vec<Node> = (0..nodes).map(start).collect();
-        Site { service, referee, hosts, nodes, named: Cell::new(0) }
+        Site {
+            service,
+            referee,
+            hosts,
+            nodes,
+            named: Cell::new(0),
+        }
     }
 
     /// By when each node counts as told of what a silence from then on hides, by the wait that it asked for.
     fn told(&self, silent: Instant) -> Vec<Instant> {
-        let calls: Vec<(Instant, String)> =
-            self.service.seen().0.into_iter().zip(self.service.asked()).collect();
-        let wait = |path: &str| path.split("hold_ms=").nth(1).and_then(|ms| ms.parse().ok()).unwrap_or(0);
+        let calls: Vec<(Instant, String)> = self
+            .service
+            .seen()
+            .0
+            .into_iter()
+            .zip(self.service.asked())
+            .collect();
+        let wait = |path: &str| {
+            path.split("hold_ms=")
+                .nth(1)
+                .and_then(|ms| ms.parse().ok())
+                .unwrap_or(0)
+        };
         // Nodes that come later in the fleet wait less.
-        let mut out: Vec<(u64, Instant)> = calls.iter().map(|(at, path)| (wait(path), *at)).collect();
+        let mut out: Vec<(u64, Instant)> =
+            calls.iter().map(|(at, path)| (wait(path), *at)).collect();
         out.sort();
         let out = &out[out.len() - self.nodes.len()..];
-        out.iter().rev().map(|(wait, at)| (*at + ms(wait + 2000)).max(silent + ms(6000))).collect()
+        out.iter()
+            .rev()
+            .map(|(wait, at)| (*at + ms(wait + 2000)).max(silent + ms(6000)))
+            .collect()
     }
 
     fn drain(&self, host: usize) {
@@ -76,20 +96,31 @@
 
     /// Clients at each node until then; gives what reached hosts that drain, node by node.
     fn load(&self, until: Instant) -> Vec<Vec<Instant>> {
-        let from = self.named.replace(self.named.get() + self.nodes.len() as u64);
+        let from = self
+            .named
+            .replace(self.named.get() + self.nodes.len() as u64);
         thread::scope(|scope| {
             for (n, node) in self.nodes.iter().enumerate() {
                 let (address, referee) = (node.address, &self.referee);
                 scope.spawn(move || {
                     let mut clients = Clients::new(vec![address], referee, from + n as u64);
-                    clients.load(8.0, until.saturating_duration_since(Instant::now()), &[0], ms(20));
+                    clients.load(
+                        8.0,
+                        until.saturating_duration_since(Instant::now()),
+                        &[0],
+                        ms(20),
+                    );
                     clients.end();
                 });
             }
         });
         let mut reached = vec![Vec::new(); self.nodes.len()];
         for one in self.referee.reached().iter().filter(|one| one.host < DRAIN) {
-            let named = one.name.split('-').next().and_then(|n| usize::from_str_radix(n, 16).ok());
+            let named = one
+                .name
+                .split('-')
+                .next()
+                .and_then(|n| usize::from_str_radix(n, 16).ok());
             reached[named.unwrap() % self.nodes.len()].push(one.at);
         }
         reached
@@ -111,9 +142,14 @@
                 let told = site.told(silent);
                 let last = *told.iter().max().unwrap();
                 let reached = site.load(last + ms(2000));
-                assert!(reached.iter().any(|node| !node.is_empty()), "{mode}: too tame");
+                assert!(
+                    reached.iter().any(|node| !node.is_empty()),
+                    "{mode}: too tame"
+                );
                 for (node, (reached, told)) in reached.iter().zip(&told).enumerate() {
-                    let late = reached.iter().filter(|at| **at > *told + GRACE + SOCKETS + BUSY);
+                    let late = reached
+                        .iter()
+                        .filter(|at| **at > *told + GRACE + SOCKETS + BUSY);
                     assert_eq!(
                         late.count(),
                         0,
@@ -123,7 +159,11 @@
                 }
                 let calls = site.service.seen().0.len();
                 assert!(calls <= 4 * NODES, "{mode}: {calls} calls");
-                assert_eq!(site.referee.broken(ms(60_000)), Vec::<String>::new(), "{mode}");
+                assert_eq!(
+                    site.referee.broken(ms(60_000)),
+                    Vec::<String>::new(),
+                    "{mode}"
+                );
             });
         }
     });
@@ -157,7 +197,11 @@
                     site.drain(0);
                     site.referee.drains(0, true);
                     site.load(Instant::now() + ms(1500));
-                    assert_eq!(site.referee.broken(BUSY), Vec::<String>::new(), "{mode}, answer {n}");
+                    assert_eq!(
+                        site.referee.broken(BUSY),
+                        Vec::<String>::new(),
+                        "{mode}, answer {n}"
+                    );
                     let calls = site.service.seen().0.len();
                     assert!(calls <= 8, "{mode}, answer {n}: {calls} calls");
                 }
@@ -184,7 +228,11 @@
         site.drain(0);
         site.referee.drains(0, true);
         site.load(Instant::now() + ms(1500));
-        assert_eq!(site.referee.broken(BUSY), Vec::<String>::new(), "hangs: {hangs}");
+        assert_eq!(
+            site.referee.broken(BUSY),
+            Vec::<String>::new(),
+            "hangs: {hangs}"
+        );
     }
 }
 
@@ -192,7 +240,10 @@
 #[test]
 fn watches_that_end_at_once_with_nothing_storm_nobody() {
     let body = r#"{"revision":3,"complete":false,"members":[]}"#;
-    let nothing = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let nothing = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
     for mode in ["on_request", "pushed"] {
         let site = Site::new(mode, 1, 1);
         site.service.answer_instead(&vec![&nothing[..]; 100_000]);
@@ -209,7 +260,9 @@
         eventually("the drain is never heard of", || {
             let before = site.referee.reached().len();
             site.load(Instant::now() + ms(700));
-            site.referee.reached()[before..].iter().all(|one| one.host != 0)
+            site.referee.reached()[before..]
+                .iter()
+                .all(|one| one.host != 0)
         });
     }
 }
@@ -246,13 +299,18 @@
 fn a_list_that_begins_and_never_ends_is_asked_for_again_in_time() {
     for mode in ["on_request", "pushed"] {
         let site = Site::new(mode, 1, 1);
-        site.service.answer_instead(&["HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n{\"revision\":"]);
+        site.service
+            .answer_instead(&["HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n{\"revision\":"]);
         site.service.change(site.hosts.member(HOSTS - 1, "active"));
         site.service.calls(2);
         let begun = Instant::now();
         (0..HOSTS - 1).for_each(|host| site.drain(host));
         site.load(begun + ms(7500));
-        let reached = site.referee.reached().into_iter().filter(|one| one.host < HOSTS - 1);
+        let reached = site
+            .referee
+            .reached()
+            .into_iter()
+            .filter(|one| one.host < HOSTS - 1);
         let (late, before): (Vec<_>, Vec<_>) =
             reached.partition(|one| one.at > begun + ms(6000) + GRACE + SOCKETS + BUSY);
         assert_eq!(late.len(), 0, "{mode}");
@@ -280,7 +338,9 @@
     other.hears("PONG");
     service.change(named("leaving"));
     let told = Instant::now();
-    eventually("no time passes", || told.elapsed() > GRACE + SOCKETS + ms(50));
+    eventually("no time passes", || {
+        told.elapsed() > GRACE + SOCKETS + ms(50)
+    });
     listener.set_nonblocking(true).unwrap();
     let mut up = Vec::new();
     // The system asks for the connection again a second after the first time.
@@ -290,7 +350,10 @@
     });
     let late = up.pop().unwrap().0;
     late.set_nonblocking(false).unwrap();
-    assert!(["end", "reset"].contains(&Peer::new(late).hear().as_str()), "a line came");
+    assert!(
+        ["end", "reset"].contains(&Peer::new(late).hear().as_str()),
+        "a line came"
+    );
     assert!(client.hear().starts_with("BUSY"));
 }
 
@@ -308,14 +371,25 @@
     let late = |one: &&Reached| one.at > told + GRACE + SOCKETS + BUSY;
     let reached = site.referee.reached();
     assert!(reached.iter().any(|one| one.host == 0), "too tame");
-    assert_eq!(reached.iter().filter(late).count(), 0, "while it could not know");
-    assert_eq!(site.referee.broken(ms(60_000)), Vec::<String>::new(), "answered all the same");
+    assert_eq!(
+        reached.iter().filter(late).count(),
+        0,
+        "while it could not know"
+    );
+    assert_eq!(
+        site.referee.broken(ms(60_000)),
+        Vec::<String>::new(),
+        "answered all the same"
+    );
     site.service.turn_away(0);
     site.nodes[0].logs("watch begun");
     site.load(Instant::now() + ms(1000));
     let reached = site.referee.reached();
     let late: Vec<usize> = reached.iter().filter(late).map(|one| one.host).collect();
-    assert!(!late.is_empty() && late.iter().all(|host| *host == HOSTS - 1), "{late:?}");
+    assert!(
+        !late.is_empty() && late.iter().all(|host| *host == HOSTS - 1),
+        "{late:?}"
+    );
 }
 
 /// The term that goes before all others: what the service had and could be reached for counts as told so long after.
@@ -329,7 +403,10 @@
 #[test]
 fn however_a_watch_ends_nothing_new_goes_out_six_seconds_after_a_drain() {
     thread::scope(|scope| {
-        for (mode, ends) in ["on_request", "pushed"].into_iter().flat_map(|m| ENDS.map(|e| (m, e))) {
+        for (mode, ends) in ["on_request", "pushed"]
+            .into_iter()
+            .flat_map(|m| ENDS.map(|e| (m, e)))
+        {
             scope.spawn(move || {
                 // The last of hundreds, which call in turn.
                 let site = Site::with(Discovery::start(), mode, 3, 300, 60_000.0);
@@ -341,11 +418,16 @@
                 match ends {
                     "busy" => site.service.change(site.hosts.member(HOSTS - 1, "active")),
                     "garbled, then busy" => {
-                        site.service.answer_instead(&["HTTP/9 what\r\n\r\n", "what", "HTTP/9 what\r\n\r\n"]);
+                        site.service.answer_instead(&[
+                            "HTTP/9 what\r\n\r\n",
+                            "what",
+                            "HTTP/9 what\r\n\r\n",
+                        ]);
                         site.service.change(site.hosts.member(HOSTS - 1, "active"));
                     }
                     _ => {
-                        let members: Vec<_> = (0..HOSTS).map(|h| site.hosts.member(h, "active")).collect();
+                        let members: Vec<_> =
+                            (0..HOSTS).map(|h| site.hosts.member(h, "active")).collect();
                         site.service.restart(1, &members);
                     }
                 }
@@ -357,9 +439,21 @@
                 }
                 let reached = site.load(ended + TOLD + GRACE + BUSY + ms(2000));
                 let late = |at: &&Instant| **at > ended + TOLD + GRACE + SOCKETS + BUSY;
-                let last = reached.iter().flatten().max().map(|at| at.saturating_duration_since(ended));
-                assert_eq!(reached.iter().flatten().filter(late).count(), 0, "{mode}, {ends}: {last:?}");
-                assert_eq!(site.referee.broken(ms(60_000)), Vec::<String>::new(), "{mode}, {ends}");
+                let last = reached
+                    .iter()
+                    .flatten()
+                    .max()
+                    .map(|at| at.saturating_duration_since(ended));
+                assert_eq!(
+                    reached.iter().flatten().filter(late).count(),
+                    0,
+                    "{mode}, {ends}: {last:?}"
+                );
+                assert_eq!(
+                    site.referee.broken(ms(60_000)),
+                    Vec::<String>::new(),
+                    "{mode}, {ends}"
+                );
                 let calls = site.service.seen().0.len();
                 assert!(calls <= 3 * 20, "{mode}, {ends}: {calls} calls");
                 // It serves on once it has heard.
@@ -383,7 +477,10 @@
         let site = Site::with(service, mode, nodes, nodes, 60_000.0);
         let started = Instant::now();
         site.load(started + ms(3000));
-        assert!(!site.referee.reached().is_empty(), "{mode}, {nodes}: nobody is served");
+        assert!(
+            !site.referee.reached().is_empty(),
+            "{mode}, {nodes}: nobody is served"
+        );
         site.service.bound(10.0, ms(2000));
         let before = site.service.seen().0.len();
         site.drain(0);
@@ -391,10 +488,21 @@
         let back = Instant::now();
         let reached = site.load(back + TOLD + GRACE + BUSY + ms(1500));
         let late = |at: &&Instant| **at > back + TOLD + GRACE + SOCKETS + BUSY;
-        assert_eq!(reached.iter().flatten().filter(late).count(), 0, "{mode}, {nodes} nodes");
-        assert_eq!(site.referee.broken(ms(60_000)), Vec::<String>::new(), "{mode}, {nodes} nodes");
+        assert_eq!(
+            reached.iter().flatten().filter(late).count(),
+            0,
+            "{mode}, {nodes} nodes"
+        );
+        assert_eq!(
+            site.referee.broken(ms(60_000)),
+            Vec::<String>::new(),
+            "{mode}, {nodes} nodes"
+        );
         let calls = site.service.seen().0.len() - before;
-        assert!(calls <= 8 * nodes + 8, "{mode}, {nodes} nodes: {calls} calls");
+        assert!(
+            calls <= 8 * nodes + 8,
+            "{mode}, {nodes} nodes: {calls} calls"
+        );
     }
 }
 
@@ -412,7 +520,9 @@
                 let turned = site.service.seen().0.len();
                 site.service.turn_away(0);
                 // Whatever call gets through, those that wait by then are never answered.
-                let seen = |calls: usize| site.service.seen().0.len() - site.service.seen().1.len() >= calls;
+                let seen = |calls: usize| {
+                    site.service.seen().0.len() - site.service.seen().1.len() >= calls
+                };
                 eventually("no call gets through", || seen(1));
                 site.service.fall_silent();
                 let silent = Instant::now();
@@ -421,10 +531,16 @@
                 site.load(Instant::now() + ms(1000));
                 assert!(site.referee.reached().len() > before, "{mode}: shut");
                 let asked = site.service.asked();
-                let first =
-                    asked.iter().skip(turned.min(asked.len() - 1)).find(|path| path.contains("hold_ms"));
+                let first = asked
+                    .iter()
+                    .skip(turned.min(asked.len() - 1))
+                    .find(|path| path.contains("hold_ms"));
                 assert!(first.unwrap().ends_with("hold_ms=1"), "{mode}: {asked:?}");
-                assert_eq!(site.referee.broken(ms(60_000)), Vec::<String>::new(), "{mode}");
+                assert_eq!(
+                    site.referee.broken(ms(60_000)),
+                    Vec::<String>::new(),
+                    "{mode}"
+                );
             });
         }
     });
@@ -462,10 +578,18 @@
     let reached = site.referee.reached();
     let second = |after: u64| drained + ms(1000 * after)..drained + ms(1000 * (after + 1));
     for after in 0..12 {
-        let count = reached.iter().filter(|one| second(after).contains(&one.at)).count();
-        assert!(count > 0, "nothing reached any host {after} s after the watch failed");
+        let count = reached
+            .iter()
+            .filter(|one| second(after).contains(&one.at))
+            .count();
+        assert!(
+            count > 0,
+            "nothing reached any host {after} s after the watch failed"
+        );
     }
-    let late = reached.iter().filter(|one| one.host == 0 && one.at > drained + TOLD + GRACE + SOCKETS + BUSY);
+    let late = reached
+        .iter()
+        .filter(|one| one.host == 0 && one.at > drained + TOLD + GRACE + SOCKETS + BUSY);
     assert_eq!(late.count(), 0, "a host that had drained");
 }
 
@@ -492,11 +616,22 @@
     clients.end();
     let reached = referee.reached();
     let late = |one: &&Reached| one.at > started + GRACE + SOCKETS + BUSY;
-    let to_drained: Vec<_> = reached.iter().filter(late).filter(|one| one.host < HOSTS - 1).collect();
+    let to_drained: Vec<_> = reached
+        .iter()
+        .filter(late)
+        .filter(|one| one.host < HOSTS - 1)
+        .collect();
     let after: Vec<Duration> = to_drained.iter().map(|one| one.at - started).collect();
-    assert!(after.is_empty(), "hosts that drained before the process began: {after:?}, {:?}", node.logged());
+    assert!(
+        after.is_empty(),
+        "hosts that drained before the process began: {after:?}, {:?}",
+        node.logged()
+    );
     assert_eq!(referee.broken(ms(60_000)), Vec::<String>::new());
-    let served = reached.iter().filter(|one| one.at > started + ms(1500)).count();
+    let served = reached
+        .iter()
+        .filter(|one| one.at > started + ms(1500))
+        .count();
     assert!(served > 30, "{served} once the list had come");
 }
 
@@ -522,9 +657,13 @@
         let soon = if hangs { ms(2500) } else { ms(200) };
         let reached = referee.reached();
         for from in [soon, ms(3000)] {
-            let within = |one: &&Reached| (started + from..started + from + ms(1000)).contains(&one.at);
+            let within =
+                |one: &&Reached| (started + from..started + from + ms(1000)).contains(&one.at);
             let count = reached.iter().filter(within).count();
-            assert!(count > 10, "hangs {hangs}: {count} in the second after {from:?}");
+            assert!(
+                count > 10,
+                "hangs {hangs}: {count} in the second after {from:?}"
+            );
         }
     }
 }
--- a/node/tests/soak.rs
+++ b/node/tests/soak.rs
@@ -9,12 +9,32 @@
 /// misbehave meet.
 #[test]
 fn no_rule_is_broken_where_troubles_overlap() {
-    let size = Size { processes: 12, hosts: 6, span: Duration::from_secs(5), rate: 80.0, overlap: 3 };
+    let size = Size {
+        processes: 12,
+        hosts: 6,
+        span: Duration::from_secs(5),
+        rate: 80.0,
+        overlap: 3,
+    };
     for seed in [1, 2, 6] {
         let found = play(seed, &size);
-        let count = |name: &str| found.figures.get(name).and_then(|v| v.as_u64()).unwrap_or(0);
-        assert!(count("served") > 100 && count("calls spoilt") > 20, "too tame: {:?}", found.figures);
+        let count = |name: &str| {
+            found
+                .figures
+                .get(name)
+                .and_then(|v| v.as_u64())
+                .unwrap_or(0)
+        };
+        assert!(
+            count("served") > 100 && count("calls spoilt") > 20,
+            "too tame: {:?}",
+            found.figures
+        );
         let drawn = Schedule::draw(seed, &size);
-        assert!(found.broken.is_empty(), "seed {seed}: {:#?} under\n{drawn}", found.broken);
+        assert!(
+            found.broken.is_empty(),
+            "seed {seed}: {:#?} under\n{drawn}",
+            found.broken
+        );
     }
 }
--- a/node/tests/sockets.rs
+++ b/node/tests/sockets.rs
@@ -33,7 +33,10 @@
         .unwrap()
         .parse()
         .unwrap();
-    assert!(line.ends_with(",g=5c0f,r=1,zz=9") && (100..2000).contains(&wait), "{line}");
+    assert!(
+        line.ends_with(",g=5c0f,r=1,zz=9") && (100..2000).contains(&wait),
+        "{line}"
+    );
     host.write("UP 77aa\r\nLOAD 2500\r\nhalf");
     client.hears("UP 77aa");
     client.hears("LOAD 2500");
@@ -103,7 +106,9 @@
 #[test]
 fn an_irreversible_one_that_may_have_run_is_given_up_and_never_sent_again() {
     let hosts = Hosts::start(3);
-    let (node, _) = start(&hosts, |p| p["settings"]["offerings"][0]["effect"] = json!("single_shot"));
+    let (node, _) = start(&hosts, |p| {
+        p["settings"]["offerings"][0]["effect"] = json!("single_shot")
+    });
     let mut client = node.open(OPEN);
     let (_, mut host) = hosts.accept();
     host.hear();
@@ -146,7 +151,11 @@
     let (mut client, number, mut host) = node.served(&hosts);
     host.write("half");
     assert_eq!(client.bytes(4), b"half");
-    discovery.change(member(number, &hosts.addresses[number].to_string(), "leaving"));
+    discovery.change(member(
+        number,
+        &hosts.addresses[number].to_string(),
+        "leaving",
+    ));
     // Served at the other one, since the node has been told.
     eventually("new ones go on to the host that leaves", || {
         let mut client = node.open(OPEN);
@@ -205,7 +214,8 @@
         client.hears("UP 5");
     }
     // One that the known list does not hold yet is waited for, as long as the client waits.
-    node.open(&format!("{OPEN},at=s-9").replace("d=2000", "d=300")).hears("ERR");
+    node.open(&format!("{OPEN},at=s-9").replace("d=2000", "d=300"))
+        .hears("ERR");
     let mut client = node.open(&format!("{OPEN},at=s-3"));
     hosts.add();
     discovery.change(member(3, &hosts.addresses[3].to_string(), "active"));
@@ -222,7 +232,9 @@
 #[test]
 fn bad_clients_are_turned_away_in_time_and_none_is_served() {
     let hosts = Hosts::start(2);
-    let (mut node, _) = start(&hosts, |p| p["limits"] = json!({"memory_mb": 32, "sockets": 256}));
+    let (mut node, _) = start(&hosts, |p| {
+        p["limits"] = json!({"memory_mb": 32, "sockets": 256})
+    });
     let (mut client, _, mut host) = node.served(&hosts);
     let mut held = node.open("OPEN feed 7f3a c=chat,t=acme,d=2000");
     let (_, mut holder) = hosts.accept();
@@ -315,7 +327,9 @@
     let mut endless = Peer::connect(node.address);
     endless.write("x");
     let sender =
-        std::thread::spawn(move || while std::io::Write::write_all(&mut endless.stream, &piece).is_ok() {});
+        std::thread::spawn(
+            move || while std::io::Write::write_all(&mut endless.stream, &piece).is_ok() {},
+        );
     for _ in 0..20 {
         let began = Instant::now();
         let (client, _, mut host) = node.served(&hosts);
@@ -330,14 +344,19 @@
 #[test]
 fn hundreds_of_silent_clients_take_no_descriptor_that_others_need() {
     let hosts = Hosts::start(1);
-    let (node, _) = start(&hosts, |p| p["limits"] = json!({"memory_mb": 32, "sockets": 256}));
+    let (node, _) = start(&hosts, |p| {
+        p["limits"] = json!({"memory_mb": 32, "sockets": 256})
+    });
     let mut served = Vec::new();
     let mut silent = Vec::new();
     for n in 0..40 {
         silent.extend((0..15).map(|_| Peer::connect(node.address)));
         let began = Instant::now();
         served.push(node.served(&hosts));
-        assert!(began.elapsed() < Duration::from_secs(1), "the {n}th waits for the silent");
+        assert!(
+            began.elapsed() < Duration::from_secs(1),
+            "the {n}th waits for the silent"
+        );
         assert!(node.descriptors() <= 256);
     }
     for (mut client, _, mut host) in served {
@@ -354,10 +373,14 @@
     let long = "x".repeat(5000);
     let (mut other, _, mut bad) = node.served(&hosts);
     bad.write(&long);
-    eventually("an over-long line ends its connection", || other.hear() == "reset");
+    eventually("an over-long line ends its connection", || {
+        other.hear() == "reset"
+    });
     let (mut bad, _, mut other) = node.served(&hosts);
     bad.write(&long);
-    eventually("an over-long line ends its connection", || other.hear() == "reset");
+    eventually("an over-long line ends its connection", || {
+        other.hear() == "reset"
+    });
     client.say("still");
     host.hears("still");
     assert!(node.runs());
@@ -371,9 +394,15 @@
     discovery.calls(1);
     discovery.change(member(7, "127.0.0.1:9", "active"));
     let gaps = discovery.calls(2);
-    assert!(gaps.iter().all(|g| *g < Duration::from_millis(200)), "{gaps:?}");
+    assert!(
+        gaps.iter().all(|g| *g < Duration::from_millis(200)),
+        "{gaps:?}"
+    );
     // Cut, garbled, refused: each ends one call, and none the node.
-    let (head, cut) = ("HTTP/1.1 200 OK\r\n", "{\"revision\":9,\"complete\":true,\"members\":[");
+    let (head, cut) = (
+        "HTTP/1.1 200 OK\r\n",
+        "{\"revision\":9,\"complete\":true,\"members\":[",
+    );
     discovery.answer_instead(&[
         "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
         &format!("{head}Content-Length: {}\r\n\r\n{cut}", cut.len()),
@@ -409,7 +438,10 @@
     discovery.calls(before + 2);
     discovery.restart(0, &[]);
     discovery.calls(before + 4);
-    let held: Vec<bool> = discovery.asked()[before..].iter().map(|a| !a.ends_with("hold_ms=1")).collect();
+    let held: Vec<bool> = discovery.asked()[before..]
+        .iter()
+        .map(|a| !a.ends_with("hold_ms=1"))
+        .collect();
     assert_eq!(held[..4], [false, true, false, true]);
 }
 
@@ -420,28 +452,47 @@
     let mut hosts = Hosts::start(1);
     hosts.add();
     let (mut node, discovery) = start(&hosts, |_| {});
-    let addresses = [hosts.addresses[0].to_string(), hosts.addresses[1].to_string()];
+    let addresses = [
+        hosts.addresses[0].to_string(),
+        hosts.addresses[1].to_string(),
+    ];
     discovery.change(member(1, &addresses[1], "active"));
     discovery.change(member(0, &addresses[0], "leaving"));
     discovery.change(member(7, "127.0.0.1:9", "leaving"));
     node.logs("name: s-7");
     let list = |revision: u64, complete: bool, members: &str| {
-        let body = format!("{{\"revision\":{revision},\"complete\":{complete},\"members\":[{members}]}}");
-        format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+        let body =
+            format!("{{\"revision\":{revision},\"complete\":{complete},\"members\":[{members}]}}");
+        format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        )
     };
     let old = member(0, &addresses[0], "active").to_string();
-    discovery.answer_instead(&[&list(0, false, &old), &list(9, false, "{\"id\":7,\"phase\":[]}")]);
+    discovery.answer_instead(&[
+        &list(0, false, &old),
+        &list(9, false, "{\"id\":7,\"phase\":[]}"),
+    ]);
     discovery.change(member(8, "127.0.0.1:9", "left"));
     node.logs("a revision that runs backwards");
     node.logs("discovery call failed");
     node.logs("watch begun");
     let served: Vec<_> = (0..6).map(|_| node.served(&hosts)).collect();
-    assert!(served.iter().all(|(_, at, _)| *at == 1), "new work for a host that drains");
+    assert!(
+        served.iter().all(|(_, at, _)| *at == 1),
+        "new work for a host that drains"
+    );
     // Nobody is listed: each client is told so at once, until somebody is.
     discovery.answer_instead(&[&list(50, true, "")]);
     discovery.change(member(8, "127.0.0.1:9", "left"));
-    eventually("an empty list is not taken up", || node.open(OPEN).hear().starts_with("BUSY"));
-    discovery.answer_instead(&[&list(51, false, &member(1, &addresses[1], "active").to_string())]);
+    eventually("an empty list is not taken up", || {
+        node.open(OPEN).hear().starts_with("BUSY")
+    });
+    discovery.answer_instead(&[&list(
+        51,
+        false,
+        &member(1, &addresses[1], "active").to_string(),
+    )]);
     discovery.change(member(8, "127.0.0.1:9", "left"));
     eventually("the host is never used again", || {
         let _client = node.open(OPEN);
@@ -473,7 +524,10 @@
     papers["limits"]["sockets"] = json!(300);
     node.reread(&papers.to_string());
     node.logs("kept until the next start, node: n0, parts: limits");
-    node.logs(&format!("watch begun, node: n0, at: {}, revision: 1", new.address));
+    node.logs(&format!(
+        "watch begun, node: n0, at: {}, revision: 1",
+        new.address
+    ));
     let others: Vec<_> = (0..3).map(|_| node.served(&hosts)).collect();
     assert!(others.iter().all(|(_, at, _)| *at == 1));
     client.say("still");
@@ -550,7 +604,11 @@
                 return on;
             }
             looked.set(looked.get() || on == first);
-            host.say(if on == first { "PONG util=1,x0=1.5" } else { "PONG util=0.2,x0=0.2" });
+            host.say(if on == first {
+                "PONG util=1,x0=1.5"
+            } else {
+                "PONG util=0.2,x0=0.2"
+            });
         }
     };
     assert!((0..4).all(|_| serving() != first));
@@ -589,8 +647,12 @@
             p["settings"]["policy_limits"]["may_probe"] = json!(false);
         }),
         ("reporting.fields", |p| by_probe(p, &["qps"])),
-        ("policy_limits.peers", |p| p["settings"]["policy_limits"]["peers"] = json!(true)),
-        ("registry_mode", |p| p["settings"]["registry_mode"] = json!("now and then")),
+        ("policy_limits.peers", |p| {
+            p["settings"]["policy_limits"]["peers"] = json!(true)
+        }),
+        ("registry_mode", |p| {
+            p["settings"]["registry_mode"] = json!("now and then")
+        }),
     ];
     let node = Node::start(&good);
     for (key, mix) in mixes {
@@ -598,7 +660,10 @@
         mix(&mut papers);
         let ended = program(&papers.to_string()).output().unwrap();
         let said = String::from_utf8(ended.stderr).unwrap();
-        assert!(ended.status.code() == Some(1) && said.lines().count() == 1 && said.contains(key), "{said}");
+        assert!(
+            ended.status.code() == Some(1) && said.lines().count() == 1 && said.contains(key),
+            "{said}"
+        );
         node.reread(&papers.to_string());
         assert!(node.logs("papers not taken up").contains(key));
     }
@@ -611,10 +676,17 @@
     std::fs::write(folder.join("papers.json"), papers.to_string()).unwrap();
     let articles = folder.join("node.toml");
     std::fs::write(&articles, "papers = \"papers.json\"\n[node]\n").unwrap();
-    let ended = Command::new(program::path()).arg("check").arg(&articles).output().unwrap();
+    let ended = Command::new(program::path())
+        .arg("check")
+        .arg(&articles)
+        .output()
+        .unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
     let said = String::from_utf8(ended.stderr).unwrap();
-    assert!(ended.status.code() == Some(1) && said.contains("node.toml:2: policy_limits.peers"), "{said}");
+    assert!(
+        ended.status.code() == Some(1) && said.contains("node.toml:2: policy_limits.peers"),
+        "{said}"
+    );
     assert_eq!(said.lines().count(), 1);
 }
 
@@ -687,7 +759,11 @@
 #[test]
 fn so_they_are_where_the_system_allows_fewer_than_the_papers() {
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
-    crowd(Node::start_within(&papers(&hosts, discovery.address), 96), &hosts, &discovery);
+    crowd(
+        Node::start_within(&papers(&hosts, discovery.address), 96),
+        &hosts,
+        &discovery,
+    );
 }
 
 /// Opens more connections than 96 descriptors carry.
@@ -700,7 +776,10 @@
         let mut client = node.open(OPEN);
         // The host answers whoever comes; a client that is refused never gets there.
         let answer = {
-            client.stream.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
+            client
+                .stream
+                .set_read_timeout(Some(Duration::from_millis(1)))
+                .unwrap();
             if let Some((_, mut host)) = hosts.accept_soon() {
                 host.hear();
                 host.say("UP 1");
@@ -718,10 +797,16 @@
         std::mem::forget(client);
     }
     node.logs("out of descriptors");
-    assert!(served.len() >= 20 && refused >= 10, "{} served, {refused} refused", served.len());
+    assert!(
+        served.len() >= 20 && refused >= 10,
+        "{} served, {refused} refused",
+        served.len()
+    );
     drop(served);
     node.logs("descriptors to spare again");
-    eventually("descriptors are lost", || node.descriptors() <= before + refused);
+    eventually("descriptors are lost", || {
+        node.descriptors() <= before + refused
+    });
     assert!(node.runs());
 }
 
@@ -742,7 +827,10 @@
     let (mut client, _, mut other) = node.served(&hosts);
     client.say("quick");
     other.hears("quick");
-    assert!(!writer.is_finished(), "the node took in twenty megabytes for one client");
+    assert!(
+        !writer.is_finished(),
+        "the node took in twenty megabytes for one client"
+    );
     for n in 0..lines {
         assert_eq!(slow.bytes(1000), line.as_bytes(), "line {n}");
     }
@@ -763,7 +851,10 @@
         ("/settings/offerings/0/effect", json!("odd")),
         ("/known/members/0/phase", json!("asleep")),
         // Guards: a list beyond the bound that is cut off in silence.
-        ("/known/members", json!(vec![member(0, "127.0.0.1:9", "active"); 65_537])),
+        (
+            "/known/members",
+            json!(vec![member(0, "127.0.0.1:9", "active"); 65_537]),
+        ),
     ] {
         let mut bad = good.clone();
         *bad.pointer_mut(path).unwrap() = value;
@@ -772,11 +863,17 @@
     for text in all {
         let output = program(&text).output().unwrap();
         let said = String::from_utf8(output.stderr).unwrap();
-        assert!(!output.status.success() && said.starts_with("reedferry: "), "{text}: {said}");
+        assert!(
+            !output.status.success() && said.starts_with("reedferry: "),
+            "{text}: {said}"
+        );
         assert_eq!(said.trim_end().lines().count(), 1, "{said}");
     }
     let output = program("").env_remove("GW_CONFIG").output().unwrap();
-    assert_eq!(String::from_utf8(output.stderr).unwrap(), "reedferry: GW_CONFIG is not set\n");
+    assert_eq!(
+        String::from_utf8(output.stderr).unwrap(),
+        "reedferry: GW_CONFIG is not set\n"
+    );
 }
 
 /// Guards: lists, fleets or lines of the log that are cut off at some bound.
@@ -784,8 +881,13 @@
 fn eleven_hundred_hosts_in_a_fleet_of_eleven_hundred_nodes_are_all_known() {
     const MANY: usize = 1100;
     let hosts = Hosts::start(2);
-    let named =
-        |n: usize, phase: &str| member(n, &hosts.addresses[usize::from(n + 1 == MANY)].to_string(), phase);
+    let named = |n: usize, phase: &str| {
+        member(
+            n,
+            &hosts.addresses[usize::from(n + 1 == MANY)].to_string(),
+            phase,
+        )
+    };
     let discovery = Discovery::start();
     (0..MANY).for_each(|n| discovery.change(named(n, "active")));
     let mut papers = papers(&hosts, discovery.address);
--- a/node/tests/stopping.rs
+++ b/node/tests/stopping.rs
@@ -51,7 +51,11 @@
     for (mut client, _, _host) in all {
         let end = client.hear();
         assert!(["end", "reset"].contains(&end.as_str()), "{end}");
-        assert!(began.elapsed() < ended_outside(2000), "held for {:?}", began.elapsed());
+        assert!(
+            began.elapsed() < ended_outside(2000),
+            "held for {:?}",
+            began.elapsed()
+        );
     }
     assert!(node.wait().success());
 }
@@ -70,7 +74,11 @@
     node.stop();
     for (mut client, _, _host) in all {
         client.hears("MOVE");
-        assert!(began.elapsed() < ended_outside(1000), "held for {:?}", began.elapsed());
+        assert!(
+            began.elapsed() < ended_outside(1000),
+            "held for {:?}",
+            began.elapsed()
+        );
     }
     assert!(node.wait().success());
 }
@@ -92,7 +100,11 @@
         node.stop();
         let said = client.hear();
         assert!(said.starts_with(answer), "{effect}: {said}");
-        assert!(began.elapsed() < ended_outside(9000), "{effect}: {:?}", began.elapsed());
+        assert!(
+            began.elapsed() < ended_outside(9000),
+            "{effect}: {:?}",
+            began.elapsed()
+        );
         client.hears("end");
         host.hears("end");
         assert!(node.wait().success());
@@ -120,7 +132,11 @@
         client.hears("BUSY");
         client.hears("end");
     }
-    assert!(began.elapsed() < ended_outside(900), "held for {:?}", began.elapsed());
+    assert!(
+        began.elapsed() < ended_outside(900),
+        "held for {:?}",
+        began.elapsed()
+    );
     assert!(node.wait().success());
     assert!(hosts.accept_soon().is_none(), "sent on after the shutdown");
 }
@@ -128,7 +144,11 @@
 /// A host's listener that a test takes connections from when it likes, and the list that names it.
 fn slow_host() -> (std::net::TcpListener, std::net::TcpStream, Value) {
     let (listener, first) = jammed();
-    let members = json!([member(0, &listener.local_addr().unwrap().to_string(), "active")]);
+    let members = json!([member(
+        0,
+        &listener.local_addr().unwrap().to_string(),
+        "active"
+    )]);
     (listener, first, members)
 }
 
@@ -191,7 +211,11 @@
         client.hears("end");
         host.hears("end");
     }
-    assert!(began.elapsed() < ended_outside(2000), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < ended_outside(2000),
+        "{:?}",
+        began.elapsed()
+    );
     assert!(node.wait().success());
 }
 
@@ -217,7 +241,9 @@
     node.stand_still();
     crowd.iter_mut().for_each(|other| other.write("O"));
     host.say("UP 7");
-    eventually("no time passes", || began.elapsed() > ended_outside(9000) - ms(170));
+    eventually("no time passes", || {
+        began.elapsed() > ended_outside(9000) - ms(170)
+    });
     node.go_on();
     client.hears("UP 7");
     client.hears("MOVE");
--- a/node/tests/succession.rs
+++ b/node/tests/succession.rs
@@ -21,7 +21,13 @@
         let (hosts, discovery) = (Hosts::start(hosts), Discovery::start());
         let mut papers = papers(&hosts, discovery.address);
         papers["ops"] = json!("127.0.0.1:0");
-        Site { hosts, _discovery: discovery, papers, listener: listener(), folder: folder() }
+        Site {
+            hosts,
+            _discovery: discovery,
+            papers,
+            listener: listener(),
+            folder: folder(),
+        }
     }
 
     fn start(&self) -> Node {
@@ -61,7 +67,8 @@
         host.write("do");
     }
     eventually("half a line has come", || {
-        open.iter_mut().all(|(client, ..)| client.stream.peek(&mut [0; 2]).is_ok())
+        open.iter_mut()
+            .all(|(client, ..)| client.stream.peek(&mut [0; 2]).is_ok())
     });
     let mut twice = Vec::new();
     for _ in 0..2 {
@@ -69,7 +76,11 @@
         predecessor.stop();
         let asked = Instant::now();
         ended(&mut predecessor);
-        assert!(asked.elapsed() < Duration::from_secs(2), "it leaves early: {:?}", asked.elapsed());
+        assert!(
+            asked.elapsed() < Duration::from_secs(2),
+            "it leaves early: {:?}",
+            asked.elapsed()
+        );
         twice.push(std::mem::replace(&mut predecessor, successor));
     }
     for (client, _, host) in &mut open {
@@ -88,7 +99,8 @@
     client.hears("end");
     // And the rest is moved when nobody follows.
     predecessor.stop();
-    open.iter_mut().for_each(|(client, ..)| client.hears("MOVE"));
+    open.iter_mut()
+        .for_each(|(client, ..)| client.hears("MOVE"));
     ended(&mut predecessor);
 }
 
@@ -148,9 +160,14 @@
     successor.stand_still();
     predecessor.stop();
     let asked = Instant::now();
-    open.iter_mut().for_each(|(client, ..)| client.hears("MOVE"));
+    open.iter_mut()
+        .for_each(|(client, ..)| client.hears("MOVE"));
     // The longest expiry, and what is granted beyond it.
-    assert!(asked.elapsed() < Duration::from_millis(2700), "{:?}", asked.elapsed());
+    assert!(
+        asked.elapsed() < Duration::from_millis(2700),
+        "{:?}",
+        asked.elapsed()
+    );
     ended(&mut predecessor);
     successor.go_on();
     let _served = successor.served(&site.hosts);
@@ -162,7 +179,13 @@
 #[test]
 fn whatever_lies_in_the_folder_a_node_starts_and_is_followed() {
     let garbled = |at: &Path| std::fs::write(at.join("reedferry.next"), "garbled").unwrap();
-    let stale = |at: &Path| drop(Budget::new(64).listen_at(&at.join("reedferry.next")).unwrap());
+    let stale = |at: &Path| {
+        drop(
+            Budget::new(64)
+                .listen_at(&at.join("reedferry.next"))
+                .unwrap(),
+        )
+    };
     let prepared: [&dyn Fn(&Path); 2] = [&garbled, &stale];
     for prepare in prepared {
         let site = Site::new(1);
@@ -208,9 +231,15 @@
 fn a_descriptor_that_is_no_listener_is_one_plain_line_and_no_start() {
     let site = Site::new(1);
     for named in ["three", "", "-1", "999", "0", "99999999999999999999"] {
-        let output = program_at(&site.papers.to_string(), named, &site.folder).output().unwrap();
+        let output = program_at(&site.papers.to_string(), named, &site.folder)
+            .output()
+            .unwrap();
         let said = String::from_utf8(output.stderr).unwrap();
-        assert_eq!((output.status.code(), said.lines().count()), (Some(1), 1), "{named}: {said}");
+        assert_eq!(
+            (output.status.code(), said.lines().count()),
+            (Some(1), 1),
+            "{named}: {said}"
+        );
         assert!(said.contains("GW_ACCEPT_FD"), "{said}");
     }
 }
@@ -275,7 +304,11 @@
     clients.end();
     let broken = referee.broken(ms(150));
     assert!(broken.is_empty(), "{broken:#?}");
-    assert_eq!(referee.lived().len(), clients.started(), "some were lost at the listener");
+    assert_eq!(
+        referee.lived().len(),
+        clients.started(),
+        "some were lost at the listener"
+    );
 }
 
 /// A class of the settings.
@@ -290,13 +323,22 @@
 fn connections_keep_their_own_terms_in_a_next_process_with_other_settings() {
     let mut site = Site::new(2);
     std::env::set_var("REEDFERRY_TRACE", "1");
-    site.papers["settings"]["offerings"] =
-        json!([class("chat", "free"), class("till", "single_shot"), class("seat", "guarded")]);
+    site.papers["settings"]["offerings"] = json!([
+        class("chat", "free"),
+        class("till", "single_shot"),
+        class("seat", "guarded")
+    ]);
     site.papers["settings"]["tenants"] = json!([{"name": "acme"}, {"name": "zeta"}]);
     let mut predecessor = site.start();
     let mut open = Vec::new();
-    for (name, tenant) in [("chat", "acme"), ("till", "zeta"), ("seat", "acme"), ("seat", "zeta")] {
-        let mut client = predecessor.open(&OPEN.replace("c=chat,t=acme", &format!("c={name},t={tenant}")));
+    for (name, tenant) in [
+        ("chat", "acme"),
+        ("till", "zeta"),
+        ("seat", "acme"),
+        ("seat", "zeta"),
+    ] {
+        let mut client =
+            predecessor.open(&OPEN.replace("c=chat,t=acme", &format!("c={name},t={tenant}")));
         let (_, mut host) = site.hosts.accept();
         host.hear();
         host.say("UP 77aa");
@@ -304,16 +346,21 @@
         open.push((client, host));
     }
     // `chat` is gone, `seat` means something else, `late` is new and stands first.
-    site.papers["settings"]["offerings"] =
-        json!([class("late", "single_shot"), class("seat", "free"), class("till", "single_shot")]);
+    site.papers["settings"]["offerings"] = json!([
+        class("late", "single_shot"),
+        class("seat", "free"),
+        class("till", "single_shot")
+    ]);
     let mut successor = site.start();
     predecessor.stop();
     ended(&mut predecessor);
     let mut places = Vec::new();
     for _ in 0..open.len() {
         let line = successor.logs("event PassedOn");
-        let place =
-            line.split("offering: ").nth(1).and_then(|rest| rest.split(',').next()?.parse::<usize>().ok());
+        let place = line
+            .split("offering: ")
+            .nth(1)
+            .and_then(|rest| rest.split(',').next()?.parse::<usize>().ok());
         places.push(place.unwrap());
     }
     places.sort_unstable();
@@ -362,7 +409,9 @@
         loop {
             match self.budget.receive_with(&self.line, &mut space) {
                 Ok((length, _given)) => return space[..length].to_vec(),
-                Err(e) if e.raw_os_error() == 11 => assert!(Instant::now() < until, "nothing comes"),
+                Err(e) if e.raw_os_error() == 11 => {
+                    assert!(Instant::now() < until, "nothing comes")
+                }
                 Err(_) => return Vec::new(),
             }
             std::thread::yield_now();
@@ -397,7 +446,11 @@
         host.hears("end");
     }
     rests.hears("BUSY");
-    assert!(asked.elapsed() < Duration::from_millis(2700), "{:?}", asked.elapsed());
+    assert!(
+        asked.elapsed() < Duration::from_millis(2700),
+        "{:?}",
+        asked.elapsed()
+    );
     assert!(stranger.hear().is_empty(), "given again");
     ended(&mut predecessor);
 }
--- a/node/tests/two_tier.rs
+++ b/node/tests/two_tier.rs
@@ -41,7 +41,11 @@
         .referee
         .lived()
         .iter()
-        .filter(|l| l.answers.first().is_some_and(|(_, said)| said.starts_with(with)))
+        .filter(|l| {
+            l.answers
+                .first()
+                .is_some_and(|(_, said)| said.starts_with(with))
+        })
         .count()
 }
 
@@ -63,10 +67,17 @@
     let latest = all.iter().filter_map(|(_, took)| *took).max().unwrap();
     assert!(latest < ms(700), "a first hand-off after {latest:?}");
     // A second after the death decisions take their usual time.
-    let late =
-        |l: &reedferry_rig::acting::Lived, took: Duration| l.asked > killed + ms(1000) && took > ms(50);
-    let slow = all.iter().filter(|(l, took)| took.is_some_and(|t| late(l, t))).count();
-    assert!(slow * 20 <= count, "{slow} of {count} slow a second after the death");
+    let late = |l: &reedferry_rig::acting::Lived, took: Duration| {
+        l.asked > killed + ms(1000) && took > ms(50)
+    };
+    let slow = all
+        .iter()
+        .filter(|(l, took)| took.is_some_and(|t| late(l, t)))
+        .count();
+    assert!(
+        slow * 20 <= count,
+        "{slow} of {count} slow a second after the death"
+    );
 }
 
 #[test]
@@ -94,7 +105,9 @@
     let mut tiers = Tiers::start(2, 2, 3, 3);
     let mut standing = load(&tiers, 3);
     (0..200).for_each(|_| standing.come(0, Duration::from_secs(30)));
-    eventually("some stand", || tiers.hosts.standing().iter().sum::<u32>() == 200);
+    eventually("some stand", || {
+        tiers.hosts.standing().iter().sum::<u32>() == 200
+    });
     (0..2).for_each(|n| tiers.kill_planner(n));
     std::thread::sleep(ms(300));
     let mut clients = load(&tiers, 4);
@@ -104,9 +117,16 @@
     assert_eq!(lived.len(), 40);
     for one in &lived {
         let (at, said) = &one.answers[0];
-        assert!(said.starts_with("BUSY ") && *at < one.asked + ms(100), "{one:?}");
+        assert!(
+            said.starts_with("BUSY ") && *at < one.asked + ms(100),
+            "{one:?}"
+        );
     }
-    assert_eq!(tiers.hosts.standing().iter().sum::<u32>(), 200, "open connections flow on");
+    assert_eq!(
+        tiers.hosts.standing().iter().sum::<u32>(),
+        200,
+        "open connections flow on"
+    );
     // Back at once, with empty memories.
     (0..2).for_each(|n| tiers.start_planner(n));
     for forwarder in &tiers.forwarders {
@@ -127,7 +147,11 @@
     let mut tiers = Tiers::start(2, 2, 3, 5);
     let mut clients = load(&tiers, 5);
     clients.load(200.0, ms(500), &[0], HOLDS);
-    tiers.relays.iter().flatten().for_each(|r| r.down.cut.store(true, SeqCst));
+    tiers
+        .relays
+        .iter()
+        .flatten()
+        .for_each(|r| r.down.cut.store(true, SeqCst));
     tiers.drain(0, true);
     clients.load(200.0, ms(700), &[0], HOLDS);
     tiers.heal();
@@ -161,7 +185,9 @@
     // A forwarder that is asked to stop answers what comes, moves what stands, and ends by itself.
     let mut standing = load(&tiers, 7);
     (0..30).for_each(|_| standing.come(0, Duration::from_secs(30)));
-    eventually("some stand", || tiers.hosts.standing().iter().sum::<u32>() == 30);
+    eventually("some stand", || {
+        tiers.hosts.standing().iter().sum::<u32>() == 30
+    });
     let forwarder = &mut tiers.forwarders[0];
     forwarder.stop();
     forwarder.logs("leaving held=10");
@@ -211,19 +237,26 @@
     let all: [(&[u8], &str); 3] = [
         (&[0xff; 4096], "a frame that is too long"),
         (&older, "version 0 of the link"),
-        (b"GET / HTTP/1.1\r\nHost: here\r\n\r\n", "a frame that is too long"),
+        (
+            b"GET / HTTP/1.1\r\nHost: here\r\n\r\n",
+            "a frame that is too long",
+        ),
     ];
     for (bytes, why) in all {
         let mut stream = TcpStream::connect(planner.address).unwrap();
         stream.write_all(bytes).unwrap();
-        stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+        stream
+            .set_read_timeout(Some(Duration::from_secs(5)))
+            .unwrap();
         let mut rest = Vec::new();
         _ = stream.read_to_end(&mut rest);
         planner.logs(why);
     }
     // One that says nothing is not waited for either.
     let mut stream = TcpStream::connect(planner.address).unwrap();
-    stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_secs(5)))
+        .unwrap();
     assert_eq!(stream.read(&mut [0; 8]).unwrap_or(0), 0);
     planner.logs("no greeting in time");
     assert!(planner.memory() < before + (2 << 20));
@@ -255,7 +288,9 @@
     clients.load(80.0, ms(300), &[0, 1, 2], HOLDS);
     let mut done = Vec::new();
     for n in 0..2 {
-        let draw = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15).rotate_left(20 * n as u32 + 7);
+        let draw = seed
+            .wrapping_mul(0x9E37_79B9_7F4A_7C15)
+            .rotate_left(20 * n as u32 + 7);
         done.push(tiers.fault(
             (seed + n * (seed / FAULTS + 3)) % FAULTS,
             draw as usize >> 8,
@@ -268,7 +303,10 @@
     clients.load(80.0, ms(800), &[0, 1, 2], HOLDS);
     clients.end();
     judged(&tiers, &format!("day {seed}: {done:?}"));
-    assert!(answered(&tiers, "UP") * 2 > tiers.referee.lived().len(), "day {seed}: {done:?}");
+    assert!(
+        answered(&tiers, "UP") * 2 > tiers.referee.lived().len(),
+        "day {seed}: {done:?}"
+    );
 }
 
 #[test]
@@ -280,14 +318,23 @@
     (0..10).for_each(|_| clients.come(2, HOLDS));
     clients.end();
     judged(&tiers, "broken off");
-    assert_eq!((answered(&tiers, "ERR"), tiers.referee.reached().len()), (10, 10));
+    assert_eq!(
+        (answered(&tiers, "ERR"), tiers.referee.reached().len()),
+        (10, 10)
+    );
 }
 
 #[test]
 fn check_says_what_is_wrong_and_where_without_starting() {
     let _turn = alone();
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy");
-    let check = |file: &std::path::Path| Command::new(path()).arg("check").arg(file).output().unwrap();
+    let check = |file: &std::path::Path| {
+        Command::new(path())
+            .arg("check")
+            .arg(file)
+            .output()
+            .unwrap()
+    };
     let good = check(&folder.join("forward.example.toml"));
     assert!(
         good.status.success()
@@ -296,14 +343,27 @@
     let text = std::fs::read_to_string(folder.join("forward.example.toml")).unwrap();
     let wrong = std::env::temp_dir().join(format!("reedferry-check-{}.toml", std::process::id()));
     let papers = folder.join("papers.example.json").display().to_string();
-    let text = text.replace("papers.example.json", &papers).replace("lease = \"250ms\"", "lease = \"300ms\"");
+    let text = text
+        .replace("papers.example.json", &papers)
+        .replace("lease = \"250ms\"", "lease = \"300ms\"");
     std::fs::write(&wrong, text).unwrap();
     let bad = check(&wrong);
     let said = String::from_utf8_lossy(&bad.stderr).to_string();
     std::fs::remove_file(&wrong).unwrap();
     assert_eq!(bad.status.code(), Some(1));
-    assert!(said.contains(".toml:9: lease is 300ms, not between 40ms and 299ms"), "{said}");
-    assert_eq!(Command::new(path()).arg("frobnicate").output().unwrap().status.code(), Some(2));
+    assert!(
+        said.contains(".toml:9: lease is 300ms, not between 40ms and 299ms"),
+        "{said}"
+    );
+    assert_eq!(
+        Command::new(path())
+            .arg("frobnicate")
+            .output()
+            .unwrap()
+            .status
+            .code(),
+        Some(2)
+    );
 }
 
 /// Guards: an answer that is due while a forwarder's turn goes on with all that is ready, each write of which may hold it up.
@@ -328,7 +388,11 @@
     waits.say("OPEN late 7f c=once,t=acme,d=1000");
     let asked = Instant::now();
     _ = until(ms(1000), || asked.elapsed() >= ms(500));
-    spoiler.set(&[Fault { call: Call::Send, outcome: Outcome::HeldUp(ms(100)), every: 2 }]);
+    spoiler.set(&[Fault {
+        call: Call::Send,
+        outcome: Outcome::HeldUp(ms(100)),
+        every: 2,
+    }]);
     // All their lines lie ready in the moment in which the answer is due.
     _ = until(ms(1000), || asked.elapsed() >= ms(900));
     talking.iter_mut().for_each(|client| client.say("hello"));
--- a/quay/src/channel.rs
+++ b/quay/src/channel.rs
@@ -7,7 +7,9 @@
 use rustix::net::{
     self, sockopt, AddressFamily, RecvFlags, SendFlags, SocketAddrUnix, SocketFlags, SocketType,
 };
-use rustix::net::{RecvAncillaryBuffer, RecvAncillaryMessage, SendAncillaryBuffer, SendAncillaryMessage};
+use rustix::net::{
+    RecvAncillaryBuffer, RecvAncillaryMessage, SendAncillaryBuffer, SendAncillaryMessage,
+};
 use std::io::{IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
 use std::os::fd::{AsFd, BorrowedFd};
@@ -22,7 +24,12 @@
 impl Budget {
     fn local(&self) -> Result<Socket, Errno> {
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
-        Ok(self.own(net::socket_with(AddressFamily::UNIX, SocketType::SEQPACKET, flags, None)?))
+        Ok(self.own(net::socket_with(
+            AddressFamily::UNIX,
+            SocketType::SEQPACKET,
+            flags,
+            None,
+        )?))
     }
 
     /// Listens at this path, in place of whoever did.
@@ -33,7 +40,8 @@
         _ = std::fs::remove_file(&beside);
         net::bind(&socket, &SocketAddrUnix::new(&beside)?)?;
         net::listen(&socket, WAITING)?;
-        std::fs::rename(&beside, path).map_err(|e| Errno::from_io_error(&e).unwrap_or(Errno::IO))?;
+        std::fs::rename(&beside, path)
+            .map_err(|e| Errno::from_io_error(&e).unwrap_or(Errno::IO))?;
         Ok(socket)
     }
 
@@ -56,7 +64,11 @@
 
     /// The next message, put where there is room for the longest: its length, and what descriptors came
     /// with it. A length of 0 is the end.
-    pub fn receive_with(&self, from: &Socket, into: &mut [u8]) -> Result<(usize, Vec<Socket>), Errno> {
+    pub fn receive_with(
+        &self,
+        from: &Socket,
+        into: &mut [u8],
+    ) -> Result<(usize, Vec<Socket>), Errno> {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST))];
         let mut beside = RecvAncillaryBuffer::new(&mut space);
         let message = loop {
@@ -112,12 +124,23 @@
         predecessor.send_with(b"one", &[]).unwrap();
         predecessor.send_with(b"two", &[door.as_fd()]).unwrap();
         let mut space = [0; 16];
-        assert!(matches!(budget.receive_with(&successor, &mut space), Ok((3, none)) if none.is_empty()));
+        assert!(
+            matches!(budget.receive_with(&successor, &mut space), Ok((3, none)) if none.is_empty())
+        );
         let (length, came) = budget.receive_with(&successor, &mut space).unwrap();
-        assert_eq!((&space[..length], came[0].address()), (&b"two"[..], door.address()));
-        assert_eq!(budget.receive_with(&successor, &mut space).err(), Some(Errno::AGAIN));
+        assert_eq!(
+            (&space[..length], came[0].address()),
+            (&b"two"[..], door.address())
+        );
+        assert_eq!(
+            budget.receive_with(&successor, &mut space).err(),
+            Some(Errno::AGAIN)
+        );
         drop((predecessor, came));
-        assert!(matches!(budget.receive_with(&successor, &mut space), Ok((0, _))));
+        assert!(matches!(
+            budget.receive_with(&successor, &mut space),
+            Ok((0, _))
+        ));
         drop((listener, successor, door));
         assert_eq!(budget.taken(), before);
         std::fs::remove_file(&path).unwrap();
--- a/quay/src/clock.rs
+++ b/quay/src/clock.rs
@@ -28,8 +28,12 @@
 
 impl Clock {
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as Nanos);
-        Clock { ahead: Rc::new(Cell::new(unix.saturating_sub(steady()))) }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_nanos() as Nanos);
+        Clock {
+            ahead: Rc::new(Cell::new(unix.saturating_sub(steady()))),
+        }
     }
 
     /// Nanoseconds since 1970.
@@ -57,7 +61,10 @@
     #[test]
     fn clones_are_one_clock_that_counts_on_from_the_wall_clock_or_from_that_of_another_process() {
         let clock = Clock::start();
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_nanos() as Nanos;
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap()
+            .as_nanos() as Nanos;
         assert!(clock.read().abs_diff(unix) < 1_000_000_000);
         let (other, hour) = (clock.clone(), 3600 * 1_000_000_000);
         let before = clock.read();
--- a/quay/src/errors.rs
+++ b/quay/src/errors.rs
@@ -88,7 +88,10 @@
 ///
 /// # Errors
 /// The last try's.
-pub fn patiently<T>(within: Duration, mut what: impl FnMut() -> Result<T, Errno>) -> Result<T, Errno> {
+pub fn patiently<T>(
+    within: Duration,
+    mut what: impl FnMut() -> Result<T, Errno>,
+) -> Result<T, Errno> {
     let until = Instant::now() + within;
     loop {
         match what() {
@@ -109,7 +112,12 @@
             assert_eq!(on_connect(error), NoConnection::Machine);
             assert_eq!(on_accept(error), NotAccepted::Machine);
         }
-        for error in [Errno::TIMEDOUT, Errno::HOSTUNREACH, Errno::CONNRESET, Errno::PIPE] {
+        for error in [
+            Errno::TIMEDOUT,
+            Errno::HOSTUNREACH,
+            Errno::CONNRESET,
+            Errno::PIPE,
+        ] {
             assert_eq!(on_connection(error), Trouble::Connection);
             assert_eq!(on_accept(error), NotAccepted::ThisOne);
         }
@@ -134,7 +142,13 @@
             }
         });
         assert_eq!(third, Ok(3));
-        assert_eq!(patiently(long, || Err::<(), _>(Errno::ADDRINUSE)), Err(Errno::ADDRINUSE));
-        assert_eq!(patiently(Duration::ZERO, || Err::<(), _>(Errno::NFILE)), Err(Errno::NFILE));
+        assert_eq!(
+            patiently(long, || Err::<(), _>(Errno::ADDRINUSE)),
+            Err(Errno::ADDRINUSE)
+        );
+        assert_eq!(
+            patiently(Duration::ZERO, || Err::<(), _>(Errno::NFILE)),
+            Err(Errno::NFILE)
+        );
     }
 }
--- a/quay/src/log.rs
+++ b/quay/src/log.rs
@@ -47,14 +47,19 @@
         let stderr = io::stderr();
         while !lines.waiting.is_empty() {
             let mut polled = [PollFd::new(&stderr, PollFlags::OUT)];
-            let now = Timespec { tv_sec: 0, tv_nsec: 0 };
+            let now = Timespec {
+                tv_sec: 0,
+                tv_nsec: 0,
+            };
             let ready = poll(&mut polled, Some(&now)).is_ok_and(|n| n > 0);
             if !ready || !polled[0].revents().contains(PollFlags::OUT) {
                 return;
             }
             let (front, _) = lines.waiting.as_slices();
             let piece = &front[..front.len().min(PIECE)];
-            let Ok(count) = stderr.lock().write(piece) else { return };
+            let Ok(count) = stderr.lock().write(piece) else {
+                return;
+            };
             lines.waiting.drain(..count);
             if lines.waiting.is_empty() && lines.dropped > 0 {
                 let text = format!("log lines dropped count={}\n", lines.dropped);
@@ -76,7 +81,12 @@
 
 impl LineLimit {
     pub fn new(most_a_second: u32) -> Self {
-        LineLimit { most_a_second, second: 0, lines: 0, left_out: 0 }
+        LineLimit {
+            most_a_second,
+            second: 0,
+            lines: 0,
+            left_out: 0,
+        }
     }
 
     /// Whether one more line may be written in this second; one that may not is counted.
@@ -101,7 +111,10 @@
 pub fn logger(node: &str) -> (Logger, Backlog) {
     let backlog = Backlog::default();
     let plain = slog_term::PlainDecorator::new(backlog.clone());
-    let format = slog_term::FullFormat::new(plain).use_utc_timestamp().use_original_order().build();
+    let format = slog_term::FullFormat::new(plain)
+        .use_utc_timestamp()
+        .use_original_order()
+        .build();
     let logger = Logger::root(Mutex::new(format).fuse(), o!("node" => node.to_string()));
     (logger, backlog)
 }
@@ -114,9 +127,21 @@
     fn a_limit_lets_so_many_lines_a_second_through_and_counts_the_rest() {
         let mut limit = LineLimit::new(2);
         let through = |limit: &mut LineLimit, now| (0..5).filter(|_| limit.room(now)).count();
-        assert_eq!((through(&mut limit, SECOND), limit.left_out(SECOND)), (2, None));
-        assert_eq!((through(&mut limit, 2 * SECOND - 1), limit.left_out(2 * SECOND)), (0, Some(8)));
-        assert_eq!((through(&mut limit, 2 * SECOND), limit.left_out(3 * SECOND)), (2, Some(3)));
+        assert_eq!(
+            (through(&mut limit, SECOND), limit.left_out(SECOND)),
+            (2, None)
+        );
+        assert_eq!(
+            (
+                through(&mut limit, 2 * SECOND - 1),
+                limit.left_out(2 * SECOND)
+            ),
+            (0, Some(8))
+        );
+        assert_eq!(
+            (through(&mut limit, 2 * SECOND), limit.left_out(3 * SECOND)),
+            (2, Some(3))
+        );
         assert_eq!(limit.left_out(9 * SECOND), None);
     }
 }
--- a/quay/src/poller.rs
+++ b/quay/src/poller.rs
@@ -19,8 +19,10 @@
     pub stamp: u32,
 }
 
-const EDGES: EventFlags =
-    EventFlags::IN.union(EventFlags::OUT).union(EventFlags::RDHUP).union(EventFlags::ET);
+const EDGES: EventFlags = EventFlags::IN
+    .union(EventFlags::OUT)
+    .union(EventFlags::RDHUP)
+    .union(EventFlags::ET);
 const SLOT_BITS: u32 = 24;
 
 impl Mark {
@@ -56,7 +58,9 @@
     for one in left.into_iter().chain(now) {
         let place = *places.entry(one.mark).or_insert(merged.len());
         match merged.get_mut(place) {
-            Some(known) => (known.read, known.write) = (known.read || one.read, known.write || one.write),
+            Some(known) => {
+                (known.read, known.write) = (known.read || one.read, known.write || one.write)
+            }
             None => merged.push(one),
         }
     }
@@ -73,12 +77,22 @@
 impl Poller {
     pub fn new() -> Result<Self, Errno> {
         let epoll = epoll::create(CreateFlags::CLOEXEC)?;
-        Ok(Poller { epoll, events: Vec::with_capacity(512), due: BinaryHeap::new(), set: 0 })
+        Ok(Poller {
+            epoll,
+            events: Vec::with_capacity(512),
+            due: BinaryHeap::new(),
+            set: 0,
+        })
     }
 
     /// Watches a socket until it is closed.
     pub fn watch(&self, socket: &impl AsFd, mark: Mark) -> Result<(), Errno> {
-        epoll::add(&self.epoll, socket, EventData::new_u64(mark.packed()), EDGES)
+        epoll::add(
+            &self.epoll,
+            socket,
+            EventData::new_u64(mark.packed()),
+            EDGES,
+        )
     }
 
     /// Watches a socket under this mark, whether or not it was watched before.
@@ -91,7 +105,12 @@
 
     /// Watches it under another mark from now on, and tells afresh what it is ready for.
     pub fn rewatch(&self, socket: &impl AsFd, mark: Mark) -> Result<(), Errno> {
-        epoll::modify(&self.epoll, socket, EventData::new_u64(mark.packed()), EDGES)
+        epoll::modify(
+            &self.epoll,
+            socket,
+            EventData::new_u64(mark.packed()),
+            EDGES,
+        )
     }
 
     /// Watches it no longer. Guards: a listener that another process has open too, told of for ever after it
@@ -117,17 +136,30 @@
         if *time > now {
             return None;
         }
-        self.due.pop().map(|Reverse((_, _, mark, word))| (mark, word))
+        self.due
+            .pop()
+            .map(|Reverse((_, _, mark, word))| (mark, word))
     }
 
     /// Waits until something is ready or due, or not at all, and appends what is ready.
-    pub fn wait(&mut self, now: Nanos, at_once: bool, into: &mut Vec<Readiness>) -> Result<(), Errno> {
+    pub fn wait(
+        &mut self,
+        now: Nanos,
+        at_once: bool,
+        into: &mut Vec<Readiness>,
+    ) -> Result<(), Errno> {
         let next = self.next_due().map(|time| time.saturating_sub(now));
         let span = if at_once { Some(0) } else { next };
-        let span =
-            span.map(|n| Timespec { tv_sec: (n / 1_000_000_000) as i64, tv_nsec: (n % 1_000_000_000) as _ });
+        let span = span.map(|n| Timespec {
+            tv_sec: (n / 1_000_000_000) as i64,
+            tv_nsec: (n % 1_000_000_000) as _,
+        });
         self.events.clear();
-        match epoll::wait(&self.epoll, rustix::buffer::spare_capacity(&mut self.events), span.as_ref()) {
+        match epoll::wait(
+            &self.epoll,
+            rustix::buffer::spare_capacity(&mut self.events),
+            span.as_ref(),
+        ) {
             Ok(_) | Err(Errno::INTR) => {}
             Err(e) => return Err(e),
         }
@@ -150,22 +182,42 @@
 
     #[test]
     fn what_was_left_goes_first_and_each_socket_stands_once() {
-        let one = |slot, read, write| Readiness { mark: Mark { part: 4, slot, stamp: 9 }, read, write };
+        let one = |slot, read, write| Readiness {
+            mark: Mark {
+                part: 4,
+                slot,
+                stamp: 9,
+            },
+            read,
+            write,
+        };
         let left = vec![one(7, true, false), one(2, false, true)];
-        let merged = merged(left, vec![one(2, true, false), one(5, true, false), one(7, true, true)]);
-        let all: Vec<(u32, bool, bool)> = merged.iter().map(|r| (r.mark.slot, r.read, r.write)).collect();
+        let merged = merged(
+            left,
+            vec![one(2, true, false), one(5, true, false), one(7, true, true)],
+        );
+        let all: Vec<(u32, bool, bool)> = merged
+            .iter()
+            .map(|r| (r.mark.slot, r.read, r.write))
+            .collect();
         assert_eq!(all, [(7, true, true), (2, true, true), (5, true, false)]);
     }
 
     #[test]
     fn marks_come_back_whole_and_timers_in_order() {
-        let mark = Mark { part: 3, slot: 0xab_cdef, stamp: u32::MAX };
+        let mark = Mark {
+            part: 3,
+            slot: 0xab_cdef,
+            stamp: u32::MAX,
+        };
         assert_eq!(Mark::unpacked(mark.packed()), mark);
         let mut poller = Poller::new().unwrap();
         for (time, word) in [(20, 1), (10, 2), (20, 3)] {
             poller.remind(time, mark, word);
         }
-        let all: Vec<u64> = std::iter::from_fn(|| poller.due(20)).map(|(_, word)| word).collect();
+        let all: Vec<u64> = std::iter::from_fn(|| poller.due(20))
+            .map(|(_, word)| word)
+            .collect();
         assert_eq!(all, [2, 1, 3]);
         assert!(poller.due(u64::MAX).is_none());
     }
--- a/quay/src/pool.rs
+++ b/quay/src/pool.rs
@@ -19,7 +19,10 @@
 
 impl Pool {
     pub fn new(most: usize) -> Self {
-        Pool(Rc::new(RefCell::new(Shelf { spare: Vec::new(), unmade: most })))
+        Pool(Rc::new(RefCell::new(Shelf {
+            spare: Vec::new(),
+            unmade: most,
+        })))
     }
 
     /// A buffer, unless all are in use.
@@ -32,14 +35,24 @@
                 vec![0; SIZE].into_boxed_slice()
             }
         };
-        Some(Buffer { bytes, from: 0, to: 0, home: self.clone() })
+        Some(Buffer {
+            bytes,
+            from: 0,
+            to: 0,
+            home: self.clone(),
+        })
     }
 
     /// A buffer for a final answer, beyond the bound where that is reached: there are no more of these than connections.
     pub fn take_for_answer(&self) -> Buffer {
         self.take().unwrap_or_else(|| {
             let bytes = vec![0; SIZE].into_boxed_slice();
-            Buffer { bytes, from: 0, to: 0, home: self.clone() }
+            Buffer {
+                bytes,
+                from: 0,
+                to: 0,
+                home: self.clone(),
+            }
         })
     }
 
@@ -99,7 +112,11 @@
 
 impl Drop for Buffer {
     fn drop(&mut self) {
-        self.home.0.borrow_mut().spare.push(std::mem::take(&mut self.bytes));
+        self.home
+            .0
+            .borrow_mut()
+            .spare
+            .push(std::mem::take(&mut self.bytes));
     }
 }
 
@@ -118,6 +135,9 @@
         drop(buffer);
         assert!(pool.take().unwrap().is_empty() && pool.left() == 1);
         let _all = pool.take().unwrap();
-        assert!(pool.take_for_answer().put(b"ERR") && pool.left() == 1, "kept once it was made");
+        assert!(
+            pool.take_for_answer().put(b"ERR") && pool.left() == 1,
+            "kept once it was made"
+        );
     }
 }
--- a/quay/src/signals.rs
+++ b/quay/src/signals.rs
@@ -26,9 +26,10 @@
     /// One line where the system lets the program have no pair of sockets or no handler.
     pub fn told(which: i32) -> Result<Signal, String> {
         let pair = || UnixStream::pair().map_err(|e| Errno::from_io_error(&e).unwrap_or(Errno::IO));
-        let (told, teller) =
-            patiently(START_WITHIN, pair).map_err(|e| format!("cannot make a pair of sockets: {e}"))?;
-        told.set_nonblocking(true).map_err(|e| format!("cannot set up signals: {e}"))?;
+        let (told, teller) = patiently(START_WITHIN, pair)
+            .map_err(|e| format!("cannot make a pair of sockets: {e}"))?;
+        told.set_nonblocking(true)
+            .map_err(|e| format!("cannot set up signals: {e}"))?;
         let raised = Arc::new(AtomicBool::new(false));
         // The flag first: whoever is woken finds it raised.
         signal_hook::flag::register(which, raised.clone())
--- a/quay/src/sockets.rs
+++ b/quay/src/sockets.rs
@@ -5,7 +5,9 @@
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use rustix::io::Errno;
-use rustix::net::{self, sockopt, AddressFamily, RecvFlags, SendFlags, Shutdown, SocketFlags, SocketType};
+use rustix::net::{
+    self, sockopt, AddressFamily, RecvFlags, SendFlags, Shutdown, SocketFlags, SocketType,
+};
 use rustix::process::{getrlimit, setrlimit, Resource};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -26,13 +28,17 @@
 /// How many descriptors the system lets the program have, of those it is to have.
 fn granted(limit: usize) -> usize {
     let mut system = getrlimit(Resource::Nofile);
-    let wanted = system.maximum.map_or(limit as u64, |most| most.min(limit as u64));
+    let wanted = system
+        .maximum
+        .map_or(limit as u64, |most| most.min(limit as u64));
     if system.current.is_some_and(|now| now < wanted) {
         // Where that is not allowed, what is there must do.
         system.current = Some(wanted);
         _ = setrlimit(Resource::Nofile, system);
     }
-    getrlimit(Resource::Nofile).current.map_or(limit, |now| (now as usize).min(limit))
+    getrlimit(Resource::Nofile)
+        .current
+        .map_or(limit, |now| (now as usize).min(limit))
 }
 
 impl Budget {
@@ -48,7 +54,11 @@
     /// Sets so many descriptors aside for one part alone: the others can't use them up, nor it theirs.
     pub fn set_aside(&self, count: usize) -> Budget {
         self.taken.set(self.taken.get() + count);
-        Budget { taken: Rc::new(Cell::new(0)), most: count, reserve: 0 }
+        Budget {
+            taken: Rc::new(Cell::new(0)),
+            most: count,
+            reserve: 0,
+        }
     }
 
     /// Whether so many more may be opened for new work.
@@ -67,14 +77,21 @@
 
     pub(crate) fn own(&self, fd: OwnedFd) -> Socket {
         self.taken.set(self.taken.get() + 1);
-        Socket { fd, taken: self.taken.clone() }
+        Socket {
+            fd,
+            taken: self.taken.clone(),
+        }
     }
 
     fn socket(&self, address: &SocketAddr, kind: SocketType) -> Result<Socket, Errno> {
         if self.taken.get() >= self.most {
             return Err(Errno::MFILE);
         }
-        let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+        let family = if address.is_ipv4() {
+            AddressFamily::INET
+        } else {
+            AddressFamily::INET6
+        };
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         Ok(self.own(net::socket_with(family, kind, flags, None)?))
     }
@@ -190,7 +207,8 @@
             match net::recvfrom(self, &mut *into, RecvFlags::TRUNC) {
                 Err(Errno::INTR) => {}
                 other => {
-                    return other.map(|(_, length, from)| (length, from.and_then(|a| a.try_into().ok())))
+                    return other
+                        .map(|(_, length, from)| (length, from.and_then(|a| a.try_into().ok())))
                 }
             }
         }
@@ -198,7 +216,10 @@
 
     /// Waits until something can be read from it, for a process that has nothing else to do yet.
     pub fn readable_within(&self, span: crate::Nanos) -> bool {
-        let span = Timespec { tv_sec: (span / 1_000_000_000) as i64, tv_nsec: (span % 1_000_000_000) as _ };
+        let span = Timespec {
+            tv_sec: (span / 1_000_000_000) as i64,
+            tv_nsec: (span % 1_000_000_000) as _,
+        };
         let mut polled = [PollFd::new(self, PollFlags::IN)];
         matches!(poll(&mut polled, Some(&span)), Ok(1..) | Err(Errno::INTR))
     }
