--- a/rig/src/acting.rs
+++ b/rig/src/acting.rs
@@ -96,9 +96,16 @@
         let noted = self.0.lock().unwrap();
         let mut first: HashMap<&str, Instant> = HashMap::new();
         for one in &noted.reached {
-            first.entry(&one.name).and_modify(|t| *t = one.at.min(*t)).or_insert(one.at);
+            first
+                .entry(&one.name)
+                .and_modify(|t| *t = one.at.min(*t))
+                .or_insert(one.at);
         }
-        let since = |l: &Lived| first.get(l.name.as_str()).map(|t| t.saturating_duration_since(l.asked));
+        let since = |l: &Lived| {
+            first
+                .get(l.name.as_str())
+                .map(|t| t.saturating_duration_since(l.asked))
+        };
         noted.lived.iter().map(|l| (l.clone(), since(l))).collect()
     }
 
@@ -111,7 +118,11 @@
         for one in &noted.reached {
             by_name.entry(&one.name).or_default().push(one);
             let late = GRACE + SOCKETS + busy;
-            if noted.drains.get(&one.host).is_some_and(|(t, back)| one.at > *t + late && back.is_none()) {
+            if noted
+                .drains
+                .get(&one.host)
+                .is_some_and(|(t, back)| one.at > *t + late && back.is_none())
+            {
                 let since = one.at - noted.drains[&one.host].0;
                 broken.push(format!(
                     "rule 3: {} reached host {} {since:?} after its drain",
@@ -126,12 +137,17 @@
             match &client.answers[..] {
                 [] => broken.push(format!("rule 1: {name} had no answer")),
                 [(at, _)] if *at > client.asked + EXPIRY + SOCKETS => {
-                    broken
-                        .push(format!("rule 1: {name} was answered {:?} after it asked", *at - client.asked));
+                    broken.push(format!(
+                        "rule 1: {name} was answered {:?} after it asked",
+                        *at - client.asked
+                    ));
                 }
                 [(at, said)] => {
                     if let Some(late) = sent.iter().find(|one| one.at > *at + SOCKETS + busy) {
-                        broken.push(format!("rule 1: {name} was sent on {:?} after {said}", late.at - *at));
+                        broken.push(format!(
+                            "rule 1: {name} was sent on {:?} after {said}",
+                            late.at - *at
+                        ));
                     }
                 }
                 more => broken.push(format!("rule 1: {name} had {} answers", more.len())),
@@ -141,16 +157,26 @@
             }
             // Taken, failed, silent and broken may have run; refused never did.
             let ran: Vec<&&Reached> = sent.iter().filter(|one| one.way != Way::Busy).collect();
-            let dismissed = client.answers.iter().any(|(_, said)| said.starts_with("BUSY"));
+            let dismissed = client
+                .answers
+                .iter()
+                .any(|(_, said)| said.starts_with("BUSY"));
             match client.offering {
-                2 if ran.len() > 1 => broken.push(format!("rule 2: {name} may have run {} times", ran.len())),
+                2 if ran.len() > 1 => {
+                    broken.push(format!("rule 2: {name} may have run {} times", ran.len()))
+                }
                 2 if dismissed && !ran.is_empty() => {
-                    broken.push(format!("rule 2: {name} was dismissed though it may have run"));
+                    broken.push(format!(
+                        "rule 2: {name} was dismissed though it may have run"
+                    ));
                 }
                 1 if ran.iter().any(|one| one.host % 2 != ran[0].host % 2) => {
                     broken.push(format!("rule 2: {name} left its circle"));
                 }
-                1 if ran.iter().any(|one| one.at > ran[0].at + WINDOW + SOCKETS + busy) => {
+                1 if ran
+                    .iter()
+                    .any(|one| one.at > ran[0].at + WINDOW + SOCKETS + busy) =>
+                {
                     broken.push(format!("rule 2: {name} went again out of its window"));
                 }
                 _ => {}
@@ -186,7 +212,11 @@
         for host in 0..count {
             let listener = TcpListener::bind("127.0.0.1:0").unwrap();
             hosts.addresses.push(listener.local_addr().unwrap());
-            let (ways, open, referee) = (hosts.ways.clone(), hosts.open.clone(), hosts.referee.clone());
+            let (ways, open, referee) = (
+                hosts.ways.clone(),
+                hosts.open.clone(),
+                hosts.referee.clone(),
+            );
             thread::spawn(move || {
                 for stream in listener.incoming().flatten() {
                     let (ways, open, referee) = (ways.clone(), open.clone(), referee.clone());
@@ -212,13 +242,18 @@
     }
 
     pub fn members(&self) -> Value {
-        (0..self.addresses.len()).map(|host| self.member(host, "active")).collect()
+        (0..self.addresses.len())
+            .map(|host| self.member(host, "active"))
+            .collect()
     }
 }
 
 /// A thread that needs little.
 pub(crate) fn small(work: impl FnOnce() + Send + 'static) -> thread::JoinHandle<()> {
-    thread::Builder::new().stack_size(128 << 10).spawn(work).expect("no thread to be had")
+    thread::Builder::new()
+        .stack_size(128 << 10)
+        .spawn(work)
+        .expect("no thread to be had")
 }
 
 /// The first line that comes to a host, and where what follows is read.
@@ -229,16 +264,33 @@
     matches!(reader.read_line(&mut line), Ok(1..)).then_some((reader, line))
 }
 
-fn serve(host: usize, mut stream: TcpStream, ways: &[AtomicU8], open: &[AtomicU32], referee: &Referee) {
-    let Some((mut reader, mut line)) = first_line(&stream) else { return };
-    let (at, way) = (Instant::now(), WAYS[usize::from(ways[host].load(SeqCst)) % WAYS.len()]);
+fn serve(
+    host: usize,
+    mut stream: TcpStream,
+    ways: &[AtomicU8],
+    open: &[AtomicU32],
+    referee: &Referee,
+) {
+    let Some((mut reader, mut line)) = first_line(&stream) else {
+        return;
+    };
+    let (at, way) = (
+        Instant::now(),
+        WAYS[usize::from(ways[host].load(SeqCst)) % WAYS.len()],
+    );
     let Some(name) = line.split(' ').nth(1).map(str::to_string) else {
         _ = stream.write_all(b"SYNTAX\r\n");
         return;
     };
     let number = {
         let mut noted = referee.0.lock().unwrap();
-        noted.reached.push(Reached { at, host, name, way, left: None });
+        noted.reached.push(Reached {
+            at,
+            host,
+            name,
+            way,
+            left: None,
+        });
         noted.reached.len() - 1
     };
     match way {
@@ -281,7 +333,15 @@
     pub fn new(addresses: Vec<SocketAddr>, referee: &Referee, seed: u64) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(seed);
         let (running, round) = (Vec::new(), Arc::default());
-        Clients { addresses, referee: referee.clone(), rng, running, round, started: 0, seed }
+        Clients {
+            addresses,
+            referee: referee.clone(),
+            rng,
+            running,
+            round,
+            started: 0,
+            seed,
+        }
     }
 
     /// How many have come.
@@ -294,8 +354,14 @@
         let address = self.addresses[self.started % self.addresses.len()];
         self.started += 1;
         let name = format!("{:x}-{}", self.seed, self.started);
-        let (key, referee, round) = (self.rng.random::<u64>(), self.referee.clone(), self.round.clone());
-        self.running.push(small(move || live(address, name, key, offering, holds, &referee, &round)));
+        let (key, referee, round) = (
+            self.rng.random::<u64>(),
+            self.referee.clone(),
+            self.round.clone(),
+        );
+        self.running.push(small(move || {
+            live(address, name, key, offering, holds, &referee, &round)
+        }));
     }
 
     /// So many a second for so long, offerings in turns.
@@ -329,11 +395,22 @@
     round: &AtomicU64,
 ) {
     let before = round.load(SeqCst);
-    let Ok(mut stream) = TcpStream::connect(address) else { return };
+    let Ok(mut stream) = TcpStream::connect(address) else {
+        return;
+    };
     _ = stream.set_nodelay(true);
     let wait = EXPIRY.as_millis();
-    let line = format!("OPEN {name} {key:x} c={},t=acme,d={wait}\r\n", OFFERINGS[offering]);
-    let mut lived = Lived { name, offering, asked: Instant::now(), answers: Vec::new(), echoed: None };
+    let line = format!(
+        "OPEN {name} {key:x} c={},t=acme,d={wait}\r\n",
+        OFFERINGS[offering]
+    );
+    let mut lived = Lived {
+        name,
+        offering,
+        asked: Instant::now(),
+        answers: Vec::new(),
+        echoed: None,
+    };
     if stream.write_all(line.as_bytes()).is_err() {
         return;
     }
@@ -341,7 +418,9 @@
     let mut reader = BufReader::with_capacity(512, stream.try_clone().unwrap());
     let mut said = String::new();
     if matches!(reader.read_line(&mut said), Ok(1..)) {
-        lived.answers.push((Instant::now(), said.trim_end().to_string()));
+        lived
+            .answers
+            .push((Instant::now(), said.trim_end().to_string()));
     }
     if said.starts_with("UP") {
         lived.echoed = Some(true);
@@ -354,7 +433,9 @@
                 Ok(1..) if said == "hello\r\n" => {}
                 Ok(1..) if said == "MOVE\r\n" => break,
                 Ok(1..) => {
-                    lived.answers.push((Instant::now(), said.trim_end().to_string()));
+                    lived
+                        .answers
+                        .push((Instant::now(), said.trim_end().to_string()));
                     break;
                 }
                 // Its host, or a node that was killed, ended it: nothing was owed any more.
@@ -369,7 +450,9 @@
     } else if !said.is_empty() {
         said.clear();
         if matches!(reader.read_line(&mut said), Ok(1..)) {
-            lived.answers.push((Instant::now(), said.trim_end().to_string()));
+            lived
+                .answers
+                .push((Instant::now(), said.trim_end().to_string()));
         }
     }
     referee.0.lock().unwrap().lived.push(lived);
--- a/rig/src/chart.rs
+++ b/rig/src/chart.rs
@@ -14,13 +14,20 @@
 
 /// What a page may not take for its own marks.
 fn plain(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
 }
 
 /// All rows over the same seconds, each to its own height, with its counts as a table below.
 pub fn page(title: &str, rows: &[Row]) -> String {
     let title = plain(title);
-    let seconds = rows.iter().map(|row| row.by_second.len()).max().unwrap_or(0).max(1);
+    let seconds = rows
+        .iter()
+        .map(|row| row.by_second.len())
+        .max()
+        .unwrap_or(0)
+        .max(1);
     let mut page = format!(
         "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>{title}</title><style>\
          body{{font:14px sans-serif;margin:2em}}rect{{fill:#357}}td,th{{padding:0 .4em;text-align:right}}</style>\
@@ -34,7 +41,10 @@
             "<h2>{}: {sum}, {most} at most in a second</h2>\n<svg width=\"{WIDTH}\" ",
             plain(&row.name)
         );
-        _ = writeln!(page, "height=\"{HEIGHT}\" viewBox=\"0 0 {WIDTH} {HEIGHT}\">");
+        _ = writeln!(
+            page,
+            "height=\"{HEIGHT}\" viewBox=\"0 0 {WIDTH} {HEIGHT}\">"
+        );
         let wide = WIDTH as f64 / seconds as f64;
         for (second, count) in row.by_second.iter().enumerate() {
             let high = (count * HEIGHT) as f64 / most.max(1) as f64;
@@ -48,12 +58,19 @@
         page.push_str("</svg>\n");
     }
     page.push_str("<table><tr><th>second</th>");
-    rows.iter().for_each(|row| _ = write!(page, "<th>{}</th>", plain(&row.name)));
+    rows.iter()
+        .for_each(|row| _ = write!(page, "<th>{}</th>", plain(&row.name)));
     page.push_str("</tr>\n");
     for second in 0..seconds {
         _ = write!(page, "<tr><td>{second}</td>");
         rows.iter().for_each(|row| {
-            _ = write!(page, "<td>{}</td>", row.by_second.get(second).map_or(String::new(), usize::to_string))
+            _ = write!(
+                page,
+                "<td>{}</td>",
+                row.by_second
+                    .get(second)
+                    .map_or(String::new(), usize::to_string)
+            )
         });
         page.push_str("</tr>\n");
     }
@@ -68,9 +85,17 @@
     /// Guards: a page that loads something from elsewhere, or leaves a count out.
     #[test]
     fn every_count_is_on_a_page_that_needs_nothing_else() {
-        let row = |name: &str, by_second: &[usize]| Row { name: name.into(), by_second: by_second.to_vec() };
-        let page = page("a <start>", &[row("calls", &[7, 0, 311]), row("hosts", &[2])]);
-        assert!(!page.contains("http") && !page.contains("src=") && page.contains("a &lt;start&gt;"));
+        let row = |name: &str, by_second: &[usize]| Row {
+            name: name.into(),
+            by_second: by_second.to_vec(),
+        };
+        let page = page(
+            "a <start>",
+            &[row("calls", &[7, 0, 311]), row("hosts", &[2])],
+        );
+        assert!(
+            !page.contains("http") && !page.contains("src=") && page.contains("a &lt;start&gt;")
+        );
         assert_eq!(page.matches("<rect").count(), 4);
         assert!(
             page.contains("<td>0</td><td>7</td><td>2</td>")
--- a/rig/src/coldstart.rs
+++ b/rig/src/coldstart.rs
@@ -47,7 +47,9 @@
 impl Shown {
     fn at(&self, part: f64) -> f64 {
         let place = (self.first.len() as f64 * part).ceil() as usize;
-        self.first.get(place.max(1) - 1).map_or(f64::INFINITY, Duration::as_secs_f64)
+        self.first
+            .get(place.max(1) - 1)
+            .map_or(f64::INFINITY, Duration::as_secs_f64)
     }
 }
 
@@ -70,14 +72,18 @@
 
 impl Size {
     fn full(&self, multiple: f64) -> Terms {
-        Terms { full: multiple * (EACH * self.nodes) as f64 / self.hosts as f64, ..TERMS }
+        Terms {
+            full: multiple * (EACH * self.nodes) as f64 / self.hosts as f64,
+            ..TERMS
+        }
     }
 
     /// How soon hosts that are all cold may have taken all clients, where they are sent this part of the budget.
     fn hosts_limit(&self, terms: Terms, part: f64) -> f64 {
         let (step, mut sent, mut at) = (0.01, 0.0, 0.0);
         while sent < (EACH * self.nodes) as f64 {
-            let a_second = terms.budget(Duration::from_secs_f64(at)) / terms.tip_after.as_secs_f64();
+            let a_second =
+                terms.budget(Duration::from_secs_f64(at)) / terms.tip_after.as_secs_f64();
             sent += part * a_second * self.hosts as f64 * step;
             at += step;
         }
@@ -101,7 +107,10 @@
     let (service, hosts) = (Discovery::start(), WarmingHosts::new(terms));
     service.bound(size.rate, size.queue);
     let which = hosts.start(size.hosts, way == Way::Cold);
-    hosts.members(which.clone()).into_iter().for_each(|member| service.change(member));
+    hosts
+        .members(which.clone())
+        .into_iter()
+        .for_each(|member| service.change(member));
     let mut fleet = Fleet::new(size.nodes, service.address, terms);
     if let Some(program) = program {
         fleet = fleet.of(program.clone());
@@ -116,17 +125,30 @@
     let from = Instant::now();
     fleet.start(&all, &[], 0);
     let addresses = fleet.addresses();
-    let mut guests = Guests::come(clients, &fleet.front, Duration::ZERO, Some(&addresses), seed);
+    let mut guests = Guests::come(
+        clients,
+        &fleet.front,
+        Duration::ZERO,
+        Some(&addresses),
+        seed,
+    );
     thread::sleep(size.down.saturating_sub(from.elapsed()));
     service.come_up();
     // Long enough for a service that turns half of the calls away, three times over.
-    let until = from + size.down + Duration::from_secs_f64(6.0 * size.nodes as f64 / size.rate + 10.0);
+    let until =
+        from + size.down + Duration::from_secs_f64(6.0 * size.nodes as f64 / size.rate + 10.0);
     while guests.standing() < clients && Instant::now() < until {
         thread::sleep(Duration::from_millis(20));
     }
     // What follows is begun by then: the last list came at half of the time within which each has to ask, or later.
-    thread::sleep((from + size.down + TERMS.ask_within * 3 / 2).saturating_duration_since(Instant::now()));
-    let mut first: Vec<Duration> = guests.first(from + size.down).into_iter().flatten().collect();
+    thread::sleep(
+        (from + size.down + TERMS.ask_within * 3 / 2).saturating_duration_since(Instant::now()),
+    );
+    let mut first: Vec<Duration> = guests
+        .first(from + size.down)
+        .into_iter()
+        .flatten()
+        .collect();
     first.sort_unstable();
     guests.end();
     let (called, turned_away) = service.seen();
@@ -145,8 +167,11 @@
 
 /// Starts the fleet in each way in turn; gives what was counted by second beside what was found.
 pub fn measure(size: &Size, seed: u64) -> (Found, Vec<Row>) {
-    let (nodes, limit, hosts_limit) =
-        (size.nodes as f64, size.nodes as f64 / size.rate, size.hosts_limit(size.full(COUNTED_ON), 0.5));
+    let (nodes, limit, hosts_limit) = (
+        size.nodes as f64,
+        size.nodes as f64 / size.rate,
+        size.hosts_limit(size.full(COUNTED_ON), 0.5),
+    );
     let budgets = size.hosts_limit(size.full(FILLED_BY), 1.0);
     let mut ways = vec![("plain", start(size, seed, Way::Alone, None))];
     if let Some(before) = &size.before {
@@ -157,7 +182,10 @@
     let mut figures = Map::new();
     figures.insert("the service's own limit, s".into(), json!(limit));
     figures.insert("cold hosts, by their budgets, s".into(), json!(budgets));
-    figures.insert("cold hosts, by half of what is counted on, s".into(), json!(hosts_limit));
+    figures.insert(
+        "cold hosts, by half of what is counted on, s".into(),
+        json!(hosts_limit),
+    );
     let mut rows = Vec::new();
     for (way, shown) in &ways {
         let mut put = |what: &str, value: Value| figures.insert(format!("{way}: {what}"), value);
@@ -165,11 +193,18 @@
         put("calls a node", json!(shown.calls as f64 / nodes));
         put("turned away", json!(shown.turned_away));
         put("calls by second", json!(shown.by_second));
-        put("connections that asked at hosts", json!(shown.arrived.iter().sum::<usize>()));
-        for (what, by_second) in
-            [("calls at the list service", &shown.by_second), ("asked at hosts", &shown.arrived)]
-        {
-            rows.push(Row { name: format!("{way}: {what}"), by_second: by_second.clone() });
+        put(
+            "connections that asked at hosts",
+            json!(shown.arrived.iter().sum::<usize>()),
+        );
+        for (what, by_second) in [
+            ("calls at the list service", &shown.by_second),
+            ("asked at hosts", &shown.arrived),
+        ] {
+            rows.push(Row {
+                name: format!("{way}: {what}"),
+                by_second: by_second.clone(),
+            });
         }
         put("first client, median, s", json!(shown.at(0.5)));
         put("first client, 99%, s", json!(shown.at(0.99)));
@@ -181,25 +216,50 @@
             broken.push(what);
         }
     };
-    let shown = |way: &str| ways.iter().find(|(name, _)| *name == way).map(|(_, shown)| shown);
+    let shown = |way: &str| {
+        ways.iter()
+            .find(|(name, _)| *name == way)
+            .map(|(_, shown)| shown)
+    };
     if let Some(now) = shown("now") {
         let busiest = now.by_second.iter().skip(1).max().copied().unwrap_or(0);
         let share = now.turned_away as f64 / now.calls.max(1) as f64;
-        promised(now.first.len() == size.nodes, format!("{} of {nodes} nodes served", now.first.len()));
+        promised(
+            now.first.len() == size.nodes,
+            format!("{} of {nodes} nodes served", now.first.len()),
+        );
         promised(
             busiest as f64 <= 1.2 * size.rate,
             format!("{busiest} calls in a second, {} can be done", size.rate),
         );
-        promised(share <= 0.05, format!("{share:.2} of the calls turned away"));
-        promised(now.calls as f64 <= 2.2 * nodes, format!("{:.2} calls a node", now.calls as f64 / nodes));
-        promised(now.at(0.99) <= 1.3 * limit, format!("99% serve after {:.1} s of {limit:.1}", now.at(0.99)));
+        promised(
+            share <= 0.05,
+            format!("{share:.2} of the calls turned away"),
+        );
+        promised(
+            now.calls as f64 <= 2.2 * nodes,
+            format!("{:.2} calls a node", now.calls as f64 / nodes),
+        );
+        promised(
+            now.at(0.99) <= 1.3 * limit,
+            format!("99% serve after {:.1} s of {limit:.1}", now.at(0.99)),
+        );
     }
     if let Some(cold) = shown("cold hosts") {
-        let (all, limit, clients) =
-            (cold.arrived.iter().sum::<usize>(), limit.max(hosts_limit), EACH * size.nodes);
+        let (all, limit, clients) = (
+            cold.arrived.iter().sum::<usize>(),
+            limit.max(hosts_limit),
+            EACH * size.nodes,
+        );
         let (served, last) = (cold.first.len(), cold.at(0.99));
-        promised(served == clients, format!("{served} of {clients} clients served by cold hosts"));
-        promised(last <= 1.3 * limit, format!("99% served by cold hosts after {last:.1} s of {limit:.1}"));
+        promised(
+            served == clients,
+            format!("{served} of {clients} clients served by cold hosts"),
+        );
+        promised(
+            last <= 1.3 * limit,
+            format!("99% served by cold hosts after {last:.1} s of {limit:.1}"),
+        );
         promised(
             all as f64 <= 1.2 * clients as f64,
             format!("{all} asked at cold hosts for {clients} clients"),
--- a/rig/src/discovery.rs
+++ b/rig/src/discovery.rs
@@ -49,7 +49,10 @@
 impl Discovery {
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let discovery = Discovery { address: listener.local_addr().unwrap(), kept: Arc::default() };
+        let discovery = Discovery {
+            address: listener.local_addr().unwrap(),
+            kept: Arc::default(),
+        };
         let serving = discovery.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -107,7 +110,10 @@
     pub fn restart(&self, revision: u64, members: &[Value]) -> Instant {
         let mut kept = self.kept.0.lock().unwrap();
         (kept.life, kept.revision) = (kept.life + 1, revision);
-        kept.members = members.iter().map(|member| (revision, member.clone())).collect();
+        kept.members = members
+            .iter()
+            .map(|member| (revision, member.clone()))
+            .collect();
         self.kept.1.notify_all();
         Instant::now()
     }
@@ -143,10 +149,17 @@
         let until = Instant::now() + PATIENCE;
         let mut kept = self.kept.0.lock().unwrap();
         while kept.called.len() < count {
-            let left = until.checked_duration_since(Instant::now()).expect("too few calls came");
+            let left = until
+                .checked_duration_since(Instant::now())
+                .expect("too few calls came");
             kept = self.kept.1.wait_timeout(kept, left).unwrap().0;
         }
-        kept.called.iter().skip(1).zip(&kept.answered).map(|(c, a)| c.saturating_duration_since(*a)).collect()
+        kept.called
+            .iter()
+            .skip(1)
+            .zip(&kept.answered)
+            .map(|(c, a)| c.saturating_duration_since(*a))
+            .collect()
     }
 
     fn serve(&self, mut stream: TcpStream) {
@@ -160,7 +173,9 @@
             }
             let path = request.split(' ').nth(1).unwrap();
             let figure = |name: &str| -> Option<u64> {
-                path.split(['?', '&']).find_map(|p| p.strip_prefix(name)).map(|v| v.parse().unwrap())
+                path.split(['?', '&'])
+                    .find_map(|p| p.strip_prefix(name))
+                    .map(|v| v.parse().unwrap())
             };
             let (from, hold) = (figure("from="), figure("hold_ms=").unwrap_or(0));
             let mut kept = self.kept.0.lock().unwrap();
@@ -173,9 +188,15 @@
             }
             if let Some(begins) = kept.hangs {
                 if begins {
-                    _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n{\"revision\":");
+                    _ = stream.write_all(
+                        b"HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n{\"revision\":",
+                    );
                 }
-                drop(self.kept.1.wait_while(kept, |k| k.hangs.is_some() && k.life == life));
+                drop(
+                    self.kept
+                        .1
+                        .wait_while(kept, |k| k.hangs.is_some() && k.life == life),
+                );
                 return;
             }
             let refused = kept.called.len() % 10 < kept.refuses;
@@ -222,10 +243,12 @@
             let body = match (from, &kept.whole) {
                 (None, Some((of, body))) if *of == (kept.life, kept.revision) => body.clone(),
                 _ => {
-                    let news = kept.members.iter().filter(|(r, _)| from.is_none_or(|from| *r > from));
+                    let news = kept
+                        .members
+                        .iter()
+                        .filter(|(r, _)| from.is_none_or(|from| *r > from));
                     let members: Vec<&Value> = news.map(|(_, m)| m).collect();
-                    let list =
-                        json!({"revision": kept.revision, "complete": from.is_none(), "members": members});
+                    let list = json!({"revision": kept.revision, "complete": from.is_none(), "members": members});
                     Arc::from(list.to_string())
                 }
             };
--- a/rig/src/fleet.rs
+++ b/rig/src/fleet.rs
@@ -48,7 +48,8 @@
     pub fn budget(&self, age: Duration) -> f64 {
         let warmed = (age.as_secs_f64() / self.cold.as_secs_f64()).min(1.0);
         let warmth = self.cold_from + (1.0 - self.cold_from) * warmed;
-        self.tip_multiple * warmth * self.full * self.tip_after.as_secs_f64() / self.cold.as_secs_f64()
+        self.tip_multiple * warmth * self.full * self.tip_after.as_secs_f64()
+            / self.cold.as_secs_f64()
     }
 }
 
@@ -77,7 +78,10 @@
 
 impl WarmingHosts {
     pub fn new(terms: Terms) -> Self {
-        WarmingHosts { all: Arc::default(), terms }
+        WarmingHosts {
+            all: Arc::default(),
+            terms,
+        }
     }
 
     /// Starts some, cold or warm, and says which.
@@ -85,7 +89,10 @@
         let first = self.all.lock().unwrap().len();
         for _ in 0..count {
             let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-            let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
+            let since = SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .unwrap()
+                .as_millis() as u64;
             let warming = Arc::new(WarmingHost {
                 address: listener.local_addr().unwrap(),
                 started: cold.then(|| (Instant::now(), since)),
@@ -150,10 +157,17 @@
             }
             let drains = *warming.drains.lock().unwrap();
             let late = drains.map(|t| t + GRACE + SOCKETS + told);
-            let after =
-                warming.arrived.lock().unwrap().iter().filter(|t| late.is_some_and(|l| **t > l)).count();
+            let after = warming
+                .arrived
+                .lock()
+                .unwrap()
+                .iter()
+                .filter(|t| late.is_some_and(|l| **t > l))
+                .count();
             if after > 0 {
-                broken.push(format!("rule 3: {after} came to host {host} after its drain"));
+                broken.push(format!(
+                    "rule 3: {after} came to host {host} after its drain"
+                ));
             }
         }
         broken
@@ -162,7 +176,9 @@
 
 impl WarmingHost {
     fn serve(&self, mut stream: TcpStream, terms: Terms) {
-        let Some((mut reader, mut line)) = first_line(&stream) else { return };
+        let Some((mut reader, mut line)) = first_line(&stream) else {
+            return;
+        };
         while line.starts_with("STATS") {
             self.probed.lock().unwrap().push(Instant::now());
             line.clear();
@@ -176,9 +192,16 @@
         {
             let mut arrived = self.arrived.lock().unwrap();
             arrived.push(now);
-            let within = arrived.iter().rev().take_while(|t| **t + terms.tip_after > now).count() as f64;
+            let within = arrived
+                .iter()
+                .rev()
+                .take_while(|t| **t + terms.tip_after > now)
+                .count() as f64;
             // What warm ones take is no matter here.
-            let age = self.started.map(|(t, _)| now - t).filter(|age| *age < terms.cold);
+            let age = self
+                .started
+                .map(|(t, _)| now - t)
+                .filter(|age| *age < terms.cold);
             if age.is_some_and(|age| within > terms.budget(age).max(1.0)) {
                 self.tipped.store(true, SeqCst);
             }
@@ -188,7 +211,9 @@
         }
         self.open.fetch_add(1, SeqCst);
         line.clear();
-        while matches!(reader.read_line(&mut line), Ok(1..)) && stream.write_all(line.as_bytes()).is_ok() {
+        while matches!(reader.read_line(&mut line), Ok(1..))
+            && stream.write_all(line.as_bytes()).is_ok()
+        {
             line.clear();
         }
         self.open.fetch_sub(1, SeqCst);
@@ -208,7 +233,12 @@
     }
 
     fn leaves_out(&self, address: SocketAddr, from: Instant) {
-        self.0.lock().unwrap().iter_mut().filter(|(a, _)| *a == address).for_each(|one| one.1 = Some(from));
+        self.0
+            .lock()
+            .unwrap()
+            .iter_mut()
+            .filter(|(a, _)| *a == address)
+            .for_each(|one| one.1 = Some(from));
     }
 
     fn pick(&self, rng: &mut ChaCha8Rng) -> Option<SocketAddr> {
@@ -301,7 +331,11 @@
 
     /// Where those that run take clients in, by their numbers.
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        self.nodes.iter().flatten().map(|node| node.address).collect()
+        self.nodes
+            .iter()
+            .flatten()
+            .map(|node| node.address)
+            .collect()
     }
 
     fn papers(&self, node: usize, known: &[Value], revision: u64) -> Value {
@@ -324,7 +358,11 @@
             papers["settings"]["reporting"] = json!({"fields": ["util", "x0"], "via": "pull"});
         }
         let settings = &mut papers["settings"];
-        let place = if self.alone { (1, 0) } else { (self.places, node) };
+        let place = if self.alone {
+            (1, 0)
+        } else {
+            (self.places, node)
+        };
         (settings["balancers"], settings["index"]) = (json!(place.0), json!(place.1));
         let contract = &mut settings["contract"];
         contract["cold"] = millis(self.terms.cold);
@@ -337,22 +375,32 @@
 
     /// Starts these at once, each knowing this list; the front takes them in.
     pub fn start(&mut self, which: &[usize], known: &[Value], revision: u64) {
-        let papers: Vec<(usize, Value)> =
-            which.iter().map(|&n| (n, self.papers(n, known, revision))).collect();
+        let papers: Vec<(usize, Value)> = which
+            .iter()
+            .map(|&n| (n, self.papers(n, known, revision)))
+            .collect();
         let (program, view) = (&self.program, self.view.as_ref());
-        let more = self.wards.map(|life| format!("[fleet.wards]\nlife = \"{}ms\"\n", life.as_millis()));
+        let more = self
+            .wards
+            .map(|life| format!("[fleet.wards]\nlife = \"{}ms\"\n", life.as_millis()));
         let more = more.unwrap_or_default();
         let started: Vec<(usize, Node)> = thread::scope(|scope| {
             let one = |(node, papers): &(usize, Value)| match view {
-                Some(view) => {
-                    (*node, Node::start_of_as(program, "node", &(view.articles(*node) + &more), papers))
-                }
+                Some(view) => (
+                    *node,
+                    Node::start_of_as(program, "node", &(view.articles(*node) + &more), papers),
+                ),
                 None => (*node, Node::start_of(program, papers)),
             };
             let share = papers.len().div_ceil(16).max(1);
-            let parts = papers.chunks(share).map(|part| scope.spawn(move || part.iter().map(one).collect()));
+            let parts = papers
+                .chunks(share)
+                .map(|part| scope.spawn(move || part.iter().map(one).collect()));
             let parts: Vec<thread::ScopedJoinHandle<Vec<_>>> = parts.collect();
-            parts.into_iter().flat_map(|part| part.join().expect("a node did not start")).collect()
+            parts
+                .into_iter()
+                .flat_map(|part| part.join().expect("a node did not start"))
+                .collect()
         });
         for (number, node) in started {
             self.front.takes_in(node.address);
@@ -380,7 +428,9 @@
         self.places = places;
         for number in which {
             let papers = self.papers(number, known, revision).to_string();
-            self.nodes[number].iter().for_each(|node| node.reread_papers(&papers));
+            self.nodes[number]
+                .iter()
+                .for_each(|node| node.reread_papers(&papers));
         }
     }
 
@@ -450,7 +500,9 @@
                 match ask.answered {
                     None if !ended => broken.push(format!("rule 1: guest {number} had no answer")),
                     Some(took) if took > EXPIRY + SOCKETS + SOCKETS && !ended => {
-                        broken.push(format!("rule 1: guest {number} was answered after {took:?}"));
+                        broken.push(format!(
+                            "rule 1: guest {number} was answered after {took:?}"
+                        ));
                     }
                     _ => {}
                 }
@@ -484,7 +536,13 @@
 
 impl Guests {
     /// They come within `spread`; where `at` is given, each keeps to the node of its number.
-    pub fn come(count: usize, front: &Front, spread: Duration, at: Option<&[SocketAddr]>, seed: u64) -> Self {
+    pub fn come(
+        count: usize,
+        front: &Front,
+        spread: Duration,
+        at: Option<&[SocketAddr]>,
+        seed: u64,
+    ) -> Self {
         let seen: Arc<Vec<Mutex<Seen>>> = Arc::new((0..count).map(|_| Mutex::default()).collect());
         let over = Arc::new(AtomicBool::new(false));
         let one = |number: usize| {
@@ -502,17 +560,28 @@
                     };
                     let wait = visit(node, key, &mut again, &seen[number], &over, &mut rng);
                     // Who keeps to a node is there to see when that serves.
-                    thread::sleep(if kept.is_some() { wait.min(Duration::from_millis(100)) } else { wait });
+                    thread::sleep(if kept.is_some() {
+                        wait.min(Duration::from_millis(100))
+                    } else {
+                        wait
+                    });
                 }
             })
         };
         let running = (0..count).map(one).collect();
-        Guests { seen, over, running }
+        Guests {
+            seen,
+            over,
+            running,
+        }
     }
 
     /// How many stand now.
     pub fn standing(&self) -> usize {
-        self.seen.iter().filter(|seen| seen.lock().unwrap().stands.is_some()).count()
+        self.seen
+            .iter()
+            .filter(|seen| seen.lock().unwrap().stands.is_some())
+            .count()
     }
 
     /// When each first stood, since `from`.
@@ -543,17 +612,27 @@
     rng: &mut ChaCha8Rng,
 ) -> Duration {
     let backs_off = Duration::from_millis(rng.random_range(100..400));
-    let Ok(mut stream) = TcpStream::connect(node) else { return backs_off };
+    let Ok(mut stream) = TcpStream::connect(node) else {
+        return backs_off;
+    };
     _ = stream.set_nodelay(true);
     let (at, id) = (Instant::now(), rng.random::<u64>());
     let mark = if *again { ",again=1" } else { "" };
-    let line = format!("OPEN {id:x} {key:x} c=chat,t=acme,d={}{mark}\r\n", EXPIRY.as_millis());
+    let line = format!(
+        "OPEN {id:x} {key:x} c=chat,t=acme,d={}{mark}\r\n",
+        EXPIRY.as_millis()
+    );
     if stream.write_all(line.as_bytes()).is_err() {
         return backs_off;
     }
     let number = {
         let mut seen = seen.lock().unwrap();
-        seen.asks.push(Ask { at, node, answered: None, up: false });
+        seen.asks.push(Ask {
+            at,
+            node,
+            answered: None,
+            up: false,
+        });
         seen.asks.len() - 1
     };
     _ = stream.set_read_timeout(Some(EXPIRY + Duration::from_secs(1)));
@@ -569,7 +648,9 @@
         seen.stands = up.then(Instant::now);
     }
     if !up {
-        let told = said.strip_prefix("BUSY ").and_then(|ms| ms.trim().parse().ok());
+        let told = said
+            .strip_prefix("BUSY ")
+            .and_then(|ms| ms.trim().parse().ok());
         return told.map_or(backs_off, Duration::from_millis);
     }
     _ = stream.set_read_timeout(Some(Duration::from_millis(250)));
@@ -581,7 +662,9 @@
                 said.clear();
                 thread::sleep(Duration::from_millis(100));
             }
-            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => thread::sleep(Duration::from_millis(50)),
+            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {
+                thread::sleep(Duration::from_millis(50))
+            }
             _ => break,
         }
     }
@@ -618,7 +701,9 @@
         hosts.start(2, true);
         hosts.start(1, false);
         // Two within a second are what a host that has just started can take; a warm one takes more.
-        let _well: Vec<TcpStream> = [0, 0, 2, 2, 2, 2].map(|host| asks(hosts.at(host).address)).into();
+        let _well: Vec<TcpStream> = [0, 0, 2, 2, 2, 2]
+            .map(|host| asks(hosts.at(host).address))
+            .into();
         eventually("six stand", || hosts.standing(0..3) == 6);
         assert_eq!(hosts.broken(Duration::ZERO), Vec::<String>::new());
         let _flood: Vec<TcpStream> = (0..4).map(|_| asks(hosts.at(1).address)).collect();
@@ -629,7 +714,10 @@
         eventually("one came late", || hosts.arrived(2).len() == 5);
         let broken = hosts.broken(Duration::ZERO);
         assert_eq!(broken.len(), 2, "{broken:?}");
-        assert!(broken[0].starts_with("rule 4: host 1") && broken[1].starts_with("rule 3: 1 came to host 2"));
+        assert!(
+            broken[0].starts_with("rule 4: host 1")
+                && broken[1].starts_with("rule 3: 1 came to host 2")
+        );
     }
 
     /// Guards: clients left without an answer that nobody notices, and those of a node that died held against it.
@@ -658,7 +746,9 @@
         };
         fleet.front.takes_in(address);
         let mut guests = Guests::come(1, &fleet.front, Duration::ZERO, None, 1);
-        eventually("it has asked twice", || guests.seen[0].lock().unwrap().asks.len() > 1);
+        eventually("it has asked twice", || {
+            guests.seen[0].lock().unwrap().asks.len() > 1
+        });
         guests.end();
         assert!(!fleet.broken(&guests).is_empty());
         fleet.ended.push((address, Instant::now()));
--- a/rig/src/main.rs
+++ b/rig/src/main.rs
@@ -79,8 +79,9 @@
             return Ok((0..self.count).map(drawn).collect());
         };
         let text = std::fs::read_to_string(path).map_err(|e| e.to_string());
-        let schedule =
-            text.and_then(|text| text.parse()).map_err(|why| format!("{}: {why}", path.display()))?;
+        let schedule = text
+            .and_then(|text| text.parse())
+            .map_err(|why| format!("{}: {why}", path.display()))?;
         Ok(vec![schedule])
     }
 
@@ -96,9 +97,17 @@
             }
             eprint!("{schedule}");
             wrong.iter().for_each(|what| eprintln!("  {what}"));
-            let mut fails = |less: &Schedule| !schedule::play(less, self.program.as_ref()).is_empty();
-            eprint!("still fails:\n{}", schedule::shrink(&schedule, 3, &mut fails));
-            broken.extend(wrong.into_iter().map(|what| format!("seed {}: {what}", schedule.seed)));
+            let mut fails =
+                |less: &Schedule| !schedule::play(less, self.program.as_ref()).is_empty();
+            eprint!(
+                "still fails:\n{}",
+                schedule::shrink(&schedule, 3, &mut fails)
+            );
+            broken.extend(
+                wrong
+                    .into_iter()
+                    .map(|what| format!("seed {}: {what}", schedule.seed)),
+            );
         }
         Ok(Found { figures, broken })
     }
@@ -180,10 +189,18 @@
             // No more than leaves the ports of one machine to spare: connections that ended keep theirs for a minute,
             // and what then cannot connect is dismissed.
             let rate = (40.0 * nodes as f64).min(MOST_A_SECOND);
-            let size = two_tier::Size { nodes, hosts: nodes + 2, rate, span: Duration::from_secs(6) };
+            let size = two_tier::Size {
+                nodes,
+                hosts: nodes + 2,
+                rate,
+                span: Duration::from_secs(6),
+            };
             let found = two_tier::measure(size, options.seed).unwrap_or_else(|why| {
                 eprintln!("reedferry-rig: {why}");
-                Found { figures: Default::default(), broken: vec![why] }
+                Found {
+                    figures: Default::default(),
+                    broken: vec![why],
+                }
             });
             ("two-tier", options.seed, options.size, options.json, found)
         }
@@ -195,8 +212,11 @@
             ("schedule", options.seed, options.size, options.json, found)
         }
         What::Fleet(options) => {
-            let found =
-                view::measure(options.size as usize, Duration::from_millis(options.period), options.seed);
+            let found = view::measure(
+                options.size as usize,
+                Duration::from_millis(options.period),
+                options.seed,
+            );
             ("fleet", options.seed, options.size, options.json, found)
         }
         What::Soak(options) => {
@@ -233,7 +253,10 @@
             };
             let (found, rows) = coldstart::measure(&size, options.seed);
             if let Some(path) = options.plot {
-                let title = format!("A cold start of {} nodes, seed {}", options.size, options.seed);
+                let title = format!(
+                    "A cold start of {} nodes, seed {}",
+                    options.size, options.seed
+                );
                 if let Err(e) = std::fs::write(&path, chart::page(&title, &rows)) {
                     eprintln!("reedferry-rig: {}: {e}", path.display());
                     std::process::exit(2);
@@ -245,7 +268,10 @@
     for (name, value) in &found.figures {
         println!("{name:36} {value}");
     }
-    found.broken.iter().for_each(|what| println!("fell short: {what}"));
+    found
+        .broken
+        .iter()
+        .for_each(|what| println!("fell short: {what}"));
     let ok = found.broken.is_empty();
     if asked {
         let Found { figures, broken } = found;
--- a/rig/src/peers.rs
+++ b/rig/src/peers.rs
@@ -21,7 +21,10 @@
     pub fn new(stream: TcpStream) -> Self {
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         stream.set_nodelay(true).unwrap();
-        Peer { reader: BufReader::new(stream.try_clone().unwrap()), stream }
+        Peer {
+            reader: BufReader::new(stream.try_clone().unwrap()),
+            stream,
+        }
     }
 
     pub fn connect(address: SocketAddr) -> Self {
@@ -41,7 +44,10 @@
         let mut line = Vec::new();
         match self.reader.read_until(b'\n', &mut line) {
             Ok(0) => "end".into(),
-            Ok(_) => String::from_utf8(line).unwrap().trim_end_matches("\r\n").to_string(),
+            Ok(_) => String::from_utf8(line)
+                .unwrap()
+                .trim_end_matches("\r\n")
+                .to_string(),
             Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => "reset".into(),
             Err(e) => panic!("waited for a line: {e}"),
         }
@@ -77,7 +83,11 @@
 impl Hosts {
     pub fn start(count: usize) -> Self {
         let (sender, arrivals) = channel();
-        let mut hosts = Hosts { addresses: Vec::new(), arrivals, sender };
+        let mut hosts = Hosts {
+            addresses: Vec::new(),
+            arrivals,
+            sender,
+        };
         (0..count).for_each(|_| hosts.add());
         hosts
     }
@@ -97,7 +107,9 @@
 
     /// The next connection to any of them, and to which.
     pub fn accept(&self) -> (usize, Peer) {
-        self.arrivals.recv_timeout(PATIENCE).expect("no connection came to a host")
+        self.arrivals
+            .recv_timeout(PATIENCE)
+            .expect("no connection came to a host")
     }
 
     /// A connection that is there, or comes very soon.
@@ -107,7 +119,8 @@
 
     pub fn members(&self) -> Value {
         let all = self.addresses.iter().enumerate();
-        all.map(|(n, a)| member(n, &a.to_string(), "active")).collect()
+        all.map(|(n, a)| member(n, &a.to_string(), "active"))
+            .collect()
     }
 }
 
@@ -118,7 +131,10 @@
 
 /// An address at which nobody listens.
 pub fn nowhere() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
+    TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
 }
 
 /// A host's listener with no room: connections to it come up only once the one that is in the way, the first, was accepted.
--- a/rig/src/program.rs
+++ b/rig/src/program.rs
@@ -102,20 +102,30 @@
         return named.into();
     }
     let own = std::env::current_exe().expect("no path of its own");
-    let near = own.ancestors().skip(1).take(2).map(|folder| folder.join("reedferry"));
-    near.into_iter().find(|path| path.is_file()).expect("no program: build `reedferry` first")
+    let near = own
+        .ancestors()
+        .skip(1)
+        .take(2)
+        .map(|folder| folder.join("reedferry"));
+    near.into_iter()
+        .find(|path| path.is_file())
+        .expect("no program: build `reedferry` first")
 }
 
 /// A file of its own that holds this text.
 fn file(kind: &str, text: &str) -> PathBuf {
     let number = STARTED.fetch_add(1, Ordering::Relaxed);
-    let path = std::env::temp_dir().join(format!("reedferry-{}-{number}.{kind}", std::process::id()));
+    let path =
+        std::env::temp_dir().join(format!("reedferry-{}-{number}.{kind}", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path
 }
 
 fn piped(mut command: Command) -> Command {
-    command.stdout(Stdio::piped()).stderr(Stdio::piped()).stdin(Stdio::null());
+    command
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped())
+        .stdin(Stdio::null());
     command
 }
 
@@ -131,9 +141,17 @@
 }
 
 /// The program in a role, with the files that tell it: papers, and the operator's.
-fn command_as(program: &Path, role: &str, articles: &str, papers: &Value) -> (Command, PathBuf, PathBuf) {
+fn command_as(
+    program: &Path,
+    role: &str,
+    articles: &str,
+    papers: &Value,
+) -> (Command, PathBuf, PathBuf) {
     let papers = file("json", &papers.to_string());
-    let articles = file("toml", &articles.replace("PAPERS", &papers.display().to_string()));
+    let articles = file(
+        "toml",
+        &articles.replace("PAPERS", &papers.display().to_string()),
+    );
     let mut command = Command::new(program);
     command.arg(role).arg("--config").arg(&articles);
     (piped(command), papers, articles)
@@ -142,7 +160,10 @@
 /// The file that a command names as its papers.
 fn told_by(command: &Command) -> PathBuf {
     let named = command.get_envs().find(|(name, _)| *name == "GW_CONFIG");
-    named.and_then(|(_, path)| path).expect("no papers are named").into()
+    named
+        .and_then(|(_, path)| path)
+        .expect("no papers are named")
+        .into()
 }
 
 /// The same, with clients taken in at the descriptor that is named so.
@@ -185,23 +206,42 @@
     }
 
     /// The same, at a listener which the test holds.
-    pub fn start_spoilt_at(papers: &Value, listener: &TcpListener, folder: &Path, spoiler: &Spoiler) -> Self {
-        let command = program_at(&papers.to_string(), &listener.as_raw_fd().to_string(), folder);
+    pub fn start_spoilt_at(
+        papers: &Value,
+        listener: &TcpListener,
+        folder: &Path,
+        spoiler: &Spoiler,
+    ) -> Self {
+        let command = program_at(
+            &papers.to_string(),
+            &listener.as_raw_fd().to_string(),
+            folder,
+        );
         let papers = told_by(&command);
         Node::run_spoilt(command, papers.clone(), vec![papers], spoiler)
     }
 
     /// One that takes clients in at a listener which the test holds, with this folder for what it leaves.
     pub fn start_at(papers: &Value, listener: &TcpListener, folder: &Path) -> Self {
-        Node::launch(program_at(&papers.to_string(), &listener.as_raw_fd().to_string(), folder))
+        Node::launch(program_at(
+            &papers.to_string(),
+            &listener.as_raw_fd().to_string(),
+            folder,
+        ))
     }
 
     /// One that the system allows no more than so many descriptors.
     pub fn start_within(papers: &Value, descriptors: usize) -> Self {
         let plain = program(&papers.to_string());
         let mut command = Command::new("sh");
-        command.args(["-c", &format!("ulimit -n {descriptors}; exec \"$0\"")]).arg(path());
-        command.envs(plain.get_envs().filter_map(|(name, value)| Some((name, value?))));
+        command
+            .args(["-c", &format!("ulimit -n {descriptors}; exec \"$0\"")])
+            .arg(path());
+        command.envs(
+            plain
+                .get_envs()
+                .filter_map(|(name, value)| Some((name, value?))),
+        );
         Node::launch(piped(command))
     }
 
@@ -243,17 +283,27 @@
         let lines = BufReader::new(stderr).lines();
         // To its end, whether or not anybody listens. Guards: a program held up by a full pipe.
         thread::spawn(move || {
-            lines.map_while(Result::ok).for_each(|line| _ = sender.send((Instant::now(), line)))
+            lines
+                .map_while(Result::ok)
+                .for_each(|line| _ = sender.send((Instant::now(), line)))
         });
-        let mut node = Node { process, told, files, address: nowhere(), ops: None, log };
+        let mut node = Node {
+            process,
+            told,
+            files,
+            address: nowhere(),
+            ops: None,
+            log,
+        };
         let named = |line: &str, what: &str| {
             let rest = line.split_once(what)?.1;
             rest.split([',', ' ']).next()?.parse().ok()
         };
         let mut before = String::new();
         loop {
-            let line =
-                node.next_line().unwrap_or_else(|| panic!("it did not start; its last line: {before}"));
+            let line = node
+                .next_line()
+                .unwrap_or_else(|| panic!("it did not start; its last line: {before}"));
             before.clone_from(&line);
             if line.contains("operators") {
                 node.ops = named(&line, "at: ");
@@ -274,7 +324,11 @@
         let until = Instant::now() + PATIENCE;
         loop {
             let left = until.saturating_duration_since(Instant::now());
-            let line = self.log.recv_timeout(left).unwrap_or_else(|_| panic!("no log line said {text}")).1;
+            let line = self
+                .log
+                .recv_timeout(left)
+                .unwrap_or_else(|_| panic!("no log line said {text}"))
+                .1;
             if line.contains(text) {
                 return line;
             }
@@ -284,7 +338,10 @@
     /// A client that asks under an id of its own.
     pub fn open(&self, line: &str) -> Peer {
         let mut client = Peer::connect(self.address);
-        client.say(&line.replace("9b1f", &format!("9b1f{}", STARTED.fetch_add(1, Ordering::Relaxed))));
+        client.say(&line.replace(
+            "9b1f",
+            &format!("9b1f{}", STARTED.fetch_add(1, Ordering::Relaxed)),
+        ));
         client
     }
 
@@ -300,15 +357,25 @@
 
     /// An operator's call: the status of the answer, and its text.
     pub fn call(&self, call: &str) -> (u16, String) {
-        ask(self.ops.unwrap(), &format!("{call} HTTP/1.1\r\nHost: it\r\n\r\n"))
+        ask(
+            self.ops.unwrap(),
+            &format!("{call} HTTP/1.1\r\nHost: it\r\n\r\n"),
+        )
     }
 
     /// One of the figures that operators are told.
     pub fn figure(&self, name: &str) -> i64 {
         let (status, text) = self.call("GET /status/metrics");
         assert_eq!(status, 200, "{text}");
-        let line = text.lines().find_map(|l| l.strip_prefix(&format!("app.{name}:")));
-        line.unwrap_or_else(|| panic!("no {name} in {text}")).split('|').next().unwrap().parse().unwrap()
+        let line = text
+            .lines()
+            .find_map(|l| l.strip_prefix(&format!("app.{name}:")));
+        line.unwrap_or_else(|| panic!("no {name} in {text}"))
+            .split('|')
+            .next()
+            .unwrap()
+            .parse()
+            .unwrap()
     }
 
     pub fn stop(&self) {
@@ -338,7 +405,9 @@
         match &self.process {
             Process::Plain(_) => {
                 self.signal(Signal::STOP);
-                eventually("the process does not stand still", || self.state() == Some('T'));
+                eventually("the process does not stand still", || {
+                    self.state() == Some('T')
+                });
             }
             Process::Traced(traced) => traced.stand_still(),
         }
@@ -368,14 +437,21 @@
 
     /// Its memory, in bytes, as the system counts what is resident.
     pub fn memory(&self) -> usize {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.process.id())).unwrap();
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", self.process.id())).unwrap();
         let line = status.lines().find(|l| l.starts_with("VmRSS:")).unwrap();
-        line.split_whitespace().nth(1).unwrap().parse::<usize>().unwrap() << 10
+        line.split_whitespace()
+            .nth(1)
+            .unwrap()
+            .parse::<usize>()
+            .unwrap()
+            << 10
     }
 
     /// What the system says of it, from its state on.
     fn stat(&self) -> Vec<String> {
-        let text = std::fs::read_to_string(format!("/proc/{}/stat", self.process.id())).unwrap_or_default();
+        let text = std::fs::read_to_string(format!("/proc/{}/stat", self.process.id()))
+            .unwrap_or_default();
         // The name may hold anything; it ends with the last bracket.
         let after = text.rsplit(')').next().unwrap_or("").split_whitespace();
         after.map(str::to_string).collect()
@@ -389,7 +465,13 @@
     /// Processor time that it has taken, as the system counts it.
     pub fn spent(&self) -> Duration {
         // Ticks of ten milliseconds.
-        let ticks: u64 = self.stat().iter().skip(11).take(2).filter_map(|n| n.parse::<u64>().ok()).sum();
+        let ticks: u64 = self
+            .stat()
+            .iter()
+            .skip(11)
+            .take(2)
+            .filter_map(|n| n.parse::<u64>().ok())
+            .sum();
         Duration::from_millis(10 * ticks)
     }
 
@@ -406,7 +488,9 @@
     }
 
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.process.id())).unwrap().count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.process.id()))
+            .unwrap()
+            .count()
     }
 }
 
@@ -420,16 +504,24 @@
 /// The answer to a call, read to the end of its connection.
 pub fn answered(caller: &mut Peer) -> (u16, String) {
     let status = caller.hear();
-    let code = status.strip_prefix("HTTP/1.1 ").and_then(|s| s.split(' ').next()?.parse().ok());
+    let code = status
+        .strip_prefix("HTTP/1.1 ")
+        .and_then(|s| s.split(' ').next()?.parse().ok());
     let mut length = None;
     loop {
         let line = caller.hear();
         // Guards: a test that never ends, as the answer was lost with its connection.
-        assert!(!["end", "reset"].contains(&line.as_str()), "{line} in the middle of an answer: {status}");
+        assert!(
+            !["end", "reset"].contains(&line.as_str()),
+            "{line} in the middle of an answer: {status}"
+        );
         if line.is_empty() {
             break;
         }
-        length = line.strip_prefix("Content-Length: ").map(|n| n.parse().unwrap()).or(length);
+        length = line
+            .strip_prefix("Content-Length: ")
+            .map(|n| n.parse().unwrap())
+            .or(length);
     }
     let text = String::from_utf8(caller.bytes(length.unwrap())).unwrap();
     caller.hears("end");
@@ -439,6 +531,8 @@
 impl Drop for Node {
     fn drop(&mut self) {
         self.kill();
-        self.files.iter().for_each(|file| _ = std::fs::remove_file(file));
+        self.files
+            .iter()
+            .for_each(|file| _ = std::fs::remove_file(file));
     }
 }
--- a/rig/src/relay.rs
+++ b/rig/src/relay.rs
@@ -46,17 +46,27 @@
             to: Arc::new(Mutex::new(to)),
             open: Arc::default(),
         };
-        let (up, down, to, open) =
-            (relay.up.clone(), relay.down.clone(), relay.to.clone(), relay.open.clone());
+        let (up, down, to, open) = (
+            relay.up.clone(),
+            relay.down.clone(),
+            relay.to.clone(),
+            relay.open.clone(),
+        );
         thread::spawn(move || {
             for near in listener.incoming().flatten() {
-                let Ok(far) = TcpStream::connect(*to.lock().unwrap()) else { continue };
+                let Ok(far) = TcpStream::connect(*to.lock().unwrap()) else {
+                    continue;
+                };
                 let both = [&near, &far].map(|s| {
                     _ = s.set_nodelay(true);
                     s.try_clone().unwrap()
                 });
                 open.lock().unwrap().extend(both);
-                pass(near.try_clone().unwrap(), far.try_clone().unwrap(), up.clone());
+                pass(
+                    near.try_clone().unwrap(),
+                    far.try_clone().unwrap(),
+                    up.clone(),
+                );
                 pass(far, near, down.clone());
             }
         });
--- a/rig/src/schedule.rs
+++ b/rig/src/schedule.rs
@@ -64,13 +64,27 @@
                 Fault::Slow(node) => writeln!(out, "slow {node}")?,
                 Fault::Twin(node) => writeln!(out, "twin {node}")?,
                 Fault::Part(parts) => {
-                    let parts: String = parts.iter().map(|part| (b'a' + *part as u8) as char).collect();
+                    let parts: String = parts
+                        .iter()
+                        .map(|part| (b'a' + *part as u8) as char)
+                        .collect();
                     writeln!(out, "part {parts}")?;
                 }
                 Fault::Deaf(from, to) => writeln!(out, "deaf {from} {to}")?,
                 Fault::Lossy(spoil) => {
-                    let Spoil { loss, double, garble, short, delay, .. } = spoil;
-                    writeln!(out, "lossy {loss} {double} {garble} {short} {}", delay.as_millis())?;
+                    let Spoil {
+                        loss,
+                        double,
+                        garble,
+                        short,
+                        delay,
+                        ..
+                    } = spoil;
+                    writeln!(
+                        out,
+                        "lossy {loss} {double} {garble} {short} {}",
+                        delay.as_millis()
+                    )?;
                 }
                 Fault::Down => writeln!(out, "down")?,
                 Fault::Hang => writeln!(out, "hang")?,
@@ -88,13 +102,32 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let mut schedule = Schedule { seed: 0, nodes: 0, faults: Vec::new() };
+        let mut schedule = Schedule {
+            seed: 0,
+            nodes: 0,
+            faults: Vec::new(),
+        };
         for (number, line) in text.lines().enumerate() {
-            let words: Vec<&str> = line.split('#').next().unwrap_or("").split_whitespace().collect();
+            let words: Vec<&str> = line
+                .split('#')
+                .next()
+                .unwrap_or("")
+                .split_whitespace()
+                .collect();
             let wrong = || format!("line {}: {line:?} is no part of a schedule", number + 1);
-            let figure = |n: usize| words.get(n).and_then(|w| w.parse::<u64>().ok()).ok_or_else(wrong);
+            let figure = |n: usize| {
+                words
+                    .get(n)
+                    .and_then(|w| w.parse::<u64>().ok())
+                    .ok_or_else(wrong)
+            };
             let node = |n: usize| figure(n).map(|figure| figure as usize);
-            let part = |n: usize| words.get(n).and_then(|w| w.parse::<f64>().ok()).ok_or_else(wrong);
+            let part = |n: usize| {
+                words
+                    .get(n)
+                    .and_then(|w| w.parse::<f64>().ok())
+                    .ok_or_else(wrong)
+            };
             let fault = match words[..] {
                 [] => continue,
                 ["seed", _] => {
@@ -110,9 +143,12 @@
                     ["still", _] => Fault::Still(node(5)?),
                     ["slow", _] => Fault::Slow(node(5)?),
                     ["twin", _] => Fault::Twin(node(5)?),
-                    ["part", parts] => {
-                        Fault::Part(parts.bytes().map(|b| usize::from(b.wrapping_sub(b'a'))).collect())
-                    }
+                    ["part", parts] => Fault::Part(
+                        parts
+                            .bytes()
+                            .map(|b| usize::from(b.wrapping_sub(b'a')))
+                            .collect(),
+                    ),
                     ["deaf", _, _] => Fault::Deaf(node(5)?, node(6)?),
                     ["lossy", ..] if words.len() == 10 => Fault::Lossy(Spoil {
                         cut: false,
@@ -132,7 +168,11 @@
                 },
                 _ => return Err(wrong()),
             };
-            schedule.faults.push(Planned { at: figure(1)?, lasts: figure(3)?, fault });
+            schedule.faults.push(Planned {
+                at: figure(1)?,
+                lasts: figure(3)?,
+                fault,
+            });
         }
         let nodes = schedule.nodes;
         let known = |planned: &Planned| match &planned.fault {
@@ -157,10 +197,14 @@
         let mut drawn = Vec::new();
         for number in 0..faults as u64 {
             // A cut, a stop and a death are as long as a suspicion at the shortest, and several times that.
-            let (at, lasts) = (from + number * rng.random_range(100..600), rng.random_range(300..3000));
+            let (at, lasts) = (
+                from + number * rng.random_range(100..600),
+                rng.random_range(300..3000),
+            );
             let one = rng.random_range(0..nodes);
-            let share =
-                |rng: &mut ChaCha8Rng, most: f64| (rng.random::<f64>() * most * 100.0).round() / 100.0;
+            let share = |rng: &mut ChaCha8Rng, most: f64| {
+                (rng.random::<f64>() * most * 100.0).round() / 100.0
+            };
             let fault = match rng.random_range(0..14) {
                 0 | 1 => Fault::Kill(one),
                 2 | 3 => Fault::Still(one),
@@ -175,17 +219,28 @@
                     let (loss, double) = (share(&mut rng, 0.3), share(&mut rng, 0.3));
                     let (garble, short) = (share(&mut rng, 0.1), share(&mut rng, 0.1));
                     let delay = Duration::from_millis(rng.random_range(0..30));
-                    Fault::Lossy(Spoil { cut: false, loss, double, garble, short, delay })
+                    Fault::Lossy(Spoil {
+                        cut: false,
+                        loss,
+                        double,
+                        garble,
+                        short,
+                        delay,
+                    })
                 }
                 10 => Fault::Refuse(rng.random_range(5..10)),
                 11 => Fault::Older,
-                _ => {
-                    [Fault::Down, Fault::Hang, Fault::Silent, Fault::Sluggish][rng.random_range(0..4)].clone()
-                }
+                _ => [Fault::Down, Fault::Hang, Fault::Silent, Fault::Sluggish]
+                    [rng.random_range(0..4)]
+                .clone(),
             };
             drawn.push(Planned { at, lasts, fault });
         }
-        Schedule { seed, nodes, faults: drawn }
+        Schedule {
+            seed,
+            nodes,
+            faults: drawn,
+        }
     }
 
     /// What happens at which moment: which fault, and which step of it.
@@ -194,7 +249,10 @@
         for (number, Planned { at, lasts, fault }) in self.faults.iter().enumerate() {
             if let Fault::Slow(_) = fault {
                 for start in (*at..at + lasts).step_by(100) {
-                    moments.extend([(start, number, Step::Begin), (start + 90, number, Step::End)]);
+                    moments.extend([
+                        (start, number, Step::Begin),
+                        (start + 90, number, Step::End),
+                    ]);
                 }
             } else {
                 moments.extend([(*at, number, Step::Begin), (at + lasts, number, Step::End)]);
@@ -222,15 +280,27 @@
     let nodes = schedule.nodes;
     let (service, hosts) = (Discovery::start(), WarmingHosts::new(Terms::TRIAL));
     let mut list = hosts.members(hosts.start(5, false));
-    list.iter().for_each(|member| service.change(member.clone()));
-    let view = View { ways: Ways::new(nodes + 1, schedule.seed), period: PERIOD, seeds: vec![0, 1] };
-    let mut fleet = Fleet::new(nodes + 1, service.address, Terms::TRIAL).among(nodes).with_view(view);
+    list.iter()
+        .for_each(|member| service.change(member.clone()));
+    let view = View {
+        ways: Ways::new(nodes + 1, schedule.seed),
+        period: PERIOD,
+        seeds: vec![0, 1],
+    };
+    let mut fleet = Fleet::new(nodes + 1, service.address, Terms::TRIAL)
+        .among(nodes)
+        .with_view(view);
     if let Some(program) = program {
         fleet = fleet.of(program.clone());
     }
     fleet.start(&(0..nodes).collect::<Vec<_>>(), &list, 5);
-    let mut guests =
-        Guests::come(GUESTS * nodes, &fleet.front, Duration::from_millis(500), None, schedule.seed);
+    let mut guests = Guests::come(
+        GUESTS * nodes,
+        &fleet.front,
+        Duration::from_millis(500),
+        None,
+        schedule.seed,
+    );
     let mut broken = Vec::new();
     if fleet.agrees_within(PERIOD * PERIODS_TO_AGREE).is_none() {
         broken.push("the views did not agree at the start".into());
@@ -274,7 +344,9 @@
             Fault::Sluggish => service.unbound(),
             Fault::Refuse(of_ten) => service.turn_away(if begins { *of_ten } else { 0 }),
             Fault::Older if begins => drop(service.restart(3, &list[..3])),
-            Fault::Older => list.iter().for_each(|member| service.change(member.clone())),
+            Fault::Older => list
+                .iter()
+                .for_each(|member| service.change(member.clone())),
             Fault::Part(_) | Fault::Deaf(..) | Fault::Lossy(_) => {
                 let now: Vec<&Fault> = schedule
                     .faults
@@ -290,7 +362,10 @@
     // A process that another one superseded takes no part until it is started again, as operators would.
     let ended = Instant::now();
     for node in 0..nodes {
-        if fleet.status(node).is_some_and(|status| status["superseded"] == true) {
+        if fleet
+            .status(node)
+            .is_some_and(|status| status["superseded"] == true)
+        {
             fleet.kill(node, Duration::from_millis(300));
             fleet.start(&[node], &list, 7);
         }
@@ -300,7 +375,11 @@
     }
     while guests.standing() < GUESTS * nodes {
         if ended.elapsed() > TO_STAND {
-            broken.push(format!("{} of {} clients stand", guests.standing(), GUESTS * nodes));
+            broken.push(format!(
+                "{} of {} clients stand",
+                guests.standing(),
+                GUESTS * nodes
+            ));
             break;
         }
         thread::sleep(Duration::from_millis(20));
@@ -317,7 +396,12 @@
         match fault {
             Fault::Part(parts) => all.cut |= parts.get(from) != parts.get(to),
             Fault::Deaf(speaker, deaf) => all.cut |= (*speaker, *deaf) == (from, to),
-            Fault::Lossy(spoil) => all = Spoil { cut: all.cut, ..*spoil },
+            Fault::Lossy(spoil) => {
+                all = Spoil {
+                    cut: all.cut,
+                    ..*spoil
+                }
+            }
             _ => {}
         }
     }
@@ -325,7 +409,11 @@
 }
 
 /// Leaves faults out one by one for as long as what remains still fails, in one of `tries` runs.
-pub fn shrink(schedule: &Schedule, tries: usize, fails: &mut impl FnMut(&Schedule) -> bool) -> Schedule {
+pub fn shrink(
+    schedule: &Schedule,
+    tries: usize,
+    fails: &mut impl FnMut(&Schedule) -> bool,
+) -> Schedule {
     let mut small = schedule.clone();
     let mut place = 0;
     while place < small.faults.len() && small.faults.len() > 1 {
@@ -369,6 +457,9 @@
         let drawn = Schedule::draw(5, 8, 6);
         let (first, last) = (drawn.faults[1].clone(), drawn.faults[4].clone());
         let mut fails = |s: &Schedule| s.faults.contains(&first) && s.faults.contains(&last);
-        assert_eq!(shrink(&drawn, 2, &mut fails).faults, [first.clone(), last.clone()]);
+        assert_eq!(
+            shrink(&drawn, 2, &mut fails).faults,
+            [first.clone(), last.clone()]
+        );
     }
 }
--- a/rig/src/soak/clients.rs
+++ b/rig/src/soak/clients.rs
@@ -76,7 +76,9 @@
                 thread::sleep(next.saturating_duration_since(Instant::now()));
                 next += step;
                 number += 1;
-                let Some((seat, address)) = deal(&seats, &mut rng) else { continue };
+                let Some((seat, address)) = deal(&seats, &mut rng) else {
+                    continue;
+                };
                 let client = Client::draw(&mut rng, format!("{seed:x}-{number}"), seat, address);
                 let lived: Arc<Mutex<Vec<Lived>>> = their_lived.clone();
                 running.push(small(move || {
@@ -85,9 +87,15 @@
                     }
                 }));
             }
-            running.into_iter().for_each(|one| one.join().expect("a client panicked"));
+            running
+                .into_iter()
+                .for_each(|one| one.join().expect("a client panicked"));
         });
-        Load { over, dealer: Some(dealer), lived }
+        Load {
+            over,
+            dealer: Some(dealer),
+            lived,
+        }
     }
 
     /// No more come; those that are there live out their time.
@@ -134,16 +142,30 @@
             5 => (Manner::Slow, rng.random_range(50..600)),
             _ => (Manner::Plain, rng.random_range(50..1500)),
         };
-        let (offering, key, span) = (rng.random_range(0..3), rng.random(), Duration::from_millis(span));
-        Client { name, seat, address, offering, manner, key, span }
+        let (offering, key, span) = (
+            rng.random_range(0..3),
+            rng.random(),
+            Duration::from_millis(span),
+        );
+        Client {
+            name,
+            seat,
+            address,
+            offering,
+            manner,
+            key,
+            span,
+        }
     }
 
     fn live(self) -> Option<Lived> {
         let mut stream = TcpStream::connect(self.address).ok()?;
         _ = stream.set_nodelay(true);
         let wait = EXPIRY.as_millis();
-        let line =
-            format!("OPEN {} {:x} c={},t=acme,d={wait}\r\n", self.name, self.key, OFFERINGS[self.offering]);
+        let line = format!(
+            "OPEN {} {:x} c={},t=acme,d={wait}\r\n",
+            self.name, self.key, OFFERINGS[self.offering]
+        );
         match self.manner {
             Manner::Half => stream.write_all(&line.as_bytes()[..line.len() / 2]).ok()?,
             Manner::Pipelines => stream.write_all(line.repeat(3).as_bytes()).ok()?,
--- a/rig/src/soak/judge.rs
+++ b/rig/src/soak/judge.rs
@@ -39,10 +39,18 @@
         }
         let mut broken = Vec::new();
         for client in &self.lived {
-            let mut attempts = by_name.get(client.name.as_str()).cloned().unwrap_or_default();
+            let mut attempts = by_name
+                .get(client.name.as_str())
+                .cloned()
+                .unwrap_or_default();
             attempts.sort_by_key(|one| one.at);
             let (answer, repeats) = (self.answer(client), self.repeats(client, &attempts));
-            let wrong = [answer, repeats, self.late(client, &attempts), self.drained(client, &attempts)];
+            let wrong = [
+                answer,
+                repeats,
+                self.late(client, &attempts),
+                self.drained(client, &attempts),
+            ];
             let of = |why| {
                 format!(
                     "{} at seat {}, {:?}, offering {}: {why}",
@@ -58,13 +66,17 @@
     fn excused(&self, client: &Lived) -> bool {
         let seat = self.seats[client.seat].lock().unwrap();
         let until = client.ended_at.unwrap_or(client.heard_at);
-        seat.killed.iter().any(|t| *t + BUSY > client.asked - Duration::from_secs(3) && *t < until + BUSY)
+        seat.killed
+            .iter()
+            .any(|t| *t + BUSY > client.asked - Duration::from_secs(3) && *t < until + BUSY)
     }
 
     /// Until when the process of its seat stood still, after this.
     fn stood_still(&self, client: &Lived, from: Instant, to: Instant) -> bool {
         let seat = self.seats[client.seat].lock().unwrap();
-        seat.still.iter().any(|(began, ended)| *began < to && *ended + BUSY > from)
+        seat.still
+            .iter()
+            .any(|(began, ended)| *began < to && *ended + BUSY > from)
     }
 
     /// Rule 1: one final answer, in time.
@@ -76,13 +88,18 @@
             return Some(format!("rule 1: {second} behind {:?}", client.heard));
         }
         let took = client.heard_at - client.asked;
-        let still = self.stood_still(client, client.asked - Duration::from_secs(3), client.heard_at);
+        let still = self.stood_still(
+            client,
+            client.asked - Duration::from_secs(3),
+            client.heard_at,
+        );
         let bad = matches!(client.manner, Manner::Half | Manner::Pipelines);
         match &client.heard {
             Heard::End if bad => {}
             Heard::Line(_) => {}
             // It gave up waiting while the process stood still, or right after.
-            Heard::Nothing if self.stood_still(client, client.heard_at - BAD_CLIENTS, client.heard_at) => {}
+            Heard::Nothing
+                if self.stood_still(client, client.heard_at - BAD_CLIENTS, client.heard_at) => {}
             other => return Some(format!("rule 1: no answer but {other:?} after {took:?}")),
         }
         let within = if bad { BAD_CLIENTS } else { EXPIRY + SOCKETS } + BUSY;
@@ -108,7 +125,10 @@
             1 if ran.iter().any(|one| one.host % 2 != first.host % 2) => {
                 Some("rule 2: left its group".into())
             }
-            1 if ran.iter().any(|one| one.at > first.at + WINDOW + SOCKETS + BUSY) => {
+            1 if ran
+                .iter()
+                .any(|one| one.at > first.at + WINDOW + SOCKETS + BUSY) =>
+            {
                 Some("rule 2: repeated past its window".into())
             }
             _ => None,
@@ -119,16 +139,28 @@
     fn late(&self, client: &Lived, attempts: &[&Reached]) -> Option<String> {
         let last = attempts.last()?;
         if let Some(left) = client.left.filter(|left| last.at > *left + GONE + BUSY) {
-            return Some(format!("attempted {:?} after its client had gone", last.at - left));
+            return Some(format!(
+                "attempted {:?} after its client had gone",
+                last.at - left
+            ));
         }
-        let answered = matches!(client.heard, Heard::Line(_)) && last.at > client.heard_at + SOCKETS + BUSY;
+        let answered =
+            matches!(client.heard, Heard::Line(_)) && last.at > client.heard_at + SOCKETS + BUSY;
         if answered {
-            return Some(format!("rule 1: attempted {:?} after its answer", last.at - client.heard_at));
+            return Some(format!(
+                "rule 1: attempted {:?} after its answer",
+                last.at - client.heard_at
+            ));
         }
         // Its time counts from when it was read: a process that stood still had not read it.
         let from = client.asked - Duration::from_secs(1);
-        if last.at > client.asked + EXPIRY + SOCKETS + BUSY && !self.stood_still(client, from, last.at) {
-            return Some(format!("rule 1: attempted {:?} after it asked", last.at - client.asked));
+        if last.at > client.asked + EXPIRY + SOCKETS + BUSY
+            && !self.stood_still(client, from, last.at)
+        {
+            return Some(format!(
+                "rule 1: attempted {:?} after it asked",
+                last.at - client.asked
+            ));
         }
         None
     }
@@ -143,7 +175,8 @@
             let late = one.at - *since;
             let told = self.told(client.seat, *since, one.at);
             let allowed = told.saturating_duration_since(*since) + GRACE + SOCKETS + BUSY;
-            (late > allowed).then(|| format!("rule 3: sent to host {} {late:?} after its drain", one.host))
+            (late > allowed)
+                .then(|| format!("rule 3: sent to host {} {late:?} after its drain", one.host))
         })
     }
 
--- a/rig/src/soak/mod.rs
+++ b/rig/src/soak/mod.rs
@@ -73,7 +73,11 @@
     let (mut figures, mut broken) = (Map::new(), Vec::new());
     for seed in first..first + count {
         let found = play(seed, size);
-        eprintln!("seed {seed}: {} broken, {}", found.broken.len(), json!(found.figures));
+        eprintln!(
+            "seed {seed}: {} broken, {}",
+            found.broken.len(),
+            json!(found.figures)
+        );
         for what in &found.broken {
             eprintln!("  {what}");
             broken.push(format!("seed {seed}: {what}"));
@@ -82,7 +86,10 @@
             eprint!("{}", Schedule::draw(seed, size));
         }
         for (name, value) in found.figures {
-            let sum = figures.get(&name).and_then(|v: &serde_json::Value| v.as_u64()).unwrap_or(0);
+            let sum = figures
+                .get(&name)
+                .and_then(|v: &serde_json::Value| v.as_u64())
+                .unwrap_or(0);
             figures.insert(name, json!(sum + value.as_u64().unwrap_or(0)));
         }
     }
--- a/rig/src/soak/site.rs
+++ b/rig/src/soak/site.rs
@@ -84,7 +84,9 @@
         let hosts = Hosts::start(size.hosts, &referee);
         let services = [Discovery::start(), Discovery::start()];
         for host in 0..size.hosts {
-            services.iter().for_each(|service| service.change(hosts.member(host, "active")));
+            services
+                .iter()
+                .for_each(|service| service.change(hosts.member(host, "active")));
         }
         let seats: Seats = Arc::new((0..size.processes).map(|_| Mutex::default()).collect());
         let processes = (0..size.processes)
@@ -117,12 +119,20 @@
     }
 
     pub fn spoilt(&self) -> u64 {
-        self.processes.iter().map(|process| process.spoiler.spoilt()).sum()
+        self.processes
+            .iter()
+            .map(|process| process.spoiler.spoilt())
+            .sum()
     }
 
     fn papers(&self, seat: usize) -> Value {
         let service = &self.services[self.processes[seat].service];
-        let mut papers = tiers::papers(&format!("n{seat}"), &self.hosts, service, self.seed + seat as u64);
+        let mut papers = tiers::papers(
+            &format!("n{seat}"),
+            &self.hosts,
+            service,
+            self.seed + seat as u64,
+        );
         papers["limits"] = json!({"cores": 1.0, "memory_mb": 128, "sockets": 512});
         (papers["settings"]["balancers"], papers["settings"]["index"]) =
             (json!(self.processes.len()), json!(seat));
@@ -152,7 +162,9 @@
 
     /// Begins or ends a trouble.
     pub fn carry_out(&mut self, moment: Moment) {
-        let Moment { begins, trouble, .. } = moment;
+        let Moment {
+            begins, trouble, ..
+        } = moment;
         self.look_for_ended();
         if std::env::var_os("SOAK_VERBOSE").is_some() {
             eprintln!("{} {trouble:?}", if begins { "begin" } else { "end" });
@@ -170,7 +182,9 @@
             Trouble::Kill(seat) => self.kill(seat, begins),
             Trouble::Reload(seat) => self.reload(seat),
             Trouble::StandStill(seat) => self.stand_still(seat, begins),
-            Trouble::StepClock(seat, seconds) if begins => self.processes[seat].spoiler.step_clock(seconds),
+            Trouble::StepClock(seat, seconds) if begins => {
+                self.processes[seat].spoiler.step_clock(seconds)
+            }
             Trouble::StepClock(..) => {}
             Trouble::Calls(seat, family) => self.spoil(seat, begins, family),
             Trouble::Host(host, way) => self.hosts.go(host, if begins { way } else { Way::Takes }),
@@ -192,7 +206,9 @@
                 self.service_lasts("silent", begins);
             }
             Trouble::ServiceRefuses => {
-                self.services.iter().for_each(|service| service.turn_away(if begins { 7 } else { 0 }));
+                self.services
+                    .iter()
+                    .for_each(|service| service.turn_away(if begins { 7 } else { 0 }));
                 self.service_lasts("refuses", begins);
             }
         }
@@ -209,7 +225,12 @@
     }
 
     /// Notes a trouble once it is over: several of a kind may overlap.
-    fn lasts(&mut self, what: String, begins: bool, note: impl FnOnce(&mut Site, (Instant, Instant))) {
+    fn lasts(
+        &mut self,
+        what: String,
+        begins: bool,
+        note: impl FnOnce(&mut Site, (Instant, Instant)),
+    ) {
         let now = Instant::now();
         let (count, since) = self.lasting.entry(what).or_insert((0, now));
         if begins {
@@ -225,12 +246,16 @@
     }
 
     fn service_lasts(&mut self, what: &str, begins: bool) {
-        self.lasts(format!("service {what}"), begins, |site, span| site.notes.service.push(span));
+        self.lasts(format!("service {what}"), begins, |site, span| {
+            site.notes.service.push(span)
+        });
     }
 
     fn stop(&mut self, seat: usize, begins: bool) {
         if begins {
-            let Some(node) = self.processes[seat].node.take() else { return };
+            let Some(node) = self.processes[seat].node.take() else {
+                return;
+            };
             let now = Instant::now();
             self.go_on(seat, &node);
             self.seats[seat].lock().unwrap().closed = Some(now + STILL_DEALT);
@@ -251,10 +276,13 @@
                 thread::sleep(Duration::from_millis(5));
             }
             if node.runs() {
-                self.wrong
-                    .push(format!("seat {seat}: still runs {:?} after it was told to stop", since.elapsed()));
+                self.wrong.push(format!(
+                    "seat {seat}: still runs {:?} after it was told to stop",
+                    since.elapsed()
+                ));
             } else if !node.wait().success() {
-                self.wrong.push(format!("seat {seat}: ended with {}", node.wait()));
+                self.wrong
+                    .push(format!("seat {seat}: ended with {}", node.wait()));
             }
             self.look_at_log(seat, &node);
         }
@@ -263,9 +291,13 @@
     /// Whether a process says with this line that it broke a rule because it stood still: a call to send began in time by the
     /// clock that was read before it, and was made when the process went on.
     fn is_late_by_standing_still(&self, seat: usize, at: Instant, line: &str) -> bool {
-        let late = LATE_BY_STANDING_STILL.iter().any(|rule| line.contains(rule));
+        let late = LATE_BY_STANDING_STILL
+            .iter()
+            .any(|rule| line.contains(rule));
         let spans = &self.seats[seat].lock().unwrap().still;
-        late && spans.iter().any(|(from, to)| *from <= at && at <= *to + SEEN_AFTER)
+        late && spans
+            .iter()
+            .any(|(from, to)| *from <= at && at <= *to + SEEN_AFTER)
     }
 
     /// A process that ended ill, or broke a rule, leaves that in its log. Gives the lines that are excused.
@@ -289,7 +321,9 @@
         if self.processes[seat].shared.is_none() || self.processes[seat].node.is_none() {
             return;
         }
-        let Some(mut before) = self.processes[seat].node.take() else { return };
+        let Some(mut before) = self.processes[seat].node.take() else {
+            return;
+        };
         self.go_on(seat, &before);
         self.open(seat);
         if self.ended_unasked(seat, &mut before) {
@@ -302,7 +336,9 @@
     /// Starts a process anew in each seat in which one has ended unasked.
     fn look_for_ended(&mut self) {
         for seat in 0..self.processes.len() {
-            let Some(mut node) = self.processes[seat].node.take() else { continue };
+            let Some(mut node) = self.processes[seat].node.take() else {
+                continue;
+            };
             if self.ended_unasked(seat, &mut node) {
                 self.open(seat);
             } else {
@@ -318,13 +354,18 @@
         }
         let log = node.logged();
         let end = &log[log.len().saturating_sub(LAST_LINES)..];
-        self.wrong.push(format!("seat {seat}: ended unasked with {}: {end:#?}", node.wait()));
+        self.wrong.push(format!(
+            "seat {seat}: ended unasked with {}: {end:#?}",
+            node.wait()
+        ));
         true
     }
 
     fn kill(&mut self, seat: usize, begins: bool) {
         if begins {
-            let Some(mut node) = self.processes[seat].node.take() else { return };
+            let Some(mut node) = self.processes[seat].node.take() else {
+                return;
+            };
             let mut noted = self.seats[seat].lock().unwrap();
             (noted.closed, _) = (Some(Instant::now()), noted.killed.push(Instant::now()));
             drop(noted);
@@ -341,7 +382,11 @@
         let papers = self.papers(seat).to_string();
         if let Some(node) = &self.processes[seat].node {
             node.reread(&papers);
-            self.seats[seat].lock().unwrap().reloaded.push(Instant::now());
+            self.seats[seat]
+                .lock()
+                .unwrap()
+                .reloaded
+                .push(Instant::now());
         }
     }
 
@@ -353,7 +398,9 @@
     }
 
     fn stand_still(&mut self, seat: usize, begins: bool) {
-        let Some(node) = &self.processes[seat].node else { return };
+        let Some(node) = &self.processes[seat].node else {
+            return;
+        };
         if begins {
             node.stand_still();
             let (now, far) = (Instant::now(), Instant::now() + Duration::from_secs(3600));
@@ -368,11 +415,15 @@
         let open = drains.iter().any(|(_, back)| back.is_none());
         match (begins, open) {
             (true, false) => drains.push((Instant::now(), None)),
-            (false, true) => drains.iter_mut().for_each(|one| _ = one.1.get_or_insert(Instant::now())),
+            (false, true) => drains
+                .iter_mut()
+                .for_each(|one| _ = one.1.get_or_insert(Instant::now())),
             _ => return,
         }
         let phase = if begins { "leaving" } else { "active" };
-        self.services.iter().for_each(|service| service.change(self.hosts.member(host, phase)));
+        self.services
+            .iter()
+            .for_each(|service| service.change(self.hosts.member(host, phase)));
     }
 
     /// All troubles are over; every seat has its process.
@@ -397,7 +448,9 @@
     pub fn recovers(&mut self, within: Duration) -> Vec<String> {
         let from = Instant::now();
         let answer = |seat: usize, tries: usize| {
-            let Some(node) = &self.processes[seat].node else { return "no process".to_string() };
+            let Some(node) = &self.processes[seat].node else {
+                return "no process".to_string();
+            };
             let mut client = Peer::connect(node.address);
             client.say(&format!("OPEN r{seat}-{tries} 7f c=free,t=acme,d=1000"));
             client.hear()
@@ -430,7 +483,9 @@
     pub fn violations(&mut self) -> Vec<String> {
         let mut found = Vec::new();
         for seat in 0..self.processes.len() {
-            let Some(node) = self.processes[seat].node.take() else { continue };
+            let Some(node) = self.processes[seat].node.take() else {
+                continue;
+            };
             let excused = self.look_at_log(seat, &node);
             let (_, text) = node.call("GET /status/metrics");
             let counted = text.lines().filter(|line| is_beyond(line, &excused));
@@ -456,7 +511,9 @@
 
 /// Whether a line of a process's figures counts a rule as broken more often than so many lines of its log excuse.
 fn is_beyond(figure: &str, excused: &[String]) -> bool {
-    let Some((rule, count)) = figure.strip_prefix("app.violations.").and_then(|rest| rest.split_once(':'))
+    let Some((rule, count)) = figure
+        .strip_prefix("app.violations.")
+        .and_then(|rest| rest.split_once(':'))
     else {
         return false;
     };
--- a/rig/src/soak/troubles.rs
+++ b/rig/src/soak/troubles.rs
@@ -60,7 +60,11 @@
 
 impl Family {
     pub fn faults(self) -> Vec<Fault> {
-        let fails = |call, errno, every| Fault { call, outcome: Outcome::Fails(errno), every };
+        let fails = |call, errno, every| Fault {
+            call,
+            outcome: Outcome::Fails(errno),
+            every,
+        };
         match self {
             Family::NoMemory => vec![
                 fails(Call::EpollAdd, Errno::NOMEM, 3),
@@ -88,12 +92,24 @@
                 fails(Call::Read, Errno::INTR, 2),
             ],
             Family::Short => vec![
-                Fault { call: Call::Send, outcome: Outcome::Short, every: 2 },
-                Fault { call: Call::Receive, outcome: Outcome::Short, every: 2 },
+                Fault {
+                    call: Call::Send,
+                    outcome: Outcome::Short,
+                    every: 2,
+                },
+                Fault {
+                    call: Call::Receive,
+                    outcome: Outcome::Short,
+                    every: 2,
+                },
             ],
             Family::HeldUp => {
                 let outcome = Outcome::HeldUp(Duration::from_millis(140));
-                vec![Fault { call: Call::Send, outcome, every: 9 }]
+                vec![Fault {
+                    call: Call::Send,
+                    outcome,
+                    every: 9,
+                }]
             }
             // Two beside each other, so that no more than one in three succeeds.
             Family::Channel => vec![
@@ -142,10 +158,18 @@
             while at < span {
                 let trouble = Schedule::trouble(&mut rng, size);
                 // A process that was told to stop takes its time, and nobody is to wait for it.
-                let least = if matches!(trouble, Trouble::Stop(_)) { STOPS } else { 200 };
+                let least = if matches!(trouble, Trouble::Stop(_)) {
+                    STOPS
+                } else {
+                    200
+                };
                 let lasts = rng.random_range(least..least + 2800);
                 let (at_span, lasting) = (Duration::from_millis(at), Duration::from_millis(lasts));
-                planned.push(Planned { at: at_span, lasts: lasting, trouble });
+                planned.push(Planned {
+                    at: at_span,
+                    lasts: lasting,
+                    trouble,
+                });
                 // The next may begin while this one lasts.
                 at += rng.random_range(100..=lasts + QUIET);
             }
@@ -182,8 +206,16 @@
     pub fn moments(&self) -> Vec<Moment> {
         let mut moments = Vec::new();
         for Planned { at, lasts, trouble } in &self.planned {
-            moments.push(Moment { at: *at, begins: true, trouble: trouble.clone() });
-            moments.push(Moment { at: *at + *lasts, begins: false, trouble: trouble.clone() });
+            moments.push(Moment {
+                at: *at,
+                begins: true,
+                trouble: trouble.clone(),
+            });
+            moments.push(Moment {
+                at: *at + *lasts,
+                begins: false,
+                trouble: trouble.clone(),
+            });
         }
         moments.sort_by_key(|moment| moment.at);
         moments
@@ -193,7 +225,12 @@
 impl fmt::Display for Schedule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for Planned { at, lasts, trouble } in &self.planned {
-            writeln!(f, "  at {} for {} {trouble:?}", at.as_millis(), lasts.as_millis())?;
+            writeln!(
+                f,
+                "  at {} for {} {trouble:?}",
+                at.as_millis(),
+                lasts.as_millis()
+            )?;
         }
         Ok(())
     }
@@ -206,13 +243,27 @@
     /// Guards: a failing seed that can't be played again, and troubles that never meet.
     #[test]
     fn a_seed_draws_the_same_again_and_its_troubles_overlap() {
-        let size = Size { processes: 24, hosts: 8, span: Duration::from_secs(10), rate: 100.0, overlap: 3 };
+        let size = Size {
+            processes: 24,
+            hosts: 8,
+            span: Duration::from_secs(10),
+            rate: 100.0,
+            overlap: 3,
+        };
         for seed in 0..50 {
             let drawn = Schedule::draw(seed, &size);
             assert_eq!(drawn, Schedule::draw(seed, &size));
             let meet = |a: &Planned, b: &Planned| a.at < b.at + b.lasts && b.at < a.at + a.lasts;
-            let met = drawn.planned.windows(2).filter(|two| meet(&two[0], &two[1])).count();
-            assert!(met * 2 > drawn.planned.len(), "seed {seed}: {met} of {}", drawn.planned.len());
+            let met = drawn
+                .planned
+                .windows(2)
+                .filter(|two| meet(&two[0], &two[1]))
+                .count();
+            assert!(
+                met * 2 > drawn.planned.len(),
+                "seed {seed}: {met} of {}",
+                drawn.planned.len()
+            );
             assert_eq!(drawn.moments().len(), 2 * drawn.planned.len());
         }
         assert_ne!(Schedule::draw(1, &size), Schedule::draw(2, &size));
--- a/rig/src/speaker.rs
+++ b/rig/src/speaker.rs
@@ -19,19 +19,46 @@
 
 /// What an attachment asks for in these measurements.
 pub fn asked(id: u64) -> Asked {
-    Asked { offering: 0, key: Some(id % 4096 + 1), group: None, usual_load: None, time_left: 2_000_000_000 }
+    Asked {
+        offering: 0,
+        key: Some(id % 4096 + 1),
+        group: None,
+        usual_load: None,
+        time_left: 2_000_000_000,
+    }
 }
 
 impl Speaker {
     /// # Errors
     /// Whatever ends the connection, or that the planner will not have it.
-    pub fn follow(address: SocketAddr, planner: &str, name: &str, fingerprint: u64) -> Result<Self, String> {
+    pub fn follow(
+        address: SocketAddr,
+        planner: &str,
+        name: &str,
+        fingerprint: u64,
+    ) -> Result<Self, String> {
         let stream = TcpStream::connect(address).map_err(|e| e.to_string())?;
         stream.set_nodelay(true).map_err(|e| e.to_string())?;
-        stream.set_read_timeout(Some(Duration::from_secs(10))).map_err(|e| e.to_string())?;
+        stream
+            .set_read_timeout(Some(Duration::from_secs(10)))
+            .map_err(|e| e.to_string())?;
         let (reader, mut writer, tally) = (Reader::default(), Writer::default(), Tally::default());
-        writer.greet(&Hello { name: name.into(), planner: planner.into(), zone: 0, epoch: 1, fingerprint });
-        let mut speaker = Speaker { stream, reader, writer, tally, session: 0, beat: 0, next: 0 };
+        writer.greet(&Hello {
+            name: name.into(),
+            planner: planner.into(),
+            zone: 0,
+            epoch: 1,
+            fingerprint,
+        });
+        let mut speaker = Speaker {
+            stream,
+            reader,
+            writer,
+            tally,
+            session: 0,
+            beat: 0,
+            next: 0,
+        };
         speaker.send()?;
         while speaker.session == 0 {
             speaker.hear(&mut |_| {})?;
@@ -49,7 +76,9 @@
     fn send(&mut self) -> Result<(), String> {
         self.writer.seal();
         let count = self.writer.waiting().len();
-        self.stream.write_all(self.writer.waiting()).map_err(|e| e.to_string())?;
+        self.stream
+            .write_all(self.writer.waiting())
+            .map_err(|e| e.to_string())?;
         self.writer.sent(count);
         Ok(())
     }
@@ -87,7 +116,11 @@
         for n in 0..count {
             self.next += 1;
             let (id, host) = (self.next, hosts[(n % hosts.len() as u64) as usize]);
-            self.put(&Up::Stands { id, asked: asked(id), host });
+            self.put(&Up::Stands {
+                id,
+                asked: asked(id),
+                host,
+            });
             if n % 1024 == 0 {
                 self.send()?;
             }
@@ -95,11 +128,18 @@
         // What is asked behind them is decided behind them.
         self.next += 1;
         let id = self.next;
-        self.put(&Up::Ask { id, step: 0, asked: asked(id), past: Past::default() });
+        self.put(&Up::Ask {
+            id,
+            step: 0,
+            asked: asked(id),
+            past: Past::default(),
+        });
         self.send()?;
         let mut decided = false;
         while !decided {
-            self.hear(&mut |note| decided |= matches!(note, Down::HandOff { .. } | Down::Dismiss { .. }))?;
+            self.hear(&mut |note| {
+                decided |= matches!(note, Down::HandOff { .. } | Down::Dismiss { .. })
+            })?;
         }
         Ok(())
     }
@@ -116,7 +156,12 @@
             while self.next - first < count && self.next - first - answered < window {
                 self.next += 1;
                 let id = self.next;
-                self.put(&Up::Ask { id, step: 0, asked: asked(id), past: Past::default() });
+                self.put(&Up::Ask {
+                    id,
+                    step: 0,
+                    asked: asked(id),
+                    past: Past::default(),
+                });
             }
             self.send()?;
             let mut news = Vec::new();
@@ -125,7 +170,10 @@
                 match note {
                     Down::HandOff { id, .. } => {
                         (answered, handed) = (answered + 1, handed + 1);
-                        self.put(&Up::Begun { id, took: 1_000_000 });
+                        self.put(&Up::Begun {
+                            id,
+                            took: 1_000_000,
+                        });
                         standing.push_back(id);
                     }
                     Down::Dismiss { .. } | Down::GiveUp { .. } => answered += 1,
@@ -134,7 +182,12 @@
             }
             while standing.len() > open {
                 if let Some(id) = standing.pop_front() {
-                    self.put(&Up::Ended { id, step: 0, came: frames::Came::Done, over: true });
+                    self.put(&Up::Ended {
+                        id,
+                        step: 0,
+                        came: frames::Came::Done,
+                        over: true,
+                    });
                 }
             }
         }
--- a/rig/src/syscalls.rs
+++ b/rig/src/syscalls.rs
@@ -36,7 +36,14 @@
     (Call::Socket, &[libc::SYS_socket]),
     (Call::Connect, &[libc::SYS_connect]),
     (Call::EpollAdd, &[libc::SYS_epoll_ctl]),
-    (Call::EpollWait, &[libc::SYS_epoll_wait, libc::SYS_epoll_pwait, libc::SYS_epoll_pwait2]),
+    (
+        Call::EpollWait,
+        &[
+            libc::SYS_epoll_wait,
+            libc::SYS_epoll_pwait,
+            libc::SYS_epoll_pwait2,
+        ],
+    ),
     (Call::Send, &[libc::SYS_sendto]),
     (Call::Receive, &[libc::SYS_recvfrom]),
     (Call::SendMessage, &[libc::SYS_sendmsg]),
@@ -121,7 +128,11 @@
     fn outcome(&self, call: Call) -> Option<Outcome> {
         let mut state = self.state();
         let mut outcome = None;
-        for (fault, seen) in state.faults.iter_mut().filter(|(fault, _)| fault.call == call) {
+        for (fault, seen) in state
+            .faults
+            .iter_mut()
+            .filter(|(fault, _)| fault.call == call)
+        {
             *seen += 1;
             if seen.is_multiple_of(fault.every.max(1)) {
                 outcome = outcome.or(Some(fault.outcome));
@@ -160,7 +171,10 @@
 
 impl TracedProcess {
     /// Starts the program. Its standard error has to be piped.
-    pub fn start(mut command: Command, spoiler: &Spoiler) -> io::Result<(TracedProcess, ChildStderr)> {
+    pub fn start(
+        mut command: Command,
+        spoiler: &Spoiler,
+    ) -> io::Result<(TracedProcess, ChildStderr)> {
         let (sender, started) = channel();
         let theirs = spoiler.clone();
         thread::spawn(move || {
@@ -172,13 +186,23 @@
                     let pid = child.id() as libc::pid_t;
                     let stderr = child.stderr.take().expect("standard error is not piped");
                     _ = sender.send(Ok((pid, stderr)));
-                    Tracer { pid, spoiler: theirs }.run();
+                    Tracer {
+                        pid,
+                        spoiler: theirs,
+                    }
+                    .run();
                 }
                 Err(e) => _ = sender.send(Err(e)),
             }
         });
         let (pid, stderr) = started.recv().expect("the tracer ended")?;
-        Ok((TracedProcess { pid, spoiler: spoiler.clone() }, stderr))
+        Ok((
+            TracedProcess {
+                pid,
+                spoiler: spoiler.clone(),
+            },
+            stderr,
+        ))
     }
 
     pub fn id(&self) -> u32 {
@@ -189,7 +213,10 @@
     pub fn wait(&self) -> ExitStatus {
         let (_, changed) = &*self.spoiler.0;
         let state = changed.wait_while(self.spoiler.state(), |state| state.exited.is_none());
-        state.unwrap_or_else(PoisonError::into_inner).exited.expect("it has exited")
+        state
+            .unwrap_or_else(PoisonError::into_inner)
+            .exited
+            .expect("it has exited")
     }
 
     pub fn runs(&self) -> bool {
@@ -219,7 +246,10 @@
 
 /// Lets the parent trace this process, and stops it at the calls of the filter.
 fn trace_me(filter: &[libc::sock_filter]) -> io::Result<()> {
-    let program = libc::sock_fprog { len: filter.len() as u16, filter: filter.as_ptr().cast_mut() };
+    let program = libc::sock_fprog {
+        len: filter.len() as u16,
+        filter: filter.as_ptr().cast_mut(),
+    };
     // SAFETY: plain system calls on values that live here.
     let failed = unsafe {
         libc::prctl(libc::PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0) != 0
@@ -236,9 +266,15 @@
 fn filter() -> Vec<libc::sock_filter> {
     const NUMBER: u32 = 0;
     const FIRST_ARGUMENT: u32 = 16;
-    let instruction = |code: u32, jt: u8, jf: u8, k: u32| libc::sock_filter { code: code as u16, jt, jf, k };
+    let instruction = |code: u32, jt: u8, jf: u8, k: u32| libc::sock_filter {
+        code: code as u16,
+        jt,
+        jf,
+        k,
+    };
     let load = |at| instruction(libc::BPF_LD | libc::BPF_W | libc::BPF_ABS, 0, 0, at);
-    let equals = |value, jt, jf| instruction(libc::BPF_JMP | libc::BPF_JEQ | libc::BPF_K, jt, jf, value);
+    let equals =
+        |value, jt, jf| instruction(libc::BPF_JMP | libc::BPF_JEQ | libc::BPF_K, jt, jf, value);
     let ends = |value| instruction(libc::BPF_RET | libc::BPF_K, 0, 0, value);
     let mut all = vec![load(NUMBER)];
     for number in CALLS.iter().flat_map(|(_, numbers)| numbers.iter()) {
@@ -333,7 +369,9 @@
         if number == libc::SYS_clock_gettime {
             return self.tell_time(registers);
         }
-        let Some((call, _)) = CALLS.iter().find(|(_, numbers)| numbers.contains(&number)) else { return };
+        let Some((call, _)) = CALLS.iter().find(|(_, numbers)| numbers.contains(&number)) else {
+            return;
+        };
         // What no longer watches a socket never fails for want of memory.
         if *call == Call::EpollAdd && registers.rsi == libc::EPOLL_CTL_DEL as u64 {
             return;
@@ -354,7 +392,10 @@
 
     /// Gives it the time of its own machine's wall clock.
     fn tell_time(&self, registers: libc::user_regs_struct) {
-        let real = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as i64;
+        let real = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_nanos() as i64;
         let told = (real + self.spoiler.state().step_nanos).max(0);
         self.poke(registers.rsi, (told / 1_000_000_000) as u64);
         self.poke(registers.rsi + 8, (told % 1_000_000_000) as u64);
--- a/rig/src/tiers.rs
+++ b/rig/src/tiers.rs
@@ -28,7 +28,12 @@
 
 /// The planner that a log line says is followed.
 fn followed(line: &str) -> Option<usize> {
-    line.split("follows planner=p").nth(1)?.split(' ').next()?.parse().ok()
+    line.split("follows planner=p")
+        .nth(1)?
+        .split(' ')
+        .next()?
+        .parse()
+        .ok()
 }
 
 /// The papers of one program among these hosts.
@@ -64,7 +69,11 @@
 
 fn nominal(count: usize) -> String {
     let address = |n: usize| SocketAddr::from(([127, 0, 0, 1], n as u16 + 1));
-    listed(&(0..count).map(|n| (format!("p{n}"), address(n))).collect::<Vec<_>>())
+    listed(
+        &(0..count)
+            .map(|n| (format!("p{n}"), address(n)))
+            .collect::<Vec<_>>(),
+    )
 }
 
 impl Tiers {
@@ -87,9 +96,16 @@
         for n in 0..forwarders {
             let to = |p: &Option<Node>| Relay::to(p.as_ref().unwrap().address);
             tiers.relays.push(tiers.planners.iter().map(to).collect());
-            let papers = papers(&format!("f{n}"), &tiers.hosts, &tiers.discovery, seed + n as u64);
+            let papers = papers(
+                &format!("f{n}"),
+                &tiers.hosts,
+                &tiers.discovery,
+                seed + n as u64,
+            );
             let text = tiers.articles(n, planners);
-            tiers.forwarders.push(Node::start_as("forward", &text, &papers));
+            tiers
+                .forwarders
+                .push(Node::start_as("forward", &text, &papers));
         }
         let first = |f: &Node| followed(&f.logs("follows planner")).unwrap_or(0);
         tiers.follows = tiers.forwarders.iter().map(first).collect();
@@ -99,7 +115,8 @@
     /// A forwarder's file with the first so many planners.
     pub fn articles(&self, forwarder: usize, planners: usize) -> String {
         let relays = self.relays[forwarder].iter().take(planners).enumerate();
-        let list: Vec<(String, SocketAddr)> = relays.map(|(n, r)| (format!("p{n}"), r.address)).collect();
+        let list: Vec<(String, SocketAddr)> =
+            relays.map(|(n, r)| (format!("p{n}"), r.address)).collect();
         let lease = LEASE.as_millis();
         format!(
             "papers = \"PAPERS\"\n[forward]\nlease = \"{lease}ms\"\nsettle = \"500ms\"\n{}",
@@ -108,18 +125,32 @@
     }
 
     pub fn start_planner(&mut self, n: usize) {
-        let papers = papers(&format!("plan-{n}"), &self.hosts, &self.discovery, self.seed ^ (n as u64 + 99));
+        let papers = papers(
+            &format!("plan-{n}"),
+            &self.hosts,
+            &self.discovery,
+            self.seed ^ (n as u64 + 99),
+        );
         let list = nominal(self.planners.len());
-        let text = format!("papers = \"PAPERS\"\n[plan]\nname = \"p{n}\"\nlisten = \"127.0.0.1:0\"\n{list}");
+        let text = format!(
+            "papers = \"PAPERS\"\n[plan]\nname = \"p{n}\"\nlisten = \"127.0.0.1:0\"\n{list}"
+        );
         let node = Node::start_as("plan", &text, &papers);
-        self.relays.iter().for_each(|all| all[n].lead_to(node.address));
+        self.relays
+            .iter()
+            .for_each(|all| all[n].lead_to(node.address));
         self.planners[n] = Some(node);
     }
 
     /// The planner that most forwarders follow now.
     pub fn busiest(&mut self) -> usize {
         for (forwarder, follows) in self.forwarders.iter().zip(&mut self.follows) {
-            *follows = forwarder.logged().iter().rev().find_map(|line| followed(line)).unwrap_or(*follows);
+            *follows = forwarder
+                .logged()
+                .iter()
+                .rev()
+                .find_map(|line| followed(line))
+                .unwrap_or(*follows);
         }
         let count = |p: &usize| self.follows.iter().filter(|f| *f == p).count();
         (0..self.planners.len()).max_by_key(count).unwrap_or(0)
@@ -136,7 +167,10 @@
 
     pub fn drain(&self, host: usize, drains: bool) {
         self.referee.drains(host, drains);
-        self.discovery.change(self.hosts.member(host, if drains { "leaving" } else { "active" }));
+        self.discovery.change(
+            self.hosts
+                .member(host, if drains { "leaving" } else { "active" }),
+        );
     }
 
     /// Waits until so many planners answer every forwarder again.
@@ -157,7 +191,11 @@
     /// One of the faults that are known, by number; `a` and `b` draw whom it meets. Tells what it did.
     pub fn fault(&mut self, kind: u64, a: usize, b: usize) -> String {
         use std::sync::atomic::Ordering::SeqCst;
-        let (f, p, h) = (a % self.forwarders.len(), b % self.planners.len(), a % self.hosts.addresses.len());
+        let (f, p, h) = (
+            a % self.forwarders.len(),
+            b % self.planners.len(),
+            a % self.hosts.addresses.len(),
+        );
         let relay = &self.relays[f][p];
         match kind % FAULTS {
             0 => {
@@ -182,7 +220,9 @@
                 format!("link {f}-{p} cut downwards")
             }
             5 => {
-                self.relays.iter().for_each(|all| all[p].down.delay.store(120, SeqCst));
+                self.relays
+                    .iter()
+                    .for_each(|all| all[p].down.delay.store(120, SeqCst));
                 format!("planner {p} heard late")
             }
             6 => {
@@ -194,7 +234,8 @@
                 format!("planner {p} asked to stop")
             }
             8 => {
-                self.hosts.go(h, [Way::Busy, Way::Fails, Way::Silent, Way::Breaks][b % 4]);
+                self.hosts
+                    .go(h, [Way::Busy, Way::Fails, Way::Silent, Way::Breaks][b % 4]);
                 format!("host {h} goes wrong, {}", b % 4)
             }
             _ => {
--- a/rig/src/two_tier.rs
+++ b/rig/src/two_tier.rs
@@ -69,10 +69,21 @@
     all.iter()
         .filter_map(|(_, took)| *took)
         .for_each(|took| first.saturating_record(took.as_micros() as u64));
-    let served =
-        all.iter().filter(|(l, _)| l.answers.first().is_some_and(|(_, said)| said.starts_with("UP"))).count();
+    let served = all
+        .iter()
+        .filter(|(l, _)| {
+            l.answers
+                .first()
+                .is_some_and(|(_, said)| said.starts_with("UP"))
+        })
+        .count();
     let jain = looks.iter().sum::<f64>() / looks.len().max(1) as f64;
-    Shown { first, jain, served: served as f64 / all.len().max(1) as f64, broken: referee.broken(TOLD) }
+    Shown {
+        first,
+        jain,
+        served: served as f64 / all.len().max(1) as f64,
+        broken: referee.broken(TOLD),
+    }
 }
 
 fn singles(size: Size, seed: u64) -> Shown {
@@ -95,7 +106,12 @@
     let tiers = Tiers::start(size.nodes, PLANNERS, size.hosts, seed);
     // Until each follows its own.
     std::thread::sleep(Duration::from_secs(1));
-    loaded(Clients::new(tiers.doors(), &tiers.referee, seed), &tiers.hosts, &tiers.referee, size)
+    loaded(
+        Clients::new(tiers.doors(), &tiers.referee, seed),
+        &tiers.hosts,
+        &tiers.referee,
+        size,
+    )
 }
 
 /// A planner dies under the load: the latest first hand-off, and the 95th percentiles before the death and
@@ -111,8 +127,10 @@
     let died = Instant::now();
     clients.load(size.rate, Duration::from_secs(3), &[0, 1, 2], HOLDS);
     clients.end();
-    let (mut before, mut after) =
-        (Histogram::<u64>::new(3).expect("allowed"), Histogram::<u64>::new(3).expect("allowed"));
+    let (mut before, mut after) = (
+        Histogram::<u64>::new(3).expect("allowed"),
+        Histogram::<u64>::new(3).expect("allowed"),
+    );
     let mut latest = Duration::ZERO;
     for (lived, took) in tiers.referee.first_hand_offs() {
         let Some(took) = took else { continue };
@@ -125,19 +143,41 @@
     }
     let broken = tiers.referee.broken(TOLD);
     tiers.heal();
-    (latest, before.value_at_quantile(0.95), after.value_at_quantile(0.95), broken)
+    (
+        latest,
+        before.value_at_quantile(0.95),
+        after.value_at_quantile(0.95),
+        broken,
+    )
 }
 
 /// Attachments a second that the module decides alone, in this process, in the same order of events.
-fn alone(count: u64, open: usize, hosts: usize, settings: &Value, seed: u64) -> Result<f64, String> {
+fn alone(
+    count: u64,
+    open: usize,
+    hosts: usize,
+    settings: &Value,
+    seed: u64,
+) -> Result<f64, String> {
     let (charter, _) = reedferry_terms::from_value(settings.clone())?;
     let start = 1_000 * SECOND;
     let mut out = Vec::new();
     let mut module = Balancer::new(charter, seed, start, &mut out);
-    let listing =
-        |n| Listing { id: HostId(n + 1), standing: Standing::Ready, size: 1.0, ..Listing::default() };
+    let listing = |n| Listing {
+        id: HostId(n + 1),
+        standing: Standing::Ready,
+        size: 1.0,
+        ..Listing::default()
+    };
     let listed = (0..hosts as u64).map(listing).collect();
-    module.handle(start, Event::Roll { kind: RollKind::Full, hosts: listed }, &mut out);
+    module.handle(
+        start,
+        Event::Roll {
+            kind: RollKind::Full,
+            hosts: listed,
+        },
+        &mut out,
+    );
     let (from, mut standing, mut wakes) = (Instant::now(), VecDeque::new(), Vec::new());
     for n in 0..count {
         let now = start + from.elapsed().as_nanos() as u64;
@@ -146,7 +186,14 @@
         for action in std::mem::take(&mut out) {
             match action {
                 Action::HandOff { id, host, .. } => {
-                    module.handle(now, Event::Begun { id, took: 1_000_000 }, &mut out);
+                    module.handle(
+                        now,
+                        Event::Begun {
+                            id,
+                            took: 1_000_000,
+                        },
+                        &mut out,
+                    );
                     standing.push_back((id, host));
                 }
                 Action::WakeAt { time, mark } => wakes.push((time, mark)),
@@ -158,7 +205,14 @@
                 let (ending, gauges) = (Ending::Done, Vec::new());
                 module.handle(
                     now,
-                    Event::Ended { id, hand_off: 0, host, over: true, ending, gauges },
+                    Event::Ended {
+                        id,
+                        hand_off: 0,
+                        host,
+                        over: true,
+                        ending,
+                        gauges,
+                    },
                     &mut out,
                 );
             }
@@ -189,7 +243,8 @@
     let discovery = Discovery::start();
     (0..hosts).for_each(|h| discovery.change(acting.member(h, "active")));
     let papers = papers("plan", &acting, &discovery, seed);
-    let text = "papers = \"PAPERS\"\n[plan]\nname = \"p0\"\nlisten = \"127.0.0.1:0\"\nsettle = \"0s\"\n\
+    let text =
+        "papers = \"PAPERS\"\n[plan]\nname = \"p0\"\nlisten = \"127.0.0.1:0\"\nsettle = \"0s\"\n\
         [[planner]]\nname = \"p0\"\naddress = \"127.0.0.1:1\"\n";
     let node = Node::start_as("plan", text, &papers);
     let (_, terms) = reedferry_terms::from_value(papers["settings"].clone())?;
@@ -201,10 +256,15 @@
     };
     let (mut module, mut planner) = (0.0, 0.0);
     for round in 0..ROUNDS {
-        module = f64::max(module, alone(count, open, hosts, &papers["settings"], seed + round)?);
+        module = f64::max(
+            module,
+            alone(count, open, hosts, &papers["settings"], seed + round)?,
+        );
         let (from, speak) = (Instant::now(), &speak);
         let handed: u64 = std::thread::scope(|scope| {
-            let all: Vec<_> = (0..SPEAKERS).map(|n| scope.spawn(move || speak(n))).collect();
+            let all: Vec<_> = (0..SPEAKERS)
+                .map(|n| scope.spawn(move || speak(n)))
+                .collect();
             let each = |one: std::thread::ScopedJoinHandle<_>| {
                 one.join().unwrap_or(Err("a speaker panicked".into()))
             };
@@ -235,20 +295,29 @@
         other.decide(1, 1, 10)?;
         stall = stall.max(asked.elapsed());
     }
-    Ok(Speed { module, planner, memory, told, stall })
+    Ok(Speed {
+        module,
+        planner,
+        memory,
+        told,
+        stall,
+    })
 }
 
 /// FNV-1a, by which the program names hosts.
 fn hash(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 /// # Errors
 /// Where something could not be measured at all.
 pub fn measure(size: Size, seed: u64) -> Result<Found, String> {
     let (mut figures, mut broken) = (Map::new(), Vec::new());
-    let mut put =
-        |name: &str, value: f64| _ = figures.insert(name.into(), json!((value * 1000.0).round() / 1000.0));
+    let mut put = |name: &str, value: f64| {
+        _ = figures.insert(name.into(), json!((value * 1000.0).round() / 1000.0))
+    };
     let mut wanted = |what: &str, holds: bool| {
         if !holds {
             broken.push(what.to_string());
@@ -257,24 +326,47 @@
     let (one, two) = (singles(size, seed), two(size, seed));
     let micros = |shown: &Shown, q: f64| shown.first.value_at_quantile(q) as f64;
     for (shape, shown) in [("nodes", &one), ("tiers", &two)] {
-        put(&format!("{shape}_first_hand_off_p50_us"), micros(shown, 0.5));
-        put(&format!("{shape}_first_hand_off_p99_us"), micros(shown, 0.99));
+        put(
+            &format!("{shape}_first_hand_off_p50_us"),
+            micros(shown, 0.5),
+        );
+        put(
+            &format!("{shape}_first_hand_off_p99_us"),
+            micros(shown, 0.99),
+        );
         put(&format!("{shape}_jain"), shown.jain);
         put(&format!("{shape}_served"), shown.served);
-        shown.broken.iter().for_each(|b| wanted(&format!("{shape}: {b}"), false));
+        shown
+            .broken
+            .iter()
+            .for_each(|b| wanted(&format!("{shape}: {b}"), false));
     }
     let ratio = micros(&two, 0.5) / micros(&one, 0.5);
     put("p50_ratio", ratio);
-    wanted("median to the first hand-off at most twice the nodes'", ratio <= 2.0);
+    wanted(
+        "median to the first hand-off at most twice the nodes'",
+        ratio <= 2.0,
+    );
     let more = micros(&two, 0.99) - micros(&one, 0.99);
     put("p99_more_us", more);
-    wanted("99th percentile at most 1 ms more than the nodes'", more <= 1000.0);
+    wanted(
+        "99th percentile at most 1 ms more than the nodes'",
+        more <= 1000.0,
+    );
     put("jain_more", two.jain - one.jain);
-    wanted("load spread no worse than the nodes'", two.jain >= one.jain - 0.01);
-    wanted("served as many as the nodes", two.served >= one.served - 0.01);
+    wanted(
+        "load spread no worse than the nodes'",
+        two.jain >= one.jain - 0.01,
+    );
+    wanted(
+        "served as many as the nodes",
+        two.served >= one.served - 0.01,
+    );
 
     let (latest, before, after, rules) = death(size, seed);
-    rules.iter().for_each(|b| wanted(&format!("death: {b}"), false));
+    rules
+        .iter()
+        .for_each(|b| wanted(&format!("death: {b}"), false));
     put("death_latest_first_hand_off_ms", latest.as_secs_f64() * 1e3);
     put("death_p95_before_us", before as f64);
     put("death_p95_a_second_after_us", after as f64);
@@ -282,17 +374,41 @@
         "no first hand-off later than 700 ms after a planner's death",
         latest <= Duration::from_millis(700),
     );
-    wanted("decisions take their usual time a second after it", after <= 2 * before + 1000);
+    wanted(
+        "decisions take their usual time a second after it",
+        after <= 2 * before + 1000,
+    );
 
-    let Speed { module, planner, memory, told, stall } = speed(100_000, 2_000, 100_000, size.hosts, seed)?;
+    let Speed {
+        module,
+        planner,
+        memory,
+        told,
+        stall,
+    } = speed(100_000, 2_000, 100_000, size.hosts, seed)?;
     put("module_attachments_a_second", module);
     put("planner_attachments_a_second", planner);
     put("planner_part_of_module", planner / module);
-    put("planner_memory_of_100000_open_mb", memory as f64 / f64::from(1 << 20));
+    put(
+        "planner_memory_of_100000_open_mb",
+        memory as f64 / f64::from(1 << 20),
+    );
     put("planner_told_100000_open_ms", told.as_secs_f64() * 1e3);
-    put("planner_longest_wait_at_their_end_ms", stall.as_secs_f64() * 1e3);
-    wanted("nobody waits a lease long as 100,000 open attachments end", stall < LEASE);
-    wanted("a planner decides at least half of what the module does alone", planner >= module / 2.0);
-    wanted("100,000 open attachments in under 100 MB", memory < 100 << 20);
+    put(
+        "planner_longest_wait_at_their_end_ms",
+        stall.as_secs_f64() * 1e3,
+    );
+    wanted(
+        "nobody waits a lease long as 100,000 open attachments end",
+        stall < LEASE,
+    );
+    wanted(
+        "a planner decides at least half of what the module does alone",
+        planner >= module / 2.0,
+    );
+    wanted(
+        "100,000 open attachments in under 100 MB",
+        memory < 100 << 20,
+    );
     Ok(Found { figures, broken })
 }
--- a/rig/src/view.rs
+++ b/rig/src/view.rs
@@ -21,7 +21,11 @@
     /// The operator's file of a node.
     pub fn articles(&self, node: usize) -> String {
         let (face, behind) = (self.ways.faces[node], self.ways.behind[node]);
-        let seeds: Vec<String> = self.seeds.iter().map(|seed| self.ways.faces[*seed].to_string()).collect();
+        let seeds: Vec<String> = self
+            .seeds
+            .iter()
+            .map(|seed| self.ways.faces[*seed].to_string())
+            .collect();
         let period = self.period.as_millis();
         format!(
             "papers = \"PAPERS\"\n[node]\n[fleet]\naddress = \"{face}\"\nlisten = \"{behind}\"\nseeds = {seeds:?}\n\
@@ -43,8 +47,19 @@
         let held = |node: usize| {
             let status = self.status(node)?;
             let members = status["members"].as_array()?.iter();
-            let of = |m: &Value| Some((m["name"].as_str()?.to_string(), m["state"].as_str()?.to_string()));
-            Some((node, members.filter_map(of).filter(|(_, state)| state != "gone").collect()))
+            let of = |m: &Value| {
+                Some((
+                    m["name"].as_str()?.to_string(),
+                    m["state"].as_str()?.to_string(),
+                ))
+            };
+            Some((
+                node,
+                members
+                    .filter_map(of)
+                    .filter(|(_, state)| state != "gone")
+                    .collect(),
+            ))
         };
         (0..self.places).filter_map(held).collect()
     }
@@ -54,8 +69,10 @@
         let held = self.held();
         let well = |(node, view): &(usize, HashMap<String, String>)| {
             let others = held.iter().filter(|(other, _)| other != node);
-            let there =
-                |(other, _): &(usize, _)| view.get(&format!("n{other}")).is_some_and(|s| s == "at work");
+            let there = |(other, _): &(usize, _)| {
+                view.get(&format!("n{other}"))
+                    .is_some_and(|s| s == "at work")
+            };
             view.len() + 1 == held.len() && others.into_iter().all(there)
         };
         held.iter().all(well)
@@ -69,7 +86,9 @@
                 return None;
             }
             // To ask all costs them time.
-            thread::sleep(Duration::from_millis(self.nodes.len() as u64).max(Duration::from_millis(10)));
+            thread::sleep(
+                Duration::from_millis(self.nodes.len() as u64).max(Duration::from_millis(10)),
+            );
         }
         Some(from.elapsed())
     }
@@ -77,8 +96,13 @@
     /// Whom nodes that run have held gone since the log was looked at last.
     pub fn put_out(&self) -> Vec<String> {
         let lines = self.nodes.iter().enumerate().flat_map(|(node, one)| {
-            let lines = one.iter().flat_map(crate::Node::logged).filter(|l| l.contains("member gone"));
-            lines.map(move |line| format!("n{node}: {line}")).collect::<Vec<_>>()
+            let lines = one
+                .iter()
+                .flat_map(crate::Node::logged)
+                .filter(|l| l.contains("member gone"));
+            lines
+                .map(move |line| format!("n{node}: {line}"))
+                .collect::<Vec<_>>()
         });
         lines.collect()
     }
@@ -91,7 +115,11 @@
 
 pub fn started(nodes: usize, period: Duration, seed: u64) -> (Discovery, Fleet) {
     let service = Discovery::start();
-    let view = View { ways: Ways::new(nodes + 1, seed), period, seeds: (0..3.min(nodes)).collect() };
+    let view = View {
+        ways: Ways::new(nodes + 1, seed),
+        period,
+        seeds: (0..3.min(nodes)).collect(),
+    };
     let mut fleet = Fleet::new(nodes, service.address, Terms::TRIAL).with_view(view);
     fleet.start(&(0..nodes).collect::<Vec<_>>(), &[], 0);
     (service, fleet)
@@ -124,8 +152,14 @@
     thread::sleep(period * 20);
     let quiet = from.elapsed();
     let letters = (passed(&fleet) - before) as f64 / nodes as f64 / in_periods(quiet);
-    let memory =
-        fleet.nodes.iter().flatten().map(crate::Node::memory).sum::<usize>() as f64 / nodes as f64 / 1e6;
+    let memory = fleet
+        .nodes
+        .iter()
+        .flatten()
+        .map(crate::Node::memory)
+        .sum::<usize>() as f64
+        / nodes as f64
+        / 1e6;
     let core = (fleet.spent() - spent).as_secs_f64() / nodes as f64 / quiet.as_secs_f64();
     let (mut found, mut known, mut healed, mut wrongly) = (Vec::new(), Vec::new(), Vec::new(), 0);
     for kill in 0..kills {
@@ -138,7 +172,11 @@
         let mut gone: HashMap<usize, Instant> = HashMap::new();
         while gone.len() < nodes - 1 && at.elapsed() < within * 2 {
             thread::sleep(Duration::from_millis(20));
-            for (from, one) in fleet.nodes.iter().enumerate().filter_map(|(n, one)| Some((n, one.as_ref()?)))
+            for (from, one) in fleet
+                .nodes
+                .iter()
+                .enumerate()
+                .filter_map(|(n, one)| Some((n, one.as_ref()?)))
             {
                 for (when, line) in one.logged_at() {
                     let of_it = format!("{line},").contains(&format!("name: n{node},"));
@@ -152,10 +190,18 @@
                 }
             }
         }
-        let first = suspect.iter().map(|s| s.1).chain(gone.values().copied()).min();
-        found.push(first.map_or(f64::INFINITY, |t| in_periods(t.saturating_duration_since(at))));
+        let first = suspect
+            .iter()
+            .map(|s| s.1)
+            .chain(gone.values().copied())
+            .min();
+        found.push(first.map_or(f64::INFINITY, |t| {
+            in_periods(t.saturating_duration_since(at))
+        }));
         let last = gone.values().max().filter(|_| gone.len() == nodes - 1);
-        known.push(last.map_or(f64::INFINITY, |t| in_periods(t.saturating_duration_since(at))));
+        known.push(last.map_or(f64::INFINITY, |t| {
+            in_periods(t.saturating_duration_since(at))
+        }));
         fleet.start(&[node], &[], 0);
         fleet.agrees_within(period * 100)?;
     }
@@ -164,15 +210,34 @@
             fleet.view().ways.split(|node| node % parts);
             thread::sleep(period * periods);
             fleet.view().ways.heal();
-            healed.push(fleet.agrees_within(period * 100).map_or(f64::INFINITY, in_periods));
+            healed.push(
+                fleet
+                    .agrees_within(period * 100)
+                    .map_or(f64::INFINITY, in_periods),
+            );
         }
         fleet.put_out();
-        let spoil = crate::ways::Spoil { loss: 0.2, double: 0.1, delay: period / 10, ..Default::default() };
+        let spoil = crate::ways::Spoil {
+            loss: 0.2,
+            double: 0.1,
+            delay: period / 10,
+            ..Default::default()
+        };
         fleet.view().ways.set(|_, _| spoil);
         thread::sleep(period * 50);
         wrongly += fleet.put_out().len();
     }
-    Some(Shown { start, memory, settled, letters, core, found, known, healed, wrongly })
+    Some(Shown {
+        start,
+        memory,
+        settled,
+        letters,
+        core,
+        found,
+        known,
+        healed,
+        wrongly,
+    })
 }
 
 fn middle(mut all: Vec<f64>) -> f64 {
@@ -185,7 +250,10 @@
     let (mut figures, mut broken) = (Map::new(), Vec::new());
     let few = play(nodes.min(20), period, seed, 0, false);
     let Some((few, now)) = few.zip(play(nodes, period, seed, 3, true)) else {
-        return Found { figures, broken: vec!["views never agreed".into()] };
+        return Found {
+            figures,
+            broken: vec!["views never agreed".into()],
+        };
     };
     let within = 2.0 + 2.0 * (nodes as f64).log2();
     let known = now.known.iter().copied().fold(0.0, f64::max);
@@ -208,12 +276,27 @@
         }
     };
     let found = middle(now.found);
-    promised(found <= 2.0, format!("a death found after {found:.1} periods at the median"));
-    promised(known <= within, format!("a death known to all after {known:.1} periods of {within:.1}"));
-    promised(healed <= 10.0, format!("views agree {healed:.1} periods after a cut"));
-    promised(now.wrongly == 0, format!("{} wrongly held gone", now.wrongly));
+    promised(
+        found <= 2.0,
+        format!("a death found after {found:.1} periods at the median"),
+    );
+    promised(
+        known <= within,
+        format!("a death known to all after {known:.1} periods of {within:.1}"),
+    );
+    promised(
+        healed <= 10.0,
+        format!("views agree {healed:.1} periods after a cut"),
+    );
+    promised(
+        now.wrongly == 0,
+        format!("{} wrongly held gone", now.wrongly),
+    );
     let level = now.letters / few.letters;
-    promised((level - 1.0).abs() <= 0.1, format!("{level:.2} times the letters of 20 nodes"));
+    promised(
+        (level - 1.0).abs() <= 0.1,
+        format!("{level:.2} times the letters of 20 nodes"),
+    );
     promised(now.core <= 0.01, format!("{:.4} of a core each", now.core));
     Found { figures, broken }
 }
--- a/rig/src/ways.rs
+++ b/rig/src/ways.rs
@@ -59,7 +59,10 @@
     over: Arc<AtomicBool>,
 }
 
-const SOON: Timespec = Timespec { tv_sec: 0, tv_nsec: 1_000_000 };
+const SOON: Timespec = Timespec {
+    tv_sec: 0,
+    tv_nsec: 1_000_000,
+};
 
 /// What is held up: until when, in which order, whence, whither.
 type Held = BinaryHeap<Reverse<(Instant, u64, usize, usize, Vec<u8>)>>;
@@ -67,21 +70,45 @@
 impl Ways {
     pub fn new(count: usize, seed: u64) -> Ways {
         static DEALT: AtomicU32 = AtomicU32::new(0);
-        let (sockets, doors): (Vec<UdpSocket>, Vec<TcpListener>) = (0..count).map(|_| face()).unzip();
-        let faces = sockets.iter().map(|socket| socket.local_addr().unwrap()).collect();
+        let (sockets, doors): (Vec<UdpSocket>, Vec<TcpListener>) =
+            (0..count).map(|_| face()).unzip();
+        let faces = sockets
+            .iter()
+            .map(|socket| socket.local_addr().unwrap())
+            .collect();
         let behind: Vec<SocketAddr> = (0..count)
             .map(|_| {
                 let number = DEALT.fetch_add(1, SeqCst);
                 let part = 16 + std::process::id() % 200;
-                SocketAddr::from(([127, part as u8, (number / 250) as u8, (number % 250 + 1) as u8], PORT))
+                SocketAddr::from((
+                    [
+                        127,
+                        part as u8,
+                        (number / 250) as u8,
+                        (number % 250 + 1) as u8,
+                    ],
+                    PORT,
+                ))
             })
             .collect();
-        let passed = Passed { sent: vec![0; count], ..Passed::default() };
+        let passed = Passed {
+            sent: vec![0; count],
+            ..Passed::default()
+        };
         let spoils = vec![vec![Spoil::default(); count]; count];
-        let kept = Arc::new(Mutex::new(Kept { spoils, passed, taken_down: None, again: Vec::new() }));
+        let kept = Arc::new(Mutex::new(Kept {
+            spoils,
+            passed,
+            taken_down: None,
+            again: Vec::new(),
+        }));
         let over = Arc::new(AtomicBool::new(false));
         let way = Way {
-            by_address: behind.iter().enumerate().map(|(n, at)| (at.ip(), n)).collect(),
+            by_address: behind
+                .iter()
+                .enumerate()
+                .map(|(n, at)| (at.ip(), n))
+                .collect(),
             behind: behind.clone(),
             sockets,
             doors,
@@ -92,14 +119,21 @@
         };
         let ends = over.clone();
         small(move || way.run(&ends));
-        Ways { faces, behind, kept, over }
+        Ways {
+            faces,
+            behind,
+            kept,
+            over,
+        }
     }
 
     /// Has ways spoilt as this says, for each sender and receiver.
     pub fn set(&self, spoil: impl Fn(usize, usize) -> Spoil) {
         let mut kept = self.kept.lock().unwrap();
         for (from, row) in kept.spoils.iter_mut().enumerate() {
-            row.iter_mut().enumerate().for_each(|(to, one)| *one = spoil(from, to));
+            row.iter_mut()
+                .enumerate()
+                .for_each(|(to, one)| *one = spoil(from, to));
         }
     }
 
@@ -107,7 +141,9 @@
     pub fn change(&self, change: impl Fn(usize, usize, &mut Spoil)) {
         let mut kept = self.kept.lock().unwrap();
         for (from, row) in kept.spoils.iter_mut().enumerate() {
-            row.iter_mut().enumerate().for_each(|(to, one)| change(from, to, one));
+            row.iter_mut()
+                .enumerate()
+                .for_each(|(to, one)| change(from, to, one));
         }
     }
 
@@ -152,7 +188,9 @@
     loop {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         // Another connection may have that port.
-        let Ok(door) = TcpListener::bind(socket.local_addr().unwrap()) else { continue };
+        let Ok(door) = TcpListener::bind(socket.local_addr().unwrap()) else {
+            continue;
+        };
         socket.set_nonblocking(true).unwrap();
         door.set_nonblocking(true).unwrap();
         return (socket, door);
@@ -245,17 +283,32 @@
                 if *at > Instant::now() {
                     break;
                 }
-                let Some(Reverse((_, _, from, to, bytes))) = self.held.pop() else { break };
+                let Some(Reverse((_, _, from, to, bytes))) = self.held.pop() else {
+                    break;
+                };
                 _ = self.sockets[from].send_to(&bytes, self.behind[to]);
             }
             for (from, to, bytes) in std::mem::take(&mut self.kept.lock().unwrap().again) {
                 _ = self.sockets[from].send_to(&bytes, self.behind[to]);
             }
-            let next = self.held.peek().map(|Reverse(held)| held.0.saturating_duration_since(Instant::now()));
+            let next = self
+                .held
+                .peek()
+                .map(|Reverse(held)| held.0.saturating_duration_since(Instant::now()));
             let wait = next.unwrap_or(Duration::MAX).min(Duration::from_millis(20));
-            let wait = Timespec { tv_sec: 0, tv_nsec: wait.as_nanos() as i64 };
-            let wait =
-                if self.lines.iter().any(|line| line.bytes(0) + line.bytes(1) > 0) { SOON } else { wait };
+            let wait = Timespec {
+                tv_sec: 0,
+                tv_nsec: wait.as_nanos() as i64,
+            };
+            let wait = if self
+                .lines
+                .iter()
+                .any(|line| line.bytes(0) + line.bytes(1) > 0)
+            {
+                SOON
+            } else {
+                wait
+            };
             let sockets = self.sockets.iter().map(|s| PollFd::new(s, PollFlags::IN));
             let doors = self.doors.iter().map(|d| PollFd::new(d, PollFlags::IN));
             let open = self
@@ -267,8 +320,12 @@
             let mut ready: Vec<PollFd> = sockets.chain(doors).chain(open).collect();
             _ = poll(&mut ready, Some(&wait));
             let count = self.sockets.len();
-            let ready: Vec<usize> =
-                ready.iter().enumerate().filter(|(_, fd)| !fd.revents().is_empty()).map(|(n, _)| n).collect();
+            let ready: Vec<usize> = ready
+                .iter()
+                .enumerate()
+                .filter(|(_, fd)| !fd.revents().is_empty())
+                .map(|(n, _)| n)
+                .collect();
             for place in ready {
                 match place {
                     to if to < count => self.take(to, &mut order),
@@ -283,15 +340,29 @@
     /// Takes in who wants to speak to one process, and calls that for it.
     fn accept(&mut self, to: usize) {
         while let Ok((client, from)) = self.doors[to].accept() {
-            let Some(&from) = self.by_address.get(&from.ip()) else { continue };
+            let Some(&from) = self.by_address.get(&from.ip()) else {
+                continue;
+            };
             // Who calls one that is not there hears so by the end of its connection.
-            let Ok(host) = TcpStream::connect_timeout(&self.behind[to], Duration::from_millis(100)) else {
+            let Ok(host) = TcpStream::connect_timeout(&self.behind[to], Duration::from_millis(100))
+            else {
                 continue;
             };
             let ends = [client, host];
-            ends.iter().for_each(|end| _ = end.set_nonblocking(true).and_then(|()| end.set_nodelay(true)));
+            ends.iter().for_each(|end| {
+                _ = end
+                    .set_nonblocking(true)
+                    .and_then(|()| end.set_nodelay(true))
+            });
             let (held, over, told) = Default::default();
-            self.lines.push(Line { ends, nodes: [from, to], held, over, told, broken: false });
+            self.lines.push(Line {
+                ends,
+                nodes: [from, to],
+                held,
+                over,
+                told,
+                broken: false,
+            });
         }
     }
 
@@ -301,11 +372,17 @@
         let Kept { spoils, passed, .. } = &mut *kept;
         for line in &mut self.lines {
             for end in 0..2 {
-                line.take(end, spoils[line.nodes[end]][line.nodes[1 - end]], &mut self.rng, passed);
+                line.take(
+                    end,
+                    spoils[line.nodes[end]][line.nodes[1 - end]],
+                    &mut self.rng,
+                    passed,
+                );
                 line.give(end);
             }
         }
-        self.lines.retain(|line| !line.broken && line.told != [true, true]);
+        self.lines
+            .retain(|line| !line.broken && line.told != [true, true]);
     }
 
     /// Takes what has come for one process.
@@ -318,12 +395,16 @@
                 // What a process that is away has the system say of an earlier one.
                 Err(_) => continue,
             };
-            let Some(&from) = self.by_address.get(&at.ip()) else { continue };
+            let Some(&from) = self.by_address.get(&at.ip()) else {
+                continue;
+            };
             let mut bytes = space[..length].to_vec();
             let mut kept = self.kept.lock().unwrap();
             let spoil = kept.spoils[from][to];
             kept.passed.sent[from] += 1;
-            kept.taken_down.iter_mut().for_each(|all| all.push((from, to, bytes.clone())));
+            kept.taken_down
+                .iter_mut()
+                .for_each(|all| all.push((from, to, bytes.clone())));
             let mut meets = |share: f64| share > 0.0 && self.rng.random::<f64>() < share;
             if spoil.cut || meets(spoil.loss) {
                 kept.passed.lost += 1;
@@ -349,7 +430,13 @@
                 }
                 let long = if self.rng.random_bool(0.05) { 5.0 } else { 1.0 };
                 let wait = spoil.delay.mul_f64(self.rng.random::<f64>() * long);
-                self.held.push(Reverse((Instant::now() + wait, *order, from, to, bytes.clone())));
+                self.held.push(Reverse((
+                    Instant::now() + wait,
+                    *order,
+                    from,
+                    to,
+                    bytes.clone(),
+                )));
             }
         }
     }
@@ -363,39 +450,74 @@
     #[test]
     fn each_fault_happens_on_the_wire_and_one_way_alone() {
         let ways = Ways::new(2, 1);
-        let ends: Vec<UdpSocket> = ways.behind.iter().map(|at| UdpSocket::bind(at).unwrap()).collect();
-        ends.iter().for_each(|end| end.set_read_timeout(Some(Duration::from_millis(200))).unwrap());
+        let ends: Vec<UdpSocket> = ways
+            .behind
+            .iter()
+            .map(|at| UdpSocket::bind(at).unwrap())
+            .collect();
+        ends.iter().for_each(|end| {
+            end.set_read_timeout(Some(Duration::from_millis(200)))
+                .unwrap()
+        });
         let hears = |end: usize| {
             let mut space = [0; 64];
             let came = ends[end].recv_from(&mut space);
-            came.ok().map(|(length, from)| (space[..length].to_vec(), from))
+            came.ok()
+                .map(|(length, from)| (space[..length].to_vec(), from))
         };
         let passes = |spoil: Spoil| {
             ways.set(|from, _| if from == 0 { spoil } else { Spoil::default() });
             ends[0].send_to(b"well met", ways.faces[1]).unwrap();
             let there = hears(1);
             ends[1].send_to(b"and you", ways.faces[0]).unwrap();
-            assert_eq!(hears(0), Some((b"and you".to_vec(), ways.faces[1])), "the way back is spoilt");
+            assert_eq!(
+                hears(0),
+                Some((b"and you".to_vec(), ways.faces[1])),
+                "the way back is spoilt"
+            );
             there
         };
         let well = Spoil::default();
         assert_eq!(passes(well), Some((b"well met".to_vec(), ways.faces[0])));
         assert_eq!(passes(Spoil { cut: true, ..well }), None);
         assert_eq!(passes(Spoil { loss: 1.0, ..well }), None);
-        let garbled = passes(Spoil { garble: 1.0, ..well }).unwrap().0;
+        let garbled = passes(Spoil {
+            garble: 1.0,
+            ..well
+        })
+        .unwrap()
+        .0;
         assert!(garbled.len() == 8 && garbled != b"well met");
         assert!(passes(Spoil { short: 1.0, ..well }).unwrap().0.len() < 8);
         let from = Instant::now();
         let late = (0..8)
-            .map(|_| passes(Spoil { delay: Duration::from_millis(40), ..well }))
+            .map(|_| {
+                passes(Spoil {
+                    delay: Duration::from_millis(40),
+                    ..well
+                })
+            })
             .filter(Option::is_some)
             .count();
-        assert!(late == 8 && from.elapsed() >= Duration::from_millis(40), "nothing was held up");
-        passes(Spoil { double: 1.0, ..well }).unwrap();
+        assert!(
+            late == 8 && from.elapsed() >= Duration::from_millis(40),
+            "nothing was held up"
+        );
+        passes(Spoil {
+            double: 1.0,
+            ..well
+        })
+        .unwrap();
         assert!(hears(1).is_some(), "not doubled");
         let passed = ways.passed();
         assert_eq!(
-            (passed.lost, passed.doubled, passed.garbled, passed.shortened, passed.held_up),
+            (
+                passed.lost,
+                passed.doubled,
+                passed.garbled,
+                passed.shortened,
+                passed.held_up
+            ),
             (2, 1, 1, 1, 8)
         );
         assert_eq!(passed.sent, [14, 14]);
@@ -434,22 +556,39 @@
         far.write_all(b"thanks").unwrap();
         drop(far);
         assert_eq!(writes.join().unwrap(), "thanks");
-        let spoilt = |spoil: Spoil| ways.set(|from, _| if from == 0 { spoil } else { Spoil::default() });
+        let spoilt =
+            |spoil: Spoil| ways.set(|from, _| if from == 0 { spoil } else { Spoil::default() });
         let (mut near, mut far) = both();
-        spoilt(Spoil { cut: true, ..Spoil::default() });
+        spoilt(Spoil {
+            cut: true,
+            ..Spoil::default()
+        });
         near.write_all(b"one").unwrap();
-        far.set_read_timeout(Some(Duration::from_millis(150))).unwrap();
+        far.set_read_timeout(Some(Duration::from_millis(150)))
+            .unwrap();
         let mut space = [0; 8];
         assert!(far.read(&mut space).is_err(), "a cut way carries");
-        spoilt(Spoil { delay: Duration::from_millis(30), ..Spoil::default() });
+        spoilt(Spoil {
+            delay: Duration::from_millis(30),
+            ..Spoil::default()
+        });
         assert_eq!(far.read(&mut space).unwrap(), 3);
-        spoilt(Spoil { garble: 1.0, ..Spoil::default() });
+        spoilt(Spoil {
+            garble: 1.0,
+            ..Spoil::default()
+        });
         near.write_all(b"two").unwrap();
         assert!(far.read(&mut space).unwrap() == 3 && &space[..3] != b"two");
-        spoilt(Spoil { short: 1.0, ..Spoil::default() });
+        spoilt(Spoil {
+            short: 1.0,
+            ..Spoil::default()
+        });
         near.write_all(b"three").unwrap();
         let mut rest = Vec::new();
-        assert!(far.read_to_end(&mut rest).is_ok() && rest == b"th", "{rest:?}");
+        assert!(
+            far.read_to_end(&mut rest).is_ok() && rest == b"th",
+            "{rest:?}"
+        );
         let passed = ways.passed();
         assert!(passed.held_up >= 1 && passed.garbled == 1 && passed.shortened == 1);
     }
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -48,18 +48,28 @@
             self.next = now + (place.clamp(0.0, 1.0) * turns as f64) as Nanos;
         }
         self.turned = true;
-        let waiting = self.called.is_some_and(|t| now < t.saturating_add(pace.ask_within));
+        let waiting = self
+            .called
+            .is_some_and(|t| now < t.saturating_add(pace.ask_within));
         if self.following || waiting || now < self.next {
             return None;
         }
         self.called = Some(now);
-        Some(if pace.place.is_some() && !knows && !self.heard { Call::Ask } else { Call::Follow })
+        Some(if pace.place.is_some() && !knows && !self.heard {
+            Call::Ask
+        } else {
+            Call::Follow
+        })
     }
 
     /// A list has come, of the node's own call or by itself; gives the failures that this ends, if any.
     pub fn told(&mut self, now: Nanos, knew: bool, pace: Pace) -> u32 {
         let asked = self.called.take();
-        let ended = if asked.is_some() { std::mem::take(&mut self.failures) } else { 0 };
+        let ended = if asked.is_some() {
+            std::mem::take(&mut self.failures)
+        } else {
+            0
+        };
         self.failures = 0;
         let first = !std::mem::replace(&mut self.heard, true);
         match asked.filter(|_| first && !knew && pace.place.is_some()) {
@@ -76,7 +86,11 @@
         (self.following, self.called, self.failures) = (false, None, self.failures + 1);
         // Spread and growing, so that the nodes do not storm the one list service. Many are as far apart at once, and
         // call in turn where what they follow has ended, as it then has for all. Guards: watches that end together.
-        let grown = if pace.place.is_some() { 4 } else { self.failures.min(4) };
+        let grown = if pace.place.is_some() {
+            4
+        } else {
+            self.failures.min(4)
+        };
         let wait = ((SECOND / 2) << grown).min(pace.ask_within / 4);
         // Guards: a node that knows nothing, and by settings which leave it a minute is of no use for as long.
         let wait = if knows { wait } else { wait.min(FIRST_AGAIN) };
--- a/src/calls_tests.rs
+++ b/src/calls_tests.rs
@@ -9,7 +9,10 @@
 /// beyond a queue of one second: calls by second, those turned away, and when each node had its list.
 fn start(nodes: usize, rate: f64, down: Nanos) -> (Vec<usize>, usize, Vec<Nanos>) {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    let pace = |n: usize| Pace { ask_within: 10 * SECOND, place: Some((n as f64 + 0.5) / nodes as f64) };
+    let pace = |n: usize| Pace {
+        ask_within: 10 * SECOND,
+        place: Some((n as f64 + 0.5) / nodes as f64),
+    };
     let mut calls: Vec<Calls> = (0..nodes).map(|_| Calls::default()).collect();
     let mut list = vec![None; nodes];
     let (mut by_second, mut refused, mut free) = (vec![0; 120], 0, 0);
@@ -26,7 +29,9 @@
         match what {
             0 => {
                 next.push((std::cmp::Reverse(now + SECOND / 2), node, 0));
-                let Some(call) = one.due(now, knows, pace(node)) else { continue };
+                let Some(call) = one.due(now, knows, pace(node)) else {
+                    continue;
+                };
                 assert_eq!(call == Call::Ask, !knows, "node {node}");
                 by_second[(now / SECOND) as usize] += 1;
                 free = now.max(free);
@@ -59,11 +64,21 @@
         let (by_second, refused, had) = start(nodes, nodes as f64 / 5.0, 0);
         let calls: usize = by_second.iter().sum();
         assert_eq!(had.len(), nodes);
-        assert!(*had.last().unwrap() <= 6 * SECOND + SECOND / 2, "{nodes}: last at {:?}", had.last());
+        assert!(
+            *had.last().unwrap() <= 6 * SECOND + SECOND / 2,
+            "{nodes}: last at {:?}",
+            had.last()
+        );
         assert!(calls <= 22 * nodes / 10, "{nodes}: {calls} calls");
-        assert!(20 * refused <= calls, "{nodes}: {refused} of {calls} turned away");
+        assert!(
+            20 * refused <= calls,
+            "{nodes}: {refused} of {calls} turned away"
+        );
         let most = by_second.iter().max().unwrap();
-        assert!(*most as f64 <= 1.2 * nodes as f64 / 5.0, "{nodes}: {most} calls in a second");
+        assert!(
+            *most as f64 <= 1.2 * nodes as f64 / 5.0,
+            "{nodes}: {most} calls in a second"
+        );
     }
 }
 
@@ -72,8 +87,15 @@
 fn a_service_that_can_do_less_gives_all_their_lists_before_it_is_followed() {
     let (by_second, refused, had) = start(300, 40.0, 0);
     let calls: usize = by_second.iter().sum();
-    assert!(had[296] <= 9_750 * MILLI, "99% had theirs after {:?}", had[296]);
-    assert!(calls <= 690 && refused <= 90, "{calls} calls, {refused} turned away");
+    assert!(
+        had[296] <= 9_750 * MILLI,
+        "99% had theirs after {:?}",
+        had[296]
+    );
+    assert!(
+        calls <= 690 && refused <= 90,
+        "{calls} calls, {refused} turned away"
+    );
 }
 
 /// Guards: a service that is down for long and finds all nodes at its door at once when it is back.
@@ -89,7 +111,10 @@
 /// Guards: a service that starts anew and is called by all at once.
 #[test]
 fn watches_that_end_together_are_taken_up_in_turn() {
-    let pace = |n: usize| Pace { ask_within: 10 * SECOND, place: Some((n as f64 + 0.5) / 1000.0) };
+    let pace = |n: usize| Pace {
+        ask_within: 10 * SECOND,
+        place: Some((n as f64 + 0.5) / 1000.0),
+    };
     let mut by_tenth = [0; 25];
     for node in 0..1000 {
         let mut calls = Calls::default();
@@ -99,5 +124,8 @@
         let at = (0..=250).find(|tick| calls.due(tick * SECOND / 100, true, pace(node)).is_some());
         by_tenth[(at.expect("it calls within a quarter of the time") as usize - 1) / 10] += 1;
     }
-    assert!(by_tenth.iter().all(|count| (30..=50).contains(count)), "{by_tenth:?}");
+    assert!(
+        by_tenth.iter().all(|count| (30..=50).contains(count)),
+        "{by_tenth:?}"
+    );
 }
--- a/src/ceilings.rs
+++ b/src/ceilings.rs
@@ -18,10 +18,18 @@
     /// Whether `load` more fits under what the host has shown to bear.
     pub(crate) fn bears(&self, now: Nanos, load: f64, typical: f64) -> bool {
         // Guards: a host that bears its load well, kept from more by ceilings that the others earned.
-        let ceiling = self.ceiling.unwrap_or((typical * self.listing.size).max(0.9 * self.good));
+        let ceiling = self
+            .ceiling
+            .unwrap_or((typical * self.listing.size).max(0.9 * self.good));
         let fits = self.borne() + load <= ceiling;
-        let most = if self.ceiling.is_some() { CROWDED } else { FULL };
-        let fits = self.reported(now).map_or(fits, |load| load < most || self.ceiling.is_some() && fits);
+        let most = if self.ceiling.is_some() {
+            CROWDED
+        } else {
+            FULL
+        };
+        let fits = self
+            .reported(now)
+            .map_or(fits, |load| load < most || self.ceiling.is_some() && fits);
         self.slow(now) < LATE && fits
     }
 
@@ -45,10 +53,12 @@
     /// Guards: connections cut off when a host that drains goes away. Evenly over the longest that it can still owe an answer:
     /// a hundred nodes that each move one at once storm hosts and store.
     fn move_off_drain(&self, now: Nanos, at: &mut Room) {
-        let gone = now.saturating_sub(self.draining) as f64 / at.charter.longest_expiry.max(1) as f64;
+        let gone =
+            now.saturating_sub(self.draining) as f64 / at.charter.longest_expiry.max(1) as f64;
         let due = |c: &&Conn| c.begun && draw(self.id.0, c.key.unwrap_or(c.since)) < gone;
         let due = self.conns.iter().filter(due).map(|c| c.slot);
-        at.post.extend(due.map(|slot| (To::Desk, Note::Shift { slot })));
+        at.post
+            .extend(due.map(|slot| (To::Desk, Note::Shift { slot })));
     }
 
     /// The longer the host has been well, the faster.
@@ -74,7 +84,11 @@
         let wanted = at.charter.shortest_message_time() as f64 / SECOND as f64;
         let part = (slow * wanted / DRAIN).clamp(0.05, if refuge > 0.7 { 1.0 } else { 0.5 });
         // Guards: cut to nothing by what other nodes placed there, and empty long after it is well.
-        let floor = if part < 1.0 { FLOOR * mean * self.listing.size } else { 0.0 };
+        let floor = if part < 1.0 {
+            FLOOR * mean * self.listing.size
+        } else {
+            0.0
+        };
         let own = self.borne();
         let ceiling = (self.ceiling.unwrap_or(own).min(own) * (1.0 - part)).max(floor);
         // Guards: a host that has next to nothing when a message is late, held to that for long after it is well.
@@ -83,7 +97,11 @@
         }
         self.ceiling = Some(ceiling);
         let conns = self.conns.len();
-        log!(at.out, "cut host={:x} slow={slow:.1} load={own:.2} to={ceiling:.2} conns={conns}", self.id.0);
+        log!(
+            at.out,
+            "cut host={:x} slow={slow:.1} load={own:.2} to={ceiling:.2} conns={conns}",
+            self.id.0
+        );
         (self.cut, self.slowness_at_cut) = (now, slow);
         self.send_away_down_to(ceiling, at);
     }
@@ -105,16 +123,30 @@
             if counts && !std::mem::replace(&mut told, true) {
                 at.post.push_back((To::Desk, Note::Fared { late: true }));
             }
-            at.post.push_back((To::Desk, Note::Shift { slot: self.conns[n].slot }));
+            at.post.push_back((
+                To::Desk,
+                Note::Shift {
+                    slot: self.conns[n].slot,
+                },
+            ));
         }
     }
 
     /// The places of the connections that stand, by cost over pay and luck, the highest first.
     fn by_pay(&self, luck: u64, at: &Room) -> Vec<usize> {
-        let payoff = |n: usize| at.charter.offerings[self.conns[n].offering].payoff.max(1e-6);
+        let payoff = |n: usize| {
+            at.charter.offerings[self.conns[n].offering]
+                .payoff
+                .max(1e-6)
+        };
         let mut order: Vec<(f64, usize)> = (0..self.conns.len())
             .filter(|&n| self.conns[n].begun)
-            .map(|n| (self.cost(n, at.ledger) / payoff(n) * draw(luck, n as u64), n))
+            .map(|n| {
+                (
+                    self.cost(n, at.ledger) / payoff(n) * draw(luck, n as u64),
+                    n,
+                )
+            })
             .collect();
         order.sort_by(|a, b| b.0.total_cmp(&a.0));
         order.into_iter().map(|(_, n)| n).collect()
