--- a/adapter/src/frames.rs
+++ b/adapter/src/frames.rs
@@ -3,7 +3,7 @@
 use reedferry::{
     Action, Arrival, AttachmentId, Ending, Event, HostId, Listing, Nanos, RollKind, Standing,
 };
-use reedferry_terms::nanos;
+use reedferry_settings::nanos;
 use std::fmt;
 
 pub const HEADER: usize = 20;
@@ -573,15 +573,15 @@
                 "{fault}"
             );
         }
-        assert!(reedferry_terms::charter(b"{")
+        assert!(reedferry_settings::charter(b"{")
             .unwrap_err()
             .starts_with("settings: "));
         let bare = br#"{"balancers": 1, "index": 0, "offerings": [], "policy_limits": {"most_hand_offs": 1},
             "contract": {"cold": 1, "cold_from": 1, "tip_after": 1, "tip_multiple": 1}}"#;
-        assert!(reedferry_terms::charter(bare)
+        assert!(reedferry_settings::charter(bare)
             .unwrap_err()
             .contains("no offering"));
-        assert!(reedferry_terms::charter(b"{\"balancers\": 1}")
+        assert!(reedferry_settings::charter(b"{\"balancers\": 1}")
             .unwrap_err()
             .contains("missing field"));
     }
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -61,7 +61,7 @@
             match told {
                 frames::Told::Start { seed, terms } => {
                     let charter =
-                        reedferry_terms::charter(terms).map_err(|e| frame.fault(at, &e))?;
+                        reedferry_settings::charter(terms).map_err(|e| frame.fault(at, &e))?;
                     nodes.insert(node, Balancer::new(charter, seed, now, &mut out));
                 }
                 frames::Told::Stop => {
--- a/link/tests/bytes.rs
+++ b/control-plane/tests/bytes.rs
@@ -1,7 +1,9 @@
 //! The exact bytes of every frame between forwarders and planners: an older and a newer process work together.
 
-use reedferry_link::frames::{Asked, Came, Down, Hello, Past, Stands, Up, Welcome, Writer};
-use reedferry_link::HostLine;
+use reedferry_control_plane::frames::{
+    Asked, Came, Down, Hello, Past, Stands, Up, Welcome, Writer,
+};
+use reedferry_control_plane::HostLine;
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -176,7 +178,7 @@
 #[test]
 fn the_fingerprint_of_names_stays_the_same() {
     assert_eq!(
-        reedferry_link::fingerprint(["offerings", "chat", "tenants", "zones", "a"]),
+        reedferry_control_plane::fingerprint(["offerings", "chat", "tenants", "zones", "a"]),
         17709142714992988890
     );
 }
--- a/link/tests/tiers.rs
+++ b/control-plane/tests/tiers.rs
@@ -4,8 +4,10 @@
 
 use proptest::prelude::*;
 use reedferry::*;
-use reedferry_link::frames::Stands;
-use reedferry_link::{Covenant, Deed, Forwarder, HostLine, Order, Planner, PlannerAt, Remit};
+use reedferry_control_plane::frames::Stands;
+use reedferry_control_plane::{
+    Covenant, Deed, Forwarder, HostLine, Order, Planner, PlannerAt, Remit,
+};
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
 
 const START: Nanos = 1_000_000 * SECOND;
@@ -1298,7 +1300,7 @@
 
 #[test]
 fn a_piece_of_another_session_and_a_beat_that_runs_away_end_their_connection() {
-    use reedferry_link::frames::{Down, Up, Writer};
+    use reedferry_control_plane::frames::{Down, Up, Writer};
     for runaway in [false, true] {
         let mut tiers = Tiers::new(1, 2, 2);
         tiers.run(200 * MILLI);
--- a/members/src/trials.rs
+++ b/membership/src/trials.rs
@@ -2,7 +2,7 @@
 //! stand still; and a walk through what can happen to three of them.
 
 use crate::*;
-use reedferry_explore::{walk, Bounds, World};
+use reedferry_model_checker::{walk, Bounds, World};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::sync::Arc;
@@ -264,7 +264,7 @@
 }
 
 /// The sizes that a test plays, and those that `REEDFERRY_MEMBERS` names beside: `REEDFERRY_MEMBERS=5000 cargo test
-/// --release -p reedferry-members death -- --nocapture`, which takes gigabytes.
+/// --release -p reedferry-membership death -- --nocapture`, which takes gigabytes.
 fn sizes(usual: &[usize]) -> Vec<usize> {
     let more = std::env::var("REEDFERRY_MEMBERS").unwrap_or_default();
     usual
--- a/node/src/connections/endings.rs
+++ b/node/src/connections/endings.rs
@@ -8,7 +8,7 @@
 use crate::operators::counts::Close;
 use crate::operators::tally::Outcome;
 use reedferry::{AttachmentId, Ending, Nanos, MILLI};
-use reedferry_quay::errors::{on_connection, Trouble};
+use reedferry_runtime::errors::{on_connection, Trouble};
 
 /// How long the other side of an ended connection is waited for, and one that still sends, since it came.
 pub(super) const LINGER: Nanos = 900 * MILLI;
--- a/node/src/connections/lane.rs
+++ b/node/src/connections/lane.rs
@@ -3,8 +3,8 @@
 //! receiver holds up its sender alone, nor keep a buffer while nothing flows.
 
 use crate::connections::lines::{Scanner, Word};
-use reedferry_quay::errors::{on_connection, Trouble};
-use reedferry_quay::{Buffer, Pool, Socket};
+use reedferry_runtime::errors::{on_connection, Trouble};
+use reedferry_runtime::{Buffer, Pool, Socket};
 
 /// Buffers moved for one connection before the others have their turn.
 const TURN: usize = 8;
--- a/node/src/connections/listener.rs
+++ b/node/src/connections/listener.rs
@@ -9,8 +9,8 @@
 use crate::context::{Context, CLIENT};
 use crate::operators::counts::Close;
 use reedferry::{Arrival, AttachmentId, Ending, Event, HostId, Nanos, MILLI, SECOND};
-use reedferry_quay::errors::{on_accept, on_connection, NotAccepted, Trouble};
-use reedferry_quay::{Mark, Socket};
+use reedferry_runtime::errors::{on_accept, on_connection, NotAccepted, Trouble};
+use reedferry_runtime::{Mark, Socket};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::rc::Rc;
 
--- a/node/src/connections/mod.rs
+++ b/node/src/connections/mod.rs
@@ -24,7 +24,7 @@
 use listener::{Listener, SILENT_CLIENT};
 pub use passing::HandedOver;
 use reedferry::{Action, Arrival, AttachmentId, Ending, HostId, Nanos, Offering, MILLI, SECOND};
-use reedferry_quay::{Buffer, Mark, Readiness, Socket};
+use reedferry_runtime::{Buffer, Mark, Readiness, Socket};
 use slab::Slab;
 use slog::info;
 use std::collections::VecDeque;
--- a/node/src/connections/passage.rs
+++ b/node/src/connections/passage.rs
@@ -9,7 +9,7 @@
 use crate::context::{Context, LONGEST_MOVE};
 use crate::operators::counts::Close;
 use reedferry::{AttachmentId, Ending, Event, Nanos, MILLI, SECOND};
-use reedferry_quay::Buffer;
+use reedferry_runtime::Buffer;
 use slog::{info, warn};
 
 /// How long a client's line may go unanswered before its host counts as silent. Under the seven seconds
--- a/node/src/connections/passing.rs
+++ b/node/src/connections/passing.rs
@@ -9,8 +9,8 @@
 use crate::context::{Context, CLIENT, HOST};
 use crate::operators::counts::Close;
 use reedferry::{AttachmentId, Ending, Event, Nanos, Offering};
-use reedferry_quay::{Mark, Socket};
-use reedferry_terms::renewal;
+use reedferry_runtime::{Mark, Socket};
+use reedferry_settings::renewal;
 use serde::{Deserialize, Serialize};
 use std::os::fd::{AsFd, BorrowedFd};
 
--- a/node/src/connections/probe.rs
+++ b/node/src/connections/probe.rs
@@ -4,7 +4,7 @@
 use crate::connections::lines::{self, Scanner, Word};
 use crate::context::{Context, PROBE};
 use reedferry::{Ending, Event, HostId, Nanos};
-use reedferry_quay::{Buffer, Errno, Mark, Readiness, Socket};
+use reedferry_runtime::{Buffer, Errno, Mark, Readiness, Socket};
 use slab::Slab;
 
 struct Probe {
--- a/node/src/connections/wire.rs
+++ b/node/src/connections/wire.rs
@@ -1,8 +1,8 @@
 //! Wires: the connections of the link on their sockets, at either end. They own the sockets and what was
 //! last heard of their readiness. It must never read more in a turn than its share, nor know what passes.
 
-use reedferry_quay::errors::{on_connection, Trouble};
-use reedferry_quay::{Errno, Readiness, Socket};
+use reedferry_runtime::errors::{on_connection, Trouble};
+use reedferry_runtime::{Errno, Readiness, Socket};
 use std::collections::BTreeMap;
 
 /// What is read of one connection in a turn, so that a planner's forwarders take turns.
--- a/node/src/listing/discovery.rs
+++ b/node/src/listing/discovery.rs
@@ -12,8 +12,8 @@
 use crate::listing::versions::{Versions, Worth};
 use reedferry::permission::usable_grace;
 use reedferry::{Charter, Event, Nanos, RollKind, MILLI, SECOND};
-use reedferry_quay::errors::{on_connect, on_connection, NoConnection, Trouble};
-use reedferry_quay::{Errno, Mark, Readiness, Socket};
+use reedferry_runtime::errors::{on_connect, on_connection, NoConnection, Trouble};
+use reedferry_runtime::{Errno, Mark, Readiness, Socket};
 use slog::{info, warn};
 use std::net::SocketAddr;
 
--- a/node/src/listing/hosts.rs
+++ b/node/src/listing/hosts.rs
@@ -7,7 +7,7 @@
 use crate::listing::starts::{self, Learned};
 use crate::stalls::Stalls;
 use reedferry::{Event, HostId, Listing, Nanos, RollKind, Standing, MILLI, SECOND};
-use reedferry_link::HostLine;
+use reedferry_control_plane::HostLine;
 use slog::{info, Logger};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -14,8 +14,8 @@
 
 use clap::{Args, Parser, Subcommand};
 use reedferry::{Nanos, MILLI};
-use reedferry_quay::signals::{SIGHUP, SIGTERM};
-use reedferry_quay::Signal;
+use reedferry_runtime::signals::{SIGHUP, SIGTERM};
+use reedferry_runtime::Signal;
 use std::path::PathBuf;
 
 /// How often a role looks over its connections.
--- a/node/src/operators/articles.rs
+++ b/node/src/operators/articles.rs
@@ -9,7 +9,7 @@
 use crate::peers::wards::WardTerms;
 use crate::peers::words::Correspondence;
 use reedferry::{Nanos, MILLI, SECOND};
-use reedferry_link::PlannerAt;
+use reedferry_control_plane::PlannerAt;
 use serde::Deserialize;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -428,7 +428,7 @@
         let name = part.name.unwrap_or_default();
         if [&name, &papers.name]
             .into_iter()
-            .any(|n| n.len() > reedferry_members::LONGEST_NAME)
+            .any(|n| n.len() > reedferry_membership::LONGEST_NAME)
             || papers.name.is_empty()
         {
             return Err(text.wrong(
@@ -461,7 +461,7 @@
         for sheet in sheets {
             let PlannerSheet { name, address: at } = sheet.get_ref();
             let address = text.address("address", at)?;
-            if name.is_empty() || name.len() > reedferry_link::frames::LONGEST_NAME {
+            if name.is_empty() || name.len() > reedferry_control_plane::frames::LONGEST_NAME {
                 return Err(text.wrong(sheet.span(), "a planner's name has 1 to 256 bytes"));
             }
             if !names.insert(name.clone()) || !addresses.insert(address) {
--- a/node/src/operators/files.rs
+++ b/node/src/operators/files.rs
@@ -1,8 +1,8 @@
 //! Reading the files that the program is told by. It owns the difference between a file that could not be read for a
 //! moment and one that is missing or wrong. It must never know what a file says.
 
-use reedferry_quay::errors::{for_a_moment, patiently};
-use reedferry_quay::Errno;
+use reedferry_runtime::errors::{for_a_moment, patiently};
+use reedferry_runtime::Errno;
 use std::fmt;
 use std::path::Path;
 use std::time::Duration;
--- a/node/src/operators/ops.rs
+++ b/node/src/operators/ops.rs
@@ -5,8 +5,8 @@
 
 use crate::context::{mark, Context, OPS, OPS_LISTENER, START_WITHIN};
 use reedferry::{Nanos, SECOND};
-use reedferry_quay::errors::{on_accept, on_connection, patiently, NotAccepted, Trouble};
-use reedferry_quay::{Budget, Buffer, Errno, Mark, Pool, Readiness, Socket};
+use reedferry_runtime::errors::{on_accept, on_connection, patiently, NotAccepted, Trouble};
+use reedferry_runtime::{Budget, Buffer, Errno, Mark, Pool, Readiness, Socket};
 use slab::Slab;
 use slog::info;
 use std::net::SocketAddr;
--- a/node/src/operators/papers.rs
+++ b/node/src/operators/papers.rs
@@ -4,7 +4,7 @@
 
 use crate::operators::files::{self, NotRead};
 use reedferry::Charter;
-use reedferry_terms::Terms;
+use reedferry_settings::Terms;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -79,14 +79,14 @@
 
     /// Of the lists whose places stand for names on the link.
     pub fn fingerprint(&self) -> u64 {
-        reedferry_link::fingerprint(self.terms.names())
+        reedferry_control_plane::fingerprint(self.terms.names())
     }
 
     pub fn decode(text: &[u8]) -> Result<Papers, String> {
         let mut whole: serde_json::Value =
             serde_json::from_slice(text).map_err(|e| e.to_string())?;
         let sheet = Sheet::deserialize(&whole).map_err(|e| e.to_string())?;
-        reedferry_terms::sound(&whole["settings"])?;
+        reedferry_settings::sound(&whole["settings"])?;
         whole
             .as_object_mut()
             .and_then(|all| all.insert("known".into(), serde_json::Value::Null));
@@ -97,7 +97,7 @@
         if !(1.0..1e9).contains(&sheet.limits.memory_mb) {
             return Err(format!("limits: memory_mb is {}", sheet.limits.memory_mb));
         }
-        let (charter, terms) = reedferry_terms::from_value(sheet.settings)?;
+        let (charter, terms) = reedferry_settings::from_value(sheet.settings)?;
         Ok(Papers {
             listen: address("listen", &sheet.listen)?,
             discovery: address("discovery", &sheet.discovery)?,
@@ -134,7 +134,7 @@
     /// # Errors
     /// One line that names the key.
     pub fn whole_in(&self, other: &Papers) -> Result<(), String> {
-        match reedferry_terms::renewal::missing(&self.whole, &other.whole) {
+        match reedferry_settings::renewal::missing(&self.whole, &other.whole) {
             Some(key) => Err(format!("{key} is missing, which the papers in force have")),
             None => Ok(()),
         }
--- a/node/src/peers/ward_bytes_tests.rs
+++ b/node/src/peers/ward_bytes_tests.rs
@@ -1,7 +1,7 @@
 //! The exact bytes of what passes between nodes about records, and of a history as it is kept.
 
 use super::*;
-use reedferry_wards::Term;
+use reedferry_replication::Term;
 
 fn hex(value: &impl Serialize) -> String {
     postcard::to_allocvec(value)
--- a/node/src/peers/wards.rs
+++ b/node/src/peers/wards.rs
@@ -8,7 +8,9 @@
 use reedferry::{
     Action, Arrival, AttachmentId, Effect, Ending, Event, HostId, Nanos, Past, SECOND,
 };
-use reedferry_wards::{guardians, Answer, Guardian, Holder, Keeper, Outcome, Question, Record};
+use reedferry_replication::{
+    guardians, Answer, Guardian, Holder, Keeper, Outcome, Question, Record,
+};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use slog::warn;
--- a/node/src/peers/words.rs
+++ b/node/src/peers/words.rs
@@ -6,8 +6,8 @@
 use crate::peers::fleet::FleetTerms;
 use reedferry::word::LONGEST;
 use reedferry::Event;
-use reedferry_quay::errors::patiently;
-use reedferry_quay::{Errno, Socket};
+use reedferry_runtime::errors::patiently;
+use reedferry_runtime::{Errno, Socket};
 use slog::{info, warn};
 use std::net::SocketAddr;
 
--- a/node/src/ready.rs
+++ b/node/src/ready.rs
@@ -2,7 +2,7 @@
 //! It must never know whose a mark is.
 
 use reedferry::{Nanos, MILLI};
-use reedferry_quay::{merged, Clock, Readiness};
+use reedferry_runtime::{merged, Clock, Readiness};
 use std::collections::VecDeque;
 
 /// How long one turn goes on with what is ready. Guards: an answer that is due, and waits for hundreds of writes each of which
@@ -42,7 +42,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use reedferry_quay::Mark;
+    use reedferry_runtime::Mark;
 
     #[test]
     fn what_a_turn_had_no_time_for_goes_first_in_the_next() {
--- a/node/src/roles/alone.rs
+++ b/node/src/roles/alone.rs
@@ -20,9 +20,9 @@
 use crate::roles::succession::{Knowledge, Succession};
 use crate::{AtStart, BEYOND_EXPIRY, SWEEP};
 use reedferry::{Action, Balancer, Charter, Effect, Event};
-use reedferry_members::State;
-use reedferry_quay::{Clock, Errno, Signal, Socket};
-use reedferry_terms::renewal;
+use reedferry_membership::State;
+use reedferry_runtime::{Clock, Errno, Signal, Socket};
+use reedferry_settings::renewal;
 use slog::{info, warn};
 use std::path::Path;
 
--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -11,8 +11,8 @@
 use crate::operators::papers::Papers;
 use crate::{AtStart, SWEEP};
 use reedferry::{Event, Listing, Nanos, MILLI};
-use reedferry_link::{HostLine, Order, Planner, Remit};
-use reedferry_quay::{Clock, Errno, Mark, Readiness, Signal, Socket};
+use reedferry_control_plane::{HostLine, Order, Planner, Remit};
+use reedferry_runtime::{Clock, Errno, Mark, Readiness, Signal, Socket};
 use slog::{info, warn};
 use std::path::{Path, PathBuf};
 
--- a/node/src/turn.rs
+++ b/node/src/turn.rs
@@ -3,7 +3,7 @@
 //! anything.
 
 use reedferry::{Nanos, MILLI};
-use reedferry_quay::clock::processor_time;
+use reedferry_runtime::clock::processor_time;
 use slog::{Record, Serializer, KV};
 
 /// How the current turn began.
--- a/node/tests/clocks.rs
+++ b/node/tests/clocks.rs
@@ -1,10 +1,10 @@
 //! A wall clock that is stepped, by seconds or an hour: waits, windows and the ages of hosts are spans of real time, in one
 //! process and where one takes the place of another.
 
-use reedferry_rig::acting::{self, Clients, Hosts, Referee};
-use reedferry_rig::program::papers_of;
-use reedferry_rig::syscalls::Spoiler;
-use reedferry_rig::{eventually, folder, listener, Discovery, Node, Peer};
+use reedferry_testkit::acting::{self, Clients, Hosts, Referee};
+use reedferry_testkit::program::papers_of;
+use reedferry_testkit::syscalls::Spoiler;
+use reedferry_testkit::{eventually, folder, listener, Discovery, Node, Peer};
 use serde_json::{json, Value};
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -137,8 +137,8 @@
 #[test]
 fn the_next_process_goes_on_with_real_spans_of_time_though_the_wall_clock_was_stepped() {
     for off in [-3600, 3600, -5, 5] {
-        let (hosts, service) = (reedferry_rig::Hosts::start(1), Discovery::start());
-        let papers = reedferry_rig::papers(&hosts, service.address);
+        let (hosts, service) = (reedferry_testkit::Hosts::start(1), Discovery::start());
+        let papers = reedferry_testkit::papers(&hosts, service.address);
         let (held, folder) = (listener(), folder());
         let mut predecessor = Node::start_spoilt_at(&papers, &held, &folder, &Spoiler::default());
         predecessor.address = held.local_addr().unwrap();
@@ -185,7 +185,7 @@
         host.say("answer");
         client
             .stream
-            .set_read_timeout(Some(reedferry_rig::peers::PATIENCE))
+            .set_read_timeout(Some(reedferry_testkit::peers::PATIENCE))
             .unwrap();
         client.hears("answer");
         client.say("second");
--- a/node/tests/closing.rs
+++ b/node/tests/closing.rs
@@ -1,7 +1,7 @@
 //! Connections that are closed while bytes lie unread on one side, or while descriptors are short: what was asked has its
 //! answer, and what was answered can be read.
 
-use reedferry_rig::*;
+use reedferry_testkit::*;
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
@@ -248,7 +248,7 @@
 /// Guards: the rest of an answer to a ping, of which a client took a part, lost as it is ended for resting.
 #[test]
 fn the_rest_of_a_pings_answer_goes_out_before_the_end() {
-    use reedferry_rig::syscalls::{Call, Fault, Outcome, Spoiler};
+    use reedferry_testkit::syscalls::{Call, Fault, Outcome, Spoiler};
     use rustix::io::Errno;
     let (hosts, discovery, spoiler) = (Hosts::start(1), Discovery::start(), Spoiler::default());
     let node = Node::start_spoilt(&papers(&hosts, discovery.address), &spoiler);
--- a/node/tests/cold.rs
+++ b/node/tests/cold.rs
@@ -1,9 +1,9 @@
 //! Twenty processes of the program before one cold host: it is sent no more than its budget and chance by the sum of all,
 //! with some of them killed and started again meanwhile.
 
-use reedferry_rig::acting::{Clients, Hosts, Referee};
-use reedferry_rig::program::papers_of;
-use reedferry_rig::{Discovery, Node};
+use reedferry_testkit::acting::{Clients, Hosts, Referee};
+use reedferry_testkit::program::papers_of;
+use reedferry_testkit::{Discovery, Node};
 use serde_json::{json, Value};
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -47,7 +47,7 @@
         );
         standing.push(clients);
     }
-    reedferry_rig::eventually("they do not stand", || {
+    reedferry_testkit::eventually("they do not stand", || {
         hosts.standing().iter().sum::<u32>() as usize >= NODES * HELD * 9 / 10
     });
     let mut new = hosts.member(WARM, "active");
--- a/node/tests/fleet.rs
+++ b/node/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Many processes of the program beside one list service and hosts that warm up, with faults put in between them.
 //! Judged by what hosts, clients and the list service saw.
 
-use reedferry_rig::fleet::{alone, Fleet, Guests, Terms, WarmingHosts};
-use reedferry_rig::{eventually, Discovery, Node};
+use reedferry_testkit::fleet::{alone, Fleet, Guests, Terms, WarmingHosts};
+use reedferry_testkit::{eventually, Discovery, Node};
 use serde_json::Value;
 use std::ops::Range;
 use std::sync::MutexGuard;
--- a/node/tests/gone.rs
+++ b/node/tests/gone.rs
@@ -1,8 +1,8 @@
 //! Clients that go: before they were taken in, while they wait, while their host's connection comes up, between two
 //! attempts, behind much else. No attempt begins for them after that, as the hosts saw it.
 
-use reedferry_rig::program::papers_of;
-use reedferry_rig::*;
+use reedferry_testkit::program::papers_of;
+use reedferry_testkit::*;
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
--- a/node/tests/handover.rs
+++ b/node/tests/handover.rs
@@ -1,8 +1,8 @@
 //! A connection that passes from one process to the next has one owner at each moment, also where a word between both can't be
 //! sent or read for a while, or the next process stands still.
 
-use reedferry_rig::syscalls::{Call, Fault, Outcome, Spoiler};
-use reedferry_rig::*;
+use reedferry_testkit::syscalls::{Call, Fault, Outcome, Spoiler};
+use reedferry_testkit::*;
 use rustix::io::Errno;
 use serde_json::{json, Value};
 use std::net::TcpListener;
--- a/node/tests/machine.rs
+++ b/node/tests/machine.rs
@@ -1,8 +1,8 @@
 //! Trouble of the own machine: system calls that fail for want of memory, descriptors, ports or a route, are interrupted,
 //! fall short or are held up. No request loses its answer by it, no host its good name, and no signal or settings are missed.
 
-use reedferry_rig::syscalls::{Call, Fault, Outcome, Spoiler};
-use reedferry_rig::*;
+use reedferry_testkit::syscalls::{Call, Fault, Outcome, Spoiler};
+use reedferry_testkit::*;
 use rustix::io::Errno;
 use serde_json::{json, Value};
 use std::net::{TcpListener, TcpStream};
--- a/node/tests/members.rs
+++ b/node/tests/members.rs
@@ -1,11 +1,11 @@
 //! Processes of the program that keep a view of their fleet, with faults put between them: how soon the view settles,
 //! who is put out and who is not. What clients and hosts saw is judged beside it where there is load.
 
-use reedferry_rig::fleet::{alone, Fleet, Guests, Terms, WarmingHosts};
-use reedferry_rig::schedule::{play, Schedule};
-use reedferry_rig::view::{started, View};
-use reedferry_rig::ways::{Spoil, Ways};
-use reedferry_rig::{eventually, Discovery};
+use reedferry_testkit::fleet::{alone, Fleet, Guests, Terms, WarmingHosts};
+use reedferry_testkit::schedule::{play, Schedule};
+use reedferry_testkit::view::{started, View};
+use reedferry_testkit::ways::{Spoil, Ways};
+use reedferry_testkit::{eventually, Discovery};
 use std::net::UdpSocket;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -215,7 +215,7 @@
     fleet.start(&living, &[], 0);
     agree(&fleet, 60, "after the start");
     let lines = |fleet: &Fleet| -> Vec<usize> {
-        let of = |node: &reedferry_rig::Node| {
+        let of = |node: &reedferry_testkit::Node| {
             let lines = node
                 .logged_at()
                 .into_iter()
--- a/node/tests/ops.rs
+++ b/node/tests/ops.rs
@@ -1,6 +1,6 @@
 //! The node as its staff run it day by day: their calls, its figures, standby.
 
-use reedferry_rig::*;
+use reedferry_testkit::*;
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
--- a/node/tests/pause.rs
+++ b/node/tests/pause.rs
@@ -1,8 +1,8 @@
 //! A process that stands still for a while, or is held up again and again, as its machine is, blames no host for what it did
 //! not see meanwhile.
 
-use reedferry_rig::syscalls::{Call, Fault, Outcome, Spoiler};
-use reedferry_rig::*;
+use reedferry_testkit::syscalls::{Call, Fault, Outcome, Spoiler};
+use reedferry_testkit::*;
 use std::thread;
 use std::time::{Duration, Instant};
 
--- a/node/tests/ready.rs
+++ b/node/tests/ready.rs
@@ -1,9 +1,9 @@
 //! Restarts: nine in ten processes serve within ten seconds of their start, in turn and together, under load, beside a list
 //! service that is slow.
 
-use reedferry_rig::acting::{Hosts, Referee};
-use reedferry_rig::program::papers_of;
-use reedferry_rig::*;
+use reedferry_testkit::acting::{Hosts, Referee};
+use reedferry_testkit::program::papers_of;
+use reedferry_testkit::*;
 use serde_json::{json, Value};
 use std::thread;
 use std::time::{Duration, Instant};
--- a/node/tests/relisted.rs
+++ b/node/tests/relisted.rs
@@ -1,8 +1,8 @@
 //! Hosts that the list names anew, in another group or at another address: what was chosen for them before goes by where they
 //! were.
 
-use reedferry_rig::program::papers_of;
-use reedferry_rig::*;
+use reedferry_testkit::program::papers_of;
+use reedferry_testkit::*;
 use serde_json::json;
 use std::thread::yield_now;
 use std::time::{Duration, Instant};
--- a/node/tests/repeats.rs
+++ b/node/tests/repeats.rs
@@ -1,7 +1,7 @@
 //! Repeats: a further attempt at the last instant at which its effect allows one, and past it.
 
-use reedferry_rig::program::papers_of;
-use reedferry_rig::*;
+use reedferry_testkit::program::papers_of;
+use reedferry_testkit::*;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
--- a/node/tests/retune.rs
+++ b/node/tests/retune.rs
@@ -1,6 +1,6 @@
 //! New settings at a node that runs: whole or not at all, and what is under way keeps what it came by.
 
-use reedferry_rig::*;
+use reedferry_testkit::*;
 use serde_json::{json, Value};
 
 fn start(hosts: &Hosts) -> (Node, Value, Discovery) {
--- a/node/tests/silence.rs
+++ b/node/tests/silence.rs
@@ -1,9 +1,9 @@
 //! Several processes of the program beside a list service whose watches fall silent, break or are spoilt, while hosts
 //! drain under load. Judged by what hosts and the list service saw, against when each node counts as told.
 
-use reedferry_rig::acting::{Clients, Hosts, Reached, Referee, GRACE, SOCKETS};
-use reedferry_rig::program::papers_of;
-use reedferry_rig::{eventually, jammed, member, Discovery, Node, Peer, OPEN};
+use reedferry_testkit::acting::{Clients, Hosts, Reached, Referee, GRACE, SOCKETS};
+use reedferry_testkit::program::papers_of;
+use reedferry_testkit::{eventually, jammed, member, Discovery, Node, Peer, OPEN};
 use serde_json::json;
 use std::cell::Cell;
 use std::net::TcpListener;
--- a/node/tests/soak.rs
+++ b/node/tests/soak.rs
@@ -1,8 +1,8 @@
-//! The soak, in short: a dozen processes under troubles that overlap, judged by the rules. `reedferry-rig soak` plays more
+//! The soak, in short: a dozen processes under troubles that overlap, judged by the rules. `reedferry-testkit soak` plays more
 //! seeds, larger and longer.
 
-use reedferry_rig::soak::troubles::Schedule;
-use reedferry_rig::soak::{play, Size};
+use reedferry_testkit::soak::troubles::Schedule;
+use reedferry_testkit::soak::{play, Size};
 use std::time::Duration;
 
 /// Guards: whatever breaks a rule where stops, reloads, replacements, failing calls, stepped clocks and peers that
--- a/node/tests/sockets.rs
+++ b/node/tests/sockets.rs
@@ -1,6 +1,6 @@
 //! The program itself, started and spoken to over sockets, among stand-ins for all that it meets.
 
-use reedferry_rig::*;
+use reedferry_testkit::*;
 use serde_json::{json, Value};
 use std::cell::Cell;
 use std::net::UdpSocket;
--- a/node/tests/stopping.rs
+++ b/node/tests/stopping.rs
@@ -1,8 +1,8 @@
 //! A program that is asked to stop at each point of a connection's life: everyone has one answer that can be read, nothing
 //! is sent after it, and nobody is held any more when the program may be ended from outside.
 
-use reedferry_rig::program::papers_of;
-use reedferry_rig::*;
+use reedferry_testkit::program::papers_of;
+use reedferry_testkit::*;
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
--- a/node/tests/succession.rs
+++ b/node/tests/succession.rs
@@ -1,8 +1,8 @@
 //! One process in place of another: both started and spoken to over sockets, at a listener that the test holds.
 
-use reedferry_quay::Budget;
-use reedferry_rig::acting::{self, Clients, Referee, Way};
-use reedferry_rig::*;
+use reedferry_runtime::Budget;
+use reedferry_testkit::acting::{self, Clients, Referee, Way};
+use reedferry_testkit::*;
 use serde_json::{json, Value};
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
@@ -388,7 +388,7 @@
 /// A process that comes as the next one, and speaks to the predecessor by its own words.
 struct Stranger {
     budget: Budget,
-    line: reedferry_quay::Socket,
+    line: reedferry_runtime::Socket,
 }
 
 impl Stranger {
--- a/node/tests/two_tier.rs
+++ b/node/tests/two_tier.rs
@@ -1,11 +1,11 @@
 //! Forwarders and planners as processes, among hosts and clients that act by themselves, with faults put in
 //! from outside. The rules are judged by what hosts and clients saw.
 
-use reedferry_rig::acting::{Clients, Way};
-use reedferry_rig::program::{path, Node};
-use reedferry_rig::syscalls::{Call, Fault, Outcome, Spoiler};
-use reedferry_rig::tiers::{self, until, Tiers, FAULTS};
-use reedferry_rig::{eventually, Peer};
+use reedferry_testkit::acting::{Clients, Way};
+use reedferry_testkit::program::{path, Node};
+use reedferry_testkit::syscalls::{Call, Fault, Outcome, Spoiler};
+use reedferry_testkit::tiers::{self, until, Tiers, FAULTS};
+use reedferry_testkit::{eventually, Peer};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::process::Command;
@@ -67,7 +67,7 @@
     let latest = all.iter().filter_map(|(_, took)| *took).max().unwrap();
     assert!(latest < ms(700), "a first hand-off after {latest:?}");
     // A second after the death decisions take their usual time.
-    let late = |l: &reedferry_rig::acting::Lived, took: Duration| {
+    let late = |l: &reedferry_testkit::acting::Lived, took: Duration| {
         l.asked > killed + ms(1000) && took > ms(50)
     };
     let slow = all
--- a/node/tests/wards.rs
+++ b/node/tests/wards.rs
@@ -1,10 +1,10 @@
 //! Processes of the program that keep records of each other's work in hand, some of which are killed or stand still: what
 //! is irreversible reaches hosts once, as the hosts saw it.
 
-use reedferry_rig::fleet::{alone, Fleet, Terms, REPEATS};
-use reedferry_rig::view::View;
-use reedferry_rig::ways::Ways;
-use reedferry_rig::{eventually, Discovery, Peer};
+use reedferry_testkit::fleet::{alone, Fleet, Terms, REPEATS};
+use reedferry_testkit::view::View;
+use reedferry_testkit::ways::Ways;
+use reedferry_testkit::{eventually, Discovery, Peer};
 use serde_json::json;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader};
--- a/wards/src/lib.rs
+++ b/replication/src/lib.rs
@@ -4,7 +4,7 @@
 //! second). Questions and answers in, answers and outcomes out, no I/O. It must never know what a history says, nor
 //! decide what becomes of an attachment.
 
-use reedferry_members::{owner, Nanos};
+use reedferry_membership::{owner, Nanos};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/wards/src/trials.rs
+++ b/replication/src/trials.rs
@@ -2,7 +2,7 @@
 //! members too: every order of letters that come, are lost or come twice, one death and start from nothing, one pause.
 
 use super::*;
-use reedferry_explore::{walk, Bounds, World};
+use reedferry_model_checker::{walk, Bounds, World};
 use std::hash::{Hash, Hasher};
 use xxhash_rust::xxh3::Xxh3;
 
--- a/wards/tests/bytes.rs
+++ b/replication/tests/bytes.rs
@@ -1,6 +1,6 @@
 //! The exact bytes of questions and answers about records: an older and a newer process keep records for each other.
 
-use reedferry_wards::{guardians, Answer, Holder, Question, Record, Term};
+use reedferry_replication::{guardians, Answer, Holder, Question, Record, Term};
 
 const KEY: u64 = 0x0123_4567_89ab_cdef;
 
--- a/terms/tests/keys.rs
+++ b/settings/tests/keys.rs
@@ -20,7 +20,7 @@
         "registry_mode": "on_request", "reporting": {"fields": ["x0", "util", "x1", "qps"], "via": "pull"},
         "extra": {"groups": true, "message_aim": [100, null, 120], "mode": "pass"},
         "tenants": [{"name": "acme"}]});
-    let (charter, terms) = reedferry_terms::from_value(settings).unwrap();
+    let (charter, terms) = reedferry_settings::from_value(settings).unwrap();
     assert_eq!((charter.node, charter.nodes, charter.zone), (2, 3, 1));
     assert_eq!(
         (charter.round, charter.most_hand_offs, charter.may_call_off),
--- a/rig/src/main.rs
+++ b/testkit/src/main.rs
@@ -1,11 +1,11 @@
-//! `reedferry-rig`: measurements, each by its name, on stand-ins on loopback. It owns how figures are printed
+//! `reedferry-testkit`: measurements, each by its name, on stand-ins on loopback. It owns how figures are printed
 //! and the exit code: 0 where all that a measurement promises held, 1 where something fell short, 2 for wrong
 //! usage.
 
 use clap::{Args, Parser, Subcommand};
-use reedferry_rig::schedule::{self, Schedule};
-use reedferry_rig::two_tier::{self, Found};
-use reedferry_rig::{chart, coldstart, soak, view};
+use reedferry_testkit::schedule::{self, Schedule};
+use reedferry_testkit::two_tier::{self, Found};
+use reedferry_testkit::{chart, coldstart, soak, view};
 use serde_json::json;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -196,7 +196,7 @@
                 span: Duration::from_secs(6),
             };
             let found = two_tier::measure(size, options.seed).unwrap_or_else(|why| {
-                eprintln!("reedferry-rig: {why}");
+                eprintln!("reedferry-testkit: {why}");
                 Found {
                     figures: Default::default(),
                     broken: vec![why],
@@ -206,7 +206,7 @@
         }
         What::Schedule(options) => {
             let found = options.play().unwrap_or_else(|why| {
-                eprintln!("reedferry-rig: {why}");
+                eprintln!("reedferry-testkit: {why}");
                 std::process::exit(2);
             });
             ("schedule", options.seed, options.size, options.json, found)
@@ -221,7 +221,9 @@
         }
         What::Soak(options) => {
             if !options.rate.is_finite() || !(0.1..=MOST_A_SECOND).contains(&options.rate) {
-                eprintln!("reedferry-rig: --rate takes clients a second, 0.1 to {MOST_A_SECOND}");
+                eprintln!(
+                    "reedferry-testkit: --rate takes clients a second, 0.1 to {MOST_A_SECOND}"
+                );
                 std::process::exit(2);
             }
             let size = soak::Size {
@@ -236,11 +238,11 @@
         }
         What::Coldstart(options) => {
             if !options.rate.is_finite() || options.rate <= 0.0 {
-                eprintln!("reedferry-rig: --rate takes calls a second, over 0");
+                eprintln!("reedferry-testkit: --rate takes calls a second, over 0");
                 std::process::exit(2);
             }
             if options.before.as_ref().is_some_and(|path| !path.is_file()) {
-                eprintln!("reedferry-rig: --before names no file");
+                eprintln!("reedferry-testkit: --before names no file");
                 std::process::exit(2);
             }
             let size = coldstart::Size {
@@ -258,7 +260,7 @@
                     options.size, options.seed
                 );
                 if let Err(e) = std::fs::write(&path, chart::page(&title, &rows)) {
-                    eprintln!("reedferry-rig: {}: {e}", path.display());
+                    eprintln!("reedferry-testkit: {}: {e}", path.display());
                     std::process::exit(2);
                 }
             }
--- a/rig/src/speaker.rs
+++ b/testkit/src/speaker.rs
@@ -1,7 +1,9 @@
 //! A forwarder as a planner sees one, without clients or hosts: it speaks the frames of the link at full speed,
 //! for measurements of a planner alone. It must never be taken for a forwarder: it keeps no rule.
 
-use reedferry_link::frames::{self, Asked, Down, Hello, Past, Reader, Tally, Up, Welcome, Writer};
+use reedferry_control_plane::frames::{
+    self, Asked, Down, Hello, Past, Reader, Tally, Up, Welcome, Writer,
+};
 use std::collections::VecDeque;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
