--- a/adapter/src/frames.rs
+++ b/adapter/src/frames.rs
@@ -1,7 +1,7 @@
 //! The wire's frames: batches in, replies out.
 
 use reedferry::{
-    Action, Arrival, AttachmentId, Ending, Event, HostId, Listing, Nanos, RollKind, Standing,
+    Action, IncomingRequest, RequestId, AttemptOutcome, Event, HostId, Endpoint, Nanos, EndpointUpdate, HostState,
 };
 use reedferry_settings::nanos;
 use std::fmt;
@@ -22,7 +22,7 @@
 
 #[derive(Debug)]
 pub enum Told<'a> {
-    Start { seed: u64, terms: &'a [u8] },
+    Start { seed: u64, node_settings: &'a [u8] },
     Stop,
     Event(Event),
     Ignored,
@@ -122,93 +122,93 @@
         })
     }
 
-    fn arrival(r: &[u8]) -> Arrival {
+    fn arrival(r: &[u8]) -> IncomingRequest {
         let marks = u16_at(r, 44);
         let some = |n: u64| (n != 0).then_some(n);
-        Arrival {
-            id: AttachmentId(u64::from(u32_at(r, 5))),
-            offering: usize::from(r[9]),
+        IncomingRequest {
+            id: RequestId(u64::from(u32_at(r, 5))),
+            class: usize::from(r[9]),
             key: some(u64_at(r, 12)),
             time_left: nanos(f64_at(r, 20)),
             // The hint counts work a second in milliseconds; the module counts cores.
             usual_load: (marks & 1 != 0).then(|| finite(f64_at(r, 28)).max(0.0) / 1e3),
             group: some(u64_at(r, 36)),
-            midway: marks & 8 != 0,
+            mid_stream: marks & 8 != 0,
         }
     }
 
     fn roll(&self, at: usize, r: &[u8]) -> Result<Event, Fault> {
         let kind = match r[5] {
-            0 => RollKind::Failed,
-            2 => RollKind::Changes,
-            3 => RollKind::Cached,
-            4 => RollKind::Full,
+            0 => EndpointUpdate::Failed,
+            2 => EndpointUpdate::Delta,
+            3 => EndpointUpdate::Cached,
+            4 => EndpointUpdate::Full,
             other => return Err(self.fault(at, &format!("unknown list kind {other}"))),
         };
         let mut hosts = Vec::new();
         for entry in self.tail(at, r, 10, ENTRY)?.chunks_exact(ENTRY) {
             let started = f64_at(entry, 16);
-            hosts.push(Listing {
+            hosts.push(Endpoint {
                 id: host_at(entry, 0),
                 zone: u16_at(entry, 6),
                 cell: u16_at(entry, 9).into(),
-                standing: match entry[11] {
-                    0 => Standing::Gone,
-                    1 => Standing::Ready,
-                    2 => Standing::Draining,
+                state: match entry[11] {
+                    0 => HostState::Gone,
+                    1 => HostState::Ready,
+                    2 => HostState::Draining,
                     other => return Err(self.fault(at, &format!("unknown host state {other}"))),
                 },
                 size: f32_at(entry, 12),
                 started: (started > 0.0).then(|| nanos(started)),
             });
         }
-        Ok(Event::Roll { kind, hosts })
+        Ok(Event::EndpointsUpdated { kind, endpoints: hosts })
     }
 
     /// Event number `at`, and the instance that it is for.
     pub fn event(&self, at: usize, _now: Nanos) -> Result<(u32, Told<'a>), Fault> {
         let records: &'a [u8] = self.records;
         let r = &records[at * RECORD..(at + 1) * RECORD];
-        let id = AttachmentId(u64::from(u32_at(r, 5)));
+        let id = RequestId(u64::from(u32_at(r, 5)));
         let told = match r[0] {
             0 => Told::Start {
                 seed: u64_at(r, 5),
-                terms: self.tail(at, r, 13, 1)?,
+                node_settings: self.tail(at, r, 13, 1)?,
             },
             1 => Told::Event(self.roll(at, r)?),
-            2 => Told::Event(Event::Arrived(Self::arrival(r))),
-            3 => Told::Event(Event::Begun {
+            2 => Told::Event(Event::RequestArrived(Self::arrival(r))),
+            3 => Told::Event(Event::ConnectionEstablished {
                 id,
                 took: nanos(f64_at(r, 16)),
             }),
-            4 => Told::Event(Event::Ended {
+            4 => Told::Event(Event::AttemptEnded {
                 id,
-                hand_off: u32::from(r[25]),
+                attempt: u32::from(r[25]),
                 host: host_at(r, 17),
-                over: r[23] != 0,
+                request_over: r[23] != 0,
                 ending: self.ending(at, r[24])?,
-                gauges: gauges_at(r, 26),
+                load_metrics: gauges_at(r, 26),
             }),
-            5 => Told::Event(Event::Left { id }),
-            6 => Told::Event(Event::Timer { mark: u64_at(r, 5) }),
-            7 => Told::Event(Event::Probed {
+            5 => Told::Event(Event::ClientLeft { id }),
+            6 => Told::Event(Event::TimerFired { timer: u64_at(r, 5) }),
+            7 => Told::Event(Event::ProbeEnded {
                 host: host_at(r, 14),
                 ending: self.ending(at, r[13])?,
-                gauges: gauges_at(r, 20),
+                load_metrics: gauges_at(r, 20),
             }),
-            8 => Told::Event(Event::Heard {
+            8 => Told::Event(Event::GossipReceived {
                 message: self.tail(at, r, 7, 1)?.to_vec(),
             }),
             9 => Told::Stop,
-            10 => Told::Event(Event::Standing(Self::arrival(r), host_at(r, 46))),
+            10 => Told::Event(Event::ConnectionFound(Self::arrival(r), host_at(r, 46))),
             11 => match r[16] {
-                1 => Told::Event(Event::LoadNow {
+                1 => Told::Event(Event::LoadMeasured {
                     id,
                     load: f32_at(r, 17) / 1e6,
                 }),
-                2 => Told::Event(Event::MessageTime {
+                2 => Told::Event(Event::MessageLatency {
                     host: host_at(r, 10),
-                    time: nanos(f32_at(r, 17)),
+                    latency: nanos(f32_at(r, 17)),
                 }),
                 _ => Told::Ignored,
             },
@@ -217,16 +217,16 @@
         Ok((u32_at(r, 1), told))
     }
 
-    fn ending(&self, at: usize, code: u8) -> Result<Ending, Fault> {
+    fn ending(&self, at: usize, code: u8) -> Result<AttemptOutcome, Fault> {
         Ok(match code {
-            0 => Ending::Done,
-            1 => Ending::Error,
-            2 => Ending::Refused,
-            3 => Ending::TimedOut,
-            4 => Ending::Unconnected,
-            5 => Ending::Broken,
-            6 => Ending::CalledOff,
-            7 => Ending::NeverSent,
+            0 => AttemptOutcome::Completed,
+            1 => AttemptOutcome::Error,
+            2 => AttemptOutcome::Rejected,
+            3 => AttemptOutcome::TimedOut,
+            4 => AttemptOutcome::ConnectFailed,
+            5 => AttemptOutcome::ConnectionLost,
+            6 => AttemptOutcome::Cancelled,
+            7 => AttemptOutcome::NeverSent,
             other => return Err(self.fault(at, &format!("unknown outcome {other}"))),
         })
     }
@@ -257,10 +257,10 @@
             r.extend(node.to_be_bytes());
         };
         let ms = |time: Nanos| (time as f64 / 1e6).to_be_bytes();
-        let name = |id: &AttachmentId| (id.0 as u32).to_be_bytes();
+        let name = |id: &RequestId| (id.0 as u32).to_be_bytes();
         let address = |host: &HostId| host.0.to_be_bytes();
         match action {
-            Action::HandOff {
+            Action::StartAttempt {
                 id, host, until, ..
             } => {
                 open(5);
@@ -268,31 +268,31 @@
                 r.extend(&address(host)[2..]);
                 r.extend(ms(*until));
             }
-            Action::Dismiss { id, wait } => {
+            Action::Reject { id, retry_after: wait } => {
                 open(1);
                 r.extend(name(id));
                 r.extend(ms(*wait));
             }
-            Action::GiveUp { id } => {
+            Action::Fail { id } => {
                 open(3);
                 r.extend(name(id));
             }
-            Action::Move { id } => {
+            Action::Migrate { id } => {
                 open(11);
                 r.extend(name(id));
             }
-            Action::CallOff { id, hand_off } => {
+            Action::CancelAttempt { id, attempt } => {
                 open(8);
                 r.extend(name(id));
-                r.push(*hand_off as u8);
+                r.push(*attempt as u8);
             }
-            Action::WakeAt { time, mark } => {
+            Action::SetTimer { time, timer: mark } => {
                 open(6);
                 r.extend(ms(*time));
                 r.extend(mark.to_be_bytes());
             }
-            Action::AskRoll => open(2),
-            Action::FollowRoll => {
+            Action::PollEndpoints => open(2),
+            Action::WatchEndpoints => {
                 open(10);
                 r.push(1);
             }
@@ -300,7 +300,7 @@
                 open(4);
                 r.extend(&address(host)[2..]);
             }
-            Action::Tell { message } => {
+            Action::Gossip { message } => {
                 open(9);
                 r.extend([0xff; 4]);
                 r.extend((self.tail.len() as u32).to_be_bytes());
@@ -372,21 +372,21 @@
         );
         body.extend(padded("06 00000003 000000000000004d", RECORD));
         body.extend(padded("05 00000005 0e6f2b19", RECORD));
-        let (node, Event::Arrived(arrival)) = told(&body, 0) else {
+        let (node, Event::RequestArrived(arrival)) = told(&body, 0) else {
             panic!()
         };
         assert_eq!(
             (node, arrival.id, arrival.time_left),
-            (3, AttachmentId(0x5d3a91c4), 240_000_000)
+            (3, RequestId(0x5d3a91c4), 240_000_000)
         );
-        assert_eq!((arrival.usual_load, arrival.midway), (Some(0.012), false));
-        assert!(matches!(told(&body, 1), (3, Event::Timer { mark: 77 })));
+        assert_eq!((arrival.usual_load, arrival.mid_stream), (Some(0.012), false));
+        assert!(matches!(told(&body, 1), (3, Event::TimerFired { timer: 77 })));
         assert!(matches!(
             told(&body, 2),
             (
                 5,
-                Event::Left {
-                    id: AttachmentId(0x0e6f2b19)
+                Event::ClientLeft {
+                    id: RequestId(0x0e6f2b19)
                 }
             )
         ));
@@ -402,12 +402,12 @@
             "0a9011f2 1f6c 0001 00 0000 01 3fc00000 40b7d40000000000",
         ));
         let frame = Frame::new(1, 1, &body).unwrap();
-        let (3, Told::Event(Event::Roll { kind, hosts })) = frame.event(0, 0).unwrap() else {
+        let (3, Told::Event(Event::EndpointsUpdated { kind, endpoints: hosts })) = frame.event(0, 0).unwrap() else {
             panic!()
         };
         assert_eq!(
             (kind, hosts.len(), hosts[1].zone, hosts[1].size),
-            (RollKind::Cached, 2, 1, 1.5)
+            (EndpointUpdate::Cached, 2, 1, 1.5)
         );
         assert_eq!(
             (hosts[0].started, hosts[1].started),
@@ -420,11 +420,11 @@
         );
         let (
             _,
-            Event::Ended {
+            Event::AttemptEnded {
                 host,
-                over,
+                request_over: over,
                 ending,
-                hand_off,
+                attempt,
                 ..
             },
         ) = told(&ended, 0)
@@ -432,8 +432,8 @@
             panic!()
         };
         assert_eq!(
-            (host, over, ending, hand_off),
-            (HostId(0x0a12_4a07_1f43), true, Ending::Done, 0)
+            (host, over, ending, attempt),
+            (HostId(0x0a12_4a07_1f43), true, AttemptOutcome::Completed, 0)
         );
         let begun = padded(
             "03 00000003 5d3a91c4 00 0a124a07 1f43 4022800000000000",
@@ -441,24 +441,24 @@
         );
         assert!(matches!(
             told(&begun, 0).1,
-            Event::Begun {
+            Event::ConnectionEstablished {
                 took: 9_250_000,
                 ..
             }
         ));
         let note = padded("0b 00000003 5d3a91c4 00 0a124a07 1f43 01 3f000000", RECORD);
-        assert!(matches!(told(&note, 0).1, Event::LoadNow { load, .. } if load == 0.5e-6));
+        assert!(matches!(told(&note, 0).1, Event::LoadMeasured { load, .. } if load == 0.5e-6));
         let probed = padded("07 00000003 3ff6666666666666 00 0a9011f2 1f6c 00", RECORD);
         assert!(matches!(
             told(&probed, 0).1,
-            Event::Probed {
-                ending: Ending::Done,
+            Event::ProbeEnded {
+                ending: AttemptOutcome::Completed,
                 ..
             }
         ));
         let open = "0a 00000003 0e6f2b19 00 0000 91f03b7c55d20a64 406e000000000000 4028000000000000
             2b8e6401d9f37c10 0001 0a9011f2 1f6c";
-        let (_, Event::Standing(_, on)) = told(&padded(open, RECORD), 0) else {
+        let (_, Event::ConnectionFound(_, on)) = told(&padded(open, RECORD), 0) else {
             panic!()
         };
         assert_eq!(on, HostId(0x0a90_11f2_1f6c));
@@ -467,10 +467,10 @@
     #[test]
     fn encodes_the_worked_reply() {
         let mut reply = Reply::new(12);
-        let (id, host) = (AttachmentId(0x5d3a91c4), HostId(0x0a12_4a07_1f43));
+        let (id, host) = (RequestId(0x5d3a91c4), HostId(0x0a12_4a07_1f43));
         reply.push(
             3,
-            &Action::HandOff {
+            &Action::StartAttempt {
                 id,
                 host,
                 until: 8_492_250_000,
@@ -479,9 +479,9 @@
         );
         reply.push(
             3,
-            &Action::WakeAt {
+            &Action::SetTimer {
                 time: 8_912_250_000,
-                mark: 77,
+                timer: 77,
             },
         );
         reply.push(5, &Action::Log("two servers known".into()));
@@ -501,12 +501,12 @@
         let mut body = padded("08 00000003 0002 00000000 00000004", RECORD);
         body.extend(hex("68692037"));
         let frame = Frame::new(1, 1, &body).unwrap();
-        let (3, Told::Event(Event::Heard { message })) = frame.event(0, 0).unwrap() else {
+        let (3, Told::Event(Event::GossipReceived { message })) = frame.event(0, 0).unwrap() else {
             panic!()
         };
         assert_eq!(message, b"hi 7");
         let mut reply = Reply::new(1);
-        reply.push(3, &Action::Tell { message });
+        reply.push(3, &Action::Gossip { message });
         let mut wanted = hex("00000001 00000001 0000001c");
         wanted.extend(padded("09 00000003 ffffffff 00000000 00000004", 24));
         wanted.extend(hex("68692037"));
@@ -515,23 +515,23 @@
 
     #[test]
     fn encodes_the_other_worked_actions() {
-        let (id, host) = (AttachmentId(0x0e6f2b19), HostId(0x0a90_11f2_1f6c));
+        let (id, host) = (RequestId(0x0e6f2b19), HostId(0x0a90_11f2_1f6c));
         for (action, wanted) in [
             (
-                Action::Dismiss {
+                Action::Reject {
                     id,
-                    wait: 250_000_000,
+                    retry_after: 250_000_000,
                 },
                 "01 00000003 0e6f2b19 406f400000000000",
             ),
-            (Action::GiveUp { id }, "03 00000003 0e6f2b19"),
-            (Action::Move { id }, "0b 00000003 0e6f2b19"),
+            (Action::Fail { id }, "03 00000003 0e6f2b19"),
+            (Action::Migrate { id }, "0b 00000003 0e6f2b19"),
             (
-                Action::CallOff { id, hand_off: 1 },
+                Action::CancelAttempt { id, attempt: 1 },
                 "08 00000003 0e6f2b19 01",
             ),
-            (Action::AskRoll, "02 00000003"),
-            (Action::FollowRoll, "0a 00000003 01"),
+            (Action::PollEndpoints, "02 00000003"),
+            (Action::WatchEndpoints, "0a 00000003 01"),
             (Action::Probe { host }, "04 00000003 0a9011f2 1f6c"),
         ] {
             let mut reply = Reply::new(1);
@@ -573,15 +573,15 @@
                 "{fault}"
             );
         }
-        assert!(reedferry_settings::charter(b"{")
+        assert!(reedferry_settings::balancer_settings(b"{")
             .unwrap_err()
             .starts_with("settings: "));
         let bare = br#"{"balancers": 1, "index": 0, "offerings": [], "policy_limits": {"most_hand_offs": 1},
             "contract": {"cold": 1, "cold_from": 1, "tip_after": 1, "tip_multiple": 1}}"#;
-        assert!(reedferry_settings::charter(bare)
+        assert!(reedferry_settings::balancer_settings(bare)
             .unwrap_err()
             .contains("no offering"));
-        assert!(reedferry_settings::charter(b"{\"balancers\": 1}")
+        assert!(reedferry_settings::balancer_settings(b"{\"balancers\": 1}")
             .unwrap_err()
             .contains("missing field"));
     }
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -59,10 +59,10 @@
         for at in 0..frame.count() {
             let (node, told) = frame.event(at, now)?;
             match told {
-                frames::Told::Start { seed, terms } => {
-                    let charter =
-                        reedferry_settings::charter(terms).map_err(|e| frame.fault(at, &e))?;
-                    nodes.insert(node, Balancer::new(charter, seed, now, &mut out));
+                frames::Told::Start { seed, node_settings } => {
+                    let settings =
+                        reedferry_settings::balancer_settings(node_settings).map_err(|e| frame.fault(at, &e))?;
+                    nodes.insert(node, Balancer::new(settings, seed, now, &mut out));
                 }
                 frames::Told::Stop => {
                     nodes.remove(&node);
--- a/control-plane/src/duty.rs
+++ b/control-plane/src/duty.rs
@@ -3,8 +3,8 @@
 //! decides: when there may be another hand-off, and when a dismissal is the truth. It must never forget a
 //! hand-off that may have run.
 
-use crate::frames::{Asked, Past};
-use reedferry::{permission, Arrival, Charter, Ending, HostId, Nanos, Offering};
+use crate::frames::{Asked, PriorAttempts};
+use reedferry::{permission, IncomingRequest, BalancerSettings, AttemptOutcome, HostId, Nanos, RequestClass};
 
 /// Hosts of past hand-offs that are remembered: more than any charter allows hand-offs.
 const MOST_TRIED: usize = 16;
@@ -20,12 +20,12 @@
 }
 
 pub struct Duty {
-    pub arrival: Arrival,
-    pub expiry: Nanos,
+    pub incoming: IncomingRequest,
+    pub deadline: Nanos,
     pub phase: Phase,
     /// Counts what was told of it that a planner may answer.
     pub step: u32,
-    pub hand_offs: u32,
+    pub attempts: u32,
     /// The planner that is followed knows it.
     pub known: bool,
     /// An answer to its step is awaited.
@@ -40,13 +40,13 @@
 }
 
 impl Duty {
-    pub fn new(arrival: Arrival, now: Nanos) -> Self {
+    pub fn new(incoming: IncomingRequest, now: Nanos) -> Self {
         Duty {
-            arrival,
-            expiry: now.saturating_add(arrival.time_left),
+            incoming,
+            deadline: now.saturating_add(incoming.time_left),
             phase: Phase::Waiting,
             step: 0,
-            hand_offs: 0,
+            attempts: 0,
             known: false,
             asked: false,
             left: false,
@@ -57,19 +57,19 @@
         }
     }
 
-    pub fn standing(arrival: Arrival, host: HostId, now: Nanos) -> Self {
+    pub fn standing(incoming: IncomingRequest, host: HostId, now: Nanos) -> Self {
         Duty {
             phase: Phase::Open(host),
-            ..Duty::new(arrival, now)
+            ..Duty::new(incoming, now)
         }
     }
 
     pub fn sent(&mut self, host: HostId, now: Nanos) {
-        (self.phase, self.sent, self.hand_offs) = (Phase::Out(host), now, self.hand_offs + 1);
+        (self.phase, self.sent, self.attempts) = (Phase::Out(host), now, self.attempts + 1);
     }
 
     /// A hand-off came to nothing: it is waiting again, a step further.
-    pub fn came_back(&mut self, ending: Ending) {
+    pub fn came_back(&mut self, ending: AttemptOutcome) {
         let Phase::Out(host) = self.phase else { return };
         (self.phase, self.step) = (Phase::Waiting, self.step + 1);
         if self.tried.len() < MOST_TRIED {
@@ -81,29 +81,29 @@
     }
 
     /// Whether there may be another hand-off, of at most `most`, as far as the offering allows it anywhere.
-    pub fn may_go(&self, offering: &Offering, most: u32, now: Nanos) -> bool {
+    pub fn may_go(&self, class: &RequestClass, most: u32, now: Nanos) -> bool {
         let first_sent = self.ran.map(|(_, sent)| sent);
-        self.hand_offs < most && permission::may_repeat(offering, first_sent, now).is_ok()
+        self.attempts < most && permission::may_repeat(class, first_sent, now).is_ok()
     }
 
     /// When it gets its final answer at the latest, where nothing succeeds.
-    pub fn answer_by(&self, charter: &Charter) -> Nanos {
-        permission::answer_by(self.expiry, self.arrival.time_left, charter.round)
+    pub fn answer_by(&self, balancer_settings: &BalancerSettings) -> Nanos {
+        permission::answer_by(self.deadline, self.incoming.time_left, balancer_settings.min_call_interval)
     }
 
     /// Whether it may be dismissed: a retry does no harm.
-    pub fn harmless(&self, offering: &Offering) -> bool {
-        permission::may_dismiss(offering, self.ran.is_some())
+    pub fn harmless(&self, class: &RequestClass) -> bool {
+        permission::may_dismiss(class, self.ran.is_some())
     }
 
     pub fn asked(&self, now: Nanos) -> Asked {
-        Asked::of(&self.arrival, self.expiry.saturating_sub(now))
+        Asked::of(&self.incoming, self.deadline.saturating_sub(now))
     }
 
     /// Its history, as a planner that has not seen it is told.
-    pub fn past(&self, now: Nanos) -> Past {
-        Past {
-            hand_offs: self.hand_offs,
+    pub fn past(&self, now: Nanos) -> PriorAttempts {
+        PriorAttempts {
+            attempts: self.attempts,
             ran: self
                 .ran
                 .map(|(host, sent)| (host.0, now.saturating_sub(sent))),
@@ -115,22 +115,22 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use reedferry::{Circle, Effect};
-
-    fn offering(effect: Effect, circle: Circle) -> Offering {
-        Offering {
-            effect,
-            circle,
-            window: 100,
-            ..Offering::default()
+    use reedferry::{IdempotencyGroup, Idempotency};
+
+    fn class(idempotency: Idempotency, idempotency_group: IdempotencyGroup) -> RequestClass {
+        RequestClass {
+            idempotency,
+            idempotency_group,
+            idempotency_window: 100,
+            ..RequestClass::default()
         }
     }
 
-    fn after(ending: Ending) -> Duty {
+    fn after(ending: AttemptOutcome) -> Duty {
         let mut duty = Duty::new(
-            Arrival {
+            IncomingRequest {
                 time_left: 1000,
-                ..Arrival::default()
+                ..IncomingRequest::default()
             },
             10,
         );
@@ -141,49 +141,49 @@
 
     #[test]
     fn what_may_have_run_binds_each_effect_in_its_own_way() {
-        use Effect::*;
+        use Idempotency::*;
         for ending in [
-            Ending::Error,
-            Ending::TimedOut,
-            Ending::Broken,
-            Ending::CalledOff,
+            AttemptOutcome::Error,
+            AttemptOutcome::TimedOut,
+            AttemptOutcome::ConnectionLost,
+            AttemptOutcome::Cancelled,
         ] {
             let duty = after(ending);
-            assert!(duty.may_go(&offering(Redoable, Circle::All), 3, 30));
-            assert!(!duty.may_go(&offering(Irreversible, Circle::All), 3, 30));
-            assert!(duty.may_go(&offering(Labelled, Circle::Cell), 3, 119));
+            assert!(duty.may_go(&class(Idempotent, IdempotencyGroup::All), 3, 30));
+            assert!(!duty.may_go(&class(NonIdempotent, IdempotencyGroup::All), 3, 30));
+            assert!(duty.may_go(&class(WithKey, IdempotencyGroup::Cell), 3, 119));
             assert!(
-                !duty.may_go(&offering(Labelled, Circle::Cell), 3, 120),
+                !duty.may_go(&class(WithKey, IdempotencyGroup::Cell), 3, 120),
                 "out of its window"
             );
-            assert!(!duty.harmless(&offering(Irreversible, Circle::All)));
-            assert!(!duty.harmless(&offering(Labelled, Circle::Zone)));
-            assert!(duty.harmless(&offering(Labelled, Circle::All)));
+            assert!(!duty.harmless(&class(NonIdempotent, IdempotencyGroup::All)));
+            assert!(!duty.harmless(&class(WithKey, IdempotencyGroup::Zone)));
+            assert!(duty.harmless(&class(WithKey, IdempotencyGroup::All)));
             assert_eq!(duty.past(50).ran, Some((4, 30)));
         }
-        for ending in [Ending::Refused, Ending::Unconnected, Ending::NeverSent] {
+        for ending in [AttemptOutcome::Rejected, AttemptOutcome::ConnectFailed, AttemptOutcome::NeverSent] {
             let duty = after(ending);
-            assert!(duty.may_go(&offering(Irreversible, Circle::All), 3, 30));
+            assert!(duty.may_go(&class(NonIdempotent, IdempotencyGroup::All), 3, 30));
             assert!(
-                !duty.may_go(&offering(Irreversible, Circle::All), 1, 30),
+                !duty.may_go(&class(NonIdempotent, IdempotencyGroup::All), 1, 30),
                 "no hand-off is left"
             );
-            assert!(duty.harmless(&offering(Irreversible, Circle::All)));
+            assert!(duty.harmless(&class(NonIdempotent, IdempotencyGroup::All)));
             assert_eq!((duty.past(50).ran, duty.past(50).tried), (None, vec![4]));
         }
     }
 
     #[test]
     fn the_first_that_may_have_run_is_kept_whatever_follows() {
-        let mut duty = after(Ending::Broken);
+        let mut duty = after(AttemptOutcome::ConnectionLost);
         duty.sent(HostId(5), 40);
-        duty.came_back(Ending::TimedOut);
+        duty.came_back(AttemptOutcome::TimedOut);
         duty.sent(HostId(6), 60);
-        duty.came_back(Ending::Refused);
+        duty.came_back(AttemptOutcome::Rejected);
         assert_eq!(
             duty.past(70),
-            Past {
-                hand_offs: 3,
+            PriorAttempts {
+                attempts: 3,
                 ran: Some((4, 50)),
                 tried: vec![4, 5, 6]
             }
--- a/control-plane/src/forwarder.rs
+++ b/control-plane/src/forwarder.rs
@@ -11,7 +11,7 @@
 use crate::plan::Plan;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use reedferry::{Action, AttachmentId, Charter, Ending, Event, HostId, Nanos, MILLI, SECOND};
+use reedferry::{Action, RequestId, BalancerSettings, AttemptOutcome, Event, HostId, Nanos, MILLI, SECOND};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub struct Covenant {
     pub name: String,
-    pub charter: Charter,
+    pub balancer_settings: BalancerSettings,
     /// Of the lists that index what passes.
     pub fingerprint: u64,
     /// Grows with each start.
@@ -60,7 +60,7 @@
     Act(Action),
     /// A hand-off whose line is to start by `by`, or not at all.
     HandOff {
-        id: AttachmentId,
+        id: RequestId,
         host: HostId,
         until: Nanos,
         by: Nanos,
@@ -203,14 +203,14 @@
             name,
             epoch,
             fingerprint,
-            charter,
+            balancer_settings,
             ..
         } = &self.keeps;
         let line = &mut self.lines[n];
         line.writer.greet(&Hello {
             name: name.clone(),
             planner: line.at.name.clone(),
-            zone: charter.zone,
+            zone: balancer_settings.zone,
             epoch: *epoch,
             fingerprint: *fingerprint,
         });
@@ -346,8 +346,8 @@
                     .get(&id)
                     .is_some_and(|d| matches!(d.phase, Phase::Open(_)));
                 if open && now < by {
-                    out.push(Deed::Act(Action::Move {
-                        id: AttachmentId(id),
+                    out.push(Deed::Act(Action::Migrate {
+                        id: RequestId(id),
                     }));
                 }
             }
@@ -447,7 +447,7 @@
         within: Nanos,
         out: &mut Vec<Deed>,
     ) {
-        let charter = &self.keeps.charter;
+        let balancer_settings = &self.keeps.balancer_settings;
         let Some(duty) = self.duties.get_mut(&id) else {
             return;
         };
@@ -455,9 +455,9 @@
         if duty.phase != Phase::Waiting || duty.step != step || !duty.asked {
             return;
         }
-        let offering = offering(charter, duty);
-        let last = duty.answer_by(charter);
-        if now >= last || !duty.may_go(offering, charter.most_hand_offs, now) {
+        let class = class(balancer_settings, duty);
+        let last = duty.answer_by(balancer_settings);
+        if now >= last || !duty.may_go(class, balancer_settings.max_attempts, now) {
             return self.answer(id, out);
         }
         duty.asked = false;
@@ -465,12 +465,12 @@
         // Guards: a late order carried out; its planner, if it still is that, decides anew.
         if now >= by || !Self::may_take(&self.barred, host, now) {
             duty.step += 1;
-            return self.ask_on(now, id, Ending::NeverSent);
+            return self.ask_on(now, id, AttemptOutcome::NeverSent);
         }
         duty.sent(host, now);
         let until = now.saturating_add(within).min(last);
         out.push(Deed::HandOff {
-            id: AttachmentId(id),
+            id: RequestId(id),
             host,
             until,
             by,
@@ -484,15 +484,15 @@
         if duty.phase != Phase::Waiting || duty.step != step || !duty.asked {
             return;
         }
-        let harmless = duty.harmless(offering(&self.keeps.charter, duty));
+        let harmless = duty.harmless(class(&self.keeps.balancer_settings, duty));
         self.settle(id);
-        let id = AttachmentId(id);
+        let id = RequestId(id);
         out.push(Deed::Act(match wait.filter(|_| harmless) {
-            Some(wait) => Action::Dismiss {
+            Some(wait) => Action::Reject {
                 id,
-                wait: wait.min(self.keeps.charter.longest_advice),
+                retry_after: wait.min(self.keeps.balancer_settings.max_retry_after),
             },
-            None => Action::GiveUp { id },
+            None => Action::Fail { id },
         }));
     }
 
@@ -511,52 +511,52 @@
             self.elect(now, out);
         }
         match event {
-            Event::Arrived(arrival) => {
-                let id = arrival.id.0;
-                self.duties.insert(id, Duty::new(arrival, now));
+            Event::RequestArrived(incoming) => {
+                let id = incoming.id.0;
+                self.duties.insert(id, Duty::new(incoming, now));
                 if self.leaving.is_some() {
                     self.answer(id, out);
                 } else {
                     self.want(now, id, out);
                 }
             }
-            Event::Standing(arrival, host) => {
+            Event::ConnectionFound(incoming, host) => {
                 self.duties
-                    .insert(arrival.id.0, Duty::standing(arrival, host, now));
-                self.stands(now, arrival.id.0);
+                    .insert(incoming.id.0, Duty::standing(incoming, host, now));
+                self.stands(now, incoming.id.0);
             }
-            Event::Begun { id, took } => self.begun(now, id.0, took),
-            Event::Ended {
-                id, over, ending, ..
+            Event::ConnectionEstablished { id, took } => self.begun(now, id.0, took),
+            Event::AttemptEnded {
+                id, request_over: over, ending, ..
             } => self.ended(now, id.0, over, ending, out),
-            Event::Left { id } => self.left(id.0, out),
-            Event::LoadNow { id, load } => {
+            Event::ClientLeft { id } => self.left(id.0, out),
+            Event::LoadMeasured { id, load } => {
                 if self.duties.get(&id.0).is_some_and(|d| d.known) && !self.choked() {
                     self.tell(Up::LoadNow { id: id.0, load });
                 }
             }
-            Event::MessageTime { host, time } => {
+            Event::MessageLatency { host, latency: time } => {
                 if self.told && !self.choked() {
                     self.tell(Up::MessageTime { host: host.0, time });
                 }
             }
-            Event::Leaving { from, by } => {
+            Event::ShutdownStarted { from, by } => {
                 (self.leaving, self.next_part) = (Some(by), from);
                 out.push(Deed::Log(format!("leaving held={}", self.duties.len())));
             }
             // A forwarder follows no roll, sends no probes and hears no nodes.
-            Event::Roll { .. }
-            | Event::TakenUp(..)
-            | Event::Timer { .. }
-            | Event::Probed { .. }
-            | Event::Heard { .. }
-            | Event::Turns(_)
-            | Event::Looks(_)
-            | Event::Staying
-            | Event::PassedOn(..)
-            | Event::Renewed(..)
-            | Event::Successor(_)
-            | Event::Inherited(_) => {}
+            Event::EndpointsUpdated { .. }
+            | Event::RequestTakenOver(..)
+            | Event::TimerFired { .. }
+            | Event::ProbeEnded { .. }
+            | Event::GossipReceived { .. }
+            | Event::SlowStartSlotsAssigned(_)
+            | Event::ProbeTargetsAssigned(_)
+            | Event::ShutdownCancelled
+            | Event::ConnectionHandedOver(..)
+            | Event::SettingsChanged(..)
+            | Event::SuccessorChanged(_)
+            | Event::StateInherited(_) => {}
         }
     }
 
@@ -580,9 +580,9 @@
         let Some(duty) = self.duties.get(&id) else {
             return;
         };
-        let charter = &self.keeps.charter;
-        let last = duty.answer_by(charter);
-        if now >= last || !duty.may_go(offering(charter, duty), charter.most_hand_offs, now) {
+        let balancer_settings = &self.keeps.balancer_settings;
+        let last = duty.answer_by(balancer_settings);
+        if now >= last || !duty.may_go(class(balancer_settings, duty), balancer_settings.max_attempts, now) {
             return self.answer(id, out);
         }
         // While it is still told what stands, what comes waits its turn behind that.
@@ -616,11 +616,11 @@
     }
 
     /// Tells the planner that a hand-off it ordered came to nothing, and awaits its next word.
-    fn ask_on(&mut self, now: Nanos, id: u64, ending: Ending) {
+    fn ask_on(&mut self, now: Nanos, id: u64, ending: AttemptOutcome) {
         let Some(duty) = self.duties.get(&id) else {
             return;
         };
-        let last = duty.answer_by(&self.keeps.charter);
+        let last = duty.answer_by(&self.keeps.balancer_settings);
         self.due.push(Reverse((
             last.min(now + self.keeps.decide_within),
             id,
@@ -641,10 +641,10 @@
         let Some(duty) = self.duties.get_mut(&id) else {
             return;
         };
-        let charter = &self.keeps.charter;
-        let last = duty.answer_by(charter);
+        let balancer_settings = &self.keeps.balancer_settings;
+        let last = duty.answer_by(balancer_settings);
         let planned =
-            if duty.hand_offs == 0 && now < self.plan_until.min(last) && self.leaving.is_none() {
+            if duty.attempts == 0 && now < self.plan_until.min(last) && self.leaving.is_none() {
                 let barred = &self.barred;
                 self.plan
                     .take(&mut self.rng, |host| Self::may_take(barred, host, now))
@@ -660,12 +660,12 @@
         duty.step += 1;
         duty.sent(host, now);
         let known = std::mem::take(&mut duty.known);
-        let until = match offering(charter, duty) {
-            o if o.effect == reedferry::Effect::Irreversible => last,
-            o => last.min(now + o.contract_time),
+        let until = match class(balancer_settings, duty) {
+            o if o.idempotency == reedferry::Idempotency::NonIdempotent => last,
+            o => last.min(now + o.latency_objective),
         };
         out.push(Deed::HandOff {
-            id: AttachmentId(id),
+            id: RequestId(id),
             host,
             until,
             by: self.plan_until,
@@ -682,14 +682,14 @@
         if duty.known {
             self.tell(Up::Gone { id });
         }
-        let charter = &self.keeps.charter;
-        let (id, harmless) = (AttachmentId(id), duty.harmless(offering(charter, &duty)));
+        let balancer_settings = &self.keeps.balancer_settings;
+        let (id, harmless) = (RequestId(id), duty.harmless(class(balancer_settings, &duty)));
         // Spread, so that the clients do not come back in step.
-        let wait = (charter.longest_advice as f64 * self.rng.random_range(0.25..1.0)) as Nanos;
+        let wait = (balancer_settings.max_retry_after as f64 * self.rng.random_range(0.25..1.0)) as Nanos;
         out.push(Deed::Act(if harmless {
-            Action::Dismiss { id, wait }
+            Action::Reject { id, retry_after: wait }
         } else {
-            Action::GiveUp { id }
+            Action::Fail { id }
         }));
         self.alone.1 += 1;
     }
@@ -733,7 +733,7 @@
         });
     }
 
-    fn ended(&mut self, now: Nanos, id: u64, over: bool, ending: Ending, out: &mut Vec<Deed>) {
+    fn ended(&mut self, now: Nanos, id: u64, over: bool, ending: AttemptOutcome, out: &mut Vec<Deed>) {
         let Some(duty) = self.duties.get_mut(&id) else {
             return;
         };
@@ -754,7 +754,7 @@
             return;
         }
         duty.came_back(ending);
-        let last = duty.answer_by(&self.keeps.charter);
+        let last = duty.answer_by(&self.keeps.balancer_settings);
         if duty.known && now < last && self.led(now) {
             self.ask_on(now, id, ending);
         } else {
@@ -782,9 +782,9 @@
         match duty.phase {
             Phase::Out(_) => {
                 duty.left = true;
-                if self.keeps.charter.may_call_off {
-                    let (id, hand_off) = (AttachmentId(id), duty.hand_offs - 1);
-                    out.push(Deed::Act(Action::CallOff { id, hand_off }));
+                if self.keeps.balancer_settings.may_cancel {
+                    let (id, attempt) = (RequestId(id), duty.attempts - 1);
+                    out.push(Deed::Act(Action::CancelAttempt { id, attempt }));
                 }
             }
             _ => _ = self.settle(id),
@@ -809,7 +809,7 @@
             let Some(duty) = self.duties.get(&id).filter(waits) else {
                 continue;
             };
-            if now < self.patience && duty.answer_by(&self.keeps.charter) > self.patience {
+            if now < self.patience && duty.answer_by(&self.keeps.balancer_settings) > self.patience {
                 self.due.push(Reverse((self.patience, id, step)));
             } else {
                 self.decide_alone(now, id, out);
@@ -976,15 +976,15 @@
         let share = count.div_ceil((by.saturating_sub(now) / PARTING + 1) as usize);
         for (&id, duty) in self.duties.iter_mut().filter(|(_, d)| open(d)).take(share) {
             duty.moved = true;
-            out.push(Deed::Act(Action::Move {
-                id: AttachmentId(id),
+            out.push(Deed::Act(Action::Migrate {
+                id: RequestId(id),
             }));
         }
     }
 }
 
-fn offering<'a>(charter: &'a Charter, duty: &Duty) -> &'a reedferry::Offering {
-    &charter.offerings[duty.arrival.offering.min(charter.offerings.len() - 1)]
+fn class<'a>(balancer_settings: &'a BalancerSettings, duty: &Duty) -> &'a reedferry::RequestClass {
+    &balancer_settings.classes[duty.incoming.class.min(balancer_settings.classes.len() - 1)]
 }
 
 #[cfg(test)]
@@ -994,15 +994,15 @@
 
     #[test]
     fn hosts_that_come_and_go_for_months_never_cut_a_forwarder_off() {
-        let charter = Charter {
-            offerings: vec![reedferry::Offering::default()],
-            ..Charter::default()
+        let balancer_settings = BalancerSettings {
+            classes: vec![reedferry::RequestClass::default()],
+            ..BalancerSettings::default()
         };
         let (lease, settle) = (250 * MILLI, SECOND);
         let (name, decide_within) = ("f".to_string(), 400 * MILLI);
         let keeps = Covenant {
             name,
-            charter,
+            balancer_settings,
             fingerprint: 1,
             epoch: 1,
             lease,
--- a/control-plane/src/frames.rs
+++ b/control-plane/src/frames.rs
@@ -3,7 +3,7 @@
 //! as a turn gathered, in the postcard format. This file owns the form of what passes and how it is read
 //! as it arrives. It must never hold more of a peer's bytes than one frame, nor believe a length.
 
-use reedferry::{Arrival, AttachmentId, Ending, Nanos, Standing};
+use reedferry::{IncomingRequest, RequestId, AttemptOutcome, Nanos, HostState};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -79,7 +79,7 @@
 /// An attachment as it is asked for. Times are spans: the two ends share no clock.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Asked {
-    pub offering: u16,
+    pub class: u16,
     pub key: Option<u64>,
     pub group: Option<u64>,
     pub usual_load: Option<f64>,
@@ -87,16 +87,16 @@
 }
 
 impl Asked {
-    pub fn of(arrival: &Arrival, time_left: Nanos) -> Self {
-        let Arrival {
-            offering,
+    pub fn of(incoming: &IncomingRequest, time_left: Nanos) -> Self {
+        let IncomingRequest {
+            class,
             key,
             group,
             usual_load,
             ..
-        } = *arrival;
+        } = *incoming;
         Asked {
-            offering: offering.min(usize::from(u16::MAX)) as u16,
+            class: class.min(usize::from(u16::MAX)) as u16,
             key,
             group,
             usual_load,
@@ -105,7 +105,7 @@
     }
 
     /// As the module takes it, under a name of the caller's.
-    pub fn arrival(&self, id: AttachmentId) -> Arrival {
+    pub fn incoming(&self, id: RequestId) -> IncomingRequest {
         let Asked {
             key,
             group,
@@ -116,14 +116,14 @@
         let usual_load = self
             .usual_load
             .filter(|l| l.is_finite() && (0.0..1e9).contains(l));
-        Arrival {
+        IncomingRequest {
             id,
-            offering: self.offering.into(),
+            class: self.class.into(),
             key,
             group,
             time_left,
             usual_load,
-            midway: false,
+            mid_stream: false,
         }
     }
 }
@@ -131,8 +131,8 @@
 /// What has become of an attachment so far. `ran` names the host of the first hand-off that may have run
 /// and how long ago that was sent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Past {
-    pub hand_offs: u32,
+pub struct PriorAttempts {
+    pub attempts: u32,
     pub ran: Option<(u64, Nanos)>,
     pub tried: Vec<u64>,
 }
@@ -166,40 +166,40 @@
     };
 }
 
-impl From<Ending> for Came {
-    fn from(ending: Ending) -> Came {
+impl From<AttemptOutcome> for Came {
+    fn from(ending: AttemptOutcome) -> Came {
         match ending {
-            Ending::Done => Came::Done,
-            Ending::Error => Came::Error,
-            Ending::Refused => Came::Refused,
-            Ending::TimedOut => Came::TimedOut,
-            Ending::Unconnected => Came::Unconnected,
-            Ending::Broken => Came::Broken,
-            Ending::CalledOff => Came::CalledOff,
+            AttemptOutcome::Completed => Came::Done,
+            AttemptOutcome::Error => Came::Error,
+            AttemptOutcome::Rejected => Came::Refused,
+            AttemptOutcome::TimedOut => Came::TimedOut,
+            AttemptOutcome::ConnectFailed => Came::Unconnected,
+            AttemptOutcome::ConnectionLost => Came::Broken,
+            AttemptOutcome::Cancelled => Came::CalledOff,
             // The same to a planner, of which an older one knows no more.
-            Ending::NeverSent | Ending::Unroutable => Came::NeverSent,
-            Ending::PassedOn => Came::PassedOn,
+            AttemptOutcome::NeverSent | AttemptOutcome::NoRoute => Came::NeverSent,
+            AttemptOutcome::HandedOver => Came::PassedOn,
         }
     }
 }
 
-impl From<Came> for Ending {
-    fn from(came: Came) -> Ending {
+impl From<Came> for AttemptOutcome {
+    fn from(came: Came) -> AttemptOutcome {
         match came {
-            Came::Done => Ending::Done,
-            Came::Error => Ending::Error,
-            Came::Refused => Ending::Refused,
-            Came::TimedOut => Ending::TimedOut,
-            Came::Unconnected => Ending::Unconnected,
-            Came::Broken => Ending::Broken,
-            Came::CalledOff => Ending::CalledOff,
-            Came::NeverSent => Ending::NeverSent,
-            Came::PassedOn => Ending::PassedOn,
+            Came::Done => AttemptOutcome::Completed,
+            Came::Error => AttemptOutcome::Error,
+            Came::Refused => AttemptOutcome::Rejected,
+            Came::TimedOut => AttemptOutcome::TimedOut,
+            Came::Unconnected => AttemptOutcome::ConnectFailed,
+            Came::Broken => AttemptOutcome::ConnectionLost,
+            Came::CalledOff => AttemptOutcome::Cancelled,
+            Came::NeverSent => AttemptOutcome::NeverSent,
+            Came::PassedOn => AttemptOutcome::HandedOver,
         }
     }
 }
 
-both_ways!(Stands <-> Standing: Ready Draining Gone);
+both_ways!(Stands <-> HostState: Ready Draining Gone);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stands {
@@ -240,7 +240,7 @@
         id: u64,
         step: u32,
         asked: Asked,
-        past: Past,
+        past: PriorAttempts,
     },
     Begun {
         id: u64,
@@ -552,14 +552,14 @@
 
     fn notes() -> Vec<Up> {
         let asked = Asked {
-            offering: 1,
+            class: 1,
             key: Some(7),
             group: None,
             usual_load: Some(0.5),
             time_left: 9,
         };
-        let past = Past {
-            hand_offs: 2,
+        let past = PriorAttempts {
+            attempts: 2,
             ran: Some((3, 4)),
             tried: vec![3, 5],
         };
--- a/control-plane/src/planner.rs
+++ b/control-plane/src/planner.rs
@@ -5,15 +5,15 @@
 //! keep more for a forwarder than its bounds.
 
 use crate::frames::{
-    self, Asked, Down, Fault, Hello, HostLine, Past, Reader, Stands, Tally, Up, Welcome, Writer,
+    self, Asked, Down, Fault, Hello, HostLine, PriorAttempts, Reader, Stands, Tally, Up, Welcome, Writer,
 };
 use crate::frames::{LONGEST_NAME, MOST_NAMED};
 use crate::plan::Shares;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use reedferry::{
-    Action, AttachmentId, Balancer, Charter, Ending, Event, HostId, Listing, Nanos, RollKind,
-    Standing, MILLI, SECOND,
+    Action, RequestId, Balancer, BalancerSettings, AttemptOutcome, Event, HostId, Endpoint, Nanos, EndpointUpdate,
+    HostState, MILLI, SECOND,
 };
 use rustc_hash::FxHashMap;
 use slab::Slab;
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub struct Remit {
     pub name: String,
-    pub charter: Charter,
+    pub balancer_settings: BalancerSettings,
     pub zones: u16,
     /// Its place among the planners that the operator names, and how many those are.
     pub place: u32,
@@ -124,7 +124,7 @@
 
 struct Known {
     line: HostLine,
-    listing: Listing,
+    listing: Endpoint,
     change: u64,
 }
 
@@ -140,7 +140,7 @@
     /// What has gathered towards the next hand-off to a cold host.
     thinned: f64,
     /// What came while something else was still told: the record and its round.
-    waiting: VecDeque<(u32, u32, Asked, Past, Nanos)>,
+    waiting: VecDeque<(u32, u32, Asked, PriorAttempts, Nanos)>,
 }
 
 pub struct Planner {
@@ -169,17 +169,17 @@
         let zones = u32::from(remit.zones.max(1));
         let all = 0..zones;
         let zones = all.map(|zone| {
-            let charter = Charter {
-                node: remit.place * zones + zone,
-                nodes: remit.planners.max(1) * zones,
+            let balancer_settings = BalancerSettings {
+                node_index: remit.place * zones + zone,
+                node_count: remit.planners.max(1) * zones,
                 zone: zone as u16,
                 // Guards: the hosts that a node among many leaves to the others, left idle by all of a few.
-                gathers: true,
-                tip_multiple: remit.charter.tip_multiple * LATE_ORDERS,
-                ..remit.charter.clone()
+                centralized: true,
+                overload_factor: remit.balancer_settings.overload_factor * LATE_ORDERS,
+                ..remit.balancer_settings.clone()
             };
             let mut actions = Vec::new();
-            let module = Balancer::new(charter, rng.random(), now, &mut actions);
+            let module = Balancer::new(balancer_settings, rng.random(), now, &mut actions);
             let (shares, weights, waiting) = (Shares::default(), Vec::new(), VecDeque::new());
             Zone {
                 module,
@@ -434,13 +434,13 @@
                 .get(record as usize)
                 .is_some_and(|h| h.round == round)
             {
-                self.forget(now, record, Ending::NeverSent, out);
+                self.forget(now, record, AttemptOutcome::NeverSent, out);
             }
         }
     }
 
     /// The one place where a record is given back; the module is told where it still has it.
-    fn forget(&mut self, now: Nanos, record: u32, ending: Ending, out: &mut Vec<Order>) {
+    fn forget(&mut self, now: Nanos, record: u32, ending: AttemptOutcome, out: &mut Vec<Order>) {
         let Some(held) = self.held.try_remove(record as usize) else {
             return;
         };
@@ -452,15 +452,15 @@
         }
         let (id, zone) = (name(record, held.round), usize::from(held.zone));
         let event = match held.at {
-            Some(host) => Event::Ended {
+            Some(host) => Event::AttemptEnded {
                 id,
-                hand_off: 0,
+                attempt: 0,
                 host,
-                over: true,
+                request_over: true,
                 ending,
-                gauges: Vec::new(),
+                load_metrics: Vec::new(),
             },
-            None => Event::Left { id },
+            None => Event::ClientLeft { id },
         };
         self.tell(now, zone, event, out);
     }
@@ -469,12 +469,12 @@
     pub fn roll(
         &mut self,
         now: Nanos,
-        kind: RollKind,
-        hosts: Vec<Listing>,
+        kind: EndpointUpdate,
+        hosts: Vec<Endpoint>,
         lines: Vec<HostLine>,
         out: &mut Vec<Order>,
     ) {
-        let listings: HashMap<HostId, Listing> = hosts.iter().map(|l| (l.id, *l)).collect();
+        let listings: HashMap<HostId, Endpoint> = hosts.iter().map(|l| (l.id, *l)).collect();
         for line in lines {
             let id = HostId(line.id);
             let Some(listing) = listings.get(&id).copied() else {
@@ -483,11 +483,11 @@
             self.as_of = self.as_of.max(line.as_of);
             self.changed(id, line, listing);
         }
-        if matches!(kind, RollKind::Full | RollKind::Cached) {
+        if matches!(kind, EndpointUpdate::Full | EndpointUpdate::Cached) {
             let gone = |k: &&Known| {
-                !listings.contains_key(&k.listing.id) && k.listing.standing != Standing::Gone
+                !listings.contains_key(&k.listing.id) && k.listing.state != HostState::Gone
             };
-            let mut gone: Vec<(HostLine, Listing)> = self
+            let mut gone: Vec<(HostLine, Endpoint)> = self
                 .hosts
                 .values()
                 .filter(gone)
@@ -503,8 +503,8 @@
                 self.changed(
                     listing.id,
                     line,
-                    Listing {
-                        standing: Standing::Gone,
+                    Endpoint {
+                        state: HostState::Gone,
                         ..listing
                     },
                 );
@@ -516,9 +516,9 @@
             self.tell(
                 now,
                 zone,
-                Event::Roll {
+                Event::EndpointsUpdated {
                     kind,
-                    hosts: hosts.clone(),
+                    endpoints: hosts.clone(),
                 },
                 out,
             );
@@ -535,7 +535,7 @@
             .map(|(_, s)| s.told)
             .min();
         let told = told.unwrap_or(self.change);
-        let gone = |k: &Known| k.listing.standing == Standing::Gone && k.change <= told;
+        let gone = |k: &Known| k.listing.state == HostState::Gone && k.change <= told;
         let changes = &mut self.changes;
         self.hosts.retain(|_, known| {
             let goes = gone(known);
@@ -546,7 +546,7 @@
         });
     }
 
-    fn changed(&mut self, id: HostId, line: HostLine, listing: Listing) {
+    fn changed(&mut self, id: HostId, line: HostLine, listing: Endpoint) {
         self.change += 1;
         let (change, known) = (
             self.change,
@@ -569,7 +569,7 @@
 
     pub fn timer(&mut self, now: Nanos, zone: u16, mark: u64, out: &mut Vec<Order>) {
         if usize::from(zone) < self.zones.len() {
-            self.tell(now, zone.into(), Event::Timer { mark }, out);
+            self.tell(now, zone.into(), Event::TimerFired { timer: mark }, out);
         }
     }
 
@@ -601,19 +601,19 @@
             for action in std::mem::take(&mut self.zones[zone].actions) {
                 match action {
                     // A forwarder is told one time: nothing of it is out after either.
-                    Action::HandOff {
+                    Action::StartAttempt {
                         id,
                         host,
                         until,
                         by,
                     } => {
-                        self.hand_off(now, zone, id, host, until.min(by));
+                        self.attempt(now, zone, id, host, until.min(by));
                     }
-                    Action::Dismiss { id, wait } => {
+                    Action::Reject { id, retry_after: wait } => {
                         self.answer(id, |id, step| Down::Dismiss { id, step, wait });
                     }
-                    Action::GiveUp { id } => self.answer(id, |id, step| Down::GiveUp { id, step }),
-                    Action::Move { id } => {
+                    Action::Fail { id } => self.answer(id, |id, step| Down::GiveUp { id, step }),
+                    Action::Migrate { id } => {
                         if let Some((session, held)) = self.find(id) {
                             let note = Down::Move { id: held };
                             self.put(session, &note);
@@ -621,14 +621,14 @@
                     }
                     // The forwarder does the one when the client leaves, whoever it follows; a planner
                     // hears all that its forwarders know and has no peers to tell.
-                    Action::CallOff { .. } | Action::Tell { .. } => {}
-                    Action::WakeAt { time, mark } => out.push(Order::Wake {
+                    Action::CancelAttempt { .. } | Action::Gossip { .. } => {}
+                    Action::SetTimer { time, timer: mark } => out.push(Order::Wake {
                         time,
                         zone: zone as u16,
                         mark,
                     }),
-                    Action::AskRoll => out.push(Order::AskRoll),
-                    Action::FollowRoll => out.push(Order::FollowRoll),
+                    Action::PollEndpoints => out.push(Order::AskRoll),
+                    Action::WatchEndpoints => out.push(Order::FollowRoll),
                     Action::Probe { host } => out.push(Order::Probe { host }),
                     Action::Log(text) => out.push(Order::Log(format!("{text} zone={zone}"))),
                 }
@@ -637,7 +637,7 @@
     }
 
     /// The session that holds it and its name there.
-    fn find(&self, id: AttachmentId) -> Option<(usize, u64)> {
+    fn find(&self, id: RequestId) -> Option<(usize, u64)> {
         let held = self
             .held
             .get(id.0 as u32 as usize)
@@ -656,26 +656,26 @@
 
     fn cold(&self, now: Nanos, host: HostId) -> bool {
         let started = self.hosts.get(&host).and_then(|k| k.listing.started);
-        started.is_some_and(|t| now < t.saturating_add(self.remit.charter.cold))
+        started.is_some_and(|t| now < t.saturating_add(self.remit.balancer_settings.warm_up))
     }
 
-    fn hand_off(&mut self, now: Nanos, zone: usize, id: AttachmentId, host: HostId, until: Nanos) {
+    fn attempt(&mut self, now: Nanos, zone: usize, id: RequestId, host: HostId, until: Nanos) {
         let Some((key, theirs)) = self.find(id) else {
             return;
         };
         let cold = self.cold(now, host);
         // Guards: the budget of a cold host spent twice, by a planner that died and again by its successor,
         // which remembers nothing of it: it leaves such hosts alone for as long as the budget is counted.
-        let closed = now < self.start + self.remit.charter.tip_after;
+        let closed = now < self.start + self.remit.balancer_settings.overload_window;
         if cold && (closed || !self.thin(zone)) {
-            let (ending, gauges) = (Ending::NeverSent, Vec::new());
-            let event = Event::Ended {
+            let (ending, load_metrics) = (AttemptOutcome::NeverSent, Vec::new());
+            let event = Event::AttemptEnded {
                 id,
-                hand_off: 0,
+                attempt: 0,
                 host,
-                over: false,
+                request_over: false,
                 ending,
-                gauges,
+                load_metrics,
             };
             let it = &mut self.zones[zone];
             return it.module.handle(now, event, &mut it.actions);
@@ -726,7 +726,7 @@
         goes
     }
 
-    fn answer(&mut self, id: AttachmentId, note: impl FnOnce(u64, u32) -> Down) {
+    fn answer(&mut self, id: RequestId, note: impl FnOnce(u64, u32) -> Down) {
         let Some((session, theirs)) = self.find(id) else {
             return;
         };
@@ -801,13 +801,13 @@
         let zone = &mut self.zones[usize::from(session.zone)];
         if session.follows && (now >= session.planned + PLANS || zone.weighed == 0) {
             if now >= zone.weighed + PLANS || zone.weighed == 0 {
-                let (hosts, cold) = (&self.hosts, self.remit.charter.cold);
+                let (hosts, cold) = (&self.hosts, self.remit.balancer_settings.warm_up);
                 let warm = |k: &Known| {
                     k.listing
                         .started
                         .is_none_or(|t| now >= t.saturating_add(cold))
                 };
-                let ready = |k: &&Known| k.listing.standing == Standing::Ready && warm(k);
+                let ready = |k: &&Known| k.listing.state == HostState::Ready && warm(k);
                 zone.weights = zone
                     .shares
                     .weights(now, |id| hosts.get(&id).filter(ready).is_some());
@@ -903,8 +903,8 @@
             Up::Stands { id, asked, host } => {
                 let host = HostId(host);
                 if let Some(record) = self.open(key, id, 0, Some(host))? {
-                    let arrival = self.arrival(record, &asked)?;
-                    self.tell(now, zone, Event::Standing(arrival, host), out);
+                    let incoming = self.incoming(record, &asked)?;
+                    self.tell(now, zone, Event::ConnectionFound(incoming, host), out);
                 }
             }
             Up::Ask {
@@ -914,11 +914,11 @@
                 past,
             } => {
                 let Some(record) = self.open(key, id, step, None)? else {
-                    let wait = self.remit.charter.longest_advice;
+                    let wait = self.remit.balancer_settings.max_retry_after;
                     self.put(key, &Down::Dismiss { id, step, wait });
                     return Ok(());
                 };
-                self.arrival(record, &asked)?;
+                self.incoming(record, &asked)?;
                 self.sessions[key].asks += 1.0;
                 self.decided += 1;
                 let held = &mut self.held[record as usize];
@@ -931,7 +931,7 @@
             Up::Begun { id, took } => {
                 if let Some(record) = self.record(key, id) {
                     let id = name(record, self.held[record as usize].round);
-                    self.tell(now, zone, Event::Begun { id, took }, out);
+                    self.tell(now, zone, Event::ConnectionEstablished { id, took }, out);
                 }
             }
             Up::Ended {
@@ -953,14 +953,14 @@
                     return Ok(());
                 };
                 let id = name(record, held.round);
-                let (ending, gauges) = (came.into(), Vec::new());
-                let event = Event::Ended {
+                let (ending, load_metrics) = (came.into(), Vec::new());
+                let event = Event::AttemptEnded {
                     id,
-                    hand_off: 0,
+                    attempt: 0,
                     host,
-                    over,
+                    request_over: over,
                     ending,
-                    gauges,
+                    load_metrics,
                 };
                 self.tell(now, zone, event, out);
             }
@@ -972,16 +972,16 @@
                     return Err(Fault::Unexpected("a load that is no figure"));
                 }
                 let id = name(record, self.held[record as usize].round);
-                self.tell(now, zone, Event::LoadNow { id, load }, out);
+                self.tell(now, zone, Event::LoadMeasured { id, load }, out);
             }
             Up::MessageTime { host, time } => {
                 let time = time.min(60 * SECOND);
                 self.tell(
                     now,
                     zone,
-                    Event::MessageTime {
+                    Event::MessageLatency {
                         host: HostId(host),
-                        time,
+                        latency: time,
                     },
                     out,
                 );
@@ -992,26 +992,26 @@
                 };
                 let held = &self.held[record as usize];
                 if held.at.is_none() {
-                    self.forget(now, record, Ending::NeverSent, out);
+                    self.forget(now, record, AttemptOutcome::NeverSent, out);
                 } else {
                     let id = name(record, held.round);
-                    self.tell(now, zone, Event::Left { id }, out);
+                    self.tell(now, zone, Event::ClientLeft { id }, out);
                 }
             }
             Up::Gone { id } => {
                 if let Some(record) = self.record(key, id) {
-                    self.forget(now, record, Ending::NeverSent, out);
+                    self.forget(now, record, AttemptOutcome::NeverSent, out);
                 }
             }
         }
         Ok(())
     }
 
-    fn arrival(&self, record: u32, asked: &Asked) -> Result<reedferry::Arrival, Fault> {
-        if usize::from(asked.offering) >= self.remit.charter.offerings.len() {
+    fn incoming(&self, record: u32, asked: &Asked) -> Result<reedferry::IncomingRequest, Fault> {
+        if usize::from(asked.class) >= self.remit.balancer_settings.classes.len() {
             return Err(Fault::Unexpected("an unknown offering"));
         }
-        Ok(asked.arrival(name(record, self.held[record as usize].round)))
+        Ok(asked.incoming(name(record, self.held[record as usize].round)))
     }
 
     /// Has the module place what waits, unless somebody in the zone still tells what stands. Guards: the
@@ -1034,21 +1034,21 @@
                 continue;
             };
             held.waits = false;
-            let mut arrival = asked.arrival(name(record, round));
-            arrival.time_left = arrival.time_left.saturating_sub(now - came.min(now));
-            let event = if past.hand_offs == 0 && past.tried.is_empty() {
-                Event::Arrived(arrival)
+            let mut incoming = asked.incoming(name(record, round));
+            incoming.time_left = incoming.time_left.saturating_sub(now - came.min(now));
+            let event = if past.attempts == 0 && past.tried.is_empty() {
+                Event::RequestArrived(incoming)
             } else {
                 let ran = past
                     .ran
                     .map(|(host, ago)| (HostId(host), now.saturating_sub(ago)));
                 let tried = past.tried.into_iter().map(HostId).collect();
-                Event::TakenUp(
-                    arrival,
-                    reedferry::Past {
-                        hand_offs: past.hand_offs,
-                        ran,
-                        tried,
+                Event::RequestTakenOver(
+                    incoming,
+                    reedferry::PriorAttempts {
+                        attempts: past.attempts,
+                        may_have_run: ran,
+                        tried_hosts: tried,
                     },
                 )
             };
@@ -1064,14 +1064,14 @@
 }
 
 /// The module's name for a record.
-fn name(record: u32, round: u32) -> AttachmentId {
-    AttachmentId(u64::from(round) << 32 | u64::from(record))
+fn name(record: u32, round: u32) -> RequestId {
+    RequestId(u64::from(round) << 32 | u64::from(record))
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use reedferry::Offering;
+    use reedferry::RequestClass;
 
     const T: Nanos = 1_000 * SECOND;
 
@@ -1082,13 +1082,13 @@
         session: u64,
     }
 
-    fn listing(id: u64, started: Option<Nanos>) -> (Listing, HostLine) {
-        let listing = Listing {
+    fn listing(id: u64, started: Option<Nanos>) -> (Endpoint, HostLine) {
+        let listing = Endpoint {
             id: HostId(id),
-            standing: Standing::Ready,
+            state: HostState::Ready,
             size: 1.0,
             started,
-            ..Listing::default()
+            ..Endpoint::default()
         };
         let (name, stands) = (format!("s{id}"), Stands::Ready);
         (
@@ -1105,13 +1105,13 @@
 
     /// A planner of one, and one forwarder that follows it.
     fn pair(hosts: &[(u64, Option<Nanos>)]) -> Pair {
-        let charter = Charter {
-            offerings: vec![Offering::default()],
-            ..Charter::default()
+        let balancer_settings = BalancerSettings {
+            classes: vec![RequestClass::default()],
+            ..BalancerSettings::default()
         };
         let remit = Remit {
             name: "p".into(),
-            charter,
+            balancer_settings,
             zones: 1,
             place: 0,
             planners: 1,
@@ -1126,7 +1126,7 @@
             .iter()
             .map(|(id, started)| listing(*id, *started))
             .unzip();
-        planner.roll(T, RollKind::Full, listings, lines, &mut out);
+        planner.roll(T, EndpointUpdate::Full, listings, lines, &mut out);
         planner.accept(T, 1, &mut out);
         let mut pair = Pair {
             planner,
@@ -1161,7 +1161,7 @@
 
         fn ask(&mut self, id: u64) {
             let asked = Asked {
-                offering: 0,
+                class: 0,
                 key: None,
                 group: None,
                 usual_load: None,
@@ -1171,7 +1171,7 @@
                 id,
                 step: 0,
                 asked,
-                past: Past::default(),
+                past: PriorAttempts::default(),
             });
         }
 
@@ -1212,7 +1212,7 @@
         // It died and is back in the same turn: what it spent on the cold host it has forgotten.
         let mut pair = pair(&[(1, Some(T)), (2, None), (3, None)]);
         let asked = Asked {
-            offering: 0,
+            class: 0,
             key: None,
             group: None,
             usual_load: None,
@@ -1241,12 +1241,12 @@
     fn hosts_that_come_and_go_for_months_fill_no_table() {
         let mut pair = pair(&[(1, None)]);
         for n in 2..5_000 {
-            for standing in [Standing::Ready, Standing::Gone] {
+            for standing in [HostState::Ready, HostState::Gone] {
                 let (mut listing, mut line) = listing(n, None);
-                (listing.standing, line.stands) = (standing, standing.into());
+                (listing.state, line.stands) = (standing, standing.into());
                 pair.planner.roll(
                     T + n,
-                    RollKind::Changes,
+                    EndpointUpdate::Delta,
                     vec![listing],
                     vec![line],
                     &mut Vec::new(),
@@ -1293,7 +1293,7 @@
     fn nothing_is_placed_while_a_forwarder_of_the_zone_still_tells_what_stands() {
         let mut pair = pair(&[(1, None), (2, None)]);
         let asked = Asked {
-            offering: 0,
+            class: 0,
             key: None,
             group: None,
             usual_load: None,
--- a/control-plane/tests/bytes.rs
+++ b/control-plane/tests/bytes.rs
@@ -1,7 +1,7 @@
 //! The exact bytes of every frame between forwarders and planners: an older and a newer process work together.
 
 use reedferry_control_plane::frames::{
-    Asked, Came, Down, Hello, Past, Stands, Up, Welcome, Writer,
+    Asked, Came, Down, Hello, PriorAttempts, Stands, Up, Welcome, Writer,
 };
 use reedferry_control_plane::HostLine;
 
@@ -31,7 +31,7 @@
 
 fn asked() -> Asked {
     Asked {
-        offering: 300,
+        class: 300,
         key: Some(7),
         group: None,
         usual_load: Some(0.5),
@@ -58,8 +58,8 @@
 
 #[test]
 fn notes_of_forwarders_keep_their_bytes() {
-    let past = Past {
-        hand_offs: 2,
+    let past = PriorAttempts {
+        attempts: 2,
         ran: Some((3, 4)),
         tried: vec![3, 500],
     };
--- a/control-plane/tests/tiers.rs
+++ b/control-plane/tests/tiers.rs
@@ -33,8 +33,8 @@
 
 #[derive(Default)]
 struct Client {
-    expiry: Nanos,
-    offering: usize,
+    deadline: Nanos,
+    class: usize,
     out: Option<(usize, Nanos, u32)>,
     open: bool,
     answers: Vec<(Nanos, &'static str)>,
@@ -73,7 +73,7 @@
     timers: BinaryHeap<std::cmp::Reverse<(Nanos, u16, u64)>>,
     revision: u64,
     /// What discovery wrote and it has not read yet.
-    news: Vec<(usize, Standing)>,
+    news: Vec<(usize, HostState)>,
     deaf: bool,
     /// The hosts of which discovery has written to it that they drain, and when.
     written: HashMap<usize, Nanos>,
@@ -82,7 +82,7 @@
 
 struct Tiers {
     now: Nanos,
-    charter: Charter,
+    balancer_settings: BalancerSettings,
     fronts: Vec<Front>,
     backs: Vec<Back>,
     hosts: Vec<Host>,
@@ -95,22 +95,22 @@
     most_held: usize,
 }
 
-fn charter() -> Charter {
-    let offering = |effect, circle| Offering {
-        effect,
-        circle,
-        window: SECOND,
-        ..Offering::default()
+fn balancer_settings() -> BalancerSettings {
+    let class = |idempotency, idempotency_group| RequestClass {
+        idempotency,
+        idempotency_group,
+        idempotency_window: SECOND,
+        ..RequestClass::default()
     };
-    Charter {
-        offerings: vec![
-            offering(Effect::Redoable, Circle::All),
-            offering(Effect::Labelled, Circle::Cell),
-            offering(Effect::Irreversible, Circle::All),
+    BalancerSettings {
+        classes: vec![
+            class(Idempotency::Idempotent, IdempotencyGroup::All),
+            class(Idempotency::WithKey, IdempotencyGroup::Cell),
+            class(Idempotency::NonIdempotent, IdempotencyGroup::All),
         ],
-        may_call_off: true,
-        longest_advice: SECOND,
-        ..Charter::default()
+        may_cancel: true,
+        max_retry_after: SECOND,
+        ..BalancerSettings::default()
     }
 }
 
@@ -118,7 +118,7 @@
     fn new(fronts: usize, backs: usize, hosts: usize) -> Self {
         let mut tiers = Tiers {
             now: START,
-            charter: charter(),
+            balancer_settings: balancer_settings(),
             fronts: Vec::new(),
             backs: Vec::new(),
             hosts: Vec::new(),
@@ -155,7 +155,7 @@
         for n in 0..fronts {
             let keeps = Covenant {
                 name: format!("f{n}"),
-                charter: tiers.charter.clone(),
+                balancer_settings: tiers.balancer_settings.clone(),
                 fingerprint: 1,
                 epoch: 1,
                 lease: LEASE,
@@ -190,7 +190,7 @@
     fn start(&mut self, n: usize) {
         let remit = Remit {
             name: format!("p{n}"),
-            charter: self.charter.clone(),
+            balancer_settings: self.balancer_settings.clone(),
             zones: 1,
             place: n as u32,
             planners: self.backs.len() as u32,
@@ -204,7 +204,7 @@
         let mut core = Planner::new(remit, self.starts, self.now, &mut out);
         let all = 0..self.hosts.len();
         let (hosts, lines) = all.map(|h| self.listing(h, self.backs[n].revision)).unzip();
-        core.roll(self.now, RollKind::Full, hosts, lines, &mut out);
+        core.roll(self.now, EndpointUpdate::Full, hosts, lines, &mut out);
         self.backs[n].core = Some(core);
         self.backs[n].written = (0..self.hosts.len())
             .filter(|h| self.hosts[*h].drains)
@@ -214,22 +214,22 @@
         self.ordered(n, out);
     }
 
-    fn listing(&self, host: usize, as_of: u64) -> (Listing, HostLine) {
+    fn listing(&self, host: usize, as_of: u64) -> (Endpoint, HostLine) {
         let it = &self.hosts[host];
         let standing = if it.drains {
-            Standing::Draining
+            HostState::Draining
         } else {
-            Standing::Ready
+            HostState::Ready
         };
         let cell = (host % 2) as u16;
         let id = host as u64 + 1;
-        let listing = Listing {
+        let listing = Endpoint {
             id: HostId(id),
             cell: cell.into(),
-            standing,
+            state: standing,
             size: 1.0,
             started: it.started,
-            ..Listing::default()
+            ..Endpoint::default()
         };
         let address = Some(([127, 0, 0, 2], host as u16 + 1).into());
         (
@@ -314,9 +314,9 @@
     fn drain(&mut self, host: usize, drains: bool) {
         self.hosts[host].drains = drains;
         let standing = if drains {
-            Standing::Draining
+            HostState::Draining
         } else {
-            Standing::Ready
+            HostState::Ready
         };
         for back in self
             .backs
@@ -331,24 +331,24 @@
         }
     }
 
-    fn come(&mut self, front: usize, offering: usize) -> u64 {
+    fn come(&mut self, front: usize, class: usize) -> u64 {
         self.next += 1;
         let id = self.next;
         let client = Client {
-            expiry: self.now + EXPIRY,
-            offering,
+            deadline: self.now + EXPIRY,
+            class,
             came: self.now,
             ..Client::default()
         };
         self.fronts[front].clients.insert(id, client);
-        let arrival = Arrival {
-            id: AttachmentId(id),
-            offering,
+        let incoming = IncomingRequest {
+            id: RequestId(id),
+            class,
             key: Some(id),
             time_left: EXPIRY,
-            ..Arrival::default()
+            ..IncomingRequest::default()
         };
-        self.fronts[front].events.push(Event::Arrived(arrival));
+        self.fronts[front].events.push(Event::RequestArrived(incoming));
         id
     }
 
@@ -363,7 +363,7 @@
     fn bye(&mut self, front: usize, id: u64) {
         self.fronts[front]
             .events
-            .push(ended(id, 0, 0, true, Ending::Done));
+            .push(ended(id, 0, 0, true, AttemptOutcome::Completed));
         self.client(id).open = false;
     }
 
@@ -398,8 +398,8 @@
         for (host, standing) in std::mem::take(&mut self.backs[n].news) {
             self.backs[n].revision += 1;
             let (mut listing, mut line) = self.listing(host, self.backs[n].revision);
-            (listing.standing, line.stands) = (standing, standing.into());
-            core.roll(now, RollKind::Changes, vec![listing], vec![line], &mut out);
+            (listing.state, line.stands) = (standing, standing.into());
+            core.roll(now, EndpointUpdate::Delta, vec![listing], vec![line], &mut out);
         }
         while self.backs[n].timers.peek().is_some_and(|t| t.0 .0 <= now) {
             let std::cmp::Reverse((_, zone, mark)) = self.backs[n].timers.pop().unwrap();
@@ -465,22 +465,22 @@
             let Some((at, ..)) = client.out.filter(|o| o.2 == number && o.0 == host) else {
                 continue;
             };
-            let (id, last) = (AttachmentId(id), client.sent.last_mut().unwrap());
+            let (id, last) = (RequestId(id), client.sent.last_mut().unwrap());
             let ending = match self.hosts[at].way {
                 Way::Takes => {
                     (client.out, client.open, last.2) = (None, true, Some(true));
                     client.answers.push((now, "up"));
-                    front.events.push(Event::Begun {
+                    front.events.push(Event::ConnectionEstablished {
                         id,
                         took: now - client.since,
                     });
                     continue;
                 }
-                Way::Busy => Ending::Refused,
-                Way::Fails => Ending::Error,
+                Way::Busy => AttemptOutcome::Rejected,
+                Way::Fails => AttemptOutcome::Error,
                 Way::Silent => continue,
             };
-            last.2 = Some(ending == Ending::Error);
+            last.2 = Some(ending == AttemptOutcome::Error);
             client.out = None;
             front.events.push(ended(id.0, number, at, false, ending));
         }
@@ -491,7 +491,7 @@
                 client.sent.last_mut().unwrap().2 = Some(true);
                 front
                     .events
-                    .push(ended(id, number, host, false, Ending::TimedOut));
+                    .push(ended(id, number, host, false, AttemptOutcome::TimedOut));
             }
         }
     }
@@ -561,7 +561,7 @@
                         id.0
                     ));
                 }
-                if now >= client.expiry {
+                if now >= client.deadline {
                     self.broken
                         .push(format!("{} handed off after its expiry", id.0));
                 }
@@ -576,12 +576,12 @@
             }
             Deed::Act(action) => {
                 let (id, word) = match action {
-                    Action::Dismiss { id, .. } => (id, "dismissed"),
-                    Action::GiveUp { id } => (id, "given up"),
-                    Action::Move { id } => {
+                    Action::Reject { id, .. } => (id, "dismissed"),
+                    Action::Fail { id } => (id, "given up"),
+                    Action::Migrate { id } => {
                         self.fronts[n]
                             .events
-                            .push(ended(id.0, 0, 0, true, Ending::CalledOff));
+                            .push(ended(id.0, 0, 0, true, AttemptOutcome::Cancelled));
                         self.client(id.0).open = false;
                         return;
                     }
@@ -610,14 +610,14 @@
                         .push(format!("{id} answered {:?}", client.answers));
                 }
                 // What one that stands still owes cannot be had; it owes no hand-off either when it goes on.
-                let still = client.came < front.still.1 && client.expiry > front.still.0;
-                if client.answers.is_empty() && now >= client.expiry && !still {
+                let still = client.came < front.still.1 && client.deadline > front.still.0;
+                if client.answers.is_empty() && now >= client.deadline && !still {
                     self.broken.push(format!("{id} has no answer"));
                 }
                 let ran: Vec<&(Nanos, usize, Option<bool>)> =
                     client.sent.iter().filter(|s| s.2 != Some(false)).collect();
                 let first = ran.first().map_or(0, |s| s.0);
-                let breaks = match client.offering {
+                let breaks = match client.class {
                     1 => ran
                         .iter()
                         .any(|s| s.1 % 2 != ran[0].1 % 2 || s.0 >= first + SECOND),
@@ -625,10 +625,10 @@
                     _ => false,
                 };
                 let dismissed = client.answers.iter().any(|a| a.1 == "dismissed");
-                if breaks || dismissed && client.offering > 0 && !ran.is_empty() {
+                if breaks || dismissed && client.class > 0 && !ran.is_empty() {
                     self.broken.push(format!(
                         "{id} of offering {} ran {ran:?} {:?}",
-                        client.offering, client.answers
+                        client.class, client.answers
                     ));
                 }
             }
@@ -665,15 +665,15 @@
     }
 }
 
-fn ended(id: u64, hand_off: u32, host: usize, over: bool, ending: Ending) -> Event {
-    let (id, host) = (AttachmentId(id), HostId(host as u64 + 1));
-    Event::Ended {
+fn ended(id: u64, attempt: u32, host: usize, over: bool, ending: AttemptOutcome) -> Event {
+    let (id, host) = (RequestId(id), HostId(host as u64 + 1));
+    Event::AttemptEnded {
         id,
-        hand_off,
+        attempt,
         host,
-        over,
+        request_over: over,
         ending,
-        gauges: Vec::new(),
+        load_metrics: Vec::new(),
     }
 }
 
@@ -703,11 +703,11 @@
 
 #[test]
 fn a_planner_is_killed_while_hand_offs_it_ordered_are_out_and_their_fate_unknown() {
-    for offering in 0..3 {
+    for class in 0..3 {
         let mut tiers = Tiers::new(1, 2, 4);
         tiers.run(200 * MILLI);
         tiers.hosts.iter_mut().for_each(|h| h.way = Way::Silent);
-        let ids: Vec<u64> = (0..20).map(|_| tiers.come(0, offering)).collect();
+        let ids: Vec<u64> = (0..20).map(|_| tiers.come(0, class)).collect();
         tiers.run(20 * MILLI);
         assert!(ids.iter().all(|id| tiers.client(*id).out.is_some()));
         let dead = leader(&tiers, 0);
@@ -719,7 +719,7 @@
                 let client = tiers.client(*id);
                 let (host, _, number) = client.out.take().unwrap();
                 client.sent.last_mut().unwrap().2 = Some(true);
-                ended(*id, number, host, false, Ending::Broken)
+                ended(*id, number, host, false, AttemptOutcome::ConnectionLost)
             })
             .collect();
         tiers.fronts[0].events.extend(broken);
@@ -727,8 +727,8 @@
         tiers.run(EXPIRY);
         assert_ne!(leader(&tiers, 0), dead);
         for id in ids {
-            let wanted = if offering == 2 { "given up" } else { "up" };
-            assert_eq!(tiers.answer(id), Some(wanted), "offering {offering}");
+            let wanted = if class == 2 { "given up" } else { "up" };
+            assert_eq!(tiers.answer(id), Some(wanted), "offering {class}");
         }
     }
 }
@@ -1005,14 +1005,14 @@
     let lead = leader(&tiers, 0);
     let count = 20_000;
     for n in 0..count {
-        let arrival = Arrival {
-            id: AttachmentId(1_000_000 + n),
+        let incoming = IncomingRequest {
+            id: RequestId(1_000_000 + n),
             time_left: EXPIRY,
-            ..Arrival::default()
+            ..IncomingRequest::default()
         };
         tiers.fronts[0]
             .events
-            .push(Event::Standing(arrival, HostId(n % 4 + 1)));
+            .push(Event::ConnectionFound(incoming, HostId(n % 4 + 1)));
     }
     tiers.run(50 * MILLI);
     assert_eq!(
@@ -1078,7 +1078,7 @@
     let other = tiers.come(1, 0);
     tiers.run(200 * MILLI);
     let (from, by) = (tiers.now + 100 * MILLI, tiers.now + 1100 * MILLI);
-    tiers.fronts[0].events.push(Event::Leaving { from, by });
+    tiers.fronts[0].events.push(Event::ShutdownStarted { from, by });
     tiers.run(MILLI);
     let new = tiers.come(0, 0);
     tiers.run(599 * MILLI);
@@ -1159,16 +1159,16 @@
             }
         }
         let sends = &tiers.hosts[0].sends;
-        let charter = &tiers.charter;
-        let fill = 100.0 / charter.cold as f64;
+        let balancer_settings = &tiers.balancer_settings;
+        let fill = 100.0 / balancer_settings.warm_up as f64;
         for (n, at) in sends.iter().enumerate() {
             let window = sends[n..]
                 .iter()
-                .take_while(|t| **t < at + charter.tip_after)
+                .take_while(|t| **t < at + balancer_settings.overload_window)
                 .count();
-            let age = (at - now) as f64 / charter.cold as f64;
-            let warmth = charter.cold_from + (1.0 - charter.cold_from) * age;
-            let most = charter.tip_multiple * warmth * fill * charter.tip_after as f64;
+            let age = (at - now) as f64 / balancer_settings.warm_up as f64;
+            let warmth = balancer_settings.warm_up_initial_share + (1.0 - balancer_settings.warm_up_initial_share) * age;
+            let most = balancer_settings.overload_factor * warmth * fill * balancer_settings.overload_window as f64;
             assert!(
                 window as f64 <= 0.7 * most,
                 "{window} of {most:.1} at {age:.2}, killed {killed} back {back}"
--- a/node/src/connections/audit.rs
+++ b/node/src/connections/audit.rs
@@ -6,7 +6,7 @@
 use crate::context::Context;
 use crate::operators::counts::{Close, Count, Violation};
 use reedferry::permission::{may_dismiss, may_go_on, may_repeat};
-use reedferry::{Effect, Nanos, Offering, MILLI};
+use reedferry::{Idempotency, Nanos, RequestClass, MILLI};
 use slog::{error, info};
 
 /// What the rules allow on sockets beyond each time limit.
@@ -14,7 +14,7 @@
 
 impl Connection {
     /// By when its final answer has to be out.
-    pub(super) fn expiry(&self) -> Nanos {
+    pub(super) fn deadline(&self) -> Nanos {
         self.since.saturating_add(self.waits)
     }
 
@@ -25,15 +25,15 @@
 }
 
 impl Connections {
-    fn offering<'a>(&self, context: &'a Context, slot: usize) -> Option<&'a Offering> {
-        context.offerings.get(self.slab[slot].arrival.offering)
+    fn class<'a>(&self, context: &'a Context, slot: usize) -> Option<&'a RequestClass> {
+        context.classes.get(self.slab[slot].incoming.class)
     }
 
     fn violated(&self, context: &mut Context, slot: usize, rule: Violation, figure: Nanos) {
         context.tally.add(Count::Violated(rule));
         let connection = &self.slab[slot];
         error!(context.log, "rule violated"; "rule" => rule.name(), "id" => connection.id(),
-            "attempts" => connection.hand_offs, "ms" => figure / MILLI, context.turn.account(context.clock.read()));
+            "attempts" => connection.attempts, "ms" => figure / MILLI, context.turn.account(context.clock.read()));
     }
 
     /// The last byte of an attempt has been written.
@@ -47,21 +47,21 @@
             return;
         };
         let now = context.clock.read();
-        let expiry = connection.expiry();
-        if now > expiry + SLACK {
-            self.violated(context, slot, Violation::AttemptedLate, now - expiry);
+        let deadline = connection.deadline();
+        if now > deadline + SLACK {
+            self.violated(context, slot, Violation::AttemptedLate, now - deadline);
         }
         if may_go_on(now, landing.by.saturating_add(SLACK)).is_err() {
             self.violated(context, slot, Violation::RepeatedLate, now - landing.by);
         }
         let left = context.hosts.record(landing.host).left_since;
-        let grace = context.terms.drain_grace;
+        let grace = context.node_settings.drain_grace;
         if let Some(late) = left.and_then(|left| now.checked_sub(left + grace + SLACK)) {
             self.violated(context, slot, Violation::SentToLeavingHost, late);
         }
         let first_run = connection.may_have_run;
-        let again = self.offering(context, slot).is_some_and(|offering| {
-            offering.effect == Effect::Irreversible && may_repeat(offering, first_run, now).is_err()
+        let again = self.class(context, slot).is_some_and(|class| {
+            class.idempotency == Idempotency::NonIdempotent && may_repeat(class, first_run, now).is_err()
         });
         if again {
             self.violated(
@@ -79,13 +79,13 @@
         if connection.stage != Stage::Held || connection.client.is_none() {
             return;
         }
-        let (now, expiry) = (context.clock.read(), connection.expiry());
-        if now > expiry + SLACK {
-            self.violated(context, slot, Violation::AnsweredLate, now - expiry);
+        let (now, deadline) = (context.clock.read(), connection.deadline());
+        if now > deadline + SLACK {
+            self.violated(context, slot, Violation::AnsweredLate, now - deadline);
         }
         let first_run = connection.may_have_run;
         let harmless = self
-            .offering(context, slot)
+            .class(context, slot)
             .is_none_or(|o| may_dismiss(o, first_run.is_some()));
         if dismissed && !harmless {
             self.violated(
--- a/node/src/connections/endings.rs
+++ b/node/src/connections/endings.rs
@@ -7,7 +7,7 @@
 use crate::context::Context;
 use crate::operators::counts::Close;
 use crate::operators::tally::Outcome;
-use reedferry::{AttachmentId, Ending, Nanos, MILLI};
+use reedferry::{RequestId, AttemptOutcome, Nanos, MILLI};
 use reedferry_runtime::errors::{on_connection, Trouble};
 
 /// How long the other side of an ended connection is waited for, and one that still sends, since it came.
@@ -19,7 +19,7 @@
 
 impl Connections {
     /// The module's final answer, where no host gave one.
-    pub fn dismiss(&mut self, context: &mut Context, id: AttachmentId, wait: Nanos) {
+    pub fn dismiss(&mut self, context: &mut Context, id: RequestId, wait: Nanos) {
         let Some(slot) = self.find(id) else { return };
         if wait >= MILLI {
             self.answer(
@@ -32,22 +32,22 @@
         }
     }
 
-    pub fn give_up(&mut self, context: &mut Context, id: AttachmentId) {
+    pub fn give_up(&mut self, context: &mut Context, id: RequestId) {
         if let Some(slot) = self.find(id) {
             self.answer(context, slot, b"ERR\r\n");
         }
     }
 
-    pub fn call_off(&mut self, context: &mut Context, id: AttachmentId, hand_off: u32) {
+    pub fn call_off(&mut self, context: &mut Context, id: RequestId, attempt: u32) {
         let Some(slot) = self.find(id) else { return };
         let connection = &self.slab[slot];
         if connection.stage == Stage::Held
             && connection
                 .landing
                 .as_ref()
-                .is_some_and(|l| l.number == hand_off)
+                .is_some_and(|l| l.number == attempt)
         {
-            self.fell_through(context, slot, Ending::CalledOff);
+            self.fell_through(context, slot, AttemptOutcome::Cancelled);
         }
     }
 
@@ -62,7 +62,7 @@
                 Outcome::Failed
             };
             context.tally.came_to(
-                &context.terms.offerings[connection.arrival.offering],
+                &context.node_settings.classes[connection.incoming.class],
                 outcome,
             );
         }
--- a/node/src/connections/landing.rs
+++ b/node/src/connections/landing.rs
@@ -6,11 +6,11 @@
 use crate::connections::lane::{Flow, Lane, Side};
 use crate::connections::lines::{self, Word};
 use crate::context::{Context, HOST};
-use crate::listing::hosts::Hosts;
+use crate::discovery::hosts::Hosts;
 use crate::operators::counts::{Close, Count};
 use crate::operators::tally::Outcome;
 use reedferry::permission::{may_begin, may_go_on, Beginning, Refusal};
-use reedferry::{AttachmentId, Ending, Event, HostId, Nanos, MILLI, SECOND};
+use reedferry::{RequestId, AttemptOutcome, Event, HostId, Nanos, MILLI, SECOND};
 use reedferry_runtime::errors::{on_connect, NoConnection};
 use reedferry_runtime::{Buffer, Mark};
 use slog::{info, warn};
@@ -74,7 +74,7 @@
     pub(super) fn heard(
         &mut self,
         word: Word,
-        (id, host): (AttachmentId, usize),
+        (id, host): (RequestId, usize),
         now: Nanos,
         asked: &mut VecDeque<Nanos>,
         (events, hosts): (&mut Vec<Event>, &mut Hosts),
@@ -82,7 +82,7 @@
         match word {
             Word::Load(load) => {
                 self.load = Some(load);
-                events.push(Event::LoadNow { id, load });
+                events.push(Event::LoadMeasured { id, load });
             }
             Word::Bye => self.bye = true,
             Word::Move => self.moved = true,
@@ -111,10 +111,10 @@
     }
 
     /// Carries out a hand-off whose line is to start by `by`, and whose host is waited for until `until`.
-    pub fn hand_off(
+    pub fn attempt(
         &mut self,
         context: &mut Context,
-        id: AttachmentId,
+        id: RequestId,
         host: HostId,
         until: Nanos,
         by: Nanos,
@@ -124,36 +124,36 @@
         let slot = self.find(id).filter(|&slot| held(&self.slab[slot]));
         let Some(slot) = slot.filter(|&slot| self.waits(context, slot)) else {
             // Guards: a record kept for ever of a client that left while the module chose.
-            let (ending, gauges) = (Ending::NeverSent, Vec::new());
-            context.events.push(Event::Ended {
+            let (ending, load_metrics) = (AttemptOutcome::NeverSent, Vec::new());
+            context.events.push(Event::AttemptEnded {
                 id,
-                hand_off: 0,
+                attempt: 0,
                 host,
-                over: true,
+                request_over: true,
                 ending,
-                gauges,
+                load_metrics,
             });
             return;
         };
         let connection = &mut self.slab[slot];
-        let number = connection.hand_offs;
-        connection.hand_offs += 1;
+        let number = connection.attempts;
+        connection.attempts += 1;
         let index = context.hosts.index(host);
         let launched = match index {
             // Guards: new work for hosts that drain, of which this node has not heard in time.
-            Some(_) if context.deaf.contains(&context.now) => Err(Ending::NeverSent),
+            Some(_) if context.deaf.contains(&context.now) => Err(AttemptOutcome::NeverSent),
             Some(index) => self.launch(context, slot, index, until, by),
-            None => Err(Ending::Unconnected),
+            None => Err(AttemptOutcome::ConnectFailed),
         };
         if let Err(ending) = launched {
-            let gauges = Vec::new();
-            context.events.push(Event::Ended {
+            let load_metrics = Vec::new();
+            context.events.push(Event::AttemptEnded {
                 id,
-                hand_off: number,
+                attempt: number,
                 host,
-                over: false,
+                request_over: false,
                 ending,
-                gauges,
+                load_metrics,
             });
         }
     }
@@ -166,12 +166,12 @@
         host: usize,
         until: Nanos,
         by: Nanos,
-    ) -> Result<(), Ending> {
+    ) -> Result<(), AttemptOutcome> {
         let address = context
             .hosts
             .record(host)
             .address
-            .ok_or(Ending::Unconnected)?;
+            .ok_or(AttemptOutcome::ConnectFailed)?;
         // Who has asked goes before whoever has not.
         while !context.budget.room(1) && self.make_room(context, 0) {}
         let connection = &mut self.slab[slot];
@@ -182,7 +182,7 @@
                 let (taken, buffers) = (context.budget.taken(), context.pool.left());
                 warn!(context.log, "out of descriptors or buffers"; "taken" => taken, "buffers" => buffers);
             }
-            return Err(Ending::NeverSent);
+            return Err(AttemptOutcome::NeverSent);
         }
         let (socket, connected) = match context.budget.connect(&address) {
             Ok(opened) => opened,
@@ -190,16 +190,16 @@
                 return Err(match on_connect(e) {
                     NoConnection::Machine => {
                         context.machine_trouble("connect");
-                        Ending::NeverSent
+                        AttemptOutcome::NeverSent
                     }
-                    NoConnection::Route => Ending::Unroutable,
-                    NoConnection::Peer => Ending::Unconnected,
+                    NoConnection::Route => AttemptOutcome::NoRoute,
+                    NoConnection::Peer => AttemptOutcome::ConnectFailed,
                 })
             }
         };
         let mark = context.watch(&socket, HOST, slot).map_err(|_| {
             context.machine_trouble("epoll_ctl");
-            Ending::NeverSent
+            AttemptOutcome::NeverSent
         })?;
         let side = Side {
             socket,
@@ -211,7 +211,7 @@
             side,
             host,
             _lease: context.hosts.record(host).lease.clone(),
-            number: connection.hand_offs.saturating_sub(1),
+            number: connection.attempts.saturating_sub(1),
             since: context.now,
             by,
             connected,
@@ -222,7 +222,7 @@
         connection.down = Lane::default();
         connection.up = Lane::default();
         connection.given = until.saturating_sub(context.now);
-        let stands = by.min(context.now + context.terms.connect_within);
+        let stands = by.min(context.now + context.node_settings.connect_within);
         if stands < until {
             context.poller.remind(stands, mark, CONNECT);
         }
@@ -303,16 +303,16 @@
             return;
         };
         let ending = match (landing.written, landing.connected) {
-            (true, _) => Ending::TimedOut,
+            (true, _) => AttemptOutcome::TimedOut,
             // Its line was not written for want of something at this machine: not the host's doing.
-            (false, true) => Ending::NeverSent,
-            (false, false) => Ending::Unconnected,
+            (false, true) => AttemptOutcome::NeverSent,
+            (false, false) => AttemptOutcome::ConnectFailed,
         };
         self.fell_through(context, slot, ending);
     }
 
     /// A hand-off that came to nothing.
-    pub(super) fn fell_through(&mut self, context: &mut Context, slot: usize, ending: Ending) {
+    pub(super) fn fell_through(&mut self, context: &mut Context, slot: usize, ending: AttemptOutcome) {
         let connection = &mut self.slab[slot];
         let Some(landing) = connection.landing.take() else {
             return;
@@ -323,13 +323,13 @@
             .readdressed
             .is_some_and(|at| at > landing.since);
         // Guards: a host avoided at its new address, as nobody is left at the old one.
-        let ending = if moved && ending == Ending::Unconnected {
-            Ending::NeverSent
+        let ending = if moved && ending == AttemptOutcome::ConnectFailed {
+            AttemptOutcome::NeverSent
         } else {
             ending
         };
         (connection.up, connection.down) = (Lane::default(), Lane::default());
-        connection.errors += u32::from(ending == Ending::Error);
+        connection.errors += u32::from(ending == AttemptOutcome::Error);
         if landing.written && !ending.never_ran() {
             connection.may_have_run.get_or_insert(landing.written_at);
         }
@@ -340,13 +340,13 @@
                 "host" => &context.hosts.record(landing.host).name, "why" => ending.word(), "ms" => took);
         }
         if connection.stage == Stage::Held {
-            context.events.push(Event::Ended {
-                id: connection.arrival.id,
-                hand_off: landing.number,
+            context.events.push(Event::AttemptEnded {
+                id: connection.incoming.id,
+                attempt: landing.number,
                 host: context.hosts.record(landing.host).id,
-                over: connection.client.is_none(),
+                request_over: connection.client.is_none(),
                 ending,
-                gauges: Vec::new(),
+                load_metrics: Vec::new(),
             });
             if connection.client.is_none() {
                 self.remove(context, slot, Close::ClientEnded);
@@ -370,7 +370,7 @@
         if connection.up.buffer.is_some() {
             return may_go_on(context.clock.read(), not_after);
         }
-        let expiry = (landing.since + connection.given).min(connection.expiry());
+        let deadline = (landing.since + connection.given).min(connection.deadline());
         let repeats = connection.may_have_run.is_some();
         // The client last: the process may be held up behind its reading of the clock, which the other limits allow for.
         let now = context.clock.read();
@@ -379,11 +379,11 @@
         let since_then = |changed: Option<Nanos>| changed.is_some_and(|at| at > chosen);
         may_begin(&Beginning {
             now,
-            expiry,
+            deadline,
             not_after,
             client_waits,
             leaving_since: record.left_since,
-            drain_grace: context.terms.drain_grace,
+            drain_grace: context.node_settings.drain_grace,
             list_unheard: context.deaf.contains(&now),
             host_moved: since_then(record.readdressed),
             group_changed: repeats && since_then(record.regrouped),
@@ -398,10 +398,10 @@
             Refusal::ClientGone => {}
             // Its connection came up too late, or it is leaving.
             Refusal::HostLeaving | Refusal::OutsideWindow => {
-                self.fell_through(context, slot, Ending::Unconnected);
+                self.fell_through(context, slot, AttemptOutcome::ConnectFailed);
             }
             // Not the host's doing.
-            _ => self.fell_through(context, slot, Ending::NeverSent),
+            _ => self.fell_through(context, slot, AttemptOutcome::NeverSent),
         }
     }
 
@@ -432,7 +432,7 @@
             return false;
         }
         if landing.side.socket.connected().is_err() {
-            self.fell_through(context, slot, Ending::Unconnected);
+            self.fell_through(context, slot, AttemptOutcome::ConnectFailed);
             return false;
         }
         landing.connected = true;
@@ -453,7 +453,7 @@
         if connection.up.buffer.is_none() {
             let (Some(letter), Some(mut out)) = (connection.letter.as_ref(), context.pool.take())
             else {
-                self.fell_through(context, slot, Ending::NeverSent);
+                self.fell_through(context, slot, AttemptOutcome::NeverSent);
                 return false;
             };
             let wait = (landing.since + connection.given).saturating_sub(context.now);
@@ -473,7 +473,7 @@
                 return false;
             }
             _ => {
-                self.fell_through(context, slot, Ending::Unconnected);
+                self.fell_through(context, slot, AttemptOutcome::ConnectFailed);
                 return false;
             }
         }
@@ -499,12 +499,12 @@
                     said.push(word)
                 }) {
                 Flow::Idle if connection.down.ended && said.is_empty() => {
-                    return self.fell_through(context, slot, Ending::Broken);
+                    return self.fell_through(context, slot, AttemptOutcome::ConnectionLost);
                 }
                 Flow::Idle => {}
                 Flow::Starved => return self.retry_soon(context, slot),
-                Flow::Malformed => return self.fell_through(context, slot, Ending::Error),
-                _ => return self.fell_through(context, slot, Ending::Broken),
+                Flow::Malformed => return self.fell_through(context, slot, AttemptOutcome::Error),
+                _ => return self.fell_through(context, slot, AttemptOutcome::ConnectionLost),
             }
         }
         match said.first() {
@@ -518,9 +518,9 @@
             }
             None => {}
             Some(Word::Up) => self.begin(context, slot, &said[1..]),
-            Some(Word::Busy) => self.fell_through(context, slot, Ending::Refused),
-            Some(Word::Move) => self.fell_through(context, slot, Ending::CalledOff),
-            Some(_) => self.fell_through(context, slot, Ending::Error),
+            Some(Word::Busy) => self.fell_through(context, slot, AttemptOutcome::Rejected),
+            Some(Word::Move) => self.fell_through(context, slot, AttemptOutcome::Cancelled),
+            Some(_) => self.fell_through(context, slot, AttemptOutcome::Error),
         }
     }
 
@@ -531,23 +531,23 @@
             return;
         };
         if connection.client.is_none() {
-            return self.fell_through(context, slot, Ending::CalledOff);
+            return self.fell_through(context, slot, AttemptOutcome::Cancelled);
         }
-        let (id, host) = (connection.arrival.id, context.hosts.record(landing.host).id);
+        let (id, host) = (connection.incoming.id, context.hosts.record(landing.host).id);
         if connection.stage == Stage::Held {
             let seen_from = context.hosts.stalls.moved_on(landing.since, context.now);
-            context.events.push(Event::Begun {
+            context.events.push(Event::ConnectionEstablished {
                 id,
                 took: context.now - seen_from,
             });
         } else {
             context
                 .events
-                .push(Event::Standing(connection.arrival, host));
+                .push(Event::ConnectionFound(connection.incoming, host));
         }
         connection.stage = Stage::Open;
         context.tally.came_to(
-            &context.terms.offerings[connection.arrival.offering],
+            &context.node_settings.classes[connection.incoming.class],
             Outcome::Served,
         );
         // Guards: a first load told in one piece with the answer, and lost to the module.
--- a/node/src/connections/lines.rs
+++ b/node/src/connections/lines.rs
@@ -22,7 +22,7 @@
 pub struct Request<'a> {
     pub id: &'a str,
     pub key: Option<u64>,
-    pub offering: &'a str,
+    pub class: &'a str,
     pub tenant: &'a str,
     pub wait: Nanos,
     pub group: Option<u64>,
@@ -109,7 +109,7 @@
             return Err("a figure told twice");
         }
         match name {
-            "c" => request.offering = value,
+            "c" => request.class = value,
             "t" => request.tenant = value,
             "d" => {
                 let ms = figure(value).filter(|d| *d < 1e9).ok_or("a wild wait")?;
@@ -266,7 +266,7 @@
             panic!()
         };
         assert_eq!(
-            (request.offering, request.tenant, request.at),
+            (request.class, request.tenant, request.at),
             ("chat", "acme", Some("s-1"))
         );
         assert_eq!((request.wait, request.group), (2000 * MILLI, Some(0x5c0f)));
--- a/node/src/connections/listener.rs
+++ b/node/src/connections/listener.rs
@@ -8,7 +8,7 @@
 use crate::connections::lines::{self, Opening, Request};
 use crate::context::{Context, CLIENT};
 use crate::operators::counts::Close;
-use reedferry::{Arrival, AttachmentId, Ending, Event, HostId, Nanos, MILLI, SECOND};
+use reedferry::{IncomingRequest, RequestId, AttemptOutcome, Event, HostId, Nanos, MILLI, SECOND};
 use reedferry_runtime::errors::{on_accept, on_connection, NotAccepted, Trouble};
 use reedferry_runtime::{Mark, Socket};
 use std::collections::{BTreeMap, HashSet, VecDeque};
@@ -310,22 +310,22 @@
                     let said = lines::opening(line).and_then(|said| match said {
                         Opening::Ping => Err("too many pings"),
                         Opening::Open(request) => {
-                            let arrival = Self::arrival(context, connection.arrival.id, &request)?;
+                            let incoming = Self::incoming(context, connection.incoming.id, &request)?;
                             let open = self.listener.names.contains(request.id);
                             // Guards: one that uses the id of another's open request, which hosts would
                             // tell from a good one only by an error; the same again and again.
                             if open || self.listener.struck.iter().any(|n| **n == *request.id) {
                                 return Err("an id that is in use");
                             }
-                            Ok((arrival, Rc::from(request.id), request.at.map(lines::hash)))
+                            Ok((incoming, Rc::from(request.id), request.at.map(lines::hash)))
                         }
                     });
-                    let (arrival, name, home): (Arrival, Rc<str>, Option<u64>) = match said {
+                    let (incoming, name, home): (IncomingRequest, Rc<str>, Option<u64>) = match said {
                         Ok(good) => good,
                         Err(why) => return self.turn_away(context, slot, why),
                     };
-                    (connection.since, connection.waits, connection.arrival) =
-                        (context.now, arrival.time_left, arrival);
+                    (connection.since, connection.waits, connection.incoming) =
+                        (context.now, incoming.time_left, incoming);
                     connection.letter_length = length - 2;
                     self.listener.names.insert(name.clone());
                     connection.name = Some(name);
@@ -335,7 +335,7 @@
                         return self.go_back(context, slot);
                     }
                     connection.stage = Stage::Held;
-                    context.events.push(Event::Arrived(connection.arrival));
+                    context.events.push(Event::RequestArrived(connection.incoming));
                     return;
                 }
                 Err(why) => return self.turn_away(context, slot, why),
@@ -348,24 +348,24 @@
     }
 
     /// What the module is told of a request, or why it is none that this node serves.
-    fn arrival(
+    fn incoming(
         context: &Context,
-        id: AttachmentId,
+        id: RequestId,
         request: &Request,
-    ) -> Result<Arrival, &'static str> {
-        let terms = &context.terms;
-        let offering = terms
-            .offering(request.offering)
+    ) -> Result<IncomingRequest, &'static str> {
+        let node_settings = &context.node_settings;
+        let class = node_settings
+            .class(request.class)
             .ok_or("an unknown offering")?;
-        if !terms.tenants.is_empty() && !terms.tenants.iter().any(|t| t == request.tenant) {
+        if !node_settings.tenants.is_empty() && !node_settings.tenants.iter().any(|t| t == request.tenant) {
             return Err("an unknown tenant");
         }
         // Guards: a client that says it stood somewhere, and would be kept for as long as it likes.
         if request.at.is_some() && context.now > context.start + 2 * STANDING_WITHIN {
             return Err("a standing connection long after the start");
         }
-        let longest = if terms.longest_expiry > 0 {
-            terms.longest_expiry
+        let longest = if node_settings.max_request_timeout > 0 {
+            node_settings.max_request_timeout
         } else {
             Nanos::MAX / WILD
         };
@@ -383,14 +383,14 @@
             usual_load,
             ..
         } = *request;
-        Ok(Arrival {
+        Ok(IncomingRequest {
             id,
-            offering,
+            class,
             key,
             group,
             time_left,
             usual_load,
-            midway: false,
+            mid_stream: false,
         })
     }
 
@@ -424,8 +424,8 @@
         connection.letter = None;
         let held = connection.stage == Stage::Held;
         if held {
-            context.events.push(Event::Left {
-                id: connection.arrival.id,
+            context.events.push(Event::ClientLeft {
+                id: connection.incoming.id,
             });
         }
         if !held || connection.landing.is_none() {
@@ -437,7 +437,7 @@
         {
             // Guards: a line that begins for a client which had gone while its host's connection came up, where the
             // settings allow none to be called off: this one has not begun, or never ends.
-            self.fell_through(context, slot, Ending::NeverSent);
+            self.fell_through(context, slot, AttemptOutcome::NeverSent);
         }
         let Some(client) = client else { return };
         // Guards: a client that sends hundreds of lines at once, served by its first one, and an answer that comes in part: it
@@ -474,7 +474,7 @@
     /// Whether the client still waits, as its socket has it now, whatever the poller has said so far. Guards: an attempt
     /// that begins for one which has gone, and whose end waits behind many events or a process that stood still.
     pub(super) fn waits(&mut self, context: &mut Context, slot: usize) -> bool {
-        let id = self.slab[slot].arrival.id;
+        let id = self.slab[slot].incoming.id;
         self.slab[slot]
             .client
             .iter_mut()
@@ -482,7 +482,7 @@
         self.listen(context, slot);
         self.slab
             .get(slot)
-            .is_some_and(|connection| connection.arrival.id == id && connection.client.is_some())
+            .is_some_and(|connection| connection.incoming.id == id && connection.client.is_some())
     }
 
     /// The id of what is answered or gone is no longer in use, unless hosts would not have it.
--- a/node/src/connections/mod.rs
+++ b/node/src/connections/mod.rs
@@ -23,7 +23,7 @@
 use landing::Landing;
 use listener::{Listener, SILENT_CLIENT};
 pub use passing::HandedOver;
-use reedferry::{Action, Arrival, AttachmentId, Ending, HostId, Nanos, Offering, MILLI, SECOND};
+use reedferry::{Action, IncomingRequest, RequestId, AttemptOutcome, HostId, Nanos, RequestClass, MILLI, SECOND};
 use reedferry_runtime::{Buffer, Mark, Readiness, Socket};
 use slab::Slab;
 use slog::info;
@@ -56,7 +56,7 @@
     /// When the client came, and when its attachment did.
     came: Nanos,
     since: Nanos,
-    arrival: Arrival,
+    incoming: IncomingRequest,
     /// Its id on the wire, while it is open.
     name: Option<Rc<str>>,
     pings: u32,
@@ -73,13 +73,13 @@
     given: Nanos,
     up: Lane,
     down: Lane,
-    hand_offs: u32,
+    attempts: u32,
     /// When the first attempt that may have run was written.
     may_have_run: Option<Nanos>,
     /// When the lines went that are not answered yet.
     asked: VecDeque<Nanos>,
     moving: Option<Nanos>,
-    ending: Ending,
+    ending: AttemptOutcome,
     client_ended: Option<Nanos>,
     /// The next process would not have it.
     turned_down: bool,
@@ -87,16 +87,16 @@
 
 impl Connection {
     fn new(client: Side, slot: usize, now: Nanos) -> Self {
-        let id = AttachmentId(u64::from(client.stamp) << 32 | slot as u64);
+        let id = RequestId(u64::from(client.stamp) << 32 | slot as u64);
         Connection {
             client: Some(client),
             landing: None,
             stage: Stage::Unasked,
             came: now,
             since: now,
-            arrival: Arrival {
+            incoming: IncomingRequest {
                 id,
-                ..Arrival::default()
+                ..IncomingRequest::default()
             },
             name: None,
             pings: 0,
@@ -109,11 +109,11 @@
             given: 0,
             up: Lane::default(),
             down: Lane::default(),
-            hand_offs: 0,
+            attempts: 0,
             may_have_run: None,
             asked: VecDeque::new(),
             moving: None,
-            ending: Ending::CalledOff,
+            ending: AttemptOutcome::Cancelled,
             client_ended: None,
             turned_down: false,
         }
@@ -151,22 +151,22 @@
     }
 
     /// Whether any attachment goes by this place of an offering.
-    pub fn holds(&self, offering: usize) -> bool {
+    pub fn holds(&self, class: usize) -> bool {
         self.slab
             .iter()
-            .any(|(_, connection)| !connection.idles() && connection.arrival.offering == offering)
+            .any(|(_, connection)| !connection.idles() && connection.incoming.class == class)
     }
 
     /// The offerings that any attachment goes by, by their names, and what they mean.
-    pub fn held(&self, context: &Context) -> Vec<(String, Offering)> {
+    pub fn held(&self, context: &Context) -> Vec<(String, RequestClass)> {
         let all = context
-            .terms
-            .offerings
+            .node_settings
+            .classes
             .iter()
-            .zip(&context.offerings)
+            .zip(&context.classes)
             .enumerate();
         let held = all.filter(|(n, _)| self.holds(*n));
-        held.map(|(_, (name, offering))| (name.clone(), offering.clone()))
+        held.map(|(_, (name, class))| (name.clone(), class.clone()))
             .collect()
     }
 
@@ -186,11 +186,11 @@
         !self.more.is_empty() || self.listener.open
     }
 
-    pub(super) fn find(&self, id: AttachmentId) -> Option<usize> {
+    pub(super) fn find(&self, id: RequestId) -> Option<usize> {
         let slot = id.0 as u32 as usize;
         self.slab
             .get(slot)
-            .filter(|f| f.arrival.id == id)
+            .filter(|f| f.incoming.id == id)
             .map(|_| slot)
     }
 
@@ -293,16 +293,16 @@
     /// Carries out what is for an attachment, whoever decided it, and gives back what is not.
     pub fn carry_out(&mut self, context: &mut Context, action: Action) -> Option<Action> {
         match action {
-            Action::HandOff {
+            Action::StartAttempt {
                 id,
                 host,
                 until,
                 by,
-            } => self.hand_off(context, id, host, until, by),
-            Action::Dismiss { id, wait } => self.dismiss(context, id, wait),
-            Action::GiveUp { id } => self.give_up(context, id),
-            Action::Move { id } => self.move_on(context, id),
-            Action::CallOff { id, hand_off } => self.call_off(context, id, hand_off),
+            } => self.attempt(context, id, host, until, by),
+            Action::Reject { id, retry_after: wait } => self.dismiss(context, id, wait),
+            Action::Fail { id } => self.give_up(context, id),
+            Action::Migrate { id } => self.move_on(context, id),
+            Action::CancelAttempt { id, attempt } => self.call_off(context, id, attempt),
             other => return Some(other),
         }
         None
--- a/node/src/connections/passage.rs
+++ b/node/src/connections/passage.rs
@@ -8,7 +8,7 @@
 use crate::connections::lane::Flow;
 use crate::context::{Context, LONGEST_MOVE};
 use crate::operators::counts::Close;
-use reedferry::{AttachmentId, Ending, Event, Nanos, MILLI, SECOND};
+use reedferry::{RequestId, AttemptOutcome, Event, Nanos, MILLI, SECOND};
 use reedferry_runtime::Buffer;
 use slog::{info, warn};
 
@@ -28,7 +28,7 @@
         else {
             return;
         };
-        let (now, host, id) = (context.now, landing.host, connection.arrival.id);
+        let (now, host, id) = (context.now, landing.host, connection.incoming.id);
 
         let asked = &mut connection.asked;
         let up = match connection.client_ended {
@@ -54,18 +54,18 @@
             });
 
         let broke = if landing.said.bye {
-            Ending::Done
+            AttemptOutcome::Completed
         } else {
-            Ending::Broken
+            AttemptOutcome::ConnectionLost
         };
         let ended = match (
             landing.said.bye,
             landing.said.moved,
             connection.client_ended,
         ) {
-            (true, ..) => Ending::Done,
-            (_, false, None) => Ending::Broken,
-            _ => Ending::CalledOff,
+            (true, ..) => AttemptOutcome::Completed,
+            (_, false, None) => AttemptOutcome::ConnectionLost,
+            _ => AttemptOutcome::Cancelled,
         };
         match (down, up) {
             (Flow::Ended, _) => {
@@ -78,7 +78,7 @@
             }
             (Flow::Malformed, _) => {
                 info!(context.log, "cut off"; "why" => "a host's line that is too long");
-                self.over(context, slot, Ending::Broken);
+                self.over(context, slot, AttemptOutcome::ConnectionLost);
                 return self.remove(context, slot, Close::Malformed);
             }
             (Flow::Refused, _) | (_, Flow::Broken) => {
@@ -103,7 +103,7 @@
 
     /// The client's connection broke: its host's is reset in turn.
     pub(super) fn client_broke(&mut self, context: &mut Context, slot: usize) {
-        if let Some(landing) = self.over(context, slot, Ending::CalledOff) {
+        if let Some(landing) = self.over(context, slot, AttemptOutcome::Cancelled) {
             landing.side.socket.reset();
         }
         self.remove(context, slot, Close::ClientBroke);
@@ -114,28 +114,28 @@
         &mut self,
         context: &mut Context,
         slot: usize,
-        ending: Ending,
+        ending: AttemptOutcome,
     ) -> Option<Landing> {
         let connection = &mut self.slab[slot];
         let landing = connection.landing.take()?;
-        context.events.push(Event::Ended {
-            id: connection.arrival.id,
-            hand_off: landing.number,
+        context.events.push(Event::AttemptEnded {
+            id: connection.incoming.id,
+            attempt: landing.number,
             host: context.hosts.record(landing.host).id,
-            over: true,
+            request_over: true,
             ending,
-            gauges: Vec::new(),
+            load_metrics: Vec::new(),
         });
         Some(landing)
     }
 
     /// The module wants the client to come again.
-    pub fn move_on(&mut self, context: &mut Context, id: AttachmentId) {
+    pub fn move_on(&mut self, context: &mut Context, id: RequestId) {
         let Some(slot) = self.find(id) else { return };
         let connection = &mut self.slab[slot];
         if connection.stage == Stage::Open && connection.moving.is_none() {
             connection.moving = Some(context.now + LONGEST_MOVE);
-            connection.ending = Ending::CalledOff;
+            connection.ending = AttemptOutcome::Cancelled;
             self.move_now(context, slot);
         }
     }
@@ -186,7 +186,7 @@
             .client_ended
             .is_some_and(|t| now >= t + LAST_WORDS)
         {
-            self.over(context, slot, Ending::CalledOff);
+            self.over(context, slot, AttemptOutcome::Cancelled);
             return self.remove(context, slot, Close::ClientEnded);
         }
         if let Some(&then) = connection.asked.front() {
@@ -197,9 +197,9 @@
                 // Guards: a host that answers all others, masked and cut for one connection.
                 let alone = context.hosts.answers_since(landing.host, then);
                 connection.ending = if alone {
-                    Ending::CalledOff
+                    AttemptOutcome::Cancelled
                 } else {
-                    Ending::Broken
+                    AttemptOutcome::ConnectionLost
                 };
             }
         }
@@ -225,7 +225,7 @@
             .is_some_and(|by| now >= (by + LINGER).min(empty))
         {
             // The host has stopped in the middle of a line, and the client takes no other there.
-            self.over(context, slot, Ending::Broken);
+            self.over(context, slot, AttemptOutcome::ConnectionLost);
             return self.remove(context, slot, Close::HostStalled);
         }
         self.move_now(context, slot);
--- a/node/src/connections/passing.rs
+++ b/node/src/connections/passing.rs
@@ -8,7 +8,7 @@
 use crate::connections::lines::Scanner;
 use crate::context::{Context, CLIENT, HOST};
 use crate::operators::counts::Close;
-use reedferry::{AttachmentId, Ending, Event, Nanos, Offering};
+use reedferry::{RequestId, AttemptOutcome, Event, Nanos, RequestClass};
 use reedferry_runtime::{Mark, Socket};
 use reedferry_settings::renewal;
 use serde::{Deserialize, Serialize};
@@ -51,7 +51,7 @@
     letter: Vec<u8>,
     name: Option<String>,
     /// What it goes by, and what that means.
-    offering: Option<(String, Offering)>,
+    class: Option<(String, RequestClass)>,
     key: Option<u64>,
     group: Option<u64>,
     usual_load: Option<f64>,
@@ -118,11 +118,11 @@
     }
 
     /// Lets go of one that is passable, and says what the next process must know of it.
-    pub fn release(&mut self, context: &mut Context, slot: usize) -> (HandedOver, AttachmentId) {
+    pub fn release(&mut self, context: &mut Context, slot: usize) -> (HandedOver, RequestId) {
         let connection = &mut self.slab[slot];
         let open = connection.stage == Stage::Open;
         connection.stage = Stage::Passing(open);
-        let arrival = connection.arrival;
+        let incoming = connection.incoming;
         let sides = connection
             .client
             .iter()
@@ -136,15 +136,15 @@
             down: Flowing::of(&connection.down),
             asked: connection.asked.iter().copied().collect(),
             moving: connection.moving,
-            broken: connection.ending == Ending::Broken,
+            broken: connection.ending == AttemptOutcome::ConnectionLost,
             client_ended: connection.client_ended,
             bye: landing.said.bye,
             moved: landing.said.moved,
         });
-        let offering = open.as_ref().and_then(|_| {
+        let class = open.as_ref().and_then(|_| {
             let (name, means) = (
-                context.terms.offerings.get(arrival.offering),
-                context.offerings.get(arrival.offering),
+                context.node_settings.classes.get(incoming.class),
+                context.classes.get(incoming.class),
             );
             Some((name?.clone(), means?.clone()))
         });
@@ -158,23 +158,23 @@
                 .as_ref()
                 .map_or(Vec::new(), |l| l.waiting().to_vec()),
             name: connection.name.as_deref().map(str::to_string),
-            offering,
-            key: arrival.key,
-            group: arrival.group,
-            usual_load: arrival.usual_load,
+            class,
+            key: incoming.key,
+            group: incoming.group,
+            usual_load: incoming.usual_load,
             open,
         };
         if let Some(landing) = &connection.landing {
-            context.events.push(Event::Ended {
-                id: arrival.id,
-                hand_off: landing.number,
+            context.events.push(Event::AttemptEnded {
+                id: incoming.id,
+                attempt: landing.number,
                 host: context.hosts.record(landing.host).id,
-                over: true,
-                ending: Ending::PassedOn,
-                gauges: Vec::new(),
+                request_over: true,
+                ending: AttemptOutcome::HandedOver,
+                load_metrics: Vec::new(),
             });
         }
-        (handed_over, arrival.id)
+        (handed_over, incoming.id)
     }
 
     /// The descriptors that go with it: its client's, and its host's.
@@ -187,13 +187,13 @@
         sides.map(|side| side.socket.as_fd()).collect()
     }
 
-    fn passing(&self, id: AttachmentId) -> Option<usize> {
+    fn passing(&self, id: RequestId) -> Option<usize> {
         self.find(id)
             .filter(|&slot| matches!(self.slab[slot].stage, Stage::Passing(_)))
     }
 
     /// The next process has it.
-    pub fn passed(&mut self, context: &mut Context, id: AttachmentId) {
+    pub fn passed(&mut self, context: &mut Context, id: RequestId) {
         if let Some(slot) = self.passing(id) {
             self.remove(context, slot, Close::PassedOn);
         }
@@ -201,7 +201,7 @@
 
     /// This process goes on with one that was being passed: the next one never had it, or it has come from the one before,
     /// which was told so.
-    pub fn keep(&mut self, context: &mut Context, id: AttachmentId) {
+    pub fn keep(&mut self, context: &mut Context, id: RequestId) {
         let Some(slot) = self.passing(id) else { return };
         let connection = &mut self.slab[slot];
         connection.stage = if connection.stage == Stage::Passing(true) {
@@ -228,12 +228,12 @@
         }
         if let Some(landing) = &connection.landing {
             let host = context.hosts.record(landing.host).id;
-            let (arrival, load) = (connection.arrival, landing.said.load);
+            let (incoming, load) = (connection.incoming, landing.said.load);
             context
                 .events
-                .push(Event::PassedOn(arrival, host, connection.since));
-            context.events.extend(load.map(|load| Event::LoadNow {
-                id: arrival.id,
+                .push(Event::ConnectionHandedOver(incoming, host, connection.since));
+            context.events.extend(load.map(|load| Event::LoadMeasured {
+                id: incoming.id,
                 load,
             }));
         } else if let Some(client) = &connection.client {
@@ -247,7 +247,7 @@
 
     /// The next process would not have it: this one goes on with it, and has it moved. Guards: one that is given and turned down
     /// again and again until the program is ended.
-    pub fn turned_down(&mut self, context: &mut Context, id: AttachmentId) {
+    pub fn turned_down(&mut self, context: &mut Context, id: RequestId) {
         self.keep(context, id);
         if let Some(slot) = self.find(id) {
             self.slab[slot].turned_down = true;
@@ -256,7 +256,7 @@
     }
 
     /// Lets one be that was adopted, with nothing said on it: the process before goes on with it after all.
-    pub fn abandon(&mut self, context: &mut Context, id: AttachmentId) {
+    pub fn abandon(&mut self, context: &mut Context, id: RequestId) {
         if let Some(slot) = self.passing(id) {
             self.remove(context, slot, Close::PassedOn);
         }
@@ -270,11 +270,11 @@
         context: &mut Context,
         handed_over: HandedOver,
         sockets: Vec<Socket>,
-    ) -> Option<AttachmentId> {
+    ) -> Option<RequestId> {
         let handed_over = handed_over.timed_by(context.clock.ahead());
         // Guards: one customer's connection that goes by another's terms, as its own are offered no more.
-        let goes_by = handed_over.offering.as_ref().and_then(|(name, means)| {
-            renewal::place((&context.offerings, &context.terms.offerings), name, means)
+        let goes_by = handed_over.class.as_ref().and_then(|(name, means)| {
+            renewal::place((&context.classes, &context.node_settings.classes), name, means)
         });
         if handed_over.open.is_some() && goes_by.is_none() {
             return None;
@@ -321,15 +321,15 @@
                 (connection.asked, connection.moving, connection.client_ended) =
                     (open.asked.into(), open.moving, open.client_ended);
                 connection.ending = if open.broken {
-                    Ending::Broken
+                    AttemptOutcome::ConnectionLost
                 } else {
-                    Ending::CalledOff
+                    AttemptOutcome::Cancelled
                 };
                 connection.stage = Stage::Passing(true);
-                connection.arrival.offering = goes_by.unwrap_or_default();
-                (connection.arrival.key, connection.arrival.group) =
+                connection.incoming.class = goes_by.unwrap_or_default();
+                (connection.incoming.key, connection.incoming.group) =
                     (handed_over.key, handed_over.group);
-                connection.arrival.usual_load = handed_over.usual_load;
+                connection.incoming.usual_load = handed_over.usual_load;
                 if let Some(name) = handed_over.name {
                     let name = std::rc::Rc::from(name);
                     self.listener.names.insert(std::rc::Rc::clone(&name));
@@ -345,7 +345,7 @@
                 }
             }
         }
-        let id = connection.arrival.id;
+        let id = connection.incoming.id;
         self.slab.insert(connection);
         Some(id)
     }
--- a/node/src/connections/passing_bytes_tests.rs
+++ b/node/src/connections/passing_bytes_tests.rs
@@ -1,7 +1,7 @@
 //! The exact bytes of a connection that goes on in another process.
 
 use super::*;
-use reedferry::{Circle, Effect};
+use reedferry::{IdempotencyGroup, Idempotency};
 
 fn hex(value: &impl Serialize) -> String {
     postcard::to_allocvec(value)
@@ -21,15 +21,15 @@
     }
 }
 
-fn offering() -> Offering {
-    Offering {
-        effect: Effect::Labelled,
-        circle: Circle::Cell,
-        window: 20,
-        payoff: 1.5,
-        contract_time: 30,
-        message_time: 40,
-        offered: true,
+fn class() -> RequestClass {
+    RequestClass {
+        idempotency: Idempotency::WithKey,
+        idempotency_group: IdempotencyGroup::Cell,
+        idempotency_window: 20,
+        priority_weight: 1.5,
+        latency_objective: 30,
+        message_latency_objective: 40,
+        active: true,
     }
 }
 
@@ -54,7 +54,7 @@
         pings: 8,
         letter: Vec::new(),
         name: Some("9b1f".into()),
-        offering: Some(("chat".into(), offering())),
+        class: Some(("chat".into(), class())),
         key: Some(9),
         group: Some(10),
         usual_load: Some(0.0125),
@@ -72,7 +72,7 @@
         pings: 0,
         letter: b"OPEN 9b".to_vec(),
         name: None,
-        offering: None,
+        class: None,
         key: None,
         group: None,
         usual_load: None,
--- a/node/src/connections/probe.rs
+++ b/node/src/connections/probe.rs
@@ -3,7 +3,7 @@
 
 use crate::connections::lines::{self, Scanner, Word};
 use crate::context::{Context, PROBE};
-use reedferry::{Ending, Event, HostId, Nanos};
+use reedferry::{AttemptOutcome, Event, HostId, Nanos};
 use reedferry_runtime::{Buffer, Errno, Mark, Readiness, Socket};
 use slab::Slab;
 
@@ -31,11 +31,11 @@
             _ => None,
         };
         let Some((socket, _)) = opened else {
-            return Self::tell(context, host, Ending::Unconnected, Vec::new());
+            return Self::tell(context, host, AttemptOutcome::ConnectFailed, Vec::new());
         };
         let entry = self.slab.vacant_entry();
         let Ok(mark) = context.watch(&socket, PROBE, entry.key()) else {
-            return Self::tell(context, host, Ending::Unconnected, Vec::new());
+            return Self::tell(context, host, AttemptOutcome::ConnectFailed, Vec::new());
         };
         entry.insert(Probe {
             host,
@@ -44,21 +44,21 @@
             asked: false,
             heard: None,
         });
-        let until: Nanos = context.now + 2 * context.terms.connect_within;
+        let until: Nanos = context.now + 2 * context.node_settings.connect_within;
         context.poller.remind(until, mark, 0);
     }
 
-    fn tell(context: &mut Context, host: HostId, ending: Ending, gauges: Vec<f64>) {
-        context.events.push(Event::Probed {
+    fn tell(context: &mut Context, host: HostId, ending: AttemptOutcome, load_metrics: Vec<f64>) {
+        context.events.push(Event::ProbeEnded {
             host,
             ending,
-            gauges,
+            load_metrics,
         });
     }
 
-    fn end(&mut self, context: &mut Context, slot: usize, ending: Ending, gauges: Vec<f64>) {
+    fn end(&mut self, context: &mut Context, slot: usize, ending: AttemptOutcome, load_metrics: Vec<f64>) {
         let probe = self.slab.remove(slot);
-        Self::tell(context, probe.host, ending, gauges);
+        Self::tell(context, probe.host, ending, load_metrics);
     }
 
     /// A probe has had its time. Guards: a host taken for silent, and full, as its answer lies unread in a process that stood
@@ -70,9 +70,9 @@
         }
         if let Some(probe) = self.out(mark) {
             let ending = if probe.asked {
-                Ending::TimedOut
+                AttemptOutcome::TimedOut
             } else {
-                Ending::Unconnected
+                AttemptOutcome::ConnectFailed
             };
             self.end(context, slot, ending, Vec::new());
         }
@@ -95,13 +95,13 @@
             return;
         };
         if ready.write && !probe.asked {
-            let line: &[u8] = if context.terms.gauges.is_empty() {
+            let line: &[u8] = if context.node_settings.load_metrics.is_empty() {
                 b"PING\r\n"
             } else {
                 b"STATS\r\n"
             };
             if probe.socket.connected().is_err() || probe.socket.send(line) != Ok(line.len()) {
-                return self.end(context, slot, Ending::Unconnected, Vec::new());
+                return self.end(context, slot, AttemptOutcome::ConnectFailed, Vec::new());
             }
             probe.asked = true;
         }
@@ -114,17 +114,17 @@
     fn read(&mut self, context: &mut Context, slot: usize) {
         let probe = &mut self.slab[slot];
         let Some(mut heard) = probe.heard.take().or_else(|| context.pool.take()) else {
-            return self.end(context, slot, Ending::NeverSent, Vec::new());
+            return self.end(context, slot, AttemptOutcome::NeverSent, Vec::new());
         };
         loop {
             if heard.spare().is_empty() {
-                return self.end(context, slot, Ending::Error, Vec::new());
+                return self.end(context, slot, AttemptOutcome::Error, Vec::new());
             }
             match probe.socket.receive(heard.spare()) {
-                Ok(0) => return self.end(context, slot, Ending::Broken, Vec::new()),
+                Ok(0) => return self.end(context, slot, AttemptOutcome::ConnectionLost, Vec::new()),
                 Ok(count) => heard.filled(count),
                 Err(Errno::AGAIN) => break,
-                Err(_) => return self.end(context, slot, Ending::Broken, Vec::new()),
+                Err(_) => return self.end(context, slot, AttemptOutcome::ConnectionLost, Vec::new()),
             }
         }
         match lines::first(heard.waiting()) {
@@ -135,14 +135,14 @@
                     .ok()
                     .and_then(|(_, said)| said);
                 let ending = if said == Some(Word::Pong) {
-                    Ending::Done
+                    AttemptOutcome::Completed
                 } else {
-                    Ending::Error
+                    AttemptOutcome::Error
                 };
-                let gauges = lines::report(line, &context.terms.gauges);
-                self.end(context, slot, ending, gauges);
+                let load_metrics = lines::report(line, &context.node_settings.load_metrics);
+                self.end(context, slot, ending, load_metrics);
             }
-            Err(_) => self.end(context, slot, Ending::Error, Vec::new()),
+            Err(_) => self.end(context, slot, AttemptOutcome::Error, Vec::new()),
         }
     }
 }
--- a/node/src/context.rs
+++ b/node/src/context.rs
@@ -1,18 +1,18 @@
 //! What the parts of the node share while they work: the clock's one reading for this turn, the poller,
 //! the budgets, the hosts, and the events gathered for who decides. It must never act by itself.
 
-use crate::listing::hosts::{Hosts, Source};
-use crate::listing::list::Reader;
+use crate::discovery::hosts::{Hosts, Source};
+use crate::discovery::list::Reader;
 use crate::operators::counts::Count;
-use crate::operators::papers::Papers;
+use crate::operators::node_config::NodeConfig;
 use crate::operators::tally::Tally;
 use crate::turn::Turn;
 use crate::AtStart;
-use reedferry::{Event, Nanos, Offering, MILLI, SECOND};
+use reedferry::{Event, Nanos, RequestClass, MILLI, SECOND};
 use reedferry_runtime::errors::patiently;
 use reedferry_runtime::log::{Backlog, LineLimit};
 use reedferry_runtime::{log, pool, Budget, Clock, Errno, Mark, Poller, Pool, Socket};
-use reedferry_settings::Terms;
+use reedferry_settings::NodeSettings;
 use slog::{info, warn, Logger};
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -91,9 +91,9 @@
     pub budget: Budget,
     pub pool: Pool,
     pub hosts: Hosts,
-    pub terms: Terms,
+    pub node_settings: NodeSettings,
     /// What the names of the offerings mean, in their order.
-    pub offerings: Vec<Offering>,
+    pub classes: Vec<RequestClass>,
     pub events: Vec<Event>,
     pub log: Logger,
     pub stamps: u32,
@@ -117,18 +117,18 @@
 impl Context {
     /// What every role starts with, and the log that its loop drains.
     pub fn open(
-        papers: &Papers,
+        node_config: &NodeConfig,
         clock: &Clock,
         start: &AtStart,
     ) -> Result<(Context, Backlog), String> {
-        let (log, backlog) = log::logger(&papers.name);
+        let (log, backlog) = log::logger(&node_config.name);
         let wrong = |e| format!("cannot poll: {e}");
         let poller = patiently(START_WITHIN, Poller::new).map_err(wrong)?;
         patiently(START_WITHIN, || poller.watch(&start.stop, mark(STOP))).map_err(wrong)?;
         patiently(START_WITHIN, || poller.watch(&start.reread, mark(REREAD))).map_err(wrong)?;
         let now = clock.read();
         let mut tally = Tally::default();
-        tally.offers(&papers.terms.offerings);
+        tally.offers(&node_config.node_settings.classes);
         let context = Context {
             now,
             clock: clock.clone(),
@@ -136,15 +136,15 @@
             caught_up: now,
             turn: Turn::default(),
             poller,
-            budget: Budget::new(papers.sockets),
+            budget: Budget::new(node_config.sockets),
             // A quarter of the memory; the rest is the program's own and a reserve.
-            pool: Pool::new((papers.memory / 4 / pool::SIZE).max(64)),
+            pool: Pool::new((node_config.memory / 4 / pool::SIZE).max(64)),
             hosts: Hosts::new(
-                papers.terms.zones.clone(),
-                papers.charter.shortest_message_time(),
+                node_config.node_settings.zones.clone(),
+                node_config.balancer_settings.shortest_message_latency_objective(),
             ),
-            terms: papers.terms.clone(),
-            offerings: papers.charter.offerings.clone(),
+            node_settings: node_config.node_settings.clone(),
+            classes: node_config.balancer_settings.classes.clone(),
             events: Vec::new(),
             log,
             stamps: 0,
@@ -196,12 +196,12 @@
     }
 
     /// Takes in the roll as last known, and gives its revision.
-    pub fn known(&mut self, papers: &Papers) -> Result<Option<u64>, String> {
-        if papers.known.is_empty() {
+    pub fn known(&mut self, node_config: &NodeConfig) -> Result<Option<u64>, String> {
+        if node_config.known.is_empty() {
             return Ok(None);
         }
         let mut reader = Reader::default();
-        let known = reader.feed(&papers.known).and_then(|()| reader.finish());
+        let known = reader.feed(&node_config.known).and_then(|()| reader.finish());
         let known = known.map_err(|e| format!("known: {e}"))?;
         let revision = known.revision;
         let event = self.hosts.told(self.now, known, Source::Kept, &self.log);
@@ -226,17 +226,17 @@
 
     /// The program is asked to stop: what whoever decides is told.
     pub fn leave(&mut self, beyond: Nanos, connections: usize) -> Event {
-        let (now, expiry) = (self.now, self.terms.longest_expiry.min(LONGEST_GRACE));
-        self.leaving = Some(now + expiry + beyond);
+        let (now, deadline) = (self.now, self.node_settings.max_request_timeout.min(LONGEST_GRACE));
+        self.leaving = Some(now + deadline + beyond);
         // Guards: clients still held when the program is ended from outside, at hosts that stopped within a line, or
         // whose turn to be moved came so late that its own wait went beyond that.
-        self.stopped_by = Some(now + (expiry + beyond).saturating_sub(LAST_ENDS));
+        self.stopped_by = Some(now + (deadline + beyond).saturating_sub(LAST_ENDS));
         warn!(self.log, "asked to stop"; "connections" => connections, "descriptors" => self.budget.taken());
         // Guards: clients sent away while the node that stopped before this one is not back yet, and who
         // find nobody; a client is served here as well as anywhere until it has to go.
-        let span = (expiry + beyond).saturating_sub(LAST_MOVES);
+        let span = (deadline + beyond).saturating_sub(LAST_MOVES);
         let from = now + STILL_COME.max(span / 3);
-        Event::Leaving {
+        Event::ShutdownStarted {
             from,
             by: from.max(now + span),
         }
@@ -248,7 +248,7 @@
         let by = self.now + EMPTY_WITHIN - LAST_MOVES;
         self.standby = Some(by);
         warn!(self.log, "standing by"; "connections" => connections);
-        Event::Leaving {
+        Event::ShutdownStarted {
             from: self.now + STILL_COME,
             by: by - LONGEST_MOVE,
         }
@@ -258,7 +258,7 @@
     pub fn back_to_work(&mut self) -> Event {
         self.standby = None;
         info!(self.log, "back to work");
-        Event::Staying
+        Event::ShutdownCancelled
     }
 
     /// By when nobody is held any more, whatever the reason.
--- a/node/src/listing/discovery.rs
+++ b/node/src/discovery/client.rs
@@ -4,14 +4,14 @@
 //! call that fails ends alone.
 
 use crate::context::{Context, DISCOVERY};
-use crate::listing::hearing::{Failure, Hearing};
-use crate::listing::hosts::Source;
-use crate::listing::http::Answer;
-use crate::listing::list::{List, Reader};
-use crate::listing::starts::Learned;
-use crate::listing::versions::{Versions, Worth};
+use crate::discovery::staleness::{Failure, Hearing};
+use crate::discovery::hosts::Source;
+use crate::discovery::http::Answer;
+use crate::discovery::list::{List, Reader};
+use crate::discovery::starts::Learned;
+use crate::discovery::versions::{Versions, Worth};
 use reedferry::permission::usable_grace;
-use reedferry::{Charter, Event, Nanos, RollKind, MILLI, SECOND};
+use reedferry::{BalancerSettings, Event, Nanos, EndpointUpdate, MILLI, SECOND};
 use reedferry_runtime::errors::{on_connect, on_connection, NoConnection, Trouble};
 use reedferry_runtime::{Errno, Mark, Readiness, Socket};
 use slog::{info, warn};
@@ -67,7 +67,7 @@
     pub fn new(
         address: SocketAddr,
         revision: Option<u64>,
-        charter: &Charter,
+        balancer_settings: &BalancerSettings,
         grace: Nanos,
         now: Nanos,
     ) -> Self {
@@ -77,8 +77,8 @@
             calls: Default::default(),
             following: false,
             heard_at: None,
-            hearing: Hearing::new(charter, usable_grace(grace), now),
-            next: Some(0).filter(|_| !charter.roll_on_request),
+            hearing: Hearing::new(balancer_settings, usable_grace(grace), now),
+            next: Some(0).filter(|_| !balancer_settings.endpoints_are_polled),
             shut: false,
         }
     }
@@ -99,8 +99,8 @@
     }
 
     /// Goes by other settings from the next call on.
-    pub fn retune(&mut self, charter: &Charter, grace: Nanos) {
-        self.hearing.retune(charter, usable_grace(grace));
+    pub fn retune(&mut self, balancer_settings: &BalancerSettings, grace: Nanos) {
+        self.hearing.retune(balancer_settings, usable_grace(grace));
         if self.hearing.unasked() && !self.calls[WATCH].out {
             self.next.get_or_insert(0);
         }
@@ -372,9 +372,9 @@
             // Guards: a host that drains and counts as ready again, by changes from before.
             Worth::Backwards => return false,
             Worth::Stale => {
-                context.events.push(Event::Roll {
-                    kind: RollKind::Changes,
-                    hosts: Vec::new(),
+                context.events.push(Event::EndpointsUpdated {
+                    kind: EndpointUpdate::Delta,
+                    endpoints: Vec::new(),
                 });
                 return true;
             }
@@ -449,9 +449,9 @@
         }
         // Nobody else says when the watch is taken up again.
         if which == ASK {
-            context.events.push(Event::Roll {
-                kind: RollKind::Failed,
-                hosts: Vec::new(),
+            context.events.push(Event::EndpointsUpdated {
+                kind: EndpointUpdate::Failed,
+                endpoints: Vec::new(),
             });
         }
     }
--- a/node/src/listing/hosts.rs
+++ b/node/src/discovery/hosts.rs
@@ -3,10 +3,10 @@
 //! it tells the module what it measured, and no more often than that asks for.
 
 use crate::connections::lines;
-use crate::listing::list::{List, Member};
-use crate::listing::starts::{self, Learned};
+use crate::discovery::list::{List, Member};
+use crate::discovery::starts::{self, Learned};
 use crate::stalls::Stalls;
-use reedferry::{Event, HostId, Listing, Nanos, RollKind, Standing, MILLI, SECOND};
+use reedferry::{Event, HostId, Endpoint, Nanos, EndpointUpdate, HostState, MILLI, SECOND};
 use reedferry_control_plane::HostLine;
 use slog::{info, Logger};
 use std::collections::{HashMap, HashSet};
@@ -208,17 +208,17 @@
 const MOST_TIMES: usize = 64;
 
 impl Hosts {
-    pub fn new(zones: Vec<String>, shortest_message_time: Nanos) -> Self {
+    pub fn new(zones: Vec<String>, shortest_message_latency_objective: Nanos) -> Self {
         Hosts {
             zones,
-            long: shortest_message_time / 3,
+            long: shortest_message_latency_objective / 3,
             ..Hosts::default()
         }
     }
 
     /// Goes by other names of zones, and another time from which the module is told.
-    pub fn renew(&mut self, zones: Vec<String>, shortest_message_time: Nanos) {
-        (self.zones, self.long) = (zones, shortest_message_time / 3);
+    pub fn renew(&mut self, zones: Vec<String>, shortest_message_latency_objective: Nanos) {
+        (self.zones, self.long) = (zones, shortest_message_latency_objective / 3);
     }
 
     pub fn count(&self) -> usize {
@@ -247,13 +247,13 @@
         for member in list
             .members
             .iter_mut()
-            .filter(|m| m.standing == Standing::Ready)
+            .filter(|m| m.standing == HostState::Ready)
         {
             let host = self.index(HostId(lines::hash(&member.name)));
             let said = host.and_then(|host| self.all[host].said.as_ref());
-            if said.is_some_and(|s| s.standing == Standing::Draining && s.started == member.started)
+            if said.is_some_and(|s| s.standing == HostState::Draining && s.started == member.started)
             {
-                member.standing = Standing::Draining;
+                member.standing = HostState::Draining;
                 kept += 1;
             }
         }
@@ -263,9 +263,9 @@
     /// Takes a list in, and gives what the module is to be told.
     pub fn told(&mut self, now: Nanos, list: List, source: Source, log: &Logger) -> Event {
         let kind = match (source, list.complete) {
-            (Source::Kept, _) => RollKind::Cached,
-            (_, true) => RollKind::Full,
-            _ => RollKind::Changes,
+            (Source::Kept, _) => EndpointUpdate::Cached,
+            (_, true) => EndpointUpdate::Full,
+            _ => EndpointUpdate::Delta,
         };
         if list.complete {
             let named: HashSet<HostId> = list
@@ -288,7 +288,7 @@
         if progress.named > MOST_NAMED {
             info!(log, "more hosts listed"; "count" => progress.named - MOST_NAMED);
         }
-        Event::Roll { kind, hosts }
+        Event::EndpointsUpdated { kind, endpoints: hosts }
     }
 
     /// Takes in what a planner says of one host. One that goes by another name than its own is none.
@@ -349,7 +349,7 @@
     /// What it said last of those that are gone, and known still.
     pub fn former(&self) -> Vec<Member> {
         let former = |was: &Member| Member {
-            standing: Standing::Gone,
+            standing: HostState::Gone,
             ..was.clone()
         };
         self.all
@@ -391,7 +391,7 @@
         member: Member,
         progress: &mut Progress,
         log: &Logger,
-    ) -> Listing {
+    ) -> Endpoint {
         let id = HostId(lines::hash(&member.name));
         let host = self.index(id).unwrap_or_else(|| {
             // The record of a host long gone serves again: a node runs for months.
@@ -416,13 +416,13 @@
         record.address = address;
         let before = record.said.take().or(record.was.take());
         let in_group = |was: &Member| was.zone == member.zone && was.cell == member.cell;
-        if member.standing != Standing::Gone && before.as_ref().is_some_and(|was| !in_group(was)) {
+        if member.standing != HostState::Gone && before.as_ref().is_some_and(|was| !in_group(was)) {
             record.regrouped = Some(now);
         }
         // Guards: a repeat matched against the circle of a host that is gone, of which no more than that was said.
         let member = match (member.standing, before) {
-            (Standing::Gone, Some(was)) => Member {
-                standing: Standing::Gone,
+            (HostState::Gone, Some(was)) => Member {
+                standing: HostState::Gone,
                 ..was
             },
             (_, Some(was)) if was.started == member.started => Member {
@@ -439,19 +439,19 @@
             ..member
         };
         match member.standing {
-            Standing::Gone => record.was = Some(member.clone()),
+            HostState::Gone => record.was = Some(member.clone()),
             _ => record.said = Some(member.clone()),
         }
         match member.standing {
-            Standing::Ready => record.left_since = None,
+            HostState::Ready => record.left_since = None,
             _ => _ = record.left_since.get_or_insert(source.counts_from(now)),
         }
         let zone = self.zone(&member.zone);
-        Listing {
+        Endpoint {
             id,
             zone,
             cell: member.cell,
-            standing: member.standing,
+            state: member.standing,
             size: member.size,
             started,
         }
@@ -490,9 +490,9 @@
     pub fn look(&mut self, now: Nanos, events: &mut Vec<Event>) {
         for record in &mut self.all {
             if let Some(time) = record.look(now, self.long) {
-                events.push(Event::MessageTime {
+                events.push(Event::MessageLatency {
                     host: record.id,
-                    time,
+                    latency: time,
                 });
             }
             (record.oldest, record.waiting) = (None, 0);
--- a/node/src/listing/hosts_tests.rs
+++ b/node/src/discovery/hosts_tests.rs
@@ -7,7 +7,7 @@
 fn one() -> Hosts {
     let mut hosts = Hosts::new(Vec::new(), 48 * MILLI);
     let text = br#"{"revision":1,"complete":true,"members":[{"id":"a","phase":"active"}]}"#;
-    let mut reader = crate::listing::list::Reader::default();
+    let mut reader = crate::discovery::list::Reader::default();
     reader.feed(text).unwrap();
     hosts.told(
         T,
@@ -23,7 +23,7 @@
     let mut events = Vec::new();
     hosts.look(now, &mut events);
     events.first().map(|e| match e {
-        Event::MessageTime { time, .. } => *time / MILLI,
+        Event::MessageLatency { latency: time, .. } => *time / MILLI,
         other => panic!("{other:?}"),
     })
 }
@@ -99,8 +99,8 @@
 }
 
 /// What a list in these words says, taken in.
-fn told(hosts: &mut Hosts, text: &str) -> Vec<Listing> {
-    let mut reader = crate::listing::list::Reader::default();
+fn told(hosts: &mut Hosts, text: &str) -> Vec<Endpoint> {
+    let mut reader = crate::discovery::list::Reader::default();
     reader.feed(text.as_bytes()).unwrap();
     match hosts.told(
         T,
@@ -111,7 +111,7 @@
         },
         &Logger::root(slog::Discard, slog::o!()),
     ) {
-        Event::Roll { hosts, .. } => hosts,
+        Event::EndpointsUpdated { endpoints: hosts, .. } => hosts,
         other => panic!("{other:?}"),
     }
 }
@@ -164,8 +164,8 @@
     let left = r#"{"revision":2,"complete":false,"members":[{"id":"s-0","phase":"left"}]}"#;
     let listing = told(&mut hosts, left)[0];
     assert_eq!(
-        (listing.standing, listing.zone, listing.cell, listing.size),
-        (Standing::Gone, 1, 3, 2.0)
+        (listing.state, listing.zone, listing.cell, listing.size),
+        (HostState::Gone, 1, 3, 2.0)
     );
     // Another is missing from a whole list.
     told(&mut hosts, r#"{"revision":3,"complete":true,"members":[]}"#);
@@ -182,8 +182,8 @@
         Source::Kept,
         &Logger::root(slog::Discard, slog::o!()),
     );
-    let Event::Roll {
-        hosts: listings, ..
+    let Event::EndpointsUpdated {
+        endpoints: listings, ..
     } = event
     else {
         panic!("{event:?}")
@@ -195,5 +195,5 @@
             .collect::<Vec<_>>(),
         [(0, 3), (0, 4)]
     );
-    assert!(listings.iter().all(|l| l.standing == Standing::Gone));
+    assert!(listings.iter().all(|l| l.state == HostState::Gone));
 }
--- a/node/src/listing/list.rs
+++ b/node/src/discovery/list.rs
@@ -2,7 +2,7 @@
 //! one list. It must never take more than it has bounds for, nor believe a list before its last byte.
 
 use crate::connections::lines::hash;
-use reedferry::{Nanos, Standing, MILLI};
+use reedferry::{Nanos, HostState, MILLI};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -18,7 +18,7 @@
     pub zone: String,
     /// By its number, or by a hash of what it is called; a host of which none is told is in one of its own.
     pub cell: u64,
-    pub standing: Standing,
+    pub standing: HostState,
     pub size: f64,
     /// Unix time, as the host's machine has it.
     pub started: Option<Nanos>,
@@ -84,7 +84,7 @@
         address: None,
         zone: String::new(),
         cell: 0,
-        standing: Standing::Gone,
+        standing: HostState::Gone,
         size: 1.0,
         started: None,
         believed: None,
@@ -343,9 +343,9 @@
             ("cell", Value::Text(text)) => self.cell = Some(hash(text)),
             ("phase", Value::Text(text)) => {
                 member.standing = match text {
-                    "active" => Standing::Ready,
-                    "leaving" => Standing::Draining,
-                    "left" => Standing::Gone,
+                    "active" => HostState::Ready,
+                    "leaving" => HostState::Draining,
+                    "left" => HostState::Gone,
                     _ => return Err("an unknown phase"),
                 }
             }
@@ -397,7 +397,7 @@
             assert_eq!(first.address, Some("10.1.0.18:5000".parse().unwrap()));
             assert_eq!(
                 (list.members[1].standing, list.members[1].started),
-                (Standing::Draining, None)
+                (HostState::Draining, None)
             );
         }
     }
--- a/node/src/listing/mod.rs
+++ b/node/src/discovery/mod.rs
@@ -1,8 +1,8 @@
 //! The list of hosts: calls to discovery, what is believed of their answers, and the hosts as the node reaches them.
 //! It must never judge a host.
 
-pub mod discovery;
-pub mod hearing;
+pub mod client;
+pub mod staleness;
 pub mod hosts;
 pub mod http;
 pub mod list;
--- a/node/src/listing/hearing.rs
+++ b/node/src/discovery/staleness.rs
@@ -15,7 +15,7 @@
 //!
 //! Of two that hold the earlier counts: the 6 s after a call that failed go before what a wait would leave.
 
-use reedferry::{Charter, Nanos, MILLI, SECOND};
+use reedferry::{BalancerSettings, Nanos, MILLI, SECOND};
 use std::ops::Range;
 
 /// The longest that a watch may wait for news, as each call costs the service work.
@@ -67,7 +67,7 @@
     /// the service has to be able to take a call of each, by the settings.
     place: f64,
     spread: Nanos,
-    ask_within: Nanos,
+    max_poll_interval: Nanos,
     grace: Nanos,
     /// The least that lies between two tries of one node, so that those of all stay about a hundred a second.
     pause: Nanos,
@@ -98,14 +98,14 @@
 }
 
 impl Hearing {
-    pub fn new(charter: &Charter, grace: Nanos, now: Nanos) -> Self {
+    pub fn new(balancer_settings: &BalancerSettings, grace: Nanos, now: Nanos) -> Self {
         let (lease, held, reached, failures, idle) = (None, None, false, 0, 0);
         let (sure, awake, since, gone) = (now, now, now, now);
-        let (place, spread, ask_within, pause, unasked) = (0.0, 0, 0, 0, false);
+        let (place, spread, max_poll_interval, pause, unasked) = (0.0, 0, 0, 0, false);
         let mut hearing = Hearing {
             place,
             spread,
-            ask_within,
+            max_poll_interval,
             grace,
             pause,
             unasked,
@@ -122,17 +122,17 @@
             idle,
             latency: 0,
         };
-        hearing.retune(charter, grace);
+        hearing.retune(balancer_settings, grace);
         hearing
     }
 
     /// Goes by other settings from here on; what the node is held to stays.
-    pub fn retune(&mut self, charter: &Charter, grace: Nanos) {
-        let place = (f64::from(charter.node) + 0.5) / f64::from(charter.nodes.max(1));
-        (self.place, self.spread) = (place.min(1.0), charter.ask_within.min(HOLD / 2));
-        (self.ask_within, self.grace, self.unasked) =
-            (charter.ask_within, grace, !charter.roll_on_request);
-        let pause = (EACH * u64::from(charter.nodes)).min(charter.ask_within / 8);
+    pub fn retune(&mut self, balancer_settings: &BalancerSettings, grace: Nanos) {
+        let place = (f64::from(balancer_settings.node_index) + 0.5) / f64::from(balancer_settings.node_count.max(1));
+        (self.place, self.spread) = (place.min(1.0), balancer_settings.max_poll_interval.min(HOLD / 2));
+        (self.max_poll_interval, self.grace, self.unasked) =
+            (balancer_settings.max_poll_interval, grace, !balancer_settings.endpoints_are_polled);
+        let pause = (EACH * u64::from(balancer_settings.node_count)).min(balancer_settings.max_poll_interval / 8);
         self.pause = pause.clamp(AGAIN, TOLD / 5);
     }
 
@@ -245,7 +245,7 @@
             .held
             .or(self.lease)
             .map_or(Nanos::MAX, |told| told.saturating_add(self.grace));
-        from..from.saturating_add(self.ask_within)
+        from..from.saturating_add(self.max_poll_interval)
     }
 
     /// From when on the node is held to what it may have missed by a call that fails now. Guards: a change that counts as
@@ -295,14 +295,14 @@
             Failure::Silent | Failure::Unread if first => now,
             // Guards: a service that starts anew and is called by all at once, up to three times by each: what changed,
             // the whole list, the next watch.
-            _ if first => now + (self.place * TURNS.min(self.ask_within / 2) as f64) as Nanos,
+            _ if first => now + (self.place * TURNS.min(self.max_poll_interval / 2) as f64) as Nanos,
             // Ever shorter ones while there is time, then even ones.
             Failure::Unread if now < deaf.start => {
                 step(((deaf.start - now) / 4).max(self.grace / 8))
             }
             _ if now < deaf.start => step(((deaf.start - now) / 4).max(self.pause)),
             _ if now < deaf.end => step(LONGEST_AGAIN.max(self.pause)),
-            _ => step(DOWN_AGAIN.min(self.ask_within / 4).max(self.pause)),
+            _ => step(DOWN_AGAIN.min(self.max_poll_interval / 4).max(self.pause)),
         };
         // Where lists are pushed, what the service has counts whether or not it is watched. Guards: a node that
         // notices seconds late that the service is back.
@@ -318,5 +318,5 @@
 }
 
 #[cfg(test)]
-#[path = "hearing_tests.rs"]
+#[path = "staleness_tests.rs"]
 mod tests;
--- a/node/src/listing/hearing_tests.rs
+++ b/node/src/discovery/staleness_tests.rs
@@ -11,11 +11,11 @@
 
 fn one(node: u32, nodes: u32, pushed: bool) -> Hearing {
     Hearing::new(
-        &Charter {
-            node,
-            nodes,
-            roll_on_request: !pushed,
-            ..Charter::default()
+        &BalancerSettings {
+            node_index: node,
+            node_count: nodes,
+            endpoints_are_polled: !pushed,
+            ..BalancerSettings::default()
         },
         GRACE,
         0,
@@ -167,14 +167,14 @@
     for (nodes, most) in [(6, 6), (16, 10), (40, 24), (350, 180)] {
         let mut calls = Vec::new();
         for node in 0..nodes {
-            let charter = Charter {
-                node,
-                nodes,
-                roll_on_request: true,
-                ask_within: 4 * SECOND,
-                ..Charter::default()
+            let balancer_settings = BalancerSettings {
+                node_index: node,
+                node_count: nodes,
+                endpoints_are_polled: true,
+                max_poll_interval: 4 * SECOND,
+                ..BalancerSettings::default()
             };
-            let mut hearing = Hearing::new(&charter, 300 * MILLI, 0);
+            let mut hearing = Hearing::new(&balancer_settings, 300 * MILLI, 0);
             hearing.heard(SECOND);
             hearing.out(SECOND, hearing.hold());
             hearing.runs(2 * SECOND);
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -4,7 +4,7 @@
 
 mod connections;
 mod context;
-mod listing;
+mod discovery;
 mod operators;
 mod peers;
 mod ready;
@@ -80,10 +80,10 @@
         Some(Command::Forward(file)) => roles::forward::run(&file.config, start),
         Some(Command::Plan(file)) => roles::plan::run(&file.config, start),
         Some(Command::Check { file }) => {
-            let articles = operators::articles::Articles::read(&file)?;
-            let (role, papers) = (articles.role.word(), articles.papers_at.display());
+            let operator_config = operators::operator_config::OperatorConfig::read(&file)?;
+            let (role, node_config) = (operator_config.role.word(), operator_config.node_config_path.display());
             println!(
-                "{}: in order, for `reedferry {role}`, with the papers {papers}",
+                "{}: in order, for `reedferry {role}`, with the papers {node_config}",
                 file.display()
             );
             Ok(())
--- a/node/src/operators/counts.rs
+++ b/node/src/operators/counts.rs
@@ -3,7 +3,7 @@
 //! and log lines. It must never count what its caller has not seen happen.
 
 use reedferry::permission::Refusal;
-use reedferry::Ending;
+use reedferry::AttemptOutcome;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -98,7 +98,7 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Count {
     NotBegun(Refusal),
-    AttemptEnded(Ending),
+    AttemptEnded(AttemptOutcome),
     Closed(Close),
     Violated(Violation),
     /// A system call failed for a moment's trouble of this machine, and is made again.
@@ -160,7 +160,7 @@
         for _ in 0..2 {
             counts.add(Count::Violated(Violation::Unanswered));
         }
-        counts.add(Count::AttemptEnded(Ending::NeverSent));
+        counts.add(Count::AttemptEnded(AttemptOutcome::NeverSent));
         counts.add(Count::NotBegun(Refusal::ListNotHeard));
         let text = counts.text();
         for line in [
--- a/node/src/operators/counts_text_tests.rs
+++ b/node/src/operators/counts_text_tests.rs
@@ -15,16 +15,16 @@
         Refusal::ListNotHeard,
     ];
     let endings = [
-        Ending::Done,
-        Ending::Error,
-        Ending::Refused,
-        Ending::TimedOut,
-        Ending::Unconnected,
-        Ending::Broken,
-        Ending::CalledOff,
-        Ending::NeverSent,
-        Ending::Unroutable,
-        Ending::PassedOn,
+        AttemptOutcome::Completed,
+        AttemptOutcome::Error,
+        AttemptOutcome::Rejected,
+        AttemptOutcome::TimedOut,
+        AttemptOutcome::ConnectFailed,
+        AttemptOutcome::ConnectionLost,
+        AttemptOutcome::Cancelled,
+        AttemptOutcome::NeverSent,
+        AttemptOutcome::NoRoute,
+        AttemptOutcome::HandedOver,
     ];
     let closes = [
         Close::Answered,
--- a/node/src/operators/papers.rs
+++ b/node/src/operators/node_config.rs
@@ -3,30 +3,40 @@
 //! with it, and one that runs keeps what it has.
 
 use crate::operators::files::{self, NotRead};
-use reedferry::Charter;
-use reedferry_settings::Terms;
+use reedferry::BalancerSettings;
+use reedferry_settings::NodeSettings;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
 
 #[derive(Deserialize)]
 struct Sheet {
+    #[serde(rename = "name")]
     name: String,
+    #[serde(rename = "listen")]
     listen: String,
+    #[serde(rename = "discovery")]
     discovery: String,
     #[serde(default)]
+    #[serde(rename = "ops")]
     ops: Option<String>,
     #[serde(default)]
+    #[serde(rename = "seed")]
     seed: Seed,
+    #[serde(rename = "limits")]
     limits: Limits,
     #[serde(default)]
+    #[serde(rename = "known")]
     known: serde_json::Value,
+    #[serde(rename = "settings")]
     settings: serde_json::Value,
 }
 
 #[derive(Deserialize)]
 struct Limits {
+    #[serde(rename = "memory_mb")]
     memory_mb: f64,
+    #[serde(rename = "sockets")]
     sockets: usize,
 }
 
@@ -44,7 +54,7 @@
     }
 }
 
-pub struct Papers {
+pub struct NodeConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -55,34 +65,34 @@
     pub sockets: usize,
     /// The roll as last known, in discovery's own form.
     pub known: Vec<u8>,
-    pub charter: Charter,
-    pub terms: Terms,
+    pub balancer_settings: BalancerSettings,
+    pub node_settings: NodeSettings,
     /// All of it as it was written, but for the roll.
     whole: serde_json::Value,
 }
 
-impl Papers {
-    pub fn read() -> Result<Papers, NotRead> {
+impl NodeConfig {
+    pub fn read() -> Result<NodeConfig, NotRead> {
         let path = std::env::var("GW_CONFIG").map_err(|_| "GW_CONFIG is not set".to_string())?;
-        let mut papers = Papers::read_at(Path::new(&path))?;
-        if let (None, Ok(ops)) = (papers.ops, std::env::var("GW_OPS")) {
+        let mut node_config = NodeConfig::read_at(Path::new(&path))?;
+        if let (None, Ok(ops)) = (node_config.ops, std::env::var("GW_OPS")) {
             let wrong = |_| format!("GW_OPS {ops:?} is no address with a port");
-            papers.ops = Some(ops.parse().map_err(wrong)?);
+            node_config.ops = Some(ops.parse().map_err(wrong)?);
         }
-        Ok(papers)
+        Ok(node_config)
     }
 
-    pub fn read_at(path: &Path) -> Result<Papers, NotRead> {
+    pub fn read_at(path: &Path) -> Result<NodeConfig, NotRead> {
         let text = files::read(path)?;
-        Ok(Papers::decode(&text).map_err(|e| format!("{}: {e}", path.display()))?)
+        Ok(NodeConfig::decode(&text).map_err(|e| format!("{}: {e}", path.display()))?)
     }
 
     /// Of the lists whose places stand for names on the link.
     pub fn fingerprint(&self) -> u64 {
-        reedferry_control_plane::fingerprint(self.terms.names())
+        reedferry_control_plane::fingerprint(self.node_settings.names())
     }
 
-    pub fn decode(text: &[u8]) -> Result<Papers, String> {
+    pub fn decode(text: &[u8]) -> Result<NodeConfig, String> {
         let mut whole: serde_json::Value =
             serde_json::from_slice(text).map_err(|e| e.to_string())?;
         let sheet = Sheet::deserialize(&whole).map_err(|e| e.to_string())?;
@@ -97,8 +107,8 @@
         if !(1.0..1e9).contains(&sheet.limits.memory_mb) {
             return Err(format!("limits: memory_mb is {}", sheet.limits.memory_mb));
         }
-        let (charter, terms) = reedferry_settings::from_value(sheet.settings)?;
-        Ok(Papers {
+        let (balancer_settings, node_settings) = reedferry_settings::from_value(sheet.settings)?;
+        Ok(NodeConfig {
             listen: address("listen", &sheet.listen)?,
             discovery: address("discovery", &sheet.discovery)?,
             ops: sheet.ops.map(|ops| address("ops", &ops)).transpose()?,
@@ -113,14 +123,14 @@
                 serde_json::Value::Null => Vec::new(),
                 known => known.to_string().into_bytes(),
             },
-            charter,
-            terms,
+            balancer_settings,
+            node_settings,
             whole,
         })
     }
 
     /// The parts that those papers change and that a node which runs does not take up.
-    pub fn kept_from(&self, other: &Papers) -> Vec<&'static str> {
+    pub fn kept_from(&self, other: &NodeConfig) -> Vec<&'static str> {
         let differ = |name: &&str| self.whole[*name] != other.whole[*name];
         ["name", "listen", "ops", "limits"]
             .into_iter()
@@ -133,7 +143,7 @@
     ///
     /// # Errors
     /// One line that names the key.
-    pub fn whole_in(&self, other: &Papers) -> Result<(), String> {
+    pub fn whole_in(&self, other: &NodeConfig) -> Result<(), String> {
         match reedferry_settings::renewal::missing(&self.whole, &other.whole) {
             Some(key) => Err(format!("{key} is missing, which the papers in force have")),
             None => Ok(()),
--- a/node/src/operators/articles.rs
+++ b/node/src/operators/operator_config.rs
@@ -4,9 +4,9 @@
 //! would be right.
 
 use crate::operators::files;
-use crate::operators::papers::Papers;
-use crate::peers::fleet::FleetTerms;
-use crate::peers::wards::WardTerms;
+use crate::operators::node_config::NodeConfig;
+use crate::peers::fleet::FleetConfig;
+use crate::peers::wards::ReplicationConfig;
 use crate::peers::words::Correspondence;
 use reedferry::{Nanos, MILLI, SECOND};
 use reedferry_control_plane::PlannerAt;
@@ -24,72 +24,102 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Sheet {
-    papers: Spanned<PathBuf>,
+    #[serde(rename = "papers")]
+    node_config: Spanned<PathBuf>,
+    #[serde(rename = "node")]
     node: Option<Spanned<NodeSheet>>,
+    #[serde(rename = "forward")]
     forward: Option<Spanned<ForwardSheet>>,
+    #[serde(rename = "plan")]
     plan: Option<Spanned<PlanSheet>>,
     #[serde(default)]
+    #[serde(rename = "planner")]
     planner: Vec<Spanned<PlannerSheet>>,
     #[serde(default)]
+    #[serde(rename = "peer")]
     peer: Vec<Spanned<PeerSheet>>,
+    #[serde(rename = "fleet")]
     fleet: Option<Spanned<FleetSheet>>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct NodeSheet {
+    #[serde(rename = "messages")]
     messages: Option<Spanned<String>>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct PeerSheet {
+    #[serde(rename = "address")]
     address: Spanned<String>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct FleetSheet {
+    #[serde(rename = "address")]
     address: Spanned<String>,
+    #[serde(rename = "listen")]
     listen: Option<Spanned<String>>,
+    #[serde(rename = "name")]
     name: Option<String>,
+    #[serde(rename = "seeds")]
     seeds: Vec<Spanned<String>>,
+    #[serde(rename = "period")]
     period: Option<Spanned<String>>,
+    #[serde(rename = "most")]
     most: Option<Spanned<usize>>,
+    #[serde(rename = "wards")]
     wards: Option<WardSheet>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct WardSheet {
+    #[serde(rename = "life")]
     life: Option<Spanned<String>>,
+    #[serde(rename = "within")]
     within: Option<Spanned<String>>,
+    #[serde(rename = "most")]
     most: Option<Spanned<usize>>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ForwardSheet {
+    #[serde(rename = "lease")]
     lease: Option<Spanned<String>>,
+    #[serde(rename = "decide_within")]
     decide_within: Option<Spanned<String>>,
+    #[serde(rename = "most_asked")]
     most_asked: Option<Spanned<usize>>,
+    #[serde(rename = "settle")]
     settle: Option<Spanned<String>>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct PlanSheet {
+    #[serde(rename = "name")]
     name: Spanned<String>,
+    #[serde(rename = "listen")]
     listen: Option<Spanned<String>>,
+    #[serde(rename = "silent")]
     silent: Option<Spanned<String>>,
+    #[serde(rename = "settle")]
     settle: Option<Spanned<String>>,
+    #[serde(rename = "most_held")]
     most_held: Option<Spanned<usize>>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct PlannerSheet {
+    #[serde(rename = "name")]
     name: String,
+    #[serde(rename = "address")]
     address: Spanned<String>,
 }
 
@@ -131,9 +161,9 @@
     }
 }
 
-pub struct Articles {
-    pub papers: Papers,
-    pub papers_at: PathBuf,
+pub struct OperatorConfig {
+    pub node_config: NodeConfig,
+    pub node_config_path: PathBuf,
     pub role: Role,
     pub planners: Vec<PlannerAt>,
 }
@@ -218,11 +248,11 @@
 /// # Errors
 /// What is wrong, and at which of the peers where it is one of them.
 pub fn reach(
-    papers: &Papers,
+    node_config: &NodeConfig,
     at: Option<SocketAddr>,
     peers: &[SocketAddr],
 ) -> Result<Option<Correspondence>, (Option<usize>, String)> {
-    if !papers.charter.peers {
+    if !node_config.balancer_settings.gossip_enabled {
         return match (at, peers) {
             (None, []) => Ok(None),
             _ => Err((
@@ -254,7 +284,7 @@
         if peers[..n].contains(peer) {
             return wrong("stands here twice");
         }
-        if n + 1 >= papers.charter.nodes as usize {
+        if n + 1 >= node_config.balancer_settings.node_count as usize {
             return wrong("is one too many: settings.balancers counts this node and all its peers");
         }
     }
@@ -265,16 +295,16 @@
     }))
 }
 
-impl Articles {
+impl OperatorConfig {
     /// # Errors
     /// One line with the file, the line and what would be right there.
-    pub fn read(path: &Path) -> Result<Articles, String> {
+    pub fn read(path: &Path) -> Result<OperatorConfig, String> {
         let text = String::from_utf8(files::read(path)?)
             .map_err(|_| format!("cannot read {}: no text", path.display()))?;
-        Articles::decode(path, &text)
+        OperatorConfig::decode(path, &text)
     }
 
-    fn decode(path: &Path, text: &str) -> Result<Articles, String> {
+    fn decode(path: &Path, text: &str) -> Result<OperatorConfig, String> {
         let text = Text { path, text };
         let sheet: Sheet = toml::from_str(text.text).map_err(|e| {
             let first = e
@@ -285,15 +315,15 @@
                 .to_string();
             text.wrong(e.span().unwrap_or(0..0), first)
         })?;
-        let at = sheet.papers.span();
-        let papers_at = path
+        let at = sheet.node_config.span();
+        let node_config_path = path
             .parent()
             .unwrap_or(Path::new("."))
-            .join(sheet.papers.into_inner());
-        let papers =
-            Papers::read_at(&papers_at).map_err(|e| text.wrong(at.clone(), String::from(e)))?;
+            .join(sheet.node_config.into_inner());
+        let node_config =
+            NodeConfig::read_at(&node_config_path).map_err(|e| text.wrong(at.clone(), String::from(e)))?;
         let planners = Self::planners(&text, &sheet.planner)?;
-        let grace = papers.terms.drain_grace;
+        let grace = node_config.node_settings.drain_grace;
         let mut roles: Vec<Span> = [
             sheet.node.as_ref().map(Spanned::span),
             sheet.forward.as_ref().map(Spanned::span),
@@ -323,7 +353,7 @@
         let fleet_at = sheet.fleet.as_ref().map(Spanned::span);
         let fleet = sheet
             .fleet
-            .map(|part| Self::fleet(&text, part, &papers))
+            .map(|part| Self::fleet(&text, part, &node_config))
             .transpose()?;
         if let (Some(fleet_at), true) = (
             &fleet_at,
@@ -339,7 +369,7 @@
                 "peer: only a node has peers; planners hear their forwarders",
             ));
         }
-        if !single && papers.charter.peers {
+        if !single && node_config.balancer_settings.gossip_enabled {
             return Err(text.wrong(
                 at,
                 "policy_limits.peers: forwarders and planners send no messages",
@@ -376,16 +406,16 @@
                         fleet: Some(fleet),
                     }),
                     None => {
-                        let reach = reach(&papers, messages, &peers);
+                        let reach = reach(&node_config, messages, &peers);
                         reach.map_err(|(n, why)| text.wrong(place(n), why))?
                     }
                 };
                 Role::Node(correspondence)
             }
         };
-        Ok(Articles {
-            papers,
-            papers_at,
+        Ok(OperatorConfig {
+            node_config,
+            node_config_path,
             role,
             planners,
         })
@@ -394,10 +424,10 @@
     fn fleet(
         text: &Text,
         sheet: Spanned<FleetSheet>,
-        papers: &Papers,
-    ) -> Result<FleetTerms, String> {
+        node_config: &NodeConfig,
+    ) -> Result<FleetConfig, String> {
         let (span, part) = (sheet.span(), sheet.into_inner());
-        if !papers.charter.peers {
+        if !node_config.balancer_settings.gossip_enabled {
             return Err(text.wrong(span, "fleet: policy_limits.peers in the papers is false"));
         }
         let address = text.address("address", &part.address)?;
@@ -426,10 +456,10 @@
             seeds.push(at);
         }
         let name = part.name.unwrap_or_default();
-        if [&name, &papers.name]
+        if [&name, &node_config.name]
             .into_iter()
             .any(|n| n.len() > reedferry_membership::LONGEST_NAME)
-            || papers.name.is_empty()
+            || node_config.name.is_empty()
         {
             return Err(text.wrong(
                 span,
@@ -442,10 +472,10 @@
             let life = text.span("life", part.life, 60 * SECOND, (SECOND, 3600 * SECOND))?;
             let within = text.span("within", part.within, 50 * MILLI, (5 * MILLI, SECOND))?;
             let most = text.count("most", part.most, 1 << 16, 1 << 22)?;
-            Ok::<_, String>(WardTerms { life, within, most })
+            Ok::<_, String>(ReplicationConfig { life, within, most })
         });
         let wards = wards.transpose()?;
-        Ok(FleetTerms {
+        Ok(FleetConfig {
             address,
             listen,
             name,
@@ -539,9 +569,9 @@
 
     const PLANNERS: &str = "[[planner]]\nname = \"p0\"\naddress = \"127.0.0.1:7000\"\n";
 
-    fn read(text: &str) -> Result<Articles, String> {
+    fn read(text: &str) -> Result<OperatorConfig, String> {
         let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy");
-        Articles::decode(&folder.join("x.toml"), text)
+        OperatorConfig::decode(&folder.join("x.toml"), text)
     }
 
     fn wrong(text: &str) -> (usize, String) {
@@ -558,8 +588,8 @@
     fn the_annotated_examples_are_valid_and_say_what_they_are_for() {
         let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy");
         for word in ["node", "forward", "plan"] {
-            let articles = Articles::read(&folder.join(format!("{word}.example.toml"))).unwrap();
-            assert_eq!(articles.role.word(), word);
+            let operator_config = OperatorConfig::read(&folder.join(format!("{word}.example.toml"))).unwrap();
+            assert_eq!(operator_config.role.word(), word);
         }
     }
 
@@ -597,17 +627,17 @@
     }
 
     /// A node's file, with papers of five nodes that give leave to send messages or not.
-    fn among(name: &str, leave: bool, text: &str) -> Result<Articles, String> {
+    fn among(name: &str, leave: bool, text: &str) -> Result<OperatorConfig, String> {
         let folder =
             std::env::temp_dir().join(format!("reedferry-articles-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/papers.example.json");
-        let mut papers: serde_json::Value =
+        let mut node_config: serde_json::Value =
             serde_json::from_slice(&std::fs::read(example).unwrap()).unwrap();
-        papers["settings"]["balancers"] = 4.into();
-        papers["settings"]["policy_limits"]["peers"] = leave.into();
-        std::fs::write(folder.join("papers.json"), papers.to_string()).unwrap();
-        let read = Articles::decode(
+        node_config["settings"]["balancers"] = 4.into();
+        node_config["settings"]["policy_limits"]["peers"] = leave.into();
+        std::fs::write(folder.join("papers.json"), node_config.to_string()).unwrap();
+        let read = OperatorConfig::decode(
             &folder.join("x.toml"),
             &format!("papers = \"papers.json\"\n{text}"),
         );
@@ -735,14 +765,14 @@
         };
         let good = among("fleet", true, &fleet("period = \"200ms\"\n")).unwrap();
         let Role::Node(Some(Correspondence {
-            fleet: Some(terms), ..
+            fleet: Some(node_settings), ..
         })) = good.role
         else {
             panic!("no fleet")
         };
         assert_eq!(
-            (terms.listen, terms.period, terms.most),
-            (terms.address, 200 * MILLI, 1024)
+            (node_settings.listen, node_settings.period, node_settings.most),
+            (node_settings.address, 200 * MILLI, 1024)
         );
         let peer = "[[peer]]\naddress = \"127.0.0.1:7101\"\n";
         for (leave, text, why) in [
@@ -823,5 +853,5 @@
 }
 
 #[cfg(test)]
-#[path = "articles_keys_tests.rs"]
+#[path = "operator_config_keys_tests.rs"]
 mod keys_tests;
--- a/node/src/operators/articles_keys_tests.rs
+++ b/node/src/operators/operator_config_keys_tests.rs
@@ -5,18 +5,18 @@
 const PLANNERS: &str = "[[planner]]\nname = \"p0\"\naddress = \"127.0.0.1:7000\"\n\
     [[planner]]\nname = \"p1\"\naddress = \"127.0.0.1:7001\"\n";
 
-fn read(peers: bool, text: &str) -> Result<Articles, String> {
+fn read(peers: bool, text: &str) -> Result<OperatorConfig, String> {
     let number = NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     let folder =
         std::env::temp_dir().join(format!("reedferry-keys-{}-{number}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/papers.example.json");
-    let mut papers: serde_json::Value =
+    let mut node_config: serde_json::Value =
         serde_json::from_slice(&std::fs::read(example).unwrap()).unwrap();
-    papers["settings"]["balancers"] = 4.into();
-    papers["settings"]["policy_limits"]["peers"] = peers.into();
-    std::fs::write(folder.join("papers.json"), papers.to_string()).unwrap();
-    let read = Articles::decode(
+    node_config["settings"]["balancers"] = 4.into();
+    node_config["settings"]["policy_limits"]["peers"] = peers.into();
+    std::fs::write(folder.join("papers.json"), node_config.to_string()).unwrap();
+    let read = OperatorConfig::decode(
         &folder.join("x.toml"),
         &format!("papers = \"papers.json\"\n{text}"),
     );
@@ -95,7 +95,7 @@
     else {
         panic!("no fleet")
     };
-    let wards = WardTerms {
+    let wards = ReplicationConfig {
         life: ms(30_000),
         within: ms(40),
         most: 8,
--- a/node/src/operators/ops.rs
+++ b/node/src/operators/ops.rs
@@ -153,7 +153,7 @@
     /// So much of the answer has been written.
     Answered(Vec<u8>, usize),
     /// All of it has; the caller's end is waited for.
-    Ending,
+    AttemptOutcome,
 }
 
 struct Line {
@@ -256,7 +256,7 @@
 
     /// Puts the one out that has its answer, or else the one that has taken longest over its call.
     fn make_room(&mut self) {
-        let answered = |line: &Line| matches!(line.stage, Stage::Ending);
+        let answered = |line: &Line| matches!(line.stage, Stage::AttemptOutcome);
         // Guards: of those that came in one turn the last put out, as it stands in the first place that was free.
         let first = self
             .lines
@@ -375,7 +375,7 @@
             }
         }
         line.socket.end_sending();
-        (line.stage, line.since) = (Stage::Ending, context.now);
+        (line.stage, line.since) = (Stage::AttemptOutcome, context.now);
     }
 
     /// Ends what has taken too long.
@@ -398,7 +398,7 @@
                 self.lines.remove(slot);
             }
         }
-        let gone = |line: &Line| matches!(line.stage, Stage::Ending) && now >= line.since + LINGER;
+        let gone = |line: &Line| matches!(line.stage, Stage::AttemptOutcome) && now >= line.since + LINGER;
         self.lines.retain(|_, line| !gone(line));
         self.accept(context);
     }
--- a/node/src/operators/tally.rs
+++ b/node/src/operators/tally.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     /// In the order in which offerings were first named; one that is no longer offered keeps its line.
-    offerings: Vec<Outcomes>,
+    classes: Vec<Outcomes>,
     /// Attempts whose last byte was written to a host.
     attempts: u64,
     reloads: (u64, u64),
@@ -52,8 +52,8 @@
     /// Has a line for each of these, also before anything came of it.
     pub fn offers(&mut self, names: &[String]) {
         for name in names.iter().map(|name| part(name)) {
-            if !self.offerings.iter().any(|o| o.name == name) {
-                self.offerings.push(Outcomes {
+            if !self.classes.iter().any(|o| o.name == name) {
+                self.classes.push(Outcomes {
                     name,
                     ..Outcomes::default()
                 });
@@ -61,9 +61,9 @@
         }
     }
 
-    pub fn came_to(&mut self, offering: &str, outcome: Outcome) {
-        let name = part(offering);
-        let Some(of) = self.offerings.iter_mut().find(|o| o.name == name) else {
+    pub fn came_to(&mut self, class: &str, outcome: Outcome) {
+        let name = part(class);
+        let Some(of) = self.classes.iter_mut().find(|o| o.name == name) else {
             return;
         };
         match outcome {
@@ -95,7 +95,7 @@
         let mut text = String::new();
         let mut line =
             |name: &str, value: u64, kind: &str| _ = writeln!(text, "app.{name}:{value}|{kind}");
-        for of in &self.offerings {
+        for of in &self.classes {
             let outcomes = [
                 ("served", of.served),
                 ("refused", of.refused),
--- a/node/src/peers/fleet.rs
+++ b/node/src/peers/fleet.rs
@@ -3,8 +3,8 @@
 //! must never decide who is alive, nor take in more of a flood than a turn's worth.
 
 use crate::context::{mark, Context, FLEET, PEERS, START_WITHIN};
-use crate::operators::papers::Papers;
-use crate::peers::wards::WardTerms;
+use crate::operators::node_config::NodeConfig;
+use crate::peers::wards::ReplicationConfig;
 use reedferry::{Event, HostId, Nanos, SECOND};
 use reedferry_membership::{self as members, Action, Members, Role, State, Who, LONGEST_LETTER};
 use reedferry_runtime::errors::patiently;
@@ -29,7 +29,7 @@
 
 /// What the operator's file says of the fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FleetTerms {
+pub struct FleetConfig {
     /// Where others reach it, and where it listens.
     pub address: SocketAddr,
     pub listen: SocketAddr,
@@ -38,12 +38,12 @@
     pub period: Nanos,
     pub most: usize,
     /// Where work in hand is to survive its node.
-    pub wards: Option<WardTerms>,
+    pub wards: Option<ReplicationConfig>,
 }
 
 pub struct Fleet {
     core: Members,
-    terms: FleetTerms,
+    node_settings: FleetConfig,
     /// None while a process before this one still has it.
     socket: Option<Socket>,
     /// The moment at which the core is woken next.
@@ -63,46 +63,46 @@
 impl Fleet {
     pub fn open(
         context: &mut Context,
-        terms: &FleetTerms,
-        papers: &Papers,
+        node_settings: &FleetConfig,
+        node_config: &NodeConfig,
     ) -> Result<Fleet, String> {
-        let charter = &papers.charter;
+        let balancer_settings = &node_config.balancer_settings;
         let who = Who {
-            name: papers.name.clone(),
-            address: terms.address,
+            name: node_config.name.clone(),
+            address: node_settings.address,
             role: Role::Node,
-            zone: papers
-                .terms
+            zone: node_config
+                .node_settings
                 .zones
-                .get(usize::from(charter.zone))
+                .get(usize::from(balancer_settings.zone))
                 .cloned()
                 .unwrap_or_default(),
             build: env!("CARGO_PKG_VERSION").to_string(),
-            place: charter.node,
-            roster: charter.nodes,
+            place: balancer_settings.node_index,
+            roster: balancer_settings.node_count,
         };
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |t| t.as_millis() as u64);
-        let fleet = crate::connections::lines::hash(&terms.name) as u32;
-        let FleetTerms {
+        let fleet = crate::connections::lines::hash(&node_settings.name) as u32;
+        let FleetConfig {
             seeds,
             period,
             most,
             ..
-        } = terms.clone();
+        } = node_settings.clone();
         let core_terms = members::Terms {
             period,
             seeds,
             most,
             fleet,
         };
-        let core = Members::new(who, core_terms, context.now, unix, papers.seed ^ unix);
+        let core = Members::new(who, core_terms, context.now, unix, node_config.seed ^ unix);
         let (lines, odd) = (LineLimit::new(MOST_LINES), BTreeMap::new());
         let (shares, looks) = (Vec::new(), Vec::new());
         let mut fleet = Fleet {
             core,
-            terms: terms.clone(),
+            node_settings: node_settings.clone(),
             socket: None,
             reminded: None,
             lines,
@@ -115,16 +115,16 @@
         };
         match fleet.bind(context, START_WITHIN) {
             Ok(()) | Err(Errno::ADDRINUSE) => Ok(fleet),
-            Err(e) => Err(format!("cannot take letters on {}: {e}", terms.listen)),
+            Err(e) => Err(format!("cannot take letters on {}: {e}", node_settings.listen)),
         }
     }
 
     /// Takes letters, or tries to for so long.
     fn bind(&mut self, context: &mut Context, within: Duration) -> Result<(), Errno> {
-        let socket = patiently(within, || context.budget.datagrams(&self.terms.listen))?;
+        let socket = patiently(within, || context.budget.datagrams(&self.node_settings.listen))?;
         patiently(within, || context.poller.watch(&socket, mark(PEERS)))?;
-        let (seeds, period) = (self.terms.seeds.len(), self.terms.period / 1_000_000);
-        info!(context.log, "fleet"; "address" => %self.terms.address, "seeds" => seeds, "period_ms" => period);
+        let (seeds, period) = (self.node_settings.seeds.len(), self.node_settings.period / 1_000_000);
+        info!(context.log, "fleet"; "address" => %self.node_settings.address, "seeds" => seeds, "period_ms" => period);
         self.socket = Some(socket);
         self.handle(context, members::Event::Wake);
         Ok(())
@@ -200,7 +200,7 @@
                         .others()
                         .any(|m| m.who.address == from && m.state != State::Gone);
                     if known && word.len() <= reedferry::word::LONGEST {
-                        context.events.push(Event::Heard {
+                        context.events.push(Event::GossipReceived {
                             message: word.to_vec(),
                         });
                     } else {
@@ -242,7 +242,7 @@
             if self.lines.room(context.now) {
                 info!(context.log, "turns"; "of" => format!("{shares:?}"));
             }
-            context.events.push(Event::Turns(shares.clone()));
+            context.events.push(Event::SlowStartSlotsAssigned(shares.clone()));
             self.shares = shares;
         }
     }
@@ -270,7 +270,7 @@
         {
             context
                 .events
-                .push(Event::Looks(mine.iter().map(|id| HostId(*id)).collect()));
+                .push(Event::ProbeTargetsAssigned(mine.iter().map(|id| HostId(*id)).collect()));
             self.looks = mine;
         }
     }
@@ -322,8 +322,8 @@
     }
 
     /// Takes up other seeds and another place; the rest holds until the next start. Gives what does.
-    pub fn renew(&mut self, context: &mut Context, terms: &FleetTerms, place: (u32, u32)) -> bool {
-        self.handle(context, members::Event::Seeds(terms.seeds.clone()));
+    pub fn renew(&mut self, context: &mut Context, node_settings: &FleetConfig, place: (u32, u32)) -> bool {
+        self.handle(context, members::Event::Seeds(node_settings.seeds.clone()));
         self.handle(
             context,
             members::Event::Placed {
@@ -331,8 +331,8 @@
                 roster: place.1,
             },
         );
-        self.terms.seeds = terms.seeds.clone();
-        self.terms == *terms
+        self.node_settings.seeds = node_settings.seeds.clone();
+        self.node_settings == *node_settings
     }
 
     pub fn sweep(&mut self, context: &mut Context) {
--- a/node/src/peers/ward_bytes_tests.rs
+++ b/node/src/peers/ward_bytes_tests.rs
@@ -33,7 +33,7 @@
 #[test]
 fn a_history_keeps_its_bytes() {
     let history = History {
-        hand_offs: 3,
+        attempts: 3,
         ran: Some((0x0102_0304_0506_0708, 2 * SECOND)),
         tried: vec![8, 9],
     };
