--- a/node/src/peers/wards.rs
+++ b/node/src/peers/wards.rs
@@ -6,7 +6,7 @@
 use crate::context::{mark, Context, WARDS};
 use crate::peers::fleet::Fleet;
 use reedferry::{
-    Action, Arrival, AttachmentId, Effect, Ending, Event, HostId, Nanos, Past, SECOND,
+    Action, IncomingRequest, RequestId, Idempotency, AttemptOutcome, Event, HostId, Nanos, PriorAttempts, SECOND,
 };
 use reedferry_replication::{
     guardians, Answer, Guardian, Holder, Keeper, Outcome, Question, Record,
@@ -18,7 +18,7 @@
 
 /// What the operator's file says of wards.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WardTerms {
+pub struct ReplicationConfig {
     /// How long a record matters, how long a majority may take, and how many records are kept for others.
     pub life: Nanos,
     pub within: Nanos,
@@ -39,7 +39,7 @@
 /// What passed of an attachment, as guardians keep it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct History {
-    hand_offs: u32,
+    attempts: u32,
     /// The host of the first hand-off that may have run, and how long ago that was when this was written.
     ran: Option<(u64, Nanos)>,
     tried: Vec<u64>,
@@ -56,9 +56,9 @@
 impl Passed {
     fn handed_off(&mut self, now: Nanos, host: u64) {
         let history = &mut self.history;
-        history.hand_offs += 1;
+        history.attempts += 1;
         if history.ran.is_none() {
-            (self.ran_at, self.ran_by) = (now, history.hand_offs);
+            (self.ran_at, self.ran_by) = (now, history.attempts);
         }
         let first = history.ran.map_or(host, |(ran, _)| ran);
         history.ran = Some((first, now.saturating_sub(self.ran_at)));
@@ -70,7 +70,7 @@
     /// Guards: an earlier hand-off to the same host, which may have run, forgotten as a later one did not.
     fn never_ran(&mut self, host: u64) {
         let history = &mut self.history;
-        if history.hand_offs == self.ran_by && history.ran.is_some_and(|(ran, _)| ran == host) {
+        if history.attempts == self.ran_by && history.ran.is_some_and(|(ran, _)| ran == host) {
             history.ran = None;
         }
     }
@@ -78,8 +78,8 @@
 
 /// An attachment under a ward.
 struct Held {
-    id: AttachmentId,
-    arrival: Arrival,
+    id: RequestId,
+    incoming: IncomingRequest,
     came: Nanos,
     passed: Passed,
     /// The hand-off that waits for its record, and since when.
@@ -95,15 +95,15 @@
 }
 
 pub struct Wards {
-    terms: WardTerms,
+    node_settings: ReplicationConfig,
     keeper: Keeper,
     guardian: Guardian,
     place: u32,
     roster: u32,
     held: HashMap<u64, Held>,
-    keys: HashMap<AttachmentId, u64>,
+    keys: HashMap<RequestId, u64>,
     /// Answered here, and not to be handed off by what the module orders in the same turn.
-    refused: HashSet<AttachmentId>,
+    refused: HashSet<RequestId>,
     out: Vec<(u32, Word)>,
     ready: Vec<Action>,
     figures: Figures,
@@ -112,11 +112,11 @@
 }
 
 impl Wards {
-    pub fn new(context: &Context, terms: &WardTerms, place: u32, roster: u32, life: u64) -> Wards {
+    pub fn new(context: &Context, node_settings: &ReplicationConfig, place: u32, roster: u32, life: u64) -> Wards {
         Wards {
-            terms: terms.clone(),
-            keeper: Keeper::new(Holder { place, life }, roster, terms.within),
-            guardian: Guardian::new(context.now, terms.life, terms.most),
+            node_settings: node_settings.clone(),
+            keeper: Keeper::new(Holder { place, life }, roster, node_settings.within),
+            guardian: Guardian::new(context.now, node_settings.life, node_settings.most),
             place,
             roster,
             held: HashMap::new(),
@@ -147,35 +147,35 @@
         }
         context
             .poller
-            .remind(context.now + self.terms.within, mark(WARDS), 0);
+            .remind(context.now + self.node_settings.within, mark(WARDS), 0);
     }
 
     /// An event on its way to the module: one that waits for a ward does not get there yet.
     pub fn before(
         &mut self,
         context: &mut Context,
-        effects: &[Effect],
+        idempotencies: &[Idempotency],
         event: Event,
     ) -> Option<Event> {
         match &event {
-            Event::Arrived(arrival) if effects.get(arrival.offering) != Some(&Effect::Redoable) => {
+            Event::RequestArrived(incoming) if idempotencies.get(incoming.class) != Some(&Idempotency::Idempotent) => {
                 // Without a key nobody can bring it again; and this is one whose ward has come.
-                let Some(client) = arrival.key.filter(|_| !self.keys.contains_key(&arrival.id))
+                let Some(client) = incoming.key.filter(|_| !self.keys.contains_key(&incoming.id))
                 else {
                     return Some(event);
                 };
                 let key = client.rotate_left(17)
-                    ^ (arrival.offering as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+                    ^ (incoming.class as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
                 if self.held.contains_key(&key) {
-                    self.turn_away(arrival.id);
+                    self.turn_away(incoming.id);
                     return None;
                 }
-                let (id, arrival, came) = (arrival.id, *arrival, context.now);
+                let (id, incoming, came) = (incoming.id, *incoming, context.now);
                 self.held.insert(
                     key,
                     Held {
                         id,
-                        arrival,
+                        incoming,
                         came,
                         passed: Passed {
                             history: History::default(),
@@ -190,15 +190,15 @@
                 self.ask(context, key, &question);
                 return None;
             }
-            Event::Begun { id, .. } => self.answered(context, *id),
-            Event::Left { id } => {
+            Event::ConnectionEstablished { id, .. } => self.answered(context, *id),
+            Event::ClientLeft { id } => {
                 // Its history stays on record: it may come again.
                 if let Some(key) = self.keys.remove(id) {
                     self.held.remove(&key);
                     self.keeper.drop(key);
                 }
             }
-            Event::Ended {
+            Event::AttemptEnded {
                 id, host, ending, ..
             } if ending.never_ran() => {
                 if let Some(held) = self.keys.get(id).and_then(|key| self.held.get_mut(key)) {
@@ -213,8 +213,8 @@
     /// An action on its way out: a hand-off waits until it is on record.
     pub fn ahead(&mut self, context: &mut Context, action: Action) -> Option<Action> {
         match &action {
-            Action::HandOff { id, .. } if self.refused.contains(id) => return None,
-            Action::HandOff { id, host, .. } => {
+            Action::StartAttempt { id, .. } if self.refused.contains(id) => return None,
+            Action::StartAttempt { id, host, .. } => {
                 let Some(&key) = self.keys.get(id) else {
                     return Some(action);
                 };
@@ -233,14 +233,14 @@
                 }
                 return None;
             }
-            Action::Dismiss { id, .. } | Action::GiveUp { id } => self.answered(context, *id),
+            Action::Reject { id, .. } | Action::Fail { id } => self.answered(context, *id),
             _ => {}
         }
         Some(action)
     }
 
     /// It has had its final answer: what comes under its key from here on is another one.
-    fn answered(&mut self, context: &mut Context, id: AttachmentId) {
+    fn answered(&mut self, context: &mut Context, id: RequestId) {
         let Some(key) = self.keys.remove(&id) else {
             return;
         };
@@ -258,11 +258,11 @@
     }
 
     /// Answers one that the module knows nothing of.
-    fn turn_away(&mut self, id: AttachmentId) {
+    fn turn_away(&mut self, id: RequestId) {
         self.figures.turned_away += 1;
-        self.ready.push(Action::Dismiss {
+        self.ready.push(Action::Reject {
             id,
-            wait: COME_BACK,
+            retry_after: COME_BACK,
         });
     }
 
@@ -274,24 +274,24 @@
         self.keys.remove(&held.id);
         self.keeper.drop(key);
         let waits = held.waits.map(|(action, _)| action);
-        if let Some(Action::HandOff { id, host, .. }) = waits {
-            let (hand_off, ending, gauges) =
-                (held.passed.history.hand_offs, Ending::NeverSent, Vec::new());
-            context.events.push(Event::Ended {
+        if let Some(Action::StartAttempt { id, host, .. }) = waits {
+            let (attempt, ending, load_metrics) =
+                (held.passed.history.attempts, AttemptOutcome::NeverSent, Vec::new());
+            context.events.push(Event::AttemptEnded {
                 id,
-                hand_off,
+                attempt,
                 host,
-                over: true,
+                request_over: true,
                 ending,
-                gauges,
+                load_metrics,
             });
-            context.events.push(Event::Left { id });
+            context.events.push(Event::ClientLeft { id });
             self.refused.insert(id);
         }
         // What waits has not run; what went before it may have.
-        let before = held.passed.history.hand_offs > 1 && held.passed.history.ran.is_some();
+        let before = held.passed.history.attempts > 1 && held.passed.history.ran.is_some();
         if before {
-            self.ready.push(Action::GiveUp { id: held.id });
+            self.ready.push(Action::Fail { id: held.id });
         } else {
             self.turn_away(held.id);
         }
@@ -304,9 +304,9 @@
                     return;
                 };
                 let waited = context.now.saturating_sub(held.came);
-                let arrival = Arrival {
-                    time_left: held.arrival.time_left.saturating_sub(waited),
-                    ..held.arrival
+                let incoming = IncomingRequest {
+                    time_left: held.incoming.time_left.saturating_sub(waited),
+                    ..held.incoming
                 };
                 let known = if record.over {
                     None
@@ -314,26 +314,26 @@
                     postcard::from_bytes::<History>(&record.history).ok()
                 };
                 held.passed.history = known.unwrap_or_default();
-                if held.passed.history.hand_offs == 0 {
-                    return context.events.push(Event::Arrived(arrival));
+                if held.passed.history.attempts == 0 {
+                    return context.events.push(Event::RequestArrived(incoming));
                 }
                 self.figures.taken_over += 1;
                 let History {
-                    hand_offs,
+                    attempts,
                     ran,
                     tried,
                 } = &held.passed.history;
                 // No two clocks are compared: so long before it was written, since then there, and on the way here.
-                let ago = ran.map_or(0, |(_, before)| before) + age + self.terms.within;
+                let ago = ran.map_or(0, |(_, before)| before) + age + self.node_settings.within;
                 held.passed.ran_at = context.now.saturating_sub(ago);
                 let ran = ran.map(|(host, _)| (HostId(host), held.passed.ran_at));
                 let tried = tried.iter().map(|host| HostId(*host)).collect();
-                context.events.push(Event::TakenUp(
-                    arrival,
-                    Past {
-                        hand_offs: *hand_offs,
-                        ran,
-                        tried,
+                context.events.push(Event::RequestTakenOver(
+                    incoming,
+                    PriorAttempts {
+                        attempts: *attempts,
+                        may_have_run: ran,
+                        tried_hosts: tried,
                     },
                 ));
             }
@@ -345,7 +345,7 @@
                     return;
                 };
                 // Guards: a hand-off by a record that another has taken up, after a stand-still.
-                if context.now >= since + self.terms.within {
+                if context.now >= since + self.node_settings.within {
                     held.waits = Some((action, since));
                     return self.refuse(context, key);
                 }
@@ -439,7 +439,7 @@
         passed.handed_off(5 * SECOND, 6);
         passed.never_ran(6);
         assert_eq!(
-            (passed.history.ran, passed.history.hand_offs),
+            (passed.history.ran, passed.history.attempts),
             (Some((6, 3 * SECOND)), 3)
         );
     }
--- a/node/src/peers/words.rs
+++ b/node/src/peers/words.rs
@@ -3,7 +3,7 @@
 //! is longer than a message, hold a turn up over a flood, nor care whether a message arrives.
 
 use crate::context::{mark, Context, PEERS, START_WITHIN};
-use crate::peers::fleet::FleetTerms;
+use crate::peers::fleet::FleetConfig;
 use reedferry::word::LONGEST;
 use reedferry::Event;
 use reedferry_runtime::errors::patiently;
@@ -20,7 +20,7 @@
     pub at: SocketAddr,
     pub peers: Vec<SocketAddr>,
     /// Where the node keeps a view of its fleet: its members are its peers.
-    pub fleet: Option<FleetTerms>,
+    pub fleet: Option<FleetConfig>,
 }
 
 pub struct Peers {
@@ -65,7 +65,7 @@
             };
             let known = from.is_some_and(|from| self.peers.contains(&from));
             if known && length <= LONGEST {
-                context.events.push(Event::Heard {
+                context.events.push(Event::GossipReceived {
                     message: space[..length].to_vec(),
                 });
             } else if !std::mem::replace(&mut self.warned, true) {
--- a/node/src/roles/alone.rs
+++ b/node/src/roles/alone.rs
@@ -5,13 +5,13 @@
 use crate::connections::probe::Probes;
 use crate::connections::Connections;
 use crate::context::{self, mark, Context, START_WITHIN};
-use crate::listing::discovery::Discovery;
-use crate::listing::hosts::Source;
-use crate::listing::list::List;
-use crate::operators::articles::{self, Articles, Role};
+use crate::discovery::client::Discovery;
+use crate::discovery::hosts::Source;
+use crate::discovery::list::List;
+use crate::operators::operator_config::{self, OperatorConfig, Role};
 use crate::operators::files::{self, NotRead};
 use crate::operators::ops::{Call, Ops, Reply};
-use crate::operators::papers::Papers;
+use crate::operators::node_config::NodeConfig;
 use crate::operators::tally::Now;
 use crate::peers::fleet::Fleet;
 use crate::peers::wards::Wards;
@@ -19,7 +19,7 @@
 use crate::ready::Ready;
 use crate::roles::succession::{Knowledge, Succession};
 use crate::{AtStart, BEYOND_EXPIRY, SWEEP};
-use reedferry::{Action, Balancer, Charter, Effect, Event};
+use reedferry::{Action, Balancer, BalancerSettings, Idempotency, Event};
 use reedferry_membership::State;
 use reedferry_runtime::{Clock, Errno, Signal, Socket};
 use reedferry_settings::renewal;
@@ -35,20 +35,20 @@
 }
 
 impl Told<'_> {
-    fn papers(&self) -> Result<(Papers, Option<Correspondence>), NotRead> {
+    fn node_config(&self) -> Result<(NodeConfig, Option<Correspondence>), NotRead> {
         match self {
             Told::Environment => {
-                let papers = Papers::read()?;
-                let reach = articles::reach(&papers, None, &[]);
-                Ok((papers, reach.map_err(|(_, why)| why)?))
+                let node_config = NodeConfig::read()?;
+                let reach = operator_config::reach(&node_config, None, &[]);
+                Ok((node_config, reach.map_err(|(_, why)| why)?))
             }
-            Told::Operator(path) => match Articles::read(path)? {
-                Articles {
-                    papers,
+            Told::Operator(path) => match OperatorConfig::read(path)? {
+                OperatorConfig {
+                    node_config,
                     role: Role::Node(correspondence),
                     ..
-                } => Ok((papers, correspondence)),
-                Articles { role, .. } => {
+                } => Ok((node_config, correspondence)),
+                OperatorConfig { role, .. } => {
                     Err(format!("{} is for `reedferry {}`", path.display(), role.word()).into())
                 }
             },
@@ -75,7 +75,7 @@
     reread: Signal,
     /// Its papers could not be read for a moment when they were to be.
     unread: bool,
-    papers: Papers,
+    node_config: NodeConfig,
     actions: Vec<Action>,
     ready: Ready,
     /// Whether every event and action of the module is logged.
@@ -83,21 +83,21 @@
 }
 
 pub fn run(told: Told, start: AtStart) -> Result<(), String> {
-    let (mut papers, correspondence) = files::read_at_start(START_WITHIN, || told.papers())?;
+    let (mut node_config, correspondence) = files::read_at_start(START_WITHIN, || told.node_config())?;
     let clock = Clock::start();
-    let (mut context, backlog) = Context::open(&papers, &clock, &start)?;
-    let mut succession = Succession::open(&mut context, &papers)?;
+    let (mut context, backlog) = Context::open(&node_config, &clock, &start)?;
+    let mut succession = Succession::open(&mut context, &node_config)?;
     let mut knowledge = succession.begin(&mut context, &clock);
     if let Some(knowledge) = &mut knowledge {
         renewal::keep(
-            (&mut papers.charter, &mut papers.terms),
+            (&mut node_config.balancer_settings, &mut node_config.node_settings),
             std::mem::take(&mut knowledge.held),
         );
-        (context.terms, context.offerings) =
-            (papers.terms.clone(), papers.charter.offerings.clone());
+        (context.node_settings, context.classes) =
+            (node_config.node_settings.clone(), node_config.balancer_settings.classes.clone());
     }
-    let knowledge = knowledge.map(|e| e.in_terms_of(&papers.terms.offerings));
-    let ops = papers
+    let knowledge = knowledge.map(|e| e.in_terms_of(&node_config.node_settings.classes));
+    let ops = node_config
         .ops
         .map(|at| Ops::open(&mut context, &at))
         .transpose()?;
@@ -105,19 +105,19 @@
     let mut actions = Vec::new();
     let fleet = correspondence.as_ref().and_then(|c| c.fleet.as_ref());
     let fleet = fleet
-        .map(|terms| Fleet::open(&mut context, terms, &papers))
+        .map(|node_settings| Fleet::open(&mut context, node_settings, &node_config))
         .transpose()?;
     let wards = fleet.as_ref().and_then(|fleet| {
-        let terms = correspondence.as_ref()?.fleet.as_ref()?.wards.as_ref()?;
-        let Charter { node, nodes, .. } = papers.charter;
-        Some(Wards::new(&context, terms, node, nodes, fleet.life()))
+        let node_settings = correspondence.as_ref()?.fleet.as_ref()?.wards.as_ref()?;
+        let BalancerSettings { node_index: node, node_count: nodes, .. } = node_config.balancer_settings;
+        Some(Wards::new(&context, node_settings, node, nodes, fleet.life()))
     });
     let peers = correspondence.as_ref().filter(|c| c.fleet.is_none());
     let peers = peers
         .map(|correspondence| Peers::open(&mut context, correspondence))
         .transpose()?;
-    let module = Balancer::new(papers.charter.clone(), papers.seed, now, &mut actions);
-    let mut revision = context.known(&papers)?;
+    let module = Balancer::new(node_config.balancer_settings.clone(), node_config.seed, now, &mut actions);
+    let mut revision = context.known(&node_config)?;
     if let Some(Knowledge {
         discovery,
         revision: reached,
@@ -137,17 +137,17 @@
             .told(context.now, roll, Source::Kept, &context.log);
         context
             .events
-            .extend([event, Event::Inherited(Box::new(legacy))]);
-        revision = reached.filter(|_| discovery == papers.discovery);
+            .extend([event, Event::StateInherited(Box::new(legacy))]);
+        revision = reached.filter(|_| discovery == node_config.discovery);
     }
     let hosts = context.hosts.count();
     // The system deals out the port where none is named.
     let listen = succession
         .listener()
         .and_then(Socket::address)
-        .unwrap_or(papers.listen);
+        .unwrap_or(node_config.listen);
     info!(log, "started"; "listen" => %listen, "hosts" => hosts, "revision" => revision,
-        "sockets" => papers.sockets, "memory_mb" => papers.memory >> 20);
+        "sockets" => node_config.sockets, "memory_mb" => node_config.memory >> 20);
     let AtStart { stop, reread } = start;
     let mut node = Node {
         told,
@@ -155,10 +155,10 @@
         module,
         connections: Connections::default(),
         discovery: Discovery::new(
-            papers.discovery,
+            node_config.discovery,
             revision,
-            &papers.charter,
-            papers.terms.drain_grace,
+            &node_config.balancer_settings,
+            node_config.node_settings.drain_grace,
             now,
         ),
         probes: Probes::default(),
@@ -172,7 +172,7 @@
         stop,
         reread,
         unread: false,
-        papers,
+        node_config,
         actions,
         ready: Ready::default(),
         trace: std::env::var_os("REEDFERRY_TRACE").is_some(),
@@ -256,7 +256,7 @@
         while let Some((mark, word)) = self.context.poller.due(self.context.now) {
             let context = &mut self.context;
             match mark.part {
-                context::MODULE => context.events.push(Event::Timer { mark: word }),
+                context::MODULE => context.events.push(Event::TimerFired { timer: word }),
                 context::HOST => self.connections.due(context, mark, word),
                 context::PROBE => self.probes.due(context, mark),
                 context::RETRY => self.connections.retry(context),
@@ -279,11 +279,11 @@
         let context = &mut self.context;
         if self.succession.wanted() {
             let knowledge = Knowledge {
-                discovery: self.papers.discovery,
+                discovery: self.node_config.discovery,
                 clock_ahead: context.clock.ahead(),
                 revision: self.discovery.revision(),
                 members: context.hosts.members(),
-                offerings: context.terms.offerings.clone(),
+                classes: context.node_settings.classes.clone(),
                 held: self.connections.held(context),
                 legacy: self.module.leave(),
             };
@@ -300,19 +300,19 @@
 
     /// Hands what was gathered to the module and carries out what it orders.
     fn decide(&mut self) {
-        let effects: Vec<Effect> = match &self.wards {
+        let idempotencies: Vec<Idempotency> = match &self.wards {
             Some(_) => self
-                .papers
-                .charter
-                .offerings
+                .node_config
+                .balancer_settings
+                .classes
                 .iter()
-                .map(|o| o.effect)
+                .map(|o| o.idempotency)
                 .collect(),
             None => Vec::new(),
         };
         for event in std::mem::take(&mut self.context.events) {
             let event = match &mut self.wards {
-                Some(wards) => wards.before(&mut self.context, &effects, event),
+                Some(wards) => wards.before(&mut self.context, &idempotencies, event),
                 None => Some(event),
             };
             let Some(event) = event else { continue };
@@ -336,13 +336,13 @@
                 continue;
             };
             match action {
-                Action::WakeAt { time, mark: word } => {
+                Action::SetTimer { time, timer: word } => {
                     context.poller.remind(time, mark(context::MODULE), word)
                 }
-                Action::AskRoll => self.discovery.ask(context),
-                Action::FollowRoll => self.discovery.follow(context),
+                Action::PollEndpoints => self.discovery.ask(context),
+                Action::WatchEndpoints => self.discovery.follow(context),
                 Action::Probe { host } => self.probes.send(context, host),
-                Action::Tell { message } => {
+                Action::Gossip { message } => {
                     self.peers.iter().for_each(|peers| peers.tell(&message));
                     self.fleet.iter().for_each(|fleet| fleet.tell(&message));
                 }
@@ -377,7 +377,7 @@
         self.discovery.sweep(context);
         let (shares, looks) = (
             self.module.shares_turns(context.now),
-            self.papers.charter.probe_for_gauges,
+            self.node_config.balancer_settings.load_from_probes,
         );
         if let Some(fleet) = &mut self.fleet {
             fleet.sweep(context);
@@ -465,7 +465,7 @@
         if !self.reread.came() && !std::mem::take(&mut self.unread) {
             return;
         }
-        let fresh = match self.told.papers() {
+        let fresh = match self.told.node_config() {
             // Guards: settings that are never taken up, as their file could not be read for a moment.
             Err(NotRead::Moment(why)) => {
                 self.context.machine_trouble("open");
@@ -478,55 +478,55 @@
             other => other.map_err(String::from),
         };
         // Guards: a node ended or led astray by papers that are half written or wrong.
-        let checked = fresh.and_then(|fresh| self.papers.whole_in(&fresh.0).map(|()| fresh));
+        let checked = fresh.and_then(|fresh| self.node_config.whole_in(&fresh.0).map(|()| fresh));
         self.context.tally.reread(checked.is_ok());
         let (mut fresh, correspondence) = match checked {
             Ok(fresh) => fresh,
             Err(why) => return warn!(self.context.log, "papers not taken up"; "why" => why),
         };
-        let mut kept = self.papers.kept_from(&fresh);
+        let mut kept = self.node_config.kept_from(&fresh);
         let fleet = correspondence.as_ref().and_then(|c| c.fleet.as_ref());
         let same = match (&mut self.fleet, fleet) {
-            (Some(fleet), Some(terms)) => {
-                let place = (fresh.charter.node, fresh.charter.nodes);
-                fleet.renew(&mut self.context, terms, place)
+            (Some(fleet), Some(node_settings)) => {
+                let place = (fresh.balancer_settings.node_index, fresh.balancer_settings.node_count);
+                fleet.renew(&mut self.context, node_settings, place)
             }
             _ => correspondence == self.correspondence,
         };
         if !same {
             kept.push("peers");
-            fresh.charter.peers = self.papers.charter.peers;
+            fresh.balancer_settings.gossip_enabled = self.node_config.balancer_settings.gossip_enabled;
         }
         if !kept.is_empty() {
             warn!(self.context.log, "kept until the next start"; "parts" => kept.join(" "));
         }
         info!(self.context.log, "papers read again"; "discovery" => %fresh.discovery);
         self.retune(&mut fresh);
-        let moved = fresh.discovery != self.papers.discovery;
-        self.papers = fresh;
+        let moved = fresh.discovery != self.node_config.discovery;
+        self.node_config = fresh;
         if moved {
             self.discovery
-                .go_over(&mut self.context, self.papers.discovery);
+                .go_over(&mut self.context, self.node_config.discovery);
         }
     }
 
     /// Goes by other settings from here on. What is under way keeps its offering.
-    fn retune(&mut self, fresh: &mut Papers) {
-        let Papers { charter, terms, .. } = &mut self.papers;
-        let told = (fresh.charter.clone(), fresh.terms.clone());
-        let zones = terms.zones != told.1.zones;
-        let others = renewal::renew((charter, terms), told, |n| self.connections.holds(n));
-        (fresh.charter, fresh.terms) = (charter.clone(), terms.clone());
+    fn retune(&mut self, fresh: &mut NodeConfig) {
+        let NodeConfig { balancer_settings, node_settings, .. } = &mut self.node_config;
+        let told = (fresh.balancer_settings.clone(), fresh.node_settings.clone());
+        let zones = node_settings.zones != told.1.zones;
+        let others = renewal::renew((balancer_settings, node_settings), told, |n| self.connections.holds(n));
+        (fresh.balancer_settings, fresh.node_settings) = (balancer_settings.clone(), node_settings.clone());
         let context = &mut self.context;
-        (context.terms, context.offerings) = (terms.clone(), charter.offerings.clone());
-        context.tally.offers(&terms.offerings);
+        (context.node_settings, context.classes) = (node_settings.clone(), balancer_settings.classes.clone());
+        context.tally.offers(&node_settings.classes);
         context
             .hosts
-            .renew(terms.zones.clone(), charter.shortest_message_time());
-        self.discovery.retune(charter, terms.drain_grace);
+            .renew(node_settings.zones.clone(), balancer_settings.shortest_message_latency_objective());
+        self.discovery.retune(balancer_settings, node_settings.drain_grace);
         context
             .events
-            .push(Event::Renewed(Box::new(charter.clone()), others));
+            .push(Event::SettingsChanged(Box::new(balancer_settings.clone()), others));
         if zones {
             // Hosts are known by the places of their zones, those that are gone too while anything may go by them. Guards: a
             // repeat matched against the zone that now has the place of the one in which it may have run.
--- a/node/src/roles/forward.rs
+++ b/node/src/roles/forward.rs
@@ -6,7 +6,7 @@
 use crate::connections::wire::{Wire, Wires};
 use crate::connections::Connections;
 use crate::context::{self, mark, Context, LINK, STOP, TICK};
-use crate::operators::articles::{Articles, Forwards, Role};
+use crate::operators::operator_config::{OperatorConfig, Forwards, Role};
 use crate::ready::Ready;
 use crate::{AtStart, BEYOND_EXPIRY, SWEEP};
 use reedferry::Nanos;
@@ -35,12 +35,12 @@
 }
 
 pub fn run(path: &Path, start: AtStart) -> Result<(), String> {
-    let Articles {
-        papers,
+    let OperatorConfig {
+        node_config,
         role,
         planners,
         ..
-    } = Articles::read(path)?;
+    } = OperatorConfig::read(path)?;
     let Role::Forward(forwards) = role else {
         return Err(format!(
             "{} is for `reedferry {}`",
@@ -49,23 +49,23 @@
         ));
     };
     let clock = Clock::start();
-    let (mut context, backlog) = Context::open(&papers, &clock, &start)?;
-    let listener = context.listen(&papers.listen, context::LISTENER)?;
-    let listen = listener.address().unwrap_or(papers.listen);
+    let (mut context, backlog) = Context::open(&node_config, &clock, &start)?;
+    let listener = context.listen(&node_config.listen, context::LISTENER)?;
+    let listen = listener.address().unwrap_or(node_config.listen);
     let keeps = Covenant {
-        name: papers.name.clone(),
-        fingerprint: papers.fingerprint(),
+        name: node_config.name.clone(),
+        fingerprint: node_config.fingerprint(),
         epoch: context.start,
-        charter: papers.charter,
+        balancer_settings: node_config.balancer_settings,
         lease: forwards.lease,
         decide_within: forwards.decide_within,
         most_asked: forwards.most_asked,
         settle: forwards.settle,
     };
-    let core = Forwarder::new(keeps, planners.clone(), papers.seed, context.now);
+    let core = Forwarder::new(keeps, planners.clone(), node_config.seed, context.now);
     let log = context.log.clone();
     info!(log, "started"; "listen" => %listen, "role" => "forward", "planners" => planners.len(),
-        "sockets" => papers.sockets, "memory_mb" => papers.memory >> 20);
+        "sockets" => node_config.sockets, "memory_mb" => node_config.memory >> 20);
     context
         .poller
         .remind(context.now + SWEEP, mark(context::SWEEP), 0);
@@ -218,7 +218,7 @@
                 host,
                 until,
                 by,
-            } => self.connections.hand_off(context, id, host, until, by),
+            } => self.connections.attempt(context, id, host, until, by),
             Deed::Call { line, address } => self.call(line, address),
             Deed::Hang { line } => _ = self.wires.all.remove(&line),
             Deed::Host(line) => {
@@ -261,7 +261,7 @@
         }
         let log = self.context.log.clone();
         // Guards: a forwarder led astray by a file that is half written or wrong.
-        let fresh = match Articles::read(&self.path) {
+        let fresh = match OperatorConfig::read(&self.path) {
             Ok(fresh) => fresh,
             Err(why) => return warn!(log, "articles not taken up"; "why" => why),
         };
--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -6,11 +6,11 @@
 use crate::connections::probe::Probes;
 use crate::connections::wire::{Wire, Wires};
 use crate::context::{self, mark, Context, LINK, STOP};
-use crate::listing::discovery::Discovery;
-use crate::operators::articles::{Articles, Plans, Role};
-use crate::operators::papers::Papers;
+use crate::discovery::client::Discovery;
+use crate::operators::operator_config::{OperatorConfig, Plans, Role};
+use crate::operators::node_config::NodeConfig;
 use crate::{AtStart, SWEEP};
-use reedferry::{Event, Listing, Nanos, MILLI};
+use reedferry::{Event, Endpoint, Nanos, MILLI};
 use reedferry_control_plane::{HostLine, Order, Planner, Remit};
 use reedferry_runtime::{Clock, Errno, Mark, Readiness, Signal, Socket};
 use slog::{info, warn};
@@ -39,12 +39,12 @@
 }
 
 pub fn run(path: &Path, start: AtStart) -> Result<(), String> {
-    let Articles {
-        papers,
+    let OperatorConfig {
+        node_config,
         role,
         planners,
         ..
-    } = Articles::read(path)?;
+    } = OperatorConfig::read(path)?;
     let Role::Plan(plans) = role else {
         return Err(format!(
             "{} is for `reedferry {}`",
@@ -53,23 +53,23 @@
         ));
     };
     let clock = Clock::start();
-    let (mut context, backlog) = Context::open(&papers, &clock, &start)?;
+    let (mut context, backlog) = Context::open(&node_config, &clock, &start)?;
     let listener = context.listen(&plans.listen, context::LINK_LISTENER)?;
     let listen = listener.address().unwrap_or(plans.listen);
     let remit = Remit {
         name: plans.name.clone(),
-        zones: papers.terms.zones.len().max(1) as u16,
+        zones: node_config.node_settings.zones.len().max(1) as u16,
         place: plans.place,
         planners: planners.len() as u32,
-        fingerprint: papers.fingerprint(),
+        fingerprint: node_config.fingerprint(),
         silent: plans.silent,
         settle: plans.settle,
         most_held: plans.most_held,
-        charter: papers.charter.clone(),
+        balancer_settings: node_config.balancer_settings.clone(),
     };
     let mut orders = Vec::new();
-    let core = Planner::new(remit, papers.seed, context.now, &mut orders);
-    let revision = context.known(&papers)?;
+    let core = Planner::new(remit, node_config.seed, context.now, &mut orders);
+    let revision = context.known(&node_config)?;
     let log = context.log.clone();
     let hosts = context.hosts.count();
     info!(log, "started"; "listen" => %listen, "role" => "plan", "name" => &plans.name, "hosts" => hosts,
@@ -78,12 +78,12 @@
         .poller
         .remind(context.now + SWEEP, mark(context::SWEEP), 0);
     let AtStart { stop, reread } = start;
-    let Papers { charter, terms, .. } = &papers;
+    let NodeConfig { balancer_settings, node_settings, .. } = &node_config;
     let discovery = Discovery::new(
-        papers.discovery,
+        node_config.discovery,
         revision,
-        charter,
-        terms.drain_grace,
+        balancer_settings,
+        node_settings.drain_grace,
         context.now,
     );
     let mut plan = Plan {
@@ -98,7 +98,7 @@
         path: path.to_path_buf(),
         planners: planners.len(),
         plans,
-        at: papers.discovery,
+        at: node_config.discovery,
         orders,
     };
     loop {
@@ -236,7 +236,7 @@
     fn told(&mut self, event: Event) {
         let now = self.context.now;
         match event {
-            Event::Roll { kind, hosts } => {
+            Event::EndpointsUpdated { kind, endpoints: hosts } => {
                 let lines = hosts
                     .iter()
                     .filter_map(|listing| self.line(listing))
@@ -248,7 +248,7 @@
     }
 
     /// A host as forwarders are told of it.
-    fn line(&self, listing: &Listing) -> Option<HostLine> {
+    fn line(&self, listing: &Endpoint) -> Option<HostLine> {
         let record = self
             .context
             .hosts
@@ -259,7 +259,7 @@
             id: listing.id.0,
             name,
             address,
-            stands: listing.standing.into(),
+            stands: listing.state.into(),
             as_of,
         })
     }
@@ -297,16 +297,16 @@
             return;
         }
         let log = self.context.log.clone();
-        let fresh = match Articles::read(&self.path) {
+        let fresh = match OperatorConfig::read(&self.path) {
             Ok(fresh) => fresh,
             Err(why) => return warn!(log, "articles not taken up"; "why" => why),
         };
         if fresh.role != Role::Plan(self.plans.clone()) || fresh.planners.len() != self.planners {
             warn!(log, "kept until the next start"; "parts" => "plan planners");
         }
-        info!(log, "articles read again"; "discovery" => %fresh.papers.discovery);
-        if fresh.papers.discovery != self.at {
-            self.at = fresh.papers.discovery;
+        info!(log, "articles read again"; "discovery" => %fresh.node_config.discovery);
+        if fresh.node_config.discovery != self.at {
+            self.at = fresh.node_config.discovery;
             self.discovery.go_over(&mut self.context, self.at);
         }
     }
--- a/node/src/roles/succession.rs
+++ b/node/src/roles/succession.rs
@@ -5,9 +5,9 @@
 
 use crate::connections::{Connections, HandedOver, RETRY_AFTER};
 use crate::context::{self, Context, PREDECESSOR, SUCCESSOR, SUCCESSOR_LISTENER};
-use crate::listing::list::Member;
-use crate::operators::papers::Papers;
-use reedferry::{AttachmentId, Event, Legacy, Nanos, Offering, MILLI};
+use crate::discovery::list::Member;
+use crate::operators::node_config::NodeConfig;
+use reedferry::{RequestId, Event, InheritedState, Nanos, RequestClass, MILLI};
 use reedferry_runtime::errors::{on_connection, patiently, Trouble};
 use reedferry_runtime::{channel, Clock, Errno, Mark, Readiness, Socket};
 use serde::{Deserialize, Serialize};
@@ -63,21 +63,21 @@
     pub revision: Option<u64>,
     pub members: Vec<Member>,
     /// The names of the offerings, in the order in which the rest speaks of them.
-    pub offerings: Vec<String>,
+    pub classes: Vec<String>,
     /// Those of them that connections go by, and what they mean.
-    pub held: Vec<(String, Offering)>,
-    pub legacy: Legacy,
+    pub held: Vec<(String, RequestClass)>,
+    pub legacy: InheritedState,
 }
 
 impl Knowledge {
     /// The same, as one speaks of it to whom these offerings are named in this order.
-    pub fn in_terms_of(mut self, offerings: &[String]) -> Knowledge {
+    pub fn in_terms_of(mut self, classes: &[String]) -> Knowledge {
         let usual = |name: &String| {
-            let place = self.offerings.iter().position(|o| o == name)?;
-            self.legacy.usual.get(place).copied().flatten()
+            let place = self.classes.iter().position(|o| o == name)?;
+            self.legacy.class_loads.get(place).copied().flatten()
         };
-        self.legacy.usual = offerings.iter().map(usual).collect();
-        self.offerings = offerings.to_vec();
+        self.legacy.class_loads = classes.iter().map(usual).collect();
+        self.classes = classes.to_vec();
         self
     }
 }
@@ -88,7 +88,7 @@
     /// Messages that the line has not taken yet.
     out: VecDeque<Vec<u8>>,
     /// Those on their way, the first first, and since when.
-    going: VecDeque<(AttachmentId, Nanos)>,
+    going: VecDeque<(RequestId, Nanos)>,
     /// It took too long: nothing it says from now on can reach this process, what it has said is still read.
     given_up: bool,
 }
@@ -104,7 +104,7 @@
     successor: Option<Successor>,
     predecessor: Option<(Socket, u32)>,
     /// What the predecessor has not been told yet of the connection that came last: which it is here, where it was adopted.
-    owed: Option<Option<AttachmentId>>,
+    owed: Option<Option<RequestId>>,
     /// A successor wants what this one knows.
     wanted: bool,
     /// When it tries to be there for the next process again, where it could not.
@@ -119,9 +119,9 @@
 
 impl Succession {
     /// The listener that the platform holds, where it names one, or else one of the node's own.
-    pub fn open(context: &mut Context, papers: &Papers) -> Result<Succession, String> {
+    pub fn open(context: &mut Context, node_config: &NodeConfig) -> Result<Succession, String> {
         let Ok(named) = std::env::var("GW_ACCEPT_FD") else {
-            let listener = context.listen(&papers.listen, context::LISTENER)?;
+            let listener = context.listen(&node_config.listen, context::LISTENER)?;
             return Ok(Succession {
                 listener: Some(listener),
                 ..Succession::default()
@@ -312,7 +312,7 @@
                 .out
                 .push_back(message(&FromPredecessor::Piece(piece.to_vec(), n == last)));
         }
-        context.events.push(Event::Successor(true));
+        context.events.push(Event::SuccessorChanged(true));
         info!(context.log, "another process comes"; "bytes" => bytes.len());
         self.write(context, connections);
     }
@@ -449,7 +449,7 @@
             .into_iter()
             .for_each(|(id, _)| connections.keep(context, id));
         self.wanted = false;
-        context.events.push(Event::Successor(false));
+        context.events.push(Event::SuccessorChanged(false));
         // Guards: a next try that calls where the one that died would have listened.
         if context.leaving.is_none() {
             self.expect(context);
--- a/node/src/roles/succession_bytes_tests.rs
+++ b/node/src/roles/succession_bytes_tests.rs
@@ -1,7 +1,7 @@
 //! The exact bytes of what passes between a process and the next one in its place, but for its connections.
 
 use super::*;
-use reedferry::{Circle, Client, Effect, HostId, Regard, Standing};
+use reedferry::{IdempotencyGroup, ClientStatistics, Idempotency, HostId, HostSnapshot, HostState};
 
 fn hex(value: &impl Serialize) -> String {
     postcard::to_allocvec(value)
@@ -11,57 +11,57 @@
         .collect()
 }
 
-fn regard() -> Regard {
-    Regard {
+fn regard() -> HostSnapshot {
+    HostSnapshot {
         id: HostId(0x0a01_0012_1388),
         newcomer: true,
-        draining: 1,
-        down: Some(2),
-        masked_until: 3,
-        strikes: 4,
-        slowness: 0.5,
-        slow_told: 5,
-        ceiling: Some(1.5),
-        good: 2.5,
-        cut: 6,
-        slowness_at_cut: 0.25,
-        report: 0.75,
-        reported: 7,
+        draining_since: 1,
+        connect_failed_at: Some(2),
+        ejected_until: 3,
+        ejections: 4,
+        latency_ratio: 0.5,
+        latency_measured_at: 5,
+        load_limit: Some(1.5),
+        sustained_load: 2.5,
+        limit_decreased_at: 6,
+        latency_ratio_at_decrease: 0.25,
+        reported_load: 0.75,
+        reported_at: 7,
     }
 }
 
-fn legacy() -> Legacy {
-    Legacy {
+fn legacy() -> InheritedState {
+    InheritedState {
         clients: vec![(
             11,
-            Client {
-                length: Some(3.0),
-                load: None,
-                seen: 12,
+            ClientStatistics {
+                mean_duration: Some(3.0),
+                last_load: None,
+                last_seen: 12,
             },
         )],
-        mean: Some(1.25),
-        lived: 2.0,
-        ended: 3.0,
-        usual: vec![None, Some(0.125)],
-        unit: Some(0.0625),
-        weighed: 13,
-        set_up: 14.0,
+        mean_duration: Some(1.25),
+        open_time: 2.0,
+        ended_connections: 3.0,
+        class_loads: vec![None, Some(0.125)],
+        mean_load: Some(0.0625),
+        load_samples: 13,
+        mean_setup_time: 14.0,
         hosts: vec![regard()],
-        trouble: 0.375,
-        late: 0.875,
+        setup_failure_rate: 0.375,
+        late_message_rate: 0.875,
     }
 }
 
-fn offering(effect: Effect, circle: Circle) -> Offering {
-    Offering {
-        effect,
-        circle,
-        window: 20,
-        payoff: 1.5,
-        contract_time: 30,
-        message_time: 40,
-        offered: false,
+fn class(idempotency: Idempotency, idempotency_group: IdempotencyGroup) -> RequestClass {
+    RequestClass {
+        idempotency,
+        idempotency_group,
+        idempotency_window: 20,
+        priority_weight: 1.5,
+        latency_objective: 30,
+        message_latency_objective: 40,
+        active: false,
     }
 }
 
@@ -71,7 +71,7 @@
         address: Some("10.1.0.18:5000".parse().unwrap()),
         zone: "a".into(),
         cell: 3,
-        standing: Standing::Draining,
+        standing: HostState::Draining,
         size: 1.5,
         started: Some(15),
         believed: Some(None),
@@ -91,11 +91,11 @@
 #[test]
 fn what_a_predecessor_knows_keeps_its_bytes() {
     let held = vec![
-        ("chat".to_string(), offering(Effect::Redoable, Circle::All)),
-        ("pay".to_string(), offering(Effect::Labelled, Circle::Zone)),
+        ("chat".to_string(), class(Idempotency::Idempotent, IdempotencyGroup::All)),
+        ("pay".to_string(), class(Idempotency::WithKey, IdempotencyGroup::Zone)),
         (
             "once".to_string(),
-            offering(Effect::Irreversible, Circle::Cell),
+            class(Idempotency::NonIdempotent, IdempotencyGroup::Cell),
         ),
     ];
     let knowledge = Knowledge {
@@ -103,7 +103,7 @@
         clock_ahead: 8,
         revision: Some(41),
         members: vec![member()],
-        offerings: vec!["chat".into(), "pay".into()],
+        classes: vec!["chat".into(), "pay".into()],
         held,
         legacy: legacy(),
     };
--- a/node/tests/clocks.rs
+++ b/node/tests/clocks.rs
@@ -2,7 +2,7 @@
 //! process and where one takes the place of another.
 
 use reedferry_testkit::acting::{self, Clients, Hosts, Referee};
-use reedferry_testkit::program::papers_of;
+use reedferry_testkit::program::node_config_of;
 use reedferry_testkit::syscalls::Spoiler;
 use reedferry_testkit::{eventually, folder, listener, Discovery, Node, Peer};
 use serde_json::{json, Value};
@@ -27,15 +27,15 @@
 /// So many of these are played at once: each is hundreds of threads and a traced process.
 const AT_ONCE: usize = 2;
 
-fn papers(service: &Discovery, members: Value) -> Value {
-    let mut papers = papers_of(members, service.address);
-    let settings = &mut papers["settings"];
+fn node_config(service: &Discovery, members: Value) -> Value {
+    let mut node_config = node_config_of(members, service.address);
+    let settings = &mut node_config["settings"];
     settings["offerings"][0]["name"] = json!("free");
     settings["contract"]["cold"] = json!(1000.0 * COLD);
     settings["contract"]["cold_from"] = json!(FROM);
     // What a host is given is to go by its age alone here, not by how late its threads run.
     settings["extra"]["message_aim"] = json!([LENIENT_MESSAGE_TIME]);
-    papers
+    node_config
 }
 
 /// The wall clock of a machine that is off by so many seconds, in milliseconds.
@@ -66,7 +66,7 @@
     let hosts = Hosts::start(3, &referee);
     let warm: Value = (0..2).map(|host| hosts.member(host, "active")).collect();
     spoiler.step_clock(node_off);
-    let node = Node::start_spoilt(&papers(&service, warm), &spoiler);
+    let node = Node::start_spoilt(&node_config(&service, warm), &spoiler);
     service.calls(2);
     let mut standing = Clients::new(vec![node.address], &referee, 1);
     standing.load(
@@ -138,9 +138,9 @@
 fn the_next_process_goes_on_with_real_spans_of_time_though_the_wall_clock_was_stepped() {
     for off in [-3600, 3600, -5, 5] {
         let (hosts, service) = (reedferry_testkit::Hosts::start(1), Discovery::start());
-        let papers = reedferry_testkit::papers(&hosts, service.address);
+        let node_config = reedferry_testkit::node_config(&hosts, service.address);
         let (held, folder) = (listener(), folder());
-        let mut predecessor = Node::start_spoilt_at(&papers, &held, &folder, &Spoiler::default());
+        let mut predecessor = Node::start_spoilt_at(&node_config, &held, &folder, &Spoiler::default());
         predecessor.address = held.local_addr().unwrap();
         let (mut client, _, mut host) = predecessor.served(&hosts);
         // A line without an answer goes over with the connection.
@@ -154,7 +154,7 @@
         pinged.hears("PONG");
         let spoiler = Spoiler::default();
         spoiler.step_clock(off);
-        let mut successor = Node::start_spoilt_at(&papers, &held, &folder, &spoiler);
+        let mut successor = Node::start_spoilt_at(&node_config, &held, &folder, &spoiler);
         successor.address = predecessor.address;
         predecessor.stop();
         assert!(predecessor.wait().success());
--- a/node/tests/closing.rs
+++ b/node/tests/closing.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 fn start(hosts: &Hosts, discovery: &Discovery, adjust: impl FnOnce(&mut Value)) -> Node {
-    let mut papers = papers(hosts, discovery.address);
-    adjust(&mut papers);
-    Node::start(&papers)
+    let mut node_config = node_config(hosts, discovery.address);
+    adjust(&mut node_config);
+    Node::start(&node_config)
 }
 
 fn line(n: usize) -> String {
@@ -251,7 +251,7 @@
     use reedferry_testkit::syscalls::{Call, Fault, Outcome, Spoiler};
     use rustix::io::Errno;
     let (hosts, discovery, spoiler) = (Hosts::start(1), Discovery::start(), Spoiler::default());
-    let node = Node::start_spoilt(&papers(&hosts, discovery.address), &spoiler);
+    let node = Node::start_spoilt(&node_config(&hosts, discovery.address), &spoiler);
     let mut client = Peer::connect(node.address);
     // One byte of each answer goes out, and then none for a while.
     let short = Fault {
--- a/node/tests/cold.rs
+++ b/node/tests/cold.rs
@@ -2,7 +2,7 @@
 //! with some of them killed and started again meanwhile.
 
 use reedferry_testkit::acting::{Clients, Hosts, Referee};
-use reedferry_testkit::program::papers_of;
+use reedferry_testkit::program::node_config_of;
 use reedferry_testkit::{Discovery, Node};
 use serde_json::{json, Value};
 use std::thread;
@@ -15,16 +15,16 @@
 const COLD: f64 = 10.0;
 const FROM: f64 = 0.2;
 
-fn papers(service: &Discovery, members: Value, node: usize) -> Value {
-    let mut papers = papers_of(members, service.address);
-    papers["name"] = json!(format!("n{node}"));
-    let settings = &mut papers["settings"];
+fn node_config(service: &Discovery, members: Value, node: usize) -> Value {
+    let mut node_config = node_config_of(members, service.address);
+    node_config["name"] = json!(format!("n{node}"));
+    let settings = &mut node_config["settings"];
     settings["balancers"] = json!(NODES);
     settings["index"] = json!(node);
     settings["offerings"][0]["name"] = json!("free");
     settings["contract"]["cold"] = json!(1000.0 * COLD);
     settings["contract"]["cold_from"] = json!(FROM);
-    papers
+    node_config
 }
 
 /// Guards: a cold host pushed over by the sum of twenty processes, each of which keeps to its own part.
@@ -34,7 +34,7 @@
     let hosts = Hosts::start(WARM + 1, &referee);
     let warm: Value = (0..WARM).map(|host| hosts.member(host, "active")).collect();
     let mut nodes: Vec<Node> = (0..NODES)
-        .map(|n| Node::start(&papers(&service, warm.clone(), n)))
+        .map(|n| Node::start(&node_config(&service, warm.clone(), n)))
         .collect();
     let mut standing: Vec<Clients> = Vec::new();
     for (n, node) in nodes.iter().enumerate() {
@@ -78,7 +78,7 @@
         });
         for n in [2 * round, 2 * round + 1] {
             nodes[n].kill();
-            nodes[n] = Node::start(&papers(&service, json!(listed), n));
+            nodes[n] = Node::start(&node_config(&service, json!(listed), n));
         }
     }
     let mut times: Vec<Instant> = referee
--- a/node/tests/fleet.rs
+++ b/node/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Many processes of the program beside one list service and hosts that warm up, with faults put in between them.
 //! Judged by what hosts, clients and the list service saw.
 
-use reedferry_testkit::fleet::{alone, Fleet, Guests, Terms, WarmingHosts};
+use reedferry_testkit::fleet::{alone, Fleet, Guests, FleetOptions, WarmingHosts};
 use reedferry_testkit::{eventually, Discovery, Node};
 use serde_json::Value;
 use std::ops::Range;
@@ -27,9 +27,9 @@
     /// The service works off so many calls a second.
     fn new(nodes: usize, rate: f64) -> Self {
         let turn = alone();
-        let (service, hosts) = (Discovery::start(), WarmingHosts::new(Terms::TRIAL));
+        let (service, hosts) = (Discovery::start(), WarmingHosts::new(FleetOptions::TRIAL));
         service.bound(rate, ms(1000));
-        let fleet = Fleet::new(nodes, service.address, Terms::TRIAL);
+        let fleet = Fleet::new(nodes, service.address, FleetOptions::TRIAL);
         Site {
             service,
             hosts,
--- a/node/tests/gone.rs
+++ b/node/tests/gone.rs
@@ -1,7 +1,7 @@
 //! Clients that go: before they were taken in, while they wait, while their host's connection comes up, between two
 //! attempts, behind much else. No attempt begins for them after that, as the hosts saw it.
 
-use reedferry_testkit::program::papers_of;
+use reedferry_testkit::program::node_config_of;
 use reedferry_testkit::*;
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
@@ -26,15 +26,15 @@
 }
 
 fn start(members: Value, discovery: &Discovery, cancel: bool) -> Node {
-    let mut papers = papers_of(members, discovery.address);
-    papers["limits"]["sockets"] = json!(2048);
-    let settings = &mut papers["settings"];
+    let mut node_config = node_config_of(members, discovery.address);
+    node_config["limits"]["sockets"] = json!(2048);
+    let settings = &mut node_config["settings"];
     settings["policy_limits"]["cancel"] = json!(cancel);
     settings["policy_limits"]["connect_timeout"] = json!(6000.0);
     settings["policy_limits"]["most_hand_offs"] = json!(5);
     settings["offerings"][0]["contract_time"] = json!(5000.0);
     settings["offerings"][0]["expiry"] = json!(8000.0);
-    Node::start(&papers)
+    Node::start(&node_config)
 }
 
 fn line(n: usize) -> String {
--- a/node/tests/handover.rs
+++ b/node/tests/handover.rs
@@ -26,7 +26,7 @@
 struct Site {
     hosts: Hosts,
     _discovery: Discovery,
-    papers: Value,
+    node_config: Value,
     listener: TcpListener,
     folder: PathBuf,
 }
@@ -34,18 +34,18 @@
 impl Site {
     fn new() -> Self {
         let (hosts, discovery) = (Hosts::start(2), Discovery::start());
-        let papers = papers(&hosts, discovery.address);
+        let node_config = node_config(&hosts, discovery.address);
         Site {
             hosts,
             _discovery: discovery,
-            papers,
+            node_config,
             listener: listener(),
             folder: folder(),
         }
     }
 
     fn start(&self, spoiler: &Spoiler) -> Node {
-        let mut node = Node::start_spoilt_at(&self.papers, &self.listener, &self.folder, spoiler);
+        let mut node = Node::start_spoilt_at(&self.node_config, &self.listener, &self.folder, spoiler);
         node.address = self.listener.local_addr().unwrap();
         node
     }
@@ -125,8 +125,8 @@
 #[test]
 fn clients_are_moved_in_time_where_the_next_process_stands_still_and_the_longest_expiry_is_short() {
     let mut site = Site::new();
-    site.papers["settings"]["offerings"][0]["expiry"] = json!(500.0);
-    site.papers["settings"]["offerings"][0]["contract_time"] = json!(300.0);
+    site.node_config["settings"]["offerings"][0]["expiry"] = json!(500.0);
+    site.node_config["settings"]["offerings"][0]["contract_time"] = json!(300.0);
     let mut predecessor = site.start(&Spoiler::default());
     let mut open: Vec<_> = (0..CONNECTIONS)
         .map(|_| predecessor.served(&site.hosts))
--- a/node/tests/machine.rs
+++ b/node/tests/machine.rs
@@ -53,24 +53,24 @@
     node: Node,
     spoiler: Spoiler,
     discovery: Discovery,
-    papers: Value,
+    node_config: Value,
 }
 
 impl Site {
     fn start(faults: &[Fault]) -> Site {
         let (hosts, discovery, spoiler) = (Hosts::start(3), Discovery::start(), Spoiler::default());
-        let mut papers = papers(&hosts, discovery.address);
-        papers["ops"] = json!("127.0.0.1:0");
+        let mut node_config = node_config(&hosts, discovery.address);
+        node_config["ops"] = json!("127.0.0.1:0");
         thread::spawn(move || loop {
             echo(hosts.accept().1);
         });
         spoiler.set(faults);
-        let node = Node::start_spoilt(&papers, &spoiler);
+        let node = Node::start_spoilt(&node_config, &spoiler);
         Site {
             node,
             spoiler,
             discovery,
-            papers,
+            node_config,
         }
     }
 
@@ -181,11 +181,11 @@
         let mut site = Site::start(at_start);
         assert!(site.node.open(OPEN).hear().starts_with("UP"), "{fault:?}");
         let other = Discovery::start();
-        site.papers["discovery"] = json!(other.address.to_string());
+        site.node_config["discovery"] = json!(other.address.to_string());
         let before = Instant::now();
         // The first try after this fails, whatever came before.
         site.spoiler.set(&[Fault { every: 1, ..fault }]);
-        site.node.reread(&site.papers.to_string());
+        site.node.reread(&site.node_config.to_string());
         thread::sleep(Duration::from_millis(300));
         site.spoiler.set(&[fault]);
         other.calls(1);
@@ -215,15 +215,15 @@
     for call in [Call::SendMessage, Call::ReceiveMessage] {
         for spoils_next in [true, false] {
             let (hosts, discovery) = (Hosts::start(2), Discovery::start());
-            let papers = papers(&hosts, discovery.address);
+            let node_config = node_config(&hosts, discovery.address);
             let (held, folder) = (listener(), folder());
             let (before, next) = (Spoiler::default(), Spoiler::default());
-            let mut predecessor = Node::start_spoilt_at(&papers, &held, &folder, &before);
+            let mut predecessor = Node::start_spoilt_at(&node_config, &held, &folder, &before);
             predecessor.address = held.local_addr().unwrap();
             let mut open: Vec<_> = (0..20).map(|_| predecessor.served(&hosts)).collect();
             let spoilt = if spoils_next { &next } else { &before };
             spoilt.set(&[fails(call, Errno::NOBUFS, 2)]);
-            let mut successor = Node::start_spoilt_at(&papers, &held, &folder, &next);
+            let mut successor = Node::start_spoilt_at(&node_config, &held, &folder, &next);
             predecessor.stop();
             assert!(predecessor.wait().success());
             for (n, (client, _, host)) in open.iter_mut().enumerate() {
@@ -247,13 +247,13 @@
     let (listener, first) = jammed();
     let (discovery, spoiler) = (Discovery::start(), Spoiler::default());
     let late = |phase| member(5, &listener.local_addr().unwrap().to_string(), phase);
-    let mut papers = program::papers_of(json!([late("active")]), discovery.address);
-    papers["settings"]["policy_limits"]["connect_timeout"] = json!(5000.0);
-    papers["settings"]["offerings"][0]["expiry"] = json!(6000.0);
-    papers["settings"]["offerings"][0]["contract_time"] = json!(6000.0);
+    let mut node_config = program::node_config_of(json!([late("active")]), discovery.address);
+    node_config["settings"]["policy_limits"]["connect_timeout"] = json!(5000.0);
+    node_config["settings"]["offerings"][0]["expiry"] = json!(6000.0);
+    node_config["settings"]["offerings"][0]["contract_time"] = json!(6000.0);
     // The system asks for a connection again a second after the first time, which is then in the last part of the grace.
-    papers["settings"]["contract"]["drain_grace"] = json!(1000.0);
-    let node = Node::start_spoilt(&papers, &spoiler);
+    node_config["settings"]["contract"]["drain_grace"] = json!(1000.0);
+    let node = Node::start_spoilt(&node_config, &spoiler);
     discovery.calls(1);
     let asked = Instant::now();
     let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
@@ -288,11 +288,11 @@
     let (listener, first) = jammed();
     let discovery = Discovery::start();
     let late = member(5, &listener.local_addr().unwrap().to_string(), "active");
-    let mut papers = program::papers_of(json!([late]), discovery.address);
-    papers["settings"]["policy_limits"]["connect_timeout"] = json!(5000.0);
-    papers["settings"]["offerings"][0]["contract_time"] = json!(2000.0);
+    let mut node_config = program::node_config_of(json!([late]), discovery.address);
+    node_config["settings"]["policy_limits"]["connect_timeout"] = json!(5000.0);
+    node_config["settings"]["offerings"][0]["contract_time"] = json!(2000.0);
     let spoiler = Spoiler::default();
-    let node = Node::start_spoilt(&papers, &spoiler);
+    let node = Node::start_spoilt(&node_config, &spoiler);
     discovery.calls(1);
     let mut client = node.open(OPEN);
     let mut other = Peer::connect(node.address);
@@ -325,8 +325,8 @@
 fn clients_that_stop_within_a_line_have_their_error_though_the_process_stands_still_meanwhile() {
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
     let (held, folder) = (listener(), folder());
-    let papers = papers(&hosts, discovery.address);
-    let mut node = Node::start_spoilt_at(&papers, &held, &folder, &Spoiler::default());
+    let node_config = node_config(&hosts, discovery.address);
+    let mut node = Node::start_spoilt_at(&node_config, &held, &folder, &Spoiler::default());
     node.address = held.local_addr().unwrap();
     let from = Instant::now();
     let mut clients = Vec::new();
@@ -403,9 +403,9 @@
     };
     for fault in [short, fails(Call::Send, Errno::NOBUFS, 2)] {
         let (hosts, discovery, spoiler) = (Hosts::start(1), Discovery::start(), Spoiler::default());
-        let mut papers = papers(&hosts, discovery.address);
-        papers["limits"]["sockets"] = json!(64);
-        let node = Node::start_spoilt(&papers, &spoiler);
+        let mut node_config = node_config(&hosts, discovery.address);
+        node_config["limits"]["sockets"] = json!(64);
+        let node = Node::start_spoilt(&node_config, &spoiler);
         for _ in 0..4 {
             let mut client = node.open(OPEN);
             let (_, mut host) = hosts.accept();
@@ -429,10 +429,10 @@
 #[test]
 fn final_answers_are_in_time_though_the_process_is_woken_late() {
     let (hosts, discovery, spoiler) = (Hosts::start(1), Discovery::start(), Spoiler::default());
-    let mut papers = papers(&hosts, discovery.address);
-    papers["ops"] = json!("127.0.0.1:0");
-    papers["settings"]["offerings"][0]["effect"] = json!("single_shot");
-    let node = Node::start_spoilt(&papers, &spoiler);
+    let mut node_config = node_config(&hosts, discovery.address);
+    node_config["ops"] = json!("127.0.0.1:0");
+    node_config["settings"]["offerings"][0]["effect"] = json!("single_shot");
+    let node = Node::start_spoilt(&node_config, &spoiler);
     let mut clients = Vec::new();
     for n in 0..8 {
         // Each at another distance from the next look round.
--- a/node/tests/members.rs
+++ b/node/tests/members.rs
@@ -1,7 +1,7 @@
 //! Processes of the program that keep a view of their fleet, with faults put between them: how soon the view settles,
 //! who is put out and who is not. What clients and hosts saw is judged beside it where there is load.
 
-use reedferry_testkit::fleet::{alone, Fleet, Guests, Terms, WarmingHosts};
+use reedferry_testkit::fleet::{alone, Fleet, Guests, FleetOptions, WarmingHosts};
 use reedferry_testkit::schedule::{play, Schedule};
 use reedferry_testkit::view::{started, View};
 use reedferry_testkit::ways::{Spoil, Ways};
@@ -137,11 +137,11 @@
         period: PERIOD,
         seeds: vec![0, 1, 2],
     };
-    let terms = Terms {
-        ask_within: Duration::from_secs(4),
-        ..Terms::TRIAL
+    let options = FleetOptions {
+        max_poll_interval: Duration::from_secs(4),
+        ..FleetOptions::TRIAL
     };
-    let mut fleet = Fleet::new(7, service.address, terms)
+    let mut fleet = Fleet::new(7, service.address, options)
         .among(6)
         .with_view(view);
     // Two of three seeds are dead.
@@ -210,7 +210,7 @@
         period,
         seeds: vec![0, 1, 2],
     };
-    let mut fleet = Fleet::new(200, service.address, Terms::TRIAL).with_view(view);
+    let mut fleet = Fleet::new(200, service.address, FleetOptions::TRIAL).with_view(view);
     let living: Vec<usize> = (0..200).filter(|node| *node != 1 && *node != 2).collect();
     fleet.start(&living, &[], 0);
     agree(&fleet, 60, "after the start");
@@ -246,7 +246,7 @@
 #[test]
 fn all_are_restarted_in_turn_under_load_and_say_that_they_leave() {
     let _turn = alone();
-    let (service, hosts) = (Discovery::start(), WarmingHosts::new(Terms::TRIAL));
+    let (service, hosts) = (Discovery::start(), WarmingHosts::new(FleetOptions::TRIAL));
     let list = hosts.members(hosts.start(6, false));
     list.iter()
         .for_each(|member| service.change(member.clone()));
@@ -255,7 +255,7 @@
         period: PERIOD,
         seeds: vec![0, 1, 2],
     };
-    let mut fleet = Fleet::new(10, service.address, Terms::TRIAL).with_view(view);
+    let mut fleet = Fleet::new(10, service.address, FleetOptions::TRIAL).with_view(view);
     fleet.start(&(0..10).collect::<Vec<_>>(), &list, 6);
     let mut guests = Guests::come(60, &fleet.front, Duration::from_millis(500), None, 5);
     eventually("all stand", || guests.standing() == 60);
@@ -290,7 +290,7 @@
 #[test]
 fn each_host_is_probed_once_a_round_whoever_dies_or_stands_still() {
     let _turn = alone();
-    let (service, hosts) = (Discovery::start(), WarmingHosts::new(Terms::TRIAL));
+    let (service, hosts) = (Discovery::start(), WarmingHosts::new(FleetOptions::TRIAL));
     let list = hosts.members(hosts.start(8, false));
     list.iter()
         .for_each(|member| service.change(member.clone()));
@@ -299,7 +299,7 @@
         period: PERIOD,
         seeds: vec![0, 1, 2],
     };
-    let mut fleet = Fleet::new(6, service.address, Terms::TRIAL)
+    let mut fleet = Fleet::new(6, service.address, FleetOptions::TRIAL)
         .with_view(view)
         .probing();
     fleet.start(&(0..6).collect::<Vec<_>>(), &list, 8);
@@ -360,7 +360,7 @@
 #[test]
 fn turns_of_the_dead_are_lent_under_a_majority_and_never_used_twice() {
     let _turn = alone();
-    let (service, hosts) = (Discovery::start(), WarmingHosts::new(Terms::TRIAL));
+    let (service, hosts) = (Discovery::start(), WarmingHosts::new(FleetOptions::TRIAL));
     let mut list = hosts.members(hosts.start(4, false));
     list.iter()
         .for_each(|member| service.change(member.clone()));
@@ -369,7 +369,7 @@
         period: PERIOD,
         seeds: vec![0, 1, 2],
     };
-    let mut fleet = Fleet::new(6, service.address, Terms::TRIAL).with_view(view);
+    let mut fleet = Fleet::new(6, service.address, FleetOptions::TRIAL).with_view(view);
     fleet.start(&(0..6).collect::<Vec<_>>(), &list, 4);
     let guests = Guests::come(60, &fleet.front, Duration::from_millis(300), None, 7);
     agree(&fleet, 20, "at the start");
--- a/node/tests/ops.rs
+++ b/node/tests/ops.rs
@@ -6,10 +6,10 @@
 
 fn start(hosts: &Hosts, adjust: impl FnOnce(&mut Value)) -> (Node, Discovery) {
     let discovery = Discovery::start();
-    let mut papers = papers(hosts, discovery.address);
-    papers["ops"] = json!("127.0.0.1:0");
-    adjust(&mut papers);
-    (Node::start(&papers), discovery)
+    let mut node_config = node_config(hosts, discovery.address);
+    node_config["ops"] = json!("127.0.0.1:0");
+    adjust(&mut node_config);
+    (Node::start(&node_config), discovery)
 }
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -255,9 +255,9 @@
     let hosts = Hosts::start(1);
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     for ops in [taken.local_addr().unwrap().to_string(), "nowhere".into()] {
-        let mut papers = papers(&hosts, nowhere());
-        papers["ops"] = json!(ops);
-        let output = program(&papers.to_string()).output().unwrap();
+        let mut node_config = node_config(&hosts, nowhere());
+        node_config["ops"] = json!(ops);
+        let output = program(&node_config.to_string()).output().unwrap();
         let said = String::from_utf8(output.stderr).unwrap();
         assert_eq!(
             (output.status.code(), said.lines().count()),
--- a/node/tests/pause.rs
+++ b/node/tests/pause.rs
@@ -48,10 +48,10 @@
     fn start() -> Site {
         let (referee, discovery) = (acting::Referee::default(), Discovery::start());
         let hosts = acting::Hosts::start(HOSTS, &referee);
-        let mut papers = program::papers_of(hosts.members(), discovery.address);
-        papers["settings"]["offerings"][0]["name"] = serde_json::json!("free");
+        let mut node_config = program::node_config_of(hosts.members(), discovery.address);
+        node_config["settings"]["offerings"][0]["name"] = serde_json::json!("free");
         let spoiler = Spoiler::default();
-        let node = Node::start_spoilt(&papers, &spoiler);
+        let node = Node::start_spoilt(&node_config, &spoiler);
         discovery.calls(1);
         Site {
             node,
@@ -142,9 +142,9 @@
 fn what_is_due_is_answered_in_time_though_each_turn_has_much_to_do() {
     const TALKING: usize = 60;
     let (hosts, discovery, spoiler) = (Hosts::start(1), Discovery::start(), Spoiler::default());
-    let mut papers = papers(&hosts, discovery.address);
-    papers["settings"]["offerings"][0]["contract_time"] = serde_json::json!(2000.0);
-    let node = Node::start_spoilt(&papers, &spoiler);
+    let mut node_config = node_config(&hosts, discovery.address);
+    node_config["settings"]["offerings"][0]["contract_time"] = serde_json::json!(2000.0);
+    let node = Node::start_spoilt(&node_config, &spoiler);
     let mut open: Vec<_> = (0..TALKING).map(|_| node.served(&hosts)).collect();
     // Its host says nothing.
     let mut waits = node.open(&OPEN.replace("d=2000", "d=1000"));
@@ -196,13 +196,13 @@
     let (listener, first) = jammed();
     let discovery = Discovery::start();
     let late = member(5, &listener.local_addr().unwrap().to_string(), "active");
-    let mut papers = program::papers_of(serde_json::json!([late]), discovery.address);
+    let mut node_config = program::node_config_of(serde_json::json!([late]), discovery.address);
     // The system asks for a connection again a second after the first time.
-    papers["settings"]["policy_limits"]["connect_timeout"] = serde_json::json!(1500.0);
-    papers["settings"]["offerings"][0]["expiry"] = serde_json::json!(6000.0);
-    papers["settings"]["offerings"][0]["contract_time"] = serde_json::json!(6000.0);
+    node_config["settings"]["policy_limits"]["connect_timeout"] = serde_json::json!(1500.0);
+    node_config["settings"]["offerings"][0]["expiry"] = serde_json::json!(6000.0);
+    node_config["settings"]["offerings"][0]["contract_time"] = serde_json::json!(6000.0);
     let spoiler = Spoiler::default();
-    let node = Node::start_spoilt(&papers, &spoiler);
+    let node = Node::start_spoilt(&node_config, &spoiler);
     discovery.calls(1);
     let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
     let mut other = Peer::connect(node.address);
@@ -227,10 +227,10 @@
 #[test]
 fn a_probe_that_was_answered_while_the_process_stood_still_counts_as_answered() {
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
-    let mut papers = papers(&hosts, discovery.address);
-    papers["settings"]["reporting"] = serde_json::json!({"fields": ["util", "x0"], "via": "pull"});
+    let mut node_config = node_config(&hosts, discovery.address);
+    node_config["settings"]["reporting"] = serde_json::json!({"fields": ["util", "x0"], "via": "pull"});
     let spoiler = Spoiler::default();
-    let node = Node::start_spoilt(&papers, &spoiler);
+    let node = Node::start_spoilt(&node_config, &spoiler);
     let (_, mut probe) = hosts.accept();
     probe.hears("STATS");
     interrupt_waits(&spoiler);
--- a/node/tests/ready.rs
+++ b/node/tests/ready.rs
@@ -2,7 +2,7 @@
 //! service that is slow.
 
 use reedferry_testkit::acting::{Hosts, Referee};
-use reedferry_testkit::program::papers_of;
+use reedferry_testkit::program::node_config_of;
 use reedferry_testkit::*;
 use serde_json::{json, Value};
 use std::thread;
@@ -13,14 +13,14 @@
 
 /// One of hundreds, by settings that leave a node a minute to ask, which knows no host.
 fn fresh(service: &Discovery, node: usize) -> Value {
-    let mut papers = papers_of(Value::Null, service.address);
-    papers["known"] = Value::Null;
-    papers["name"] = json!(format!("n{node}"));
-    let settings = &mut papers["settings"];
+    let mut node_config = node_config_of(Value::Null, service.address);
+    node_config["known"] = Value::Null;
+    node_config["name"] = json!(format!("n{node}"));
+    let settings = &mut node_config["settings"];
     settings["balancers"] = json!(300);
     settings["index"] = json!(300 - NODES + node);
     settings["contract"]["ask_within"] = json!(60_000.0);
-    papers
+    node_config
 }
 
 /// How long after this a client that comes again and again is first served there.
--- a/node/tests/relisted.rs
+++ b/node/tests/relisted.rs
@@ -1,7 +1,7 @@
 //! Hosts that the list names anew, in another group or at another address: what was chosen for them before goes by where they
 //! were.
 
-use reedferry_testkit::program::papers_of;
+use reedferry_testkit::program::node_config_of;
 use reedferry_testkit::*;
 use serde_json::json;
 use std::thread::yield_now;
@@ -14,7 +14,7 @@
 /// which it may have run it: its name has come back in another.
 #[test]
 fn a_repeat_stays_in_the_circle_in_which_the_first_attempt_may_have_run() {
-    for circle in ["zone", "cell"] {
+    for idempotency_group in ["zone", "cell"] {
         let hosts = Hosts::start(2);
         let discovery = Discovery::start();
         let named = |host: usize, place: usize| {
@@ -22,12 +22,12 @@
             (member["locality"], member["cell"]) = (json!(["a", "b"][place]), json!(place));
             member
         };
-        let mut papers = papers_of(json!([named(0, 0)]), discovery.address);
-        let settings = &mut papers["settings"];
+        let mut node_config = node_config_of(json!([named(0, 0)]), discovery.address);
+        let settings = &mut node_config["settings"];
         settings["zones"] = json!(["a", "b"]);
         settings["offerings"][0] = json!({"name": "chat", "contract_time": 1500.0, "expiry": 6000.0,
-            "effect": "guarded", "group": circle, "payoff": 1.0, "repeat_window": 6000.0});
-        let node = Node::start(&papers);
+            "effect": "guarded", "group": idempotency_group, "payoff": 1.0, "repeat_window": 6000.0});
+        let node = Node::start(&node_config);
         discovery.calls(1);
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
         let (_, mut host) = hosts.accept();
@@ -41,7 +41,7 @@
         client.hears("ERR");
         assert!(
             hosts.accept_soon().is_none(),
-            "{circle}: sent out of its circle"
+            "{idempotency_group}: sent out of its circle"
         );
     }
 }
@@ -54,18 +54,18 @@
         let hosts = Hosts::start(1);
         let (listener, first) = jammed();
         let discovery = Discovery::start();
-        let mut papers = papers_of(hosts.members(), discovery.address);
-        let settings = &mut papers["settings"];
+        let mut node_config = node_config_of(hosts.members(), discovery.address);
+        let settings = &mut node_config["settings"];
         settings["policy_limits"]["connect_timeout"] = json!(5000.0);
         settings["offerings"][0] = json!({"name": "chat", "contract_time": 300.0, "expiry": 6000.0,
             "effect": "guarded", "group": "cell", "payoff": 1.0, "repeat_window": 6000.0});
-        let node = Node::start(&papers);
+        let node = Node::start(&node_config);
         discovery.calls(1);
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
         let (_, mut host) = hosts.accept();
         host.hear();
         let mut late = member(5, &listener.local_addr().unwrap().to_string(), "active");
-        late["cell"] = papers["known"]["members"][0]["cell"].clone();
+        late["cell"] = node_config["known"]["members"][0]["cell"].clone();
         discovery.change(late.clone());
         host.hears("end");
         discovery.calls(2);
@@ -112,12 +112,12 @@
     let (listener, first) = jammed();
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
     let old = member(0, &listener.local_addr().unwrap().to_string(), "active");
-    let mut papers = papers_of(json!([old]), discovery.address);
-    let settings = &mut papers["settings"];
+    let mut node_config = node_config_of(json!([old]), discovery.address);
+    let settings = &mut node_config["settings"];
     settings["policy_limits"]["connect_timeout"] = json!(6000.0);
     settings["offerings"][0]["contract_time"] = json!(5000.0);
     settings["offerings"][0]["expiry"] = json!(8000.0);
-    let node = Node::start(&papers);
+    let node = Node::start(&node_config);
     discovery.calls(1);
     let mut client = node.open(&OPEN.replace("d=2000", "d=8000"));
     // Whoever answers this has asked for that connection.
@@ -158,9 +158,9 @@
     let (listener, first) = jammed();
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
     let old = member(0, &listener.local_addr().unwrap().to_string(), "active");
-    let mut papers = papers_of(json!([old]), discovery.address);
-    papers["settings"]["policy_limits"]["connect_timeout"] = json!(1000.0);
-    let node = Node::start(&papers);
+    let mut node_config = node_config_of(json!([old]), discovery.address);
+    node_config["settings"]["policy_limits"]["connect_timeout"] = json!(1000.0);
+    let node = Node::start(&node_config);
     discovery.calls(1);
     let mut client = node.open(OPEN);
     // Whoever answers this has asked for that connection.
--- a/node/tests/repeats.rs
+++ b/node/tests/repeats.rs
@@ -1,6 +1,6 @@
 //! Repeats: a further attempt at the last instant at which its effect allows one, and past it.
 
-use reedferry_testkit::program::papers_of;
+use reedferry_testkit::program::node_config_of;
 use reedferry_testkit::*;
 use serde_json::json;
 use std::time::{Duration, Instant};
@@ -9,7 +9,7 @@
 /// connection came up late.
 #[test]
 fn a_repeat_whose_connection_comes_up_past_its_window_is_not_sent() {
-    for (effect, window, sent, answer) in [
+    for (idempotency, window, sent, answer) in [
         ("free", 0, true, "UP 2"),
         ("guarded", 6000, true, "UP 2"),
         ("guarded", 800, false, "BUSY"),
@@ -18,12 +18,12 @@
         let hosts = Hosts::start(1);
         let (listener, first) = jammed();
         let discovery = Discovery::start();
-        let mut papers = papers_of(hosts.members(), discovery.address);
-        let settings = &mut papers["settings"];
+        let mut node_config = node_config_of(hosts.members(), discovery.address);
+        let settings = &mut node_config["settings"];
         settings["policy_limits"]["connect_timeout"] = json!(5000.0);
         settings["offerings"][0] = json!({"name": "chat", "contract_time": 300.0, "expiry": 6000.0,
-            "effect": effect, "group": "all", "payoff": 1.0, "repeat_window": f64::from(window)});
-        let node = Node::start(&papers);
+            "effect": idempotency, "group": "all", "payoff": 1.0, "repeat_window": f64::from(window)});
+        let node = Node::start(&node_config);
         discovery.calls(1);
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
         let asked = Instant::now();
@@ -63,9 +63,9 @@
                 lines.push((line, late));
             }
         }
-        assert_eq!(!lines.is_empty(), sent, "{effect}, {window} ms");
+        assert_eq!(!lines.is_empty(), sent, "{idempotency}, {window} ms");
         let said = client.hear();
-        assert!(said.starts_with(answer), "{effect}, {window} ms: {said}");
+        assert!(said.starts_with(answer), "{idempotency}, {window} ms: {said}");
     }
 }
 
@@ -73,7 +73,7 @@
 /// may have run it has left and no more is said of it, and where the settings change the places of zones after that.
 #[test]
 fn a_repeat_stays_in_the_circle_of_the_host_that_may_have_run_it() {
-    for (what, circle, zones, left) in [
+    for (what, idempotency_group, zones, left) in [
         (
             "zones that the settings do not name",
             "zone",
@@ -92,12 +92,12 @@
             (member["locality"], member["cell"]) = (json!(zones[host]), json!(3 * (1 - host)));
             member
         };
-        let mut papers = papers_of(json!([named(0)]), discovery.address);
-        let settings = &mut papers["settings"];
+        let mut node_config = node_config_of(json!([named(0)]), discovery.address);
+        let settings = &mut node_config["settings"];
         settings["zones"] = json!(["a", "b"]);
         settings["offerings"][0] = json!({"name": "chat", "contract_time": 1500.0, "expiry": 6000.0,
-            "effect": "guarded", "group": circle, "payoff": 1.0, "repeat_window": 6000.0});
-        let node = Node::start(&papers);
+            "effect": "guarded", "group": idempotency_group, "payoff": 1.0, "repeat_window": 6000.0});
+        let node = Node::start(&node_config);
         discovery.calls(1);
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
         let (first, mut host) = hosts.accept();
@@ -117,9 +117,9 @@
             discovery.calls(3);
         }
         if what.contains("change their places") {
-            papers["settings"]["zones"] = json!(["b", "a"]);
-            papers["settings"]["zone"] = json!(1);
-            node.reread(&papers.to_string());
+            node_config["settings"]["zones"] = json!(["b", "a"]);
+            node_config["settings"]["zone"] = json!(1);
+            node.reread(&node_config.to_string());
             node.logs("terms renewed");
         }
         host.reset();
@@ -134,7 +134,7 @@
 /// Guards: the same kept so narrowly that nothing is repeated at all.
 #[test]
 fn a_repeat_goes_to_another_host_of_the_same_circle() {
-    for circle in ["zone", "cell", "all"] {
+    for idempotency_group in ["zone", "cell", "all"] {
         let hosts = Hosts::start(2);
         let discovery = Discovery::start();
         let named = |host: usize| {
@@ -142,16 +142,16 @@
             (member["locality"], member["cell"]) = (json!("x"), json!(7));
             member
         };
-        let mut papers = papers_of(json!([named(0), named(1)]), discovery.address);
-        papers["settings"]["offerings"][0] = json!({"name": "chat", "contract_time": 1500.0, "expiry": 6000.0,
-            "effect": "guarded", "group": circle, "payoff": 1.0, "repeat_window": 6000.0});
-        let node = Node::start(&papers);
+        let mut node_config = node_config_of(json!([named(0), named(1)]), discovery.address);
+        node_config["settings"]["offerings"][0] = json!({"name": "chat", "contract_time": 1500.0, "expiry": 6000.0,
+            "effect": "guarded", "group": idempotency_group, "payoff": 1.0, "repeat_window": 6000.0});
+        let node = Node::start(&node_config);
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
         let (first, mut host) = hosts.accept();
         host.hear();
         host.reset();
         let (second, mut host) = hosts.accept();
-        assert_ne!(first, second, "{circle}");
+        assert_ne!(first, second, "{idempotency_group}");
         host.hear();
         host.say("UP 2");
         client.hears("UP 2");
@@ -179,10 +179,10 @@
             }
             member
         };
-        let mut papers = papers_of(json!([named(0, &first)]), discovery.address);
-        papers["settings"]["offerings"][0] = json!({"name": "chat", "contract_time": 1500.0, "expiry": 6000.0,
+        let mut node_config = node_config_of(json!([named(0, &first)]), discovery.address);
+        node_config["settings"]["offerings"][0] = json!({"name": "chat", "contract_time": 1500.0, "expiry": 6000.0,
             "effect": "guarded", "group": "cell", "payoff": 1.0, "repeat_window": 6000.0});
-        let node = Node::start(&papers);
+        let node = Node::start(&node_config);
         discovery.calls(1);
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
         let (_, mut host) = hosts.accept();
@@ -228,15 +228,15 @@
         ("single_shot", "WHAT 1\r\n", "UP 8\r\n", "ERR", false),
         ("single_shot", "UP 7\r\n", "ERR\r\n", "UP 7", false),
     ];
-    for ((effect, first, second, wanted, again), apart) in
+    for ((idempotency, first, second, wanted, again), apart) in
         cases.into_iter().flat_map(|c| [(c, false), (c, true)])
     {
-        let what = format!("{effect}, {first:?} and {second:?}, apart {apart}");
+        let what = format!("{idempotency}, {first:?} and {second:?}, apart {apart}");
         let hosts = Hosts::start(2);
         let discovery = Discovery::start();
-        let mut papers = papers_of(hosts.members(), discovery.address);
-        papers["settings"]["offerings"][0]["effect"] = json!(effect);
-        let node = Node::start(&papers);
+        let mut node_config = node_config_of(hosts.members(), discovery.address);
+        node_config["settings"]["offerings"][0]["effect"] = json!(idempotency);
+        let node = Node::start(&node_config);
         let mut client = node.open(OPEN);
         let (one, mut host) = hosts.accept();
         host.hear();
@@ -274,20 +274,20 @@
 /// by itself or behind more than one turn takes in; and one that comes just after.
 #[test]
 fn an_answer_in_the_moment_in_which_its_attempt_is_given_up_is_the_only_one() {
-    for (effect, comes) in ["free", "single_shot"]
+    for (idempotency, comes) in ["free", "single_shot"]
         .into_iter()
         .flat_map(|e| ["with it", "behind", "after"].map(|c| (e, c)))
     {
-        let what = format!("{effect}, {comes}");
+        let what = format!("{idempotency}, {comes}");
         let hosts = Hosts::start(2);
         let discovery = Discovery::start();
-        let mut papers = papers_of(hosts.members(), discovery.address);
-        papers["settings"]["offerings"][0] = json!({"name": "chat", "contract_time": 400.0, "expiry": 2000.0,
-            "effect": effect, "group": "all", "payoff": 1.0});
-        papers["settings"]["policy_limits"]["most_hand_offs"] = json!(2);
-        papers["settings"]["round"] = json!(200.0);
-        papers["limits"]["sockets"] = json!(2048);
-        let node = Node::start(&papers);
+        let mut node_config = node_config_of(hosts.members(), discovery.address);
+        node_config["settings"]["offerings"][0] = json!({"name": "chat", "contract_time": 400.0, "expiry": 2000.0,
+            "effect": idempotency, "group": "all", "payoff": 1.0});
+        node_config["settings"]["policy_limits"]["most_hand_offs"] = json!(2);
+        node_config["settings"]["round"] = json!(200.0);
+        node_config["limits"]["sockets"] = json!(2048);
+        let node = Node::start(&node_config);
         let mut crowd: Vec<Peer> = match comes {
             "behind" => (0..700).map(|_| Peer::connect(node.address)).collect(),
             _ => Vec::new(),
@@ -301,7 +301,7 @@
             // Given up: its connection has ended, and what it then says is nobody's.
             host.hears("end");
             _ = std::io::Write::write_all(&mut host.stream, b"UP 7\r\n");
-            if effect == "single_shot" {
+            if idempotency == "single_shot" {
                 hears_one(&mut client, "ERR", &what);
             } else {
                 let (other, mut host) = hosts.accept();
@@ -313,7 +313,7 @@
         } else {
             node.stand_still();
             // What is irreversible is waited for as long as its client waits, less two rounds.
-            let up = Duration::from_millis(if effect == "single_shot" { 1650 } else { 700 });
+            let up = Duration::from_millis(if idempotency == "single_shot" { 1650 } else { 700 });
             crowd.iter_mut().for_each(|other| other.write("O"));
             host.say("UP 7");
             eventually("no time passes", || asked.elapsed() > up);
--- a/node/tests/retune.rs
+++ b/node/tests/retune.rs
@@ -5,13 +5,13 @@
 
 fn start(hosts: &Hosts) -> (Node, Value, Discovery) {
     let discovery = Discovery::start();
-    let mut papers = papers(hosts, discovery.address);
-    papers["ops"] = json!("127.0.0.1:0");
-    (Node::start(&papers), papers, discovery)
+    let mut node_config = node_config(hosts, discovery.address);
+    node_config["ops"] = json!("127.0.0.1:0");
+    (Node::start(&node_config), node_config, discovery)
 }
 
-fn offering(name: &str, effect: &str) -> Value {
-    json!({"name": name, "contract_time": 500.0, "expiry": 2000.0, "effect": effect, "group": "all", "payoff": 1.0})
+fn class(name: &str, idempotency: &str) -> Value {
+    json!({"name": name, "contract_time": 500.0, "expiry": 2000.0, "effect": idempotency, "group": "all", "payoff": 1.0})
 }
 
 /// Has it read this, and waits until that is counted.
@@ -45,17 +45,17 @@
 #[test]
 fn a_broken_file_changes_nothing() {
     let hosts = Hosts::start(2);
-    let (node, papers, _discovery) = start(&hosts);
+    let (node, node_config, _discovery) = start(&hosts);
     // Each would show by another discovery and another offering, were any of it taken up.
-    let mut other = papers.clone();
+    let mut other = node_config.clone();
     other["discovery"] = json!(nowhere().to_string());
-    other["settings"]["offerings"] = json!([offering("talk", "free")]);
+    other["settings"]["offerings"] = json!([class("talk", "free")]);
     let whole = other.to_string();
     let mut broken: Vec<String> = (0..whole.len())
         .step_by(67)
         .map(|cut| whole[..cut].to_string())
         .collect();
-    for key in papers
+    for key in node_config
         .as_object()
         .unwrap()
         .keys()
@@ -67,7 +67,7 @@
     }
     for part in ["", "/contract", "/policy_limits", "/offerings/0"] {
         let place = format!("/settings{part}");
-        for key in papers.pointer(&place).unwrap().as_object().unwrap().keys() {
+        for key in node_config.pointer(&place).unwrap().as_object().unwrap().keys() {
             let mut short = other.clone();
             short
                 .pointer_mut(&place)
@@ -96,13 +96,13 @@
             broken.push(wrong.to_string());
         }
     }
-    for offerings in [
+    for classes in [
         json!([]),
-        json!([offering("talk", "free"), offering("talk", "free")]),
+        json!([class("talk", "free"), class("talk", "free")]),
         json!(7),
     ] {
         let mut wrong = other.clone();
-        wrong["settings"]["offerings"] = offerings;
+        wrong["settings"]["offerings"] = classes;
         broken.push(wrong.to_string());
     }
     for text in &broken {
@@ -118,7 +118,7 @@
     // Good and bad ones in quick alternation.
     for n in 0..20 {
         reread(&node, &broken[n * broken.len() / 20], false);
-        reread(&node, &papers.to_string(), true);
+        reread(&node, &node_config.to_string(), true);
     }
     serves(&node, &hosts, "chat");
 }
@@ -127,13 +127,13 @@
 fn offerings_appear_and_vanish_and_what_is_under_way_keeps_its_own() {
     // Enough that some are left where others broke off what they were asked.
     let hosts = Hosts::start(8);
-    let (node, mut papers, _discovery) = start(&hosts);
+    let (node, mut node_config, _discovery) = start(&hosts);
     let (mut open, _, mut standing) = node.served(&hosts);
     let mut waits = node.open(&asks("chat"));
     let (_, mut host) = hosts.accept();
     host.hear();
-    papers["settings"]["offerings"] = json!([offering("talk", "single_shot")]);
-    reread(&node, &papers.to_string(), true);
+    node_config["settings"]["offerings"] = json!([class("talk", "single_shot")]);
+    reread(&node, &node_config.to_string(), true);
     serves(&node, &hosts, "talk");
     node.open(&asks("chat")).hears("ERR");
     // The one that waited was redoable, and still is: what may have run at one host goes to another.
@@ -149,9 +149,9 @@
     let mut waits = node.open(&asks("talk"));
     let (_, mut host) = hosts.accept();
     host.hear();
-    papers["settings"]["offerings"] =
-        json!([offering("chat", "single_shot"), offering("talk", "free")]);
-    reread(&node, &papers.to_string(), true);
+    node_config["settings"]["offerings"] =
+        json!([class("chat", "single_shot"), class("talk", "free")]);
+    reread(&node, &node_config.to_string(), true);
     drop(host);
     waits.hears("ERR");
     let mut strict = node.open(&asks("chat"));
@@ -172,14 +172,14 @@
 #[test]
 fn fewer_attempts_hold_for_what_comes_from_then_on() {
     let hosts = Hosts::start(3);
-    let (node, mut papers, _discovery) = start(&hosts);
+    let (node, mut node_config, _discovery) = start(&hosts);
     let mut before = node.open(OPEN);
     for left in [2, 1, 0] {
         let (_, mut host) = hosts.accept();
         host.hear();
         if left == 1 {
-            papers["settings"]["policy_limits"]["most_hand_offs"] = json!(1);
-            reread(&node, &papers.to_string(), true);
+            node_config["settings"]["policy_limits"]["most_hand_offs"] = json!(1);
+            reread(&node, &node_config.to_string(), true);
         }
         host.say("BUSY");
     }
@@ -199,10 +199,10 @@
 #[test]
 fn zones_may_change_their_places() {
     let hosts = Hosts::start(2);
-    let (node, mut papers, _discovery) = start(&hosts);
-    papers["settings"]["zones"] = json!(["b", "a"]);
-    papers["settings"]["zone"] = json!(1);
-    reread(&node, &papers.to_string(), true);
+    let (node, mut node_config, _discovery) = start(&hosts);
+    node_config["settings"]["zones"] = json!(["b", "a"]);
+    node_config["settings"]["zone"] = json!(1);
+    reread(&node, &node_config.to_string(), true);
     assert_eq!(node.figure("hosts_known"), 2);
     serves(&node, &hosts, "chat");
 }
@@ -218,10 +218,10 @@
 fn what_is_held_and_open_goes_by_its_own_terms_over_other_classes_and_tenants() {
     let hosts = Hosts::start(12);
     let discovery = Discovery::start();
-    let mut papers = papers(&hosts, discovery.address);
-    papers["ops"] = json!("127.0.0.1:0");
-    let class = |name: &str, effect: &str, window: f64| {
-        let mut class = offering(name, effect);
+    let mut node_config = node_config(&hosts, discovery.address);
+    node_config["ops"] = json!("127.0.0.1:0");
+    let class = |name: &str, idempotency: &str, window: f64| {
+        let mut class = class(name, idempotency);
         (
             class["expiry"],
             class["contract_time"],
@@ -229,13 +229,13 @@
         ) = (json!(9000.0), json!(9000.0), json!(window));
         class
     };
-    papers["settings"]["offerings"] = json!([
+    node_config["settings"]["offerings"] = json!([
         class("chat", "free", 0.0),
         class("till", "single_shot", 0.0),
         class("seat", "guarded", 0.0)
     ]);
-    papers["settings"]["tenants"] = json!([{"name": "acme"}, {"name": "zeta"}]);
-    let node = Node::start(&papers);
+    node_config["settings"]["tenants"] = json!([{"name": "acme"}, {"name": "zeta"}]);
+    let node = Node::start(&node_config);
     // What each is answered when its host breaks: sent on, failed as it may have run, or dismissed as its window is over.
     let kinds = [
         ("chat", "acme", "UP 2"),
@@ -258,14 +258,14 @@
         held.push((client, host, then));
     }
     // Each name means what another meant, in another order, one is new; a tenant is gone, one new.
-    papers["settings"]["offerings"] = json!([
+    node_config["settings"]["offerings"] = json!([
         class("late", "single_shot", 0.0),
         class("seat", "free", 0.0),
         class("till", "free", 0.0),
         class("chat", "single_shot", 0.0)
     ]);
-    papers["settings"]["tenants"] = json!([{"name": "omega"}, {"name": "zeta"}]);
-    reread(&node, &papers.to_string(), true);
+    node_config["settings"]["tenants"] = json!([{"name": "omega"}, {"name": "zeta"}]);
+    reread(&node, &node_config.to_string(), true);
     for (mut client, host, then) in held {
         host.reset();
         if then.starts_with("UP") {
@@ -298,9 +298,9 @@
     new.hears("UP 3");
     open.push((new, host));
     // Again with all but one taken away: nothing open is cut.
-    papers["settings"]["offerings"] = json!([class("seat", "single_shot", 0.0)]);
-    papers["settings"]["tenants"] = json!([{"name": "acme"}]);
-    reread(&node, &papers.to_string(), true);
+    node_config["settings"]["offerings"] = json!([class("seat", "single_shot", 0.0)]);
+    node_config["settings"]["tenants"] = json!([{"name": "acme"}]);
+    reread(&node, &node_config.to_string(), true);
     for (client, host) in &mut open {
         client.say("up 1");
         host.hears("up 1");
--- a/node/tests/silence.rs
+++ b/node/tests/silence.rs
@@ -2,7 +2,7 @@
 //! drain under load. Judged by what hosts and the list service saw, against when each node counts as told.
 
 use reedferry_testkit::acting::{Clients, Hosts, Reached, Referee, GRACE, SOCKETS};
-use reedferry_testkit::program::papers_of;
+use reedferry_testkit::program::node_config_of;
 use reedferry_testkit::{eventually, jammed, member, Discovery, Node, Peer, OPEN};
 use serde_json::json;
 use std::cell::Cell;
@@ -40,19 +40,19 @@
     }
 
     /// One whose settings have nodes ask within so many milliseconds.
-    fn with(service: Discovery, mode: &str, nodes: usize, of: usize, ask_within: f64) -> Self {
+    fn with(service: Discovery, mode: &str, nodes: usize, of: usize, max_poll_interval: f64) -> Self {
         let referee = Referee::default();
         let hosts = Hosts::start(HOSTS, &referee);
         let start = |node: usize| {
-            let mut papers = papers_of(hosts.members(), service.address);
-            papers["name"] = json!(format!("n{node}"));
-            let settings = &mut papers["settings"];
+            let mut node_config = node_config_of(hosts.members(), service.address);
+            node_config["name"] = json!(format!("n{node}"));
+            let settings = &mut node_config["settings"];
             settings["balancers"] = json!(of);
             settings["index"] = json!(of - nodes + node);
             settings["registry_mode"] = json!(mode);
-            settings["contract"]["ask_within"] = json!(ask_within);
+            settings["contract"]["ask_within"] = json!(max_poll_interval);
             settings["offerings"][0]["name"] = json!("free");
-            Node::start(&papers)
+            Node::start(&node_config)
         };
         let nodes: Vec<Node> = (0..nodes).map(start).collect();
         Site {
@@ -324,12 +324,12 @@
     let (listener, _first) = jammed();
     let service = Discovery::start();
     let named = |phase: &str| member(0, &listener.local_addr().unwrap().to_string(), phase);
-    let mut papers = papers_of(json!([named("active")]), service.address);
-    let settings = &mut papers["settings"];
+    let mut node_config = node_config_of(json!([named("active")]), service.address);
+    let settings = &mut node_config["settings"];
     settings["policy_limits"]["connect_timeout"] = json!(5000.0);
     settings["offerings"][0]["contract_time"] = json!(5000.0);
     settings["offerings"][0]["expiry"] = json!(8000.0);
-    let node = Node::start(&papers);
+    let node = Node::start(&node_config);
     service.calls(1);
     let mut client = node.open(&OPEN.replace("d=2000", "d=8000"));
     // Whoever answers this has read that.
@@ -555,10 +555,10 @@
     service.set_nonblocking(true).unwrap();
     let referee = Referee::default();
     let hosts = Hosts::start(1, &referee);
-    let mut papers = papers_of(hosts.members(), service.local_addr().unwrap());
-    papers["settings"]["registry_mode"] = json!("pushed");
+    let mut node_config = node_config_of(hosts.members(), service.local_addr().unwrap());
+    node_config["settings"]["registry_mode"] = json!("pushed");
     // It has begun once its first line is read.
-    let _node = Node::start(&papers);
+    let _node = Node::start(&node_config);
     assert!(service.accept().is_ok(), "not called");
 }
 
@@ -605,10 +605,10 @@
     // All but the last drain.
     (0..HOSTS - 1).for_each(|host| service.change(hosts.member(host, "leaving")));
     service.change(hosts.member(HOSTS - 1, "active"));
-    let mut papers = papers_of(hosts.members(), service.address);
-    papers["settings"]["registry_mode"] = json!("pushed");
-    papers["settings"]["offerings"][0]["name"] = json!("free");
-    let node = Node::start(&papers);
+    let mut node_config = node_config_of(hosts.members(), service.address);
+    node_config["settings"]["registry_mode"] = json!("pushed");
+    node_config["settings"]["offerings"][0]["name"] = json!("free");
+    let node = Node::start(&node_config);
     // Not from before it was started: a busy machine takes its time with that.
     let started = Instant::now();
     let mut clients = Clients::new(vec![node.address], &referee, 1);
@@ -646,11 +646,11 @@
         }
         let referee = Referee::default();
         let hosts = Hosts::start(HOSTS, &referee);
-        let mut papers = papers_of(hosts.members(), service.address);
-        papers["settings"]["registry_mode"] = json!("pushed");
-        papers["settings"]["offerings"][0]["name"] = json!("free");
+        let mut node_config = node_config_of(hosts.members(), service.address);
+        node_config["settings"]["registry_mode"] = json!("pushed");
+        node_config["settings"]["offerings"][0]["name"] = json!("free");
         let started = Instant::now();
-        let node = Node::start(&papers);
+        let node = Node::start(&node_config);
         let mut clients = Clients::new(vec![node.address], &referee, 1);
         clients.load(20.0, ms(4000), &[0], ms(20));
         clients.end();
--- a/node/tests/sockets.rs
+++ b/node/tests/sockets.rs
@@ -9,9 +9,9 @@
 
 fn start(hosts: &Hosts, adjust: impl FnOnce(&mut Value)) -> (Node, Discovery) {
     let discovery = Discovery::start();
-    let mut papers = papers(hosts, discovery.address);
-    adjust(&mut papers);
-    (Node::start(&papers), discovery)
+    let mut node_config = node_config(hosts, discovery.address);
+    adjust(&mut node_config);
+    (Node::start(&node_config), discovery)
 }
 
 #[test]
@@ -430,7 +430,7 @@
     let hosts = Hosts::start(1);
     let discovery = Discovery::start();
     discovery.turn_away(10);
-    let node = Node::start(&papers(&hosts, discovery.address));
+    let node = Node::start(&node_config(&hosts, discovery.address));
     node.logs("status 503");
     discovery.turn_away(0);
     let before = discovery.seen().0.len();
@@ -509,7 +509,7 @@
     old.calls(2);
     let (mut client, _, mut host) = node.served(&hosts);
     // A bad file is one line, and the node follows whom it followed.
-    let mut papers = papers(&hosts, old.address);
+    let mut node_config = node_config(&hosts, old.address);
     for bad in ["", "{\"name\": \"n0\", \"lis", "[]"] {
         node.reread(bad);
         node.logs("papers not taken up");
@@ -520,9 +520,9 @@
     let new = Discovery::start();
     hosts.add();
     new.change(member(1, &hosts.addresses[1].to_string(), "active"));
-    papers["discovery"] = json!(new.address.to_string());
-    papers["limits"]["sockets"] = json!(300);
-    node.reread(&papers.to_string());
+    node_config["discovery"] = json!(new.address.to_string());
+    node_config["limits"]["sockets"] = json!(300);
+    node.reread(&node_config.to_string());
     node.logs("kept until the next start, node: n0, parts: limits");
     node.logs(&format!(
         "watch begun, node: n0, at: {}, revision: 1",
@@ -533,10 +533,10 @@
     client.say("still");
     host.hears("still");
     // What comes next is followed, over and over, and so is a call to stop right behind it.
-    (0..20).for_each(|_| node.reread(&papers.to_string()));
+    (0..20).for_each(|_| node.reread(&node_config.to_string()));
     new.change(member(7, "127.0.0.1:9", "active"));
     node.logs("name: s-7");
-    node.reread(&papers.to_string());
+    node.reread(&node_config.to_string());
     node.stop();
     client.hears("MOVE");
     assert!(node.wait().success());
@@ -545,7 +545,7 @@
 #[test]
 fn a_node_serves_from_the_known_roll_while_discovery_is_down() {
     let hosts = Hosts::start(1);
-    let node = Node::start(&papers(&hosts, nowhere()));
+    let node = Node::start(&node_config(&hosts, nowhere()));
     node.logs("discovery call failed");
     node.served(&hosts);
 }
@@ -558,8 +558,8 @@
 }
 
 /// Settings of a deployment whose hosts tell of their load when they are asked.
-fn by_probe(papers: &mut Value, fields: &[&str]) {
-    papers["settings"]["reporting"] = json!({"fields": fields, "via": "pull"});
+fn by_probe(node_config: &mut Value, fields: &[&str]) {
+    node_config["settings"]["reporting"] = json!({"fields": fields, "via": "pull"});
 }
 
 #[test]
@@ -568,15 +568,15 @@
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
     peer.set_read_timeout(Some(PATIENCE)).unwrap();
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let mut papers = papers(&hosts, nowhere());
-    by_probe(&mut papers, &["util", "x0"]);
-    papers["settings"]["policy_limits"]["peers"] = json!(true);
-    papers["settings"]["balancers"] = json!(2);
-    let articles = format!(
+    let mut node_config = node_config(&hosts, nowhere());
+    by_probe(&mut node_config, &["util", "x0"]);
+    node_config["settings"]["policy_limits"]["peers"] = json!(true);
+    node_config["settings"]["balancers"] = json!(2);
+    let operator_config = format!(
         "papers = \"PAPERS\"\n[node]\nmessages = \"127.0.0.1:0\"\n[[peer]]\naddress = \"{}\"\n",
         peer.local_addr().unwrap()
     );
-    let node = Node::start_as("node", &articles, &papers);
+    let node = Node::start_as("node", &operator_config, &node_config);
     // Whichever of the two is looked at first is full, and the peer is told of it.
     let (first, mut probe) = hosts.accept();
     probe.hears("STATS");
@@ -639,7 +639,7 @@
 #[test]
 fn a_mix_of_two_shapes_is_refused_at_the_start_and_on_reading_again() {
     let hosts = Hosts::start(1);
-    let good = papers(&hosts, nowhere());
+    let good = node_config(&hosts, nowhere());
     type Mix = (&'static str, fn(&mut Value));
     let mixes: [Mix; 4] = [
         ("reporting.via", |p| {
@@ -656,29 +656,29 @@
     ];
     let node = Node::start(&good);
     for (key, mix) in mixes {
-        let mut papers = good.clone();
-        mix(&mut papers);
-        let ended = program(&papers.to_string()).output().unwrap();
+        let mut node_config = good.clone();
+        mix(&mut node_config);
+        let ended = program(&node_config.to_string()).output().unwrap();
         let said = String::from_utf8(ended.stderr).unwrap();
         assert!(
             ended.status.code() == Some(1) && said.lines().count() == 1 && said.contains(key),
             "{said}"
         );
-        node.reread(&papers.to_string());
+        node.reread(&node_config.to_string());
         assert!(node.logs("papers not taken up").contains(key));
     }
     node.served(&hosts);
     // `check` says the same without starting.
     let folder = std::env::temp_dir().join(format!("reedferry-mix-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let mut papers = good.clone();
-    papers["settings"]["policy_limits"]["peers"] = json!(true);
-    std::fs::write(folder.join("papers.json"), papers.to_string()).unwrap();
-    let articles = folder.join("node.toml");
-    std::fs::write(&articles, "papers = \"papers.json\"\n[node]\n").unwrap();
+    let mut node_config = good.clone();
+    node_config["settings"]["policy_limits"]["peers"] = json!(true);
+    std::fs::write(folder.join("papers.json"), node_config.to_string()).unwrap();
+    let operator_config = folder.join("node.toml");
+    std::fs::write(&operator_config, "papers = \"papers.json\"\n[node]\n").unwrap();
     let ended = Command::new(program::path())
         .arg("check")
-        .arg(&articles)
+        .arg(&operator_config)
         .output()
         .unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
@@ -760,7 +760,7 @@
 fn so_they_are_where_the_system_allows_fewer_than_the_papers() {
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
     crowd(
-        Node::start_within(&papers(&hosts, discovery.address), 96),
+        Node::start_within(&node_config(&hosts, discovery.address), 96),
         &hosts,
         &discovery,
     );
@@ -841,7 +841,7 @@
 #[test]
 fn bad_papers_are_one_plain_line_and_no_start() {
     let hosts = Hosts::start(1);
-    let good = papers(&hosts, nowhere());
+    let good = node_config(&hosts, nowhere());
     let mut all = vec!["".to_string(), "{".into(), "{}".into(), "[1]".into()];
     for (path, value) in [
         ("/listen", json!("nowhere")),
@@ -890,12 +890,12 @@
     };
     let discovery = Discovery::start();
     (0..MANY).for_each(|n| discovery.change(named(n, "active")));
-    let mut papers = papers(&hosts, discovery.address);
-    papers["known"] = json!({"revision": 0, "complete": true, "members": []});
-    papers["settings"]["balancers"] = json!(MANY);
-    papers["settings"]["index"] = json!(MANY - 1);
-    papers["settings"]["contract"]["ask_within"] = json!(200.0);
-    let node = Node::start(&papers);
+    let mut node_config = node_config(&hosts, discovery.address);
+    node_config["known"] = json!({"revision": 0, "complete": true, "members": []});
+    node_config["settings"]["balancers"] = json!(MANY);
+    node_config["settings"]["index"] = json!(MANY - 1);
+    node_config["settings"]["contract"]["ask_within"] = json!(200.0);
+    let node = Node::start(&node_config);
     discovery.calls(2);
     let mut held = vec![node.served(&hosts)];
     assert_eq!(held[0].1, 0, "one of eleven hundred is the last");
--- a/node/tests/stopping.rs
+++ b/node/tests/stopping.rs
@@ -1,7 +1,7 @@
 //! A program that is asked to stop at each point of a connection's life: everyone has one answer that can be read, nothing
 //! is sent after it, and nobody is held any more when the program may be ended from outside.
 
-use reedferry_testkit::program::papers_of;
+use reedferry_testkit::program::node_config_of;
 use reedferry_testkit::*;
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
@@ -12,20 +12,20 @@
 
 fn start(hosts: &Hosts, adjust: impl FnOnce(&mut Value)) -> (Node, Discovery) {
     let discovery = Discovery::start();
-    let mut papers = papers(hosts, discovery.address);
-    papers["settings"]["policy_limits"]["connect_timeout"] = json!(5000.0);
-    adjust(&mut papers);
-    (Node::start(&papers), discovery)
+    let mut node_config = node_config(hosts, discovery.address);
+    node_config["settings"]["policy_limits"]["connect_timeout"] = json!(5000.0);
+    adjust(&mut node_config);
+    (Node::start(&node_config), discovery)
 }
 
 /// When a program with this longest expiry may be ended from outside at the earliest.
-fn ended_outside(expiry: u64) -> Duration {
-    ms(expiry.min(3000) + 700)
+fn ended_outside(deadline: u64) -> Duration {
+    ms(deadline.min(3000) + 700)
 }
 
-fn of_expiry(papers: &mut Value, expiry: u64) {
-    papers["settings"]["offerings"][0]["expiry"] = json!(expiry as f64);
-    papers["settings"]["offerings"][0]["contract_time"] = json!(expiry as f64);
+fn of_expiry(node_config: &mut Value, deadline: u64) {
+    node_config["settings"]["offerings"][0]["expiry"] = json!(deadline as f64);
+    node_config["settings"]["offerings"][0]["contract_time"] = json!(deadline as f64);
 }
 
 /// Whoever answers this has read all that came before.
@@ -87,11 +87,11 @@
 /// that leaves; one that may have run dismissed as though it had not.
 #[test]
 fn what_hosts_do_not_answer_is_answered_before_the_program_ends_however_long_it_may_wait() {
-    for (effect, answer) in [("free", "BUSY"), ("single_shot", "ERR")] {
+    for (idempotency, answer) in [("free", "BUSY"), ("single_shot", "ERR")] {
         let hosts = Hosts::start(1);
         let (mut node, _discovery) = start(&hosts, |p| {
             of_expiry(p, 9000);
-            p["settings"]["offerings"][0]["effect"] = json!(effect);
+            p["settings"]["offerings"][0]["effect"] = json!(idempotency);
         });
         let mut client = node.open(&OPEN.replace("d=2000", "d=9000"));
         let (_, mut host) = hosts.accept();
@@ -99,16 +99,16 @@
         let began = Instant::now();
         node.stop();
         let said = client.hear();
-        assert!(said.starts_with(answer), "{effect}: {said}");
+        assert!(said.starts_with(answer), "{idempotency}: {said}");
         assert!(
             began.elapsed() < ended_outside(9000),
-            "{effect}: {:?}",
+            "{idempotency}: {:?}",
             began.elapsed()
         );
         client.hears("end");
         host.hears("end");
         assert!(node.wait().success());
-        assert!(hosts.accept_soon().is_none(), "{effect}: sent on again");
+        assert!(hosts.accept_soon().is_none(), "{idempotency}: sent on again");
     }
 }
 
@@ -157,10 +157,10 @@
 fn a_stop_while_the_connection_to_the_host_comes_up() {
     let (listener, first, members) = slow_host();
     let discovery = Discovery::start();
-    let mut papers = papers_of(members, discovery.address);
-    papers["settings"]["policy_limits"]["connect_timeout"] = json!(5000.0);
-    of_expiry(&mut papers, 1500);
-    let mut node = Node::start(&papers);
+    let mut node_config = node_config_of(members, discovery.address);
+    node_config["settings"]["policy_limits"]["connect_timeout"] = json!(5000.0);
+    of_expiry(&mut node_config, 1500);
+    let mut node = Node::start(&node_config);
     let mut client = node.open(&OPEN.replace("d=2000", "d=1500"));
     has_read(&node);
     let began = Instant::now();
@@ -193,7 +193,7 @@
     let began = Instant::now();
     node.stop();
     node.logs("asked to stop");
-    let mut fresh = papers(&hosts, discovery.address);
+    let mut fresh = node_config(&hosts, discovery.address);
     fresh["settings"]["offerings"][0]["payoff"] = json!(2.0);
     node.reread(&fresh.to_string());
     node.logs("papers read again");
--- a/node/tests/succession.rs
+++ b/node/tests/succession.rs
@@ -11,7 +11,7 @@
 struct Site {
     hosts: Hosts,
     _discovery: Discovery,
-    papers: Value,
+    node_config: Value,
     listener: TcpListener,
     folder: PathBuf,
 }
@@ -19,19 +19,19 @@
 impl Site {
     fn new(hosts: usize) -> Self {
         let (hosts, discovery) = (Hosts::start(hosts), Discovery::start());
-        let mut papers = papers(&hosts, discovery.address);
-        papers["ops"] = json!("127.0.0.1:0");
+        let mut node_config = node_config(&hosts, discovery.address);
+        node_config["ops"] = json!("127.0.0.1:0");
         Site {
             hosts,
             _discovery: discovery,
-            papers,
+            node_config,
             listener: listener(),
             folder: folder(),
         }
     }
 
     fn start(&self) -> Node {
-        let mut node = Node::start_at(&self.papers, &self.listener, &self.folder);
+        let mut node = Node::start_at(&self.node_config, &self.listener, &self.folder);
         node.address = self.listener.local_addr().unwrap();
         eventually("ready", || node.call("GET /status").0 == 200);
         node
@@ -200,7 +200,7 @@
     // A folder that is none, or whose path is too long for a socket's: it serves, and nobody can follow.
     for folder in ["/dev/null", &format!("/tmp/{}", "long".repeat(40))] {
         let site = Site::new(1);
-        let node = Node::start_at(&site.papers, &site.listener, Path::new(folder));
+        let node = Node::start_at(&site.node_config, &site.listener, Path::new(folder));
         assert_eq!(node.call("GET /status").0, 200);
     }
 }
@@ -231,7 +231,7 @@
 fn a_descriptor_that_is_no_listener_is_one_plain_line_and_no_start() {
     let site = Site::new(1);
     for named in ["three", "", "-1", "999", "0", "99999999999999999999"] {
-        let output = program_at(&site.papers.to_string(), named, &site.folder)
+        let output = program_at(&site.node_config.to_string(), named, &site.folder)
             .output()
             .unwrap();
         let said = String::from_utf8(output.stderr).unwrap();
@@ -247,7 +247,7 @@
 #[test]
 fn masks_and_drains_that_one_process_knows_hold_in_the_next() {
     let mut site = Site::new(2);
-    site.papers["settings"]["policy_limits"]["most_hand_offs"] = json!(2);
+    site.node_config["settings"]["policy_limits"]["most_hand_offs"] = json!(2);
     let mut predecessor = site.start();
     // One host breaks off what it is asked: it is left alone, also by the next process.
     let mut client = predecessor.open(OPEN);
@@ -277,17 +277,17 @@
     hosts.go(3, Way::Fails);
     hosts.go(4, Way::Silent);
     let discovery = Discovery::start();
-    let offering = |name: &str, effect: &str, group: &str| {
-        json!({"name": name, "contract_time": 200.0, "expiry": 2000.0, "effect": effect, "group": group,
+    let class = |name: &str, idempotency: &str, group: &str| {
+        json!({"name": name, "contract_time": 200.0, "expiry": 2000.0, "effect": idempotency, "group": group,
             "payoff": 1.0, "repeat_window": 1000.0})
     };
     let mut site = Site::new(0);
-    site.papers["discovery"] = json!(discovery.address.to_string());
-    site.papers["known"]["members"] = hosts.members();
-    site.papers["settings"]["offerings"] = json!([
-        offering("free", "free", "all"),
-        offering("mark", "guarded", "cell"),
-        offering("once", "single_shot", "all")
+    site.node_config["discovery"] = json!(discovery.address.to_string());
+    site.node_config["known"]["members"] = hosts.members();
+    site.node_config["settings"]["offerings"] = json!([
+        class("free", "free", "all"),
+        class("mark", "guarded", "cell"),
+        class("once", "single_shot", "all")
     ]);
     let mut predecessor = site.start();
     let mut clients = Clients::new(vec![predecessor.address], &referee, 7);
@@ -312,8 +312,8 @@
 }
 
 /// A class of the settings.
-fn class(name: &str, effect: &str) -> Value {
-    json!({"name": name, "contract_time": 500.0, "expiry": 2000.0, "effect": effect, "group": "all", "payoff": 1.0,
+fn class(name: &str, idempotency: &str) -> Value {
+    json!({"name": name, "contract_time": 500.0, "expiry": 2000.0, "effect": idempotency, "group": "all", "payoff": 1.0,
         "repeat_window": 900.0})
 }
 
@@ -323,12 +323,12 @@
 fn connections_keep_their_own_terms_in_a_next_process_with_other_settings() {
     let mut site = Site::new(2);
     std::env::set_var("REEDFERRY_TRACE", "1");
-    site.papers["settings"]["offerings"] = json!([
+    site.node_config["settings"]["offerings"] = json!([
         class("chat", "free"),
         class("till", "single_shot"),
         class("seat", "guarded")
     ]);
-    site.papers["settings"]["tenants"] = json!([{"name": "acme"}, {"name": "zeta"}]);
+    site.node_config["settings"]["tenants"] = json!([{"name": "acme"}, {"name": "zeta"}]);
     let mut predecessor = site.start();
     let mut open = Vec::new();
     for (name, tenant) in [
@@ -346,7 +346,7 @@
         open.push((client, host));
     }
     // `chat` is gone, `seat` means something else, `late` is new and stands first.
-    site.papers["settings"]["offerings"] = json!([
+    site.node_config["settings"]["offerings"] = json!([
         class("late", "single_shot"),
         class("seat", "free"),
         class("till", "single_shot")
--- a/node/tests/two_tier.rs
+++ b/node/tests/two_tier.rs
@@ -342,9 +342,9 @@
     );
     let text = std::fs::read_to_string(folder.join("forward.example.toml")).unwrap();
     let wrong = std::env::temp_dir().join(format!("reedferry-check-{}.toml", std::process::id()));
-    let papers = folder.join("papers.example.json").display().to_string();
+    let node_config = folder.join("papers.example.json").display().to_string();
     let text = text
-        .replace("papers.example.json", &papers)
+        .replace("papers.example.json", &node_config)
         .replace("lease = \"250ms\"", "lease = \"300ms\"");
     std::fs::write(&wrong, text).unwrap();
     let bad = check(&wrong);
@@ -372,8 +372,8 @@
     const TALKING: usize = 60;
     let _turn = alone();
     let (tiers, spoiler) = (Tiers::start(1, 1, 1, 8), Spoiler::default());
-    let papers = tiers::papers("held-up", &tiers.hosts, &tiers.discovery, 8);
-    let forwarder = Node::start_as_spoilt("forward", &tiers.articles(0, 1), &papers, &spoiler);
+    let node_config = tiers::node_config("held-up", &tiers.hosts, &tiers.discovery, 8);
+    let forwarder = Node::start_as_spoilt("forward", &tiers.operator_config(0, 1), &node_config, &spoiler);
     forwarder.logs("follows planner");
     let open = |n: usize| {
         let mut client = Peer::connect(forwarder.address);
--- a/node/tests/wards.rs
+++ b/node/tests/wards.rs
@@ -1,7 +1,7 @@
 //! Processes of the program that keep records of each other's work in hand, some of which are killed or stand still: what
 //! is irreversible reaches hosts once, as the hosts saw it.
 
-use reedferry_testkit::fleet::{alone, Fleet, Terms, REPEATS};
+use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, REPEATS};
 use reedferry_testkit::view::View;
 use reedferry_testkit::ways::Ways;
 use reedferry_testkit::{eventually, Discovery, Peer};
@@ -15,9 +15,9 @@
 
 const PERIOD: Duration = Duration::from_millis(100);
 const LIFE: Duration = Duration::from_secs(2);
-const TERMS: Terms = Terms {
+const TERMS: FleetOptions = FleetOptions {
     full: 1e6,
-    ..Terms::TRIAL
+    ..FleetOptions::TRIAL
 };
 
 /// How often the lines of each key reached the one host there is, which says nothing to anyone.
@@ -31,7 +31,7 @@
 }
 
 impl Site {
-    fn new(nodes: usize, effect: &'static str, wards: Option<Duration>) -> Site {
+    fn new(nodes: usize, idempotency: &'static str, wards: Option<Duration>) -> Site {
         let turn = alone();
         let host = TcpListener::bind("127.0.0.1:0").unwrap();
         let member = json!({"id": "s-0", "host_port": host.local_addr().unwrap().to_string(), "locality": "a",
@@ -65,7 +65,7 @@
         };
         let mut fleet = Fleet::new(nodes, service.address, TERMS)
             .with_view(view)
-            .offering(effect, wards);
+            .class(idempotency, wards);
         fleet.start(&(0..nodes).collect::<Vec<_>>(), &[member], 1);
         assert!(fleet.agrees_within(PERIOD * 60).is_some());
         // Guardians that have just started have no voice.
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,97 +1,138 @@
-//! Decodes the settings that a node is given at its start: into the module's [`Charter`], and into the
-//! few [`Terms`] that the program round the module needs beside it. The adapter and the node share it.
+//! Decodes the settings that a node is given at its start: into the module's [`BalancerSettings`], and into the
+//! few [`NodeSettings`] that the program round the module needs beside it. The adapter and the node share it.
 
 pub mod renewal;
 
-use reedferry::{Charter, Circle, Effect, Gauge, Nanos, Offering, SECOND};
+use reedferry::{BalancerSettings, IdempotencyGroup, Idempotency, LoadMetric, Nanos, RequestClass, SECOND};
 use serde::Deserialize;
 
 #[derive(Deserialize)]
 struct Text {
+    #[serde(rename = "balancers")]
     balancers: u32,
+    #[serde(rename = "index")]
     index: u32,
     #[serde(default)]
+    #[serde(rename = "zone")]
     zone: u16,
     #[serde(default)]
+    #[serde(rename = "round")]
     round: f64,
-    offerings: Vec<Kind>,
+    #[serde(rename = "offerings")]
+    classes: Vec<Kind>,
     #[serde(default)]
+    #[serde(rename = "charges")]
     charges: Charges,
+    #[serde(rename = "contract")]
     contract: Contract,
+    #[serde(rename = "policy_limits")]
     policy_limits: Limits,
     #[serde(default)]
+    #[serde(rename = "registry_mode")]
     registry_mode: String,
     #[serde(default)]
+    #[serde(rename = "reporting")]
     reporting: Reporting,
     #[serde(default)]
+    #[serde(rename = "extra")]
     extra: Extra,
     #[serde(default)]
+    #[serde(rename = "zones")]
     zones: Vec<String>,
     #[serde(default)]
+    #[serde(rename = "tenants")]
     tenants: Vec<Tenant>,
 }
 #[derive(Deserialize)]
 struct Tenant {
+    #[serde(rename = "name")]
     name: String,
 }
 #[derive(Deserialize)]
 struct Kind {
     #[serde(default)]
+    #[serde(rename = "name")]
     name: String,
-    contract_time: f64,
+    #[serde(rename = "contract_time")]
+    latency_objective: f64,
     #[serde(default)]
-    expiry: f64,
-    effect: String,
+    #[serde(rename = "expiry")]
+    deadline: f64,
+    #[serde(rename = "effect")]
+    idempotency: String,
     #[serde(default)]
+    #[serde(rename = "group")]
     group: String,
-    payoff: f64,
+    #[serde(rename = "payoff")]
+    priority_weight: f64,
     #[serde(default)]
+    #[serde(rename = "repeat_window")]
     repeat_window: f64,
 }
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Charges {
+    #[serde(rename = "cross_zone")]
     cross_zone: f64,
+    #[serde(rename = "moves")]
     moves: f64,
 }
 #[derive(Deserialize)]
 struct Contract {
     #[serde(default)]
-    ask_within: f64,
+    #[serde(rename = "ask_within")]
+    max_poll_interval: f64,
+    #[serde(rename = "cold")]
     cold: f64,
-    cold_from: f64,
+    #[serde(rename = "cold_from")]
+    warm_up_initial_share: f64,
     #[serde(default)]
+    #[serde(rename = "drain_grace")]
     drain_grace: f64,
-    tip_after: f64,
-    tip_multiple: f64,
+    #[serde(rename = "tip_after")]
+    overload_window: f64,
+    #[serde(rename = "tip_multiple")]
+    overload_factor: f64,
 }
 #[derive(Deserialize)]
 struct Limits {
     #[serde(default)]
+    #[serde(rename = "cancel")]
     cancel: bool,
     #[serde(default)]
+    #[serde(rename = "connect_timeout")]
     connect_timeout: f64,
     #[serde(default)]
+    #[serde(rename = "max_retry_after")]
     max_retry_after: f64,
     #[serde(default)]
+    #[serde(rename = "may_probe")]
     may_probe: bool,
     #[serde(default)]
+    #[serde(rename = "peers")]
     peers: bool,
-    most_hand_offs: u32,
+    #[serde(rename = "most_hand_offs")]
+    max_attempts: u32,
     #[serde(default)]
+    #[serde(rename = "retry_after")]
     retry_after: bool,
 }
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Reporting {
+    #[serde(rename = "fields")]
     fields: Vec<String>,
+    #[serde(rename = "via")]
     via: String,
 }
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Extra {
+    #[serde(rename = "groups")]
     groups: bool,
+    #[serde(rename = "message_aim")]
     message_aim: Vec<Option<f64>>,
+    #[serde(rename = "mode")]
     mode: String,
 }
 
@@ -114,31 +155,31 @@
 
 /// What the program round the module needs of the settings.
 #[derive(Clone, Debug, Default)]
-pub struct Terms {
+pub struct NodeSettings {
     /// The names on the wire, in the order of the indices that stand for them.
-    pub offerings: Vec<String>,
+    pub classes: Vec<String>,
     /// Whether more may come of each.
-    pub offered: Vec<bool>,
+    pub active: Vec<bool>,
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
     /// The values of a load report, in order.
-    pub gauges: Vec<String>,
+    pub load_metrics: Vec<String>,
     pub connect_within: Nanos,
     pub drain_grace: Nanos,
     /// The longest time that any client waits for its answer.
-    pub longest_expiry: Nanos,
+    pub max_request_timeout: Nanos,
 }
 
-impl Terms {
+impl NodeSettings {
     /// The place of an offering that may still come.
-    pub fn offering(&self, name: &str) -> Option<usize> {
-        (0..self.offerings.len()).find(|&n| self.offerings[n] == name && self.offered[n])
+    pub fn class(&self, name: &str) -> Option<usize> {
+        (0..self.classes.len()).find(|&n| self.classes[n] == name && self.active[n])
     }
 
     /// All names whose places in their lists stand for them, each list behind its own name.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         let lists = [
-            ("offerings", &self.offerings),
+            ("offerings", &self.classes),
             ("tenants", &self.tenants),
             ("zones", &self.zones),
         ];
@@ -149,8 +190,8 @@
 }
 
 /// The module's charter alone.
-pub fn charter(text: &[u8]) -> Result<Charter, String> {
-    decode(text).map(|(charter, _)| charter)
+pub fn balancer_settings(text: &[u8]) -> Result<BalancerSettings, String> {
+    decode(text).map(|(balancer_settings, _)| balancer_settings)
 }
 
 impl Text {
@@ -170,7 +211,7 @@
             ),
             ("extra.mode", &self.extra.mode, &["", "proxy", "pass"]),
         ];
-        let groups = self.offerings.iter().map(|o| {
+        let groups = self.classes.iter().map(|o| {
             (
                 "offerings.group",
                 &o.group,
@@ -198,7 +239,7 @@
             && !reporting
                 .fields
                 .iter()
-                .any(|name| gauge(name) != Gauge::Other)
+                .any(|name| load_metric(name) != LoadMetric::Other)
         {
             return Some(
                 "reporting.fields: reports by probe with neither x0, util nor x1 among them".into(),
@@ -214,12 +255,12 @@
     }
 }
 
-fn gauge(name: &str) -> Gauge {
+fn load_metric(name: &str) -> LoadMetric {
     match name {
-        "x0" => Gauge::Load,
-        "util" => Gauge::Busy,
-        "x1" => Gauge::Backlog,
-        _ => Gauge::Other,
+        "x0" => LoadMetric::Load,
+        "util" => LoadMetric::Utilization,
+        "x1" => LoadMetric::Backlog,
+        _ => LoadMetric::Other,
     }
 }
 
@@ -239,18 +280,18 @@
         _ => Ok(()),
     };
     let empty = Vec::new();
-    let offerings = settings["offerings"].as_array().unwrap_or(&empty);
-    for (n, offering) in offerings.iter().enumerate() {
+    let classes = settings["offerings"].as_array().unwrap_or(&empty);
+    for (n, class) in classes.iter().enumerate() {
         for key in ["contract_time", "expiry"] {
-            over(offering, key, &format!("offerings.{n}."))?;
+            over(class, key, &format!("offerings.{n}."))?;
         }
         let same = |other: &serde_json::Value| {
-            !other["name"].is_null() && other["name"] == offering["name"]
+            !other["name"].is_null() && other["name"] == class["name"]
         };
-        if offerings[..n].iter().any(same) {
+        if classes[..n].iter().any(same) {
             return Err(format!(
                 "settings: offerings.{n}.name: {} stands there twice",
-                offering["name"]
+                class["name"]
             ));
         }
     }
@@ -261,105 +302,105 @@
     )
 }
 
-pub fn decode(text: &[u8]) -> Result<(Charter, Terms), String> {
+pub fn decode(text: &[u8]) -> Result<(BalancerSettings, NodeSettings), String> {
     let value = serde_json::from_slice(text).map_err(|e| format!("settings: {e}"))?;
     from_value(value)
 }
 
-pub fn from_value(mut value: serde_json::Value) -> Result<(Charter, Terms), String> {
+pub fn from_value(mut value: serde_json::Value) -> Result<(BalancerSettings, NodeSettings), String> {
     strip_nulls(&mut value);
-    let terms: Text = serde_json::from_value(value).map_err(|e| format!("settings: {e}"))?;
-    if terms.offerings.is_empty() {
+    let node_settings: Text = serde_json::from_value(value).map_err(|e| format!("settings: {e}"))?;
+    if node_settings.classes.is_empty() {
         return Err("settings: no offering is listed".into());
     }
-    if let Some(why) = terms.contradiction() {
+    if let Some(why) = node_settings.contradiction() {
         return Err(format!("settings: {why}"));
     }
-    let mut offerings = Vec::new();
-    for (n, kind) in terms.offerings.iter().enumerate() {
-        offerings.push(Offering {
-            effect: match kind.effect.as_str() {
-                "free" => Effect::Redoable,
-                "guarded" => Effect::Labelled,
-                "single_shot" => Effect::Irreversible,
+    let mut classes = Vec::new();
+    for (n, kind) in node_settings.classes.iter().enumerate() {
+        classes.push(RequestClass {
+            idempotency: match kind.idempotency.as_str() {
+                "free" => Idempotency::Idempotent,
+                "guarded" => Idempotency::WithKey,
+                "single_shot" => Idempotency::NonIdempotent,
                 other => {
                     return Err(format!(
                         "settings: offering {n} has the unknown effect {other:?}"
                     ))
                 }
             },
-            circle: match kind.group.as_str() {
-                "zone" => Circle::Zone,
-                "cell" => Circle::Cell,
-                _ => Circle::All,
+            idempotency_group: match kind.group.as_str() {
+                "zone" => IdempotencyGroup::Zone,
+                "cell" => IdempotencyGroup::Cell,
+                _ => IdempotencyGroup::All,
             },
-            window: nanos(kind.repeat_window),
-            payoff: kind.payoff,
-            contract_time: nanos(kind.contract_time),
-            message_time: nanos(
-                terms
+            idempotency_window: nanos(kind.repeat_window),
+            priority_weight: kind.priority_weight,
+            latency_objective: nanos(kind.latency_objective),
+            message_latency_objective: nanos(
+                node_settings
                     .extra
                     .message_aim
                     .get(n)
                     .copied()
                     .flatten()
-                    .unwrap_or(kind.contract_time),
+                    .unwrap_or(kind.latency_objective),
             ),
-            offered: true,
+            active: true,
         });
     }
-    let limits = &terms.policy_limits;
-    let longest_expiry = nanos(terms.offerings.iter().map(|o| o.expiry).fold(0.0, f64::max));
-    let charter = Charter {
-        longest_expiry,
-        node: terms.index,
-        nodes: terms.balancers.max(1),
-        zone: terms.zone,
-        gathers: false,
-        round: nanos(terms.round),
-        offerings,
-        most_hand_offs: limits.most_hand_offs,
-        may_call_off: limits.cancel,
-        longest_advice: if limits.retry_after {
+    let limits = &node_settings.policy_limits;
+    let max_request_timeout = nanos(node_settings.classes.iter().map(|o| o.deadline).fold(0.0, f64::max));
+    let balancer_settings = BalancerSettings {
+        max_request_timeout,
+        node_index: node_settings.index,
+        node_count: node_settings.balancers.max(1),
+        zone: node_settings.zone,
+        centralized: false,
+        min_call_interval: nanos(node_settings.round),
+        classes,
+        max_attempts: limits.max_attempts,
+        may_cancel: limits.cancel,
+        max_retry_after: if limits.retry_after {
             nanos(limits.max_retry_after)
         } else {
             0
         },
-        roll_on_request: terms.registry_mode == "on_request",
-        ask_within: nanos(terms.contract.ask_within),
-        cold: nanos(terms.contract.cold),
-        cold_from: terms.contract.cold_from,
-        tip_multiple: terms.contract.tip_multiple,
-        tip_after: nanos(terms.contract.tip_after),
-        pass: terms.extra.mode == "pass",
-        groups: terms.extra.groups,
-        cross_zone_charge: terms.charges.cross_zone,
-        move_charge: terms.charges.moves,
-        probe_for_gauges: limits.may_probe && terms.reporting.via == "pull",
-        peers: limits.peers,
-        gauges: terms
+        endpoints_are_polled: node_settings.registry_mode == "on_request",
+        max_poll_interval: nanos(node_settings.contract.max_poll_interval),
+        warm_up: nanos(node_settings.contract.cold),
+        warm_up_initial_share: node_settings.contract.warm_up_initial_share,
+        overload_factor: node_settings.contract.overload_factor,
+        overload_window: nanos(node_settings.contract.overload_window),
+        passthrough: node_settings.extra.mode == "pass",
+        groups_enabled: node_settings.extra.groups,
+        cross_zone_cost: node_settings.charges.cross_zone,
+        migration_cost: node_settings.charges.moves,
+        load_from_probes: limits.may_probe && node_settings.reporting.via == "pull",
+        gossip_enabled: limits.peers,
+        load_metrics: node_settings
             .reporting
             .fields
             .iter()
-            .map(|name| gauge(name))
+            .map(|name| load_metric(name))
             .collect(),
-        turns: Vec::new(),
+        slow_start_slots: Vec::new(),
     };
     let connect_within = match nanos(limits.connect_timeout) {
         0 => SECOND / 4,
         within => within,
     };
-    let terms = Terms {
-        longest_expiry,
-        offered: vec![true; terms.offerings.len()],
-        offerings: terms.offerings.into_iter().map(|o| o.name).collect(),
-        tenants: terms.tenants.into_iter().map(|t| t.name).collect(),
-        zones: terms.zones,
-        gauges: terms.reporting.fields,
+    let node_settings = NodeSettings {
+        max_request_timeout,
+        active: vec![true; node_settings.classes.len()],
+        classes: node_settings.classes.into_iter().map(|o| o.name).collect(),
+        tenants: node_settings.tenants.into_iter().map(|t| t.name).collect(),
+        zones: node_settings.zones,
+        load_metrics: node_settings.reporting.fields,
         connect_within,
-        drain_grace: nanos(terms.contract.drain_grace),
+        drain_grace: nanos(node_settings.contract.drain_grace),
     };
-    Ok((charter, terms))
+    Ok((balancer_settings, node_settings))
 }
 
 #[cfg(test)]
@@ -368,7 +409,7 @@
     use serde_json::json;
 
     /// Settings of the kept shape, with these put over them.
-    fn told(over: &[(&str, serde_json::Value)]) -> Result<(Charter, Terms), String> {
+    fn told(over: &[(&str, serde_json::Value)]) -> Result<(BalancerSettings, NodeSettings), String> {
         let mut settings = json!({"balancers": 3, "index": 1, "registry_mode": "on_request",
             "offerings": [{"contract_time": 500, "expiry": 2000, "effect": "free", "group": "all", "payoff": 1}],
             "contract": {"cold": 10000, "cold_from": 0.2, "tip_after": 1000, "tip_multiple": 3},
@@ -383,15 +424,15 @@
     #[test]
     fn the_settings_alone_say_which_shape_is_in_force() {
         let (old, _) = told(&[]).unwrap();
-        assert!(!old.peers && !old.probe_for_gauges && old.gauges.is_empty());
+        assert!(!old.gossip_enabled && !old.load_from_probes && old.load_metrics.is_empty());
         let reporting = json!({"fields": ["qps", "util", "x0"], "via": "pull"});
         let (new, _) = told(&[
             ("/reporting", reporting),
             ("/policy_limits/peers", json!(true)),
         ])
         .unwrap();
-        assert!(new.peers && new.probe_for_gauges);
-        assert_eq!(new.gauges, [Gauge::Other, Gauge::Busy, Gauge::Load]);
+        assert!(new.gossip_enabled && new.load_from_probes);
+        assert_eq!(new.load_metrics, [LoadMetric::Other, LoadMetric::Utilization, LoadMetric::Load]);
     }
 
     /// Guards: a node that starts with half of one shape and half of another, and serves badly in silence.
--- a/settings/src/renewal.rs
+++ b/settings/src/renewal.rs
@@ -3,8 +3,8 @@
 //! offering and its terms, whatever the settings say by now. It must never take half of a file up, nor
 //! decide what new terms mean for what is held.
 
-use crate::Terms;
-use reedferry::{Charter, Offering};
+use crate::NodeSettings;
+use reedferry::{BalancerSettings, RequestClass};
 use serde_json::Value;
 
 /// The key that stands in what is in force and is missing in what is to follow it, with its place.
@@ -35,67 +35,67 @@
 /// Takes new terms up, and gives the indices that stand for another offering than before. `held` says
 /// whether any attachment goes by an index.
 pub fn renew(
-    (charter, terms): (&mut Charter, &mut Terms),
-    (mut fresh, mut named): (Charter, Terms),
+    (balancer_settings, node_settings): (&mut BalancerSettings, &mut NodeSettings),
+    (mut fresh, mut named): (BalancerSettings, NodeSettings),
     held: impl Fn(usize) -> bool,
 ) -> Vec<usize> {
-    let mut offerings = std::mem::take(&mut charter.offerings);
-    let mut names = std::mem::take(&mut terms.offerings);
-    let wanted: Vec<_> = std::mem::take(&mut named.offerings)
+    let mut classes = std::mem::take(&mut balancer_settings.classes);
+    let mut names = std::mem::take(&mut node_settings.classes);
+    let wanted: Vec<_> = std::mem::take(&mut named.classes)
         .into_iter()
-        .zip(fresh.offerings)
+        .zip(fresh.classes)
         .collect();
-    offerings
+    classes
         .iter_mut()
-        .for_each(|offering| offering.offered = false);
+        .for_each(|class| class.active = false);
     let mut others = Vec::new();
-    for (name, offering) in wanted {
-        let same = |n: &usize| names[*n] == name && offerings[*n].same_terms(&offering);
-        match (0..offerings.len()).find(same) {
-            Some(n) => offerings[n].offered = true,
-            None => others.push((name, offering)),
+    for (name, class) in wanted {
+        let same = |n: &usize| names[*n] == name && classes[*n].same_terms(&class);
+        match (0..classes.len()).find(same) {
+            Some(n) => classes[n].active = true,
+            None => others.push((name, class)),
         }
     }
     let mut changed = Vec::new();
-    for (name, offering) in others {
-        let free = (0..offerings.len()).find(|&n| !offerings[n].offered && !held(n));
-        let place = free.unwrap_or(offerings.len());
-        if place == offerings.len() {
-            offerings.push(offering);
+    for (name, class) in others {
+        let free = (0..classes.len()).find(|&n| !classes[n].active && !held(n));
+        let place = free.unwrap_or(classes.len());
+        if place == classes.len() {
+            classes.push(class);
             names.push(name);
         } else {
-            (offerings[place], names[place]) = (offering, name);
+            (classes[place], names[place]) = (class, name);
         }
         changed.push(place);
     }
-    named.offered = offerings.iter().map(|offering| offering.offered).collect();
-    (fresh.offerings, named.offerings) = (offerings, names);
-    (*charter, *terms) = (fresh, named);
+    named.active = classes.iter().map(|class| class.active).collect();
+    (fresh.classes, named.classes) = (classes, names);
+    (*balancer_settings, *node_settings) = (fresh, named);
     changed
 }
 
 /// Makes room for what another process holds and may pass on, by its own terms: what is not offered here under the same name
 /// and terms is kept beside, and no more of it may come. Guards: one customer's connection that goes by another's terms.
-pub fn keep((charter, terms): (&mut Charter, &mut Terms), held: Vec<(String, Offering)>) {
-    for (name, offering) in held {
-        if place((&charter.offerings, &terms.offerings), &name, &offering).is_none() {
-            charter.offerings.push(Offering {
-                offered: false,
-                ..offering
+pub fn keep((balancer_settings, node_settings): (&mut BalancerSettings, &mut NodeSettings), held: Vec<(String, RequestClass)>) {
+    for (name, class) in held {
+        if place((&balancer_settings.classes, &node_settings.classes), &name, &class).is_none() {
+            balancer_settings.classes.push(RequestClass {
+                active: false,
+                ..class
             });
-            terms.offerings.push(name);
-            terms.offered.push(false);
+            node_settings.classes.push(name);
+            node_settings.active.push(false);
         }
     }
 }
 
 /// The place of an offering of this name that means the same, offered or not.
 pub fn place(
-    (offerings, names): (&[Offering], &[String]),
+    (classes, names): (&[RequestClass], &[String]),
     name: &str,
-    of: &Offering,
+    of: &RequestClass,
 ) -> Option<usize> {
-    (0..offerings.len()).find(|&n| names[n] == name && offerings[n].same_terms(of))
+    (0..classes.len()).find(|&n| names[n] == name && classes[n].same_terms(of))
 }
 
 #[cfg(test)]
@@ -104,10 +104,10 @@
     use crate::from_value;
     use serde_json::json;
 
-    fn told(offerings: &[(&str, &str)], attempts: u32) -> (Charter, Terms) {
-        let offering = |(name, effect): &(&str, &str)| json!({"name": name, "contract_time": 500, "expiry": 2000, "effect": effect, "payoff": 1});
-        let offerings: Vec<Value> = offerings.iter().map(offering).collect();
-        from_value(json!({"balancers": 1, "index": 0, "offerings": offerings,
+    fn told(classes: &[(&str, &str)], attempts: u32) -> (BalancerSettings, NodeSettings) {
+        let class = |(name, idempotency): &(&str, &str)| json!({"name": name, "contract_time": 500, "expiry": 2000, "effect": idempotency, "payoff": 1});
+        let classes: Vec<Value> = classes.iter().map(class).collect();
+        from_value(json!({"balancers": 1, "index": 0, "offerings": classes,
             "contract": {"cold": 10000, "cold_from": 0.2, "tip_after": 1000, "tip_multiple": 3},
             "policy_limits": {"most_hand_offs": attempts}}))
         .unwrap()
@@ -117,31 +117,31 @@
     /// lenient terms than it came by.
     #[test]
     fn an_index_keeps_its_meaning_while_it_is_held() {
-        let (mut charter, mut terms) = told(&[("a", "free"), ("b", "free")], 5);
+        let (mut balancer_settings, mut node_settings) = told(&[("a", "free"), ("b", "free")], 5);
         let renewed =
-            |charter: &mut Charter, terms: &mut Terms, to: &[(&str, &str)], held: &[usize]| {
-                renew((charter, terms), told(to, 2), |n| held.contains(&n))
+            |balancer_settings: &mut BalancerSettings, node_settings: &mut NodeSettings, to: &[(&str, &str)], held: &[usize]| {
+                renew((balancer_settings, node_settings), told(to, 2), |n| held.contains(&n))
             };
         // `a` vanishes while it is held, `b` becomes stricter, `c` is new.
         let to = [("b", "single_shot"), ("c", "free")];
-        assert_eq!(renewed(&mut charter, &mut terms, &to, &[0, 1]), [2, 3]);
-        assert_eq!(terms.offerings, ["a", "b", "b", "c"]);
+        assert_eq!(renewed(&mut balancer_settings, &mut node_settings, &to, &[0, 1]), [2, 3]);
+        assert_eq!(node_settings.classes, ["a", "b", "b", "c"]);
         assert_eq!(
             (
-                terms.offering("a"),
-                terms.offering("b"),
-                terms.offering("c")
+                node_settings.class("a"),
+                node_settings.class("b"),
+                node_settings.class("c")
             ),
             (None, Some(2), Some(3))
         );
-        assert_eq!(charter.offerings[1].effect, reedferry::Effect::Redoable);
-        assert_eq!(charter.offerings[2].effect, reedferry::Effect::Irreversible);
-        assert_eq!(charter.most_hand_offs, 2);
+        assert_eq!(balancer_settings.classes[1].idempotency, reedferry::Idempotency::Idempotent);
+        assert_eq!(balancer_settings.classes[2].idempotency, reedferry::Idempotency::NonIdempotent);
+        assert_eq!(balancer_settings.max_attempts, 2);
         // `a` comes again while one of its first time is held: the same terms, the same index.
         assert_eq!(
             renewed(
-                &mut charter,
-                &mut terms,
+                &mut balancer_settings,
+                &mut node_settings,
                 &[("a", "free"), ("c", "free")],
                 &[0]
             ),
@@ -149,9 +149,9 @@
         );
         assert_eq!(
             (
-                terms.offering("a"),
-                terms.offering("b"),
-                terms.offering("c")
+                node_settings.class("a"),
+                node_settings.class("b"),
+                node_settings.class("c")
             ),
             (Some(0), None, Some(3))
         );
@@ -159,13 +159,13 @@
         for n in 0..1000 {
             let names = [format!("x{n}"), format!("y{n}")];
             renewed(
-                &mut charter,
-                &mut terms,
+                &mut balancer_settings,
+                &mut node_settings,
                 &[(&names[0], "free"), (&names[1], "guarded")],
                 &[],
             );
-            assert_eq!(charter.offerings.len(), 4);
-            assert_eq!(charter.offerings.iter().filter(|o| o.offered).count(), 2);
+            assert_eq!(balancer_settings.classes.len(), 4);
+            assert_eq!(balancer_settings.classes.iter().filter(|o| o.active).count(), 2);
         }
     }
 
--- a/settings/tests/keys.rs
+++ b/settings/tests/keys.rs
@@ -1,17 +1,17 @@
 //! The keys of the settings, each with a value of its own: settings of today are read tomorrow.
 
-use reedferry::{Circle, Effect, Gauge, MILLI};
+use reedferry::{IdempotencyGroup, Idempotency, LoadMetric, MILLI};
 use serde_json::json;
 
 #[test]
 fn each_key_of_the_settings_is_read() {
-    let offering = |name: &str, effect: &str, group: &str| {
-        json!({"name": name, "contract_time": 500, "expiry": 2000, "effect": effect, "group": group,
+    let class = |name: &str, idempotency: &str, group: &str| {
+        json!({"name": name, "contract_time": 500, "expiry": 2000, "effect": idempotency, "group": group,
             "payoff": 1.5, "repeat_window": 700})
     };
     let settings = json!({"balancers": 3, "index": 2, "zone": 1, "round": 4.0, "zones": ["a", "b"],
-        "offerings": [offering("x", "free", "all"), offering("y", "guarded", "zone"),
-            offering("z", "single_shot", "cell")],
+        "offerings": [class("x", "free", "all"), class("y", "guarded", "zone"),
+            class("z", "single_shot", "cell")],
         "charges": {"cross_zone": 0.25, "moves": 0.5},
         "contract": {"ask_within": 9000, "cold": 10000, "cold_from": 0.2, "drain_grace": 300,
             "tip_after": 1000, "tip_multiple": 3},
@@ -20,75 +20,75 @@
         "registry_mode": "on_request", "reporting": {"fields": ["x0", "util", "x1", "qps"], "via": "pull"},
         "extra": {"groups": true, "message_aim": [100, null, 120], "mode": "pass"},
         "tenants": [{"name": "acme"}]});
-    let (charter, terms) = reedferry_settings::from_value(settings).unwrap();
-    assert_eq!((charter.node, charter.nodes, charter.zone), (2, 3, 1));
+    let (balancer_settings, node_settings) = reedferry_settings::from_value(settings).unwrap();
+    assert_eq!((balancer_settings.node_index, balancer_settings.node_count, balancer_settings.zone), (2, 3, 1));
     assert_eq!(
-        (charter.round, charter.most_hand_offs, charter.may_call_off),
+        (balancer_settings.min_call_interval, balancer_settings.max_attempts, balancer_settings.may_cancel),
         (4 * MILLI, 5, true)
     );
     assert_eq!(
-        (charter.longest_expiry, charter.longest_advice),
+        (balancer_settings.max_request_timeout, balancer_settings.max_retry_after),
         (2000 * MILLI, 1100 * MILLI)
     );
     assert_eq!(
-        (charter.roll_on_request, charter.ask_within),
+        (balancer_settings.endpoints_are_polled, balancer_settings.max_poll_interval),
         (true, 9000 * MILLI)
     );
-    assert_eq!((charter.cold, charter.cold_from), (10_000 * MILLI, 0.2));
+    assert_eq!((balancer_settings.warm_up, balancer_settings.warm_up_initial_share), (10_000 * MILLI, 0.2));
     assert_eq!(
-        (charter.tip_after, charter.tip_multiple),
+        (balancer_settings.overload_window, balancer_settings.overload_factor),
         (1000 * MILLI, 3.0)
     );
     assert_eq!(
-        (charter.pass, charter.groups, charter.gathers),
+        (balancer_settings.passthrough, balancer_settings.groups_enabled, balancer_settings.centralized),
         (true, true, false)
     );
     assert_eq!(
-        (charter.cross_zone_charge, charter.move_charge),
+        (balancer_settings.cross_zone_cost, balancer_settings.migration_cost),
         (0.25, 0.5)
     );
-    assert_eq!((charter.probe_for_gauges, charter.peers), (true, true));
+    assert_eq!((balancer_settings.load_from_probes, balancer_settings.gossip_enabled), (true, true));
     assert_eq!(
-        charter.gauges,
-        [Gauge::Load, Gauge::Busy, Gauge::Backlog, Gauge::Other]
+        balancer_settings.load_metrics,
+        [LoadMetric::Load, LoadMetric::Utilization, LoadMetric::Backlog, LoadMetric::Other]
     );
-    assert!(charter.turns.is_empty());
-    let effects: Vec<_> = charter
-        .offerings
+    assert!(balancer_settings.slow_start_slots.is_empty());
+    let idempotencies: Vec<_> = balancer_settings
+        .classes
         .iter()
-        .map(|o| (o.effect, o.circle))
+        .map(|o| (o.idempotency, o.idempotency_group))
         .collect();
     assert_eq!(
-        effects,
+        idempotencies,
         [
-            (Effect::Redoable, Circle::All),
-            (Effect::Labelled, Circle::Zone),
-            (Effect::Irreversible, Circle::Cell)
+            (Idempotency::Idempotent, IdempotencyGroup::All),
+            (Idempotency::WithKey, IdempotencyGroup::Zone),
+            (Idempotency::NonIdempotent, IdempotencyGroup::Cell)
         ]
     );
-    let aims: Vec<_> = charter
-        .offerings
+    let aims: Vec<_> = balancer_settings
+        .classes
         .iter()
-        .map(|o| o.message_time / MILLI)
+        .map(|o| o.message_latency_objective / MILLI)
         .collect();
     assert_eq!(aims, [100, 500, 120]);
-    let first = &charter.offerings[0];
-    assert_eq!((first.window, first.payoff), (700 * MILLI, 1.5));
-    assert_eq!((first.contract_time, first.offered), (500 * MILLI, true));
+    let first = &balancer_settings.classes[0];
+    assert_eq!((first.idempotency_window, first.priority_weight), (700 * MILLI, 1.5));
+    assert_eq!((first.latency_objective, first.active), (500 * MILLI, true));
     assert_eq!(
-        (terms.offerings.join(" "), terms.zones.join(" ")),
+        (node_settings.classes.join(" "), node_settings.zones.join(" ")),
         ("x y z".into(), "a b".into())
     );
     assert_eq!(
-        (terms.tenants.join(" "), terms.gauges.join(" ")),
+        (node_settings.tenants.join(" "), node_settings.load_metrics.join(" ")),
         ("acme".into(), "x0 util x1 qps".into())
     );
     assert_eq!(
-        (terms.connect_within, terms.drain_grace),
+        (node_settings.connect_within, node_settings.drain_grace),
         (260 * MILLI, 300 * MILLI)
     );
     assert_eq!(
-        (terms.longest_expiry, terms.offered),
+        (node_settings.max_request_timeout, node_settings.active),
         (2000 * MILLI, vec![true; 3])
     );
 }
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy)]
 pub struct Pace {
     /// The longest that it may neither follow nor ask.
-    pub ask_within: Nanos,
+    pub max_poll_interval: Nanos,
     /// Its place in the fleet, from 0 to 1, where that is of many nodes.
     pub place: Option<f64>,
 }
@@ -44,13 +44,13 @@
         if let Some(place) = pace.place.filter(|_| !knows && !self.turned) {
             // All that start together get their list in turn, within half of the time in which each has to ask by
             // the settings, so that as much is left to ask again. Guards: a service that hundreds call at once.
-            let turns = (pace.ask_within / 2).min(FIRST_TURN);
+            let turns = (pace.max_poll_interval / 2).min(FIRST_TURN);
             self.next = now + (place.clamp(0.0, 1.0) * turns as f64) as Nanos;
         }
         self.turned = true;
         let waiting = self
             .called
-            .is_some_and(|t| now < t.saturating_add(pace.ask_within));
+            .is_some_and(|t| now < t.saturating_add(pace.max_poll_interval));
         if self.following || waiting || now < self.next {
             return None;
         }
@@ -75,7 +75,7 @@
         match asked.filter(|_| first && !knew && pace.place.is_some()) {
             // The first list, got in its turn. What follows it is called for as late as the settings allow. Guards:
             // those who have a list and take up the service's time while others have none.
-            Some(called) => self.next = now.max(called + pace.ask_within / 8 * 7),
+            Some(called) => self.next = now.max(called + pace.max_poll_interval / 8 * 7),
             None => self.following = true,
         }
         ended
@@ -91,7 +91,7 @@
         } else {
             self.failures.min(4)
         };
-        let wait = ((SECOND / 2) << grown).min(pace.ask_within / 4);
+        let wait = ((SECOND / 2) << grown).min(pace.max_poll_interval / 4);
         // Guards: a node that knows nothing, and by settings which leave it a minute is of no use for as long.
         let wait = if knows { wait } else { wait.min(FIRST_AGAIN) };
         let turn = pace.place.filter(|_| knows && self.failures == 1);
--- a/src/calls_tests.rs
+++ b/src/calls_tests.rs
@@ -10,7 +10,7 @@
 fn start(nodes: usize, rate: f64, down: Nanos) -> (Vec<usize>, usize, Vec<Nanos>) {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let pace = |n: usize| Pace {
-        ask_within: 10 * SECOND,
+        max_poll_interval: 10 * SECOND,
         place: Some((n as f64 + 0.5) / nodes as f64),
     };
     let mut calls: Vec<Calls> = (0..nodes).map(|_| Calls::default()).collect();
@@ -112,7 +112,7 @@
 #[test]
 fn watches_that_end_together_are_taken_up_in_turn() {
     let pace = |n: usize| Pace {
-        ask_within: 10 * SECOND,
+        max_poll_interval: 10 * SECOND,
         place: Some((n as f64 + 0.5) / 1000.0),
     };
     let mut by_tenth = [0; 25];
--- a/src/ceilings.rs
+++ b/src/ceilings.rs
@@ -3,7 +3,7 @@
 
 use crate::choice::{Room, CROWDED, FULL, LATE};
 use crate::records::{draw, Conn, Host, Note, To, PULSE};
-use crate::types::{Action, Nanos, Standing, SECOND};
+use crate::types::{Action, Nanos, HostState, SECOND};
 
 /// How fast a ceiling rises, a second.
 const RISE: f64 = 0.02;
@@ -36,12 +36,12 @@
     /// Looks after what stands at the host: moves it off a drain, cuts it where messages come late, and lets the ceiling rise
     /// while they do not. Guards: a host with work piled up serves nobody.
     pub(crate) fn shift(&mut self, now: Nanos, mean: f64, refuge: f64, at: &mut Room) {
-        if self.listed && self.listing.standing == Standing::Draining {
+        if self.listed && self.listing.state == HostState::Draining {
             return self.move_off_drain(now, at);
         }
         // Guards: clients left at a host that sheds: it breaks many and keeps some; one that died has none.
         if 8 * std::mem::take(&mut self.broken) as usize > self.conns.len() {
-            self.late(now, SECOND, at.charter);
+            self.late(now, SECOND, at.settings);
         }
         if self.slow(now) < LATE {
             self.raise_ceiling(now, mean);
@@ -54,7 +54,7 @@
     /// a hundred nodes that each move one at once storm hosts and store.
     fn move_off_drain(&self, now: Nanos, at: &mut Room) {
         let gone =
-            now.saturating_sub(self.draining) as f64 / at.charter.longest_expiry.max(1) as f64;
+            now.saturating_sub(self.draining) as f64 / at.settings.max_request_timeout.max(1) as f64;
         let due = |c: &&Conn| c.begun && draw(self.id.0, c.key.unwrap_or(c.since)) < gone;
         let due = self.conns.iter().filter(due).map(|c| c.slot);
         at.post
@@ -81,7 +81,7 @@
     /// Takes the ceiling down, and sends away what is over it.
     fn cut(&mut self, now: Nanos, mean: f64, refuge: f64, at: &mut Room) {
         let slow = self.slow(now);
-        let wanted = at.charter.shortest_message_time() as f64 / SECOND as f64;
+        let wanted = at.settings.shortest_message_latency_objective() as f64 / SECOND as f64;
         let part = (slow * wanted / DRAIN).clamp(0.05, if refuge > 0.7 { 1.0 } else { 0.5 });
         // Guards: cut to nothing by what other nodes placed there, and empty long after it is well.
         let floor = if part < 1.0 {
@@ -134,16 +134,16 @@
 
     /// The places of the connections that stand, by cost over pay and luck, the highest first.
     fn by_pay(&self, luck: u64, at: &Room) -> Vec<usize> {
-        let payoff = |n: usize| {
-            at.charter.offerings[self.conns[n].offering]
-                .payoff
+        let priority_weight = |n: usize| {
+            at.settings.classes[self.conns[n].class]
+                .priority_weight
                 .max(1e-6)
         };
         let mut order: Vec<(f64, usize)> = (0..self.conns.len())
             .filter(|&n| self.conns[n].begun)
             .map(|n| {
                 (
-                    self.cost(n, at.ledger) / payoff(n) * draw(luck, n as u64),
+                    self.cost(n, at.ledger) / priority_weight(n) * draw(luck, n as u64),
                     n,
                 )
             })
