--- a/src/choice.rs
+++ b/src/choice.rs
@@ -91,13 +91,13 @@
     }
 
     /// Whether it is this node's turn to look at it: as told, or by number, in another order for each host.
-    fn due(&self, now: Nanos, charter: &Charter) -> bool {
+    fn due(&self, now: Nanos, settings: &BalancerSettings) -> bool {
         let turn = now / LOOK;
         let place = turn.wrapping_add((draw(self.id.0, 1) * 1e6) as u64);
-        let nodes = u64::from(charter.nodes.max(1));
+        let nodes = u64::from(settings.node_count.max(1));
         let mine = self
             .mine
-            .unwrap_or(place % nodes == u64::from(charter.node) % nodes);
+            .unwrap_or(place % nodes == u64::from(settings.node_index) % nodes);
         self.ready() && turn != self.looked && mine
     }
 
@@ -106,8 +106,8 @@
         f64::from(u8::from(now < self.slow_told + 5 * PULSE)) * self.slowness
     }
 
-    pub(crate) fn late(&mut self, now: Nanos, time: Nanos, charter: &Charter) {
-        self.slowness = time as f64 / charter.shortest_message_time().max(1) as f64;
+    pub(crate) fn late(&mut self, now: Nanos, time: Nanos, settings: &BalancerSettings) {
+        self.slowness = time as f64 / settings.shortest_message_latency_objective().max(1) as f64;
         self.slow_told = now;
     }
 
@@ -127,14 +127,14 @@
 
     /// Takes a long set-up for late messages. Guards: clients left at a host whose messages tell nothing.
     fn waited(&mut self, now: Nanos, took: Nanos, at: &mut Room) {
-        let known = self.slow(now) * at.charter.shortest_message_time() as f64;
+        let known = self.slow(now) * at.settings.shortest_message_latency_objective() as f64;
         // Guards: hosts taken for late one after the other while a store that all set-ups share is.
         let shared = at.desk.common() || at.ledger.long.is_some_and(|host| host != self.id);
         if !shared
             && self.reported(now).is_none()
             && took as f64 > known.max(6.0 * at.ledger.set_up)
         {
-            self.late(now, took, at.charter);
+            self.late(now, took, at.settings);
         }
         at.post.push_back((To::Ledger, Note::SetUp(self.id, took)));
     }
@@ -143,20 +143,20 @@
         match note {
             Note::Listed(listing, first) => {
                 let fresh = !self.listed || listing.started != self.listing.started;
-                if fresh && listing.standing == Standing::Ready {
+                if fresh && listing.state == HostState::Ready {
                     (self.newcomer, self.credit, self.turn) = (!first, 0.0, 0);
                     (self.masked_until, self.strikes, self.slowness) = (0, 0, 0.0);
                 }
-                if self.listing.standing != Standing::Draining
-                    || listing.standing != Standing::Draining
+                if self.listing.state != HostState::Draining
+                    || listing.state != HostState::Draining
                 {
                     self.draining = now;
                 }
-                let group = |listing: &Listing| (listing.zone, listing.cell);
+                let group = |listing: &Endpoint| (listing.zone, listing.cell);
                 if !self.never_listed() && group(&listing) != group(&self.listing) {
                     self.regrouped = Some(now);
                 }
-                self.listed = listing.standing != Standing::Gone;
+                self.listed = listing.state != HostState::Gone;
                 (self.gone_since, self.listing) = (now, listing);
                 self.listing.size = if listing.size > 0.0 {
                     listing.size
@@ -166,11 +166,11 @@
             }
             Note::Unlisted => (self.listed, self.gone_since) = (false, now),
             Note::Sent(conn) => {
-                if self.cold(now, at.charter) {
-                    (self.credit, self.turn) = self.credit_at(now, at.count, at.charter);
+                if self.cold(now, at.settings) {
+                    (self.credit, self.turn) = self.credit_at(now, at.count, at.settings);
                     // Guards: a few connections of many times the usual load.
                     self.credit -=
-                        at.ledger.load(conn.offering, conn.load) / at.ledger.unit.unwrap_or(1.0);
+                        at.ledger.load(conn.class, conn.load) / at.ledger.unit.unwrap_or(1.0);
                 }
                 if !conn.begun {
                     (self.pending, self.sent) = (self.pending + 1, now);
@@ -178,7 +178,7 @@
                 if let Some(group) = conn.group {
                     *self.groups.entry(group).or_insert(0) += 1;
                 }
-                self.since += at.ledger.load(conn.offering, conn.load);
+                self.since += at.ledger.load(conn.class, conn.load);
                 self.conns.push(conn);
                 self.count(self.conns.len() - 1, now, at.ledger);
             }
@@ -204,7 +204,7 @@
                 at.post.extend(bore.map(|note| (To::Ledger, note)));
                 // Guards: clients that this node moved, taken for ones that never stay.
                 let moved = at.desk.slots[slot].as_ref().is_some_and(|a| a.moved);
-                if conn.begun && !moved && matches!(ending, Ending::Done | Ending::CalledOff) {
+                if conn.begun && !moved && matches!(ending, AttemptOutcome::Completed | AttemptOutcome::Cancelled) {
                     at.post.push_back((
                         To::Ledger,
                         Note::Lived {
@@ -214,39 +214,39 @@
                     ));
                     self.strikes = self.strikes.min(1);
                 }
-                if ending == Ending::TimedOut {
+                if ending == AttemptOutcome::TimedOut {
                     self.waited(now, length, at);
                 }
-                let broke = u32::from(conn.begun && ending == Ending::Broken);
+                let broke = u32::from(conn.begun && ending == AttemptOutcome::ConnectionLost);
                 self.broken = if self.conns.is_empty() {
                     0
                 } else {
                     self.broken + broke
                 };
                 // Guards: all hosts left out for a moment in which this machine had no route.
-                self.unroutable = if ending == Ending::Unroutable {
+                self.unroutable = if ending == AttemptOutcome::NoRoute {
                     self.unroutable + 1
                 } else {
                     0
                 };
-                if ending == Ending::Unroutable && self.unroutable < UNROUTABLE {
+                if ending == AttemptOutcome::NoRoute && self.unroutable < UNROUTABLE {
                     return;
                 }
                 // An error is the host's only once another host has taken the same: see `Blamed`.
                 if matches!(
                     ending,
-                    Ending::Done | Ending::CalledOff | Ending::NeverSent | Ending::Error
-                ) || ending == Ending::PassedOn
+                    AttemptOutcome::Completed | AttemptOutcome::Cancelled | AttemptOutcome::NeverSent | AttemptOutcome::Error
+                ) || ending == AttemptOutcome::HandedOver
                 {
                     return;
                 }
                 // Where most hand-offs fail, the cause is not the host's: a mask would leave the rest all.
                 // Only a fleet of many can push it over by trying again: guards the last host of a small one.
-                let unconnected = matches!(ending, Ending::Unconnected | Ending::Unroutable);
-                if unconnected && by_lot(at.charter) {
+                let unconnected = matches!(ending, AttemptOutcome::ConnectFailed | AttemptOutcome::NoRoute);
+                if unconnected && by_lot(at.settings) {
                     self.down = Some(now);
                 }
-                let its_own = unconnected || matches!(ending, Ending::Refused | Ending::Broken);
+                let its_own = unconnected || matches!(ending, AttemptOutcome::Rejected | AttemptOutcome::ConnectionLost);
                 if its_own || !at.desk.common() {
                     self.mask(now, at.chance, ending.word(), at.out);
                 }
@@ -257,21 +257,21 @@
             Note::LoadNow { slot, load } => {
                 if let Some(found) = self.conns.iter().position(|c| c.slot == slot) {
                     self.conns[found].load = Some(load);
-                    let offering = self.conns[found].offering;
+                    let class = self.conns[found].class;
                     at.post
-                        .push_back((To::Ledger, Note::Weighed { offering, load }));
+                        .push_back((To::Ledger, Note::Weighed { class, load }));
                     self.count(found, now, at.ledger);
                 }
             }
-            Note::Slow(time) => self.late(now, time, at.charter),
+            Note::Slow(time) => self.late(now, time, at.settings),
             Note::Regarded(by) => {
                 self.regarded(*by);
                 // Guards: a cold host pushed over by two processes that each think the turn is theirs.
-                self.sit_out(now, at.charter);
+                self.sit_out(now, at.settings);
             }
             // Guards: a budget given twice, as the same moment has another number.
-            Note::OtherTurns => self.sit_out(now, at.charter),
-            Note::Behind(seconds) => self.late(now, (seconds * SECOND as f64) as Nanos, at.charter),
+            Note::OtherTurns => self.sit_out(now, at.settings),
+            Note::Behind(seconds) => self.late(now, (seconds * SECOND as f64) as Nanos, at.settings),
             Note::Reported { load, heard } => {
                 (self.report, self.reported, self.since) = (load, now, self.since / 2.0);
                 let step = if load.max(self.told) > CROWDED {
@@ -281,10 +281,10 @@
                 };
                 let news = (load - self.told).abs() > step || now > self.told_at + RETELL;
                 let message = word::encode(self.id, load);
-                let price = message.len() as f64 * f64::from(at.charter.nodes.saturating_sub(1));
-                let tells = at.charter.peers && news && !heard && at.desk.purse >= price;
+                let price = message.len() as f64 * f64::from(at.settings.node_count.saturating_sub(1));
+                let tells = at.settings.gossip_enabled && news && !heard && at.desk.purse >= price;
                 if tells {
-                    at.out.push(Action::Tell { message });
+                    at.out.push(Action::Gossip { message });
                     at.post.push_back((To::Desk, Note::Spent(price)));
                 }
                 if heard || tells {
@@ -338,7 +338,7 @@
 
 /// What a host sees of the rest while it reads a note.
 pub(crate) struct Room<'a> {
-    pub charter: &'a Charter,
+    pub settings: &'a BalancerSettings,
     pub ledger: &'a Ledger,
     pub post: &'a mut Post,
     pub out: &'a mut Vec<Action>,
@@ -349,7 +349,7 @@
 
 /// What an attachment asks of a host.
 struct Ask<'a> {
-    attachment: &'a Attachment,
+    request: &'a Request,
     /// Its load, and the part of it that falls in the look-ahead steps.
     load: f64,
     ahead: f64,
@@ -416,11 +416,11 @@
         out: &mut Vec<Action>,
     ) {
         match note {
-            Note::Told(RollKind::Failed) => {
+            Note::Told(EndpointUpdate::Failed) => {
                 let failures = self.calls.failed(now, chance, knows, pace);
                 log!(out, "roll lost failures={failures}");
             }
-            Note::Told(RollKind::Changes | RollKind::Full) => {
+            Note::Told(EndpointUpdate::Delta | EndpointUpdate::Full) => {
                 let ended = self.calls.told(now, knows, pace);
                 if ended > 0 {
                     log!(out, "roll followed again after failures={ended}");
@@ -428,8 +428,8 @@
             }
             Note::Pulse { .. } => {
                 out.extend(self.calls.due(now, knows, pace).map(|call| match call {
-                    Call::Ask => Action::AskRoll,
-                    Call::Follow => Action::FollowRoll,
+                    Call::Ask => Action::PollEndpoints,
+                    Call::Follow => Action::WatchEndpoints,
                 }))
             }
             _ => {}
@@ -472,15 +472,15 @@
 }
 
 /// The node's place among many, from 0 to 1, over as much of that as there are more than would be few.
-fn place(charter: &Charter) -> Option<f64> {
-    let few = charter.cold as f64 / charter.tip_after.max(1) as f64;
-    let nodes = f64::from(charter.nodes.max(1));
-    many(charter).then(|| (f64::from(charter.node) + 0.5) / nodes * (1.0 - (few / nodes).powi(2)))
+fn place(settings: &BalancerSettings) -> Option<f64> {
+    let few = settings.warm_up as f64 / settings.overload_window.max(1) as f64;
+    let nodes = f64::from(settings.node_count.max(1));
+    many(settings).then(|| (f64::from(settings.node_index) + 0.5) / nodes * (1.0 - (few / nodes).powi(2)))
 }
 
 /// One node's decisions.
 pub struct Balancer {
-    charter: Charter,
+    settings: BalancerSettings,
     rng: ChaCha8Rng,
     hosts: Vec<Host>,
     known: HashMap<HostId, usize>,
@@ -494,30 +494,30 @@
 }
 
 impl Balancer {
-    pub fn new(charter: Charter, seed: u64, now: Nanos, out: &mut Vec<Action>) -> Self {
+    pub fn new(settings: BalancerSettings, seed: u64, now: Nanos, out: &mut Vec<Action>) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let vectors = [0.0, 0.05, 0.1, 0.2].map(|gap| Vector {
             balance: 1.0,
             gap,
             ..Vector::default()
         });
-        let usual = vec![None; charter.offerings.len()];
-        let set_up = charter
-            .offerings
+        let usual = vec![None; settings.classes.len()];
+        let set_up = settings
+            .classes
             .iter()
-            .map(|o| o.contract_time)
+            .map(|o| o.latency_objective)
             .min()
             .unwrap_or(SECOND) as f64
             / 12.0;
 
         // The first look-around comes at a moment of the node's own.
         let first = now + (PULSE as f64 * rng.random::<f64>()) as Nanos;
-        out.push(Action::WakeAt {
+        out.push(Action::SetTimer {
             time: first,
-            mark: 0,
+            timer: 0,
         });
         Balancer {
-            charter,
+            settings,
             rng,
             hosts: Vec::new(),
             known: HashMap::new(),
@@ -544,56 +544,56 @@
     /// Takes one event in and appends what is to be done.
     pub fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
         let slot = event
-            .attachment()
+            .request()
             .and_then(|id| self.desk.names.get(&id).copied());
         let host = event.host().and_then(|id| self.known.get(&id).copied());
-        let attachment = slot.and_then(|s| self.desk.slots[s].as_ref());
+        let request = slot.and_then(|s| self.desk.slots[s].as_ref());
         let (at, begun) = (
-            attachment.and_then(|a| a.at),
-            attachment.is_some_and(|a| a.begun),
+            request.and_then(|a| a.at),
+            request.is_some_and(|a| a.begun),
         );
         let mut post = |to, note| self.post.push_back((to, note));
         match (event, slot, host.or(at)) {
-            (Event::Roll { kind, hosts }, ..) => self.list(now, kind, hosts),
-            (Event::Timer { mark: PART }, ..) => post(To::Desk, Note::Part),
-            (Event::Timer { .. }, ..) => self.pulse(now, out),
-            (Event::Leaving { from, by }, ..) => post(To::Desk, Note::Leaving { from, by }),
-            (Event::Staying, ..) => post(To::Desk, Note::Staying),
-            (Event::Arrived(arrival), ..) => post(To::Desk, Note::Arrived(arrival)),
-            (Event::TakenUp(arrival, past), ..) => {
+            (Event::EndpointsUpdated { kind, endpoints: hosts }, ..) => self.list(now, kind, hosts),
+            (Event::TimerFired { timer: PART }, ..) => post(To::Desk, Note::Part),
+            (Event::TimerFired { .. }, ..) => self.pulse(now, out),
+            (Event::ShutdownStarted { from, by }, ..) => post(To::Desk, Note::Leaving { from, by }),
+            (Event::ShutdownCancelled, ..) => post(To::Desk, Note::Staying),
+            (Event::RequestArrived(incoming), ..) => post(To::Desk, Note::Arrived(incoming)),
+            (Event::RequestTakenOver(incoming, past), ..) => {
                 let known = |id: &HostId| self.known.get(id).copied();
                 // Guards: a repeat sent on where nobody knows any more which group would drop it.
                 let same_group =
                     |host: &usize, sent| self.hosts[*host].regrouped.is_none_or(|at| at < sent);
-                let ran = past.ran.map(|(id, sent)| {
+                let ran = past.may_have_run.map(|(id, sent)| {
                     known(&id)
                         .filter(|host| same_group(host, sent))
                         .map_or((0, 0), |host| (host, sent))
                 });
-                let tried = past.tried.iter().filter_map(known).collect();
-                post(To::Desk, Note::TakenUp(arrival, past.hand_offs, ran, tried));
+                let tried = past.tried_hosts.iter().filter_map(known).collect();
+                post(To::Desk, Note::TakenUp(incoming, past.attempts, ran, tried));
             }
-            (Event::Standing(arrival, _), _, Some(host)) => {
-                post(To::Desk, Note::Standing(arrival, host, now))
+            (Event::ConnectionFound(incoming, _), _, Some(host)) => {
+                post(To::Desk, Note::ConnectionFound(incoming, host, now))
             }
-            (Event::PassedOn(arrival, _, since), _, Some(host)) => {
-                post(To::Desk, Note::Standing(arrival, host, since));
+            (Event::ConnectionHandedOver(incoming, _, since), _, Some(host)) => {
+                post(To::Desk, Note::ConnectionFound(incoming, host, since));
             }
-            (Event::Renewed(charter, others), ..) => {
-                post(To::Ledger, Note::Offers(charter.offerings.len(), others));
-                log!(out, "terms renewed offered={}", charter.offered().count());
-                if charter.tip_after != self.charter.tip_after {
+            (Event::SettingsChanged(settings, others), ..) => {
+                post(To::Ledger, Note::Offers(settings.classes.len(), others));
+                log!(out, "terms renewed offered={}", settings.active().count());
+                if settings.overload_window != self.settings.overload_window {
                     let hosts = 0..self.hosts.len();
                     self.post
                         .extend(hosts.map(|host| (To::Host(host), Note::OtherTurns)));
                 }
-                let turns = std::mem::take(&mut self.charter.turns);
-                self.charter = Charter { turns, ..*charter };
+                let turns = std::mem::take(&mut self.settings.slow_start_slots);
+                self.settings = BalancerSettings { slow_start_slots: turns, ..*settings };
             }
-            (Event::Successor(comes), ..) => post(To::Desk, Note::Successor(comes)),
-            (Event::Inherited(mut legacy), ..) => {
+            (Event::SuccessorChanged(comes), ..) => post(To::Desk, Note::Successor(comes)),
+            (Event::StateInherited(mut legacy), ..) => {
                 let known =
-                    |one: Regard| Some((*self.known.get(&one.id)?, Note::Regarded(Box::new(one))));
+                    |one: HostSnapshot| Some((*self.known.get(&one.id)?, Note::Regarded(Box::new(one))));
                 let hosts = std::mem::take(&mut legacy.hosts)
                     .into_iter()
                     .filter_map(known);
@@ -601,22 +601,22 @@
                     .extend(hosts.map(|(host, note)| (To::Host(host), note)));
                 self.post.push_back((To::Desk, Note::Inherited(legacy)));
             }
-            (Event::Left { .. }, Some(slot), _) => post(To::Desk, Note::Left { slot }),
-            (Event::Begun { took, .. }, Some(slot), Some(host)) if !begun => {
+            (Event::ClientLeft { .. }, Some(slot), _) => post(To::Desk, Note::Left { slot }),
+            (Event::ConnectionEstablished { took, .. }, Some(slot), Some(host)) if !begun => {
                 post(To::Host(host), Note::Begun { slot, took });
                 post(To::Desk, Note::Begun { slot, took });
             }
             (
-                Event::Ended {
-                    over,
+                Event::AttemptEnded {
+                    request_over: over,
                     ending,
-                    gauges,
+                    load_metrics,
                     ..
                 },
                 slot,
                 Some(host),
             ) => {
-                self.gauge(host, &gauges, None);
+                self.load_metric(host, &load_metrics, None);
                 if let Some(slot) = slot.filter(|_| at == Some(host)) {
                     self.post
                         .push_back((To::Host(host), Note::Ended { slot, ending }));
@@ -624,20 +624,20 @@
                         .push_back((To::Desk, Note::Returned { slot, over, ending }));
                 }
             }
-            (Event::LoadNow { load, .. }, Some(slot), Some(host)) => {
+            (Event::LoadMeasured { load, .. }, Some(slot), Some(host)) => {
                 post(To::Host(host), Note::LoadNow { slot, load });
             }
-            (Event::MessageTime { time, .. }, _, Some(host)) => {
+            (Event::MessageLatency { latency: time, .. }, _, Some(host)) => {
                 post(To::Host(host), Note::Slow(time))
             }
-            (Event::Probed { ending, gauges, .. }, _, Some(host)) => {
+            (Event::ProbeEnded { ending, load_metrics, .. }, _, Some(host)) => {
                 // Too many probes at once, or a shaken line, say nothing of its load.
-                let silent = (ending == Ending::TimedOut).then_some(SILENT);
-                self.gauge(host, &gauges, silent);
+                let silent = (ending == AttemptOutcome::TimedOut).then_some(SILENT);
+                self.load_metric(host, &load_metrics, silent);
             }
-            (Event::Heard { message }, ..) => self.hear(&message),
-            (Event::Turns(turns), ..) => self.charter.turns = turns,
-            (Event::Looks(mine), ..) => {
+            (Event::GossipReceived { message }, ..) => self.hear(&message),
+            (Event::SlowStartSlotsAssigned(turns), ..) => self.settings.slow_start_slots = turns,
+            (Event::ProbeTargetsAssigned(mine), ..) => {
                 let told = self
                     .hosts
                     .iter()
@@ -651,7 +651,7 @@
     }
 
     /// What the process that takes this one's place is to know.
-    pub fn leave(&self) -> Legacy {
+    pub fn leave(&self) -> InheritedState {
         let hosts = self
             .hosts
             .iter()
@@ -659,21 +659,21 @@
             .map(Host::regard)
             .collect();
         let (trouble, late) = (self.desk.trouble, self.desk.late);
-        Legacy {
+        InheritedState {
             hosts,
-            trouble,
-            late,
+            setup_failure_rate: trouble,
+            late_message_rate: late,
             ..self.ledger.leave()
         }
     }
 
     /// Whether any host is cold whose budget is shared by turns.
     pub fn shares_turns(&self, now: Nanos) -> bool {
-        !by_lot(&self.charter)
+        !by_lot(&self.settings)
             && self
                 .hosts
                 .iter()
-                .any(|h| h.ready() && h.cold(now, &self.charter))
+                .any(|h| h.ready() && h.cold(now, &self.settings))
     }
 
     /// How many hosts the roll lists, and how many of those this node avoids now.
@@ -683,18 +683,18 @@
         (listed.clone().count(), listed.filter(avoided).count())
     }
 
-    fn gauge(&mut self, host: usize, values: &[f64], silent: Option<f64>) {
-        let place = |what| self.charter.gauges.iter().position(|&g| g == what);
+    fn load_metric(&mut self, host: usize, values: &[f64], silent: Option<f64>) {
+        let place = |what| self.settings.load_metrics.iter().position(|&g| g == what);
         let sane = |n: usize| values.get(n).copied().filter(|v| (0.0..1e3).contains(v));
-        let load = place(Gauge::Load)
-            .or(place(Gauge::Busy))
+        let load = place(LoadMetric::Load)
+            .or(place(LoadMetric::Utilization))
             .and_then(sane)
             .or(silent);
         let note = |note| (To::Host(host), note);
         self.post
             .extend(load.map(|load| note(Note::Reported { load, heard: false })));
         self.post.extend(
-            place(Gauge::Backlog)
+            place(LoadMetric::Backlog)
                 .and_then(sane)
                 .map(|behind| note(Note::Behind(behind))),
         );
@@ -714,9 +714,9 @@
         }
     }
 
-    fn list(&mut self, now: Nanos, kind: RollKind, listings: Vec<Listing>) {
+    fn list(&mut self, now: Nanos, kind: EndpointUpdate, listings: Vec<Endpoint>) {
         self.post.push_back((To::Roll, Note::Told(kind)));
-        if kind == RollKind::Failed {
+        if kind == EndpointUpdate::Failed {
             return;
         }
         let (mut named, mut searched) = (vec![false; self.hosts.len()], 0);
@@ -732,7 +732,7 @@
             self.post
                 .push_back((To::Host(host), Note::Listed(listing, !self.listed_once)));
         }
-        if kind != RollKind::Changes {
+        if kind != EndpointUpdate::Delta {
             for host in (0..named.len()).filter(|&h| !named[h]) {
                 self.post.push_back((To::Host(host), Note::Unlisted));
             }
@@ -741,9 +741,9 @@
     }
 
     fn pulse(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        out.push(Action::WakeAt {
+        out.push(Action::SetTimer {
             time: now + PULSE,
-            mark: 0,
+            timer: 0,
         });
         self.pulses += 1;
         let view = self.survey(now);
@@ -752,7 +752,7 @@
             .push_back((To::Desk, Note::Pulse { mean, refuge }));
         self.post
             .push_back((To::Ledger, Note::Open(self.desk.names.len() as f64)));
-        if self.charter.roll_on_request {
+        if self.settings.endpoints_are_polled {
             self.post
                 .push_back((To::Roll, Note::Pulse { mean, refuge }));
         }
@@ -760,7 +760,7 @@
         for (n, host) in self.hosts.iter().enumerate() {
             // Guards: hundreds of hosts that hold nothing of this node and cost it time all the same.
             let idle = host.conns.is_empty() && host.ceiling.is_none();
-            if self.charter.probe_for_gauges && host.due(now, &self.charter) {
+            if self.settings.load_from_probes && host.due(now, &self.settings) {
                 self.post.push_back((To::Host(n), Note::Look));
             }
             if self.pulses.is_multiple_of(STEP / PULSE) && !idle {
@@ -777,10 +777,10 @@
     /// there, until it has its share. Guards: a zone that came back, or hosts that took the place of most,
     /// idle for minutes beside hosts overrun, as clients stay where they are.
     fn lead_home(&mut self, now: Nanos, view: &Survey) {
-        let charter = &self.charter;
-        let near = |h: &Host| h.listing.zone == charter.zone;
+        let settings = &self.settings;
+        let near = |h: &Host| h.listing.zone == settings.zone;
         let young = |h: &&Host| {
-            h.ready() && now >= h.masked_until && h.cold(now, charter) && by_lot(charter)
+            h.ready() && now >= h.masked_until && h.cold(now, settings) && by_lot(settings)
         };
         let mut young: Vec<&Host> = self.hosts.iter().filter(young).collect();
         // To those elsewhere only from a zone that is short of warm hosts itself.
@@ -788,11 +788,11 @@
         young.retain(|_| short);
         let share = |h: &Host| h.listing.size / if near(h) { view.near_size } else { view.size };
         let fair = |h: &Host, key| draw(key, h.id.0) < share(h);
-        let turn = |h: &Host, key| fair(h, key) && h.drawn(now, Some(key), PULSE, view, charter);
+        let turn = |h: &Host, key| fair(h, key) && h.drawn(now, Some(key), PULSE, view, settings);
         for host in self
             .hosts
             .iter()
-            .filter(|h| !young.is_empty() && !h.cold(now, charter))
+            .filter(|h| !young.is_empty() && !h.cold(now, settings))
         {
             let turn =
                 |c: &&Conn| c.begun && c.key.is_some_and(|key| young.iter().any(|h| turn(h, key)));
@@ -828,12 +828,12 @@
             } else if !masks {
                 (new, newcomers) = (new + host.own(), newcomers + 1.0);
             }
-            if host.listing.zone == self.charter.zone {
+            if host.listing.zone == self.settings.zone {
                 (near, pressed) = (near + 1.0, pressed + one(masks || caps));
                 zone += host.listing.size;
                 heard += one(masks || caps || !host.conns.is_empty());
             }
-            if !host.cold(now, &self.charter) {
+            if !host.cold(now, &self.settings) {
                 (conns, size) = (conns + host.conns.len() as f64, size + host.listing.size);
                 (warm, full) = (warm + 1.0, full + one(caps));
             }
@@ -845,7 +845,7 @@
         let unseen = |mean: f64| (unit * unit / mean.max(f64::MIN_POSITIVE)).min(UNSEEN * unit);
         // Newcomers count at the others' mean, and that stays as it is; the more a node sees, the more they
         // count as they are. Guards: hosts filled and filled beside new ones where two nodes see it all.
-        let blind = if self.charter.gathers {
+        let blind = if self.settings.centralized {
             1.0
         } else {
             unseen(others) / (others + unseen(others))
@@ -866,7 +866,7 @@
             } else {
                 f64::INFINITY
             },
-            crossing: CROSSING * self.charter.cross_zone_charge * relief,
+            crossing: CROSSING * self.settings.cross_zone_cost * relief,
             unit,
             ready,
             loaded: f64::max(loaded / f64::max(known, 1.0), 0.05),
@@ -883,13 +883,13 @@
         while let Some((to, note)) = self.post.pop_front() {
             match to {
                 To::Host(host) => {
-                    let cold = self.hosts[host].cold(now, &self.charter);
+                    let cold = self.hosts[host].cold(now, &self.settings);
                     let count = if cold { self.survey(now).count } else { 0.0 };
                     deliver!(self.hosts[host].inbox, note, {
                         let chance = self.rng.random();
-                        let (charter, ledger, post) = (&self.charter, &self.ledger, &mut self.post);
+                        let (settings, ledger, post) = (&self.settings, &self.ledger, &mut self.post);
                         let mut room = Room {
-                            charter,
+                            settings,
                             ledger,
                             post,
                             out,
@@ -909,8 +909,8 @@
                 To::Ledger => deliver!(self.ledger.inbox, note, self.ledger.read(note, now)),
                 To::Roll => deliver!(self.roll.inbox, note, {
                     let pace = Pace {
-                        ask_within: self.charter.ask_within,
-                        place: place(&self.charter),
+                        max_poll_interval: self.settings.max_poll_interval,
+                        place: place(&self.settings),
                     };
                     let knows = self.hosts.iter().any(Host::ready);
                     self.roll
@@ -923,13 +923,13 @@
     /// The desk reads a note: it owns the attachments and gives the final answers.
     fn attend(&mut self, now: Nanos, note: Note, out: &mut Vec<Action>) {
         match note {
-            Note::Arrived(arrival) => {
+            Note::Arrived(incoming) => {
                 self.desk.came(now);
-                let slot = self.desk.admit(now, arrival, &self.charter);
+                let slot = self.desk.admit(now, incoming, &self.settings);
                 self.place(now, slot, out);
             }
-            Note::TakenUp(arrival, hand_offs, ran, tried) => {
-                let slot = self.desk.admit(now, arrival, &self.charter);
+            Note::TakenUp(incoming, attempts, ran, tried) => {
+                let slot = self.desk.admit(now, incoming, &self.settings);
                 let first_run = |(host, sent): (usize, Nanos)| FirstRun {
                     host,
                     listed: self
@@ -939,22 +939,22 @@
                         .unwrap_or_default(),
                     sent,
                 };
-                if let Some(attachment) = self.desk.slots[slot].as_mut() {
+                if let Some(request) = self.desk.slots[slot].as_mut() {
                     (
-                        attachment.hand_offs,
-                        attachment.may_have_run,
-                        attachment.tried,
-                    ) = (hand_offs, ran.map(first_run), tried);
+                        request.attempts,
+                        request.may_have_run,
+                        request.tried,
+                    ) = (attempts, ran.map(first_run), tried);
                 }
                 self.place(now, slot, out);
             }
-            Note::Standing(arrival, host, since) => {
-                let slot = self.desk.admit(now, arrival, &self.charter);
-                let Some(attachment) = self.desk.slots[slot].as_mut() else {
+            Note::ConnectionFound(incoming, host, since) => {
+                let slot = self.desk.admit(now, incoming, &self.settings);
+                let Some(request) = self.desk.slots[slot].as_mut() else {
                     return;
                 };
-                (attachment.begun, attachment.answered, attachment.at) = (true, true, Some(host));
-                let conn = Conn::new(since, slot, &arrival, &self.ledger, &self.charter);
+                (request.begun, request.answered, request.at) = (true, true, Some(host));
+                let conn = Conn::new(since, slot, &incoming, &self.ledger, &self.settings);
                 let conn = Conn {
                     begun: true,
                     ..conn
@@ -962,24 +962,24 @@
                 self.post.push_back((To::Host(host), Note::Sent(conn)));
             }
             Note::Begun { slot, .. } => {
-                if let Some(attachment) = self.desk.slots[slot].as_mut() {
-                    (attachment.begun, attachment.answered) = (true, true);
+                if let Some(request) = self.desk.slots[slot].as_mut() {
+                    (request.begun, request.answered) = (true, true);
                     self.post
-                        .extend(attachment.failed.map(|host| (To::Host(host), Note::Blamed)));
+                        .extend(request.failed.map(|host| (To::Host(host), Note::Blamed)));
                 }
                 self.desk.set_up(false, out);
             }
             Note::Returned { slot, over, ending } => {
-                let Some(attachment) = self.desk.slots[slot].as_mut() else {
+                let Some(request) = self.desk.slots[slot].as_mut() else {
                     return;
                 };
-                let (host, begun) = (attachment.at.take(), attachment.begun);
-                attachment.answered |= over;
-                let answered = attachment.answered;
+                let (host, begun) = (request.at.take(), request.begun);
+                request.answered |= over;
+                let answered = request.answered;
                 // What is refused or not connected is the host's doing, no store's; what one attachment meets
                 // at host after host counts once. Guards: bad clients taken for a store that fails.
-                let fails = matches!(ending, Ending::Error | Ending::TimedOut)
-                    && attachment.tried.is_empty();
+                let fails = matches!(ending, AttemptOutcome::Error | AttemptOutcome::TimedOut)
+                    && request.tried.is_empty();
                 // What one host alone fails is its own. Guards: one that fails fast, and so draws clients,
                 // taken for a store that fails, and left in use.
                 if !begun && fails && std::mem::replace(&mut self.desk.failing, host) != host {
@@ -988,18 +988,18 @@
                 if answered {
                     return self.desk.forget(slot);
                 }
-                let Some(attachment) = self.desk.slots[slot].as_mut() else {
+                let Some(request) = self.desk.slots[slot].as_mut() else {
                     return;
                 };
                 if let Some(host) = host {
-                    attachment.tried.push(host);
-                    if ending == Ending::Error {
-                        (attachment.errors, attachment.failed) =
-                            (attachment.errors + 1, Some(host));
+                    request.tried.push(host);
+                    if ending == AttemptOutcome::Error {
+                        (request.errors, request.failed) =
+                            (request.errors + 1, Some(host));
                     }
                     if !ending.never_ran() {
-                        let (listed, sent) = (attachment.sent_to, attachment.sent);
-                        attachment
+                        let (listed, sent) = (request.sent_to, request.sent);
+                        request
                             .may_have_run
                             .get_or_insert(FirstRun { host, listed, sent });
                     }
@@ -1007,16 +1007,16 @@
                 self.place(now, slot, out);
             }
             Note::Left { slot } => {
-                let Some(attachment) = self.desk.slots[slot].as_mut() else {
+                let Some(request) = self.desk.slots[slot].as_mut() else {
                     return;
                 };
-                attachment.answered = true;
-                if attachment.at.is_none() {
+                request.answered = true;
+                if request.at.is_none() {
                     self.desk.forget(slot);
-                } else if self.charter.may_call_off && !attachment.begun {
-                    out.push(Action::CallOff {
-                        id: attachment.id,
-                        hand_off: attachment.hand_offs - 1,
+                } else if self.settings.may_cancel && !request.begun {
+                    out.push(Action::CancelAttempt {
+                        id: request.id,
+                        attempt: request.attempts - 1,
                     });
                 }
             }
@@ -1039,14 +1039,14 @@
             Note::Leaving { from, by } => {
                 (self.desk.leaving, self.desk.parts) = (Some(by), from);
                 log!(out, "leaving held={}", self.desk.names.len());
-                out.push(Action::WakeAt {
+                out.push(Action::SetTimer {
                     time: from,
-                    mark: PART,
+                    timer: PART,
                 });
             }
             Note::Successor(comes) => self.desk.successor = comes,
             Note::Inherited(legacy) => {
-                (self.desk.trouble, self.desk.late) = (legacy.trouble, legacy.late);
+                (self.desk.trouble, self.desk.late) = (legacy.setup_failure_rate, legacy.late_message_rate);
                 self.post.push_back((To::Ledger, Note::Inherited(legacy)));
             }
             Note::Staying => {
@@ -1058,12 +1058,12 @@
                 self.part(now, out)
             }
             Note::Shift { slot } => {
-                if let Some(attachment) = self.desk.slots[slot]
+                if let Some(request) = self.desk.slots[slot]
                     .as_mut()
                     .filter(|a| a.begun && !a.moved)
                 {
-                    attachment.moved = true;
-                    out.push(Action::Move { id: attachment.id });
+                    request.moved = true;
+                    out.push(Action::Migrate { id: request.id });
                 }
             }
             _ => {}
@@ -1091,29 +1091,29 @@
         );
         // Guards: a few that are all sent away in the first part of the time.
         self.desk.parts = now + (left / (count as u64 + 1)).clamp(PARTING, 4 * PARTING);
-        out.push(Action::WakeAt {
+        out.push(Action::SetTimer {
             time: self.desk.parts,
-            mark: PART,
+            timer: PART,
         });
     }
 
     /// The final answer to what can be handed off no more: a dismissal where a retry is harmless.
     fn answer(&mut self, slot: usize, out: &mut Vec<Action>) {
-        let Some(attachment) = self.desk.slots[slot].as_ref() else {
+        let Some(request) = self.desk.slots[slot].as_ref() else {
             return;
         };
-        let (id, ran) = (attachment.id, attachment.may_have_run.is_some());
-        let harmless = may_dismiss(&self.charter.offerings[attachment.arrival.offering], ran);
+        let (id, ran) = (request.id, request.may_have_run.is_some());
+        let harmless = may_dismiss(&self.settings.classes[request.incoming.class], ran);
         // Spread, so that the clients do not come back in step.
-        let wait = self.charter.longest_advice as f64 * self.rng.random_range(0.25..1.0);
-        let dismissal = Action::Dismiss {
+        let wait = self.settings.max_retry_after as f64 * self.rng.random_range(0.25..1.0);
+        let dismissal = Action::Reject {
             id,
-            wait: wait as Nanos,
+            retry_after: wait as Nanos,
         };
         out.push(if harmless {
             dismissal
         } else {
-            Action::GiveUp { id }
+            Action::Fail { id }
         });
         self.desk.forget(slot);
     }
@@ -1121,48 +1121,48 @@
     /// Hands the attachment to the best host, or gives its final answer at once.
     fn place(&mut self, now: Nanos, slot: usize, out: &mut Vec<Action>) {
         let tie = self.rng.random();
-        let Some(attachment) = self.desk.slots[slot].as_ref() else {
+        let Some(request) = self.desk.slots[slot].as_ref() else {
             return;
         };
-        let offering = &self.charter.offerings[attachment.arrival.offering];
-        let ran = attachment.may_have_run;
+        let class = &self.settings.classes[request.incoming.class];
+        let ran = request.may_have_run;
         // Guards: one that has its answer only after the node that stops was ended from outside.
-        let last = attachment
-            .expiry
+        let last = request
+            .deadline
             .min(self.desk.leaving.unwrap_or(Nanos::MAX));
-        let last = answer_by(last, attachment.arrival.time_left, self.charter.round);
+        let last = answer_by(last, request.incoming.time_left, self.settings.min_call_interval);
         // Guards: a store that fails at once, asked five times over for each attachment.
         let most = if self.desk.common() {
             1
         } else {
-            attachment.most
+            request.most
         };
         // Guards: what no host will have, as bad clients send it, offered to host after host.
-        let late = now >= last || attachment.hand_offs >= most || attachment.errors >= UNWANTED;
-        let by = repeat_deadline(offering, ran.map(|ran| ran.sent));
+        let late = now >= last || request.attempts >= most || request.errors >= UNWANTED;
+        let by = repeat_deadline(class, ran.map(|ran| ran.sent));
         let vector = self.helm.next;
         // Guards: hosts that many nodes fill up again as fast as each cuts its one connection there. The
         // less a node sees of the hosts, the more of what it might hold to ceilings it dismisses by chance.
-        let shed = attachment.hand_offs == 0
+        let shed = request.attempts == 0
             && (self.desk.leaving.is_some()
                 || self.desk.sheds() && {
                     let view = self.survey(now);
                     let blind = view.unseen / (view.mean + view.unseen);
                     // The less it pays for its load, the sooner.
                     let worth =
-                        |n: usize| self.charter.offerings[n].payoff / self.ledger.load(n, None);
+                        |n: usize| self.settings.classes[n].priority_weight / self.ledger.load(n, None);
                     let pays = |n| worth(n).max(f64::MIN_POSITIVE);
-                    let offered = |n: &usize| self.charter.offerings[*n].offered;
-                    let all = (0..self.charter.offerings.len()).filter(offered);
+                    let active = |n: &usize| self.settings.classes[*n].active;
+                    let all = (0..self.settings.classes.len()).filter(active);
                     let least = all.map(pays).fold(f64::INFINITY, f64::min);
-                    let blind = blind * (least / pays(attachment.arrival.offering)).sqrt();
+                    let blind = blind * (least / pays(request.incoming.class)).sqrt();
                     draw(tie, 0) < SHED * blind * (self.desk.late - MANY) / (1.0 - MANY)
                 });
         let shed = shed && (self.desk.leaving.is_some() || !self.desk.tries_on(now));
         let chosen = if late || now >= by || shed {
             None
         } else {
-            self.choose(now, attachment, vector, tie)
+            self.choose(now, request, vector, tie)
         };
         if shed {
             self.desk.refused_since.get_or_insert(now);
@@ -1170,27 +1170,27 @@
         let Some(host) = chosen else {
             return self.answer(slot, out);
         };
-        let patience = self.patience(now, offering);
+        let patience = self.patience(now, class);
         let only =
-            attachment.hand_offs + 1 >= attachment.most || offering.effect == Effect::Irreversible;
+            request.attempts + 1 >= request.most || class.idempotency == Idempotency::NonIdempotent;
         let until = if only { last } else { last.min(now + patience) };
         self.helm.next = (vector + 1) % self.helm.vectors.len();
-        out.push(Action::HandOff {
-            id: attachment.id,
+        out.push(Action::StartAttempt {
+            id: request.id,
             host: self.hosts[host].id,
             until,
             by,
         });
-        let conn = Conn::new(now, slot, &attachment.arrival, &self.ledger, &self.charter);
+        let conn = Conn::new(now, slot, &request.incoming, &self.ledger, &self.settings);
         let conn = Conn {
             vector: Some(vector),
             ..conn
         };
         self.post.push_back((To::Host(host), Note::Sent(conn)));
-        if let Some(attachment) = self.desk.slots[slot].as_mut() {
-            (attachment.hand_offs, attachment.at, attachment.sent) =
-                (attachment.hand_offs + 1, Some(host), now);
-            attachment.sent_to = self.hosts[host].listing;
+        if let Some(request) = self.desk.slots[slot].as_mut() {
+            (request.attempts, request.at, request.sent) =
+                (request.attempts + 1, Some(host), now);
+            request.sent_to = self.hosts[host].listing;
         }
         self.desk.refused_since = None;
         self.desk.purse = (self.desk.purse + PURSE).min(FULL_PURSE);
@@ -1199,15 +1199,15 @@
     /// How long a set-up is waited for before another host is asked. Guards: a store that all set-ups share, whose answers come
     /// when the node has asked anew already. The fewer set-ups a node sees, the less it can tell such a store from a host that
     /// hangs, and the longer it waits.
-    fn patience(&self, now: Nanos, offering: &Offering) -> Nanos {
-        let hears_loads = self.charter.probe_for_gauges || self.ledger.weighed > 0;
-        let longest = match (many(&self.charter), hears_loads) {
+    fn patience(&self, now: Nanos, class: &RequestClass) -> Nanos {
+        let hears_loads = self.settings.load_from_probes || self.ledger.weighed > 0;
+        let longest = match (many(&self.settings), hears_loads) {
             (false, _) => 0,
             (true, true) => UNSURE_HEARING_LOADS,
             (true, false) => UNSURE,
         };
         let unsure = longest as f64 / (1.0 + (self.desk.came_of_late(now) / TELLING).powi(2));
-        let usual = (offering.contract_time as f64 + unsure).max(6.0 * self.ledger.set_up);
+        let usual = (class.latency_objective as f64 + unsure).max(6.0 * self.ledger.set_up);
         (usual * (1.0 + PATIENCE * self.desk.trouble)) as Nanos
     }
 
@@ -1215,27 +1215,27 @@
     fn choose(
         &self,
         now: Nanos,
-        attachment: &Attachment,
+        request: &Request,
         vector: usize,
         tie: u64,
     ) -> Option<usize> {
-        let arrival = &attachment.arrival;
-        let length = self.ledger.length(arrival.key, now);
-        let known = arrival
+        let incoming = &request.incoming;
+        let length = self.ledger.length(incoming.key, now);
+        let known = incoming
             .usual_load
-            .or(self.ledger.last_load(arrival.key, now));
-        let load = self.ledger.load(arrival.offering, known);
+            .or(self.ledger.last_load(incoming.key, now));
+        let load = self.ledger.load(incoming.class, known);
         let steps = length.map_or(1.0, |l| {
             (l / STEP as f64).ceil().clamp(1.0, STEPS as f64) / STEPS as f64
         });
-        let groups = self.charter.groups && !self.charter.pass;
-        let home = if self.charter.pass {
-            arrival.key
+        let groups = self.settings.groups_enabled && !self.settings.passthrough;
+        let home = if self.settings.passthrough {
+            incoming.key
         } else {
-            arrival.group.filter(|_| groups)
+            incoming.group.filter(|_| groups)
         };
         let ask = Ask {
-            attachment,
+            request,
             load,
             ahead: load * steps,
             length,
@@ -1251,7 +1251,7 @@
                     .all(|h| !h.ready() || now < h.masked_until);
             let mut best: Option<(f64, f64, usize)> = None;
             for (n, host) in self.hosts.iter().enumerate() {
-                let open = host.ready() && (again || !attachment.tried.contains(&n));
+                let open = host.ready() && (again || !request.tried.contains(&n));
                 let open = open && (!set || self.in_set(now, host, &ask, &view));
                 if !open || !self.takes(now, host, &ask, &view, (again, lapsed)) {
                     continue;
@@ -1273,13 +1273,13 @@
     /// zone at which it holds the group, or anything, what is new, and a few by a draw over node and host.
     fn in_set(&self, now: Nanos, host: &Host, ask: &Ask, view: &Survey) -> bool {
         // Guards: a zone with most of the clients overrun beside another whose hosts all are new and empty.
-        let young = host.cold(now, &self.charter) && by_lot(&self.charter);
+        let young = host.cold(now, &self.settings) && by_lot(&self.settings);
         let used = match ask.home {
             // Guards: clients led to a new host by nodes that have just started, which then look elsewhere.
             _ if young => true,
-            Some(home) => !self.charter.pass && host.groups.contains_key(&home),
-            _ if !host.conns.is_empty() || host.newcomer || self.charter.gathers => true,
-            _ => draw(u64::from(self.charter.node), host.id.0) < FEW / view.near,
+            Some(home) => !self.settings.passthrough && host.groups.contains_key(&home),
+            _ if !host.conns.is_empty() || host.newcomer || self.settings.centralized => true,
+            _ => draw(u64::from(self.settings.node_index), host.id.0) < FEW / view.near,
         };
         let part = BUSY * (view.mean + view.unseen);
         let busy = host
@@ -1287,14 +1287,14 @@
             .map_or(host.own() + view.unseen > part, |load| load > CROWDED);
         let busy =
             busy || host.ceiling.is_some() || now < host.masked_until || host.slow(now) >= LATE;
-        used && !busy && (young || host.listing.zone == self.charter.zone)
+        used && !busy && (young || host.listing.zone == self.settings.zone)
     }
 
     /// What a host that does not hold its group would pay for the attachment beside its load.
     fn opening(&self, host: &Host, ask: &Ask) -> f64 {
         let opens = ask
             .home
-            .is_some_and(|g| !self.charter.pass && !host.groups.contains_key(&g));
+            .is_some_and(|g| !self.settings.passthrough && !host.groups.contains_key(&g));
         f64::from(u8::from(opens)) * self.ledger.group_price()
     }
 
@@ -1313,30 +1313,30 @@
         let old = host
             .listing
             .started
-            .is_none_or(|t| now >= t.saturating_add(self.charter.cold));
+            .is_none_or(|t| now >= t.saturating_add(self.settings.warm_up));
         if masked && !(lapsed && trickle) {
             return false;
         }
-        let theirs = self.desk.successor && host.cold(now, &self.charter);
+        let theirs = self.desk.successor && host.cold(now, &self.settings);
         !theirs
             && host.bears(now, ask.load + self.opening(host, ask), view.typical)
-            && (host.cold_room(now, ask.attachment.arrival.key, view, &self.charter)
+            && (host.cold_room(now, ask.request.incoming.key, view, &self.settings)
                 || again && trickle && old)
-            && self.in_circle(&host.listing, ask.attachment)
+            && self.in_circle(&host.listing, ask.request)
     }
 
     /// Whether the host would drop a repeat of a labelled attachment that may have run: it is in the group in which the first
     /// one ran, and in which that host is listed now. Guards: a repeat led out of its group by a host that came back under its
     /// name in another; and one matched against the zone that has the place of the first one's in new terms.
-    fn in_circle(&self, place: &Listing, attachment: &Attachment) -> bool {
-        let offering = &self.charter.offerings[attachment.arrival.offering];
-        let Some(ran) = &attachment.may_have_run else {
+    fn in_circle(&self, place: &Endpoint, request: &Request) -> bool {
+        let class = &self.settings.classes[request.incoming.class];
+        let Some(ran) = &request.may_have_run else {
             return true;
         };
         let places = [&ran.listed, &self.hosts[ran.host].listing];
         places
             .into_iter()
-            .all(|first| may_repeat_at(offering, Some(first), place).is_ok())
+            .all(|first| may_repeat_at(class, Some(first), place).is_ok())
     }
 
     /// The design's two-part score, and the leanings to homes and to the own zone.
@@ -1352,11 +1352,11 @@
         let weights = &self.helm.vectors[vector];
         // Guards: a newcomer that stays empty at a planner, as of hosts in balance some are always just under
         // the mean: it counts as it is for twice its share of what comes.
-        let share = f64::from(u8::from(self.charter.gathers)) * 2.0 / view.near;
+        let share = f64::from(u8::from(self.settings.centralized)) * 2.0 / view.near;
         // What others can have placed at a host that started lately is little.
-        let fresh = by_lot(&self.charter) && host.cold(now, &self.charter);
+        let fresh = by_lot(&self.settings) && host.cold(now, &self.settings);
         let filled = if fresh {
-            host.filled(now, &self.charter)
+            host.filled(now, &self.settings)
         } else {
             1.0
         };
@@ -1378,7 +1378,7 @@
         // What a report tells of the host comes in place of what the node alone can see.
         let balance = host.reported(now).map_or(balance, |load| {
             let part =
-                view.loaded / (view.mean * f64::from(self.charter.nodes)).max(4.0 * view.unit);
+                view.loaded / (view.mean * f64::from(self.settings.node_count)).max(4.0 * view.unit);
             let load = load
                 + (host.since + ask.ahead + self.opening(host, ask)) / host.listing.size * part;
             (load + BLUR + STEEP * (load - CROWDED).max(0.0)) * (1.0 + host.slow(now))
@@ -1388,21 +1388,21 @@
             |l: f64| ((host.longest.saturating_sub(now) as f64 - l).abs() / HORIZON).min(1.0);
         let score = weights.balance * balance + weights.gap * ask.length.map_or(0.0, apart);
 
-        let crossing = if host.listing.zone == self.charter.zone {
+        let crossing = if host.listing.zone == self.settings.zone {
             0.0
         } else {
             view.crossing * filled
         };
         let away = ask
             .home
-            .filter(|g| self.charter.pass || !host.groups.contains_key(g));
+            .filter(|g| self.settings.passthrough || !host.groups.contains_key(g));
         // Midway packets go where every node would look for them.
         let pull = if host.reported(now).is_some() {
             STEPWISE * view.ready
         } else {
             HOME
         };
-        let pull = if ask.attachment.arrival.midway {
+        let pull = if ask.request.incoming.mid_stream {
             1e6
         } else {
             pull
--- a/src/permission.rs
+++ b/src/permission.rs
@@ -5,7 +5,7 @@
 //! before the first byte of an attempt, as the clock and the world have moved on in between. A refusal names its reason,
 //! which is counted and logged by whoever asked.
 
-use crate::types::{Circle, Effect, Listing, Nanos, Offering, MILLI};
+use crate::types::{IdempotencyGroup, Idempotency, Endpoint, Nanos, RequestClass, MILLI};
 
 /// How long a process may be held up between reading its clock and writing. The grace of a draining host has to cover it.
 pub const LONGEST_STALL: Nanos = 150 * MILLI;
@@ -57,7 +57,7 @@
 pub struct Beginning {
     pub now: Nanos,
     /// By when the request has to be answered, as far as this attempt goes.
-    pub expiry: Nanos,
+    pub deadline: Nanos,
     /// By when the last byte of the attempt has to be written: see [`repeat_deadline`].
     pub not_after: Nanos,
     pub client_waits: bool,
@@ -89,7 +89,7 @@
     if !at.client_waits {
         return Err(Refusal::ClientGone);
     }
-    if at.now >= at.expiry {
+    if at.now >= at.deadline {
         return Err(Refusal::Expired);
     }
     if at.list_unheard {
@@ -113,9 +113,9 @@
 
 /// When a request that has had no success gets its final answer at the latest: early enough before its expiry for two messages
 /// that take a `round` each, and for a process that is woken late. `time_left` is what it had when it came.
-pub fn answer_by(expiry: Nanos, time_left: Nanos, round: Nanos) -> Nanos {
+pub fn answer_by(deadline: Nanos, time_left: Nanos, round: Nanos) -> Nanos {
     let reserve = (time_left / ANSWER_RESERVE).min(LONGEST_RESERVE);
-    expiry.saturating_sub(reserve.max(2 * round))
+    deadline.saturating_sub(reserve.max(2 * round))
 }
 
 /// Whether what is left of an attempt that has begun may still be written: a repeat counts by its last byte.
@@ -131,10 +131,10 @@
 
 /// The latest moment in which an attempt may be written, where the first one that may have run was sent then; none
 /// binds where no attempt can have run.
-pub fn repeat_deadline(offering: &Offering, first_sent: Option<Nanos>) -> Nanos {
-    match (offering.effect, first_sent) {
-        (Effect::Irreversible, Some(_)) => 0,
-        (Effect::Labelled, Some(sent)) => sent.saturating_add(offering.window),
+pub fn repeat_deadline(class: &RequestClass, first_sent: Option<Nanos>) -> Nanos {
+    match (class.idempotency, first_sent) {
+        (Idempotency::NonIdempotent, Some(_)) => 0,
+        (Idempotency::WithKey, Some(sent)) => sent.saturating_add(class.idempotency_window),
         _ => Nanos::MAX,
     }
 }
@@ -144,15 +144,15 @@
 /// # Errors
 /// Why there may be none.
 pub fn may_repeat(
-    offering: &Offering,
+    class: &RequestClass,
     first_sent: Option<Nanos>,
     now: Nanos,
 ) -> Result<(), Refusal> {
-    if now < repeat_deadline(offering, first_sent) {
+    if now < repeat_deadline(class, first_sent) {
         return Ok(());
     }
-    Err(match offering.effect {
-        Effect::Irreversible => Refusal::MayHaveRun,
+    Err(match class.idempotency {
+        Idempotency::NonIdempotent => Refusal::MayHaveRun,
         _ => Refusal::OutsideWindow,
     })
 }
@@ -162,17 +162,17 @@
 /// # Errors
 /// [`Refusal::OutsideGroup`] where it would not be dropped there.
 pub fn may_repeat_at(
-    offering: &Offering,
-    first: Option<&Listing>,
-    other: &Listing,
+    class: &RequestClass,
+    first: Option<&Endpoint>,
+    other: &Endpoint,
 ) -> Result<(), Refusal> {
-    let Some(first) = first.filter(|_| offering.effect == Effect::Labelled) else {
+    let Some(first) = first.filter(|_| class.idempotency == Idempotency::WithKey) else {
         return Ok(());
     };
-    let same_group = match offering.circle {
-        Circle::All => true,
-        Circle::Zone => first.zone == other.zone,
-        Circle::Cell => first.cell == other.cell,
+    let same_group = match class.idempotency_group {
+        IdempotencyGroup::All => true,
+        IdempotencyGroup::Zone => first.zone == other.zone,
+        IdempotencyGroup::Cell => first.cell == other.cell,
     };
     if same_group {
         Ok(())
@@ -182,11 +182,11 @@
 }
 
 /// Whether the client may be told to come again: a retry of its own does no harm.
-pub fn may_dismiss(offering: &Offering, may_have_run: bool) -> bool {
-    match offering.effect {
-        Effect::Redoable => true,
-        Effect::Labelled => !may_have_run || offering.circle == Circle::All,
-        Effect::Irreversible => !may_have_run,
+pub fn may_dismiss(class: &RequestClass, may_have_run: bool) -> bool {
+    match class.idempotency {
+        Idempotency::Idempotent => true,
+        Idempotency::WithKey => !may_have_run || class.idempotency_group == IdempotencyGroup::All,
+        Idempotency::NonIdempotent => !may_have_run,
     }
 }
 
--- a/src/permission_tests.rs
+++ b/src/permission_tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 use crate::types::SECOND;
 
-fn offering(effect: Effect, circle: Circle) -> Offering {
-    Offering {
-        effect,
-        circle,
-        window: 100,
-        ..Offering::default()
+fn class(idempotency: Idempotency, idempotency_group: IdempotencyGroup) -> RequestClass {
+    RequestClass {
+        idempotency,
+        idempotency_group,
+        idempotency_window: 100,
+        ..RequestClass::default()
     }
 }
 
 fn allowed() -> Beginning {
     Beginning {
         now: 1000 * MILLI,
-        expiry: 2000 * MILLI,
+        deadline: 2000 * MILLI,
         not_after: Nanos::MAX,
         client_waits: true,
         leaving_since: None,
@@ -38,7 +38,7 @@
         ),
         (
             Beginning {
-                expiry: now,
+                deadline: now,
                 ..allowed()
             },
             Refusal::Expired,
@@ -111,11 +111,11 @@
 
 #[test]
 fn what_may_have_run_binds_each_effect_in_its_own_way() {
-    for circle in [Circle::All, Circle::Zone, Circle::Cell] {
+    for idempotency_group in [IdempotencyGroup::All, IdempotencyGroup::Zone, IdempotencyGroup::Cell] {
         let (free, labelled, once) = (
-            offering(Effect::Redoable, circle),
-            offering(Effect::Labelled, circle),
-            offering(Effect::Irreversible, circle),
+            class(Idempotency::Idempotent, idempotency_group),
+            class(Idempotency::WithKey, idempotency_group),
+            class(Idempotency::NonIdempotent, idempotency_group),
         );
         for one in [&free, &labelled, &once] {
             assert_eq!(may_repeat(one, None, 5000), Ok(()));
@@ -129,36 +129,36 @@
         );
         assert_eq!(may_repeat(&once, Some(10), 11), Err(Refusal::MayHaveRun));
         assert!(may_dismiss(&free, true) && !may_dismiss(&once, true));
-        assert_eq!(may_dismiss(&labelled, true), circle == Circle::All);
+        assert_eq!(may_dismiss(&labelled, true), idempotency_group == IdempotencyGroup::All);
     }
 }
 
 #[test]
 fn a_labelled_repeat_stays_in_the_group_that_drops_it() {
-    let first = Listing {
+    let first = Endpoint {
         zone: 1,
         cell: 4,
-        ..Listing::default()
+        ..Endpoint::default()
     };
-    let (same_zone, same_cell) = (Listing { cell: 5, ..first }, Listing { zone: 2, ..first });
+    let (same_zone, same_cell) = (Endpoint { cell: 5, ..first }, Endpoint { zone: 2, ..first });
     let elsewhere = Err(Refusal::OutsideGroup);
-    for (circle, other, wanted) in [
-        (Circle::All, same_zone, Ok(())),
-        (Circle::Zone, same_zone, Ok(())),
-        (Circle::Zone, same_cell, elsewhere),
-        (Circle::Cell, same_zone, elsewhere),
-        (Circle::Cell, same_cell, Ok(())),
+    for (idempotency_group, other, wanted) in [
+        (IdempotencyGroup::All, same_zone, Ok(())),
+        (IdempotencyGroup::Zone, same_zone, Ok(())),
+        (IdempotencyGroup::Zone, same_cell, elsewhere),
+        (IdempotencyGroup::Cell, same_zone, elsewhere),
+        (IdempotencyGroup::Cell, same_cell, Ok(())),
     ] {
         assert_eq!(
-            may_repeat_at(&offering(Effect::Labelled, circle), Some(&first), &other),
+            may_repeat_at(&class(Idempotency::WithKey, idempotency_group), Some(&first), &other),
             wanted
         );
         assert_eq!(
-            may_repeat_at(&offering(Effect::Labelled, circle), None, &other),
+            may_repeat_at(&class(Idempotency::WithKey, idempotency_group), None, &other),
             Ok(())
         );
         assert_eq!(
-            may_repeat_at(&offering(Effect::Redoable, circle), Some(&first), &other),
+            may_repeat_at(&class(Idempotency::Idempotent, idempotency_group), Some(&first), &other),
             Ok(())
         );
     }
@@ -167,8 +167,8 @@
 /// Guards: requests with little time that get no attempt, and answers that a process woken 70 ms late gives too late.
 #[test]
 fn the_reserve_before_an_expiry_grows_with_the_time_there_was_and_is_bounded() {
-    let expiry = 100 * SECOND;
-    let reserve = |time_left, round| expiry - answer_by(expiry, time_left, round);
+    let deadline = 100 * SECOND;
+    let reserve = |time_left, round| deadline - answer_by(deadline, time_left, round);
     assert_eq!(reserve(2 * SECOND, 4 * MILLI), 50 * MILLI);
     assert_eq!(reserve(30 * SECOND, 4 * MILLI), 50 * MILLI);
     assert_eq!(reserve(300 * MILLI, 4 * MILLI), 15 * MILLI);
--- a/src/records.rs
+++ b/src/records.rs
@@ -26,7 +26,7 @@
 }
 
 pub(crate) enum Note {
-    Listed(Listing, bool),
+    Listed(Endpoint, bool),
     Unlisted,
     Sent(Conn),
     Begun {
@@ -35,7 +35,7 @@
     },
     Ended {
         slot: usize,
-        ending: Ending,
+        ending: AttemptOutcome,
     },
     LoadNow {
         slot: usize,
@@ -59,15 +59,15 @@
         mean: f64,
         refuge: f64,
     },
-    Arrived(Arrival),
+    Arrived(IncomingRequest),
     /// With its hand-offs, the first that may have run, and the hosts tried.
-    TakenUp(Arrival, u32, Option<(usize, Nanos)>, Vec<usize>),
+    TakenUp(IncomingRequest, u32, Option<(usize, Nanos)>, Vec<usize>),
     /// At which host, and since when.
-    Standing(Arrival, usize, Nanos),
+    ConnectionFound(IncomingRequest, usize, Nanos),
     Returned {
         slot: usize,
         over: bool,
-        ending: Ending,
+        ending: AttemptOutcome,
     },
     Left {
         slot: usize,
@@ -80,8 +80,8 @@
     /// So many offerings there are, and these stand where another stood.
     Offers(usize, Vec<usize>),
     Successor(bool),
-    Inherited(Box<Legacy>),
-    Regarded(Box<Regard>),
+    Inherited(Box<InheritedState>),
+    Regarded(Box<HostSnapshot>),
     /// The turns in which cold hosts are handed anything have another length from now on.
     OtherTurns,
     Part,
@@ -104,7 +104,7 @@
     },
     Open(f64),
     Weighed {
-        offering: usize,
+        class: usize,
         load: f64,
     },
     SetUp(HostId, Nanos),
@@ -113,7 +113,7 @@
     Fared {
         late: bool,
     },
-    Told(RollKind),
+    Told(EndpointUpdate),
 }
 
 pub(crate) type Post = VecDeque<(To, Note)>;
@@ -122,7 +122,7 @@
 #[derive(Default)]
 pub(crate) struct Conn {
     pub slot: usize,
-    pub offering: usize,
+    pub class: usize,
     pub key: Option<u64>,
     pub group: Option<u64>,
     pub load: Option<f64>,
@@ -140,17 +140,17 @@
     pub fn new(
         now: Nanos,
         slot: usize,
-        arrival: &Arrival,
+        incoming: &IncomingRequest,
         ledger: &Ledger,
-        charter: &Charter,
+        settings: &BalancerSettings,
     ) -> Self {
-        let end = now + ledger.length(arrival.key, now).unwrap_or(HORIZON) as Nanos;
-        let group = arrival.group.filter(|_| charter.groups && !charter.pass);
-        let load = arrival.usual_load.or(ledger.last_load(arrival.key, now));
-        let (offering, key) = (arrival.offering, arrival.key);
+        let end = now + ledger.length(incoming.key, now).unwrap_or(HORIZON) as Nanos;
+        let group = incoming.group.filter(|_| settings.groups_enabled && !settings.passthrough);
+        let load = incoming.usual_load.or(ledger.last_load(incoming.key, now));
+        let (class, key) = (incoming.class, incoming.key);
         Conn {
             slot,
-            offering,
+            class,
             key,
             group,
             load,
@@ -165,7 +165,7 @@
 pub(crate) struct Host {
     pub id: HostId,
     pub inbox: VecDeque<Note>,
-    pub listing: Listing,
+    pub listing: Endpoint,
     pub listed: bool,
     pub gone_since: Nanos,
     /// When it was last listed in another group than before.
@@ -219,7 +219,7 @@
 
 impl Host {
     pub fn ready(&self) -> bool {
-        self.listed && self.listing.standing == Standing::Ready
+        self.listed && self.listing.state == HostState::Ready
     }
 
     pub fn forgotten(&self, now: Nanos) -> bool {
@@ -253,13 +253,13 @@
     }
 
     /// The share of its size that a host can be counted on to have reached since its start.
-    pub fn warmth(&self, now: Nanos, charter: &Charter) -> f64 {
-        charter.cold_from + (1.0 - charter.cold_from) * self.filled(now, charter)
+    pub fn warmth(&self, now: Nanos, settings: &BalancerSettings) -> f64 {
+        settings.warm_up_initial_share + (1.0 - settings.warm_up_initial_share) * self.filled(now, settings)
     }
 
     /// The share of what other nodes may have placed at it since its start, of what they hold at a warm one.
-    pub fn filled(&self, now: Nanos, charter: &Charter) -> f64 {
-        (self.age(now) as f64 / charter.cold.max(1) as f64).min(1.0)
+    pub fn filled(&self, now: Nanos, settings: &BalancerSettings) -> f64 {
+        (self.age(now) as f64 / settings.warm_up.max(1) as f64).min(1.0)
     }
 
     pub fn borne(&self) -> f64 {
@@ -274,7 +274,7 @@
             conn.end = now + ledger.mean_length();
         }
         let steps = ((conn.end - now).div_ceil(STEP)).min(STEPS);
-        let load = ledger.load(conn.offering, conn.load);
+        let load = ledger.load(conn.class, conn.load);
         let ahead = load * steps as f64 / STEPS as f64;
         (self.ahead, self.load) = (
             self.ahead + ahead - conn.ahead,
@@ -295,33 +295,33 @@
     }
 
     /// What the process that takes this one's place is to know of it.
-    pub fn regard(&self) -> Regard {
-        Regard {
+    pub fn regard(&self) -> HostSnapshot {
+        HostSnapshot {
             id: self.id,
             newcomer: self.newcomer,
-            draining: self.draining,
-            down: self.down,
-            masked_until: self.masked_until,
-            strikes: self.strikes,
-            slowness: self.slowness,
-            slow_told: self.slow_told,
-            ceiling: self.ceiling,
-            good: self.good,
-            cut: self.cut,
-            slowness_at_cut: self.slowness_at_cut,
-            report: self.report,
-            reported: self.reported,
+            draining_since: self.draining,
+            connect_failed_at: self.down,
+            ejected_until: self.masked_until,
+            ejections: self.strikes,
+            latency_ratio: self.slowness,
+            latency_measured_at: self.slow_told,
+            load_limit: self.ceiling,
+            sustained_load: self.good,
+            limit_decreased_at: self.cut,
+            latency_ratio_at_decrease: self.slowness_at_cut,
+            reported_load: self.report,
+            reported_at: self.reported,
         }
     }
 
-    pub fn regarded(&mut self, by: Regard) {
+    pub fn regarded(&mut self, by: HostSnapshot) {
         (self.newcomer, self.down, self.report, self.reported) =
-            (by.newcomer, by.down, by.report, by.reported);
+            (by.newcomer, by.connect_failed_at, by.reported_load, by.reported_at);
         (self.draining, self.masked_until, self.strikes) =
-            (by.draining, by.masked_until, by.strikes);
+            (by.draining_since, by.ejected_until, by.ejections);
         (self.slowness, self.slow_told, self.slowness_at_cut) =
-            (by.slowness, by.slow_told, by.slowness_at_cut);
-        (self.ceiling, self.good, self.cut) = (by.ceiling, by.good, by.cut);
+            (by.latency_ratio, by.latency_measured_at, by.latency_ratio_at_decrease);
+        (self.ceiling, self.good, self.cut) = (by.load_limit, by.sustained_load, by.limit_decreased_at);
     }
 
     /// Whether no list has named it so far.
@@ -355,16 +355,16 @@
 #[derive(Clone, Copy)]
 pub(crate) struct FirstRun {
     pub host: usize,
-    pub listed: Listing,
+    pub listed: Endpoint,
     pub sent: Nanos,
 }
 
 #[derive(Default)]
-pub(crate) struct Attachment {
-    pub id: AttachmentId,
-    pub arrival: Arrival,
-    pub expiry: Nanos,
-    pub hand_offs: u32,
+pub(crate) struct Request {
+    pub id: RequestId,
+    pub incoming: IncomingRequest,
+    pub deadline: Nanos,
+    pub attempts: u32,
     /// How many it may have, by the terms under which it came.
     pub most: u32,
     /// The host a hand-off is out to, or the connection stands on.
@@ -376,7 +376,7 @@
     pub may_have_run: Option<FirstRun>,
     /// When the last hand-off was sent, and how its host was listed then.
     pub sent: Nanos,
-    pub sent_to: Listing,
+    pub sent_to: Endpoint,
     pub tried: Vec<usize>,
     /// Hand-offs that hosts failed, and the last of those hosts.
     pub errors: u32,
@@ -386,9 +386,9 @@
 #[derive(Default)]
 pub(crate) struct Desk {
     pub inbox: VecDeque<Note>,
-    pub slots: Vec<Option<Attachment>>,
+    pub slots: Vec<Option<Request>>,
     pub free: Vec<usize>,
-    pub names: HashMap<AttachmentId, usize>,
+    pub names: HashMap<RequestId, usize>,
     /// Share of late hand-offs that failed, whatever the host, and the host of the last that did.
     pub trouble: f64,
     pub failing: Option<usize>,
@@ -410,25 +410,25 @@
 
 impl Desk {
     /// A record for an attachment that has come, under these terms.
-    pub fn admit(&mut self, now: Nanos, mut arrival: Arrival, charter: &Charter) -> usize {
-        arrival.offering = arrival
-            .offering
-            .min(charter.offerings.len().saturating_sub(1));
-        let expiry = now.saturating_add(arrival.time_left);
-        let (id, most) = (arrival.id, charter.most_hand_offs);
-        let attachment = Attachment {
+    pub fn admit(&mut self, now: Nanos, mut incoming: IncomingRequest, settings: &BalancerSettings) -> usize {
+        incoming.class = incoming
+            .class
+            .min(settings.classes.len().saturating_sub(1));
+        let deadline = now.saturating_add(incoming.time_left);
+        let (id, most) = (incoming.id, settings.max_attempts);
+        let request = Request {
             id,
-            arrival,
-            expiry,
+            incoming,
+            deadline,
             sent: now,
             most,
-            ..Attachment::default()
+            ..Request::default()
         };
         let slot = self.free.pop().unwrap_or_else(|| {
             self.slots.push(None);
             self.slots.len() - 1
         });
-        self.slots[slot] = Some(attachment);
+        self.slots[slot] = Some(request);
         self.names.insert(id, slot);
         slot
     }
@@ -451,8 +451,8 @@
     }
 
     pub fn forget(&mut self, slot: usize) {
-        if let Some(attachment) = self.slots[slot].take() {
-            self.names.remove(&attachment.id);
+        if let Some(request) = self.slots[slot].take() {
+            self.names.remove(&request.id);
             self.free.push(slot);
         }
     }
@@ -491,7 +491,7 @@
 #[derive(Default)]
 pub(crate) struct Ledger {
     pub inbox: VecDeque<Note>,
-    pub clients: HashMap<u64, Client>,
+    pub clients: HashMap<u64, ClientStatistics>,
     pub order: VecDeque<(u64, Nanos)>,
     pub mean: Option<f64>,
     /// The time that connections have been open of late, and how many have ended.
--- a/src/types.rs
+++ b/src/types.rs
@@ -13,19 +13,19 @@
 
 /// An attachment's name, returned untouched.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct AttachmentId(pub u64);
+pub struct RequestId(pub u64);
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Effect {
+pub enum Idempotency {
     #[default]
-    Redoable,
-    Labelled,
-    Irreversible,
+    Idempotent,
+    WithKey,
+    NonIdempotent,
 }
 
 /// Which hosts drop each other's repeats of a labelled attachment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Circle {
+pub enum IdempotencyGroup {
     #[default]
     All,
     Zone,
@@ -33,51 +33,51 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Offering {
-    pub effect: Effect,
-    pub circle: Circle,
+pub struct RequestClass {
+    pub idempotency: Idempotency,
+    pub idempotency_group: IdempotencyGroup,
     /// How long the circle remembers a labelled attachment.
-    pub window: Nanos,
-    pub payoff: f64,
-    pub contract_time: Nanos,
+    pub idempotency_window: Nanos,
+    pub priority_weight: f64,
+    pub latency_objective: Nanos,
     /// Within what time a message on the open connection is wanted.
-    pub message_time: Nanos,
+    pub message_latency_objective: Nanos,
     /// Whether more of it may come; if not, some may be under way.
-    pub offered: bool,
+    pub active: bool,
 }
 
-impl Offering {
+impl RequestClass {
     /// Whether it means the same, offered or not.
-    pub fn same_terms(&self, other: &Offering) -> bool {
+    pub fn same_terms(&self, other: &RequestClass) -> bool {
         *self
-            == Offering {
-                offered: self.offered,
+            == RequestClass {
+                active: self.active,
                 ..other.clone()
             }
     }
 }
 
-impl Default for Offering {
+impl Default for RequestClass {
     fn default() -> Self {
-        Offering {
-            effect: Effect::Redoable,
-            circle: Circle::All,
-            window: 0,
-            payoff: 1.0,
-            contract_time: SECOND / 2,
-            message_time: SECOND / 4,
-            offered: true,
+        RequestClass {
+            idempotency: Idempotency::Idempotent,
+            idempotency_group: IdempotencyGroup::All,
+            idempotency_window: 0,
+            priority_weight: 1.0,
+            latency_objective: SECOND / 2,
+            message_latency_objective: SECOND / 4,
+            active: true,
         }
     }
 }
 
 /// What a load report's value says of its host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gauge {
+pub enum LoadMetric {
     /// Load asked for over what the host can do.
     Load,
     /// How busy its cores are, which cannot tell full from overrun.
-    Busy,
+    Utilization,
     /// Seconds of work piled up.
     Backlog,
     /// Anything the module has no use for.
@@ -86,90 +86,90 @@
 
 /// The terms a node works under, handed to it once at its start.
 #[derive(Clone, Debug)]
-pub struct Charter {
-    pub node: u32,
-    pub nodes: u32,
+pub struct BalancerSettings {
+    pub node_index: u32,
+    pub node_count: u32,
     pub zone: u16,
     /// It decides for many nodes, and leaves no host to others.
-    pub gathers: bool,
+    pub centralized: bool,
     /// The least time between two calls of the module.
-    pub round: Nanos,
-    pub offerings: Vec<Offering>,
-    pub most_hand_offs: u32,
+    pub min_call_interval: Nanos,
+    pub classes: Vec<RequestClass>,
+    pub max_attempts: u32,
     /// The longest time that any client waits for its answer.
-    pub longest_expiry: Nanos,
-    pub may_call_off: bool,
+    pub max_request_timeout: Nanos,
+    pub may_cancel: bool,
     /// The longest wait a client heeds; 0 where advice is not passed on.
-    pub longest_advice: Nanos,
+    pub max_retry_after: Nanos,
     /// The roll comes only when asked for.
-    pub roll_on_request: bool,
-    pub ask_within: Nanos,
-    pub cold: Nanos,
-    pub cold_from: f64,
-    pub tip_multiple: f64,
-    pub tip_after: Nanos,
+    pub endpoints_are_polled: bool,
+    pub max_poll_interval: Nanos,
+    pub warm_up: Nanos,
+    pub warm_up_initial_share: f64,
+    pub overload_factor: f64,
+    pub overload_window: Nanos,
     /// Packets flow through: a connection may reach another node midway.
-    pub pass: bool,
-    pub groups: bool,
-    pub cross_zone_charge: f64,
-    pub move_charge: f64,
-    pub gauges: Vec<Gauge>,
+    pub passthrough: bool,
+    pub groups_enabled: bool,
+    pub cross_zone_cost: f64,
+    pub migration_cost: f64,
+    pub load_metrics: Vec<LoadMetric>,
     /// Load reports come only by probes, and probes are allowed.
-    pub probe_for_gauges: bool,
+    pub load_from_probes: bool,
     /// Nodes may tell each other things.
-    pub peers: bool,
+    pub gossip_enabled: bool,
     /// Whose turns at cold hosts are this node's to use, and how much of each; its own alone where none are told.
-    pub turns: Vec<(u32, f64)>,
+    pub slow_start_slots: Vec<(u32, f64)>,
 }
 
-impl Charter {
+impl BalancerSettings {
     /// What may still come.
-    pub fn offered(&self) -> impl Iterator<Item = &Offering> {
-        self.offerings.iter().filter(|o| o.offered)
+    pub fn active(&self) -> impl Iterator<Item = &RequestClass> {
+        self.classes.iter().filter(|o| o.active)
     }
 
     /// The shortest time within which any offering wants a message.
-    pub fn shortest_message_time(&self) -> Nanos {
-        self.offered()
-            .map(|o| o.message_time)
+    pub fn shortest_message_latency_objective(&self) -> Nanos {
+        self.active()
+            .map(|o| o.message_latency_objective)
             .min()
             .unwrap_or(SECOND)
     }
 }
 
-impl Default for Charter {
+impl Default for BalancerSettings {
     fn default() -> Self {
-        Charter {
-            node: 0,
-            nodes: 1,
+        BalancerSettings {
+            node_index: 0,
+            node_count: 1,
             zone: 0,
-            gathers: false,
-            round: MILLI,
-            offerings: Vec::new(),
-            most_hand_offs: 3,
-            longest_expiry: 3 * SECOND,
-            may_call_off: false,
-            longest_advice: 0,
-            roll_on_request: false,
-            ask_within: 10 * SECOND,
-            cold: 10 * SECOND,
-            cold_from: 0.2,
-            tip_multiple: 3.0,
-            tip_after: SECOND,
-            pass: false,
-            groups: false,
-            cross_zone_charge: 0.0,
-            move_charge: 0.0,
-            gauges: Vec::new(),
-            probe_for_gauges: false,
-            peers: false,
-            turns: Vec::new(),
+            centralized: false,
+            min_call_interval: MILLI,
+            classes: Vec::new(),
+            max_attempts: 3,
+            max_request_timeout: 3 * SECOND,
+            may_cancel: false,
+            max_retry_after: 0,
+            endpoints_are_polled: false,
+            max_poll_interval: 10 * SECOND,
+            warm_up: 10 * SECOND,
+            warm_up_initial_share: 0.2,
+            overload_factor: 3.0,
+            overload_window: SECOND,
+            passthrough: false,
+            groups_enabled: false,
+            cross_zone_cost: 0.0,
+            migration_cost: 0.0,
+            load_metrics: Vec::new(),
+            load_from_probes: false,
+            gossip_enabled: false,
+            slow_start_slots: Vec::new(),
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum HostState {
     Ready,
     Draining,
     #[default]
@@ -178,18 +178,18 @@
 
 /// One line of the roll of hosts.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Listing {
+pub struct Endpoint {
     pub id: HostId,
     pub zone: u16,
     pub cell: u64,
-    pub standing: Standing,
+    pub state: HostState,
     pub size: f64,
     pub started: Option<Nanos>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RollKind {
-    Changes,
+pub enum EndpointUpdate {
+    Delta,
     Full,
     /// The whole roll as last seen before the start; may be stale.
     Cached,
@@ -198,106 +198,106 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Arrival {
-    pub id: AttachmentId,
-    pub offering: usize,
+pub struct IncomingRequest {
+    pub id: RequestId,
+    pub class: usize,
     pub key: Option<u64>,
     pub group: Option<u64>,
     pub time_left: Nanos,
     /// Its usual load, as a share of a core.
     pub usual_load: Option<f64>,
     /// Already open, and now arriving midway at this node.
-    pub midway: bool,
+    pub mid_stream: bool,
 }
 
 /// What became of an attachment before this node took it up.
 #[derive(Clone, Debug, Default)]
-pub struct Past {
-    pub hand_offs: u32,
+pub struct PriorAttempts {
+    pub attempts: u32,
     /// The host of the first hand-off that may have run, and when that was sent.
-    pub ran: Option<(HostId, Nanos)>,
+    pub may_have_run: Option<(HostId, Nanos)>,
     /// The hosts that it was handed to.
-    pub tried: Vec<HostId>,
+    pub tried_hosts: Vec<HostId>,
 }
 
 /// What is remembered of a client: how long its connections last, what the last one weighed, and when that
 /// was seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Client {
-    pub length: Option<f64>,
-    pub load: Option<f64>,
-    pub seen: Nanos,
+pub struct ClientStatistics {
+    pub mean_duration: Option<f64>,
+    pub last_load: Option<f64>,
+    pub last_seen: Nanos,
 }
 
 /// What a process that another replaces has learned, and what that one is to hold to.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Legacy {
+pub struct InheritedState {
     /// By their keys.
-    pub clients: Vec<(u64, Client)>,
-    pub mean: Option<f64>,
-    pub lived: f64,
-    pub ended: f64,
+    pub clients: Vec<(u64, ClientStatistics)>,
+    pub mean_duration: Option<f64>,
+    pub open_time: f64,
+    pub ended_connections: f64,
     /// The usual load of each offering, in the order of the one who leaves it, and of all.
-    pub usual: Vec<Option<f64>>,
-    pub unit: Option<f64>,
-    pub weighed: u32,
-    pub set_up: f64,
-    pub hosts: Vec<Regard>,
-    pub trouble: f64,
-    pub late: f64,
+    pub class_loads: Vec<Option<f64>>,
+    pub mean_load: Option<f64>,
+    pub load_samples: u32,
+    pub mean_setup_time: f64,
+    pub hosts: Vec<HostSnapshot>,
+    pub setup_failure_rate: f64,
+    pub late_message_rate: f64,
 }
 
 /// How a node regards one host.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Regard {
+pub struct HostSnapshot {
     pub id: HostId,
     pub newcomer: bool,
     /// Since when it is told to be draining, where it is.
-    pub draining: Nanos,
-    pub down: Option<Nanos>,
-    pub masked_until: Nanos,
-    pub strikes: u32,
-    pub slowness: f64,
-    pub slow_told: Nanos,
-    pub ceiling: Option<f64>,
-    pub good: f64,
-    pub cut: Nanos,
-    pub slowness_at_cut: f64,
-    pub report: f64,
-    pub reported: Nanos,
+    pub draining_since: Nanos,
+    pub connect_failed_at: Option<Nanos>,
+    pub ejected_until: Nanos,
+    pub ejections: u32,
+    pub latency_ratio: f64,
+    pub latency_measured_at: Nanos,
+    pub load_limit: Option<f64>,
+    pub sustained_load: f64,
+    pub limit_decreased_at: Nanos,
+    pub latency_ratio_at_decrease: f64,
+    pub reported_load: f64,
+    pub reported_at: Nanos,
 }
 
 /// How a hand-off ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    Done,
+pub enum AttemptOutcome {
+    Completed,
     Error,
-    Refused,
+    Rejected,
     TimedOut,
-    Unconnected,
-    Broken,
-    CalledOff,
+    ConnectFailed,
+    ConnectionLost,
+    Cancelled,
     NeverSent,
     /// This machine knew no way to the host when it was called: its own trouble, or the host's where that lasts.
-    Unroutable,
+    NoRoute,
     /// It goes on in another process.
-    PassedOn,
+    HandedOver,
 }
 
-impl Ending {
+impl AttemptOutcome {
     /// The word for it in log lines.
     pub fn word(self) -> &'static str {
         match self {
-            Ending::Done => "done",
-            Ending::Error => "error",
-            Ending::Refused => "refused",
-            Ending::TimedOut => "silent",
-            Ending::Unconnected => "unconnected",
-            Ending::Broken => "broken",
-            Ending::CalledOff => "called-off",
-            Ending::NeverSent => "never-sent",
-            Ending::Unroutable => "unroutable",
-            Ending::PassedOn => "passed-on",
+            AttemptOutcome::Completed => "done",
+            AttemptOutcome::Error => "error",
+            AttemptOutcome::Rejected => "refused",
+            AttemptOutcome::TimedOut => "silent",
+            AttemptOutcome::ConnectFailed => "unconnected",
+            AttemptOutcome::ConnectionLost => "broken",
+            AttemptOutcome::Cancelled => "called-off",
+            AttemptOutcome::NeverSent => "never-sent",
+            AttemptOutcome::NoRoute => "unroutable",
+            AttemptOutcome::HandedOver => "passed-on",
         }
     }
 
@@ -305,88 +305,88 @@
     pub fn never_ran(self) -> bool {
         matches!(
             self,
-            Ending::Refused | Ending::Unconnected | Ending::NeverSent | Ending::Unroutable
+            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent | AttemptOutcome::NoRoute
         )
     }
 }
 
 #[derive(Clone, Debug)]
 pub enum Event {
-    Roll {
-        kind: RollKind,
-        hosts: Vec<Listing>,
+    EndpointsUpdated {
+        kind: EndpointUpdate,
+        endpoints: Vec<Endpoint>,
     },
-    Arrived(Arrival),
+    RequestArrived(IncomingRequest),
     /// One that another node took and could not bring to its answer.
-    TakenUp(Arrival, Past),
+    RequestTakenOver(IncomingRequest, PriorAttempts),
     /// A connection that was open before this node started.
-    Standing(Arrival, HostId),
+    ConnectionFound(IncomingRequest, HostId),
     /// One that the process before this one has passed on, and since when it is open.
-    PassedOn(Arrival, HostId, Nanos),
-    Begun {
-        id: AttachmentId,
+    ConnectionHandedOver(IncomingRequest, HostId, Nanos),
+    ConnectionEstablished {
+        id: RequestId,
         took: Nanos,
     },
-    Ended {
-        id: AttachmentId,
-        hand_off: u32,
+    AttemptEnded {
+        id: RequestId,
+        attempt: u32,
         host: HostId,
-        over: bool,
-        ending: Ending,
-        gauges: Vec<f64>,
+        request_over: bool,
+        ending: AttemptOutcome,
+        load_metrics: Vec<f64>,
     },
-    LoadNow {
-        id: AttachmentId,
+    LoadMeasured {
+        id: RequestId,
         load: f64,
     },
-    MessageTime {
+    MessageLatency {
         host: HostId,
-        time: Nanos,
+        latency: Nanos,
     },
-    Left {
-        id: AttachmentId,
+    ClientLeft {
+        id: RequestId,
     },
-    Timer {
-        mark: u64,
+    TimerFired {
+        timer: u64,
     },
     /// This node is asked to stop: new connections come to others after `from`, and its clients are to
     /// be gone by `by`.
-    Leaving {
+    ShutdownStarted {
         from: Nanos,
         by: Nanos,
     },
     /// It is to stay after all, and to work as before.
-    Staying,
+    ShutdownCancelled,
     /// New terms in place of the old, and which offerings of them stand where another stood. What is under
     /// way goes by its own offering, which is still there, and keeps its count of hand-offs.
-    Renewed(Box<Charter>, Vec<usize>),
+    SettingsChanged(Box<BalancerSettings>, Vec<usize>),
     /// Another process takes this one's place: it has its legacy, and takes in the clients; or has gone again.
-    Successor(bool),
+    SuccessorChanged(bool),
     /// What the process before this one has learned.
-    Inherited(Box<Legacy>),
-    Probed {
+    StateInherited(Box<InheritedState>),
+    ProbeEnded {
         host: HostId,
-        ending: Ending,
-        gauges: Vec<f64>,
+        ending: AttemptOutcome,
+        load_metrics: Vec<f64>,
     },
     /// Whose turns at cold hosts this node may use from here on, and how much of each.
-    Turns(Vec<(u32, f64)>),
+    SlowStartSlotsAssigned(Vec<(u32, f64)>),
     /// The hosts that are this node's to look at from here on, each in each turn.
-    Looks(Vec<HostId>),
+    ProbeTargetsAssigned(Vec<HostId>),
     /// Another node's message, as it came.
-    Heard {
+    GossipReceived {
         message: Vec<u8>,
     },
 }
 
 impl Event {
     /// The attachment that is already known and that the event speaks of.
-    pub fn attachment(&self) -> Option<AttachmentId> {
+    pub fn request(&self) -> Option<RequestId> {
         match self {
-            Event::Begun { id, .. }
-            | Event::Ended { id, .. }
-            | Event::LoadNow { id, .. }
-            | Event::Left { id } => Some(*id),
+            Event::ConnectionEstablished { id, .. }
+            | Event::AttemptEnded { id, .. }
+            | Event::LoadMeasured { id, .. }
+            | Event::ClientLeft { id } => Some(*id),
             _ => None,
         }
     }
@@ -394,10 +394,10 @@
     /// The host that the event names.
     pub fn host(&self) -> Option<HostId> {
         match self {
-            Event::Standing(_, host) | Event::PassedOn(_, host, _) => Some(*host),
-            Event::Ended { host, .. }
-            | Event::MessageTime { host, .. }
-            | Event::Probed { host, .. } => Some(*host),
+            Event::ConnectionFound(_, host) | Event::ConnectionHandedOver(_, host, _) => Some(*host),
+            Event::AttemptEnded { host, .. }
+            | Event::MessageLatency { host, .. }
+            | Event::ProbeEnded { host, .. } => Some(*host),
             _ => None,
         }
     }
@@ -406,40 +406,40 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// `until` is how long its answer is waited for, `by` the latest moment in which its line may go out.
-    HandOff {
-        id: AttachmentId,
+    StartAttempt {
+        id: RequestId,
         host: HostId,
         until: Nanos,
         by: Nanos,
     },
     /// Final: a retry is harmless; come back after the wait (0: no advice).
-    Dismiss {
-        id: AttachmentId,
-        wait: Nanos,
+    Reject {
+        id: RequestId,
+        retry_after: Nanos,
     },
     /// Final: nothing is promised.
-    GiveUp {
-        id: AttachmentId,
+    Fail {
+        id: RequestId,
     },
     /// Ends an open connection politely; its client comes again.
-    Move {
-        id: AttachmentId,
+    Migrate {
+        id: RequestId,
     },
-    CallOff {
-        id: AttachmentId,
-        hand_off: u32,
+    CancelAttempt {
+        id: RequestId,
+        attempt: u32,
     },
-    WakeAt {
+    SetTimer {
         time: Nanos,
-        mark: u64,
+        timer: u64,
     },
-    AskRoll,
-    FollowRoll,
+    PollEndpoints,
+    WatchEndpoints,
     Probe {
         host: HostId,
     },
     /// To all other nodes; any of them may never hear it.
-    Tell {
+    Gossip {
         message: Vec<u8>,
     },
     Log(String),
--- a/testkit/src/acting.rs
+++ b/testkit/src/acting.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug)]
 pub struct Lived {
     pub name: String,
-    pub offering: usize,
+    pub class: usize,
     pub asked: Instant,
     pub answers: Vec<(Instant, String)>,
     /// A line that it sent on its open connection came back.
@@ -161,7 +161,7 @@
                 .answers
                 .iter()
                 .any(|(_, said)| said.starts_with("BUSY"));
-            match client.offering {
+            match client.class {
                 2 if ran.len() > 1 => {
                     broken.push(format!("rule 2: {name} may have run {} times", ran.len()))
                 }
@@ -350,7 +350,7 @@
     }
 
     /// One more client, of an offering by its number, that holds its connection for so long, or until `end`.
-    pub fn come(&mut self, offering: usize, holds: Duration) {
+    pub fn come(&mut self, class: usize, holds: Duration) {
         let address = self.addresses[self.started % self.addresses.len()];
         self.started += 1;
         let name = format!("{:x}-{}", self.seed, self.started);
@@ -360,18 +360,18 @@
             self.round.clone(),
         );
         self.running.push(small(move || {
-            live(address, name, key, offering, holds, &referee, &round)
+            live(address, name, key, class, holds, &referee, &round)
         }));
     }
 
     /// So many a second for so long, offerings in turns.
-    pub fn load(&mut self, rate: f64, span: Duration, offerings: &[usize], holds: Duration) {
+    pub fn load(&mut self, rate: f64, span: Duration, classes: &[usize], holds: Duration) {
         let (from, step) = (Instant::now(), Duration::from_secs_f64(1.0 / rate));
         let mut next = from;
         let mut count = 0;
         while next < from + span {
             thread::sleep(next.saturating_duration_since(Instant::now()));
-            self.come(offerings[count % offerings.len()], holds);
+            self.come(classes[count % classes.len()], holds);
             (next, count) = (next + step, count + 1);
         }
     }
@@ -389,7 +389,7 @@
     address: SocketAddr,
     name: String,
     key: u64,
-    offering: usize,
+    class: usize,
     holds: Duration,
     referee: &Referee,
     round: &AtomicU64,
@@ -402,11 +402,11 @@
     let wait = EXPIRY.as_millis();
     let line = format!(
         "OPEN {name} {key:x} c={},t=acme,d={wait}\r\n",
-        OFFERINGS[offering]
+        OFFERINGS[class]
     );
     let mut lived = Lived {
         name,
-        offering,
+        class,
         asked: Instant::now(),
         answers: Vec::new(),
         echoed: None,
--- a/testkit/src/coldstart.rs
+++ b/testkit/src/coldstart.rs
@@ -4,7 +4,7 @@
 //! must never report what it did not measure.
 
 use crate::chart::Row;
-use crate::fleet::{Fleet, Guests, Terms, WarmingHosts};
+use crate::fleet::{Fleet, Guests, FleetOptions, WarmingHosts};
 use crate::two_tier::Found;
 use crate::Discovery;
 use serde_json::{json, Map, Value};
@@ -22,12 +22,12 @@
     pub before: Option<PathBuf>,
 }
 
-const TERMS: Terms = Terms {
+const TERMS: FleetOptions = FleetOptions {
     cold: Duration::from_secs(20),
-    cold_from: 0.12,
-    tip_after: Duration::from_secs(1),
-    tip_multiple: 3.0,
-    ask_within: Duration::from_secs(10),
+    warm_up_initial_share: 0.12,
+    overload_window: Duration::from_secs(1),
+    overload_factor: 3.0,
+    max_poll_interval: Duration::from_secs(10),
     full: 1e6,
 };
 
@@ -71,19 +71,19 @@
 const FILLED_BY: f64 = 8.0;
 
 impl Size {
-    fn full(&self, multiple: f64) -> Terms {
-        Terms {
+    fn full(&self, multiple: f64) -> FleetOptions {
+        FleetOptions {
             full: multiple * (EACH * self.nodes) as f64 / self.hosts as f64,
             ..TERMS
         }
     }
 
     /// How soon hosts that are all cold may have taken all clients, where they are sent this part of the budget.
-    fn hosts_limit(&self, terms: Terms, part: f64) -> f64 {
+    fn hosts_limit(&self, terms: FleetOptions, part: f64) -> f64 {
         let (step, mut sent, mut at) = (0.01, 0.0, 0.0);
         while sent < (EACH * self.nodes) as f64 {
             let a_second =
-                terms.budget(Duration::from_secs_f64(at)) / terms.tip_after.as_secs_f64();
+                terms.budget(Duration::from_secs_f64(at)) / terms.overload_window.as_secs_f64();
             sent += part * a_second * self.hosts as f64 * step;
             at += step;
         }
@@ -142,7 +142,7 @@
     }
     // What follows is begun by then: the last list came at half of the time within which each has to ask, or later.
     thread::sleep(
-        (from + size.down + TERMS.ask_within * 3 / 2).saturating_duration_since(Instant::now()),
+        (from + size.down + TERMS.max_poll_interval * 3 / 2).saturating_duration_since(Instant::now()),
     );
     let mut first: Vec<Duration> = guests
         .first(from + size.down)
--- a/testkit/src/fleet.rs
+++ b/testkit/src/fleet.rs
@@ -3,7 +3,7 @@
 //! clients saw is noted with its time, and the rules are judged by that alone.
 
 use crate::acting::{first_line, small, GRACE, SOCKETS};
-use crate::program::{papers_of, path, Node};
+use crate::program::{node_config_of, path, Node};
 use crate::view::View;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -22,33 +22,33 @@
 
 /// The terms on cold hosts and on calls to the list service that the whole site works under.
 #[derive(Clone, Copy)]
-pub struct Terms {
+pub struct FleetOptions {
     pub cold: Duration,
-    pub cold_from: f64,
-    pub tip_after: Duration,
-    pub tip_multiple: f64,
-    pub ask_within: Duration,
+    pub warm_up_initial_share: f64,
+    pub overload_window: Duration,
+    pub overload_factor: f64,
+    pub max_poll_interval: Duration,
     /// Connections that fill a warm host.
     pub full: f64,
 }
 
-impl Terms {
+impl FleetOptions {
     /// Those of trials: many nodes are more than ten. A warm host bears six times what it holds there, where the module
     /// counts on four: the numbers are small, and chance and a busy machine bunch what comes.
-    pub const TRIAL: Terms = Terms {
+    pub const TRIAL: FleetOptions = FleetOptions {
         cold: Duration::from_secs(5),
-        cold_from: 0.2,
-        tip_after: Duration::from_millis(500),
-        tip_multiple: 3.0,
-        ask_within: Duration::from_secs(4),
+        warm_up_initial_share: 0.2,
+        overload_window: Duration::from_millis(500),
+        overload_factor: 3.0,
+        max_poll_interval: Duration::from_secs(4),
         full: 120.0,
     };
 
     /// What a host that started so long ago may be sent within one window.
     pub fn budget(&self, age: Duration) -> f64 {
         let warmed = (age.as_secs_f64() / self.cold.as_secs_f64()).min(1.0);
-        let warmth = self.cold_from + (1.0 - self.cold_from) * warmed;
-        self.tip_multiple * warmth * self.full * self.tip_after.as_secs_f64()
+        let warmth = self.warm_up_initial_share + (1.0 - self.warm_up_initial_share) * warmed;
+        self.overload_factor * warmth * self.full * self.overload_window.as_secs_f64()
             / self.cold.as_secs_f64()
     }
 }
@@ -73,11 +73,11 @@
 #[derive(Clone)]
 pub struct WarmingHosts {
     all: Arc<Mutex<Vec<Arc<WarmingHost>>>>,
-    terms: Terms,
+    terms: FleetOptions,
 }
 
 impl WarmingHosts {
-    pub fn new(terms: Terms) -> Self {
+    pub fn new(terms: FleetOptions) -> Self {
         WarmingHosts {
             all: Arc::default(),
             terms,
@@ -175,7 +175,7 @@
 }
 
 impl WarmingHost {
-    fn serve(&self, mut stream: TcpStream, terms: Terms) {
+    fn serve(&self, mut stream: TcpStream, terms: FleetOptions) {
         let Some((mut reader, mut line)) = first_line(&stream) else {
             return;
         };
@@ -195,7 +195,7 @@
             let within = arrived
                 .iter()
                 .rev()
-                .take_while(|t| **t + terms.tip_after > now)
+                .take_while(|t| **t + terms.overload_window > now)
                 .count() as f64;
             // What warm ones take is no matter here.
             let age = self
@@ -254,12 +254,12 @@
     pub front: Front,
     program: PathBuf,
     discovery: SocketAddr,
-    terms: Terms,
+    terms: FleetOptions,
     alone: bool,
     /// Loads are told by probes alone.
     probes: bool,
     /// What every attachment's effect is, and how long records of work in hand matter where they are kept.
-    effect: &'static str,
+    idempotency: &'static str,
     wards: Option<Duration>,
     /// The places that settings name, where some of the processes have none of their own.
     pub(crate) places: usize,
@@ -270,7 +270,7 @@
 
 impl Fleet {
     /// None runs yet.
-    pub fn new(nodes: usize, discovery: SocketAddr, terms: Terms) -> Self {
+    pub fn new(nodes: usize, discovery: SocketAddr, terms: FleetOptions) -> Self {
         let (places, nodes) = (nodes, (0..nodes).map(|_| None).collect());
         let (front, program, ended) = (Front::default(), path(), Vec::new());
         Fleet {
@@ -281,7 +281,7 @@
             terms,
             alone: false,
             probes: false,
-            effect: "free",
+            idempotency: "free",
             wards: None,
             places,
             view: None,
@@ -318,8 +318,8 @@
     }
 
     /// Of attachments with this effect, recorded by guardians for so long where that is told.
-    pub fn offering(mut self, effect: &'static str, wards: Option<Duration>) -> Self {
-        (self.effect, self.wards) = (effect, wards);
+    pub fn class(mut self, idempotency: &'static str, wards: Option<Duration>) -> Self {
+        (self.idempotency, self.wards) = (idempotency, wards);
         self
     }
 
@@ -338,26 +338,26 @@
             .collect()
     }
 
-    fn papers(&self, node: usize, known: &[Value], revision: u64) -> Value {
+    fn node_config(&self, node: usize, known: &[Value], revision: u64) -> Value {
         let millis = |d: Duration| json!(d.as_secs_f64() * 1000.0);
-        let mut papers = papers_of(json!(known), self.discovery);
-        papers["name"] = json!(format!("n{node}"));
-        papers["listen"] = json!(format!("127.1.{}.{}:0", node / 200, node % 200 + 1));
-        papers["seed"] = json!(format!("{:016x}", 0x8c1f_30d2 + node as u64));
-        papers["known"]["revision"] = json!(revision);
-        let settings = &mut papers["settings"];
+        let mut node_config = node_config_of(json!(known), self.discovery);
+        node_config["name"] = json!(format!("n{node}"));
+        node_config["listen"] = json!(format!("127.1.{}.{}:0", node / 200, node % 200 + 1));
+        node_config["seed"] = json!(format!("{:016x}", 0x8c1f_30d2 + node as u64));
+        node_config["known"]["revision"] = json!(revision);
+        let settings = &mut node_config["settings"];
         if self.view.is_some() {
             settings["policy_limits"]["peers"] = json!(true);
-            papers["ops"] = json!("127.0.0.1:0");
+            node_config["ops"] = json!("127.0.0.1:0");
         }
-        papers["settings"]["offerings"][0]["effect"] = json!(self.effect);
-        if self.effect == "guarded" {
-            papers["settings"]["offerings"][0]["repeat_window"] = millis(REPEATS);
+        node_config["settings"]["offerings"][0]["effect"] = json!(self.idempotency);
+        if self.idempotency == "guarded" {
+            node_config["settings"]["offerings"][0]["repeat_window"] = millis(REPEATS);
         }
         if self.probes {
-            papers["settings"]["reporting"] = json!({"fields": ["util", "x0"], "via": "pull"});
+            node_config["settings"]["reporting"] = json!({"fields": ["util", "x0"], "via": "pull"});
         }
-        let settings = &mut papers["settings"];
+        let settings = &mut node_config["settings"];
         let place = if self.alone {
             (1, 0)
         } else {
@@ -366,18 +366,18 @@
         (settings["balancers"], settings["index"]) = (json!(place.0), json!(place.1));
         let contract = &mut settings["contract"];
         contract["cold"] = millis(self.terms.cold);
-        contract["cold_from"] = json!(self.terms.cold_from);
-        contract["tip_after"] = millis(self.terms.tip_after);
-        contract["tip_multiple"] = json!(self.terms.tip_multiple);
-        contract["ask_within"] = millis(self.terms.ask_within);
-        papers
+        contract["cold_from"] = json!(self.terms.warm_up_initial_share);
+        contract["tip_after"] = millis(self.terms.overload_window);
+        contract["tip_multiple"] = json!(self.terms.overload_factor);
+        contract["ask_within"] = millis(self.terms.max_poll_interval);
+        node_config
     }
 
     /// Starts these at once, each knowing this list; the front takes them in.
     pub fn start(&mut self, which: &[usize], known: &[Value], revision: u64) {
-        let papers: Vec<(usize, Value)> = which
+        let node_config: Vec<(usize, Value)> = which
             .iter()
-            .map(|&n| (n, self.papers(n, known, revision)))
+            .map(|&n| (n, self.node_config(n, known, revision)))
             .collect();
         let (program, view) = (&self.program, self.view.as_ref());
         let more = self
@@ -385,15 +385,15 @@
             .map(|life| format!("[fleet.wards]\nlife = \"{}ms\"\n", life.as_millis()));
         let more = more.unwrap_or_default();
         let started: Vec<(usize, Node)> = thread::scope(|scope| {
-            let one = |(node, papers): &(usize, Value)| match view {
+            let one = |(node, node_config): &(usize, Value)| match view {
                 Some(view) => (
                     *node,
-                    Node::start_of_as(program, "node", &(view.articles(*node) + &more), papers),
+                    Node::start_of_as(program, "node", &(view.operator_config(*node) + &more), node_config),
                 ),
-                None => (*node, Node::start_of(program, papers)),
+                None => (*node, Node::start_of(program, node_config)),
             };
-            let share = papers.len().div_ceil(16).max(1);
-            let parts = papers
+            let share = node_config.len().div_ceil(16).max(1);
+            let parts = node_config
                 .chunks(share)
                 .map(|part| scope.spawn(move || part.iter().map(one).collect()));
             let parts: Vec<thread::ScopedJoinHandle<Vec<_>>> = parts.collect();
@@ -412,8 +412,8 @@
     pub fn tells_of(&mut self, discovery: SocketAddr, known: &[Value], revision: u64) {
         self.discovery = discovery;
         for (number, node) in self.nodes.iter().enumerate() {
-            let papers = self.papers(number, known, revision).to_string();
-            node.iter().for_each(|node| node.reread_papers(&papers));
+            let node_config = self.node_config(number, known, revision).to_string();
+            node.iter().for_each(|node| node.reload_node_config(&node_config));
         }
     }
 
@@ -427,19 +427,19 @@
     ) {
         self.places = places;
         for number in which {
-            let papers = self.papers(number, known, revision).to_string();
+            let node_config = self.node_config(number, known, revision).to_string();
             self.nodes[number]
                 .iter()
-                .for_each(|node| node.reread_papers(&papers));
+                .for_each(|node| node.reload_node_config(&node_config));
         }
     }
 
     /// Starts a second process under the name of this one, with a face of its own: the first beyond the places.
     pub fn start_twin(&mut self, of: usize, known: &[Value], revision: u64) {
-        let mut papers = self.papers(of, known, revision);
-        papers["listen"] = json!("127.0.0.1:0");
-        let articles = self.view().articles(self.places);
-        let twin = Node::start_of_as(&self.program, "node", &articles, &papers);
+        let mut node_config = self.node_config(of, known, revision);
+        node_config["listen"] = json!("127.0.0.1:0");
+        let operator_config = self.view().operator_config(self.places);
+        let twin = Node::start_of_as(&self.program, "node", &operator_config, &node_config);
         self.front.takes_in(twin.address);
         self.nodes[self.places] = Some(twin);
     }
@@ -678,12 +678,12 @@
     use super::*;
     use crate::peers::eventually;
 
-    const TERMS: Terms = Terms {
+    const TERMS: FleetOptions = FleetOptions {
         cold: Duration::from_secs(10),
-        cold_from: 0.2,
-        tip_after: Duration::from_secs(1),
-        tip_multiple: 3.0,
-        ask_within: Duration::from_secs(4),
+        warm_up_initial_share: 0.2,
+        overload_window: Duration::from_secs(1),
+        overload_factor: 3.0,
+        max_poll_interval: Duration::from_secs(4),
         full: 40.0,
     };
 
@@ -738,7 +738,7 @@
             terms: TERMS,
             alone: false,
             probes: false,
-            effect: "free",
+            idempotency: "free",
             wards: None,
             places: 0,
             view: None,
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -21,4 +21,4 @@
 
 pub use discovery::Discovery;
 pub use peers::*;
-pub use program::{answered, ask, folder, listener, papers, program, program_at, Node};
+pub use program::{answered, ask, folder, listener, node_config, program, program_at, Node};
--- a/testkit/src/program.rs
+++ b/testkit/src/program.rs
@@ -16,12 +16,12 @@
 use std::time::{Duration, Instant};
 
 /// The papers of a node that knows these hosts.
-pub fn papers(hosts: &Hosts, discovery: SocketAddr) -> Value {
-    papers_of(hosts.members(), discovery)
+pub fn node_config(hosts: &Hosts, discovery: SocketAddr) -> Value {
+    node_config_of(hosts.members(), discovery)
 }
 
 /// The papers of a node that knows this list.
-pub fn papers_of(members: Value, discovery: SocketAddr) -> Value {
+pub fn node_config_of(members: Value, discovery: SocketAddr) -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512},
         "known": {"revision": 0, "complete": true, "members": members},
@@ -130,13 +130,13 @@
 }
 
 /// The program as it is started with these papers, its output kept.
-pub fn program(papers: &str) -> Command {
-    program_of(&path(), papers)
+pub fn program(node_config: &str) -> Command {
+    program_of(&path(), node_config)
 }
 
-fn program_of(program: &Path, papers: &str) -> Command {
+fn program_of(program: &Path, node_config: &str) -> Command {
     let mut command = Command::new(program);
-    command.env("GW_CONFIG", file("json", papers));
+    command.env("GW_CONFIG", file("json", node_config));
     piped(command)
 }
 
@@ -144,17 +144,17 @@
 fn command_as(
     program: &Path,
     role: &str,
-    articles: &str,
-    papers: &Value,
+    operator_config: &str,
+    node_config: &Value,
 ) -> (Command, PathBuf, PathBuf) {
-    let papers = file("json", &papers.to_string());
-    let articles = file(
+    let node_config = file("json", &node_config.to_string());
+    let operator_config = file(
         "toml",
-        &articles.replace("PAPERS", &papers.display().to_string()),
+        &operator_config.replace("PAPERS", &node_config.display().to_string()),
     );
     let mut command = Command::new(program);
-    command.arg(role).arg("--config").arg(&articles);
-    (piped(command), papers, articles)
+    command.arg(role).arg("--config").arg(&operator_config);
+    (piped(command), node_config, operator_config)
 }
 
 /// The file that a command names as its papers.
@@ -167,8 +167,8 @@
 }
 
 /// The same, with clients taken in at the descriptor that is named so.
-pub fn program_at(papers: &str, listener: &str, folder: &Path) -> Command {
-    let mut command = program(papers);
+pub fn program_at(node_config: &str, listener: &str, folder: &Path) -> Command {
+    let mut command = program(node_config);
     command.env("GW_ACCEPT_FD", listener).env("TMPDIR", folder);
     command
 }
@@ -189,50 +189,50 @@
 }
 
 impl Node {
-    pub fn start(papers: &Value) -> Self {
-        Node::launch(program(&papers.to_string()))
+    pub fn start(node_config: &Value) -> Self {
+        Node::launch(program(&node_config.to_string()))
     }
 
     /// One of this build of the program.
-    pub fn start_of(program: &Path, papers: &Value) -> Self {
-        Node::launch(program_of(program, &papers.to_string()))
+    pub fn start_of(program: &Path, node_config: &Value) -> Self {
+        Node::launch(program_of(program, &node_config.to_string()))
     }
 
     /// One whose system calls and wall clock this spoils, from its first call on.
-    pub fn start_spoilt(papers: &Value, spoiler: &Spoiler) -> Self {
-        let command = program(&papers.to_string());
-        let papers = told_by(&command);
-        Node::run_spoilt(command, papers.clone(), vec![papers], spoiler)
+    pub fn start_spoilt(node_config: &Value, spoiler: &Spoiler) -> Self {
+        let command = program(&node_config.to_string());
+        let node_config = told_by(&command);
+        Node::run_spoilt(command, node_config.clone(), vec![node_config], spoiler)
     }
 
     /// The same, at a listener which the test holds.
     pub fn start_spoilt_at(
-        papers: &Value,
+        node_config: &Value,
         listener: &TcpListener,
         folder: &Path,
         spoiler: &Spoiler,
     ) -> Self {
         let command = program_at(
-            &papers.to_string(),
+            &node_config.to_string(),
             &listener.as_raw_fd().to_string(),
             folder,
         );
-        let papers = told_by(&command);
-        Node::run_spoilt(command, papers.clone(), vec![papers], spoiler)
+        let node_config = told_by(&command);
+        Node::run_spoilt(command, node_config.clone(), vec![node_config], spoiler)
     }
 
     /// One that takes clients in at a listener which the test holds, with this folder for what it leaves.
-    pub fn start_at(papers: &Value, listener: &TcpListener, folder: &Path) -> Self {
+    pub fn start_at(node_config: &Value, listener: &TcpListener, folder: &Path) -> Self {
         Node::launch(program_at(
-            &papers.to_string(),
+            &node_config.to_string(),
             &listener.as_raw_fd().to_string(),
             folder,
         ))
     }
 
     /// One that the system allows no more than so many descriptors.
-    pub fn start_within(papers: &Value, descriptors: usize) -> Self {
-        let plain = program(&papers.to_string());
+    pub fn start_within(node_config: &Value, descriptors: usize) -> Self {
+        let plain = program(&node_config.to_string());
         let mut command = Command::new("sh");
         command
             .args(["-c", &format!("ulimit -n {descriptors}; exec \"$0\"")])
@@ -246,24 +246,24 @@
     }
 
     /// One of another role, by an operator's file; `PAPERS` in it stands for the file of these papers.
-    pub fn start_as(role: &str, articles: &str, papers: &Value) -> Self {
-        Node::start_of_as(&path(), role, articles, papers)
+    pub fn start_as(role: &str, operator_config: &str, node_config: &Value) -> Self {
+        Node::start_of_as(&path(), role, operator_config, node_config)
     }
 
     /// The same, whose system calls and wall clock this spoils.
-    pub fn start_as_spoilt(role: &str, articles: &str, papers: &Value, spoiler: &Spoiler) -> Self {
-        let (command, papers, articles) = command_as(&path(), role, articles, papers);
-        Node::run_spoilt(command, articles.clone(), vec![papers, articles], spoiler)
+    pub fn start_as_spoilt(role: &str, operator_config: &str, node_config: &Value, spoiler: &Spoiler) -> Self {
+        let (command, node_config, operator_config) = command_as(&path(), role, operator_config, node_config);
+        Node::run_spoilt(command, operator_config.clone(), vec![node_config, operator_config], spoiler)
     }
 
-    pub fn start_of_as(program: &Path, role: &str, articles: &str, papers: &Value) -> Self {
-        let (command, papers, articles) = command_as(program, role, articles, papers);
-        Node::run(command, articles.clone(), vec![papers, articles])
+    pub fn start_of_as(program: &Path, role: &str, operator_config: &str, node_config: &Value) -> Self {
+        let (command, node_config, operator_config) = command_as(program, role, operator_config, node_config);
+        Node::run(command, operator_config.clone(), vec![node_config, operator_config])
     }
 
     fn launch(command: Command) -> Self {
-        let papers = told_by(&command);
-        Node::run(command, papers.clone(), vec![papers])
+        let node_config = told_by(&command);
+        Node::run(command, node_config.clone(), vec![node_config])
     }
 
     fn run(mut command: Command, told: PathBuf, files: Vec<PathBuf>) -> Self {
@@ -389,7 +389,7 @@
     }
 
     /// Puts other papers in place of those that it was started with, and has it read them.
-    pub fn reread_papers(&self, text: &str) {
+    pub fn reload_node_config(&self, text: &str) {
         std::fs::write(&self.files[0], text).unwrap();
         self.signal(Signal::HUP);
     }
--- a/testkit/src/schedule.rs
+++ b/testkit/src/schedule.rs
@@ -2,7 +2,7 @@
 //! played over processes and made smaller by leaving faults out. It owns their form and their play. It must never
 //! judge anything but by what hosts and clients saw, and by whether the views agree at the end.
 
-use crate::fleet::{Fleet, Guests, Terms, WarmingHosts};
+use crate::fleet::{Fleet, Guests, FleetOptions, WarmingHosts};
 use crate::view::View;
 use crate::ways::{Spoil, Ways};
 use crate::Discovery;
@@ -278,7 +278,7 @@
 /// Plays a schedule over processes, of another build where one is named, and gives what was broken.
 pub fn play(schedule: &Schedule, program: Option<&PathBuf>) -> Vec<String> {
     let nodes = schedule.nodes;
-    let (service, hosts) = (Discovery::start(), WarmingHosts::new(Terms::TRIAL));
+    let (service, hosts) = (Discovery::start(), WarmingHosts::new(FleetOptions::TRIAL));
     let mut list = hosts.members(hosts.start(5, false));
     list.iter()
         .for_each(|member| service.change(member.clone()));
@@ -287,7 +287,7 @@
         period: PERIOD,
         seeds: vec![0, 1],
     };
-    let mut fleet = Fleet::new(nodes + 1, service.address, Terms::TRIAL)
+    let mut fleet = Fleet::new(nodes + 1, service.address, FleetOptions::TRIAL)
         .among(nodes)
         .with_view(view);
     if let Some(program) = program {
--- a/testkit/src/soak/clients.rs
+++ b/testkit/src/soak/clients.rs
@@ -43,7 +43,7 @@
 pub struct Lived {
     pub name: String,
     pub seat: usize,
-    pub offering: usize,
+    pub class: usize,
     pub manner: Manner,
     pub asked: Instant,
     pub heard: Heard,
@@ -125,7 +125,7 @@
     name: String,
     seat: usize,
     address: SocketAddr,
-    offering: usize,
+    class: usize,
     manner: Manner,
     key: u64,
     /// How long it stays, rests, or waits before it goes.
@@ -142,7 +142,7 @@
             5 => (Manner::Slow, rng.random_range(50..600)),
             _ => (Manner::Plain, rng.random_range(50..1500)),
         };
-        let (offering, key, span) = (
+        let (class, key, span) = (
             rng.random_range(0..3),
             rng.random(),
             Duration::from_millis(span),
@@ -151,7 +151,7 @@
             name,
             seat,
             address,
-            offering,
+            class,
             manner,
             key,
             span,
@@ -164,7 +164,7 @@
         let wait = EXPIRY.as_millis();
         let line = format!(
             "OPEN {} {:x} c={},t=acme,d={wait}\r\n",
-            self.name, self.key, OFFERINGS[self.offering]
+            self.name, self.key, OFFERINGS[self.class]
         );
         match self.manner {
             Manner::Half => stream.write_all(&line.as_bytes()[..line.len() / 2]).ok()?,
@@ -185,7 +185,7 @@
         let mut lived = Lived {
             name: self.name.clone(),
             seat: self.seat,
-            offering: self.offering,
+            class: self.class,
             manner: self.manner,
             asked,
             heard: Heard::Nothing,
--- a/testkit/src/soak/judge.rs
+++ b/testkit/src/soak/judge.rs
@@ -54,7 +54,7 @@
             let of = |why| {
                 format!(
                     "{} at seat {}, {:?}, offering {}: {why}",
-                    client.name, client.seat, client.manner, client.offering
+                    client.name, client.seat, client.manner, client.class
                 )
             };
             broken.extend(wrong.into_iter().flatten().map(of));
@@ -119,7 +119,7 @@
         let ran: Vec<&&Reached> = attempts.iter().filter(|one| one.way != Way::Busy).collect();
         let dismissed = matches!(&client.heard, Heard::Line(said) if said.starts_with("BUSY"));
         let first = ran.first()?;
-        match client.offering {
+        match client.class {
             2 if ran.len() > 1 => Some(format!("rule 2: may have run {} times", ran.len())),
             2 if dismissed => Some("rule 2: dismissed though it may have run".into()),
             1 if ran.iter().any(|one| one.host % 2 != first.host % 2) => {
--- a/testkit/src/soak/site.rs
+++ b/testkit/src/soak/site.rs
@@ -125,31 +125,31 @@
             .sum()
     }
 
-    fn papers(&self, seat: usize) -> Value {
+    fn node_config(&self, seat: usize) -> Value {
         let service = &self.services[self.processes[seat].service];
-        let mut papers = tiers::papers(
+        let mut node_config = tiers::node_config(
             &format!("n{seat}"),
             &self.hosts,
             service,
             self.seed + seat as u64,
         );
-        papers["limits"] = json!({"cores": 1.0, "memory_mb": 128, "sockets": 512});
-        (papers["settings"]["balancers"], papers["settings"]["index"]) =
+        node_config["limits"] = json!({"cores": 1.0, "memory_mb": 128, "sockets": 512});
+        (node_config["settings"]["balancers"], node_config["settings"]["index"]) =
             (json!(self.processes.len()), json!(seat));
-        papers["ops"] = json!("127.0.0.1:0");
+        node_config["ops"] = json!("127.0.0.1:0");
         if let Some(address) = self.seats[seat].lock().unwrap().address {
-            papers["listen"] = json!(address.to_string());
+            node_config["listen"] = json!(address.to_string());
         }
-        papers
+        node_config
     }
 
     /// Starts a process in this seat.
     fn open(&mut self, seat: usize) {
-        let papers = self.papers(seat);
+        let node_config = self.node_config(seat);
         let spoiler = Spoiler::default();
         let node = match &self.processes[seat].shared {
-            Some((listener, folder)) => Node::start_spoilt_at(&papers, listener, folder, &spoiler),
-            None => Node::start_spoilt(&papers, &spoiler),
+            Some((listener, folder)) => Node::start_spoilt_at(&node_config, listener, folder, &spoiler),
+            None => Node::start_spoilt(&node_config, &spoiler),
         };
         let mut noted = self.seats[seat].lock().unwrap();
         (noted.address, noted.closed) = (Some(node.address), None);
@@ -379,9 +379,9 @@
 
     fn reload(&mut self, seat: usize) {
         self.processes[seat].service = 1 - self.processes[seat].service;
-        let papers = self.papers(seat).to_string();
+        let node_config = self.node_config(seat).to_string();
         if let Some(node) = &self.processes[seat].node {
-            node.reread(&papers);
+            node.reread(&node_config);
             self.seats[seat]
                 .lock()
                 .unwrap()
--- a/testkit/src/speaker.rs
+++ b/testkit/src/speaker.rs
@@ -2,7 +2,7 @@
 //! for measurements of a planner alone. It must never be taken for a forwarder: it keeps no rule.
 
 use reedferry_control_plane::frames::{
-    self, Asked, Down, Hello, Past, Reader, Tally, Up, Welcome, Writer,
+    self, Asked, Down, Hello, PriorAttempts, Reader, Tally, Up, Welcome, Writer,
 };
 use std::collections::VecDeque;
 use std::io::{Read, Write};
@@ -22,7 +22,7 @@
 /// What an attachment asks for in these measurements.
 pub fn asked(id: u64) -> Asked {
     Asked {
-        offering: 0,
+        class: 0,
         key: Some(id % 4096 + 1),
         group: None,
         usual_load: None,
@@ -134,7 +134,7 @@
             id,
             step: 0,
             asked: asked(id),
-            past: Past::default(),
+            past: PriorAttempts::default(),
         });
         self.send()?;
         let mut decided = false;
@@ -162,7 +162,7 @@
                     id,
                     step: 0,
                     asked: asked(id),
-                    past: Past::default(),
+                    past: PriorAttempts::default(),
                 });
             }
             self.send()?;
--- a/testkit/src/tiers.rs
+++ b/testkit/src/tiers.rs
@@ -37,20 +37,20 @@
 }
 
 /// The papers of one program among these hosts.
-pub fn papers(name: &str, hosts: &Hosts, discovery: &Discovery, seed: u64) -> Value {
-    let effects = ["free", "guarded", "single_shot"];
-    let offerings: Vec<Value> = OFFERINGS
+pub fn node_config(name: &str, hosts: &Hosts, discovery: &Discovery, seed: u64) -> Value {
+    let idempotencies = ["free", "guarded", "single_shot"];
+    let classes: Vec<Value> = OFFERINGS
         .iter()
-        .zip(effects)
-        .map(|(name, effect)| {
-            json!({"name": name, "contract_time": 500, "expiry": EXPIRY.as_millis() as u64, "effect": effect,
+        .zip(idempotencies)
+        .map(|(name, idempotency)| {
+            json!({"name": name, "contract_time": 500, "expiry": EXPIRY.as_millis() as u64, "effect": idempotency,
             "group": "cell", "repeat_window": WINDOW.as_millis() as u64, "payoff": 1})
         })
         .collect();
     json!({"name": name, "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
         "seed": seed.to_string(), "limits": {"cores": 1.0, "memory_mb": 512, "sockets": 16384},
         "known": {"revision": 0, "complete": true, "members": hosts.members()},
-        "settings": {"balancers": 1, "index": 0, "zone": 0, "zones": ["a"], "round": 4.0, "offerings": offerings,
+        "settings": {"balancers": 1, "index": 0, "zone": 0, "zones": ["a"], "round": 4.0, "offerings": classes,
             "tenants": [{"name": "acme"}],
             "contract": {"ask_within": 1000.0, "cold": 1000.0, "cold_from": 0.5,
                 "drain_grace": GRACE.as_millis() as u64, "tip_after": 1000.0, "tip_multiple": 3.0},
@@ -96,16 +96,16 @@
         for n in 0..forwarders {
             let to = |p: &Option<Node>| Relay::to(p.as_ref().unwrap().address);
             tiers.relays.push(tiers.planners.iter().map(to).collect());
-            let papers = papers(
+            let node_config = node_config(
                 &format!("f{n}"),
                 &tiers.hosts,
                 &tiers.discovery,
                 seed + n as u64,
             );
-            let text = tiers.articles(n, planners);
+            let text = tiers.operator_config(n, planners);
             tiers
                 .forwarders
-                .push(Node::start_as("forward", &text, &papers));
+                .push(Node::start_as("forward", &text, &node_config));
         }
         let first = |f: &Node| followed(&f.logs("follows planner")).unwrap_or(0);
         tiers.follows = tiers.forwarders.iter().map(first).collect();
@@ -113,7 +113,7 @@
     }
 
     /// A forwarder's file with the first so many planners.
-    pub fn articles(&self, forwarder: usize, planners: usize) -> String {
+    pub fn operator_config(&self, forwarder: usize, planners: usize) -> String {
         let relays = self.relays[forwarder].iter().take(planners).enumerate();
         let list: Vec<(String, SocketAddr)> =
             relays.map(|(n, r)| (format!("p{n}"), r.address)).collect();
@@ -125,7 +125,7 @@
     }
 
     pub fn start_planner(&mut self, n: usize) {
-        let papers = papers(
+        let node_config = node_config(
             &format!("plan-{n}"),
             &self.hosts,
             &self.discovery,
@@ -135,7 +135,7 @@
         let text = format!(
             "papers = \"PAPERS\"\n[plan]\nname = \"p{n}\"\nlisten = \"127.0.0.1:0\"\n{list}"
         );
-        let node = Node::start_as("plan", &text, &papers);
+        let node = Node::start_as("plan", &text, &node_config);
         self.relays
             .iter()
             .for_each(|all| all[n].lead_to(node.address));
--- a/testkit/src/two_tier.rs
+++ b/testkit/src/two_tier.rs
@@ -3,10 +3,10 @@
 
 use crate::acting::{Clients, Hosts, Referee};
 use crate::speaker::{asked, Speaker};
-use crate::tiers::{papers, Tiers, LEASE};
+use crate::tiers::{node_config, Tiers, LEASE};
 use crate::{Discovery, Node};
 use hdrhistogram::Histogram;
-use reedferry::{Action, Balancer, Ending, Event, HostId, Listing, RollKind, Standing, SECOND};
+use reedferry::{Action, Balancer, AttemptOutcome, Event, HostId, Endpoint, EndpointUpdate, HostState, SECOND};
 use serde_json::{json, Map, Value};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -92,10 +92,10 @@
     let discovery = Discovery::start();
     (0..size.hosts).for_each(|h| discovery.change(hosts.member(h, "active")));
     let node = |n: usize| {
-        let mut papers = papers(&format!("n{n}"), &hosts, &discovery, seed + n as u64);
-        papers["settings"]["balancers"] = json!(size.nodes);
-        papers["settings"]["index"] = json!(n);
-        Node::start(&papers)
+        let mut node_config = node_config(&format!("n{n}"), &hosts, &discovery, seed + n as u64);
+        node_config["settings"]["balancers"] = json!(size.nodes);
+        node_config["settings"]["index"] = json!(n);
+        Node::start(&node_config)
     };
     let nodes: Vec<Node> = (0..size.nodes).map(node).collect();
     let doors = nodes.iter().map(|n| n.address).collect();
@@ -159,36 +159,36 @@
     settings: &Value,
     seed: u64,
 ) -> Result<f64, String> {
-    let (charter, _) = reedferry_settings::from_value(settings.clone())?;
+    let (balancer_settings, _) = reedferry_settings::from_value(settings.clone())?;
     let start = 1_000 * SECOND;
     let mut out = Vec::new();
-    let mut module = Balancer::new(charter, seed, start, &mut out);
-    let listing = |n| Listing {
+    let mut module = Balancer::new(balancer_settings, seed, start, &mut out);
+    let listing = |n| Endpoint {
         id: HostId(n + 1),
-        standing: Standing::Ready,
+        state: HostState::Ready,
         size: 1.0,
-        ..Listing::default()
+        ..Endpoint::default()
     };
     let listed = (0..hosts as u64).map(listing).collect();
     module.handle(
         start,
-        Event::Roll {
-            kind: RollKind::Full,
-            hosts: listed,
+        Event::EndpointsUpdated {
+            kind: EndpointUpdate::Full,
+            endpoints: listed,
         },
         &mut out,
     );
     let (from, mut standing, mut wakes) = (Instant::now(), VecDeque::new(), Vec::new());
     for n in 0..count {
         let now = start + from.elapsed().as_nanos() as u64;
-        let id = reedferry::AttachmentId(n + 1);
-        module.handle(now, Event::Arrived(asked(n).arrival(id)), &mut out);
+        let id = reedferry::RequestId(n + 1);
+        module.handle(now, Event::RequestArrived(asked(n).incoming(id)), &mut out);
         for action in std::mem::take(&mut out) {
             match action {
-                Action::HandOff { id, host, .. } => {
+                Action::StartAttempt { id, host, .. } => {
                     module.handle(
                         now,
-                        Event::Begun {
+                        Event::ConnectionEstablished {
                             id,
                             took: 1_000_000,
                         },
@@ -196,22 +196,22 @@
                     );
                     standing.push_back((id, host));
                 }
-                Action::WakeAt { time, mark } => wakes.push((time, mark)),
+                Action::SetTimer { time, timer: mark } => wakes.push((time, mark)),
                 _ => {}
             }
         }
         if standing.len() > open {
             if let Some((id, host)) = standing.pop_front() {
-                let (ending, gauges) = (Ending::Done, Vec::new());
+                let (ending, load_metrics) = (AttemptOutcome::Completed, Vec::new());
                 module.handle(
                     now,
-                    Event::Ended {
+                    Event::AttemptEnded {
                         id,
-                        hand_off: 0,
+                        attempt: 0,
                         host,
-                        over: true,
+                        request_over: true,
                         ending,
-                        gauges,
+                        load_metrics,
                     },
                     &mut out,
                 );
@@ -219,7 +219,7 @@
         }
         if let Some(due) = wakes.iter().position(|(time, _)| *time <= now) {
             let (_, mark) = wakes.swap_remove(due);
-            module.handle(now, Event::Timer { mark }, &mut out);
+            module.handle(now, Event::TimerFired { timer: mark }, &mut out);
         }
     }
     Ok(count as f64 / from.elapsed().as_secs_f64())
@@ -242,12 +242,12 @@
     let acting = Hosts::start(hosts, &referee);
     let discovery = Discovery::start();
     (0..hosts).for_each(|h| discovery.change(acting.member(h, "active")));
-    let papers = papers("plan", &acting, &discovery, seed);
+    let node_config = node_config("plan", &acting, &discovery, seed);
     let text =
         "papers = \"PAPERS\"\n[plan]\nname = \"p0\"\nlisten = \"127.0.0.1:0\"\nsettle = \"0s\"\n\
         [[planner]]\nname = \"p0\"\naddress = \"127.0.0.1:1\"\n";
-    let node = Node::start_as("plan", text, &papers);
-    let (_, terms) = reedferry_settings::from_value(papers["settings"].clone())?;
+    let node = Node::start_as("plan", text, &node_config);
+    let (_, terms) = reedferry_settings::from_value(node_config["settings"].clone())?;
     let fingerprint = reedferry_control_plane::fingerprint(terms.names());
     // Several at once, so that none of them is what is measured.
     let speak = |n: u64| -> Result<u64, String> {
@@ -258,7 +258,7 @@
     for round in 0..ROUNDS {
         module = f64::max(
             module,
-            alone(count, open, hosts, &papers["settings"], seed + round)?,
+            alone(count, open, hosts, &node_config["settings"], seed + round)?,
         );
         let (from, speak) = (Instant::now(), &speak);
         let handed: u64 = std::thread::scope(|scope| {
--- a/testkit/src/view.rs
+++ b/testkit/src/view.rs
@@ -1,7 +1,7 @@
 //! A fleet whose processes keep a view of each other over ways that can be spoilt: how they are started so, what they
 //! say of the view, and the measurement of it. It owns what is promised of the view. It must never judge a rule by what a process says of itself.
 
-use crate::fleet::{Fleet, Terms};
+use crate::fleet::{Fleet, FleetOptions};
 use crate::two_tier::Found;
 use crate::ways::Ways;
 use crate::Discovery;
@@ -19,7 +19,7 @@
 
 impl View {
     /// The operator's file of a node.
-    pub fn articles(&self, node: usize) -> String {
+    pub fn operator_config(&self, node: usize) -> String {
         let (face, behind) = (self.ways.faces[node], self.ways.behind[node]);
         let seeds: Vec<String> = self
             .seeds
@@ -120,7 +120,7 @@
         period,
         seeds: (0..3.min(nodes)).collect(),
     };
-    let mut fleet = Fleet::new(nodes, service.address, Terms::TRIAL).with_view(view);
+    let mut fleet = Fleet::new(nodes, service.address, FleetOptions::TRIAL).with_view(view);
     fleet.start(&(0..nodes).collect::<Vec<_>>(), &[], 0);
     (service, fleet)
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -22,12 +22,12 @@
     asked: Vec<Asked>,
     next: u64,
     /// The clients by their attachments, and those that were sent away: when they come again, and where.
-    keys: HashMap<AttachmentId, u64>,
+    keys: HashMap<RequestId, u64>,
     away: VecDeque<(Nanos, usize, u64)>,
 }
 
 impl Fleet {
-    fn new(nodes: usize, charter: impl Fn(u32) -> Charter) -> Fleet {
+    fn new(nodes: usize, settings: impl Fn(u32) -> BalancerSettings) -> Fleet {
         let (made, keys, away) = (Vec::new(), HashMap::new(), VecDeque::new());
         let (wakes, asked) = (Vec::new(), Vec::new());
         let mut fleet = Fleet {
@@ -41,10 +41,10 @@
         };
         for node in 0..nodes {
             let mut out = Vec::new();
-            let charter = charter(node as u32);
+            let settings = settings(node as u32);
             fleet
                 .nodes
-                .push(Balancer::new(charter, 77 + node as u64, START, &mut out));
+                .push(Balancer::new(settings, 77 + node as u64, START, &mut out));
             fleet.note(node, out);
         }
         fleet
@@ -52,7 +52,7 @@
 
     fn note(&mut self, node: usize, out: Vec<Action>) {
         for action in out {
-            if let Action::WakeAt { time, mark } = action {
+            if let Action::SetTimer { time, timer: mark } = action {
                 self.wakes.push((time, node, mark));
             }
             self.asked.push(Asked {
@@ -70,13 +70,13 @@
         out
     }
 
-    fn list(&mut self, kind: RollKind, hosts: &[Listing]) {
+    fn list(&mut self, kind: EndpointUpdate, hosts: &[Endpoint]) {
         for node in 0..self.nodes.len() {
             self.tell(
                 node,
-                Event::Roll {
+                Event::EndpointsUpdated {
                     kind,
-                    hosts: hosts.to_vec(),
+                    endpoints: hosts.to_vec(),
                 },
             );
         }
@@ -98,9 +98,9 @@
                 self.comes(node, key);
             }
             self.now = self.now.max(time);
-            for action in self.tell(node, Event::Timer { mark }) {
-                if let Action::Move { id } = action {
-                    self.ended(node, id, Ending::CalledOff);
+            for action in self.tell(node, Event::TimerFired { timer: mark }) {
+                if let Action::Migrate { id } = action {
+                    self.ended(node, id, AttemptOutcome::Cancelled);
                     // It comes again soon, to another node of its zone, where nodes take zones in turn.
                     let other = (node + 36) % self.nodes.len();
                     self.away
@@ -111,18 +111,18 @@
         self.now = end;
     }
 
-    fn ended(&mut self, node: usize, id: AttachmentId, ending: Ending) {
+    fn ended(&mut self, node: usize, id: RequestId, ending: AttemptOutcome) {
         // Every host that stands in these tests is host 1 where it matters.
-        let (hand_off, host, gauges) = (0, HostId(1), Vec::new());
+        let (attempt, host, load_metrics) = (0, HostId(1), Vec::new());
         self.tell(
             node,
-            Event::Ended {
+            Event::AttemptEnded {
                 id,
-                hand_off,
+                attempt,
                 host,
-                over: true,
+                request_over: true,
                 ending,
-                gauges,
+                load_metrics,
             },
         );
     }
@@ -134,26 +134,26 @@
 
     /// A client comes to a node; its set-up stands at once. Gives the host.
     fn comes(&mut self, node: usize, key: u64) -> Option<HostId> {
-        let id = AttachmentId(self.next);
+        let id = RequestId(self.next);
         self.next += 1;
         self.keys.insert(id, key);
         let (key, time_left) = (Some(key), 3 * SECOND);
         let out = self.tell(
             node,
-            Event::Arrived(Arrival {
+            Event::RequestArrived(IncomingRequest {
                 id,
                 key,
                 time_left,
-                ..Arrival::default()
+                ..IncomingRequest::default()
             }),
         );
         let host = out.iter().find_map(|a| match a {
-            Action::HandOff { host, .. } => Some(*host),
+            Action::StartAttempt { host, .. } => Some(*host),
             _ => None,
         })?;
         self.tell(
             node,
-            Event::Begun {
+            Event::ConnectionEstablished {
                 id,
                 took: 20 * MILLI,
             },
@@ -191,60 +191,60 @@
     }
 }
 
-fn charter(node: u32, nodes: u32) -> Charter {
-    Charter {
-        node,
-        nodes,
-        offerings: vec![Offering::default()],
-        roll_on_request: true,
-        longest_expiry: 3 * SECOND,
-        cold: 20 * SECOND,
-        cold_from: 0.1,
-        ..Charter::default()
+fn settings(node: u32, nodes: u32) -> BalancerSettings {
+    BalancerSettings {
+        node_index: node,
+        node_count: nodes,
+        classes: vec![RequestClass::default()],
+        endpoints_are_polled: true,
+        max_request_timeout: 3 * SECOND,
+        warm_up: 20 * SECOND,
+        warm_up_initial_share: 0.1,
+        ..BalancerSettings::default()
     }
 }
 
-fn host(id: u64) -> Listing {
-    Listing {
+fn host(id: u64) -> Endpoint {
+    Endpoint {
         id: HostId(id),
-        standing: Standing::Ready,
+        state: HostState::Ready,
         size: 2.0,
-        ..Listing::default()
+        ..Endpoint::default()
     }
 }
 
 fn to(host: u64) -> impl Fn(&Action) -> bool {
-    move |a| matches!(a, Action::HandOff { host: h, .. } if h.0 == host)
+    move |a| matches!(a, Action::StartAttempt { host: h, .. } if h.0 == host)
 }
 
 /// Guards: a host that drains, whose clients a hundred nodes send away in one half second, one each, so that
 /// the hosts that stay and the store that all set-ups share are stormed.
 #[test]
 fn the_clients_of_a_host_that_drains_leave_it_evenly() {
-    let mut fleet = Fleet::new(100, |node| charter(node, 100));
-    fleet.list(RollKind::Cached, &[host(1)]);
+    let mut fleet = Fleet::new(100, |node| settings(node, 100));
+    fleet.list(EndpointUpdate::Cached, &[host(1)]);
     for node in 0..100 {
         assert_eq!(fleet.client(node), Some(HostId(1)));
     }
     fleet.pass(SECOND);
     fleet.list(
-        RollKind::Changes,
-        &[Listing {
-            standing: Standing::Draining,
+        EndpointUpdate::Delta,
+        &[Endpoint {
+            state: HostState::Draining,
             ..host(1)
         }],
     );
     fleet.pass(2 * SECOND);
     // A host that drains is told of again now and then.
     fleet.list(
-        RollKind::Changes,
-        &[Listing {
-            standing: Standing::Draining,
+        EndpointUpdate::Delta,
+        &[Endpoint {
+            state: HostState::Draining,
             ..host(1)
         }],
     );
     fleet.pass(1600 * MILLI);
-    let moved = |a: &Action| matches!(a, Action::Move { .. });
+    let moved = |a: &Action| matches!(a, Action::Migrate { .. });
     assert_eq!(fleet.nodes_that(moved), 100, "clients left to be cut off");
     let most = fleet.most(SECOND, moved);
     assert!(most <= 50, "{most} clients sent away within a second");
@@ -253,17 +253,17 @@
 /// Hosts 1 to 4 warm and with two clients a node, then host 9 comes back cold; `clients` says who comes in
 /// each of the `steps` of 50 ms.
 fn cold_host(nodes: u32, steps: u64, clients: impl Fn(u64) -> Vec<usize>) -> Fleet {
-    let mut fleet = Fleet::new(nodes as usize, |node| charter(node, nodes));
-    fleet.list(RollKind::Cached, &[host(1), host(2), host(3), host(4)]);
+    let mut fleet = Fleet::new(nodes as usize, |node| settings(node, nodes));
+    fleet.list(EndpointUpdate::Cached, &[host(1), host(2), host(3), host(4)]);
     for node in 0..2 * nodes as usize {
         fleet.client(node % nodes as usize);
     }
     fleet.pass(20 * SECOND);
-    let back = Listing {
+    let back = Endpoint {
         started: Some(fleet.now - SECOND),
         ..host(9)
     };
-    fleet.list(RollKind::Changes, &[back]);
+    fleet.list(EndpointUpdate::Delta, &[back]);
     for step in 0..steps {
         for node in clients(step) {
             fleet.client(node);
@@ -335,45 +335,45 @@
 #[test]
 fn a_cold_host_is_not_pushed_over_by_a_process_and_the_next() {
     let hosts = [host(1), host(2), host(3), host(4)];
-    let mut fleet = Fleet::new(2, |node| charter(node, 2));
-    fleet.list(RollKind::Cached, &hosts);
+    let mut fleet = Fleet::new(2, |node| settings(node, 2));
+    fleet.list(EndpointUpdate::Cached, &hosts);
     (0..200).for_each(|n| _ = fleet.client(n % 2));
     fleet.pass(20 * SECOND);
-    let back = Listing {
+    let back = Endpoint {
         started: Some(fleet.now - SECOND),
         ..host(9)
     };
-    fleet.list(RollKind::Changes, &[back]);
+    fleet.list(EndpointUpdate::Delta, &[back]);
     for step in 0..100 {
         // A new process for node 0 in the middle of each second, which both then take clients for.
         if step % 20 == 10 {
             let predecessor = fleet.nodes.len() - 1 - usize::from(fleet.nodes.len() == 2);
             let legacy = Box::new(fleet.nodes[predecessor].leave());
-            fleet.tell(predecessor, Event::Successor(true));
+            fleet.tell(predecessor, Event::SuccessorChanged(true));
             let mut out = Vec::new();
             fleet
                 .nodes
-                .push(Balancer::new(charter(0, 2), step, fleet.now, &mut out));
+                .push(Balancer::new(settings(0, 2), step, fleet.now, &mut out));
             let successor = fleet.nodes.len() - 1;
             fleet.note(successor, out);
             let mut all = hosts.to_vec();
             all.push(back);
             fleet.tell(
                 successor,
-                Event::Roll {
-                    kind: RollKind::Cached,
-                    hosts: all,
+                Event::EndpointsUpdated {
+                    kind: EndpointUpdate::Cached,
+                    endpoints: all,
                 },
             );
-            fleet.tell(successor, Event::Inherited(legacy));
+            fleet.tell(successor, Event::StateInherited(legacy));
             for n in 0..100 {
-                let arrival = Arrival {
-                    id: AttachmentId(1 << 40 | step << 20 | n),
-                    ..Arrival::default()
+                let incoming = IncomingRequest {
+                    id: RequestId(1 << 40 | step << 20 | n),
+                    ..IncomingRequest::default()
                 };
                 fleet.tell(
                     successor,
-                    Event::PassedOn(arrival, HostId(n % 4 + 1), START),
+                    Event::ConnectionHandedOver(incoming, HostId(n % 4 + 1), START),
                 );
             }
         }
@@ -383,16 +383,16 @@
                 let Some(host) = fleet.client(node) else {
                     continue;
                 };
-                let (id, ending, gauges) = (AttachmentId(fleet.next - 1), Ending::Done, Vec::new());
+                let (id, ending, load_metrics) = (RequestId(fleet.next - 1), AttemptOutcome::Completed, Vec::new());
                 fleet.tell(
                     node,
-                    Event::Ended {
+                    Event::AttemptEnded {
                         id,
-                        hand_off: 0,
+                        attempt: 0,
                         host,
-                        over: true,
+                        request_over: true,
                         ending,
-                        gauges,
+                        load_metrics,
                     },
                 );
             }
@@ -418,11 +418,11 @@
     fleet.pass(20 * SECOND);
     let moved = fleet.asked[before..]
         .iter()
-        .filter(|a| matches!(a.action, Action::Move { .. }))
+        .filter(|a| matches!(a.action, Action::Migrate { .. }))
         .count();
     // 200 clients on five hosts of one size.
     assert!((25..=55).contains(&moved), "{moved} of 200 sent on");
-    let most = fleet.most(SECOND, |a| matches!(a, Action::Move { .. }));
+    let most = fleet.most(SECOND, |a| matches!(a, Action::Migrate { .. }));
     assert!(most <= 20, "{most} sent on within a second");
     let there = fleet.asked[before..]
         .iter()
@@ -435,12 +435,12 @@
 /// hosts, finds them on its first list and so takes them for hosts like the rest, of which it uses few.
 #[test]
 fn clients_are_led_to_new_hosts_by_nodes_that_started_after_these() {
-    let mut fleet = Fleet::new(100, |node| charter(node, 100));
-    let mut hosts: Vec<Listing> = (1..=20).map(host).collect();
-    fleet.list(RollKind::Cached, &hosts);
+    let mut fleet = Fleet::new(100, |node| settings(node, 100));
+    let mut hosts: Vec<Endpoint> = (1..=20).map(host).collect();
+    fleet.list(EndpointUpdate::Cached, &hosts);
     (0..1000).for_each(|n| _ = fleet.client(n % 100));
     fleet.pass(10 * SECOND);
-    hosts.extend((21..=40).map(|id| Listing {
+    hosts.extend((21..=40).map(|id| Endpoint {
         started: Some(fleet.now),
         ..host(id)
     }));
@@ -452,37 +452,37 @@
             .iter()
             .filter(|a| a.node == node)
             .filter_map(|a| match a.action {
-                Action::HandOff { id, host, .. } => Some((id, host)),
+                Action::StartAttempt { id, host, .. } => Some((id, host)),
                 _ => None,
             });
-        let open: Vec<(AttachmentId, HostId)> = open.collect();
+        let open: Vec<(RequestId, HostId)> = open.collect();
         let mut out = Vec::new();
         fleet.nodes[node] =
-            Balancer::new(charter(node as u32, 100), node as u64, fleet.now, &mut out);
+            Balancer::new(settings(node as u32, 100), node as u64, fleet.now, &mut out);
         fleet.note(node, out);
         fleet.tell(
             node,
-            Event::Roll {
-                kind: RollKind::Cached,
-                hosts: hosts.clone(),
+            Event::EndpointsUpdated {
+                kind: EndpointUpdate::Cached,
+                endpoints: hosts.clone(),
             },
         );
         for (id, host) in open {
-            let arrival = Arrival {
+            let incoming = IncomingRequest {
                 id,
                 key: Some(fleet.keys[&id]),
-                ..Arrival::default()
+                ..IncomingRequest::default()
             };
-            fleet.tell(node, Event::PassedOn(arrival, host, START));
+            fleet.tell(node, Event::ConnectionHandedOver(incoming, host, START));
         }
     }
     let before = fleet.asked.len();
     fleet.pass(12 * SECOND);
     let moved = fleet.asked[before..]
         .iter()
-        .filter(|a| matches!(a.action, Action::Move { .. }))
+        .filter(|a| matches!(a.action, Action::Migrate { .. }))
         .count();
-    let new = |a: &&Asked| matches!(a.action, Action::HandOff { host, .. } if host.0 > 20);
+    let new = |a: &&Asked| matches!(a.action, Action::StartAttempt { host, .. } if host.0 > 20);
     let there = fleet.asked[before..].iter().filter(new).count();
     assert!(
         moved >= 200 && 10 * there >= 9 * moved,
@@ -494,45 +494,45 @@
 /// nodes that each tried them again.
 #[test]
 fn a_host_that_took_no_connection_is_cold_when_it_takes_them_again() {
-    let mut fleet = Fleet::new(100, |node| charter(node, 100));
-    fleet.list(RollKind::Cached, &[host(1), host(2), host(3)]);
+    let mut fleet = Fleet::new(100, |node| settings(node, 100));
+    fleet.list(EndpointUpdate::Cached, &[host(1), host(2), host(3)]);
     for node in 0..200 {
         fleet.client(node % 100);
     }
     // Every node finds that host 3 takes no connection.
     for node in 0..100 {
         for _ in 0..20 {
-            let id = AttachmentId(fleet.next);
+            let id = RequestId(fleet.next);
             fleet.next += 1;
             let (key, time_left) = (Some(fleet.next * 0x9E37_79B9), 3 * SECOND);
             let out = fleet.tell(
                 node,
-                Event::Arrived(Arrival {
+                Event::RequestArrived(IncomingRequest {
                     id,
                     key,
                     time_left,
-                    ..Arrival::default()
+                    ..IncomingRequest::default()
                 }),
             );
             let sent = out.iter().find_map(|a| match a {
-                Action::HandOff { host, .. } => Some(*host),
+                Action::StartAttempt { host, .. } => Some(*host),
                 _ => None,
             });
             let Some(to) = sent else { continue };
             if to != HostId(3) {
-                fleet.ended(node, id, Ending::CalledOff);
+                fleet.ended(node, id, AttemptOutcome::Cancelled);
                 continue;
             }
-            let (ending, gauges) = (Ending::Unconnected, Vec::new());
+            let (ending, load_metrics) = (AttemptOutcome::ConnectFailed, Vec::new());
             fleet.tell(
                 node,
-                Event::Ended {
+                Event::AttemptEnded {
                     id,
-                    hand_off: 0,
+                    attempt: 0,
                     host: to,
-                    over: false,
+                    request_over: false,
                     ending,
-                    gauges,
+                    load_metrics,
                 },
             );
             break;
@@ -557,13 +557,13 @@
 
 /// A hundred nodes and a list service that answers each call after a second, a failure until `well`.
 fn calls(well: Nanos, end: Nanos) -> Vec<(Nanos, usize)> {
-    let mut fleet = Fleet::new(100, |node| charter(node, 100));
-    fleet.list(RollKind::Cached, &[host(1), host(2)]);
+    let mut fleet = Fleet::new(100, |node| settings(node, 100));
+    fleet.list(EndpointUpdate::Cached, &[host(1), host(2)]);
     let (mut seen, mut calls) = (0, Vec::new());
     while fleet.now < START + end {
         fleet.pass(100 * MILLI);
         for asked in &fleet.asked[seen..] {
-            if asked.action == Action::FollowRoll {
+            if asked.action == Action::WatchEndpoints {
                 calls.push((asked.at - START, asked.node));
             }
         }
@@ -576,15 +576,15 @@
         let answered: Vec<usize> = calls.iter().filter(due).map(|&(_, node)| node).collect();
         for node in answered {
             let kind = if fleet.now < START + well {
-                RollKind::Failed
+                EndpointUpdate::Failed
             } else {
-                RollKind::Changes
+                EndpointUpdate::Delta
             };
             fleet.tell(
                 node,
-                Event::Roll {
+                Event::EndpointsUpdated {
                     kind,
-                    hosts: Vec::new(),
+                    endpoints: Vec::new(),
                 },
             );
         }
@@ -626,22 +626,22 @@
 /// Guards: one zone with most clients, overrun beside another whose hosts are all new and stay empty.
 #[test]
 fn a_zone_whose_hosts_are_all_new_takes_clients_of_the_others() {
-    let mut fleet = Fleet::new(100, |node| Charter {
-        cross_zone_charge: 0.1,
-        ..charter(node, 100)
+    let mut fleet = Fleet::new(100, |node| BalancerSettings {
+        cross_zone_cost: 0.1,
+        ..settings(node, 100)
     });
-    fleet.list(RollKind::Cached, &[host(1), host(2)]);
+    fleet.list(EndpointUpdate::Cached, &[host(1), host(2)]);
     for node in 0..200 {
         fleet.client(node % 100);
     }
     fleet.pass(10 * SECOND);
     let started = Some(fleet.now);
-    let new = [7, 8, 9].map(|id| Listing {
+    let new = [7, 8, 9].map(|id| Endpoint {
         started,
         zone: 1,
         ..host(id)
     });
-    fleet.list(RollKind::Changes, &new);
+    fleet.list(EndpointUpdate::Delta, &new);
     for step in 0..200 {
         fleet.client(step * 37 % 100);
         fleet.pass(50 * MILLI);
@@ -662,35 +662,35 @@
     for zones in [6, 1] {
         let term = |node| {
             let zone = zone(u64::from(node) % zones);
-            Charter {
+            BalancerSettings {
                 zone,
-                cross_zone_charge: 0.1,
-                ..charter(node, 300)
+                cross_zone_cost: 0.1,
+                ..settings(node, 300)
             }
         };
         let mut fleet = Fleet::new(300, term);
-        let mut hosts: Vec<Listing> = (1..=60)
-            .map(|n| Listing {
+        let mut hosts: Vec<Endpoint> = (1..=60)
+            .map(|n| Endpoint {
                 zone: zone(n),
                 ..host(n)
             })
             .collect();
-        fleet.list(RollKind::Cached, &hosts);
+        fleet.list(EndpointUpdate::Cached, &hosts);
         (0..1800).for_each(|n| _ = fleet.client(n % 300));
         fleet.pass(10 * SECOND);
         for old in &mut hosts[30..] {
-            old.standing = Standing::Gone;
+            old.state = HostState::Gone;
         }
         let started = Some(fleet.now);
-        hosts.extend((61..=90).map(|n| Listing {
+        hosts.extend((61..=90).map(|n| Endpoint {
             zone: zone(n),
             started,
             ..host(n)
         }));
-        fleet.list(RollKind::Changes, &hosts);
+        fleet.list(EndpointUpdate::Delta, &hosts);
         let before = fleet.asked.len();
         fleet.pass(9 * SECOND);
-        let new = |a: &&Asked| matches!(a.action, Action::HandOff { host, .. } if host.0 > 60);
+        let new = |a: &&Asked| matches!(a.action, Action::StartAttempt { host, .. } if host.0 > 60);
         let there = fleet.asked[before..].iter().filter(new).count();
         assert!(
             there >= 350,
@@ -715,45 +715,45 @@
 /// these fill as it is; and a wild setting that ends a node.
 #[test]
 fn nobody_is_led_where_reports_tell_loads_or_the_nodes_are_few() {
-    let reports = |c: Charter| Charter {
-        probe_for_gauges: true,
-        gauges: vec![Gauge::Load],
+    let reports = |c: BalancerSettings| BalancerSettings {
+        load_from_probes: true,
+        load_metrics: vec![LoadMetric::Load],
         ..c
     };
     for (nodes, reported, led) in [(100, false, true), (100, true, false), (11, false, false)] {
         let term = |node| {
             if reported {
-                reports(charter(node, nodes))
+                reports(settings(node, nodes))
             } else {
-                charter(node, nodes)
+                settings(node, nodes)
             }
         };
         let mut fleet = Fleet::new(nodes as usize, term);
-        fleet.list(RollKind::Cached, &[host(1), host(2)]);
+        fleet.list(EndpointUpdate::Cached, &[host(1), host(2)]);
         for node in 0..2 * nodes as usize {
             fleet.client(node % nodes as usize);
         }
         fleet.pass(5 * SECOND);
         let started = Some(fleet.now);
-        fleet.list(RollKind::Changes, &[Listing { started, ..host(9) }]);
+        fleet.list(EndpointUpdate::Delta, &[Endpoint { started, ..host(9) }]);
         fleet.pass(15 * SECOND);
-        let moved = fleet.nodes_that(|a| matches!(a, Action::Move { .. }));
+        let moved = fleet.nodes_that(|a| matches!(a, Action::Migrate { .. }));
         assert_eq!(
             moved > 0,
             led,
             "{nodes} nodes, reports {reported}: {moved} sent clients on"
         );
     }
-    let wild = |node| Charter {
-        tip_after: 9_000_000_000_000_000_000,
-        ..charter(node, 100)
+    let wild = |node| BalancerSettings {
+        overload_window: 9_000_000_000_000_000_000,
+        ..settings(node, 100)
     };
     let mut fleet = Fleet::new(2, wild);
-    fleet.list(RollKind::Cached, &[host(1)]);
+    fleet.list(EndpointUpdate::Cached, &[host(1)]);
     assert_eq!(fleet.client(0), Some(HostId(1)));
     fleet.list(
-        RollKind::Changes,
-        &[Listing {
+        EndpointUpdate::Delta,
+        &[Endpoint {
             started: Some(fleet.now),
             ..host(9)
         }],
@@ -784,16 +784,16 @@
             rng.random_range(4..20)
         };
         let held = (held * nodes as usize).min(600);
-        let mut fleet = Fleet::new(nodes as usize, |node| charter(node, nodes));
-        let warm: Vec<Listing> = (1..=4).map(host).collect();
-        fleet.list(RollKind::Cached, &warm);
+        let mut fleet = Fleet::new(nodes as usize, |node| settings(node, nodes));
+        let warm: Vec<Endpoint> = (1..=4).map(host).collect();
+        fleet.list(EndpointUpdate::Cached, &warm);
         (0..held).for_each(|n| _ = fleet.client(n % nodes as usize));
         fleet.pass(10 * SECOND);
-        let back = Listing {
+        let back = Endpoint {
             started: Some(fleet.now),
             ..host(9)
         };
-        fleet.list(RollKind::Changes, &[back]);
+        fleet.list(EndpointUpdate::Delta, &[back]);
         let start = fleet.now;
         let busy = rng.random_range(0.05..1.0);
         for _ in 0..120 {
@@ -807,17 +807,17 @@
                     node
                 };
                 if let Some(host) = fleet.client(node) {
-                    let (id, ending, gauges) =
-                        (AttachmentId(fleet.next - 1), Ending::Done, Vec::new());
+                    let (id, ending, load_metrics) =
+                        (RequestId(fleet.next - 1), AttemptOutcome::Completed, Vec::new());
                     fleet.tell(
                         node,
-                        Event::Ended {
+                        Event::AttemptEnded {
                             id,
-                            hand_off: 0,
+                            attempt: 0,
                             host,
-                            over: true,
+                            request_over: true,
                             ending,
-                            gauges,
+                            load_metrics,
                         },
                     );
                 }
@@ -828,7 +828,7 @@
                 fleet.wakes.retain(|(_, of, _)| *of != node);
                 let mut out = Vec::new();
                 fleet.nodes[node] = Balancer::new(
-                    charter(node as u32, nodes),
+                    settings(node as u32, nodes),
                     rng.random(),
                     fleet.now,
                     &mut out,
@@ -838,9 +838,9 @@
                 all.push(back);
                 fleet.tell(
                     node,
-                    Event::Roll {
-                        kind: RollKind::Cached,
-                        hosts: all,
+                    Event::EndpointsUpdated {
+                        kind: EndpointUpdate::Cached,
+                        endpoints: all,
                     },
                 );
                 (0..held / nodes as usize).for_each(|_| _ = fleet.client(node));
--- a/tests/late_messages.rs
+++ b/tests/late_messages.rs
@@ -17,26 +17,26 @@
     now: Nanos,
     next: u64,
     wakes: Vec<(Nanos, u64)>,
-    held: HashMap<AttachmentId, HostId>,
+    held: HashMap<RequestId, HostId>,
 }
 
 impl Node {
     fn start() -> Self {
-        let offering = Offering {
-            contract_time: SECOND,
-            message_time: WANTED,
-            ..Offering::default()
+        let class = RequestClass {
+            latency_objective: SECOND,
+            message_latency_objective: WANTED,
+            ..RequestClass::default()
         };
-        let charter = Charter {
-            nodes: 1,
-            offerings: vec![offering],
-            most_hand_offs: 3,
-            longest_expiry: 2 * SECOND,
-            longest_advice: SECOND,
-            ..Charter::default()
+        let settings = BalancerSettings {
+            node_count: 1,
+            classes: vec![class],
+            max_attempts: 3,
+            max_request_timeout: 2 * SECOND,
+            max_retry_after: SECOND,
+            ..BalancerSettings::default()
         };
         let mut out = Vec::new();
-        let module = Balancer::new(charter, 7, START, &mut out);
+        let module = Balancer::new(settings, 7, START, &mut out);
         let (wakes, held) = (Vec::new(), HashMap::new());
         let mut node = Node {
             module,
@@ -46,15 +46,15 @@
             held,
         };
         node.carry_out(out);
-        let listing = |id| Listing {
+        let listing = |id| Endpoint {
             id,
-            standing: Standing::Ready,
+            state: HostState::Ready,
             size: 1.0,
-            ..Listing::default()
+            ..Endpoint::default()
         };
-        node.tell(Event::Roll {
-            kind: RollKind::Full,
-            hosts: HOSTS.map(listing).to_vec(),
+        node.tell(Event::EndpointsUpdated {
+            kind: EndpointUpdate::Full,
+            endpoints: HOSTS.map(listing).to_vec(),
         });
         node
     }
@@ -69,33 +69,33 @@
     fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::HandOff { id, host, .. } => {
+                Action::StartAttempt { id, host, .. } => {
                     self.held.insert(id, host);
-                    self.tell(Event::Begun { id, took: MILLI });
+                    self.tell(Event::ConnectionEstablished { id, took: MILLI });
                 }
-                Action::Move { id } => self.leaves(id),
-                Action::WakeAt { time, mark } => self.wakes.push((time, mark)),
+                Action::Migrate { id } => self.leaves(id),
+                Action::SetTimer { time, timer: mark } => self.wakes.push((time, mark)),
                 _ => {}
             }
         }
     }
 
-    fn leaves(&mut self, id: AttachmentId) {
+    fn leaves(&mut self, id: RequestId) {
         let Some(host) = self.held.remove(&id) else {
             return;
         };
-        let (hand_off, ending, gauges) = (0, Ending::Done, Vec::new());
-        self.tell(Event::Ended {
+        let (attempt, ending, load_metrics) = (0, AttemptOutcome::Completed, Vec::new());
+        self.tell(Event::AttemptEnded {
             id,
-            hand_off,
+            attempt,
             host,
-            over: true,
+            request_over: true,
             ending,
-            gauges,
+            load_metrics,
         });
     }
 
-    fn held_at(&self, host: HostId) -> Vec<AttachmentId> {
+    fn held_at(&self, host: HostId) -> Vec<RequestId> {
         let mut held: Vec<_> = self
             .held
             .iter()
@@ -116,11 +116,11 @@
     fn come(&mut self, count: u64) {
         for _ in 0..count {
             self.next += 1;
-            let id = AttachmentId(self.next);
-            self.tell(Event::Arrived(Arrival {
+            let id = RequestId(self.next);
+            self.tell(Event::RequestArrived(IncomingRequest {
                 id,
                 time_left: 2 * SECOND,
-                ..Arrival::default()
+                ..IncomingRequest::default()
             }));
         }
     }
@@ -136,15 +136,15 @@
         {
             self.wakes.retain(|wake| *wake != next);
             self.now = self.now.max(next.0);
-            self.tell(Event::Timer { mark: next.1 });
+            self.tell(Event::TimerFired { timer: next.1 });
         }
         self.now = until;
     }
 
     fn was_late(&mut self) {
-        self.tell(Event::MessageTime {
+        self.tell(Event::MessageLatency {
             host: ONCE_LATE,
-            time: LATE,
+            latency: LATE,
         });
     }
 }
--- a/tests/patience.rs
+++ b/tests/patience.rs
@@ -15,34 +15,34 @@
 }
 
 impl Node {
-    fn start(probe_for_gauges: bool) -> Self {
-        let offering = Offering {
-            contract_time: CONTRACT,
-            ..Offering::default()
+    fn start(load_from_probes: bool) -> Self {
+        let class = RequestClass {
+            latency_objective: CONTRACT,
+            ..RequestClass::default()
         };
-        let charter = Charter {
-            nodes: 300,
-            offerings: vec![offering],
-            most_hand_offs: 3,
-            longest_expiry: EXPIRY,
-            longest_advice: SECOND,
-            probe_for_gauges,
-            ..Charter::default()
+        let settings = BalancerSettings {
+            node_count: 300,
+            classes: vec![class],
+            max_attempts: 3,
+            max_request_timeout: EXPIRY,
+            max_retry_after: SECOND,
+            load_from_probes,
+            ..BalancerSettings::default()
         };
         let mut out = Vec::new();
-        let mut module = Balancer::new(charter, 7, START, &mut out);
-        let listing = |id| Listing {
+        let mut module = Balancer::new(settings, 7, START, &mut out);
+        let listing = |id| Endpoint {
             id: HostId(id),
-            standing: Standing::Ready,
+            state: HostState::Ready,
             size: 1.0,
-            ..Listing::default()
+            ..Endpoint::default()
         };
         let hosts = (1..=HOSTS).map(listing).collect();
         module.handle(
             START,
-            Event::Roll {
-                kind: RollKind::Full,
-                hosts,
+            Event::EndpointsUpdated {
+                kind: EndpointUpdate::Full,
+                endpoints: hosts,
             },
             &mut out,
         );
@@ -52,28 +52,28 @@
     /// How long the set-up of a request that comes now is waited for; it succeeds, and the client leaves.
     fn waits_at(&mut self, now: Nanos) -> Nanos {
         self.next += 1;
-        let id = AttachmentId(self.next);
-        let arrival = Arrival {
+        let id = RequestId(self.next);
+        let incoming = IncomingRequest {
             id,
             time_left: EXPIRY,
-            ..Arrival::default()
+            ..IncomingRequest::default()
         };
         let mut out = Vec::new();
-        self.module.handle(now, Event::Arrived(arrival), &mut out);
+        self.module.handle(now, Event::RequestArrived(incoming), &mut out);
         let waits = out.iter().find_map(|action| match action {
-            Action::HandOff { until, host, .. } => Some((until - now, *host)),
+            Action::StartAttempt { until, host, .. } => Some((until - now, *host)),
             _ => None,
         });
         let (waits, host) = waits.expect("it is handed to a host");
-        let ended = Event::Ended {
+        let ended = Event::AttemptEnded {
             id,
-            hand_off: 0,
+            attempt: 0,
             host,
-            over: true,
-            ending: Ending::Done,
-            gauges: Vec::new(),
+            request_over: true,
+            ending: AttemptOutcome::Completed,
+            load_metrics: Vec::new(),
         };
-        for event in [Event::Begun { id, took: MILLI }, ended] {
+        for event in [Event::ConnectionEstablished { id, took: MILLI }, ended] {
             self.module.handle(now + MILLI, event, &mut Vec::new());
         }
         waits
