--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -17,18 +17,18 @@
 /// A request, as its client and its hosts see it.
 #[derive(Clone)]
 struct Request {
-    arrival: Arrival,
-    offering: Offering,
-    expiry: Nanos,
-    most_hand_offs: u32,
-    hand_offs: u32,
+    incoming: IncomingRequest,
+    class: RequestClass,
+    deadline: Nanos,
+    max_attempts: u32,
+    attempts: u32,
     /// The attempt that is out, with its limit, or the connection that stands.
     at: Option<(HostId, Nanos)>,
     sent: Nanos,
     begun: Option<Nanos>,
     moved: bool,
     /// The first attempt that may have run.
-    ran: Option<(Listing, Nanos)>,
+    ran: Option<(Endpoint, Nanos)>,
     tried: Vec<HostId>,
     client_gone: bool,
 }
@@ -37,9 +37,9 @@
     seed: u64,
     rng: ChaCha8Rng,
     now: Nanos,
-    charter: Charter,
+    settings: BalancerSettings,
     node: Balancer,
-    hosts: BTreeMap<u64, Listing>,
+    hosts: BTreeMap<u64, Endpoint>,
     requests: BTreeMap<u64, Request>,
     next_request: u64,
     wakes: Vec<(Nanos, u64)>,
@@ -48,61 +48,61 @@
     handling: bool,
 }
 
-fn offering(rng: &mut ChaCha8Rng) -> Offering {
-    Offering {
-        effect: *[Effect::Redoable, Effect::Labelled, Effect::Irreversible]
+fn class(rng: &mut ChaCha8Rng) -> RequestClass {
+    RequestClass {
+        idempotency: *[Idempotency::Idempotent, Idempotency::WithKey, Idempotency::NonIdempotent]
             .choose(rng)
             .unwrap(),
-        circle: *[Circle::All, Circle::Zone, Circle::Cell]
+        idempotency_group: *[IdempotencyGroup::All, IdempotencyGroup::Zone, IdempotencyGroup::Cell]
             .choose(rng)
             .unwrap(),
-        window: rng.random_range(0..3 * SECOND),
-        payoff: *[0.0, 0.1, 1.0, 30.0].choose(rng).unwrap(),
-        contract_time: *[MILLI, 100 * MILLI, SECOND].choose(rng).unwrap(),
-        message_time: *[0, MILLI, 100 * MILLI, SECOND].choose(rng).unwrap(),
-        offered: true,
+        idempotency_window: rng.random_range(0..3 * SECOND),
+        priority_weight: *[0.0, 0.1, 1.0, 30.0].choose(rng).unwrap(),
+        latency_objective: *[MILLI, 100 * MILLI, SECOND].choose(rng).unwrap(),
+        message_latency_objective: *[0, MILLI, 100 * MILLI, SECOND].choose(rng).unwrap(),
+        active: true,
     }
 }
 
-fn charter(rng: &mut ChaCha8Rng) -> Charter {
+fn settings(rng: &mut ChaCha8Rng) -> BalancerSettings {
     let nodes = *[1, 2, 7, 300, 900].choose(rng).unwrap();
-    let gauges = [vec![], vec![Gauge::Busy, Gauge::Load], vec![Gauge::Backlog]];
-    Charter {
-        node: rng.random_range(0..nodes),
-        nodes,
-        gathers: rng.random_bool(0.1),
-        offerings: (0..rng.random_range(1..4)).map(|_| offering(rng)).collect(),
-        most_hand_offs: rng.random_range(1..5),
-        may_call_off: rng.random(),
-        longest_advice: *[0, SECOND].choose(rng).unwrap(),
-        roll_on_request: rng.random(),
-        ask_within: *[SECOND, 10 * SECOND].choose(rng).unwrap(),
-        cold: *[0, SECOND, 20 * SECOND].choose(rng).unwrap(),
-        cold_from: *[0.0, 0.2, 1.0].choose(rng).unwrap(),
-        tip_after: *[0, 100 * MILLI, SECOND, 5 * SECOND].choose(rng).unwrap(),
-        pass: rng.random_bool(0.2),
-        groups: rng.random(),
-        cross_zone_charge: *[0.0, 0.1].choose(rng).unwrap(),
-        gauges: gauges.choose(rng).unwrap().clone(),
-        probe_for_gauges: rng.random(),
-        peers: rng.random(),
-        ..Charter::default()
+    let load_metrics = [vec![], vec![LoadMetric::Utilization, LoadMetric::Load], vec![LoadMetric::Backlog]];
+    BalancerSettings {
+        node_index: rng.random_range(0..nodes),
+        node_count: nodes,
+        centralized: rng.random_bool(0.1),
+        classes: (0..rng.random_range(1..4)).map(|_| class(rng)).collect(),
+        max_attempts: rng.random_range(1..5),
+        may_cancel: rng.random(),
+        max_retry_after: *[0, SECOND].choose(rng).unwrap(),
+        endpoints_are_polled: rng.random(),
+        max_poll_interval: *[SECOND, 10 * SECOND].choose(rng).unwrap(),
+        warm_up: *[0, SECOND, 20 * SECOND].choose(rng).unwrap(),
+        warm_up_initial_share: *[0.0, 0.2, 1.0].choose(rng).unwrap(),
+        overload_window: *[0, 100 * MILLI, SECOND, 5 * SECOND].choose(rng).unwrap(),
+        passthrough: rng.random_bool(0.2),
+        groups_enabled: rng.random(),
+        cross_zone_cost: *[0.0, 0.1].choose(rng).unwrap(),
+        load_metrics: load_metrics.choose(rng).unwrap().clone(),
+        load_from_probes: rng.random(),
+        gossip_enabled: rng.random(),
+        ..BalancerSettings::default()
     }
 }
 
 impl World {
     fn new(seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let charter = charter(&mut rng);
+        let settings = settings(&mut rng);
         let mut actions = Vec::new();
-        let node = Balancer::new(charter.clone(), seed, START, &mut actions);
+        let node = Balancer::new(settings.clone(), seed, START, &mut actions);
         let (hosts, requests, wakes) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
         let (now, next_request, handling) = (START, 0, false);
         let mut world = World {
             seed,
             rng,
             now,
-            charter,
+            settings,
             node,
             hosts,
             requests,
@@ -139,25 +139,25 @@
     fn hold(&mut self, action: &Action) {
         let seed = self.seed;
         match action {
-            Action::HandOff {
+            Action::StartAttempt {
                 id,
                 host,
                 until,
                 by,
-            } => self.hand_off(id.0, *host, *until, *by),
-            Action::Dismiss { id, wait } => {
+            } => self.attempt(id.0, *host, *until, *by),
+            Action::Reject { id, retry_after: wait } => {
                 let request = self.answered(id.0);
                 assert!(
-                    may_dismiss(&request.offering, request.ran.is_some()),
+                    may_dismiss(&request.class, request.ran.is_some()),
                     "{seed}: {id:?} dismissed"
                 );
                 assert!(
-                    *wait <= self.charter.longest_advice,
+                    *wait <= self.settings.max_retry_after,
                     "{seed}: advice of {wait}"
                 );
             }
-            Action::GiveUp { id } => _ = self.answered(id.0),
-            Action::Move { id } => {
+            Action::Fail { id } => _ = self.answered(id.0),
+            Action::Migrate { id } => {
                 let request = self.requests.get_mut(&id.0).expect("moved after its end");
                 assert!(
                     request.begun.is_some() && !request.moved,
@@ -165,40 +165,40 @@
                 );
                 request.moved = true;
             }
-            Action::CallOff { id, hand_off } => {
+            Action::CancelAttempt { id, attempt } => {
                 let request = &self.requests[&id.0];
                 assert!(
-                    request.client_gone && self.charter.may_call_off,
+                    request.client_gone && self.settings.may_cancel,
                     "{seed}: {id:?} called off"
                 );
                 assert!(
-                    request.begun.is_none() && *hand_off + 1 == request.hand_offs,
+                    request.begun.is_none() && *attempt + 1 == request.attempts,
                     "{seed}: {id:?}"
                 );
             }
-            Action::WakeAt { time, mark } => self.wakes.push((*time, *mark)),
+            Action::SetTimer { time, timer: mark } => self.wakes.push((*time, *mark)),
             Action::Probe { host } => {
                 assert!(
-                    self.charter.probe_for_gauges,
+                    self.settings.load_from_probes,
                     "{seed}: a probe without leave"
                 );
                 assert_eq!(
-                    self.hosts[&host.0].standing,
-                    Standing::Ready,
+                    self.hosts[&host.0].state,
+                    HostState::Ready,
                     "{seed}: {host:?} probed"
                 );
             }
-            Action::Tell { message } => {
+            Action::Gossip { message } => {
                 assert!(
-                    self.charter.peers && message.len() <= word::LONGEST,
+                    self.settings.gossip_enabled && message.len() <= word::LONGEST,
                     "{seed}: told without leave"
                 );
             }
-            Action::AskRoll | Action::FollowRoll | Action::Log(_) => {}
+            Action::PollEndpoints | Action::WatchEndpoints | Action::Log(_) => {}
         }
     }
 
-    fn hand_off(&mut self, id: u64, host: HostId, until: Nanos, by: Nanos) {
+    fn attempt(&mut self, id: u64, host: HostId, until: Nanos, by: Nanos) {
         let (seed, now) = (self.seed, self.now);
         let place = self.hosts[&host.0];
         let request = self
@@ -211,32 +211,32 @@
         );
         assert!(request.at.is_none(), "{seed}: {id} has two attempts out");
         assert!(
-            now < until && until <= request.expiry,
+            now < until && until <= request.deadline,
             "{seed}: {id} limit {until}, {}",
-            request.expiry
+            request.deadline
         );
         assert!(
-            request.hand_offs < request.most_hand_offs,
+            request.attempts < request.max_attempts,
             "{seed}: {id} handed off too often"
         );
         assert_eq!(
-            place.standing,
-            Standing::Ready,
+            place.state,
+            HostState::Ready,
             "{seed}: {id} to a host that is not ready"
         );
         if let Some((first, sent)) = &request.ran {
             assert_ne!(
-                request.offering.effect,
-                Effect::Irreversible,
+                request.class.idempotency,
+                Idempotency::NonIdempotent,
                 "{seed}: {id} may run twice"
             );
             assert_eq!(
-                may_repeat_at(&request.offering, Some(first), &place),
+                may_repeat_at(&request.class, Some(first), &place),
                 Ok(()),
                 "{seed}: {id}"
             );
-            if request.offering.effect == Effect::Labelled {
-                let window = sent + request.offering.window;
+            if request.class.idempotency == Idempotency::WithKey {
+                let window = sent + request.class.idempotency_window;
                 assert!(
                     now < window && by <= window,
                     "{seed}: {id} out of its window"
@@ -244,7 +244,7 @@
             }
         }
         (request.at, request.sent) = (Some((host, until)), now);
-        request.hand_offs += 1;
+        request.attempts += 1;
         request.tried.push(host);
     }
 
@@ -280,11 +280,11 @@
                 (Some(wake), limit) if limit.is_none_or(|limit| wake.0 <= limit.0) => {
                     self.wakes.retain(|other| *other != wake);
                     self.now = self.now.max(wake.0);
-                    self.tell(Event::Timer { mark: wake.1 });
+                    self.tell(Event::TimerFired { timer: wake.1 });
                 }
                 (_, Some((limit, id))) => {
                     self.now = self.now.max(limit);
-                    self.ends(id, Ending::TimedOut);
+                    self.ends(id, AttemptOutcome::TimedOut);
                 }
                 _ => break,
             }
@@ -296,23 +296,23 @@
         self.next_request += 1;
         let id = self.next_request;
         let rng = &mut self.rng;
-        let arrival = Arrival {
-            id: AttachmentId(id),
-            offering: rng.random_range(0..self.charter.offerings.len()),
+        let incoming = IncomingRequest {
+            id: RequestId(id),
+            class: rng.random_range(0..self.settings.classes.len()),
             key: rng.random_bool(0.7).then(|| rng.random_range(0..20)),
             group: rng.random_bool(0.5).then(|| rng.random_range(0..4)),
             time_left: *[0, MILLI, 300 * MILLI, 3 * SECOND].choose(rng).unwrap(),
             usual_load: rng
                 .random_bool(0.3)
                 .then(|| *[0.0, 1e-9, 0.3, 1e6].choose(rng).unwrap()),
-            midway: rng.random_bool(0.1),
+            mid_stream: rng.random_bool(0.1),
         };
         let request = Request {
-            arrival,
-            offering: self.charter.offerings[arrival.offering].clone(),
-            expiry: self.now + arrival.time_left,
-            most_hand_offs: self.charter.most_hand_offs,
-            hand_offs: 0,
+            incoming,
+            class: self.settings.classes[incoming.class].clone(),
+            deadline: self.now + incoming.time_left,
+            max_attempts: self.settings.max_attempts,
+            attempts: 0,
             at: None,
             sent: 0,
             begun: None,
@@ -322,7 +322,7 @@
             client_gone: false,
         };
         self.requests.insert(id, request);
-        self.tell(Event::Arrived(arrival));
+        self.tell(Event::RequestArrived(incoming));
     }
 
     fn any(&mut self, fits: impl Fn(&Request) -> bool) -> Option<u64> {
@@ -342,32 +342,32 @@
         let request = self.requests.get_mut(&id).unwrap();
         (request.begun, request.client_gone) = (Some(self.now), false);
         let took = self.now - request.sent;
-        self.tell(Event::Begun {
-            id: AttachmentId(id),
+        self.tell(Event::ConnectionEstablished {
+            id: RequestId(id),
             took,
         });
     }
 
     /// The attempt that is out, or the connection that stands, comes to this.
-    fn ends(&mut self, id: u64, ending: Ending) {
+    fn ends(&mut self, id: u64, ending: AttemptOutcome) {
         let request = self.requests.get_mut(&id).unwrap();
         let (host, _) = request.at.take().unwrap();
         if !ending.never_ran() && request.ran.is_none() {
             request.ran = Some((self.hosts[&host.0], request.sent));
         }
-        let over = request.begun.is_some() || request.client_gone || ending == Ending::Done;
-        let hand_off = request.hand_offs.saturating_sub(1);
+        let over = request.begun.is_some() || request.client_gone || ending == AttemptOutcome::Completed;
+        let attempt = request.attempts.saturating_sub(1);
         if over {
             self.requests.remove(&id);
         }
-        let gauges = vec![self.rng.random_range(-1.0..2.0), f64::NAN];
-        self.tell(Event::Ended {
-            id: AttachmentId(id),
-            hand_off,
+        let load_metrics = vec![self.rng.random_range(-1.0..2.0), f64::NAN];
+        self.tell(Event::AttemptEnded {
+            id: RequestId(id),
+            attempt,
             host,
-            over,
+            request_over: over,
             ending,
-            gauges,
+            load_metrics,
         });
     }
 
@@ -376,13 +376,13 @@
             return;
         };
         let endings = [
-            Ending::Done,
-            Ending::Error,
-            Ending::Refused,
-            Ending::Unconnected,
-            Ending::Broken,
-            Ending::NeverSent,
-            Ending::Unroutable,
+            AttemptOutcome::Completed,
+            AttemptOutcome::Error,
+            AttemptOutcome::Rejected,
+            AttemptOutcome::ConnectFailed,
+            AttemptOutcome::ConnectionLost,
+            AttemptOutcome::NeverSent,
+            AttemptOutcome::NoRoute,
         ];
         let ending = *endings.choose(&mut self.rng).unwrap();
         self.ends(id, ending);
@@ -392,7 +392,7 @@
         let Some(id) = self.any(|r| r.begun.is_some()) else {
             return;
         };
-        let ending = *[Ending::Done, Ending::Broken, Ending::CalledOff]
+        let ending = *[AttemptOutcome::Completed, AttemptOutcome::ConnectionLost, AttemptOutcome::Cancelled]
             .choose(&mut self.rng)
             .unwrap();
         self.ends(id, ending);
@@ -403,19 +403,19 @@
             return;
         };
         self.requests.get_mut(&id).unwrap().client_gone = true;
-        self.tell(Event::Left {
-            id: AttachmentId(id),
+        self.tell(Event::ClientLeft {
+            id: RequestId(id),
         });
     }
 
-    fn listing(&mut self, host: u64) -> Listing {
+    fn listing(&mut self, host: u64) -> Endpoint {
         let rng = &mut self.rng;
         let standings = [
-            Standing::Ready,
-            Standing::Ready,
-            Standing::Ready,
-            Standing::Draining,
-            Standing::Gone,
+            HostState::Ready,
+            HostState::Ready,
+            HostState::Ready,
+            HostState::Draining,
+            HostState::Gone,
         ];
         let started = *[
             None,
@@ -426,11 +426,11 @@
         ]
         .choose(rng)
         .unwrap();
-        Listing {
+        Endpoint {
             id: HostId(host),
             zone: rng.random_range(0..2),
             cell: rng.random_range(0..2),
-            standing: *standings.choose(rng).unwrap(),
+            state: *standings.choose(rng).unwrap(),
             size: *[0.0, 0.001, 1.0, 1.0, 64.0, f64::NAN].choose(rng).unwrap(),
             started,
         }
@@ -438,11 +438,11 @@
 
     fn list_changes(&mut self) {
         let kinds = [
-            RollKind::Changes,
-            RollKind::Changes,
-            RollKind::Full,
-            RollKind::Cached,
-            RollKind::Failed,
+            EndpointUpdate::Delta,
+            EndpointUpdate::Delta,
+            EndpointUpdate::Full,
+            EndpointUpdate::Cached,
+            EndpointUpdate::Failed,
         ];
         let kind = *kinds.choose(&mut self.rng).unwrap();
         let count = self.rng.random_range(0..=MOST_HOSTS);
@@ -451,17 +451,17 @@
             .collect();
         names.sort_unstable();
         names.dedup();
-        let hosts: Vec<Listing> = names.into_iter().map(|name| self.listing(name)).collect();
-        if kind != RollKind::Failed {
-            if kind != RollKind::Changes {
+        let hosts: Vec<Endpoint> = names.into_iter().map(|name| self.listing(name)).collect();
+        if kind != EndpointUpdate::Failed {
+            if kind != EndpointUpdate::Delta {
                 self.hosts
                     .values_mut()
-                    .for_each(|host| host.standing = Standing::Gone);
+                    .for_each(|host| host.state = HostState::Gone);
             }
             self.hosts
                 .extend(hosts.iter().map(|host| (host.id.0, *host)));
         }
-        self.tell(Event::Roll { kind, hosts });
+        self.tell(Event::EndpointsUpdated { kind, endpoints: hosts });
     }
 
     fn host_tells(&mut self) {
@@ -475,16 +475,16 @@
             .map(|_| self.rng.random())
             .collect();
         let event = match self.rng.random_range(0..5) {
-            0 | 1 => Event::MessageTime { host, time },
-            2 => Event::Probed {
+            0 | 1 => Event::MessageLatency { host, latency: time },
+            2 => Event::ProbeEnded {
                 host,
-                ending: Ending::Done,
-                gauges: values,
+                ending: AttemptOutcome::Completed,
+                load_metrics: values,
             },
-            3 => Event::Heard {
+            3 => Event::GossipReceived {
                 message: word::encode(host, load),
             },
-            _ => Event::Heard { message: bytes },
+            _ => Event::GossipReceived { message: bytes },
         };
         self.tell(event);
     }
@@ -494,31 +494,31 @@
             return;
         };
         let load = *[0.0, 1e-9, 0.5, 3.0, 1e6].choose(&mut self.rng).unwrap();
-        self.tell(Event::LoadNow {
-            id: AttachmentId(id),
+        self.tell(Event::LoadMeasured {
+            id: RequestId(id),
             load,
         });
     }
 
     /// New terms: what was offered stays known, some of it is offered no more, some comes anew.
     fn terms_change(&mut self) {
-        let mut new = charter(&mut self.rng);
-        let fresh = std::mem::take(&mut new.offerings);
-        let before = self.charter.offerings.len();
-        new.offerings = self.charter.offerings.clone();
-        for offering in &mut new.offerings {
-            offering.offered = self.rng.random();
+        let mut new = settings(&mut self.rng);
+        let fresh = std::mem::take(&mut new.classes);
+        let before = self.settings.classes.len();
+        new.classes = self.settings.classes.clone();
+        for class in &mut new.classes {
+            class.active = self.rng.random();
         }
-        new.offerings.extend(fresh);
-        let others = (before..new.offerings.len()).collect();
-        self.charter = new.clone();
-        self.tell(Event::Renewed(Box::new(new), others));
+        new.classes.extend(fresh);
+        let others = (before..new.classes.len()).collect();
+        self.settings = new.clone();
+        self.tell(Event::SettingsChanged(Box::new(new), others));
     }
 
     fn leaves(&mut self) {
         let from = self.now + self.rng.random_range(0..SECOND);
         let by = from + self.rng.random_range(0..10 * SECOND);
-        self.tell(Event::Leaving { from, by });
+        self.tell(Event::ShutdownStarted { from, by });
     }
 
     /// Another process takes this one's place, with what it has learned and all that it holds.
@@ -526,15 +526,15 @@
         let legacy = self.node.leave();
         let seed = self.rng.random();
         self.wakes.clear();
-        self.node = Balancer::new(self.charter.clone(), seed, self.now, &mut self.actions);
+        self.node = Balancer::new(self.settings.clone(), seed, self.now, &mut self.actions);
         self.handling = true;
         self.carry_out();
-        let hosts: Vec<Listing> = self.hosts.values().copied().collect();
-        self.tell(Event::Roll {
-            kind: RollKind::Cached,
-            hosts,
+        let hosts: Vec<Endpoint> = self.hosts.values().copied().collect();
+        self.tell(Event::EndpointsUpdated {
+            kind: EndpointUpdate::Cached,
+            endpoints: hosts,
         });
-        self.tell(Event::Inherited(Box::new(legacy)));
+        self.tell(Event::StateInherited(Box::new(legacy)));
         let held: Vec<u64> = self.requests.keys().copied().collect();
         for id in held {
             self.takes_up(id);
@@ -546,29 +546,29 @@
     fn takes_up(&mut self, id: u64) {
         let now = self.now;
         let request = self.requests.get_mut(&id).unwrap();
-        request.arrival.time_left = request.expiry.saturating_sub(now);
-        let arrival = request.arrival;
+        request.incoming.time_left = request.deadline.saturating_sub(now);
+        let incoming = request.incoming;
         let (host, _) = request.at.unwrap();
         if request.client_gone && request.begun.is_none() {
             self.requests.remove(&id);
             return;
         }
         if let Some(since) = request.begun {
-            (request.moved, request.hand_offs) = (false, 1);
-            return self.tell(Event::PassedOn(arrival, host, since));
+            (request.moved, request.attempts) = (false, 1);
+            return self.tell(Event::ConnectionHandedOver(incoming, host, since));
         }
         request.at = None;
-        request.most_hand_offs = self.charter.most_hand_offs;
+        request.max_attempts = self.settings.max_attempts;
         if request.ran.is_none() {
             request.ran = Some((self.hosts[&host.0], request.sent));
         }
         let ran = request.ran.as_ref().map(|(first, sent)| (first.id, *sent));
-        let past = Past {
-            hand_offs: request.hand_offs,
-            ran,
-            tried: request.tried.clone(),
+        let past = PriorAttempts {
+            attempts: request.attempts,
+            may_have_run: ran,
+            tried_hosts: request.tried.clone(),
         };
-        self.tell(Event::TakenUp(arrival, past));
+        self.tell(Event::RequestTakenOver(incoming, past));
     }
 
     fn step(&mut self) {
@@ -583,23 +583,23 @@
             84..88 => self.load_changes(),
             88 => self.terms_change(),
             89 => self.leaves(),
-            90 => self.tell(Event::Staying),
+            90 => self.tell(Event::ShutdownCancelled),
             91 => self.is_replaced(),
             92 => {
                 let comes = self.rng.random();
-                self.tell(Event::Successor(comes));
+                self.tell(Event::SuccessorChanged(comes));
             }
             93 => {
                 let turns = (0..4)
                     .map(|_| (self.rng.random_range(0..300), self.rng.random()))
                     .collect();
-                self.tell(Event::Turns(turns));
+                self.tell(Event::SlowStartSlotsAssigned(turns));
             }
             94 => {
                 let looks = (0..3)
                     .map(|_| HostId(self.rng.random_range(0..MOST_HOSTS + 2)))
                     .collect();
-                self.tell(Event::Looks(looks));
+                self.tell(Event::ProbeTargetsAssigned(looks));
             }
             _ => {
                 let span = *[0, MILLI, 100 * MILLI, SECOND, 20 * SECOND]
--- a/tests/renewed.rs
+++ b/tests/renewed.rs
@@ -6,23 +6,23 @@
 const COLD_HOST: HostId = HostId(1);
 const WARM_HOST: HostId = HostId(2);
 
-fn charter(tip_after: Nanos) -> Charter {
-    let offering = Offering {
-        contract_time: SECOND,
-        offered: true,
-        ..Offering::default()
+fn settings(overload_window: Nanos) -> BalancerSettings {
+    let class = RequestClass {
+        latency_objective: SECOND,
+        active: true,
+        ..RequestClass::default()
     };
-    Charter {
-        nodes: 1,
-        offerings: vec![offering],
-        most_hand_offs: 3,
-        longest_expiry: 2 * SECOND,
-        ask_within: 10 * SECOND,
-        cold: 20 * SECOND,
-        cold_from: 0.5,
-        tip_multiple: 3.0,
-        tip_after,
-        ..Charter::default()
+    BalancerSettings {
+        node_count: 1,
+        classes: vec![class],
+        max_attempts: 3,
+        max_request_timeout: 2 * SECOND,
+        max_poll_interval: 10 * SECOND,
+        warm_up: 20 * SECOND,
+        warm_up_initial_share: 0.5,
+        overload_factor: 3.0,
+        overload_window,
+        ..BalancerSettings::default()
     }
 }
 
@@ -44,18 +44,18 @@
         let mut handed = 0;
         for _ in 0..count {
             self.next += 1;
-            let id = AttachmentId(self.next);
-            let arrival = Arrival {
+            let id = RequestId(self.next);
+            let incoming = IncomingRequest {
                 id,
                 time_left: 2 * SECOND,
-                ..Arrival::default()
+                ..IncomingRequest::default()
             };
-            for action in self.tell(Event::Arrived(arrival)) {
-                let Action::HandOff { host, .. } = action else {
+            for action in self.tell(Event::RequestArrived(incoming)) {
+                let Action::StartAttempt { host, .. } = action else {
                     continue;
                 };
                 handed += usize::from(host == COLD_HOST);
-                self.tell(Event::Begun { id, took: MILLI });
+                self.tell(Event::ConnectionEstablished { id, took: MILLI });
             }
         }
         handed
@@ -68,29 +68,29 @@
 fn new_terms_give_a_cold_host_no_second_budget() {
     for (before, after) in [(SECOND, 2 * SECOND), (2 * SECOND, SECOND), (SECOND, SECOND)] {
         let mut out = Vec::new();
-        let module = Balancer::new(charter(before), 7, START, &mut out);
+        let module = Balancer::new(settings(before), 7, START, &mut out);
         let mut node = Node {
             module,
             now: START,
             next: 0,
         };
-        let listing = |id, started| Listing {
+        let listing = |id, started| Endpoint {
             id,
-            standing: Standing::Ready,
+            state: HostState::Ready,
             size: 1.0,
             started,
-            ..Listing::default()
+            ..Endpoint::default()
         };
-        node.tell(Event::Roll {
-            kind: RollKind::Full,
-            hosts: vec![listing(WARM_HOST, None)],
+        node.tell(Event::EndpointsUpdated {
+            kind: EndpointUpdate::Full,
+            endpoints: vec![listing(WARM_HOST, None)],
         });
         node.handed_to_the_cold_host(60);
         node.now += SECOND;
         let hosts = vec![listing(COLD_HOST, Some(node.now))];
-        node.tell(Event::Roll {
-            kind: RollKind::Changes,
-            hosts,
+        node.tell(Event::EndpointsUpdated {
+            kind: EndpointUpdate::Delta,
+            endpoints: hosts,
         });
         node.now += 3 * SECOND;
         let first = node.handed_to_the_cold_host(200);
@@ -100,7 +100,7 @@
             0,
             "the budget of this turn is spent"
         );
-        node.tell(Event::Renewed(Box::new(charter(after)), vec![0]));
+        node.tell(Event::SettingsChanged(Box::new(settings(after)), vec![0]));
         let again = node.handed_to_the_cold_host(50);
         assert_eq!(
             again, 0,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -34,9 +34,9 @@
 
 #[derive(Default)]
 struct Taken {
-    expiry: Nanos,
+    deadline: Nanos,
     out: Option<(HostId, Nanos)>,
-    hand_offs: u32,
+    attempts: u32,
     may_have_run: bool,
     begun: bool,
     answered: bool,
@@ -44,12 +44,12 @@
 }
 
 struct Play {
-    charter: Charter,
+    settings: BalancerSettings,
     node: Option<Balancer>,
     now: Nanos,
     wakes: Vec<(Nanos, u64)>,
     actions: Vec<Action>,
-    standing: BTreeMap<u64, Standing>,
+    standing: BTreeMap<u64, HostState>,
     auto: Vec<HostId>,
     shut: Vec<HostId>,
     counts: BTreeMap<u64, u32>,
@@ -81,7 +81,7 @@
 impl Play {
     fn new() -> Self {
         Play {
-            charter: Charter::default(),
+            settings: BalancerSettings::default(),
             node: None,
             now: START,
             wakes: Vec::new(),
@@ -99,7 +99,7 @@
     fn tell(&mut self, event: Event) {
         let mut out = Vec::new();
         if self.node.is_none() {
-            self.node = Some(Balancer::new(self.charter.clone(), 11, self.now, &mut out));
+            self.node = Some(Balancer::new(self.settings.clone(), 11, self.now, &mut out));
         }
         self.node
             .as_mut()
@@ -109,13 +109,13 @@
             self.hold(&action);
             self.actions.push(action.clone());
             match action {
-                Action::HandOff { id, host, .. } if self.auto.contains(&host) => {
+                Action::StartAttempt { id, host, .. } if self.auto.contains(&host) => {
                     self.begun(id.0, 20 * MILLI)
                 }
-                Action::HandOff { id, host, .. } if self.shut.contains(&host) => {
-                    self.end(id.0, Ending::Refused, false);
+                Action::StartAttempt { id, host, .. } if self.shut.contains(&host) => {
+                    self.end(id.0, AttemptOutcome::Rejected, false);
                 }
-                Action::Move { id } => self.end(id.0, Ending::CalledOff, true),
+                Action::Migrate { id } => self.end(id.0, AttemptOutcome::Cancelled, true),
                 _ => {}
             }
         }
@@ -124,7 +124,7 @@
     /// The rules that hold in every scenario.
     fn hold(&mut self, action: &Action) {
         match action {
-            Action::HandOff {
+            Action::StartAttempt {
                 id, host, until, ..
             } => {
                 let taken = self
@@ -139,31 +139,31 @@
                     id.0
                 );
                 assert!(
-                    *until > self.now && *until <= taken.expiry,
+                    *until > self.now && *until <= taken.deadline,
                     "limit of {} past its expiry",
                     id.0
                 );
                 assert_eq!(
                     self.standing.get(&host.0),
-                    Some(&Standing::Ready),
+                    Some(&HostState::Ready),
                     "sent to a host not ready"
                 );
                 assert!(
-                    taken.hand_offs < self.charter.most_hand_offs,
+                    taken.attempts < self.settings.max_attempts,
                     "too many hand-offs of {}",
                     id.0
                 );
-                (taken.out, taken.hand_offs) = (Some((*host, *until)), taken.hand_offs + 1);
+                (taken.out, taken.attempts) = (Some((*host, *until)), taken.attempts + 1);
                 *self.counts.entry(host.0).or_insert(0) += 1;
             }
-            Action::Dismiss { id, .. } | Action::GiveUp { id } => {
+            Action::Reject { id, .. } | Action::Fail { id } => {
                 let taken = self
                     .taken
                     .get_mut(&id.0)
                     .expect("an answer to what was never taken");
                 assert!(!taken.answered, "{} answered twice", id.0);
-                assert!(self.now <= taken.expiry, "{} answered too late", id.0);
-                let dismissed = matches!(action, Action::Dismiss { .. });
+                assert!(self.now <= taken.deadline, "{} answered too late", id.0);
+                let dismissed = matches!(action, Action::Reject { .. });
                 assert!(
                     !(dismissed && taken.irreversible && taken.may_have_run),
                     "{} dismissed",
@@ -171,14 +171,14 @@
                 );
                 taken.answered = true;
             }
-            Action::WakeAt { time, mark } => self.wakes.push((*time, *mark)),
+            Action::SetTimer { time, timer: mark } => self.wakes.push((*time, *mark)),
             Action::Probe { .. } => {
-                assert!(self.charter.probe_for_gauges, "a probe without leave");
+                assert!(self.settings.load_from_probes, "a probe without leave");
                 self.looked += 1;
             }
-            Action::Tell { message } => {
+            Action::Gossip { message } => {
                 assert!(
-                    self.charter.peers && message.len() <= word::LONGEST,
+                    self.settings.gossip_enabled && message.len() <= word::LONGEST,
                     "told without leave, or too long"
                 );
                 self.told += 1;
@@ -207,16 +207,16 @@
             match (wake, limit) {
                 (Some(w), l) if l.is_none_or(|l| w.0 <= l.0) => {
                     self.wakes.retain(|x| *x != w);
-                    self.tell(Event::Timer { mark: w.1 });
+                    self.tell(Event::TimerFired { timer: w.1 });
                 }
-                (_, Some(l)) => self.end(l.1, Ending::TimedOut, false),
+                (_, Some(l)) => self.end(l.1, AttemptOutcome::TimedOut, false),
                 _ => unreachable!(),
             }
         }
         self.now = until;
         for (id, taken) in &self.taken {
             assert!(
-                taken.answered || taken.begun || self.now <= taken.expiry,
+                taken.answered || taken.begun || self.now <= taken.deadline,
                 "{id} was lost"
             );
         }
@@ -225,65 +225,65 @@
     fn begun(&mut self, id: u64, took: Nanos) {
         let taken = self.taken.get_mut(&id).unwrap();
         (taken.begun, taken.answered) = (true, true);
-        self.tell(Event::Begun {
-            id: AttachmentId(id),
+        self.tell(Event::ConnectionEstablished {
+            id: RequestId(id),
             took,
         });
     }
 
-    fn end(&mut self, id: u64, ending: Ending, over: bool) {
+    fn end(&mut self, id: u64, ending: AttemptOutcome, over: bool) {
         let taken = self.taken.get_mut(&id).unwrap();
         let (host, _) = taken.out.take().expect("no hand-off is out");
         taken.may_have_run |= !ending.never_ran();
         taken.answered |= over;
-        let hand_off = taken.hand_offs - 1;
-        self.tell(Event::Ended {
-            id: AttachmentId(id),
-            hand_off,
+        let attempt = taken.attempts - 1;
+        self.tell(Event::AttemptEnded {
+            id: RequestId(id),
+            attempt,
             host,
-            over,
+            request_over: over,
             ending,
-            gauges: Vec::new(),
+            load_metrics: Vec::new(),
         });
     }
 
     fn arrive(&mut self, id: u64, words: &[&str], on: Option<HostId>) {
-        let mut arrival = Arrival {
-            id: AttachmentId(id),
+        let mut incoming = IncomingRequest {
+            id: RequestId(id),
             time_left: 2 * SECOND,
-            ..Arrival::default()
+            ..IncomingRequest::default()
         };
-        let mut past = Past::default();
+        let mut past = PriorAttempts::default();
         for (key, value) in pairs(words) {
             match key {
-                "left" => arrival.time_left = ms(value),
-                "offering" => arrival.offering = num(value) as usize,
-                "key" => arrival.key = Some(num(value) as u64),
-                "group" => arrival.group = Some(num(value) as u64),
-                "load" => arrival.usual_load = Some(num(value)),
-                "midway" => arrival.midway = true,
-                "past" => past.hand_offs = num(value) as u32,
+                "left" => incoming.time_left = ms(value),
+                "offering" => incoming.class = num(value) as usize,
+                "key" => incoming.key = Some(num(value) as u64),
+                "group" => incoming.group = Some(num(value) as u64),
+                "load" => incoming.usual_load = Some(num(value)),
+                "midway" => incoming.mid_stream = true,
+                "past" => past.attempts = num(value) as u32,
                 "ran" => {
                     let (at, ago) = value.split_once('@').expect("a host and how long ago");
-                    past.ran = Some((host(at), self.now - ms(ago)));
+                    past.may_have_run = Some((host(at), self.now - ms(ago)));
                 }
-                "tried" => past.tried = value.split('|').map(host).collect(),
+                "tried" => past.tried_hosts = value.split('|').map(host).collect(),
                 _ => panic!("unknown word {key}"),
             }
         }
         let irreversible = self
-            .charter
-            .offerings
-            .get(arrival.offering)
-            .is_some_and(|o| o.effect == Effect::Irreversible);
-        let expiry = self.now + arrival.time_left;
-        let (hand_offs, may_have_run) = (past.hand_offs, past.ran.is_some());
+            .settings
+            .classes
+            .get(incoming.class)
+            .is_some_and(|o| o.idempotency == Idempotency::NonIdempotent);
+        let deadline = self.now + incoming.time_left;
+        let (attempts, may_have_run) = (past.attempts, past.may_have_run.is_some());
         self.taken.insert(
             id,
             Taken {
-                expiry,
+                deadline,
                 irreversible,
-                hand_offs,
+                attempts,
                 may_have_run,
                 ..Taken::default()
             },
@@ -292,39 +292,39 @@
             Some(host) => {
                 let taken = self.taken.get_mut(&id).unwrap();
                 (taken.begun, taken.answered, taken.out) = (true, true, Some((host, Nanos::MAX)));
-                taken.hand_offs = 1;
-                self.tell(Event::Standing(arrival, host));
+                taken.attempts = 1;
+                self.tell(Event::ConnectionFound(incoming, host));
             }
-            None if past.hand_offs > 0 => self.tell(Event::TakenUp(arrival, past)),
-            None => self.tell(Event::Arrived(arrival)),
+            None if past.attempts > 0 => self.tell(Event::RequestTakenOver(incoming, past)),
+            None => self.tell(Event::RequestArrived(incoming)),
         }
     }
 
     fn roll(&mut self, kind: &str, entries: &[&str]) {
         let kind = match kind {
-            "full" => RollKind::Full,
-            "changes" => RollKind::Changes,
-            "cached" => RollKind::Cached,
-            "failed" => RollKind::Failed,
+            "full" => EndpointUpdate::Full,
+            "changes" => EndpointUpdate::Delta,
+            "cached" => EndpointUpdate::Cached,
+            "failed" => EndpointUpdate::Failed,
             _ => panic!("unknown roll {kind}"),
         };
-        if matches!(kind, RollKind::Full | RollKind::Cached) {
+        if matches!(kind, EndpointUpdate::Full | EndpointUpdate::Cached) {
             self.standing.clear();
         }
         let mut hosts = Vec::new();
         for entry in entries {
             let (name, rest) = entry.split_once(':').unwrap_or((entry, "ready"));
-            let mut listing = Listing {
+            let mut listing = Endpoint {
                 id: host(name),
-                standing: Standing::Ready,
+                state: HostState::Ready,
                 size: 1.0,
-                ..Listing::default()
+                ..Endpoint::default()
             };
             for (key, value) in pairs(&rest.split(',').collect::<Vec<_>>()) {
                 match key {
                     "ready" => {}
-                    "draining" => listing.standing = Standing::Draining,
-                    "gone" => listing.standing = Standing::Gone,
+                    "draining" => listing.state = HostState::Draining,
+                    "gone" => listing.state = HostState::Gone,
                     "size" => listing.size = num(value),
                     "zone" => listing.zone = num(value) as u16,
                     "cell" => listing.cell = num(value) as u64,
@@ -332,54 +332,54 @@
                     _ => panic!("unknown word {key}"),
                 }
             }
-            self.standing.insert(listing.id.0, listing.standing);
+            self.standing.insert(listing.id.0, listing.state);
             hosts.push(listing);
         }
-        self.tell(Event::Roll { kind, hosts });
+        self.tell(Event::EndpointsUpdated { kind, endpoints: hosts });
     }
 
-    fn charter(&mut self, words: &[&str]) {
-        let c = &mut self.charter;
+    fn settings(&mut self, words: &[&str]) {
+        let c = &mut self.settings;
         for (key, value) in pairs(words) {
             match key {
-                "nodes" => c.nodes = num(value) as u32,
-                "node" => c.node = num(value) as u32,
-                "hand-offs" => c.most_hand_offs = num(value) as u32,
-                "advice" => c.longest_advice = ms(value),
-                "call-off" => c.may_call_off = true,
-                "on-request" => c.roll_on_request = true,
-                "cold" => c.cold = ms(value),
-                "cold-from" => c.cold_from = num(value),
-                "groups" => c.groups = true,
-                "pass" => c.pass = true,
-                "gathers" => c.gathers = true,
-                "probes" => (c.probe_for_gauges, c.gauges) = (true, vec![Gauge::Busy, Gauge::Load]),
-                "peers" => c.peers = true,
-                "cross-zone" => c.cross_zone_charge = num(value),
-                "moves" => c.move_charge = num(value),
+                "nodes" => c.node_count = num(value) as u32,
+                "node" => c.node_index = num(value) as u32,
+                "hand-offs" => c.max_attempts = num(value) as u32,
+                "advice" => c.max_retry_after = ms(value),
+                "call-off" => c.may_cancel = true,
+                "on-request" => c.endpoints_are_polled = true,
+                "cold" => c.warm_up = ms(value),
+                "cold-from" => c.warm_up_initial_share = num(value),
+                "groups" => c.groups_enabled = true,
+                "pass" => c.passthrough = true,
+                "gathers" => c.centralized = true,
+                "probes" => (c.load_from_probes, c.load_metrics) = (true, vec![LoadMetric::Utilization, LoadMetric::Load]),
+                "peers" => c.gossip_enabled = true,
+                "cross-zone" => c.cross_zone_cost = num(value),
+                "moves" => c.migration_cost = num(value),
                 _ => panic!("unknown word {key}"),
             }
         }
     }
 
-    fn offering(&mut self, words: &[&str]) {
-        let mut offering = Offering::default();
+    fn class(&mut self, words: &[&str]) {
+        let mut class = RequestClass::default();
         for (key, value) in pairs(words) {
             match (key, value) {
-                ("effect", "redoable") => offering.effect = Effect::Redoable,
-                ("effect", "labelled") => offering.effect = Effect::Labelled,
-                ("effect", "irreversible") => offering.effect = Effect::Irreversible,
-                ("circle", "all") => offering.circle = Circle::All,
-                ("circle", "zone") => offering.circle = Circle::Zone,
-                ("circle", "cell") => offering.circle = Circle::Cell,
-                ("window", _) => offering.window = ms(value),
-                ("payoff", _) => offering.payoff = num(value),
-                ("contract", _) => offering.contract_time = ms(value),
-                ("message", _) => offering.message_time = ms(value),
+                ("effect", "redoable") => class.idempotency = Idempotency::Idempotent,
+                ("effect", "labelled") => class.idempotency = Idempotency::WithKey,
+                ("effect", "irreversible") => class.idempotency = Idempotency::NonIdempotent,
+                ("circle", "all") => class.idempotency_group = IdempotencyGroup::All,
+                ("circle", "zone") => class.idempotency_group = IdempotencyGroup::Zone,
+                ("circle", "cell") => class.idempotency_group = IdempotencyGroup::Cell,
+                ("window", _) => class.idempotency_window = ms(value),
+                ("payoff", _) => class.priority_weight = num(value),
+                ("contract", _) => class.latency_objective = ms(value),
+                ("message", _) => class.message_latency_objective = ms(value),
                 _ => panic!("unknown word {key}={value}"),
             }
         }
-        self.charter.offerings.push(offering);
+        self.settings.classes.push(class);
     }
 
     fn saw(&self, test: impl Fn(&Action) -> bool) {
@@ -391,27 +391,27 @@
     }
 
     fn step(&mut self, words: &[&str]) {
-        let id = |n: usize| AttachmentId(num(words[n]) as u64);
+        let id = |n: usize| RequestId(num(words[n]) as u64);
         match words[0] {
-            "charter" => self.charter(&words[1..]),
-            "offering" => self.offering(&words[1..]),
+            "charter" => self.settings(&words[1..]),
+            "offering" => self.class(&words[1..]),
             "auto" => self.auto = words[1..].iter().map(|w| host(w)).collect(),
             "shut" => self.shut = words[1..].iter().map(|w| host(w)).collect(),
             "sends" => {
                 let hosts: Vec<HostId> = words[2].split('|').map(host).collect();
                 let want = id(1);
                 self.saw(
-                    |a| matches!(a, Action::HandOff { id, host, .. } if *id == want && hosts.contains(host)),
+                    |a| matches!(a, Action::StartAttempt { id, host, .. } if *id == want && hosts.contains(host)),
                 );
             }
-            "dismisses" => self.saw(|a| matches!(a, Action::Dismiss { id: x, .. } if *x == id(1))),
-            "gives-up" => self.saw(|a| matches!(a, Action::GiveUp { id: x } if *x == id(1))),
-            "moves" => self.saw(|a| matches!(a, Action::Move { id: x } if *x == id(1))),
-            "calls-off" => self.saw(|a| matches!(a, Action::CallOff { id: x, .. } if *x == id(1))),
-            "asks" => self.saw(|a| matches!(a, Action::FollowRoll | Action::AskRoll)),
+            "dismisses" => self.saw(|a| matches!(a, Action::Reject { id: x, .. } if *x == id(1))),
+            "gives-up" => self.saw(|a| matches!(a, Action::Fail { id: x } if *x == id(1))),
+            "moves" => self.saw(|a| matches!(a, Action::Migrate { id: x } if *x == id(1))),
+            "calls-off" => self.saw(|a| matches!(a, Action::CancelAttempt { id: x, .. } if *x == id(1))),
+            "asks" => self.saw(|a| matches!(a, Action::WatchEndpoints | Action::PollEndpoints)),
             "logs" => self.saw(|a| matches!(a, Action::Log(text) if text.starts_with(words[1]))),
             "quiet" => {
-                let idle = |a: &Action| matches!(a, Action::WakeAt { .. } | Action::Log(_));
+                let idle = |a: &Action| matches!(a, Action::SetTimer { .. } | Action::Log(_));
                 assert!(
                     self.actions.iter().all(idle),
                     "not quiet: {:?}",
@@ -485,18 +485,18 @@
                     "begun" => self.begun(id(2).0, words.get(3).map_or(20 * MILLI, |w| ms(w))),
                     "ended" => {
                         let (ending, over) = match words[3] {
-                            "done" => (Ending::Done, true),
-                            "error" => (Ending::Error, false),
-                            "refused" => (Ending::Refused, false),
-                            "unconnected" => (Ending::Unconnected, false),
-                            "broken" => (Ending::Broken, self.taken[&id(2).0].begun),
+                            "done" => (AttemptOutcome::Completed, true),
+                            "error" => (AttemptOutcome::Error, false),
+                            "refused" => (AttemptOutcome::Rejected, false),
+                            "unconnected" => (AttemptOutcome::ConnectFailed, false),
+                            "broken" => (AttemptOutcome::ConnectionLost, self.taken[&id(2).0].begun),
                             _ => panic!("unknown ending {}", words[3]),
                         };
                         self.end(id(2).0, ending, over);
                     }
                     "left" => {
                         self.taken.get_mut(&id(2).0).unwrap().answered = true;
-                        self.tell(Event::Left { id: id(2) });
+                        self.tell(Event::ClientLeft { id: id(2) });
                     }
                     "breaks" => {
                         let at = |t: &Taken| {
@@ -505,59 +505,59 @@
                         let held = self.taken.iter().filter(|(_, t)| at(t)).map(|(id, _)| *id);
                         let some: Vec<u64> = held.take(num(words[3]) as usize).collect();
                         some.into_iter()
-                            .for_each(|id| self.end(id, Ending::Broken, true));
+                            .for_each(|id| self.end(id, AttemptOutcome::ConnectionLost, true));
                     }
                     "turns" => {
                         let share = |word: &&str| {
                             word.split_once(':')
                                 .map(|(of, part)| (num(of) as u32, num(part)))
                         };
-                        self.tell(Event::Turns(words[2..].iter().filter_map(share).collect()));
+                        self.tell(Event::SlowStartSlotsAssigned(words[2..].iter().filter_map(share).collect()));
                     }
-                    "looks" => self.tell(Event::Looks(
+                    "looks" => self.tell(Event::ProbeTargetsAssigned(
                         words[2..].iter().map(|name| host(name)).collect(),
                     )),
                     "leaving" => {
                         let (from, by) = (self.now + ms(words[2]), self.now + ms(words[3]));
-                        self.tell(Event::Leaving { from, by });
+                        self.tell(Event::ShutdownStarted { from, by });
                     }
                     "report" => {
                         let silent = words[3] == "silent";
                         let ending = if silent {
-                            Ending::TimedOut
+                            AttemptOutcome::TimedOut
                         } else {
-                            Ending::Done
+                            AttemptOutcome::Completed
                         };
                         let load = |text: &str| if text == "nan" { f64::NAN } else { num(text) };
-                        let gauges = if silent {
+                        let load_metrics = if silent {
                             Vec::new()
                         } else {
                             vec![1.0, load(words[3])]
                         };
-                        self.tell(Event::Probed {
+                        self.tell(Event::ProbeEnded {
                             host: host(words[2]),
                             ending,
-                            gauges,
+                            load_metrics,
                         });
                     }
                     "heard" => {
-                        self.tell(Event::Heard {
+                        self.tell(Event::GossipReceived {
                             message: word::encode(host(words[2]), num(words[3])),
                         });
                     }
                     "heard-bytes" => {
                         let byte = |n| u8::from_str_radix(&words[2][n..n + 2], 16).unwrap();
-                        self.tell(Event::Heard {
+                        self.tell(Event::GossipReceived {
                             message: (0..words[2].len()).step_by(2).map(byte).collect(),
                         });
                     }
-                    "load" => self.tell(Event::LoadNow {
+                    "load" => self.tell(Event::LoadMeasured {
                         id: id(2),
                         load: num(words[3]),
                     }),
-                    "slow" => self.tell(Event::MessageTime {
+                    "slow" => self.tell(Event::MessageLatency {
                         host: host(words[2]),
-                        time: ms(words[3]),
+                        latency: ms(words[3]),
                     }),
                     other => panic!("unknown step {other}"),
                 }
