--- a/adapter/src/frames.rs
+++ b/adapter/src/frames.rs
@@ -1,7 +1,8 @@
 //! The wire's frames: batches in, replies out.
 
 use reedferry::{
-    Action, IncomingRequest, RequestId, AttemptOutcome, Event, HostId, Endpoint, Nanos, EndpointUpdate, HostState,
+    Action, AttemptOutcome, Endpoint, EndpointUpdate, Event, HostId, HostState, IncomingRequest,
+    Nanos, RequestId,
 };
 use reedferry_settings::nanos;
 use std::fmt;
@@ -162,7 +163,10 @@
                 started: (started > 0.0).then(|| nanos(started)),
             });
         }
-        Ok(Event::EndpointsUpdated { kind, endpoints: hosts })
+        Ok(Event::EndpointsUpdated {
+            kind,
+            endpoints: hosts,
+        })
     }
 
     /// Event number `at`, and the instance that it is for.
@@ -190,7 +194,9 @@
                 load_metrics: gauges_at(r, 26),
             }),
             5 => Told::Event(Event::ClientLeft { id }),
-            6 => Told::Event(Event::TimerFired { timer: u64_at(r, 5) }),
+            6 => Told::Event(Event::TimerFired {
+                timer: u64_at(r, 5),
+            }),
             7 => Told::Event(Event::ProbeEnded {
                 host: host_at(r, 14),
                 ending: self.ending(at, r[13])?,
@@ -268,7 +274,10 @@
                 r.extend(&address(host)[2..]);
                 r.extend(ms(*until));
             }
-            Action::Reject { id, retry_after: wait } => {
+            Action::Reject {
+                id,
+                retry_after: wait,
+            } => {
                 open(1);
                 r.extend(name(id));
                 r.extend(ms(*wait));
@@ -379,8 +388,14 @@
             (node, arrival.id, arrival.time_left),
             (3, RequestId(0x5d3a91c4), 240_000_000)
         );
-        assert_eq!((arrival.usual_load, arrival.mid_stream), (Some(0.012), false));
-        assert!(matches!(told(&body, 1), (3, Event::TimerFired { timer: 77 })));
+        assert_eq!(
+            (arrival.usual_load, arrival.mid_stream),
+            (Some(0.012), false)
+        );
+        assert!(matches!(
+            told(&body, 1),
+            (3, Event::TimerFired { timer: 77 })
+        ));
         assert!(matches!(
             told(&body, 2),
             (
@@ -402,7 +417,14 @@
             "0a9011f2 1f6c 0001 00 0000 01 3fc00000 40b7d40000000000",
         ));
         let frame = Frame::new(1, 1, &body).unwrap();
-        let (3, Told::Event(Event::EndpointsUpdated { kind, endpoints: hosts })) = frame.event(0, 0).unwrap() else {
+        let (
+            3,
+            Told::Event(Event::EndpointsUpdated {
+                kind,
+                endpoints: hosts,
+            }),
+        ) = frame.event(0, 0).unwrap()
+        else {
             panic!()
         };
         assert_eq!(
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -59,9 +59,12 @@
         for at in 0..frame.count() {
             let (node, told) = frame.event(at, now)?;
             match told {
-                frames::Told::Start { seed, node_settings } => {
-                    let settings =
-                        reedferry_settings::balancer_settings(node_settings).map_err(|e| frame.fault(at, &e))?;
+                frames::Told::Start {
+                    seed,
+                    node_settings,
+                } => {
+                    let settings = reedferry_settings::balancer_settings(node_settings)
+                        .map_err(|e| frame.fault(at, &e))?;
                     nodes.insert(node, Balancer::new(settings, seed, now, &mut out));
                 }
                 frames::Told::Stop => {
--- a/control-plane/src/duty.rs
+++ b/control-plane/src/duty.rs
@@ -3,8 +3,10 @@
 //! decides: when there may be another hand-off, and when a dismissal is the truth. It must never forget a
 //! hand-off that may have run.
 
-use crate::frames::{Asked, PriorAttempts};
-use reedferry::{permission, IncomingRequest, BalancerSettings, AttemptOutcome, HostId, Nanos, RequestClass};
+use crate::frames::{PlacementRequest, PriorAttempts};
+use reedferry::{
+    permission, AttemptOutcome, BalancerSettings, HostId, IncomingRequest, Nanos, RequestClass,
+};
 
 /// Hosts of past hand-offs that are remembered: more than any charter allows hand-offs.
 const MOST_TRIED: usize = 16;
@@ -88,7 +90,11 @@
 
     /// When it gets its final answer at the latest, where nothing succeeds.
     pub fn answer_by(&self, balancer_settings: &BalancerSettings) -> Nanos {
-        permission::answer_by(self.deadline, self.incoming.time_left, balancer_settings.min_call_interval)
+        permission::answer_by(
+            self.deadline,
+            self.incoming.time_left,
+            balancer_settings.min_call_interval,
+        )
     }
 
     /// Whether it may be dismissed: a retry does no harm.
@@ -96,8 +102,8 @@
         permission::may_dismiss(class, self.ran.is_some())
     }
 
-    pub fn asked(&self, now: Nanos) -> Asked {
-        Asked::of(&self.incoming, self.deadline.saturating_sub(now))
+    pub fn asked(&self, now: Nanos) -> PlacementRequest {
+        PlacementRequest::of(&self.incoming, self.deadline.saturating_sub(now))
     }
 
     /// Its history, as a planner that has not seen it is told.
@@ -115,7 +121,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use reedferry::{IdempotencyGroup, Idempotency};
+    use reedferry::{Idempotency, IdempotencyGroup};
 
     fn class(idempotency: Idempotency, idempotency_group: IdempotencyGroup) -> RequestClass {
         RequestClass {
@@ -161,7 +167,11 @@
             assert!(duty.harmless(&class(WithKey, IdempotencyGroup::All)));
             assert_eq!(duty.past(50).ran, Some((4, 30)));
         }
-        for ending in [AttemptOutcome::Rejected, AttemptOutcome::ConnectFailed, AttemptOutcome::NeverSent] {
+        for ending in [
+            AttemptOutcome::Rejected,
+            AttemptOutcome::ConnectFailed,
+            AttemptOutcome::NeverSent,
+        ] {
             let duty = after(ending);
             assert!(duty.may_go(&class(NonIdempotent, IdempotencyGroup::All), 3, 30));
             assert!(
--- a/control-plane/src/following.rs
+++ b/control-plane/src/following.rs
@@ -10,7 +10,7 @@
 
 /// A planner as the operator names it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PlannerAt {
+pub struct PlannerAddress {
     pub name: String,
     pub address: SocketAddr,
 }
@@ -18,25 +18,25 @@
 /// Planners in the order in which this forwarder follows them: each pair of names draws a number, the
 /// highest first (highest random weight, Thaler and Ravishankar 1998). Forwarders spread evenly over the
 /// planners, and when one comes or goes only those move whose first it is or was.
-pub fn order(forwarder: &str, planners: &mut [PlannerAt]) {
-    let draw = |planner: &PlannerAt| crate::fingerprint([forwarder, &planner.name]);
+pub fn order(forwarder: &str, planners: &mut [PlannerAddress]) {
+    let draw = |planner: &PlannerAddress| crate::fingerprint([forwarder, &planner.name]);
     planners.sort_by(|a, b| draw(b).cmp(&draw(a)).then_with(|| a.name.cmp(&b.name)));
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// Not connected; when it is called next.
-    Down(Nanos),
+    PlannerMessage(Nanos),
     /// Called; by when it must stand and have greeted.
     Calling(Nanos),
     /// In a session of this number.
-    Up(u64),
+    ForwarderMessage(u64),
 }
 
 pub struct Line {
     /// What the shell knows this line by.
     pub token: u32,
-    pub at: PlannerAt,
+    pub at: PlannerAddress,
     pub state: State,
     pub reader: Reader,
     pub writer: Writer,
@@ -63,11 +63,11 @@
 const MOST_BEATS: usize = 64;
 
 impl Line {
-    pub fn new(token: u32, at: PlannerAt, now: Nanos) -> Self {
+    pub fn new(token: u32, at: PlannerAddress, now: Nanos) -> Self {
         Line {
             token,
             at,
-            state: State::Down(now),
+            state: State::PlannerMessage(now),
             reader: Reader::default(),
             writer: Writer::default(),
             tally: Tally::default(),
@@ -86,12 +86,12 @@
 
     /// Whether its word holds now.
     pub fn holds(&self, now: Nanos) -> bool {
-        matches!(self.state, State::Up(_)) && now < self.granted
+        matches!(self.state, State::ForwarderMessage(_)) && now < self.granted
     }
 
     pub fn session(&self) -> Option<u64> {
         match self.state {
-            State::Up(session) => Some(session),
+            State::ForwarderMessage(session) => Some(session),
             _ => None,
         }
     }
@@ -109,7 +109,7 @@
     }
 
     pub fn begin(&mut self, session: u64, now: Nanos) {
-        (self.state, self.up_since, self.next_beat) = (State::Up(session), now, now);
+        (self.state, self.up_since, self.next_beat) = (State::ForwarderMessage(session), now, now);
         (self.tries, self.named, self.why) = (0, Some(HashSet::new()), String::new());
     }
 
@@ -171,15 +171,15 @@
     use super::*;
     use std::collections::HashMap;
 
-    fn planners(count: usize) -> Vec<PlannerAt> {
-        let at = |n| PlannerAt {
+    fn planners(count: usize) -> Vec<PlannerAddress> {
+        let at = |n| PlannerAddress {
             name: format!("p{n}"),
             address: ([127, 0, 0, 1], 9000 + n as u16).into(),
         };
         (0..count).map(at).collect()
     }
 
-    fn firsts(planners: &[PlannerAt]) -> Vec<String> {
+    fn firsts(planners: &[PlannerAddress]) -> Vec<String> {
         let first = |n: usize| {
             let mut mine = planners.to_vec();
             order(&format!("f{n}"), &mut mine);
--- a/control-plane/src/forwarder.rs
+++ b/control-plane/src/forwarder.rs
@@ -5,13 +5,18 @@
 //! of one attachment out, nor one that the attachment's history forbids, whoever orders it.
 
 use crate::duty::{Duty, Phase};
-pub use crate::following::PlannerAt;
+pub use crate::following::PlannerAddress;
 use crate::following::{order, Line, State};
-use crate::frames::{self, Down, Fault, Hello, HostLine, Stands, Up, Welcome, LONGEST_NAME};
+use crate::frames::{
+    self, ForwarderMessage, Hello, HostEntry, LinkError, PlannerMessage, Welcome, WireHostState,
+    LONGEST_NAME,
+};
 use crate::plan::Plan;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use reedferry::{Action, RequestId, BalancerSettings, AttemptOutcome, Event, HostId, Nanos, MILLI, SECOND};
+use reedferry::{
+    Action, AttemptOutcome, BalancerSettings, Event, HostId, Nanos, RequestId, MILLI, SECOND,
+};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -36,7 +41,7 @@
 
 /// What a forwarder keeps to.
 #[derive(Clone, Debug)]
-pub struct Covenant {
+pub struct ForwarderConfig {
     pub name: String,
     pub balancer_settings: BalancerSettings,
     /// Of the lists that index what passes.
@@ -55,31 +60,31 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Deed {
+pub enum ForwarderAction {
     /// For the connection: final answers, moves, hand-offs called off.
-    Act(Action),
+    Perform(Action),
     /// A hand-off whose line is to start by `by`, or not at all.
-    HandOff {
+    StartAttempt {
         id: RequestId,
         host: HostId,
         until: Nanos,
         by: Nanos,
     },
     /// Opens a connection to a planner; answered by `called` or `lost`.
-    Call {
+    ConnectPlanner {
         line: u32,
         address: SocketAddr,
     },
     /// Ends it.
-    Hang {
+    DisconnectPlanner {
         line: u32,
     },
-    Host(HostLine),
+    HostLearned(HostEntry),
     Log(String),
 }
 
 pub struct Forwarder {
-    keeps: Covenant,
+    keeps: ForwarderConfig,
     rng: ChaCha8Rng,
     /// In the order in which it would follow them.
     lines: Vec<Line>,
@@ -97,7 +102,7 @@
     due: BinaryHeap<Reverse<(Nanos, u64, u32)>>,
     plan: Plan,
     plan_until: Nanos,
-    hosts: HashMap<HostId, Stands>,
+    hosts: HashMap<HostId, WireHostState>,
     /// Hosts that a planner said drain or are gone: as of which version, and until when that counts here.
     barred: HashMap<HostId, (u64, Nanos)>,
     pruned: Nanos,
@@ -114,7 +119,12 @@
 }
 
 impl Forwarder {
-    pub fn new(keeps: Covenant, planners: Vec<PlannerAt>, seed: u64, now: Nanos) -> Self {
+    pub fn new(
+        keeps: ForwarderConfig,
+        planners: Vec<PlannerAddress>,
+        seed: u64,
+        now: Nanos,
+    ) -> Self {
         let mut forwarder = Forwarder {
             keeps,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -160,7 +170,12 @@
     }
 
     /// Takes up another list of planners: those that stay keep their sessions.
-    pub fn planners(&mut self, now: Nanos, mut list: Vec<PlannerAt>, out: &mut Vec<Deed>) {
+    pub fn planners(
+        &mut self,
+        now: Nanos,
+        mut list: Vec<PlannerAddress>,
+        out: &mut Vec<ForwarderAction>,
+    ) {
         let lead = self.lead.map(|n| self.lines[n].token);
         order(&self.keeps.name, &mut list);
         let mut old = std::mem::take(&mut self.lines);
@@ -173,7 +188,10 @@
                 }
             }
         }
-        out.extend(old.iter().map(|line| Deed::Hang { line: line.token }));
+        out.extend(
+            old.iter()
+                .map(|line| ForwarderAction::DisconnectPlanner { line: line.token }),
+        );
         self.lead = lead.and_then(|token| self.line(token));
         if lead.is_some() && self.lead.is_none() {
             self.unfollowed();
@@ -199,7 +217,7 @@
     /// The connection that was called for stands.
     pub fn called(&mut self, token: u32) {
         let Some(n) = self.line(token) else { return };
-        let Covenant {
+        let ForwarderConfig {
             name,
             epoch,
             fingerprint,
@@ -217,12 +235,12 @@
     }
 
     /// The connection could not be made, or has ended.
-    pub fn lost(&mut self, now: Nanos, token: u32, why: &str, out: &mut Vec<Deed>) {
+    pub fn lost(&mut self, now: Nanos, token: u32, why: &str, out: &mut Vec<ForwarderAction>) {
         let Some(n) = self.line(token) else { return };
         let line = &mut self.lines[n];
         if line.session().is_some() {
             let name = &line.at.name;
-            out.push(Deed::Log(format!(
+            out.push(ForwarderAction::Log(format!(
                 "planner lost name={name} why={why} held={}",
                 self.duties.len()
             )));
@@ -231,16 +249,16 @@
         let pause = (AGAIN << line.tries.min(5)).min(LONGEST_AGAIN);
         let pause = (pause as f64 * self.rng.random_range(0.5..1.5)) as Nanos;
         line.tries += 1;
-        line.reset(State::Down(now + pause));
+        line.reset(State::PlannerMessage(now + pause));
         if self.lead == Some(n) {
             self.lead = None;
             self.unfollowed();
         }
     }
 
-    fn hang(&mut self, now: Nanos, n: usize, why: &str, out: &mut Vec<Deed>) {
+    fn hang(&mut self, now: Nanos, n: usize, why: &str, out: &mut Vec<ForwarderAction>) {
         let token = self.lines[n].token;
-        out.push(Deed::Hang { line: token });
+        out.push(ForwarderAction::DisconnectPlanner { line: token });
         self.lost(now, token, why, out);
     }
 
@@ -260,7 +278,7 @@
     }
 
     /// Bytes of a planner. What cannot be read ends that planner's connection alone.
-    pub fn came(&mut self, now: Nanos, token: u32, bytes: &[u8], out: &mut Vec<Deed>) {
+    pub fn came(&mut self, now: Nanos, token: u32, bytes: &[u8], out: &mut Vec<ForwarderAction>) {
         self.wake(now);
         let Some(n) = self.line(token) else { return };
         let mut reader = std::mem::take(&mut self.lines[n].reader);
@@ -271,7 +289,7 @@
                 let line = &mut self.lines[n];
                 if line.session().is_none() && line.why != why.to_string() {
                     let name = &line.at.name;
-                    out.push(Deed::Log(format!(
+                    out.push(ForwarderAction::Log(format!(
                         "planner turned away name={name} why={why}"
                     )));
                     line.why = why.to_string();
@@ -286,28 +304,30 @@
         now: Nanos,
         n: usize,
         body: &[u8],
-        out: &mut Vec<Deed>,
-    ) -> Result<(), Fault> {
+        out: &mut Vec<ForwarderAction>,
+    ) -> Result<(), LinkError> {
         let lease = self.keeps.lease;
         let line = &mut self.lines[n];
         let session = match line.state {
-            State::Up(session) => session,
+            State::ForwarderMessage(session) => session,
             State::Calling(_) => match frames::greeting(body)? {
                 Welcome::Session(session) => {
                     line.begin(session, now);
                     return Ok(());
                 }
                 Welcome::Refused(why) => {
-                    return Err(Fault::Refused(why.chars().take(LONGEST_NAME).collect()));
+                    return Err(LinkError::Refused(why.chars().take(LONGEST_NAME).collect()));
                 }
             },
-            State::Down(_) => return Err(Fault::Unexpected("bytes that nobody asked for")),
+            State::PlannerMessage(_) => {
+                return Err(LinkError::Unexpected("bytes that nobody asked for"))
+            }
         };
         let (head, mut notes) = frames::piece(body)?;
         line.tally.take(&head, session)?;
         let until = line
             .grants(&head, now, lease)
-            .ok_or(Fault::Unexpected("a beat that was never sent"))?;
+            .ok_or(LinkError::Unexpected("a beat that was never sent"))?;
         if self.lead == Some(n) {
             self.plan_until = self.plan_until.max(line.granted);
         }
@@ -322,36 +342,36 @@
         now: Nanos,
         n: usize,
         by: Nanos,
-        note: Down,
-        out: &mut Vec<Deed>,
-    ) -> Result<(), Fault> {
+        note: PlannerMessage,
+        out: &mut Vec<ForwarderAction>,
+    ) -> Result<(), LinkError> {
         let leads = self.lead == Some(n);
         match note {
-            Down::Host(line) => return self.host(now, n, line, out),
-            Down::Listed { .. } => self.listed(n, out),
-            Down::Going => self.lines[n].going = true,
+            PlannerMessage::Host(line) => return self.host(now, n, line, out),
+            PlannerMessage::HostsComplete { .. } => self.listed(n, out),
+            PlannerMessage::ShuttingDown => self.lines[n].going = true,
             // The word of one that is not followed decides nothing.
             _ if !leads => {}
-            Down::HandOff {
+            PlannerMessage::StartAttempt {
                 id,
                 step,
                 host,
                 within,
             } => self.ordered(now, by, (id, step), HostId(host), within, out),
-            Down::Dismiss { id, step, wait } => self.final_word(id, step, Some(wait), out),
-            Down::GiveUp { id, step } => self.final_word(id, step, None, out),
-            Down::Move { id } => {
+            PlannerMessage::Reject { id, step, wait } => self.final_word(id, step, Some(wait), out),
+            PlannerMessage::Fail { id, step } => self.final_word(id, step, None, out),
+            PlannerMessage::Migrate { id } => {
                 let open = self
                     .duties
                     .get(&id)
                     .is_some_and(|d| matches!(d.phase, Phase::Open(_)));
                 if open && now < by {
-                    out.push(Deed::Act(Action::Migrate {
+                    out.push(ForwarderAction::Perform(Action::Migrate {
                         id: RequestId(id),
                     }));
                 }
             }
-            Down::Plan { hosts, allowance } => self.plan = Plan::of(&hosts, allowance),
+            PlannerMessage::Plan { hosts, allowance } => self.plan = Plan::of(&hosts, allowance),
         }
         Ok(())
     }
@@ -362,27 +382,27 @@
         &mut self,
         now: Nanos,
         n: usize,
-        line: HostLine,
-        out: &mut Vec<Deed>,
-    ) -> Result<(), Fault> {
+        line: HostEntry,
+        out: &mut Vec<ForwarderAction>,
+    ) -> Result<(), LinkError> {
         let id = HostId(line.id);
         if line.name.is_empty() || line.name.len() > LONGEST_NAME {
-            return Err(Fault::Unexpected("a host without a proper name"));
+            return Err(LinkError::Unexpected("a host without a proper name"));
         }
         if self.hosts.len() >= MOST_HOSTS && !self.hosts.contains_key(&id) {
-            return Err(Fault::Unexpected("more hosts than there may be"));
+            return Err(LinkError::Unexpected("more hosts than there may be"));
         }
         if let Some(named) = self.lines[n].named.as_mut() {
             named.insert(id);
         }
         let bar = self.barred.get(&id).copied();
-        if line.stands != Stands::Ready {
+        if line.stands != WireHostState::Ready {
             if self.barred.len() >= MOST_BARRED && now >= self.pruned + SECOND {
                 self.barred.retain(|_, (_, until)| now < *until);
                 self.pruned = now;
             }
             if self.barred.len() >= MOST_HOSTS {
-                return Err(Fault::Unexpected(
+                return Err(LinkError::Unexpected(
                     "more hosts that are gone than there may be",
                 ));
             }
@@ -396,15 +416,15 @@
         }
         // Guards: a table that fills up with hosts of long ago, until no planner is listened to any more.
         match line.stands {
-            Stands::Gone => _ = self.hosts.remove(&id),
+            WireHostState::Gone => _ = self.hosts.remove(&id),
             stands => _ = self.hosts.insert(id, stands),
         }
-        out.push(Deed::Host(line));
+        out.push(ForwarderAction::HostLearned(line));
         Ok(())
     }
 
     /// A planner has named all its hosts: those that the one followed does not name are gone.
-    fn listed(&mut self, n: usize, out: &mut Vec<Deed>) {
+    fn listed(&mut self, n: usize, out: &mut Vec<ForwarderAction>) {
         let Some(named) = self.lines[n]
             .named
             .take()
@@ -422,14 +442,14 @@
         for id in gone {
             self.hosts.remove(&id);
             self.barred.remove(&id);
-            let line = HostLine {
+            let line = HostEntry {
                 id: id.0,
                 name: String::new(),
                 address: None,
-                stands: Stands::Gone,
+                stands: WireHostState::Gone,
                 as_of: 0,
             };
-            out.push(Deed::Host(line));
+            out.push(ForwarderAction::HostLearned(line));
         }
     }
 
@@ -445,7 +465,7 @@
         (id, step): (u64, u32),
         host: HostId,
         within: Nanos,
-        out: &mut Vec<Deed>,
+        out: &mut Vec<ForwarderAction>,
     ) {
         let balancer_settings = &self.keeps.balancer_settings;
         let Some(duty) = self.duties.get_mut(&id) else {
@@ -469,7 +489,7 @@
         }
         duty.sent(host, now);
         let until = now.saturating_add(within).min(last);
-        out.push(Deed::HandOff {
+        out.push(ForwarderAction::StartAttempt {
             id: RequestId(id),
             host,
             until,
@@ -477,7 +497,13 @@
         });
     }
 
-    fn final_word(&mut self, id: u64, step: u32, wait: Option<Nanos>, out: &mut Vec<Deed>) {
+    fn final_word(
+        &mut self,
+        id: u64,
+        step: u32,
+        wait: Option<Nanos>,
+        out: &mut Vec<ForwarderAction>,
+    ) {
         let Some(duty) = self.duties.get(&id) else {
             return;
         };
@@ -487,7 +513,7 @@
         let harmless = duty.harmless(class(&self.keeps.balancer_settings, duty));
         self.settle(id);
         let id = RequestId(id);
-        out.push(Deed::Act(match wait.filter(|_| harmless) {
+        out.push(ForwarderAction::Perform(match wait.filter(|_| harmless) {
             Some(wait) => Action::Reject {
                 id,
                 retry_after: wait.min(self.keeps.balancer_settings.max_retry_after),
@@ -504,7 +530,7 @@
     }
 
     /// What the connection tells.
-    pub fn event(&mut self, now: Nanos, event: Event, out: &mut Vec<Deed>) {
+    pub fn event(&mut self, now: Nanos, event: Event, out: &mut Vec<ForwarderAction>) {
         self.wake(now);
         // Guards: what comes in the turn in which a planner is lost, answered as if there were no other.
         if !self.led(now) {
@@ -527,22 +553,31 @@
             }
             Event::ConnectionEstablished { id, took } => self.begun(now, id.0, took),
             Event::AttemptEnded {
-                id, request_over: over, ending, ..
+                id,
+                request_over: over,
+                ending,
+                ..
             } => self.ended(now, id.0, over, ending, out),
             Event::ClientLeft { id } => self.left(id.0, out),
             Event::LoadMeasured { id, load } => {
                 if self.duties.get(&id.0).is_some_and(|d| d.known) && !self.choked() {
-                    self.tell(Up::LoadNow { id: id.0, load });
+                    self.tell(ForwarderMessage::LoadMeasured { id: id.0, load });
                 }
             }
-            Event::MessageLatency { host, latency: time } => {
+            Event::MessageLatency {
+                host,
+                latency: time,
+            } => {
                 if self.told && !self.choked() {
-                    self.tell(Up::MessageTime { host: host.0, time });
+                    self.tell(ForwarderMessage::MessageLatency { host: host.0, time });
                 }
             }
             Event::ShutdownStarted { from, by } => {
                 (self.leaving, self.next_part) = (Some(by), from);
-                out.push(Deed::Log(format!("leaving held={}", self.duties.len())));
+                out.push(ForwarderAction::Log(format!(
+                    "leaving held={}",
+                    self.duties.len()
+                )));
             }
             // A forwarder follows no roll, sends no probes and hears no nodes.
             Event::EndpointsUpdated { .. }
@@ -561,7 +596,7 @@
     }
 
     /// Puts a note behind what waits for the planner that is followed.
-    fn tell(&mut self, note: Up) {
+    fn tell(&mut self, note: ForwarderMessage) {
         let Some(line) = self.lead.map(|n| &mut self.lines[n]) else {
             return;
         };
@@ -576,13 +611,19 @@
     }
 
     /// Has what waits decided: by the planner, or here where that cannot be.
-    fn want(&mut self, now: Nanos, id: u64, out: &mut Vec<Deed>) {
+    fn want(&mut self, now: Nanos, id: u64, out: &mut Vec<ForwarderAction>) {
         let Some(duty) = self.duties.get(&id) else {
             return;
         };
         let balancer_settings = &self.keeps.balancer_settings;
         let last = duty.answer_by(balancer_settings);
-        if now >= last || !duty.may_go(class(balancer_settings, duty), balancer_settings.max_attempts, now) {
+        if now >= last
+            || !duty.may_go(
+                class(balancer_settings, duty),
+                balancer_settings.max_attempts,
+                now,
+            )
+        {
             return self.answer(id, out);
         }
         // While it is still told what stands, what comes waits its turn behind that.
@@ -599,7 +640,7 @@
             return self.parked.push(id);
         }
         let (step, asked, past) = (duty.step, duty.asked(now), duty.past(now));
-        self.tell(Up::Ask {
+        self.tell(ForwarderMessage::RequestPlacement {
             id,
             step,
             asked,
@@ -627,7 +668,7 @@
             duty.step,
         )));
         let step = duty.step;
-        self.tell(Up::Ended {
+        self.tell(ForwarderMessage::AttemptEnded {
             id,
             step,
             came: ending.into(),
@@ -637,7 +678,7 @@
     }
 
     /// Decides without a planner: a first hand-off by the plan while that holds, else the final answer.
-    fn decide_alone(&mut self, now: Nanos, id: u64, out: &mut Vec<Deed>) {
+    fn decide_alone(&mut self, now: Nanos, id: u64, out: &mut Vec<ForwarderAction>) {
         let Some(duty) = self.duties.get_mut(&id) else {
             return;
         };
@@ -664,30 +705,37 @@
             o if o.idempotency == reedferry::Idempotency::NonIdempotent => last,
             o => last.min(now + o.latency_objective),
         };
-        out.push(Deed::HandOff {
+        out.push(ForwarderAction::StartAttempt {
             id: RequestId(id),
             host,
             until,
             by: self.plan_until,
         });
         if known {
-            self.tell(Up::Gone { id });
+            self.tell(ForwarderMessage::RequestClosed { id });
         }
         self.alone.0 += 1;
     }
 
     /// The final answer where no planner gives it, at once.
-    fn answer(&mut self, id: u64, out: &mut Vec<Deed>) {
+    fn answer(&mut self, id: u64, out: &mut Vec<ForwarderAction>) {
         let Some(duty) = self.settle(id) else { return };
         if duty.known {
-            self.tell(Up::Gone { id });
+            self.tell(ForwarderMessage::RequestClosed { id });
         }
         let balancer_settings = &self.keeps.balancer_settings;
-        let (id, harmless) = (RequestId(id), duty.harmless(class(balancer_settings, &duty)));
+        let (id, harmless) = (
+            RequestId(id),
+            duty.harmless(class(balancer_settings, &duty)),
+        );
         // Spread, so that the clients do not come back in step.
-        let wait = (balancer_settings.max_retry_after as f64 * self.rng.random_range(0.25..1.0)) as Nanos;
-        out.push(Deed::Act(if harmless {
-            Action::Reject { id, retry_after: wait }
+        let wait =
+            (balancer_settings.max_retry_after as f64 * self.rng.random_range(0.25..1.0)) as Nanos;
+        out.push(ForwarderAction::Perform(if harmless {
+            Action::Reject {
+                id,
+                retry_after: wait,
+            }
         } else {
             Action::Fail { id }
         }));
@@ -701,7 +749,7 @@
         let Phase::Out(host) = duty.phase else { return };
         duty.phase = Phase::Open(host);
         if duty.known {
-            self.tell(Up::Begun { id, took });
+            self.tell(ForwarderMessage::ConnectionEstablished { id, took });
         } else {
             self.stands(now, id);
         }
@@ -726,14 +774,21 @@
             return;
         }
         let asked = duty.asked(now);
-        self.tell(Up::Stands {
+        self.tell(ForwarderMessage::OpenConnection {
             id,
             asked,
             host: host.0,
         });
     }
 
-    fn ended(&mut self, now: Nanos, id: u64, over: bool, ending: AttemptOutcome, out: &mut Vec<Deed>) {
+    fn ended(
+        &mut self,
+        now: Nanos,
+        id: u64,
+        over: bool,
+        ending: AttemptOutcome,
+        out: &mut Vec<ForwarderAction>,
+    ) {
         let Some(duty) = self.duties.get_mut(&id) else {
             return;
         };
@@ -741,7 +796,7 @@
             let (step, known) = (duty.step, duty.known);
             self.settle(id);
             if known {
-                self.tell(Up::Ended {
+                self.tell(ForwarderMessage::AttemptEnded {
                     id,
                     step,
                     came: ending.into(),
@@ -763,7 +818,7 @@
             };
             if std::mem::take(&mut duty.known) {
                 let step = duty.step;
-                self.tell(Up::Ended {
+                self.tell(ForwarderMessage::AttemptEnded {
                     id,
                     step,
                     came: ending.into(),
@@ -774,7 +829,7 @@
         }
     }
 
-    fn left(&mut self, id: u64, out: &mut Vec<Deed>) {
+    fn left(&mut self, id: u64, out: &mut Vec<ForwarderAction>) {
         let Some(duty) = self.duties.get_mut(&id) else {
             return;
         };
@@ -784,18 +839,21 @@
                 duty.left = true;
                 if self.keeps.balancer_settings.may_cancel {
                     let (id, attempt) = (RequestId(id), duty.attempts - 1);
-                    out.push(Deed::Act(Action::CancelAttempt { id, attempt }));
+                    out.push(ForwarderAction::Perform(Action::CancelAttempt {
+                        id,
+                        attempt,
+                    }));
                 }
             }
             _ => _ = self.settle(id),
         }
         if known {
-            self.tell(Up::Left { id });
+            self.tell(ForwarderMessage::ClientLeft { id });
         }
     }
 
     /// What falls to be done as time goes by, and the end of a turn: to be called once a turn, last.
-    pub fn tick(&mut self, now: Nanos, out: &mut Vec<Deed>) {
+    pub fn tick(&mut self, now: Nanos, out: &mut Vec<ForwarderAction>) {
         self.wake(now);
         self.keep_lines(now, out);
         self.elect(now, out);
@@ -809,7 +867,8 @@
             let Some(duty) = self.duties.get(&id).filter(waits) else {
                 continue;
             };
-            if now < self.patience && duty.answer_by(&self.keeps.balancer_settings) > self.patience {
+            if now < self.patience && duty.answer_by(&self.keeps.balancer_settings) > self.patience
+            {
                 self.due.push(Reverse((self.patience, id, step)));
             } else {
                 self.decide_alone(now, id, out);
@@ -823,7 +882,7 @@
         }
         let (planned, answered) = self.alone;
         if (planned > 0 || answered > 0) && now >= self.alone_told + SECOND {
-            out.push(Deed::Log(format!(
+            out.push(ForwarderAction::Log(format!(
                 "decided alone planned={planned} answered={answered}"
             )));
             (self.alone, self.alone_told) = ((0, 0), now);
@@ -833,8 +892,8 @@
     /// When `tick` is wanted next at the latest.
     pub fn next(&self) -> Nanos {
         let line = |line: &Line| match line.state {
-            State::Down(at) | State::Calling(at) => at,
-            State::Up(_) => line.next_beat().unwrap_or(Nanos::MAX),
+            State::PlannerMessage(at) | State::Calling(at) => at,
+            State::ForwarderMessage(_) => line.next_beat().unwrap_or(Nanos::MAX),
         };
         let lines = self.lines.iter().map(line).min();
         let due = self.due.peek().map(|Reverse((time, ..))| *time);
@@ -847,19 +906,19 @@
             .unwrap_or(Nanos::MAX)
     }
 
-    fn keep_lines(&mut self, now: Nanos, out: &mut Vec<Deed>) {
+    fn keep_lines(&mut self, now: Nanos, out: &mut Vec<ForwarderAction>) {
         for n in 0..self.lines.len() {
             let line = &mut self.lines[n];
             match line.state {
-                State::Down(at) if now >= at => {
+                State::PlannerMessage(at) if now >= at => {
                     line.state = State::Calling(now + WELCOME);
-                    out.push(Deed::Call {
+                    out.push(ForwarderAction::ConnectPlanner {
                         line: line.token,
                         address: line.at.address,
                     });
                 }
                 State::Calling(by) if now >= by => self.hang(now, n, "no welcome in time", out),
-                State::Up(_) => {
+                State::ForwarderMessage(_) => {
                     let heard = line.granted.max(line.up_since + self.keeps.lease);
                     if now >= heard + (SILENT - 1) * self.keeps.lease {
                         self.hang(now, n, "silent", out);
@@ -874,7 +933,7 @@
 
     /// Follows the first planner in its order whose word holds. One that it would rather follow than the
     /// present one must have been well for a while. Guards: forwarders that run to and fro between two.
-    fn elect(&mut self, now: Nanos, out: &mut Vec<Deed>) {
+    fn elect(&mut self, now: Nanos, out: &mut Vec<ForwarderAction>) {
         let holds = |n: usize| self.lines[n].holds(now);
         let lead = self.lead.filter(|&n| holds(n));
         if lead.is_none() && self.led(now) {
@@ -892,27 +951,29 @@
         };
         let held = self.duties.len();
         if chosen.is_none() && !std::mem::replace(&mut self.orphaned, true) {
-            out.push(Deed::Log(format!("no planner answers held={held}")));
+            out.push(ForwarderAction::Log(format!(
+                "no planner answers held={held}"
+            )));
         }
         if chosen == self.lead {
             return;
         }
         match chosen {
             Some(n) => {
-                self.tell(Up::Unfollow);
+                self.tell(ForwarderMessage::Unfollow);
                 (self.lead, self.orphaned) = (Some(n), false);
                 self.unfollowed();
                 let standing = self.retell.len();
                 let name = &self.lines[n].at.name;
-                out.push(Deed::Log(format!(
+                out.push(ForwarderAction::Log(format!(
                     "follows planner={name} standing={standing} held={held}"
                 )));
-                self.tell(Up::Follow {
+                self.tell(ForwarderMessage::Follow {
                     standing: standing as u32,
                 });
             }
             None => {
-                self.tell(Up::Unfollow);
+                self.tell(ForwarderMessage::Unfollow);
                 self.lead = None;
                 self.unfollowed();
             }
@@ -943,7 +1004,7 @@
 
     /// Tells a planner what stands, as much as goes at once, and then asks for what waits. Where there is no
     /// planner, what waits is decided here.
-    fn tell_standing(&mut self, now: Nanos, out: &mut Vec<Deed>) {
+    fn tell_standing(&mut self, now: Nanos, out: &mut Vec<ForwarderAction>) {
         if self.lead.is_none() {
             for id in std::mem::take(&mut self.parked) {
                 self.decide_alone(now, id, out);
@@ -958,7 +1019,7 @@
         }
         if !self.told && self.retell.is_empty() {
             self.told = true;
-            self.tell(Up::Told);
+            self.tell(ForwarderMessage::StateSyncComplete);
             for id in std::mem::take(&mut self.parked) {
                 self.want(now, id, out);
             }
@@ -966,7 +1027,7 @@
     }
 
     /// Sends the clients of a forwarder that stops away evenly. Guards: hosts and planners stormed by all.
-    fn part(&mut self, now: Nanos, out: &mut Vec<Deed>) {
+    fn part(&mut self, now: Nanos, out: &mut Vec<ForwarderAction>) {
         let Some(by) = self.leaving.filter(|_| now >= self.next_part) else {
             return;
         };
@@ -976,7 +1037,7 @@
         let share = count.div_ceil((by.saturating_sub(now) / PARTING + 1) as usize);
         for (&id, duty) in self.duties.iter_mut().filter(|(_, d)| open(d)).take(share) {
             duty.moved = true;
-            out.push(Deed::Act(Action::Migrate {
+            out.push(ForwarderAction::Perform(Action::Migrate {
                 id: RequestId(id),
             }));
         }
@@ -1000,7 +1061,7 @@
         };
         let (lease, settle) = (250 * MILLI, SECOND);
         let (name, decide_within) = ("f".to_string(), 400 * MILLI);
-        let keeps = Covenant {
+        let keeps = ForwarderConfig {
             name,
             balancer_settings,
             fingerprint: 1,
@@ -1010,7 +1071,7 @@
             most_asked: 9,
             settle,
         };
-        let at = PlannerAt {
+        let at = PlannerAddress {
             name: "p".into(),
             address: ([127, 0, 0, 1], 1).into(),
         };
@@ -1022,15 +1083,15 @@
         // More than its table has room for, some thousands at a time.
         for batch in 0..14 {
             for id in batch * 5_000..(batch + 1) * 5_000 {
-                for stands in [Stands::Ready, Stands::Gone] {
-                    let line = HostLine {
+                for stands in [WireHostState::Ready, WireHostState::Gone] {
+                    let line = HostEntry {
                         id,
                         name: "x".into(),
                         address: None,
                         stands,
                         as_of: id,
                     };
-                    writer.put(5, 0, &Down::Host(line));
+                    writer.put(5, 0, &PlannerMessage::Host(line));
                 }
             }
             writer.seal();
@@ -1038,7 +1099,9 @@
             writer.sent(bytes.len());
             forwarder.came((batch + 1) * 11 * SECOND, 1, &bytes, &mut deeds);
         }
-        assert!(!deeds.iter().any(|deed| matches!(deed, Deed::Hang { .. })));
+        assert!(!deeds
+            .iter()
+            .any(|deed| matches!(deed, ForwarderAction::DisconnectPlanner { .. })));
         assert!(forwarder.hosts.is_empty());
         // As many as there may be at once, and one more.
         let mut writer = Writer::default();
@@ -1047,7 +1110,7 @@
             lines: Vec::new(),
             ..forwarder
         };
-        let at = PlannerAt {
+        let at = PlannerAddress {
             name: "p".into(),
             address: ([127, 0, 0, 1], 1).into(),
         };
@@ -1055,19 +1118,19 @@
         deeds.clear();
         forwarder.tick(SECOND, &mut deeds);
         for id in 0..=MOST_HOSTS as u64 {
-            let line = HostLine {
+            let line = HostEntry {
                 id,
                 name: "x".into(),
                 address: None,
-                stands: Stands::Ready,
+                stands: WireHostState::Ready,
                 as_of: 1 << 40,
             };
-            writer.put(5, 0, &Down::Host(line));
+            writer.put(5, 0, &PlannerMessage::Host(line));
         }
         writer.seal();
         forwarder.came(SECOND, 2, writer.waiting(), &mut deeds);
         assert!(deeds
             .iter()
-            .any(|deed| matches!(deed, Deed::Hang { line: 2 })));
+            .any(|deed| matches!(deed, ForwarderAction::DisconnectPlanner { line: 2 })));
     }
 }
--- a/control-plane/src/frames.rs
+++ b/control-plane/src/frames.rs
@@ -3,7 +3,7 @@
 //! as a turn gathered, in the postcard format. This file owns the form of what passes and how it is read
 //! as it arrives. It must never hold more of a peer's bytes than one frame, nor believe a length.
 
-use reedferry::{IncomingRequest, RequestId, AttemptOutcome, Nanos, HostState};
+use reedferry::{AttemptOutcome, HostState, IncomingRequest, Nanos, RequestId};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -23,8 +23,8 @@
 
 /// Why a peer's connection ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
-    TooLong,
+pub enum LinkError {
+    FrameTooLong,
     Malformed,
     Version(u16),
     /// It is not what was expected here, and in what.
@@ -33,14 +33,14 @@
     Refused(String),
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for LinkError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Fault::TooLong => write!(f, "a frame that is too long"),
-            Fault::Malformed => write!(f, "a frame that cannot be read"),
-            Fault::Version(theirs) => write!(f, "version {theirs} of the link, not {VERSION}"),
-            Fault::Unexpected(what) => write!(f, "{what}"),
-            Fault::Refused(why) => write!(f, "turned away there: {why:?}"),
+            LinkError::FrameTooLong => write!(f, "a frame that is too long"),
+            LinkError::Malformed => write!(f, "a frame that cannot be read"),
+            LinkError::Version(theirs) => write!(f, "version {theirs} of the link, not {VERSION}"),
+            LinkError::Unexpected(what) => write!(f, "{what}"),
+            LinkError::Refused(why) => write!(f, "turned away there: {why:?}"),
         }
     }
 }
@@ -78,7 +78,7 @@
 
 /// An attachment as it is asked for. Times are spans: the two ends share no clock.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Asked {
+pub struct PlacementRequest {
     pub class: u16,
     pub key: Option<u64>,
     pub group: Option<u64>,
@@ -86,7 +86,7 @@
     pub time_left: Nanos,
 }
 
-impl Asked {
+impl PlacementRequest {
     pub fn of(incoming: &IncomingRequest, time_left: Nanos) -> Self {
         let IncomingRequest {
             class,
@@ -95,7 +95,7 @@
             usual_load,
             ..
         } = *incoming;
-        Asked {
+        PlacementRequest {
             class: class.min(usize::from(u16::MAX)) as u16,
             key,
             group,
@@ -106,7 +106,7 @@
 
     /// As the module takes it, under a name of the caller's.
     pub fn incoming(&self, id: RequestId) -> IncomingRequest {
-        let Asked {
+        let PlacementRequest {
             key,
             group,
             time_left,
@@ -139,16 +139,16 @@
 
 /// How a hand-off ended, as it is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Came {
-    Done,
+pub enum WireOutcome {
+    Completed,
     Error,
-    Refused,
+    Rejected,
     TimedOut,
-    Unconnected,
-    Broken,
-    CalledOff,
+    ConnectFailed,
+    ConnectionLost,
+    Cancelled,
     NeverSent,
-    PassedOn,
+    HandedOver,
 }
 
 macro_rules! both_ways {
@@ -166,43 +166,43 @@
     };
 }
 
-impl From<AttemptOutcome> for Came {
-    fn from(ending: AttemptOutcome) -> Came {
+impl From<AttemptOutcome> for WireOutcome {
+    fn from(ending: AttemptOutcome) -> WireOutcome {
         match ending {
-            AttemptOutcome::Completed => Came::Done,
-            AttemptOutcome::Error => Came::Error,
-            AttemptOutcome::Rejected => Came::Refused,
-            AttemptOutcome::TimedOut => Came::TimedOut,
-            AttemptOutcome::ConnectFailed => Came::Unconnected,
-            AttemptOutcome::ConnectionLost => Came::Broken,
-            AttemptOutcome::Cancelled => Came::CalledOff,
+            AttemptOutcome::Completed => WireOutcome::Completed,
+            AttemptOutcome::Error => WireOutcome::Error,
+            AttemptOutcome::Rejected => WireOutcome::Rejected,
+            AttemptOutcome::TimedOut => WireOutcome::TimedOut,
+            AttemptOutcome::ConnectFailed => WireOutcome::ConnectFailed,
+            AttemptOutcome::ConnectionLost => WireOutcome::ConnectionLost,
+            AttemptOutcome::Cancelled => WireOutcome::Cancelled,
             // The same to a planner, of which an older one knows no more.
-            AttemptOutcome::NeverSent | AttemptOutcome::NoRoute => Came::NeverSent,
-            AttemptOutcome::HandedOver => Came::PassedOn,
+            AttemptOutcome::NeverSent | AttemptOutcome::NoRoute => WireOutcome::NeverSent,
+            AttemptOutcome::HandedOver => WireOutcome::HandedOver,
         }
     }
 }
 
-impl From<Came> for AttemptOutcome {
-    fn from(came: Came) -> AttemptOutcome {
+impl From<WireOutcome> for AttemptOutcome {
+    fn from(came: WireOutcome) -> AttemptOutcome {
         match came {
-            Came::Done => AttemptOutcome::Completed,
-            Came::Error => AttemptOutcome::Error,
-            Came::Refused => AttemptOutcome::Rejected,
-            Came::TimedOut => AttemptOutcome::TimedOut,
-            Came::Unconnected => AttemptOutcome::ConnectFailed,
-            Came::Broken => AttemptOutcome::ConnectionLost,
-            Came::CalledOff => AttemptOutcome::Cancelled,
-            Came::NeverSent => AttemptOutcome::NeverSent,
-            Came::PassedOn => AttemptOutcome::HandedOver,
+            WireOutcome::Completed => AttemptOutcome::Completed,
+            WireOutcome::Error => AttemptOutcome::Error,
+            WireOutcome::Rejected => AttemptOutcome::Rejected,
+            WireOutcome::TimedOut => AttemptOutcome::TimedOut,
+            WireOutcome::ConnectFailed => AttemptOutcome::ConnectFailed,
+            WireOutcome::ConnectionLost => AttemptOutcome::ConnectionLost,
+            WireOutcome::Cancelled => AttemptOutcome::Cancelled,
+            WireOutcome::NeverSent => AttemptOutcome::NeverSent,
+            WireOutcome::HandedOver => AttemptOutcome::HandedOver,
         }
     }
 }
 
-both_ways!(Stands <-> HostState: Ready Draining Gone);
+both_ways!(WireHostState <-> HostState: Ready Draining Gone);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Stands {
+pub enum WireHostState {
     Ready,
     Draining,
     Gone,
@@ -210,11 +210,11 @@
 
 /// A host as a forwarder needs to know it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct HostLine {
+pub struct HostEntry {
     pub id: u64,
     pub name: String,
     pub address: Option<SocketAddr>,
-    pub stands: Stands,
+    pub stands: WireHostState,
     /// The version of the roll that says so.
     pub as_of: u64,
 }
@@ -222,79 +222,79 @@
 /// From a forwarder to a planner. Attachments go by the forwarder's names; `step` counts what the
 /// forwarder has told of one, and an answer bears the step that it answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Up {
+pub enum ForwarderMessage {
     /// This planner decides from now on, and so many open connections will be told first.
     Follow {
         standing: u32,
     },
     /// All that stood has been told.
-    Told,
+    StateSyncComplete,
     /// Another decides: all that was told is void.
     Unfollow,
-    Stands {
+    OpenConnection {
         id: u64,
-        asked: Asked,
+        asked: PlacementRequest,
         host: u64,
     },
-    Ask {
+    RequestPlacement {
         id: u64,
         step: u32,
-        asked: Asked,
+        asked: PlacementRequest,
         past: PriorAttempts,
     },
-    Begun {
+    ConnectionEstablished {
         id: u64,
         took: Nanos,
     },
-    Ended {
+    AttemptEnded {
         id: u64,
         step: u32,
-        came: Came,
+        came: WireOutcome,
         over: bool,
     },
-    LoadNow {
+    LoadMeasured {
         id: u64,
         load: f64,
     },
-    MessageTime {
+    MessageLatency {
         host: u64,
         time: Nanos,
     },
     /// The client left.
-    Left {
+    ClientLeft {
         id: u64,
     },
     /// The forwarder settled it without this planner, whatever was ordered meanwhile.
-    Gone {
+    RequestClosed {
         id: u64,
     },
 }
 
 /// From a planner to a forwarder.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Down {
-    HandOff {
+pub enum PlannerMessage {
+    StartAttempt {
         id: u64,
         step: u32,
         host: u64,
         /// How long the host may take.
         within: Nanos,
     },
-    Dismiss {
+    Reject {
         id: u64,
         step: u32,
         wait: Nanos,
     },
-    GiveUp {
+    Fail {
         id: u64,
         step: u32,
     },
-    Move {
+    Migrate {
         id: u64,
     },
-    Host(HostLine),
+    Host(HostEntry),
     /// All hosts have been told, as of this version.
-    Listed {
+    HostsComplete {
         as_of: u64,
     },
     /// Where the next attachments would go, by weight, and how many may go there unasked.
@@ -303,7 +303,7 @@
         allowance: u32,
     },
     /// The planner is about to stop.
-    Going,
+    ShuttingDown,
 }
 
 /// Takes a peer's bytes as they come and gives whole bodies.
@@ -316,13 +316,13 @@
     /// Hands each body that is whole to `each`, in order.
     ///
     /// # Errors
-    /// [`Fault::TooLong`] as soon as a length says so, before anything is kept for it, and whatever
+    /// [`LinkError::FrameTooLong`] as soon as a length says so, before anything is kept for it, and whatever
     /// `each` says.
     pub fn feed(
         &mut self,
         mut bytes: &[u8],
-        mut each: impl FnMut(&[u8]) -> Result<(), Fault>,
-    ) -> Result<(), Fault> {
+        mut each: impl FnMut(&[u8]) -> Result<(), LinkError>,
+    ) -> Result<(), LinkError> {
         while !bytes.is_empty() {
             // Without a copy where a frame came whole.
             if self.held.is_empty() {
@@ -349,18 +349,18 @@
         Ok(())
     }
 
-    fn length(bytes: &[u8]) -> Result<Option<usize>, Fault> {
+    fn length(bytes: &[u8]) -> Result<Option<usize>, LinkError> {
         let Some(prefix) = bytes.first_chunk::<PREFIX>() else {
             return Ok(None);
         };
         match u32::from_le_bytes(*prefix) as usize {
-            0 => Err(Fault::Malformed),
-            length if length > LONGEST => Err(Fault::TooLong),
+            0 => Err(LinkError::Malformed),
+            length if length > LONGEST => Err(LinkError::FrameTooLong),
             length => Ok(Some(length)),
         }
     }
 
-    fn whole(bytes: &[u8]) -> Result<Option<usize>, Fault> {
+    fn whole(bytes: &[u8]) -> Result<Option<usize>, LinkError> {
         Ok(Self::length(bytes)?
             .map(|length| PREFIX + length)
             .filter(|&whole| whole <= bytes.len()))
@@ -482,21 +482,21 @@
 ///
 /// # Errors
 /// Where it is none, is of another version or bears a name that is too long.
-pub fn greeting<T: DeserializeOwned>(body: &[u8]) -> Result<T, Fault> {
+pub fn greeting<T: DeserializeOwned>(body: &[u8]) -> Result<T, LinkError> {
     let rest = body
         .strip_prefix(&MAGIC)
-        .ok_or(Fault::Unexpected("no greeting of the link"))?;
-    let (version, rest) = rest.split_first_chunk::<2>().ok_or(Fault::Malformed)?;
+        .ok_or(LinkError::Unexpected("no greeting of the link"))?;
+    let (version, rest) = rest.split_first_chunk::<2>().ok_or(LinkError::Malformed)?;
     match u16::from_le_bytes(*version) {
         VERSION => whole(rest),
-        other => Err(Fault::Version(other)),
+        other => Err(LinkError::Version(other)),
     }
 }
 
-fn whole<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Fault> {
+fn whole<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, LinkError> {
     match postcard::take_from_bytes(bytes) {
         Ok((value, [])) => Ok(value),
-        _ => Err(Fault::Malformed),
+        _ => Err(LinkError::Malformed),
     }
 }
 
@@ -507,12 +507,12 @@
     /// The next note; none behind the last byte.
     ///
     /// # Errors
-    /// [`Fault::Malformed`] where what is left is no note.
-    pub fn take<T: DeserializeOwned>(&mut self) -> Result<Option<T>, Fault> {
+    /// [`LinkError::Malformed`] where what is left is no note.
+    pub fn take<T: DeserializeOwned>(&mut self) -> Result<Option<T>, LinkError> {
         if self.0.is_empty() {
             return Ok(None);
         }
-        let (note, rest) = postcard::take_from_bytes(self.0).map_err(|_| Fault::Malformed)?;
+        let (note, rest) = postcard::take_from_bytes(self.0).map_err(|_| LinkError::Malformed)?;
         self.0 = rest;
         Ok(Some(note))
     }
@@ -521,9 +521,9 @@
 /// Reads the head of a piece.
 ///
 /// # Errors
-/// [`Fault::Malformed`] where there is none.
-pub fn piece(body: &[u8]) -> Result<(Head, Notes<'_>), Fault> {
-    let (head, rest) = postcard::take_from_bytes(body).map_err(|_| Fault::Malformed)?;
+/// [`LinkError::Malformed`] where there is none.
+pub fn piece(body: &[u8]) -> Result<(Head, Notes<'_>), LinkError> {
+    let (head, rest) = postcard::take_from_bytes(body).map_err(|_| LinkError::Malformed)?;
     Ok((head, Notes(rest)))
 }
 
@@ -534,12 +534,12 @@
 impl Tally {
     /// # Errors
     /// Where a piece is of another session, comes twice, or out of its turn.
-    pub fn take(&mut self, head: &Head, session: u64) -> Result<(), Fault> {
+    pub fn take(&mut self, head: &Head, session: u64) -> Result<(), LinkError> {
         if head.session != session {
-            return Err(Fault::Unexpected("a piece of another session"));
+            return Err(LinkError::Unexpected("a piece of another session"));
         }
         if head.number != self.0 + 1 {
-            return Err(Fault::Unexpected("a piece out of its turn"));
+            return Err(LinkError::Unexpected("a piece out of its turn"));
         }
         self.0 = head.number;
         Ok(())
@@ -550,8 +550,8 @@
 mod tests {
     use super::*;
 
-    fn notes() -> Vec<Up> {
-        let asked = Asked {
+    fn notes() -> Vec<ForwarderMessage> {
+        let asked = PlacementRequest {
             class: 1,
             key: Some(7),
             group: None,
@@ -564,29 +564,29 @@
             tried: vec![3, 5],
         };
         vec![
-            Up::Follow { standing: 2 },
-            Up::Stands {
+            ForwarderMessage::Follow { standing: 2 },
+            ForwarderMessage::OpenConnection {
                 id: 1,
                 asked,
                 host: 8,
             },
-            Up::Ask {
+            ForwarderMessage::RequestPlacement {
                 id: u64::MAX,
                 step: 3,
                 asked,
                 past,
             },
-            Up::Ended {
+            ForwarderMessage::AttemptEnded {
                 id: 1,
                 step: 2,
-                came: Came::Broken,
+                came: WireOutcome::ConnectionLost,
                 over: false,
             },
-            Up::Told,
+            ForwarderMessage::StateSyncComplete,
         ]
     }
 
-    fn read(bytes: &[u8], size: usize) -> Result<(Vec<Head>, Vec<Up>), Fault> {
+    fn read(bytes: &[u8], size: usize) -> Result<(Vec<Head>, Vec<ForwarderMessage>), LinkError> {
         let (mut reader, mut heads, mut all) = (Reader::default(), Vec::new(), Vec::new());
         for part in bytes.chunks(size) {
             reader.feed(part, |body| {
@@ -640,12 +640,15 @@
     #[test]
     fn a_frame_of_four_gigabytes_is_refused_before_anything_is_kept_for_it() {
         let mut reader = Reader::default();
-        assert_eq!(reader.feed(&[0xff; 4], |_| Ok(())), Err(Fault::TooLong));
+        assert_eq!(
+            reader.feed(&[0xff; 4], |_| Ok(())),
+            Err(LinkError::FrameTooLong)
+        );
         let mut reader = Reader::default();
         reader.feed(&[0xff; 3], |_| Ok(())).unwrap();
         assert_eq!(
             reader.feed(&[0xff; 1 << 16], |_| Ok(())),
-            Err(Fault::TooLong)
+            Err(LinkError::FrameTooLong)
         );
         assert!(reader.held() <= PREFIX);
         // A length within a body is not believed either.
@@ -661,8 +664,8 @@
         .to_vec();
         body.extend_from_slice(&[6, 0xff, 0xff, 0xff, 0xff, 0x0f]);
         assert_eq!(
-            piece(&body).unwrap().1.take::<Down>(),
-            Err(Fault::Malformed)
+            piece(&body).unwrap().1.take::<PlannerMessage>(),
+            Err(LinkError::Malformed)
         );
     }
 
@@ -673,7 +676,7 @@
         let mut body = writer.waiting()[PREFIX..].to_vec();
         assert_eq!(greeting::<Welcome>(&body), Ok(Welcome::Session(3)));
         body[4] = 0;
-        assert_eq!(greeting::<Welcome>(&body), Err(Fault::Version(0)));
+        assert_eq!(greeting::<Welcome>(&body), Err(LinkError::Version(0)));
         assert!(greeting::<Welcome>(b"GET / HTTP/1.1\r\n").is_err());
         let mut tally = Tally::default();
         let head = |session, number| Head {
@@ -698,7 +701,7 @@
             for part in bytes.chunks(size) {
                 let fed = reader.feed(part, |body| {
                     let (_, mut notes) = piece(body)?;
-                    while notes.take::<Up>()?.is_some() {}
+                    while notes.take::<ForwarderMessage>()?.is_some() {}
                     Ok(())
                 });
                 proptest::prop_assert!(reader.held() <= LONGEST + PREFIX);
--- a/control-plane/src/lib.rs
+++ b/control-plane/src/lib.rs
@@ -12,9 +12,9 @@
 pub mod plan;
 pub mod planner;
 
-pub use forwarder::{Covenant, Deed, Forwarder, PlannerAt};
-pub use frames::{Fault, HostLine};
-pub use planner::{Order, Planner, Remit};
+pub use forwarder::{Forwarder, ForwarderAction, ForwarderConfig, PlannerAddress};
+pub use frames::{HostEntry, LinkError};
+pub use planner::{Planner, PlannerAction, PlannerConfig};
 
 /// What two ends must have in common to work together: names stand for their places in a list.
 pub fn fingerprint<'a>(names: impl IntoIterator<Item = &'a str>) -> u64 {
--- a/control-plane/src/planner.rs
+++ b/control-plane/src/planner.rs
@@ -5,15 +5,16 @@
 //! keep more for a forwarder than its bounds.
 
 use crate::frames::{
-    self, Asked, Down, Fault, Hello, HostLine, PriorAttempts, Reader, Stands, Tally, Up, Welcome, Writer,
+    self, ForwarderMessage, Hello, HostEntry, LinkError, PlacementRequest, PlannerMessage,
+    PriorAttempts, Reader, Tally, Welcome, WireHostState, Writer,
 };
 use crate::frames::{LONGEST_NAME, MOST_NAMED};
 use crate::plan::Shares;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use reedferry::{
-    Action, RequestId, Balancer, BalancerSettings, AttemptOutcome, Event, HostId, Endpoint, Nanos, EndpointUpdate,
-    HostState, MILLI, SECOND,
+    Action, AttemptOutcome, Balancer, BalancerSettings, Endpoint, EndpointUpdate, Event, HostId,
+    HostState, Nanos, RequestId, MILLI, SECOND,
 };
 use rustc_hash::FxHashMap;
 use slab::Slab;
@@ -42,7 +43,7 @@
 
 /// What a planner is given.
 #[derive(Clone, Debug)]
-pub struct Remit {
+pub struct PlannerConfig {
     pub name: String,
     pub balancer_settings: BalancerSettings,
     pub zones: u16,
@@ -60,20 +61,20 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum PlannerAction {
     /// Has `timer` called for the zone at this time.
-    Wake {
+    SetTimer {
         time: Nanos,
         zone: u16,
         mark: u64,
     },
-    AskRoll,
-    FollowRoll,
+    PollEndpoints,
+    WatchEndpoints,
     Probe {
         host: HostId,
     },
     /// Ends a forwarder's connection once what waits for it is sent.
-    Cut {
+    Disconnect {
         line: u32,
     },
     Log(String),
@@ -89,7 +90,7 @@
     reader: Reader,
     writer: Writer,
     tally: Tally,
-    inbox: Vec<Up>,
+    inbox: Vec<ForwarderMessage>,
     /// The last beat read, the last that was decided under, and the last that was answered.
     beat: u64,
     heard: u64,
@@ -123,7 +124,7 @@
 }
 
 struct Known {
-    line: HostLine,
+    line: HostEntry,
     listing: Endpoint,
     change: u64,
 }
@@ -140,11 +141,11 @@
     /// What has gathered towards the next hand-off to a cold host.
     thinned: f64,
     /// What came while something else was still told: the record and its round.
-    waiting: VecDeque<(u32, u32, Asked, PriorAttempts, Nanos)>,
+    waiting: VecDeque<(u32, u32, PlacementRequest, PriorAttempts, Nanos)>,
 }
 
 pub struct Planner {
-    remit: Remit,
+    remit: PlannerConfig,
     rng: ChaCha8Rng,
     start: Nanos,
     zones: Vec<Zone>,
@@ -164,7 +165,7 @@
 }
 
 impl Planner {
-    pub fn new(remit: Remit, seed: u64, now: Nanos, out: &mut Vec<Order>) -> Self {
+    pub fn new(remit: PlannerConfig, seed: u64, now: Nanos, out: &mut Vec<PlannerAction>) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let zones = u32::from(remit.zones.max(1));
         let all = 0..zones;
@@ -231,12 +232,12 @@
     }
 
     /// A connection has come in.
-    pub fn accept(&mut self, now: Nanos, line: u32, out: &mut Vec<Order>) {
+    pub fn accept(&mut self, now: Nanos, line: u32, out: &mut Vec<PlannerAction>) {
         if self.sessions.len() >= MOST_SESSIONS {
-            out.push(Order::Log(
+            out.push(PlannerAction::Log(
                 "forwarder turned away why=too many sessions".into(),
             ));
-            return out.push(Order::Cut { line });
+            return out.push(PlannerAction::Disconnect { line });
         }
         let key = self.sessions.insert(Session {
             line,
@@ -265,7 +266,7 @@
     }
 
     /// The connection has ended.
-    pub fn lost(&mut self, line: u32, why: &str, out: &mut Vec<Order>) {
+    pub fn lost(&mut self, line: u32, why: &str, out: &mut Vec<PlannerAction>) {
         if let Some(key) = self.lines.get(&line).copied() {
             self.end(key, why, out);
         }
@@ -284,7 +285,7 @@
     }
 
     /// Bytes of a forwarder: kept for `decide`, once they are found to be in order.
-    pub fn came(&mut self, now: Nanos, line: u32, bytes: &[u8], out: &mut Vec<Order>) {
+    pub fn came(&mut self, now: Nanos, line: u32, bytes: &[u8], out: &mut Vec<PlannerAction>) {
         let Some(&key) = self.lines.get(&line) else {
             return;
         };
@@ -298,7 +299,12 @@
         }
     }
 
-    fn body(&mut self, key: usize, body: &[u8], out: &mut Vec<Order>) -> Result<(), Fault> {
+    fn body(
+        &mut self,
+        key: usize,
+        body: &[u8],
+        out: &mut Vec<PlannerAction>,
+    ) -> Result<(), LinkError> {
         let Some(number) = self.sessions[key].number else {
             return self.greeted(key, body, out);
         };
@@ -306,13 +312,13 @@
         let (head, mut notes) = frames::piece(body)?;
         session.tally.take(&head, number)?;
         if head.beat < session.beat {
-            return Err(Fault::Unexpected("a beat that runs backwards"));
+            return Err(LinkError::Unexpected("a beat that runs backwards"));
         }
         session.beat = head.beat;
         while let Some(note) = notes.take()? {
-            if let Up::Ask { past, .. } = &note {
+            if let ForwarderMessage::RequestPlacement { past, .. } = &note {
                 if past.tried.len() > MOST_NAMED {
-                    return Err(Fault::Unexpected("a history without end"));
+                    return Err(LinkError::Unexpected("a history without end"));
                 }
             }
             session.inbox.push(note);
@@ -320,7 +326,12 @@
         Ok(())
     }
 
-    fn greeted(&mut self, key: usize, body: &[u8], out: &mut Vec<Order>) -> Result<(), Fault> {
+    fn greeted(
+        &mut self,
+        key: usize,
+        body: &[u8],
+        out: &mut Vec<PlannerAction>,
+    ) -> Result<(), LinkError> {
         let hello: Hello = frames::greeting(body)?;
         let named = |name: &str| !name.is_empty() && name.len() <= LONGEST_NAME;
         let other = self
@@ -344,7 +355,7 @@
         let session = &mut self.sessions[key];
         if let Some(why) = refused {
             session.writer.greet(&Welcome::Refused(why.into()));
-            return Err(Fault::Unexpected(why));
+            return Err(LinkError::Unexpected(why));
         }
         // A number that a peer of before, or another's peer, does not know.
         let number = self.rng.random::<u64>().max(1);
@@ -352,11 +363,11 @@
         (session.number, session.name, session.epoch) = (Some(number), hello.name, hello.epoch);
         session.zone = hello.zone;
         if self.going {
-            session.writer.put(number, 0, &Down::Going);
+            session.writer.put(number, 0, &PlannerMessage::ShuttingDown);
             session.writer.seal();
         }
         let (name, zone) = (&session.name, session.zone);
-        out.push(Order::Log(format!(
+        out.push(PlannerAction::Log(format!(
             "forwarder came name={name} zone={zone}"
         )));
         if let Some((older, _)) = other {
@@ -366,7 +377,7 @@
         Ok(())
     }
 
-    fn cut(&mut self, key: usize, why: &str, out: &mut Vec<Order>) {
+    fn cut(&mut self, key: usize, why: &str, out: &mut Vec<PlannerAction>) {
         let session = &mut self.sessions[key];
         if session.cut {
             return;
@@ -374,26 +385,30 @@
         session.cut = true;
         let line = session.line;
         if session.number.is_none() {
-            out.push(Order::Log(format!("forwarder turned away why={why}")));
+            out.push(PlannerAction::Log(format!(
+                "forwarder turned away why={why}"
+            )));
         }
-        out.push(Order::Cut { line });
+        out.push(PlannerAction::Disconnect { line });
         self.release(key, why, out);
     }
 
-    fn end(&mut self, key: usize, why: &str, out: &mut Vec<Order>) {
+    fn end(&mut self, key: usize, why: &str, out: &mut Vec<PlannerAction>) {
         self.release(key, why, out);
         let session = self.sessions.remove(key);
         self.lines.remove(&session.line);
     }
 
     /// Takes a session's attachments off the module, and its number with them.
-    fn release(&mut self, key: usize, why: &str, out: &mut Vec<Order>) {
+    fn release(&mut self, key: usize, why: &str, out: &mut Vec<PlannerAction>) {
         self.unfollow(key);
         let session = &mut self.sessions[key];
         session.inbox.clear();
         if session.number.take().is_some() {
             let name = &session.name;
-            out.push(Order::Log(format!("forwarder gone name={name} why={why}")));
+            out.push(PlannerAction::Log(format!(
+                "forwarder gone name={name} why={why}"
+            )));
         }
     }
 
@@ -424,7 +439,7 @@
     }
 
     /// Takes a portion of the records that no session has any more off the module.
-    fn part(&mut self, now: Nanos, out: &mut Vec<Order>) {
+    fn part(&mut self, now: Nanos, out: &mut Vec<PlannerAction>) {
         for _ in 0..PORTION {
             let Some((record, round)) = self.parting.pop_front() else {
                 return;
@@ -440,7 +455,13 @@
     }
 
     /// The one place where a record is given back; the module is told where it still has it.
-    fn forget(&mut self, now: Nanos, record: u32, ending: AttemptOutcome, out: &mut Vec<Order>) {
+    fn forget(
+        &mut self,
+        now: Nanos,
+        record: u32,
+        ending: AttemptOutcome,
+        out: &mut Vec<PlannerAction>,
+    ) {
         let Some(held) = self.held.try_remove(record as usize) else {
             return;
         };
@@ -471,8 +492,8 @@
         now: Nanos,
         kind: EndpointUpdate,
         hosts: Vec<Endpoint>,
-        lines: Vec<HostLine>,
-        out: &mut Vec<Order>,
+        lines: Vec<HostEntry>,
+        out: &mut Vec<PlannerAction>,
     ) {
         let listings: HashMap<HostId, Endpoint> = hosts.iter().map(|l| (l.id, *l)).collect();
         for line in lines {
@@ -487,7 +508,7 @@
             let gone = |k: &&Known| {
                 !listings.contains_key(&k.listing.id) && k.listing.state != HostState::Gone
             };
-            let mut gone: Vec<(HostLine, Endpoint)> = self
+            let mut gone: Vec<(HostEntry, Endpoint)> = self
                 .hosts
                 .values()
                 .filter(gone)
@@ -495,8 +516,8 @@
                 .collect();
             gone.sort_by_key(|(line, _)| line.id);
             for (line, listing) in gone {
-                let line = HostLine {
-                    stands: Stands::Gone,
+                let line = HostEntry {
+                    stands: WireHostState::Gone,
                     as_of: self.as_of,
                     ..line
                 };
@@ -546,7 +567,7 @@
         });
     }
 
-    fn changed(&mut self, id: HostId, line: HostLine, listing: Endpoint) {
+    fn changed(&mut self, id: HostId, line: HostEntry, listing: Endpoint) {
         self.change += 1;
         let (change, known) = (
             self.change,
@@ -563,40 +584,42 @@
     }
 
     /// A probe has come back.
-    pub fn probed(&mut self, now: Nanos, event: &Event, out: &mut Vec<Order>) {
+    pub fn probed(&mut self, now: Nanos, event: &Event, out: &mut Vec<PlannerAction>) {
         (0..self.zones.len()).for_each(|zone| self.tell(now, zone, event.clone(), out));
     }
 
-    pub fn timer(&mut self, now: Nanos, zone: u16, mark: u64, out: &mut Vec<Order>) {
+    pub fn timer(&mut self, now: Nanos, zone: u16, mark: u64, out: &mut Vec<PlannerAction>) {
         if usize::from(zone) < self.zones.len() {
             self.tell(now, zone.into(), Event::TimerFired { timer: mark }, out);
         }
     }
 
     /// The planner is asked to stop: forwarders are told to follow another.
-    pub fn leave(&mut self, out: &mut Vec<Order>) {
+    pub fn leave(&mut self, out: &mut Vec<PlannerAction>) {
         self.going = true;
-        out.push(Order::Log(format!(
+        out.push(PlannerAction::Log(format!(
             "leaving followers={} held={}",
             self.followers(),
             self.held.len()
         )));
         for (_, session) in &mut self.sessions {
             if let Some(number) = session.number {
-                session.writer.put(number, session.heard, &Down::Going);
+                session
+                    .writer
+                    .put(number, session.heard, &PlannerMessage::ShuttingDown);
                 session.writer.seal();
             }
         }
     }
 
-    fn tell(&mut self, now: Nanos, zone: usize, event: Event, out: &mut Vec<Order>) {
+    fn tell(&mut self, now: Nanos, zone: usize, event: Event, out: &mut Vec<PlannerAction>) {
         let it = &mut self.zones[zone];
         it.module.handle(now, event, &mut it.actions);
         self.carry_out(now, zone, out);
     }
 
     /// Carries out what a zone's module ordered.
-    fn carry_out(&mut self, now: Nanos, zone: usize, out: &mut Vec<Order>) {
+    fn carry_out(&mut self, now: Nanos, zone: usize, out: &mut Vec<PlannerAction>) {
         while !self.zones[zone].actions.is_empty() {
             for action in std::mem::take(&mut self.zones[zone].actions) {
                 match action {
@@ -609,28 +632,35 @@
                     } => {
                         self.attempt(now, zone, id, host, until.min(by));
                     }
-                    Action::Reject { id, retry_after: wait } => {
-                        self.answer(id, |id, step| Down::Dismiss { id, step, wait });
+                    Action::Reject {
+                        id,
+                        retry_after: wait,
+                    } => {
+                        self.answer(id, |id, step| PlannerMessage::Reject { id, step, wait });
+                    }
+                    Action::Fail { id } => {
+                        self.answer(id, |id, step| PlannerMessage::Fail { id, step })
                     }
-                    Action::Fail { id } => self.answer(id, |id, step| Down::GiveUp { id, step }),
                     Action::Migrate { id } => {
                         if let Some((session, held)) = self.find(id) {
-                            let note = Down::Move { id: held };
+                            let note = PlannerMessage::Migrate { id: held };
                             self.put(session, &note);
                         }
                     }
                     // The forwarder does the one when the client leaves, whoever it follows; a planner
                     // hears all that its forwarders know and has no peers to tell.
                     Action::CancelAttempt { .. } | Action::Gossip { .. } => {}
-                    Action::SetTimer { time, timer: mark } => out.push(Order::Wake {
+                    Action::SetTimer { time, timer: mark } => out.push(PlannerAction::SetTimer {
                         time,
                         zone: zone as u16,
                         mark,
                     }),
-                    Action::PollEndpoints => out.push(Order::AskRoll),
-                    Action::WatchEndpoints => out.push(Order::FollowRoll),
-                    Action::Probe { host } => out.push(Order::Probe { host }),
-                    Action::Log(text) => out.push(Order::Log(format!("{text} zone={zone}"))),
+                    Action::PollEndpoints => out.push(PlannerAction::PollEndpoints),
+                    Action::WatchEndpoints => out.push(PlannerAction::WatchEndpoints),
+                    Action::Probe { host } => out.push(PlannerAction::Probe { host }),
+                    Action::Log(text) => {
+                        out.push(PlannerAction::Log(format!("{text} zone={zone}")))
+                    }
                 }
             }
         }
@@ -645,7 +675,7 @@
         Some((held.session as usize, held.id))
     }
 
-    fn put(&mut self, session: usize, note: &Down) {
+    fn put(&mut self, session: usize, note: &PlannerMessage) {
         let Some(session) = self.sessions.get_mut(session) else {
             return;
         };
@@ -693,14 +723,14 @@
                 .get(key)
                 .is_some_and(|s| known.change > s.told)
             {
-                let note = Down::Host(known.line.clone());
+                let note = PlannerMessage::Host(known.line.clone());
                 self.put(key, &note);
             }
         }
         let within = until.saturating_sub(now);
         self.put(
             key,
-            &Down::HandOff {
+            &PlannerMessage::StartAttempt {
                 id: theirs,
                 step,
                 host: host.0,
@@ -726,7 +756,7 @@
         goes
     }
 
-    fn answer(&mut self, id: RequestId, note: impl FnOnce(u64, u32) -> Down) {
+    fn answer(&mut self, id: RequestId, note: impl FnOnce(u64, u32) -> PlannerMessage) {
         let Some((session, theirs)) = self.find(id) else {
             return;
         };
@@ -739,7 +769,7 @@
 
     /// Decides what has come since the last turn, and seals what is to be sent. To be called once a turn,
     /// after discovery was read.
-    pub fn decide(&mut self, now: Nanos, out: &mut Vec<Order>) {
+    pub fn decide(&mut self, now: Nanos, out: &mut Vec<PlannerAction>) {
         let keys: Vec<usize> = self.sessions.iter().map(|(key, _)| key).collect();
         for &key in &keys {
             let session = &mut self.sessions[key];
@@ -764,7 +794,7 @@
     }
 
     /// A session's part of a turn's end: the hosts, a plan, the answer to its beat.
-    fn finish(&mut self, now: Nanos, key: usize, out: &mut Vec<Order>) {
+    fn finish(&mut self, now: Nanos, key: usize, out: &mut Vec<PlannerAction>) {
         let session = &mut self.sessions[key];
         if session.cut {
             return;
@@ -790,13 +820,15 @@
             let line = &self.hosts[id].line;
             session
                 .writer
-                .put(number, session.heard, &Down::Host(line.clone()));
+                .put(number, session.heard, &PlannerMessage::Host(line.clone()));
         }
         if !session.listed && session.told == self.change && self.change > 0 {
             session.listed = true;
-            session
-                .writer
-                .put(number, session.heard, &Down::Listed { as_of: self.as_of });
+            session.writer.put(
+                number,
+                session.heard,
+                &PlannerMessage::HostsComplete { as_of: self.as_of },
+            );
         }
         let zone = &mut self.zones[usize::from(session.zone)];
         if session.follows && (now >= session.planned + PLANS || zone.weighed == 0) {
@@ -817,7 +849,7 @@
             let allowance = (session.asks / 2.0).clamp(ALLOWED.0, ALLOWED.1) as u32;
             session.asks *= 0.5f64.powf(past.min(10.0));
             session.planned = now;
-            let plan = Down::Plan {
+            let plan = PlannerMessage::Plan {
                 hosts: zone.weights.clone(),
                 allowance,
             };
@@ -841,15 +873,15 @@
         id: u64,
         step: u32,
         at: Option<HostId>,
-    ) -> Result<Option<u32>, Fault> {
+    ) -> Result<Option<u32>, LinkError> {
         let session = &mut self.sessions[key];
         if !session.follows {
-            return Err(Fault::Unexpected(
+            return Err(LinkError::Unexpected(
                 "an attachment of one that does not follow",
             ));
         }
         if session.ids.contains_key(&id) {
-            return Err(Fault::Unexpected("an attachment told twice"));
+            return Err(LinkError::Unexpected("an attachment told twice"));
         }
         if session.ids.len() >= self.remit.most_held {
             return Ok(None);
@@ -874,12 +906,12 @@
         &mut self,
         now: Nanos,
         key: usize,
-        note: Up,
-        out: &mut Vec<Order>,
-    ) -> Result<(), Fault> {
+        note: ForwarderMessage,
+        out: &mut Vec<PlannerAction>,
+    ) -> Result<(), LinkError> {
         let zone = usize::from(self.sessions[key].zone);
         match note {
-            Up::Follow { standing } => {
+            ForwarderMessage::Follow { standing } => {
                 self.unfollow(key);
                 let session = &mut self.sessions[key];
                 (session.follows, session.telling) = (true, Some(now + TELLING));
@@ -888,26 +920,26 @@
                 }
                 self.zones[zone].followers += 1;
                 let name = &self.sessions[key].name;
-                out.push(Order::Log(format!(
+                out.push(PlannerAction::Log(format!(
                     "followed by name={name} standing={standing}"
                 )));
             }
-            Up::Told => self.sessions[key].telling = None,
-            Up::Unfollow => {
+            ForwarderMessage::StateSyncComplete => self.sessions[key].telling = None,
+            ForwarderMessage::Unfollow => {
                 let (name, held) = (&self.sessions[key].name, self.sessions[key].ids.len());
-                out.push(Order::Log(format!(
+                out.push(PlannerAction::Log(format!(
                     "followed no more by name={name} held={held}"
                 )));
                 self.unfollow(key);
             }
-            Up::Stands { id, asked, host } => {
+            ForwarderMessage::OpenConnection { id, asked, host } => {
                 let host = HostId(host);
                 if let Some(record) = self.open(key, id, 0, Some(host))? {
                     let incoming = self.incoming(record, &asked)?;
                     self.tell(now, zone, Event::ConnectionFound(incoming, host), out);
                 }
             }
-            Up::Ask {
+            ForwarderMessage::RequestPlacement {
                 id,
                 step,
                 asked,
@@ -915,7 +947,7 @@
             } => {
                 let Some(record) = self.open(key, id, step, None)? else {
                     let wait = self.remit.balancer_settings.max_retry_after;
-                    self.put(key, &Down::Dismiss { id, step, wait });
+                    self.put(key, &PlannerMessage::Reject { id, step, wait });
                     return Ok(());
                 };
                 self.incoming(record, &asked)?;
@@ -928,13 +960,13 @@
                     .waiting
                     .push_back((record, round, asked, past, now));
             }
-            Up::Begun { id, took } => {
+            ForwarderMessage::ConnectionEstablished { id, took } => {
                 if let Some(record) = self.record(key, id) {
                     let id = name(record, self.held[record as usize].round);
                     self.tell(now, zone, Event::ConnectionEstablished { id, took }, out);
                 }
             }
-            Up::Ended {
+            ForwarderMessage::AttemptEnded {
                 id,
                 step,
                 came,
@@ -964,17 +996,17 @@
                 };
                 self.tell(now, zone, event, out);
             }
-            Up::LoadNow { id, load } => {
+            ForwarderMessage::LoadMeasured { id, load } => {
                 let Some(record) = self.record(key, id) else {
                     return Ok(());
                 };
                 if !(load.is_finite() && (0.0..1e9).contains(&load)) {
-                    return Err(Fault::Unexpected("a load that is no figure"));
+                    return Err(LinkError::Unexpected("a load that is no figure"));
                 }
                 let id = name(record, self.held[record as usize].round);
                 self.tell(now, zone, Event::LoadMeasured { id, load }, out);
             }
-            Up::MessageTime { host, time } => {
+            ForwarderMessage::MessageLatency { host, time } => {
                 let time = time.min(60 * SECOND);
                 self.tell(
                     now,
@@ -986,7 +1018,7 @@
                     out,
                 );
             }
-            Up::Left { id } => {
+            ForwarderMessage::ClientLeft { id } => {
                 let Some(record) = self.record(key, id) else {
                     return Ok(());
                 };
@@ -998,7 +1030,7 @@
                     self.tell(now, zone, Event::ClientLeft { id }, out);
                 }
             }
-            Up::Gone { id } => {
+            ForwarderMessage::RequestClosed { id } => {
                 if let Some(record) = self.record(key, id) {
                     self.forget(now, record, AttemptOutcome::NeverSent, out);
                 }
@@ -1007,16 +1039,20 @@
         Ok(())
     }
 
-    fn incoming(&self, record: u32, asked: &Asked) -> Result<reedferry::IncomingRequest, Fault> {
+    fn incoming(
+        &self,
+        record: u32,
+        asked: &PlacementRequest,
+    ) -> Result<reedferry::IncomingRequest, LinkError> {
         if usize::from(asked.class) >= self.remit.balancer_settings.classes.len() {
-            return Err(Fault::Unexpected("an unknown offering"));
+            return Err(LinkError::Unexpected("an unknown offering"));
         }
         Ok(asked.incoming(name(record, self.held[record as usize].round)))
     }
 
     /// Has the module place what waits, unless somebody in the zone still tells what stands. Guards: the
     /// first new ones placed as if nothing stood, by a planner that has just begun.
-    fn place_waiting(&mut self, now: Nanos, zone: usize, out: &mut Vec<Order>) {
+    fn place_waiting(&mut self, now: Nanos, zone: usize, out: &mut Vec<PlannerAction>) {
         if self.zones[zone].waiting.is_empty() {
             return;
         }
@@ -1082,7 +1118,7 @@
         session: u64,
     }
 
-    fn listing(id: u64, started: Option<Nanos>) -> (Endpoint, HostLine) {
+    fn listing(id: u64, started: Option<Nanos>) -> (Endpoint, HostEntry) {
         let listing = Endpoint {
             id: HostId(id),
             state: HostState::Ready,
@@ -1090,10 +1126,10 @@
             started,
             ..Endpoint::default()
         };
-        let (name, stands) = (format!("s{id}"), Stands::Ready);
+        let (name, stands) = (format!("s{id}"), WireHostState::Ready);
         (
             listing,
-            HostLine {
+            HostEntry {
                 id,
                 name,
                 address: None,
@@ -1109,7 +1145,7 @@
             classes: vec![RequestClass::default()],
             ..BalancerSettings::default()
         };
-        let remit = Remit {
+        let remit = PlannerConfig {
             name: "p".into(),
             balancer_settings,
             zones: 1,
@@ -1150,24 +1186,24 @@
             .next()
             .and_then(|(_, s)| s.number)
             .unwrap();
-        pair.put(&Up::Follow { standing: 0 });
+        pair.put(&ForwarderMessage::Follow { standing: 0 });
         pair
     }
 
     impl Pair {
-        fn put(&mut self, note: &Up) {
+        fn put(&mut self, note: &ForwarderMessage) {
             self.writer.put(self.session, 1, note);
         }
 
         fn ask(&mut self, id: u64) {
-            let asked = Asked {
+            let asked = PlacementRequest {
                 class: 0,
                 key: None,
                 group: None,
                 usual_load: None,
                 time_left: SECOND,
             };
-            self.put(&Up::Ask {
+            self.put(&ForwarderMessage::RequestPlacement {
                 id,
                 step: 0,
                 asked,
@@ -1176,7 +1212,7 @@
         }
 
         /// What the planner says to what was put.
-        fn turn(&mut self, now: Nanos) -> Vec<Down> {
+        fn turn(&mut self, now: Nanos) -> Vec<PlannerMessage> {
             self.writer.seal();
             let bytes = self.writer.waiting().to_vec();
             self.writer.sent(bytes.len());
@@ -1200,10 +1236,10 @@
         }
     }
 
-    fn to(notes: &[Down], wanted: u64) -> usize {
+    fn to(notes: &[PlannerMessage], wanted: u64) -> usize {
         notes
             .iter()
-            .filter(|n| matches!(n, Down::HandOff { host, .. } if *host == wanted))
+            .filter(|n| matches!(n, PlannerMessage::StartAttempt { host, .. } if *host == wanted))
             .count()
     }
 
@@ -1211,7 +1247,7 @@
     fn a_planner_that_has_just_begun_leaves_cold_hosts_alone_while_their_budget_is_counted() {
         // It died and is back in the same turn: what it spent on the cold host it has forgotten.
         let mut pair = pair(&[(1, Some(T)), (2, None), (3, None)]);
-        let asked = Asked {
+        let asked = PlacementRequest {
             class: 0,
             key: None,
             group: None,
@@ -1219,20 +1255,20 @@
             time_left: 0,
         };
         (0..200).for_each(|id| {
-            pair.put(&Up::Stands {
+            pair.put(&ForwarderMessage::OpenConnection {
                 id: 10_000 + id,
                 asked,
                 host: 2 + id % 2,
             })
         });
-        pair.put(&Up::Told);
+        pair.put(&ForwarderMessage::StateSyncComplete);
         let mut sent = [0; 2];
         for n in 0..600 {
             pair.ask(n);
             let now = T + 4 * n * MILLI;
             let notes = pair.turn(now);
             sent[usize::from(now >= T + SECOND)] += to(&notes, 1);
-            pair.put(&Up::Gone { id: n });
+            pair.put(&ForwarderMessage::RequestClosed { id: n });
         }
         assert!(sent[0] == 0 && sent[1] > 0, "{sent:?}");
     }
@@ -1260,13 +1296,13 @@
     #[test]
     fn a_forwarder_that_reads_nothing_ends_alone_before_it_fills_the_memory() {
         let mut pair = pair(&[(1, None)]);
-        pair.put(&Up::Told);
+        pair.put(&ForwarderMessage::StateSyncComplete);
         pair.turn(T);
         let (mut orders, mut most) = (Vec::new(), 0);
         for n in 0..800 {
             // All afresh each time, so that nothing but what is said to it grows.
-            pair.put(&Up::Follow { standing: 0 });
-            pair.put(&Up::Told);
+            pair.put(&ForwarderMessage::Follow { standing: 0 });
+            pair.put(&ForwarderMessage::StateSyncComplete);
             (0..500).for_each(|id| pair.ask(n * 500 + id));
             pair.writer.seal();
             let bytes = pair.writer.waiting().to_vec();
@@ -1279,10 +1315,9 @@
         pair.planner.decide(T + SECOND, &mut orders);
         let cut = orders
             .iter()
-            .filter(|o| matches!(o, Order::Cut { line: 1 }))
+            .filter(|o| matches!(o, PlannerAction::Disconnect { line: 1 }))
             .count();
-        let told =
-            |o: &&Order| matches!(o, Order::Log(text) if text.ends_with("why=takes nothing"));
+        let told = |o: &&PlannerAction| matches!(o, PlannerAction::Log(text) if text.ends_with("why=takes nothing"));
         assert_eq!(
             (cut, orders.iter().filter(told).count(), pair.planner.held()),
             (1, 1, 0)
@@ -1292,7 +1327,7 @@
     #[test]
     fn nothing_is_placed_while_a_forwarder_of_the_zone_still_tells_what_stands() {
         let mut pair = pair(&[(1, None), (2, None)]);
-        let asked = Asked {
+        let asked = PlacementRequest {
             class: 0,
             key: None,
             group: None,
@@ -1300,7 +1335,7 @@
             time_left: 0,
         };
         (0..20).for_each(|id| {
-            pair.put(&Up::Stands {
+            pair.put(&ForwarderMessage::OpenConnection {
                 id: 10_000 + id,
                 asked,
                 host: 1,
@@ -1313,7 +1348,7 @@
         pair.turn(T + TELLING - 100 * MILLI);
         assert_eq!(to(&pair.turn(T + TELLING), 2), 1);
         pair.ask(2);
-        pair.put(&Up::Told);
+        pair.put(&ForwarderMessage::StateSyncComplete);
         assert_eq!(to(&pair.turn(T + TELLING), 2), 1);
     }
 }
--- a/control-plane/tests/bytes.rs
+++ b/control-plane/tests/bytes.rs
@@ -1,9 +1,10 @@
 //! The exact bytes of every frame between forwarders and planners: an older and a newer process work together.
 
 use reedferry_control_plane::frames::{
-    Asked, Came, Down, Hello, PriorAttempts, Stands, Up, Welcome, Writer,
+    ForwarderMessage, Hello, PlacementRequest, PlannerMessage, PriorAttempts, Welcome,
+    WireHostState, WireOutcome, Writer,
 };
-use reedferry_control_plane::HostLine;
+use reedferry_control_plane::HostEntry;
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -29,8 +30,8 @@
     hex(&frame[7..])
 }
 
-fn asked() -> Asked {
-    Asked {
+fn asked() -> PlacementRequest {
+    PlacementRequest {
         class: 300,
         key: Some(7),
         group: None,
@@ -63,11 +64,11 @@
         ran: Some((3, 4)),
         tried: vec![3, 500],
     };
-    assert_eq!(note(&Up::Follow { standing: 2 }), "0002");
-    assert_eq!(note(&Up::Told), "01");
-    assert_eq!(note(&Up::Unfollow), "02");
+    assert_eq!(note(&ForwarderMessage::Follow { standing: 2 }), "0002");
+    assert_eq!(note(&ForwarderMessage::StateSyncComplete), "01");
+    assert_eq!(note(&ForwarderMessage::Unfollow), "02");
     assert_eq!(
-        note(&Up::Stands {
+        note(&ForwarderMessage::OpenConnection {
             id: 1,
             asked: asked(),
             host: 8
@@ -75,7 +76,7 @@
         "0301ac0201070001000000000000e03f80a8d6b90708"
     );
     assert_eq!(
-        note(&Up::Ask {
+        note(&ForwarderMessage::RequestPlacement {
             id: 1,
             step: 3,
             asked: asked(),
@@ -83,33 +84,39 @@
         }),
         "040103ac0201070001000000000000e03f80a8d6b907020103040203f403"
     );
-    assert_eq!(note(&Up::Begun { id: 1, took: 9 }), "050109");
     assert_eq!(
-        note(&Up::LoadNow { id: 1, load: 0.25 }),
+        note(&ForwarderMessage::ConnectionEstablished { id: 1, took: 9 }),
+        "050109"
+    );
+    assert_eq!(
+        note(&ForwarderMessage::LoadMeasured { id: 1, load: 0.25 }),
         "0701000000000000d03f"
     );
-    assert_eq!(note(&Up::MessageTime { host: 8, time: 300 }), "0808ac02");
-    assert_eq!(note(&Up::Left { id: 1 }), "0901");
-    assert_eq!(note(&Up::Gone { id: 1 }), "0a01");
+    assert_eq!(
+        note(&ForwarderMessage::MessageLatency { host: 8, time: 300 }),
+        "0808ac02"
+    );
+    assert_eq!(note(&ForwarderMessage::ClientLeft { id: 1 }), "0901");
+    assert_eq!(note(&ForwarderMessage::RequestClosed { id: 1 }), "0a01");
 }
 
 #[test]
 fn how_an_attempt_ended_keeps_its_bytes() {
     let all = [
-        Came::Done,
-        Came::Error,
-        Came::Refused,
-        Came::TimedOut,
-        Came::Unconnected,
-        Came::Broken,
-        Came::CalledOff,
-        Came::NeverSent,
-        Came::PassedOn,
+        WireOutcome::Completed,
+        WireOutcome::Error,
+        WireOutcome::Rejected,
+        WireOutcome::TimedOut,
+        WireOutcome::ConnectFailed,
+        WireOutcome::ConnectionLost,
+        WireOutcome::Cancelled,
+        WireOutcome::NeverSent,
+        WireOutcome::HandedOver,
     ];
     let written: Vec<_> = all
         .iter()
         .map(|&came| {
-            note(&Up::Ended {
+            note(&ForwarderMessage::AttemptEnded {
                 id: 1,
                 step: 2,
                 came,
@@ -125,7 +132,7 @@
 
 #[test]
 fn notes_of_planners_keep_their_bytes() {
-    let line = |stands| HostLine {
+    let line = |stands| HostEntry {
         id: 8,
         name: "s-1".into(),
         address: Some("10.1.0.18:5000".parse().unwrap()),
@@ -133,7 +140,7 @@
         as_of: 41,
     };
     assert_eq!(
-        note(&Down::HandOff {
+        note(&PlannerMessage::StartAttempt {
             id: 1,
             step: 2,
             host: 8,
@@ -142,36 +149,36 @@
         "00010208ac02"
     );
     assert_eq!(
-        note(&Down::Dismiss {
+        note(&PlannerMessage::Reject {
             id: 1,
             step: 2,
             wait: 300
         }),
         "010102ac02"
     );
-    assert_eq!(note(&Down::GiveUp { id: 1, step: 2 }), "020102");
-    assert_eq!(note(&Down::Move { id: 1 }), "0301");
+    assert_eq!(note(&PlannerMessage::Fail { id: 1, step: 2 }), "020102");
+    assert_eq!(note(&PlannerMessage::Migrate { id: 1 }), "0301");
     assert_eq!(
-        note(&Down::Host(line(Stands::Ready))),
+        note(&PlannerMessage::Host(line(WireHostState::Ready))),
         "040803732d3101000a01001288270029"
     );
     assert_eq!(
-        note(&Down::Host(line(Stands::Draining))),
+        note(&PlannerMessage::Host(line(WireHostState::Draining))),
         "040803732d3101000a01001288270129"
     );
     assert_eq!(
-        note(&Down::Host(line(Stands::Gone))),
+        note(&PlannerMessage::Host(line(WireHostState::Gone))),
         "040803732d3101000a01001288270229"
     );
-    assert_eq!(note(&Down::Listed { as_of: 41 }), "0529");
+    assert_eq!(note(&PlannerMessage::HostsComplete { as_of: 41 }), "0529");
     assert_eq!(
-        note(&Down::Plan {
+        note(&PlannerMessage::Plan {
             hosts: vec![(8, 300), (9, 1)],
             allowance: 70_000
         }),
         "060208ac020901f0a204"
     );
-    assert_eq!(note(&Down::Going), "07");
+    assert_eq!(note(&PlannerMessage::ShuttingDown), "07");
 }
 
 /// Names stand for places in lists: two ends that hash the same lists otherwise would part.
--- a/control-plane/tests/tiers.rs
+++ b/control-plane/tests/tiers.rs
@@ -4,9 +4,10 @@
 
 use proptest::prelude::*;
 use reedferry::*;
-use reedferry_control_plane::frames::Stands;
+use reedferry_control_plane::frames::WireHostState;
 use reedferry_control_plane::{
-    Covenant, Deed, Forwarder, HostLine, Order, Planner, PlannerAt, Remit,
+    Forwarder, ForwarderAction, ForwarderConfig, HostEntry, Planner, PlannerAction, PlannerAddress,
+    PlannerConfig,
 };
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
 
@@ -153,7 +154,7 @@
         }
         (0..backs).for_each(|n| tiers.start(n));
         for n in 0..fronts {
-            let keeps = Covenant {
+            let keeps = ForwarderConfig {
                 name: format!("f{n}"),
                 balancer_settings: tiers.balancer_settings.clone(),
                 fingerprint: 1,
@@ -178,9 +179,9 @@
         tiers
     }
 
-    fn list(which: std::ops::Range<usize>) -> Vec<PlannerAt> {
+    fn list(which: std::ops::Range<usize>) -> Vec<PlannerAddress> {
         which
-            .map(|n| PlannerAt {
+            .map(|n| PlannerAddress {
                 name: format!("p{n}"),
                 address: ([127, 0, 0, 1], n as u16 + 1).into(),
             })
@@ -188,7 +189,7 @@
     }
 
     fn start(&mut self, n: usize) {
-        let remit = Remit {
+        let remit = PlannerConfig {
             name: format!("p{n}"),
             balancer_settings: self.balancer_settings.clone(),
             zones: 1,
@@ -214,7 +215,7 @@
         self.ordered(n, out);
     }
 
-    fn listing(&self, host: usize, as_of: u64) -> (Endpoint, HostLine) {
+    fn listing(&self, host: usize, as_of: u64) -> (Endpoint, HostEntry) {
         let it = &self.hosts[host];
         let standing = if it.drains {
             HostState::Draining
@@ -234,24 +235,24 @@
         let address = Some(([127, 0, 0, 2], host as u16 + 1).into());
         (
             listing,
-            HostLine {
+            HostEntry {
                 id,
                 name: format!("s-{host}"),
                 address,
-                stands: Stands::from(standing),
+                stands: WireHostState::from(standing),
                 as_of,
             },
         )
     }
 
-    fn ordered(&mut self, n: usize, orders: Vec<Order>) {
+    fn ordered(&mut self, n: usize, orders: Vec<PlannerAction>) {
         for order in orders {
             match order {
-                Order::Wake { time, zone, mark } => self.backs[n]
+                PlannerAction::SetTimer { time, zone, mark } => self.backs[n]
                     .timers
                     .push(std::cmp::Reverse((time, zone, mark))),
-                Order::Cut { line } => self.part(line),
-                Order::Log(text) => self.backs[n].logs.push(text),
+                PlannerAction::Disconnect { line } => self.part(line),
+                PlannerAction::Log(text) => self.backs[n].logs.push(text),
                 _ => {}
             }
         }
@@ -274,7 +275,7 @@
                 let mut deeds = Vec::new();
                 front.core.lost(self.now, line, "ended", &mut deeds);
                 self.logs.extend(deeds.into_iter().filter_map(|d| {
-                    if let Deed::Log(t) = d {
+                    if let ForwarderAction::Log(t) = d {
                         Some(t)
                     } else {
                         None
@@ -348,7 +349,9 @@
             time_left: EXPIRY,
             ..IncomingRequest::default()
         };
-        self.fronts[front].events.push(Event::RequestArrived(incoming));
+        self.fronts[front]
+            .events
+            .push(Event::RequestArrived(incoming));
         id
     }
 
@@ -399,7 +402,13 @@
             self.backs[n].revision += 1;
             let (mut listing, mut line) = self.listing(host, self.backs[n].revision);
             (listing.state, line.stands) = (standing, standing.into());
-            core.roll(now, EndpointUpdate::Delta, vec![listing], vec![line], &mut out);
+            core.roll(
+                now,
+                EndpointUpdate::Delta,
+                vec![listing],
+                vec![line],
+                &mut out,
+            );
         }
         while self.backs[n].timers.peek().is_some_and(|t| t.0 .0 <= now) {
             let std::cmp::Reverse((_, zone, mark)) = self.backs[n].timers.pop().unwrap();
@@ -496,10 +505,10 @@
         }
     }
 
-    fn carry_out(&mut self, n: usize, deed: Deed) {
+    fn carry_out(&mut self, n: usize, deed: ForwarderAction) {
         let now = self.now;
         match deed {
-            Deed::Call { line, .. } => {
+            ForwarderAction::ConnectPlanner { line, .. } => {
                 let front = &mut self.fronts[n];
                 // Tokens count up in the order of the list that the front keeps to.
                 let name = front.core.planner(line).unwrap().to_string();
@@ -522,7 +531,7 @@
                 front.wires.insert(line, wire);
                 front.core.called(line);
             }
-            Deed::Hang { line } => {
+            ForwarderAction::DisconnectPlanner { line } => {
                 let Some(wire) = self.fronts[n].wires.remove(&line) else {
                     return;
                 };
@@ -532,7 +541,7 @@
                 }
                 self.ordered(wire.planner, out);
             }
-            Deed::HandOff {
+            ForwarderAction::StartAttempt {
                 id,
                 host,
                 until,
@@ -574,14 +583,18 @@
                     .late
                     .push_back((now + 3 * MILLI, id.0, number, host));
             }
-            Deed::Act(action) => {
+            ForwarderAction::Perform(action) => {
                 let (id, word) = match action {
                     Action::Reject { id, .. } => (id, "dismissed"),
                     Action::Fail { id } => (id, "given up"),
                     Action::Migrate { id } => {
-                        self.fronts[n]
-                            .events
-                            .push(ended(id.0, 0, 0, true, AttemptOutcome::Cancelled));
+                        self.fronts[n].events.push(ended(
+                            id.0,
+                            0,
+                            0,
+                            true,
+                            AttemptOutcome::Cancelled,
+                        ));
                         self.client(id.0).open = false;
                         return;
                     }
@@ -589,11 +602,11 @@
                 };
                 self.client(id.0).answers.push((now, word));
             }
-            Deed::Log(text) => self.logs.push(text),
-            Deed::Host(line) => {
+            ForwarderAction::Log(text) => self.logs.push(text),
+            ForwarderAction::HostLearned(line) => {
                 let host = line.id as usize - 1;
                 match line.stands {
-                    Stands::Ready => _ = self.fronts[n].heard.remove(&host),
+                    WireHostState::Ready => _ = self.fronts[n].heard.remove(&host),
                     _ => _ = self.fronts[n].heard.entry(host).or_insert(now),
                 }
             }
@@ -1078,7 +1091,9 @@
     let other = tiers.come(1, 0);
     tiers.run(200 * MILLI);
     let (from, by) = (tiers.now + 100 * MILLI, tiers.now + 1100 * MILLI);
-    tiers.fronts[0].events.push(Event::ShutdownStarted { from, by });
+    tiers.fronts[0]
+        .events
+        .push(Event::ShutdownStarted { from, by });
     tiers.run(MILLI);
     let new = tiers.come(0, 0);
     tiers.run(599 * MILLI);
@@ -1167,8 +1182,12 @@
                 .take_while(|t| **t < at + balancer_settings.overload_window)
                 .count();
             let age = (at - now) as f64 / balancer_settings.warm_up as f64;
-            let warmth = balancer_settings.warm_up_initial_share + (1.0 - balancer_settings.warm_up_initial_share) * age;
-            let most = balancer_settings.overload_factor * warmth * fill * balancer_settings.overload_window as f64;
+            let warmth = balancer_settings.warm_up_initial_share
+                + (1.0 - balancer_settings.warm_up_initial_share) * age;
+            let most = balancer_settings.overload_factor
+                * warmth
+                * fill
+                * balancer_settings.overload_window as f64;
             assert!(
                 window as f64 <= 0.7 * most,
                 "{window} of {most:.1} at {age:.2}, killed {killed} back {back}"
@@ -1203,13 +1222,15 @@
         core.came(now, 9999, garbage, &mut out);
         core.came(now, 9999, garbage, &mut out);
         assert_eq!(
-            out.iter().filter(|o| matches!(o, Order::Log(_))).count(),
+            out.iter()
+                .filter(|o| matches!(o, PlannerAction::Log(_)))
+                .count(),
             1,
             "{out:?}"
         );
         assert_eq!(
             out.iter()
-                .filter(|o| matches!(o, Order::Cut { line: 9999 }))
+                .filter(|o| matches!(o, PlannerAction::Disconnect { line: 9999 }))
                 .count(),
             1
         );
@@ -1300,7 +1321,7 @@
 
 #[test]
 fn a_piece_of_another_session_and_a_beat_that_runs_away_end_their_connection() {
-    use reedferry_control_plane::frames::{Down, Up, Writer};
+    use reedferry_control_plane::frames::{ForwarderMessage, PlannerMessage, Writer};
     for runaway in [false, true] {
         let mut tiers = Tiers::new(1, 2, 2);
         tiers.run(200 * MILLI);
@@ -1308,7 +1329,11 @@
         let now = tiers.now;
         let mut writer = Writer::default();
         // Counted from one, so that it is the number or the session that gives it away, or the beat.
-        writer.put(if runaway { 1 } else { 12345 }, u64::MAX, &Down::Going);
+        writer.put(
+            if runaway { 1 } else { 12345 },
+            u64::MAX,
+            &PlannerMessage::ShuttingDown,
+        );
         writer.seal();
         let bytes = writer.waiting().to_vec();
         tiers
@@ -1317,7 +1342,7 @@
         tiers.run(5 * MILLI);
         assert_ne!(leader(&tiers, 0), lead);
         let mut writer = Writer::default();
-        writer.put(777, 1, &Up::Unfollow);
+        writer.put(777, 1, &ForwarderMessage::Unfollow);
         writer.seal();
         let bytes = writer.waiting().to_vec();
         let next = leader(&tiers, 0);
--- a/node/src/connections/audit.rs
+++ b/node/src/connections/audit.rs
@@ -61,7 +61,8 @@
         }
         let first_run = connection.may_have_run;
         let again = self.class(context, slot).is_some_and(|class| {
-            class.idempotency == Idempotency::NonIdempotent && may_repeat(class, first_run, now).is_err()
+            class.idempotency == Idempotency::NonIdempotent
+                && may_repeat(class, first_run, now).is_err()
         });
         if again {
             self.violated(
--- a/node/src/connections/endings.rs
+++ b/node/src/connections/endings.rs
@@ -7,7 +7,7 @@
 use crate::context::Context;
 use crate::operators::counts::Close;
 use crate::operators::tally::Outcome;
-use reedferry::{RequestId, AttemptOutcome, Nanos, MILLI};
+use reedferry::{AttemptOutcome, Nanos, RequestId, MILLI};
 use reedferry_runtime::errors::{on_connection, Trouble};
 
 /// How long the other side of an ended connection is waited for, and one that still sends, since it came.
--- a/node/src/connections/landing.rs
+++ b/node/src/connections/landing.rs
@@ -10,7 +10,7 @@
 use crate::operators::counts::{Close, Count};
 use crate::operators::tally::Outcome;
 use reedferry::permission::{may_begin, may_go_on, Beginning, Refusal};
-use reedferry::{RequestId, AttemptOutcome, Event, HostId, Nanos, MILLI, SECOND};
+use reedferry::{AttemptOutcome, Event, HostId, Nanos, RequestId, MILLI, SECOND};
 use reedferry_runtime::errors::{on_connect, NoConnection};
 use reedferry_runtime::{Buffer, Mark};
 use slog::{info, warn};
@@ -312,7 +312,12 @@
     }
 
     /// A hand-off that came to nothing.
-    pub(super) fn fell_through(&mut self, context: &mut Context, slot: usize, ending: AttemptOutcome) {
+    pub(super) fn fell_through(
+        &mut self,
+        context: &mut Context,
+        slot: usize,
+        ending: AttemptOutcome,
+    ) {
         let connection = &mut self.slab[slot];
         let Some(landing) = connection.landing.take() else {
             return;
@@ -533,7 +538,10 @@
         if connection.client.is_none() {
             return self.fell_through(context, slot, AttemptOutcome::Cancelled);
         }
-        let (id, host) = (connection.incoming.id, context.hosts.record(landing.host).id);
+        let (id, host) = (
+            connection.incoming.id,
+            context.hosts.record(landing.host).id,
+        );
         if connection.stage == Stage::Held {
             let seen_from = context.hosts.stalls.moved_on(landing.since, context.now);
             context.events.push(Event::ConnectionEstablished {
--- a/node/src/connections/listener.rs
+++ b/node/src/connections/listener.rs
@@ -8,7 +8,7 @@
 use crate::connections::lines::{self, Opening, Request};
 use crate::context::{Context, CLIENT};
 use crate::operators::counts::Close;
-use reedferry::{IncomingRequest, RequestId, AttemptOutcome, Event, HostId, Nanos, MILLI, SECOND};
+use reedferry::{AttemptOutcome, Event, HostId, IncomingRequest, Nanos, RequestId, MILLI, SECOND};
 use reedferry_runtime::errors::{on_accept, on_connection, NotAccepted, Trouble};
 use reedferry_runtime::{Mark, Socket};
 use std::collections::{BTreeMap, HashSet, VecDeque};
@@ -310,7 +310,8 @@
                     let said = lines::opening(line).and_then(|said| match said {
                         Opening::Ping => Err("too many pings"),
                         Opening::Open(request) => {
-                            let incoming = Self::incoming(context, connection.incoming.id, &request)?;
+                            let incoming =
+                                Self::incoming(context, connection.incoming.id, &request)?;
                             let open = self.listener.names.contains(request.id);
                             // Guards: one that uses the id of another's open request, which hosts would
                             // tell from a good one only by an error; the same again and again.
@@ -320,7 +321,8 @@
                             Ok((incoming, Rc::from(request.id), request.at.map(lines::hash)))
                         }
                     });
-                    let (incoming, name, home): (IncomingRequest, Rc<str>, Option<u64>) = match said {
+                    let (incoming, name, home): (IncomingRequest, Rc<str>, Option<u64>) = match said
+                    {
                         Ok(good) => good,
                         Err(why) => return self.turn_away(context, slot, why),
                     };
@@ -335,7 +337,9 @@
                         return self.go_back(context, slot);
                     }
                     connection.stage = Stage::Held;
-                    context.events.push(Event::RequestArrived(connection.incoming));
+                    context
+                        .events
+                        .push(Event::RequestArrived(connection.incoming));
                     return;
                 }
                 Err(why) => return self.turn_away(context, slot, why),
@@ -357,7 +361,9 @@
         let class = node_settings
             .class(request.class)
             .ok_or("an unknown offering")?;
-        if !node_settings.tenants.is_empty() && !node_settings.tenants.iter().any(|t| t == request.tenant) {
+        if !node_settings.tenants.is_empty()
+            && !node_settings.tenants.iter().any(|t| t == request.tenant)
+        {
             return Err("an unknown tenant");
         }
         // Guards: a client that says it stood somewhere, and would be kept for as long as it likes.
--- a/node/src/connections/mod.rs
+++ b/node/src/connections/mod.rs
@@ -23,7 +23,9 @@
 use landing::Landing;
 use listener::{Listener, SILENT_CLIENT};
 pub use passing::HandedOver;
-use reedferry::{Action, IncomingRequest, RequestId, AttemptOutcome, HostId, Nanos, RequestClass, MILLI, SECOND};
+use reedferry::{
+    Action, AttemptOutcome, HostId, IncomingRequest, Nanos, RequestClass, RequestId, MILLI, SECOND,
+};
 use reedferry_runtime::{Buffer, Mark, Readiness, Socket};
 use slab::Slab;
 use slog::info;
@@ -299,7 +301,10 @@
                 until,
                 by,
             } => self.attempt(context, id, host, until, by),
-            Action::Reject { id, retry_after: wait } => self.dismiss(context, id, wait),
+            Action::Reject {
+                id,
+                retry_after: wait,
+            } => self.dismiss(context, id, wait),
             Action::Fail { id } => self.give_up(context, id),
             Action::Migrate { id } => self.move_on(context, id),
             Action::CancelAttempt { id, attempt } => self.call_off(context, id, attempt),
--- a/node/src/connections/passage.rs
+++ b/node/src/connections/passage.rs
@@ -8,7 +8,7 @@
 use crate::connections::lane::Flow;
 use crate::context::{Context, LONGEST_MOVE};
 use crate::operators::counts::Close;
-use reedferry::{RequestId, AttemptOutcome, Event, Nanos, MILLI, SECOND};
+use reedferry::{AttemptOutcome, Event, Nanos, RequestId, MILLI, SECOND};
 use reedferry_runtime::Buffer;
 use slog::{info, warn};
 
--- a/node/src/connections/passing.rs
+++ b/node/src/connections/passing.rs
@@ -8,7 +8,7 @@
 use crate::connections::lines::Scanner;
 use crate::context::{Context, CLIENT, HOST};
 use crate::operators::counts::Close;
-use reedferry::{RequestId, AttemptOutcome, Event, Nanos, RequestClass};
+use reedferry::{AttemptOutcome, Event, Nanos, RequestClass, RequestId};
 use reedferry_runtime::{Mark, Socket};
 use reedferry_settings::renewal;
 use serde::{Deserialize, Serialize};
@@ -229,9 +229,11 @@
         if let Some(landing) = &connection.landing {
             let host = context.hosts.record(landing.host).id;
             let (incoming, load) = (connection.incoming, landing.said.load);
-            context
-                .events
-                .push(Event::ConnectionHandedOver(incoming, host, connection.since));
+            context.events.push(Event::ConnectionHandedOver(
+                incoming,
+                host,
+                connection.since,
+            ));
             context.events.extend(load.map(|load| Event::LoadMeasured {
                 id: incoming.id,
                 load,
@@ -274,7 +276,11 @@
         let handed_over = handed_over.timed_by(context.clock.ahead());
         // Guards: one customer's connection that goes by another's terms, as its own are offered no more.
         let goes_by = handed_over.class.as_ref().and_then(|(name, means)| {
-            renewal::place((&context.classes, &context.node_settings.classes), name, means)
+            renewal::place(
+                (&context.classes, &context.node_settings.classes),
+                name,
+                means,
+            )
         });
         if handed_over.open.is_some() && goes_by.is_none() {
             return None;
--- a/node/src/connections/passing_bytes_tests.rs
+++ b/node/src/connections/passing_bytes_tests.rs
@@ -1,7 +1,7 @@
 //! The exact bytes of a connection that goes on in another process.
 
 use super::*;
-use reedferry::{IdempotencyGroup, Idempotency};
+use reedferry::{Idempotency, IdempotencyGroup};
 
 fn hex(value: &impl Serialize) -> String {
     postcard::to_allocvec(value)
--- a/node/src/connections/probe.rs
+++ b/node/src/connections/probe.rs
@@ -56,7 +56,13 @@
         });
     }
 
-    fn end(&mut self, context: &mut Context, slot: usize, ending: AttemptOutcome, load_metrics: Vec<f64>) {
+    fn end(
+        &mut self,
+        context: &mut Context,
+        slot: usize,
+        ending: AttemptOutcome,
+        load_metrics: Vec<f64>,
+    ) {
         let probe = self.slab.remove(slot);
         Self::tell(context, probe.host, ending, load_metrics);
     }
@@ -121,10 +127,14 @@
                 return self.end(context, slot, AttemptOutcome::Error, Vec::new());
             }
             match probe.socket.receive(heard.spare()) {
-                Ok(0) => return self.end(context, slot, AttemptOutcome::ConnectionLost, Vec::new()),
+                Ok(0) => {
+                    return self.end(context, slot, AttemptOutcome::ConnectionLost, Vec::new())
+                }
                 Ok(count) => heard.filled(count),
                 Err(Errno::AGAIN) => break,
-                Err(_) => return self.end(context, slot, AttemptOutcome::ConnectionLost, Vec::new()),
+                Err(_) => {
+                    return self.end(context, slot, AttemptOutcome::ConnectionLost, Vec::new())
+                }
             }
         }
         match lines::first(heard.waiting()) {
--- a/node/src/context.rs
+++ b/node/src/context.rs
@@ -141,7 +141,9 @@
             pool: Pool::new((node_config.memory / 4 / pool::SIZE).max(64)),
             hosts: Hosts::new(
                 node_config.node_settings.zones.clone(),
-                node_config.balancer_settings.shortest_message_latency_objective(),
+                node_config
+                    .balancer_settings
+                    .shortest_message_latency_objective(),
             ),
             node_settings: node_config.node_settings.clone(),
             classes: node_config.balancer_settings.classes.clone(),
@@ -201,7 +203,9 @@
             return Ok(None);
         }
         let mut reader = Reader::default();
-        let known = reader.feed(&node_config.known).and_then(|()| reader.finish());
+        let known = reader
+            .feed(&node_config.known)
+            .and_then(|()| reader.finish());
         let known = known.map_err(|e| format!("known: {e}"))?;
         let revision = known.revision;
         let event = self.hosts.told(self.now, known, Source::Kept, &self.log);
@@ -226,7 +230,10 @@
 
     /// The program is asked to stop: what whoever decides is told.
     pub fn leave(&mut self, beyond: Nanos, connections: usize) -> Event {
-        let (now, deadline) = (self.now, self.node_settings.max_request_timeout.min(LONGEST_GRACE));
+        let (now, deadline) = (
+            self.now,
+            self.node_settings.max_request_timeout.min(LONGEST_GRACE),
+        );
         self.leaving = Some(now + deadline + beyond);
         // Guards: clients still held when the program is ended from outside, at hosts that stopped within a line, or
         // whose turn to be moved came so late that its own wait went beyond that.
--- a/node/src/discovery/client.rs
+++ b/node/src/discovery/client.rs
@@ -4,14 +4,14 @@
 //! call that fails ends alone.
 
 use crate::context::{Context, DISCOVERY};
-use crate::discovery::staleness::{Failure, Hearing};
 use crate::discovery::hosts::Source;
 use crate::discovery::http::Answer;
 use crate::discovery::list::{List, Reader};
+use crate::discovery::staleness::{Failure, Hearing};
 use crate::discovery::starts::Learned;
 use crate::discovery::versions::{Versions, Worth};
 use reedferry::permission::usable_grace;
-use reedferry::{BalancerSettings, Event, Nanos, EndpointUpdate, MILLI, SECOND};
+use reedferry::{BalancerSettings, EndpointUpdate, Event, Nanos, MILLI, SECOND};
 use reedferry_runtime::errors::{on_connect, on_connection, NoConnection, Trouble};
 use reedferry_runtime::{Errno, Mark, Readiness, Socket};
 use slog::{info, warn};
--- a/node/src/discovery/hosts.rs
+++ b/node/src/discovery/hosts.rs
@@ -6,8 +6,8 @@
 use crate::discovery::list::{List, Member};
 use crate::discovery::starts::{self, Learned};
 use crate::stalls::Stalls;
-use reedferry::{Event, HostId, Endpoint, Nanos, EndpointUpdate, HostState, MILLI, SECOND};
-use reedferry_control_plane::HostLine;
+use reedferry::{Endpoint, EndpointUpdate, Event, HostId, HostState, Nanos, MILLI, SECOND};
+use reedferry_control_plane::HostEntry;
 use slog::{info, Logger};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -251,7 +251,8 @@
         {
             let host = self.index(HostId(lines::hash(&member.name)));
             let said = host.and_then(|host| self.all[host].said.as_ref());
-            if said.is_some_and(|s| s.standing == HostState::Draining && s.started == member.started)
+            if said
+                .is_some_and(|s| s.standing == HostState::Draining && s.started == member.started)
             {
                 member.standing = HostState::Draining;
                 kept += 1;
@@ -288,11 +289,14 @@
         if progress.named > MOST_NAMED {
             info!(log, "more hosts listed"; "count" => progress.named - MOST_NAMED);
         }
-        Event::EndpointsUpdated { kind, endpoints: hosts }
+        Event::EndpointsUpdated {
+            kind,
+            endpoints: hosts,
+        }
     }
 
     /// Takes in what a planner says of one host. One that goes by another name than its own is none.
-    pub fn heard(&mut self, now: Nanos, line: HostLine, log: &Logger) {
+    pub fn heard(&mut self, now: Nanos, line: HostEntry, log: &Logger) {
         let id = HostId(line.id);
         if let Some(host) = self.index(id).filter(|_| line.name.is_empty()) {
             _ = self.all[host].left_since.get_or_insert(now);
--- a/node/src/discovery/hosts_tests.rs
+++ b/node/src/discovery/hosts_tests.rs
@@ -111,7 +111,9 @@
         },
         &Logger::root(slog::Discard, slog::o!()),
     ) {
-        Event::EndpointsUpdated { endpoints: hosts, .. } => hosts,
+        Event::EndpointsUpdated {
+            endpoints: hosts, ..
+        } => hosts,
         other => panic!("{other:?}"),
     }
 }
@@ -183,7 +185,8 @@
         &Logger::root(slog::Discard, slog::o!()),
     );
     let Event::EndpointsUpdated {
-        endpoints: listings, ..
+        endpoints: listings,
+        ..
     } = event
     else {
         panic!("{event:?}")
--- a/node/src/discovery/list.rs
+++ b/node/src/discovery/list.rs
@@ -2,7 +2,7 @@
 //! one list. It must never take more than it has bounds for, nor believe a list before its last byte.
 
 use crate::connections::lines::hash;
-use reedferry::{Nanos, HostState, MILLI};
+use reedferry::{HostState, Nanos, MILLI};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
--- a/node/src/discovery/mod.rs
+++ b/node/src/discovery/mod.rs
@@ -2,9 +2,9 @@
 //! It must never judge a host.
 
 pub mod client;
-pub mod staleness;
 pub mod hosts;
 pub mod http;
 pub mod list;
+pub mod staleness;
 pub mod starts;
 pub mod versions;
--- a/node/src/discovery/staleness.rs
+++ b/node/src/discovery/staleness.rs
@@ -128,11 +128,19 @@
 
     /// Goes by other settings from here on; what the node is held to stays.
     pub fn retune(&mut self, balancer_settings: &BalancerSettings, grace: Nanos) {
-        let place = (f64::from(balancer_settings.node_index) + 0.5) / f64::from(balancer_settings.node_count.max(1));
-        (self.place, self.spread) = (place.min(1.0), balancer_settings.max_poll_interval.min(HOLD / 2));
-        (self.max_poll_interval, self.grace, self.unasked) =
-            (balancer_settings.max_poll_interval, grace, !balancer_settings.endpoints_are_polled);
-        let pause = (EACH * u64::from(balancer_settings.node_count)).min(balancer_settings.max_poll_interval / 8);
+        let place = (f64::from(balancer_settings.node_index) + 0.5)
+            / f64::from(balancer_settings.node_count.max(1));
+        (self.place, self.spread) = (
+            place.min(1.0),
+            balancer_settings.max_poll_interval.min(HOLD / 2),
+        );
+        (self.max_poll_interval, self.grace, self.unasked) = (
+            balancer_settings.max_poll_interval,
+            grace,
+            !balancer_settings.endpoints_are_polled,
+        );
+        let pause = (EACH * u64::from(balancer_settings.node_count))
+            .min(balancer_settings.max_poll_interval / 8);
         self.pause = pause.clamp(AGAIN, TOLD / 5);
     }
 
@@ -295,7 +303,9 @@
             Failure::Silent | Failure::Unread if first => now,
             // Guards: a service that starts anew and is called by all at once, up to three times by each: what changed,
             // the whole list, the next watch.
-            _ if first => now + (self.place * TURNS.min(self.max_poll_interval / 2) as f64) as Nanos,
+            _ if first => {
+                now + (self.place * TURNS.min(self.max_poll_interval / 2) as f64) as Nanos
+            }
             // Ever shorter ones while there is time, then even ones.
             Failure::Unread if now < deaf.start => {
                 step(((deaf.start - now) / 4).max(self.grace / 8))
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -81,7 +81,10 @@
         Some(Command::Plan(file)) => roles::plan::run(&file.config, start),
         Some(Command::Check { file }) => {
             let operator_config = operators::operator_config::OperatorConfig::read(&file)?;
-            let (role, node_config) = (operator_config.role.word(), operator_config.node_config_path.display());
+            let (role, node_config) = (
+                operator_config.role.word(),
+                operator_config.node_config_path.display(),
+            );
             println!(
                 "{}: in order, for `reedferry {role}`, with the papers {node_config}",
                 file.display()
--- a/node/src/operators/mod.rs
+++ b/node/src/operators/mod.rs
@@ -1,8 +1,8 @@
 //! What operators and the platform tell the program, and what it tells them. It must never act on it by itself.
 
-pub mod operator_config;
 pub mod counts;
 pub mod files;
-pub mod ops;
 pub mod node_config;
+pub mod operator_config;
+pub mod ops;
 pub mod tally;
--- a/node/src/operators/operator_config.rs
+++ b/node/src/operators/operator_config.rs
@@ -9,7 +9,7 @@
 use crate::peers::wards::ReplicationConfig;
 use crate::peers::words::Correspondence;
 use reedferry::{Nanos, MILLI, SECOND};
-use reedferry_control_plane::PlannerAt;
+use reedferry_control_plane::PlannerAddress;
 use serde::Deserialize;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -165,7 +165,7 @@
     pub node_config: NodeConfig,
     pub node_config_path: PathBuf,
     pub role: Role,
-    pub planners: Vec<PlannerAt>,
+    pub planners: Vec<PlannerAddress>,
 }
 
 /// The text of a file, to name places in it by line.
@@ -320,8 +320,8 @@
             .parent()
             .unwrap_or(Path::new("."))
             .join(sheet.node_config.into_inner());
-        let node_config =
-            NodeConfig::read_at(&node_config_path).map_err(|e| text.wrong(at.clone(), String::from(e)))?;
+        let node_config = NodeConfig::read_at(&node_config_path)
+            .map_err(|e| text.wrong(at.clone(), String::from(e)))?;
         let planners = Self::planners(&text, &sheet.planner)?;
         let grace = node_config.node_settings.drain_grace;
         let mut roles: Vec<Span> = [
@@ -486,7 +486,10 @@
         })
     }
 
-    fn planners(text: &Text, sheets: &[Spanned<PlannerSheet>]) -> Result<Vec<PlannerAt>, String> {
+    fn planners(
+        text: &Text,
+        sheets: &[Spanned<PlannerSheet>],
+    ) -> Result<Vec<PlannerAddress>, String> {
         let (mut names, mut addresses, mut planners) = (HashSet::new(), HashSet::new(), Vec::new());
         for sheet in sheets {
             let PlannerSheet { name, address: at } = sheet.get_ref();
@@ -500,7 +503,7 @@
                     format!("planner {name:?} or its address stands here twice"),
                 ));
             }
-            planners.push(PlannerAt {
+            planners.push(PlannerAddress {
                 name: name.clone(),
                 address,
             });
@@ -542,7 +545,7 @@
         })
     }
 
-    fn plans(text: &Text, part: PlanSheet, planners: &[PlannerAt]) -> Result<Plans, String> {
+    fn plans(text: &Text, part: PlanSheet, planners: &[PlannerAddress]) -> Result<Plans, String> {
         let place = planners.iter().position(|p| p.name == *part.name.get_ref());
         let place = place.ok_or_else(|| {
             let what = format!("{:?} is none of the [[planner]] below", part.name.get_ref());
@@ -588,7 +591,8 @@
     fn the_annotated_examples_are_valid_and_say_what_they_are_for() {
         let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy");
         for word in ["node", "forward", "plan"] {
-            let operator_config = OperatorConfig::read(&folder.join(format!("{word}.example.toml"))).unwrap();
+            let operator_config =
+                OperatorConfig::read(&folder.join(format!("{word}.example.toml"))).unwrap();
             assert_eq!(operator_config.role.word(), word);
         }
     }
@@ -765,13 +769,18 @@
         };
         let good = among("fleet", true, &fleet("period = \"200ms\"\n")).unwrap();
         let Role::Node(Some(Correspondence {
-            fleet: Some(node_settings), ..
+            fleet: Some(node_settings),
+            ..
         })) = good.role
         else {
             panic!("no fleet")
         };
         assert_eq!(
-            (node_settings.listen, node_settings.period, node_settings.most),
+            (
+                node_settings.listen,
+                node_settings.period,
+                node_settings.most
+            ),
             (node_settings.address, 200 * MILLI, 1024)
         );
         let peer = "[[peer]]\naddress = \"127.0.0.1:7101\"\n";
--- a/node/src/operators/ops.rs
+++ b/node/src/operators/ops.rs
@@ -398,7 +398,8 @@
                 self.lines.remove(slot);
             }
         }
-        let gone = |line: &Line| matches!(line.stage, Stage::AttemptOutcome) && now >= line.since + LINGER;
+        let gone =
+            |line: &Line| matches!(line.stage, Stage::AttemptOutcome) && now >= line.since + LINGER;
         self.lines.retain(|_, line| !gone(line));
         self.accept(context);
     }
--- a/node/src/peers/fleet.rs
+++ b/node/src/peers/fleet.rs
@@ -115,15 +115,23 @@
         };
         match fleet.bind(context, START_WITHIN) {
             Ok(()) | Err(Errno::ADDRINUSE) => Ok(fleet),
-            Err(e) => Err(format!("cannot take letters on {}: {e}", node_settings.listen)),
+            Err(e) => Err(format!(
+                "cannot take letters on {}: {e}",
+                node_settings.listen
+            )),
         }
     }
 
     /// Takes letters, or tries to for so long.
     fn bind(&mut self, context: &mut Context, within: Duration) -> Result<(), Errno> {
-        let socket = patiently(within, || context.budget.datagrams(&self.node_settings.listen))?;
+        let socket = patiently(within, || {
+            context.budget.datagrams(&self.node_settings.listen)
+        })?;
         patiently(within, || context.poller.watch(&socket, mark(PEERS)))?;
-        let (seeds, period) = (self.node_settings.seeds.len(), self.node_settings.period / 1_000_000);
+        let (seeds, period) = (
+            self.node_settings.seeds.len(),
+            self.node_settings.period / 1_000_000,
+        );
         info!(context.log, "fleet"; "address" => %self.node_settings.address, "seeds" => seeds, "period_ms" => period);
         self.socket = Some(socket);
         self.handle(context, members::Event::Wake);
@@ -242,7 +250,9 @@
             if self.lines.room(context.now) {
                 info!(context.log, "turns"; "of" => format!("{shares:?}"));
             }
-            context.events.push(Event::SlowStartSlotsAssigned(shares.clone()));
+            context
+                .events
+                .push(Event::SlowStartSlotsAssigned(shares.clone()));
             self.shares = shares;
         }
     }
@@ -268,9 +278,9 @@
                 .looked_by
                 .is_none_or(|(_, lists)| lists != context.hosts.lists)
         {
-            context
-                .events
-                .push(Event::ProbeTargetsAssigned(mine.iter().map(|id| HostId(*id)).collect()));
+            context.events.push(Event::ProbeTargetsAssigned(
+                mine.iter().map(|id| HostId(*id)).collect(),
+            ));
             self.looks = mine;
         }
     }
@@ -322,7 +332,12 @@
     }
 
     /// Takes up other seeds and another place; the rest holds until the next start. Gives what does.
-    pub fn renew(&mut self, context: &mut Context, node_settings: &FleetConfig, place: (u32, u32)) -> bool {
+    pub fn renew(
+        &mut self,
+        context: &mut Context,
+        node_settings: &FleetConfig,
+        place: (u32, u32),
+    ) -> bool {
         self.handle(context, members::Event::Seeds(node_settings.seeds.clone()));
         self.handle(
             context,
--- a/node/src/peers/wards.rs
+++ b/node/src/peers/wards.rs
@@ -6,7 +6,8 @@
 use crate::context::{mark, Context, WARDS};
 use crate::peers::fleet::Fleet;
 use reedferry::{
-    Action, IncomingRequest, RequestId, Idempotency, AttemptOutcome, Event, HostId, Nanos, PriorAttempts, SECOND,
+    Action, AttemptOutcome, Event, HostId, Idempotency, IncomingRequest, Nanos, PriorAttempts,
+    RequestId, SECOND,
 };
 use reedferry_replication::{
     guardians, Answer, Guardian, Holder, Keeper, Outcome, Question, Record,
@@ -112,7 +113,13 @@
 }
 
 impl Wards {
-    pub fn new(context: &Context, node_settings: &ReplicationConfig, place: u32, roster: u32, life: u64) -> Wards {
+    pub fn new(
+        context: &Context,
+        node_settings: &ReplicationConfig,
+        place: u32,
+        roster: u32,
+        life: u64,
+    ) -> Wards {
         Wards {
             node_settings: node_settings.clone(),
             keeper: Keeper::new(Holder { place, life }, roster, node_settings.within),
@@ -158,9 +165,13 @@
         event: Event,
     ) -> Option<Event> {
         match &event {
-            Event::RequestArrived(incoming) if idempotencies.get(incoming.class) != Some(&Idempotency::Idempotent) => {
+            Event::RequestArrived(incoming)
+                if idempotencies.get(incoming.class) != Some(&Idempotency::Idempotent) =>
+            {
                 // Without a key nobody can bring it again; and this is one whose ward has come.
-                let Some(client) = incoming.key.filter(|_| !self.keys.contains_key(&incoming.id))
+                let Some(client) = incoming
+                    .key
+                    .filter(|_| !self.keys.contains_key(&incoming.id))
                 else {
                     return Some(event);
                 };
@@ -275,8 +286,11 @@
         self.keeper.drop(key);
         let waits = held.waits.map(|(action, _)| action);
         if let Some(Action::StartAttempt { id, host, .. }) = waits {
-            let (attempt, ending, load_metrics) =
-                (held.passed.history.attempts, AttemptOutcome::NeverSent, Vec::new());
+            let (attempt, ending, load_metrics) = (
+                held.passed.history.attempts,
+                AttemptOutcome::NeverSent,
+                Vec::new(),
+            );
             context.events.push(Event::AttemptEnded {
                 id,
                 attempt,
--- a/node/src/roles/alone.rs
+++ b/node/src/roles/alone.rs
@@ -8,10 +8,10 @@
 use crate::discovery::client::Discovery;
 use crate::discovery::hosts::Source;
 use crate::discovery::list::List;
-use crate::operators::operator_config::{self, OperatorConfig, Role};
 use crate::operators::files::{self, NotRead};
-use crate::operators::ops::{Call, Ops, Reply};
 use crate::operators::node_config::NodeConfig;
+use crate::operators::operator_config::{self, OperatorConfig, Role};
+use crate::operators::ops::{Call, Ops, Reply};
 use crate::operators::tally::Now;
 use crate::peers::fleet::Fleet;
 use crate::peers::wards::Wards;
@@ -19,7 +19,7 @@
 use crate::ready::Ready;
 use crate::roles::succession::{Knowledge, Succession};
 use crate::{AtStart, BEYOND_EXPIRY, SWEEP};
-use reedferry::{Action, Balancer, BalancerSettings, Idempotency, Event};
+use reedferry::{Action, Balancer, BalancerSettings, Event, Idempotency};
 use reedferry_membership::State;
 use reedferry_runtime::{Clock, Errno, Signal, Socket};
 use reedferry_settings::renewal;
@@ -83,18 +83,24 @@
 }
 
 pub fn run(told: Told, start: AtStart) -> Result<(), String> {
-    let (mut node_config, correspondence) = files::read_at_start(START_WITHIN, || told.node_config())?;
+    let (mut node_config, correspondence) =
+        files::read_at_start(START_WITHIN, || told.node_config())?;
     let clock = Clock::start();
     let (mut context, backlog) = Context::open(&node_config, &clock, &start)?;
     let mut succession = Succession::open(&mut context, &node_config)?;
     let mut knowledge = succession.begin(&mut context, &clock);
     if let Some(knowledge) = &mut knowledge {
         renewal::keep(
-            (&mut node_config.balancer_settings, &mut node_config.node_settings),
+            (
+                &mut node_config.balancer_settings,
+                &mut node_config.node_settings,
+            ),
             std::mem::take(&mut knowledge.held),
         );
-        (context.node_settings, context.classes) =
-            (node_config.node_settings.clone(), node_config.balancer_settings.classes.clone());
+        (context.node_settings, context.classes) = (
+            node_config.node_settings.clone(),
+            node_config.balancer_settings.classes.clone(),
+        );
     }
     let knowledge = knowledge.map(|e| e.in_terms_of(&node_config.node_settings.classes));
     let ops = node_config
@@ -109,14 +115,29 @@
         .transpose()?;
     let wards = fleet.as_ref().and_then(|fleet| {
         let node_settings = correspondence.as_ref()?.fleet.as_ref()?.wards.as_ref()?;
-        let BalancerSettings { node_index: node, node_count: nodes, .. } = node_config.balancer_settings;
-        Some(Wards::new(&context, node_settings, node, nodes, fleet.life()))
+        let BalancerSettings {
+            node_index: node,
+            node_count: nodes,
+            ..
+        } = node_config.balancer_settings;
+        Some(Wards::new(
+            &context,
+            node_settings,
+            node,
+            nodes,
+            fleet.life(),
+        ))
     });
     let peers = correspondence.as_ref().filter(|c| c.fleet.is_none());
     let peers = peers
         .map(|correspondence| Peers::open(&mut context, correspondence))
         .transpose()?;
-    let module = Balancer::new(node_config.balancer_settings.clone(), node_config.seed, now, &mut actions);
+    let module = Balancer::new(
+        node_config.balancer_settings.clone(),
+        node_config.seed,
+        now,
+        &mut actions,
+    );
     let mut revision = context.known(&node_config)?;
     if let Some(Knowledge {
         discovery,
@@ -488,14 +509,18 @@
         let fleet = correspondence.as_ref().and_then(|c| c.fleet.as_ref());
         let same = match (&mut self.fleet, fleet) {
             (Some(fleet), Some(node_settings)) => {
-                let place = (fresh.balancer_settings.node_index, fresh.balancer_settings.node_count);
+                let place = (
+                    fresh.balancer_settings.node_index,
+                    fresh.balancer_settings.node_count,
+                );
                 fleet.renew(&mut self.context, node_settings, place)
             }
             _ => correspondence == self.correspondence,
         };
         if !same {
             kept.push("peers");
-            fresh.balancer_settings.gossip_enabled = self.node_config.balancer_settings.gossip_enabled;
+            fresh.balancer_settings.gossip_enabled =
+                self.node_config.balancer_settings.gossip_enabled;
         }
         if !kept.is_empty() {
             warn!(self.context.log, "kept until the next start"; "parts" => kept.join(" "));
@@ -512,21 +537,32 @@
 
     /// Goes by other settings from here on. What is under way keeps its offering.
     fn retune(&mut self, fresh: &mut NodeConfig) {
-        let NodeConfig { balancer_settings, node_settings, .. } = &mut self.node_config;
+        let NodeConfig {
+            balancer_settings,
+            node_settings,
+            ..
+        } = &mut self.node_config;
         let told = (fresh.balancer_settings.clone(), fresh.node_settings.clone());
         let zones = node_settings.zones != told.1.zones;
-        let others = renewal::renew((balancer_settings, node_settings), told, |n| self.connections.holds(n));
-        (fresh.balancer_settings, fresh.node_settings) = (balancer_settings.clone(), node_settings.clone());
+        let others = renewal::renew((balancer_settings, node_settings), told, |n| {
+            self.connections.holds(n)
+        });
+        (fresh.balancer_settings, fresh.node_settings) =
+            (balancer_settings.clone(), node_settings.clone());
         let context = &mut self.context;
-        (context.node_settings, context.classes) = (node_settings.clone(), balancer_settings.classes.clone());
+        (context.node_settings, context.classes) =
+            (node_settings.clone(), balancer_settings.classes.clone());
         context.tally.offers(&node_settings.classes);
-        context
-            .hosts
-            .renew(node_settings.zones.clone(), balancer_settings.shortest_message_latency_objective());
-        self.discovery.retune(balancer_settings, node_settings.drain_grace);
-        context
-            .events
-            .push(Event::SettingsChanged(Box::new(balancer_settings.clone()), others));
+        context.hosts.renew(
+            node_settings.zones.clone(),
+            balancer_settings.shortest_message_latency_objective(),
+        );
+        self.discovery
+            .retune(balancer_settings, node_settings.drain_grace);
+        context.events.push(Event::SettingsChanged(
+            Box::new(balancer_settings.clone()),
+            others,
+        ));
         if zones {
             // Hosts are known by the places of their zones, those that are gone too while anything may go by them. Guards: a
             // repeat matched against the zone that now has the place of the one in which it may have run.
--- a/node/src/roles/forward.rs
+++ b/node/src/roles/forward.rs
@@ -6,11 +6,11 @@
 use crate::connections::wire::{Wire, Wires};
 use crate::connections::Connections;
 use crate::context::{self, mark, Context, LINK, STOP, TICK};
-use crate::operators::operator_config::{OperatorConfig, Forwards, Role};
+use crate::operators::operator_config::{Forwards, OperatorConfig, Role};
 use crate::ready::Ready;
 use crate::{AtStart, BEYOND_EXPIRY, SWEEP};
 use reedferry::Nanos;
-use reedferry_control_plane::{Covenant, Deed, Forwarder, PlannerAt};
+use reedferry_control_plane::{Forwarder, ForwarderAction, ForwarderConfig, PlannerAddress};
 use reedferry_runtime::{Clock, Errno, Mark, Readiness, Signal, Socket};
 use slog::{info, warn};
 use std::net::SocketAddr;
@@ -27,10 +27,10 @@
     reread: Signal,
     path: PathBuf,
     forwards: Forwards,
-    planners: Vec<PlannerAt>,
+    planners: Vec<PlannerAddress>,
     /// When the core is to be called next, as far as the poller knows.
     armed: Nanos,
-    deeds: Vec<Deed>,
+    deeds: Vec<ForwarderAction>,
     ready: Ready,
 }
 
@@ -52,7 +52,7 @@
     let (mut context, backlog) = Context::open(&node_config, &clock, &start)?;
     let listener = context.listen(&node_config.listen, context::LISTENER)?;
     let listen = listener.address().unwrap_or(node_config.listen);
-    let keeps = Covenant {
+    let keeps = ForwarderConfig {
         name: node_config.name.clone(),
         fingerprint: node_config.fingerprint(),
         epoch: context.start,
@@ -209,23 +209,23 @@
             .for_each(|(line, why)| self.lost(line, why));
     }
 
-    fn carry_out(&mut self, deed: Deed) {
+    fn carry_out(&mut self, deed: ForwarderAction) {
         let context = &mut self.context;
         match deed {
-            Deed::Act(action) => _ = self.connections.carry_out(context, action),
-            Deed::HandOff {
+            ForwarderAction::Perform(action) => _ = self.connections.carry_out(context, action),
+            ForwarderAction::StartAttempt {
                 id,
                 host,
                 until,
                 by,
             } => self.connections.attempt(context, id, host, until, by),
-            Deed::Call { line, address } => self.call(line, address),
-            Deed::Hang { line } => _ = self.wires.all.remove(&line),
-            Deed::Host(line) => {
+            ForwarderAction::ConnectPlanner { line, address } => self.call(line, address),
+            ForwarderAction::DisconnectPlanner { line } => _ = self.wires.all.remove(&line),
+            ForwarderAction::HostLearned(line) => {
                 let log = context.log.clone();
                 context.hosts.heard(context.now, line, &log);
             }
-            Deed::Log(text) => info!(context.log, "{}", text),
+            ForwarderAction::Log(text) => info!(context.log, "{}", text),
         }
     }
 
--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -7,11 +7,11 @@
 use crate::connections::wire::{Wire, Wires};
 use crate::context::{self, mark, Context, LINK, STOP};
 use crate::discovery::client::Discovery;
-use crate::operators::operator_config::{OperatorConfig, Plans, Role};
 use crate::operators::node_config::NodeConfig;
+use crate::operators::operator_config::{OperatorConfig, Plans, Role};
 use crate::{AtStart, SWEEP};
-use reedferry::{Event, Endpoint, Nanos, MILLI};
-use reedferry_control_plane::{HostLine, Order, Planner, Remit};
+use reedferry::{Endpoint, Event, Nanos, MILLI};
+use reedferry_control_plane::{HostEntry, Planner, PlannerAction, PlannerConfig};
 use reedferry_runtime::{Clock, Errno, Mark, Readiness, Signal, Socket};
 use slog::{info, warn};
 use std::path::{Path, PathBuf};
@@ -35,7 +35,7 @@
     plans: Plans,
     planners: usize,
     at: std::net::SocketAddr,
-    orders: Vec<Order>,
+    orders: Vec<PlannerAction>,
 }
 
 pub fn run(path: &Path, start: AtStart) -> Result<(), String> {
@@ -56,7 +56,7 @@
     let (mut context, backlog) = Context::open(&node_config, &clock, &start)?;
     let listener = context.listen(&plans.listen, context::LINK_LISTENER)?;
     let listen = listener.address().unwrap_or(plans.listen);
-    let remit = Remit {
+    let remit = PlannerConfig {
         name: plans.name.clone(),
         zones: node_config.node_settings.zones.len().max(1) as u16,
         place: plans.place,
@@ -78,7 +78,11 @@
         .poller
         .remind(context.now + SWEEP, mark(context::SWEEP), 0);
     let AtStart { stop, reread } = start;
-    let NodeConfig { balancer_settings, node_settings, .. } = &node_config;
+    let NodeConfig {
+        balancer_settings,
+        node_settings,
+        ..
+    } = &node_config;
     let discovery = Discovery::new(
         node_config.discovery,
         revision,
@@ -236,7 +240,10 @@
     fn told(&mut self, event: Event) {
         let now = self.context.now;
         match event {
-            Event::EndpointsUpdated { kind, endpoints: hosts } => {
+            Event::EndpointsUpdated {
+                kind,
+                endpoints: hosts,
+            } => {
                 let lines = hosts
                     .iter()
                     .filter_map(|listing| self.line(listing))
@@ -248,14 +255,14 @@
     }
 
     /// A host as forwarders are told of it.
-    fn line(&self, listing: &Endpoint) -> Option<HostLine> {
+    fn line(&self, listing: &Endpoint) -> Option<HostEntry> {
         let record = self
             .context
             .hosts
             .record(self.context.hosts.index(listing.id)?);
         let (name, address) = (record.name.clone(), record.address);
         let as_of = self.discovery.revision().unwrap_or(0);
-        Some(HostLine {
+        Some(HostEntry {
             id: listing.id.0,
             name,
             address,
@@ -264,10 +271,10 @@
         })
     }
 
-    fn carry_out(&mut self, order: Order) {
+    fn carry_out(&mut self, order: PlannerAction) {
         let context = &mut self.context;
         match order {
-            Order::Wake { time, zone, mark } => {
+            PlannerAction::SetTimer { time, zone, mark } => {
                 let at = Mark {
                     part: context::MODULE,
                     slot: zone.into(),
@@ -275,11 +282,11 @@
                 };
                 context.poller.remind(time, at, mark);
             }
-            Order::AskRoll => self.discovery.ask(context),
-            Order::FollowRoll => self.discovery.follow(context),
-            Order::Probe { host } => self.probes.send(context, host),
-            Order::Cut { line } => self.lost(line, "cut"),
-            Order::Log(text) => info!(context.log, "{}", text),
+            PlannerAction::PollEndpoints => self.discovery.ask(context),
+            PlannerAction::WatchEndpoints => self.discovery.follow(context),
+            PlannerAction::Probe { host } => self.probes.send(context, host),
+            PlannerAction::Disconnect { line } => self.lost(line, "cut"),
+            PlannerAction::Log(text) => info!(context.log, "{}", text),
         }
     }
 
--- a/node/src/roles/succession.rs
+++ b/node/src/roles/succession.rs
@@ -7,7 +7,7 @@
 use crate::context::{self, Context, PREDECESSOR, SUCCESSOR, SUCCESSOR_LISTENER};
 use crate::discovery::list::Member;
 use crate::operators::node_config::NodeConfig;
-use reedferry::{RequestId, Event, InheritedState, Nanos, RequestClass, MILLI};
+use reedferry::{Event, InheritedState, Nanos, RequestClass, RequestId, MILLI};
 use reedferry_runtime::errors::{on_connection, patiently, Trouble};
 use reedferry_runtime::{channel, Clock, Errno, Mark, Readiness, Socket};
 use serde::{Deserialize, Serialize};
--- a/node/src/roles/succession_bytes_tests.rs
+++ b/node/src/roles/succession_bytes_tests.rs
@@ -1,7 +1,7 @@
 //! The exact bytes of what passes between a process and the next one in its place, but for its connections.
 
 use super::*;
-use reedferry::{IdempotencyGroup, ClientStatistics, Idempotency, HostId, HostSnapshot, HostState};
+use reedferry::{ClientStatistics, HostId, HostSnapshot, HostState, Idempotency, IdempotencyGroup};
 
 fn hex(value: &impl Serialize) -> String {
     postcard::to_allocvec(value)
@@ -91,8 +91,14 @@
 #[test]
 fn what_a_predecessor_knows_keeps_its_bytes() {
     let held = vec![
-        ("chat".to_string(), class(Idempotency::Idempotent, IdempotencyGroup::All)),
-        ("pay".to_string(), class(Idempotency::WithKey, IdempotencyGroup::Zone)),
+        (
+            "chat".to_string(),
+            class(Idempotency::Idempotent, IdempotencyGroup::All),
+        ),
+        (
+            "pay".to_string(),
+            class(Idempotency::WithKey, IdempotencyGroup::Zone),
+        ),
         (
             "once".to_string(),
             class(Idempotency::NonIdempotent, IdempotencyGroup::Cell),
--- a/node/tests/clocks.rs
+++ b/node/tests/clocks.rs
@@ -140,7 +140,8 @@
         let (hosts, service) = (reedferry_testkit::Hosts::start(1), Discovery::start());
         let node_config = reedferry_testkit::node_config(&hosts, service.address);
         let (held, folder) = (listener(), folder());
-        let mut predecessor = Node::start_spoilt_at(&node_config, &held, &folder, &Spoiler::default());
+        let mut predecessor =
+            Node::start_spoilt_at(&node_config, &held, &folder, &Spoiler::default());
         predecessor.address = held.local_addr().unwrap();
         let (mut client, _, mut host) = predecessor.served(&hosts);
         // A line without an answer goes over with the connection.
--- a/node/tests/fleet.rs
+++ b/node/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Many processes of the program beside one list service and hosts that warm up, with faults put in between them.
 //! Judged by what hosts, clients and the list service saw.
 
-use reedferry_testkit::fleet::{alone, Fleet, Guests, FleetOptions, WarmingHosts};
+use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, Guests, WarmingHosts};
 use reedferry_testkit::{eventually, Discovery, Node};
 use serde_json::Value;
 use std::ops::Range;
--- a/node/tests/handover.rs
+++ b/node/tests/handover.rs
@@ -45,7 +45,8 @@
     }
 
     fn start(&self, spoiler: &Spoiler) -> Node {
-        let mut node = Node::start_spoilt_at(&self.node_config, &self.listener, &self.folder, spoiler);
+        let mut node =
+            Node::start_spoilt_at(&self.node_config, &self.listener, &self.folder, spoiler);
         node.address = self.listener.local_addr().unwrap();
         node
     }
--- a/node/tests/members.rs
+++ b/node/tests/members.rs
@@ -1,7 +1,7 @@
 //! Processes of the program that keep a view of their fleet, with faults put between them: how soon the view settles,
 //! who is put out and who is not. What clients and hosts saw is judged beside it where there is load.
 
-use reedferry_testkit::fleet::{alone, Fleet, Guests, FleetOptions, WarmingHosts};
+use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, Guests, WarmingHosts};
 use reedferry_testkit::schedule::{play, Schedule};
 use reedferry_testkit::view::{started, View};
 use reedferry_testkit::ways::{Spoil, Ways};
--- a/node/tests/pause.rs
+++ b/node/tests/pause.rs
@@ -228,7 +228,8 @@
 fn a_probe_that_was_answered_while_the_process_stood_still_counts_as_answered() {
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
     let mut node_config = node_config(&hosts, discovery.address);
-    node_config["settings"]["reporting"] = serde_json::json!({"fields": ["util", "x0"], "via": "pull"});
+    node_config["settings"]["reporting"] =
+        serde_json::json!({"fields": ["util", "x0"], "via": "pull"});
     let spoiler = Spoiler::default();
     let node = Node::start_spoilt(&node_config, &spoiler);
     let (_, mut probe) = hosts.accept();
--- a/node/tests/repeats.rs
+++ b/node/tests/repeats.rs
@@ -65,7 +65,10 @@
         }
         assert_eq!(!lines.is_empty(), sent, "{idempotency}, {window} ms");
         let said = client.hear();
-        assert!(said.starts_with(answer), "{idempotency}, {window} ms: {said}");
+        assert!(
+            said.starts_with(answer),
+            "{idempotency}, {window} ms: {said}"
+        );
     }
 }
 
@@ -313,7 +316,11 @@
         } else {
             node.stand_still();
             // What is irreversible is waited for as long as its client waits, less two rounds.
-            let up = Duration::from_millis(if idempotency == "single_shot" { 1650 } else { 700 });
+            let up = Duration::from_millis(if idempotency == "single_shot" {
+                1650
+            } else {
+                700
+            });
             crowd.iter_mut().for_each(|other| other.write("O"));
             host.say("UP 7");
             eventually("no time passes", || asked.elapsed() > up);
--- a/node/tests/retune.rs
+++ b/node/tests/retune.rs
@@ -67,7 +67,13 @@
     }
     for part in ["", "/contract", "/policy_limits", "/offerings/0"] {
         let place = format!("/settings{part}");
-        for key in node_config.pointer(&place).unwrap().as_object().unwrap().keys() {
+        for key in node_config
+            .pointer(&place)
+            .unwrap()
+            .as_object()
+            .unwrap()
+            .keys()
+        {
             let mut short = other.clone();
             short
                 .pointer_mut(&place)
--- a/node/tests/silence.rs
+++ b/node/tests/silence.rs
@@ -40,7 +40,13 @@
     }
 
     /// One whose settings have nodes ask within so many milliseconds.
-    fn with(service: Discovery, mode: &str, nodes: usize, of: usize, max_poll_interval: f64) -> Self {
+    fn with(
+        service: Discovery,
+        mode: &str,
+        nodes: usize,
+        of: usize,
+        max_poll_interval: f64,
+    ) -> Self {
         let referee = Referee::default();
         let hosts = Hosts::start(HOSTS, &referee);
         let start = |node: usize| {
--- a/node/tests/stopping.rs
+++ b/node/tests/stopping.rs
@@ -108,7 +108,10 @@
         client.hears("end");
         host.hears("end");
         assert!(node.wait().success());
-        assert!(hosts.accept_soon().is_none(), "{idempotency}: sent on again");
+        assert!(
+            hosts.accept_soon().is_none(),
+            "{idempotency}: sent on again"
+        );
     }
 }
 
--- a/node/tests/two_tier.rs
+++ b/node/tests/two_tier.rs
@@ -373,7 +373,12 @@
     let _turn = alone();
     let (tiers, spoiler) = (Tiers::start(1, 1, 1, 8), Spoiler::default());
     let node_config = tiers::node_config("held-up", &tiers.hosts, &tiers.discovery, 8);
-    let forwarder = Node::start_as_spoilt("forward", &tiers.operator_config(0, 1), &node_config, &spoiler);
+    let forwarder = Node::start_as_spoilt(
+        "forward",
+        &tiers.operator_config(0, 1),
+        &node_config,
+        &spoiler,
+    );
     forwarder.logs("follows planner");
     let open = |n: usize| {
         let mut client = Peer::connect(forwarder.address);
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -3,7 +3,9 @@
 
 pub mod renewal;
 
-use reedferry::{BalancerSettings, IdempotencyGroup, Idempotency, LoadMetric, Nanos, RequestClass, SECOND};
+use reedferry::{
+    BalancerSettings, Idempotency, IdempotencyGroup, LoadMetric, Nanos, RequestClass, SECOND,
+};
 use serde::Deserialize;
 
 #[derive(Deserialize)]
@@ -285,9 +287,8 @@
         for key in ["contract_time", "expiry"] {
             over(class, key, &format!("offerings.{n}."))?;
         }
-        let same = |other: &serde_json::Value| {
-            !other["name"].is_null() && other["name"] == class["name"]
-        };
+        let same =
+            |other: &serde_json::Value| !other["name"].is_null() && other["name"] == class["name"];
         if classes[..n].iter().any(same) {
             return Err(format!(
                 "settings: offerings.{n}.name: {} stands there twice",
@@ -307,9 +308,12 @@
     from_value(value)
 }
 
-pub fn from_value(mut value: serde_json::Value) -> Result<(BalancerSettings, NodeSettings), String> {
+pub fn from_value(
+    mut value: serde_json::Value,
+) -> Result<(BalancerSettings, NodeSettings), String> {
     strip_nulls(&mut value);
-    let node_settings: Text = serde_json::from_value(value).map_err(|e| format!("settings: {e}"))?;
+    let node_settings: Text =
+        serde_json::from_value(value).map_err(|e| format!("settings: {e}"))?;
     if node_settings.classes.is_empty() {
         return Err("settings: no offering is listed".into());
     }
@@ -350,7 +354,13 @@
         });
     }
     let limits = &node_settings.policy_limits;
-    let max_request_timeout = nanos(node_settings.classes.iter().map(|o| o.deadline).fold(0.0, f64::max));
+    let max_request_timeout = nanos(
+        node_settings
+            .classes
+            .iter()
+            .map(|o| o.deadline)
+            .fold(0.0, f64::max),
+    );
     let balancer_settings = BalancerSettings {
         max_request_timeout,
         node_index: node_settings.index,
@@ -409,7 +419,9 @@
     use serde_json::json;
 
     /// Settings of the kept shape, with these put over them.
-    fn told(over: &[(&str, serde_json::Value)]) -> Result<(BalancerSettings, NodeSettings), String> {
+    fn told(
+        over: &[(&str, serde_json::Value)],
+    ) -> Result<(BalancerSettings, NodeSettings), String> {
         let mut settings = json!({"balancers": 3, "index": 1, "registry_mode": "on_request",
             "offerings": [{"contract_time": 500, "expiry": 2000, "effect": "free", "group": "all", "payoff": 1}],
             "contract": {"cold": 10000, "cold_from": 0.2, "tip_after": 1000, "tip_multiple": 3},
@@ -432,7 +444,10 @@
         ])
         .unwrap();
         assert!(new.gossip_enabled && new.load_from_probes);
-        assert_eq!(new.load_metrics, [LoadMetric::Other, LoadMetric::Utilization, LoadMetric::Load]);
+        assert_eq!(
+            new.load_metrics,
+            [LoadMetric::Other, LoadMetric::Utilization, LoadMetric::Load]
+        );
     }
 
     /// Guards: a node that starts with half of one shape and half of another, and serves badly in silence.
--- a/settings/src/renewal.rs
+++ b/settings/src/renewal.rs
@@ -45,9 +45,7 @@
         .into_iter()
         .zip(fresh.classes)
         .collect();
-    classes
-        .iter_mut()
-        .for_each(|class| class.active = false);
+    classes.iter_mut().for_each(|class| class.active = false);
     let mut others = Vec::new();
     for (name, class) in wanted {
         let same = |n: &usize| names[*n] == name && classes[*n].same_terms(&class);
@@ -76,9 +74,18 @@
 
 /// Makes room for what another process holds and may pass on, by its own terms: what is not offered here under the same name
 /// and terms is kept beside, and no more of it may come. Guards: one customer's connection that goes by another's terms.
-pub fn keep((balancer_settings, node_settings): (&mut BalancerSettings, &mut NodeSettings), held: Vec<(String, RequestClass)>) {
+pub fn keep(
+    (balancer_settings, node_settings): (&mut BalancerSettings, &mut NodeSettings),
+    held: Vec<(String, RequestClass)>,
+) {
     for (name, class) in held {
-        if place((&balancer_settings.classes, &node_settings.classes), &name, &class).is_none() {
+        if place(
+            (&balancer_settings.classes, &node_settings.classes),
+            &name,
+            &class,
+        )
+        .is_none()
+        {
             balancer_settings.classes.push(RequestClass {
                 active: false,
                 ..class
@@ -118,13 +125,20 @@
     #[test]
     fn an_index_keeps_its_meaning_while_it_is_held() {
         let (mut balancer_settings, mut node_settings) = told(&[("a", "free"), ("b", "free")], 5);
-        let renewed =
-            |balancer_settings: &mut BalancerSettings, node_settings: &mut NodeSettings, to: &[(&str, &str)], held: &[usize]| {
-                renew((balancer_settings, node_settings), told(to, 2), |n| held.contains(&n))
-            };
+        let renewed = |balancer_settings: &mut BalancerSettings,
+                       node_settings: &mut NodeSettings,
+                       to: &[(&str, &str)],
+                       held: &[usize]| {
+            renew((balancer_settings, node_settings), told(to, 2), |n| {
+                held.contains(&n)
+            })
+        };
         // `a` vanishes while it is held, `b` becomes stricter, `c` is new.
         let to = [("b", "single_shot"), ("c", "free")];
-        assert_eq!(renewed(&mut balancer_settings, &mut node_settings, &to, &[0, 1]), [2, 3]);
+        assert_eq!(
+            renewed(&mut balancer_settings, &mut node_settings, &to, &[0, 1]),
+            [2, 3]
+        );
         assert_eq!(node_settings.classes, ["a", "b", "b", "c"]);
         assert_eq!(
             (
@@ -134,8 +148,14 @@
             ),
             (None, Some(2), Some(3))
         );
-        assert_eq!(balancer_settings.classes[1].idempotency, reedferry::Idempotency::Idempotent);
-        assert_eq!(balancer_settings.classes[2].idempotency, reedferry::Idempotency::NonIdempotent);
+        assert_eq!(
+            balancer_settings.classes[1].idempotency,
+            reedferry::Idempotency::Idempotent
+        );
+        assert_eq!(
+            balancer_settings.classes[2].idempotency,
+            reedferry::Idempotency::NonIdempotent
+        );
         assert_eq!(balancer_settings.max_attempts, 2);
         // `a` comes again while one of its first time is held: the same terms, the same index.
         assert_eq!(
@@ -165,7 +185,14 @@
                 &[],
             );
             assert_eq!(balancer_settings.classes.len(), 4);
-            assert_eq!(balancer_settings.classes.iter().filter(|o| o.active).count(), 2);
+            assert_eq!(
+                balancer_settings
+                    .classes
+                    .iter()
+                    .filter(|o| o.active)
+                    .count(),
+                2
+            );
         }
     }
 
--- a/settings/tests/keys.rs
+++ b/settings/tests/keys.rs
@@ -1,6 +1,6 @@
 //! The keys of the settings, each with a value of its own: settings of today are read tomorrow.
 
-use reedferry::{IdempotencyGroup, Idempotency, LoadMetric, MILLI};
+use reedferry::{Idempotency, IdempotencyGroup, LoadMetric, MILLI};
 use serde_json::json;
 
 #[test]
@@ -21,36 +21,80 @@
         "extra": {"groups": true, "message_aim": [100, null, 120], "mode": "pass"},
         "tenants": [{"name": "acme"}]});
     let (balancer_settings, node_settings) = reedferry_settings::from_value(settings).unwrap();
-    assert_eq!((balancer_settings.node_index, balancer_settings.node_count, balancer_settings.zone), (2, 3, 1));
     assert_eq!(
-        (balancer_settings.min_call_interval, balancer_settings.max_attempts, balancer_settings.may_cancel),
+        (
+            balancer_settings.node_index,
+            balancer_settings.node_count,
+            balancer_settings.zone
+        ),
+        (2, 3, 1)
+    );
+    assert_eq!(
+        (
+            balancer_settings.min_call_interval,
+            balancer_settings.max_attempts,
+            balancer_settings.may_cancel
+        ),
         (4 * MILLI, 5, true)
     );
     assert_eq!(
-        (balancer_settings.max_request_timeout, balancer_settings.max_retry_after),
+        (
+            balancer_settings.max_request_timeout,
+            balancer_settings.max_retry_after
+        ),
         (2000 * MILLI, 1100 * MILLI)
     );
     assert_eq!(
-        (balancer_settings.endpoints_are_polled, balancer_settings.max_poll_interval),
+        (
+            balancer_settings.endpoints_are_polled,
+            balancer_settings.max_poll_interval
+        ),
         (true, 9000 * MILLI)
     );
-    assert_eq!((balancer_settings.warm_up, balancer_settings.warm_up_initial_share), (10_000 * MILLI, 0.2));
     assert_eq!(
-        (balancer_settings.overload_window, balancer_settings.overload_factor),
+        (
+            balancer_settings.warm_up,
+            balancer_settings.warm_up_initial_share
+        ),
+        (10_000 * MILLI, 0.2)
+    );
+    assert_eq!(
+        (
+            balancer_settings.overload_window,
+            balancer_settings.overload_factor
+        ),
         (1000 * MILLI, 3.0)
     );
     assert_eq!(
-        (balancer_settings.passthrough, balancer_settings.groups_enabled, balancer_settings.centralized),
+        (
+            balancer_settings.passthrough,
+            balancer_settings.groups_enabled,
+            balancer_settings.centralized
+        ),
         (true, true, false)
     );
     assert_eq!(
-        (balancer_settings.cross_zone_cost, balancer_settings.migration_cost),
+        (
+            balancer_settings.cross_zone_cost,
+            balancer_settings.migration_cost
+        ),
         (0.25, 0.5)
     );
-    assert_eq!((balancer_settings.load_from_probes, balancer_settings.gossip_enabled), (true, true));
+    assert_eq!(
+        (
+            balancer_settings.load_from_probes,
+            balancer_settings.gossip_enabled
+        ),
+        (true, true)
+    );
     assert_eq!(
         balancer_settings.load_metrics,
-        [LoadMetric::Load, LoadMetric::Utilization, LoadMetric::Backlog, LoadMetric::Other]
+        [
+            LoadMetric::Load,
+            LoadMetric::Utilization,
+            LoadMetric::Backlog,
+            LoadMetric::Other
+        ]
     );
     assert!(balancer_settings.slow_start_slots.is_empty());
     let idempotencies: Vec<_> = balancer_settings
@@ -73,14 +117,23 @@
         .collect();
     assert_eq!(aims, [100, 500, 120]);
     let first = &balancer_settings.classes[0];
-    assert_eq!((first.idempotency_window, first.priority_weight), (700 * MILLI, 1.5));
+    assert_eq!(
+        (first.idempotency_window, first.priority_weight),
+        (700 * MILLI, 1.5)
+    );
     assert_eq!((first.latency_objective, first.active), (500 * MILLI, true));
     assert_eq!(
-        (node_settings.classes.join(" "), node_settings.zones.join(" ")),
+        (
+            node_settings.classes.join(" "),
+            node_settings.zones.join(" ")
+        ),
         ("x y z".into(), "a b".into())
     );
     assert_eq!(
-        (node_settings.tenants.join(" "), node_settings.load_metrics.join(" ")),
+        (
+            node_settings.tenants.join(" "),
+            node_settings.load_metrics.join(" ")
+        ),
         ("acme".into(), "x0 util x1 qps".into())
     );
     assert_eq!(
--- a/src/ceilings.rs
+++ b/src/ceilings.rs
@@ -3,7 +3,7 @@
 
 use crate::choice::{Room, CROWDED, FULL, LATE};
 use crate::records::{draw, Conn, Host, Note, To, PULSE};
-use crate::types::{Action, Nanos, HostState, SECOND};
+use crate::types::{Action, HostState, Nanos, SECOND};
 
 /// How fast a ceiling rises, a second.
 const RISE: f64 = 0.02;
@@ -53,8 +53,8 @@
     /// Guards: connections cut off when a host that drains goes away. Evenly over the longest that it can still owe an answer:
     /// a hundred nodes that each move one at once storm hosts and store.
     fn move_off_drain(&self, now: Nanos, at: &mut Room) {
-        let gone =
-            now.saturating_sub(self.draining) as f64 / at.settings.max_request_timeout.max(1) as f64;
+        let gone = now.saturating_sub(self.draining) as f64
+            / at.settings.max_request_timeout.max(1) as f64;
         let due = |c: &&Conn| c.begun && draw(self.id.0, c.key.unwrap_or(c.since)) < gone;
         let due = self.conns.iter().filter(due).map(|c| c.slot);
         at.post
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -147,8 +147,7 @@
                     (self.newcomer, self.credit, self.turn) = (!first, 0.0, 0);
                     (self.masked_until, self.strikes, self.slowness) = (0, 0, 0.0);
                 }
-                if self.listing.state != HostState::Draining
-                    || listing.state != HostState::Draining
+                if self.listing.state != HostState::Draining || listing.state != HostState::Draining
                 {
                     self.draining = now;
                 }
@@ -204,7 +203,13 @@
                 at.post.extend(bore.map(|note| (To::Ledger, note)));
                 // Guards: clients that this node moved, taken for ones that never stay.
                 let moved = at.desk.slots[slot].as_ref().is_some_and(|a| a.moved);
-                if conn.begun && !moved && matches!(ending, AttemptOutcome::Completed | AttemptOutcome::Cancelled) {
+                if conn.begun
+                    && !moved
+                    && matches!(
+                        ending,
+                        AttemptOutcome::Completed | AttemptOutcome::Cancelled
+                    )
+                {
                     at.post.push_back((
                         To::Ledger,
                         Note::Lived {
@@ -235,18 +240,28 @@
                 // An error is the host's only once another host has taken the same: see `Blamed`.
                 if matches!(
                     ending,
-                    AttemptOutcome::Completed | AttemptOutcome::Cancelled | AttemptOutcome::NeverSent | AttemptOutcome::Error
+                    AttemptOutcome::Completed
+                        | AttemptOutcome::Cancelled
+                        | AttemptOutcome::NeverSent
+                        | AttemptOutcome::Error
                 ) || ending == AttemptOutcome::HandedOver
                 {
                     return;
                 }
                 // Where most hand-offs fail, the cause is not the host's: a mask would leave the rest all.
                 // Only a fleet of many can push it over by trying again: guards the last host of a small one.
-                let unconnected = matches!(ending, AttemptOutcome::ConnectFailed | AttemptOutcome::NoRoute);
+                let unconnected = matches!(
+                    ending,
+                    AttemptOutcome::ConnectFailed | AttemptOutcome::NoRoute
+                );
                 if unconnected && by_lot(at.settings) {
                     self.down = Some(now);
                 }
-                let its_own = unconnected || matches!(ending, AttemptOutcome::Rejected | AttemptOutcome::ConnectionLost);
+                let its_own = unconnected
+                    || matches!(
+                        ending,
+                        AttemptOutcome::Rejected | AttemptOutcome::ConnectionLost
+                    );
                 if its_own || !at.desk.common() {
                     self.mask(now, at.chance, ending.word(), at.out);
                 }
@@ -271,7 +286,9 @@
             }
             // Guards: a budget given twice, as the same moment has another number.
             Note::OtherTurns => self.sit_out(now, at.settings),
-            Note::Behind(seconds) => self.late(now, (seconds * SECOND as f64) as Nanos, at.settings),
+            Note::Behind(seconds) => {
+                self.late(now, (seconds * SECOND as f64) as Nanos, at.settings)
+            }
             Note::Reported { load, heard } => {
                 (self.report, self.reported, self.since) = (load, now, self.since / 2.0);
                 let step = if load.max(self.told) > CROWDED {
@@ -281,7 +298,8 @@
                 };
                 let news = (load - self.told).abs() > step || now > self.told_at + RETELL;
                 let message = word::encode(self.id, load);
-                let price = message.len() as f64 * f64::from(at.settings.node_count.saturating_sub(1));
+                let price =
+                    message.len() as f64 * f64::from(at.settings.node_count.saturating_sub(1));
                 let tells = at.settings.gossip_enabled && news && !heard && at.desk.purse >= price;
                 if tells {
                     at.out.push(Action::Gossip { message });
@@ -475,7 +493,8 @@
 fn place(settings: &BalancerSettings) -> Option<f64> {
     let few = settings.warm_up as f64 / settings.overload_window.max(1) as f64;
     let nodes = f64::from(settings.node_count.max(1));
-    many(settings).then(|| (f64::from(settings.node_index) + 0.5) / nodes * (1.0 - (few / nodes).powi(2)))
+    many(settings)
+        .then(|| (f64::from(settings.node_index) + 0.5) / nodes * (1.0 - (few / nodes).powi(2)))
 }
 
 /// One node's decisions.
@@ -548,13 +567,16 @@
             .and_then(|id| self.desk.names.get(&id).copied());
         let host = event.host().and_then(|id| self.known.get(&id).copied());
         let request = slot.and_then(|s| self.desk.slots[s].as_ref());
-        let (at, begun) = (
-            request.and_then(|a| a.at),
-            request.is_some_and(|a| a.begun),
-        );
+        let (at, begun) = (request.and_then(|a| a.at), request.is_some_and(|a| a.begun));
         let mut post = |to, note| self.post.push_back((to, note));
         match (event, slot, host.or(at)) {
-            (Event::EndpointsUpdated { kind, endpoints: hosts }, ..) => self.list(now, kind, hosts),
+            (
+                Event::EndpointsUpdated {
+                    kind,
+                    endpoints: hosts,
+                },
+                ..,
+            ) => self.list(now, kind, hosts),
             (Event::TimerFired { timer: PART }, ..) => post(To::Desk, Note::Part),
             (Event::TimerFired { .. }, ..) => self.pulse(now, out),
             (Event::ShutdownStarted { from, by }, ..) => post(To::Desk, Note::Leaving { from, by }),
@@ -588,12 +610,16 @@
                         .extend(hosts.map(|host| (To::Host(host), Note::OtherTurns)));
                 }
                 let turns = std::mem::take(&mut self.settings.slow_start_slots);
-                self.settings = BalancerSettings { slow_start_slots: turns, ..*settings };
+                self.settings = BalancerSettings {
+                    slow_start_slots: turns,
+                    ..*settings
+                };
             }
             (Event::SuccessorChanged(comes), ..) => post(To::Desk, Note::Successor(comes)),
             (Event::StateInherited(mut legacy), ..) => {
-                let known =
-                    |one: HostSnapshot| Some((*self.known.get(&one.id)?, Note::Regarded(Box::new(one))));
+                let known = |one: HostSnapshot| {
+                    Some((*self.known.get(&one.id)?, Note::Regarded(Box::new(one))))
+                };
                 let hosts = std::mem::take(&mut legacy.hosts)
                     .into_iter()
                     .filter_map(known);
@@ -630,7 +656,15 @@
             (Event::MessageLatency { latency: time, .. }, _, Some(host)) => {
                 post(To::Host(host), Note::Slow(time))
             }
-            (Event::ProbeEnded { ending, load_metrics, .. }, _, Some(host)) => {
+            (
+                Event::ProbeEnded {
+                    ending,
+                    load_metrics,
+                    ..
+                },
+                _,
+                Some(host),
+            ) => {
                 // Too many probes at once, or a shaken line, say nothing of its load.
                 let silent = (ending == AttemptOutcome::TimedOut).then_some(SILENT);
                 self.load_metric(host, &load_metrics, silent);
@@ -887,7 +921,8 @@
                     let count = if cold { self.survey(now).count } else { 0.0 };
                     deliver!(self.hosts[host].inbox, note, {
                         let chance = self.rng.random();
-                        let (settings, ledger, post) = (&self.settings, &self.ledger, &mut self.post);
+                        let (settings, ledger, post) =
+                            (&self.settings, &self.ledger, &mut self.post);
                         let mut room = Room {
                             settings,
                             ledger,
@@ -940,11 +975,8 @@
                     sent,
                 };
                 if let Some(request) = self.desk.slots[slot].as_mut() {
-                    (
-                        request.attempts,
-                        request.may_have_run,
-                        request.tried,
-                    ) = (attempts, ran.map(first_run), tried);
+                    (request.attempts, request.may_have_run, request.tried) =
+                        (attempts, ran.map(first_run), tried);
                 }
                 self.place(now, slot, out);
             }
@@ -994,8 +1026,7 @@
                 if let Some(host) = host {
                     request.tried.push(host);
                     if ending == AttemptOutcome::Error {
-                        (request.errors, request.failed) =
-                            (request.errors + 1, Some(host));
+                        (request.errors, request.failed) = (request.errors + 1, Some(host));
                     }
                     if !ending.never_ran() {
                         let (listed, sent) = (request.sent_to, request.sent);
@@ -1046,7 +1077,8 @@
             }
             Note::Successor(comes) => self.desk.successor = comes,
             Note::Inherited(legacy) => {
-                (self.desk.trouble, self.desk.late) = (legacy.setup_failure_rate, legacy.late_message_rate);
+                (self.desk.trouble, self.desk.late) =
+                    (legacy.setup_failure_rate, legacy.late_message_rate);
                 self.post.push_back((To::Ledger, Note::Inherited(legacy)));
             }
             Note::Staying => {
@@ -1130,13 +1162,13 @@
         let last = request
             .deadline
             .min(self.desk.leaving.unwrap_or(Nanos::MAX));
-        let last = answer_by(last, request.incoming.time_left, self.settings.min_call_interval);
+        let last = answer_by(
+            last,
+            request.incoming.time_left,
+            self.settings.min_call_interval,
+        );
         // Guards: a store that fails at once, asked five times over for each attachment.
-        let most = if self.desk.common() {
-            1
-        } else {
-            request.most
-        };
+        let most = if self.desk.common() { 1 } else { request.most };
         // Guards: what no host will have, as bad clients send it, offered to host after host.
         let late = now >= last || request.attempts >= most || request.errors >= UNWANTED;
         let by = repeat_deadline(class, ran.map(|ran| ran.sent));
@@ -1149,8 +1181,9 @@
                     let view = self.survey(now);
                     let blind = view.unseen / (view.mean + view.unseen);
                     // The less it pays for its load, the sooner.
-                    let worth =
-                        |n: usize| self.settings.classes[n].priority_weight / self.ledger.load(n, None);
+                    let worth = |n: usize| {
+                        self.settings.classes[n].priority_weight / self.ledger.load(n, None)
+                    };
                     let pays = |n| worth(n).max(f64::MIN_POSITIVE);
                     let active = |n: &usize| self.settings.classes[*n].active;
                     let all = (0..self.settings.classes.len()).filter(active);
@@ -1188,8 +1221,7 @@
         };
         self.post.push_back((To::Host(host), Note::Sent(conn)));
         if let Some(request) = self.desk.slots[slot].as_mut() {
-            (request.attempts, request.at, request.sent) =
-                (request.attempts + 1, Some(host), now);
+            (request.attempts, request.at, request.sent) = (request.attempts + 1, Some(host), now);
             request.sent_to = self.hosts[host].listing;
         }
         self.desk.refused_since = None;
@@ -1212,13 +1244,7 @@
     }
 
     /// The host with the lowest score of those that may and can take the attachment; ties at random.
-    fn choose(
-        &self,
-        now: Nanos,
-        request: &Request,
-        vector: usize,
-        tie: u64,
-    ) -> Option<usize> {
+    fn choose(&self, now: Nanos, request: &Request, vector: usize, tie: u64) -> Option<usize> {
         let incoming = &request.incoming;
         let length = self.ledger.length(incoming.key, now);
         let known = incoming
@@ -1377,8 +1403,8 @@
         let balance = balance + STEEP * seen * seen * (balance - BUSY).max(0.0);
         // What a report tells of the host comes in place of what the node alone can see.
         let balance = host.reported(now).map_or(balance, |load| {
-            let part =
-                view.loaded / (view.mean * f64::from(self.settings.node_count)).max(4.0 * view.unit);
+            let part = view.loaded
+                / (view.mean * f64::from(self.settings.node_count)).max(4.0 * view.unit);
             let load = load
                 + (host.since + ask.ahead + self.opening(host, ask)) / host.listing.size * part;
             (load + BLUR + STEEP * (load - CROWDED).max(0.0)) * (1.0 + host.slow(now))
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -88,8 +88,10 @@
             .map(|(key, client)| (*key, client.last_seen))
             .collect();
         self.clients = of.clients.into_iter().take(TABLE_SIZE).collect();
-        (self.mean, self.lived, self.ended) = (of.mean_duration, of.open_time, of.ended_connections);
-        (self.unit, self.weighed, self.set_up) = (of.mean_load, of.load_samples, of.mean_setup_time);
+        (self.mean, self.lived, self.ended) =
+            (of.mean_duration, of.open_time, of.ended_connections);
+        (self.unit, self.weighed, self.set_up) =
+            (of.mean_load, of.load_samples, of.mean_setup_time);
         self.usual
             .iter_mut()
             .zip(of.class_loads)
--- a/src/permission_tests.rs
+++ b/src/permission_tests.rs
@@ -111,7 +111,11 @@
 
 #[test]
 fn what_may_have_run_binds_each_effect_in_its_own_way() {
-    for idempotency_group in [IdempotencyGroup::All, IdempotencyGroup::Zone, IdempotencyGroup::Cell] {
+    for idempotency_group in [
+        IdempotencyGroup::All,
+        IdempotencyGroup::Zone,
+        IdempotencyGroup::Cell,
+    ] {
         let (free, labelled, once) = (
             class(Idempotency::Idempotent, idempotency_group),
             class(Idempotency::WithKey, idempotency_group),
@@ -129,7 +133,10 @@
         );
         assert_eq!(may_repeat(&once, Some(10), 11), Err(Refusal::MayHaveRun));
         assert!(may_dismiss(&free, true) && !may_dismiss(&once, true));
-        assert_eq!(may_dismiss(&labelled, true), idempotency_group == IdempotencyGroup::All);
+        assert_eq!(
+            may_dismiss(&labelled, true),
+            idempotency_group == IdempotencyGroup::All
+        );
     }
 }
 
@@ -150,15 +157,27 @@
         (IdempotencyGroup::Cell, same_cell, Ok(())),
     ] {
         assert_eq!(
-            may_repeat_at(&class(Idempotency::WithKey, idempotency_group), Some(&first), &other),
+            may_repeat_at(
+                &class(Idempotency::WithKey, idempotency_group),
+                Some(&first),
+                &other
+            ),
             wanted
         );
         assert_eq!(
-            may_repeat_at(&class(Idempotency::WithKey, idempotency_group), None, &other),
+            may_repeat_at(
+                &class(Idempotency::WithKey, idempotency_group),
+                None,
+                &other
+            ),
             Ok(())
         );
         assert_eq!(
-            may_repeat_at(&class(Idempotency::Idempotent, idempotency_group), Some(&first), &other),
+            may_repeat_at(
+                &class(Idempotency::Idempotent, idempotency_group),
+                Some(&first),
+                &other
+            ),
             Ok(())
         );
     }
--- a/src/records.rs
+++ b/src/records.rs
@@ -145,7 +145,9 @@
         settings: &BalancerSettings,
     ) -> Self {
         let end = now + ledger.length(incoming.key, now).unwrap_or(HORIZON) as Nanos;
-        let group = incoming.group.filter(|_| settings.groups_enabled && !settings.passthrough);
+        let group = incoming
+            .group
+            .filter(|_| settings.groups_enabled && !settings.passthrough);
         let load = incoming.usual_load.or(ledger.last_load(incoming.key, now));
         let (class, key) = (incoming.class, incoming.key);
         Conn {
@@ -254,7 +256,8 @@
 
     /// The share of its size that a host can be counted on to have reached since its start.
     pub fn warmth(&self, now: Nanos, settings: &BalancerSettings) -> f64 {
-        settings.warm_up_initial_share + (1.0 - settings.warm_up_initial_share) * self.filled(now, settings)
+        settings.warm_up_initial_share
+            + (1.0 - settings.warm_up_initial_share) * self.filled(now, settings)
     }
 
     /// The share of what other nodes may have placed at it since its start, of what they hold at a warm one.
@@ -315,13 +318,21 @@
     }
 
     pub fn regarded(&mut self, by: HostSnapshot) {
-        (self.newcomer, self.down, self.report, self.reported) =
-            (by.newcomer, by.connect_failed_at, by.reported_load, by.reported_at);
+        (self.newcomer, self.down, self.report, self.reported) = (
+            by.newcomer,
+            by.connect_failed_at,
+            by.reported_load,
+            by.reported_at,
+        );
         (self.draining, self.masked_until, self.strikes) =
             (by.draining_since, by.ejected_until, by.ejections);
-        (self.slowness, self.slow_told, self.slowness_at_cut) =
-            (by.latency_ratio, by.latency_measured_at, by.latency_ratio_at_decrease);
-        (self.ceiling, self.good, self.cut) = (by.load_limit, by.sustained_load, by.limit_decreased_at);
+        (self.slowness, self.slow_told, self.slowness_at_cut) = (
+            by.latency_ratio,
+            by.latency_measured_at,
+            by.latency_ratio_at_decrease,
+        );
+        (self.ceiling, self.good, self.cut) =
+            (by.load_limit, by.sustained_load, by.limit_decreased_at);
     }
 
     /// Whether no list has named it so far.
@@ -410,10 +421,13 @@
 
 impl Desk {
     /// A record for an attachment that has come, under these terms.
-    pub fn admit(&mut self, now: Nanos, mut incoming: IncomingRequest, settings: &BalancerSettings) -> usize {
-        incoming.class = incoming
-            .class
-            .min(settings.classes.len().saturating_sub(1));
+    pub fn admit(
+        &mut self,
+        now: Nanos,
+        mut incoming: IncomingRequest,
+        settings: &BalancerSettings,
+    ) -> usize {
+        incoming.class = incoming.class.min(settings.classes.len().saturating_sub(1));
         let deadline = now.saturating_add(incoming.time_left);
         let (id, most) = (incoming.id, settings.max_attempts);
         let request = Request {
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -59,7 +59,8 @@
         let share = BEARS * self.listing.size / view.size.max(self.listing.size);
         let come = |age: Nanos| {
             let age = age as f64 / settings.warm_up.max(1) as f64;
-            let warmed = settings.warm_up_initial_share * age + (1.0 - settings.warm_up_initial_share) * age * age / 2.0;
+            let warmed = settings.warm_up_initial_share * age
+                + (1.0 - settings.warm_up_initial_share) * age * age / 2.0;
             settings.overload_factor * share * warmed / 2.0
         };
         let turn = place < come(self.age(now)) && place >= come(self.age(now).saturating_sub(span));
@@ -70,13 +71,22 @@
     pub(crate) fn half(&self, now: Nanos, count: f64, settings: &BalancerSettings) -> f64 {
         let nodes = f64::from(settings.node_count.max(1));
         let fill = (count * nodes + 1.0) * self.listing.size / settings.warm_up.max(1) as f64;
-        settings.overload_factor * self.warmth(now, settings) * fill * settings.overload_window as f64 / 2.0
+        settings.overload_factor
+            * self.warmth(now, settings)
+            * fill
+            * settings.overload_window as f64
+            / 2.0
     }
 
     /// What a cold host may be sent by this node in this turn of `overload_window`: by number, in another order for
     /// each host, as many together as the budget has usual loads for; half the budget each (guards: a host
     /// pushed over at the seam of two turns; one left idle where a round of hundreds outlasts the warm-up).
-    pub(crate) fn credit_at(&self, now: Nanos, count: f64, settings: &BalancerSettings) -> (f64, u64) {
+    pub(crate) fn credit_at(
+        &self,
+        now: Nanos,
+        count: f64,
+        settings: &BalancerSettings,
+    ) -> (f64, u64) {
         let nodes = u64::from(settings.node_count.max(1));
         let half = self.half(now, count, settings);
         let together = (half as u64).min(nodes / 4).max(1);
--- a/src/types.rs
+++ b/src/types.rs
@@ -305,7 +305,10 @@
     pub fn never_ran(self) -> bool {
         matches!(
             self,
-            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent | AttemptOutcome::NoRoute
+            AttemptOutcome::Rejected
+                | AttemptOutcome::ConnectFailed
+                | AttemptOutcome::NeverSent
+                | AttemptOutcome::NoRoute
         )
     }
 }
@@ -394,7 +397,9 @@
     /// The host that the event names.
     pub fn host(&self) -> Option<HostId> {
         match self {
-            Event::ConnectionFound(_, host) | Event::ConnectionHandedOver(_, host, _) => Some(*host),
+            Event::ConnectionFound(_, host) | Event::ConnectionHandedOver(_, host, _) => {
+                Some(*host)
+            }
             Event::AttemptEnded { host, .. }
             | Event::MessageLatency { host, .. }
             | Event::ProbeEnded { host, .. } => Some(*host),
--- a/testkit/src/coldstart.rs
+++ b/testkit/src/coldstart.rs
@@ -4,7 +4,7 @@
 //! must never report what it did not measure.
 
 use crate::chart::Row;
-use crate::fleet::{Fleet, Guests, FleetOptions, WarmingHosts};
+use crate::fleet::{Fleet, FleetOptions, Guests, WarmingHosts};
 use crate::two_tier::Found;
 use crate::Discovery;
 use serde_json::{json, Map, Value};
@@ -142,7 +142,8 @@
     }
     // What follows is begun by then: the last list came at half of the time within which each has to ask, or later.
     thread::sleep(
-        (from + size.down + TERMS.max_poll_interval * 3 / 2).saturating_duration_since(Instant::now()),
+        (from + size.down + TERMS.max_poll_interval * 3 / 2)
+            .saturating_duration_since(Instant::now()),
     );
     let mut first: Vec<Duration> = guests
         .first(from + size.down)
--- a/testkit/src/fleet.rs
+++ b/testkit/src/fleet.rs
@@ -388,7 +388,12 @@
             let one = |(node, node_config): &(usize, Value)| match view {
                 Some(view) => (
                     *node,
-                    Node::start_of_as(program, "node", &(view.operator_config(*node) + &more), node_config),
+                    Node::start_of_as(
+                        program,
+                        "node",
+                        &(view.operator_config(*node) + &more),
+                        node_config,
+                    ),
                 ),
                 None => (*node, Node::start_of(program, node_config)),
             };
@@ -413,7 +418,8 @@
         self.discovery = discovery;
         for (number, node) in self.nodes.iter().enumerate() {
             let node_config = self.node_config(number, known, revision).to_string();
-            node.iter().for_each(|node| node.reload_node_config(&node_config));
+            node.iter()
+                .for_each(|node| node.reload_node_config(&node_config));
         }
     }
 
--- a/testkit/src/program.rs
+++ b/testkit/src/program.rs
@@ -251,14 +251,35 @@
     }
 
     /// The same, whose system calls and wall clock this spoils.
-    pub fn start_as_spoilt(role: &str, operator_config: &str, node_config: &Value, spoiler: &Spoiler) -> Self {
-        let (command, node_config, operator_config) = command_as(&path(), role, operator_config, node_config);
-        Node::run_spoilt(command, operator_config.clone(), vec![node_config, operator_config], spoiler)
+    pub fn start_as_spoilt(
+        role: &str,
+        operator_config: &str,
+        node_config: &Value,
+        spoiler: &Spoiler,
+    ) -> Self {
+        let (command, node_config, operator_config) =
+            command_as(&path(), role, operator_config, node_config);
+        Node::run_spoilt(
+            command,
+            operator_config.clone(),
+            vec![node_config, operator_config],
+            spoiler,
+        )
     }
 
-    pub fn start_of_as(program: &Path, role: &str, operator_config: &str, node_config: &Value) -> Self {
-        let (command, node_config, operator_config) = command_as(program, role, operator_config, node_config);
-        Node::run(command, operator_config.clone(), vec![node_config, operator_config])
+    pub fn start_of_as(
+        program: &Path,
+        role: &str,
+        operator_config: &str,
+        node_config: &Value,
+    ) -> Self {
+        let (command, node_config, operator_config) =
+            command_as(program, role, operator_config, node_config);
+        Node::run(
+            command,
+            operator_config.clone(),
+            vec![node_config, operator_config],
+        )
     }
 
     fn launch(command: Command) -> Self {
--- a/testkit/src/schedule.rs
+++ b/testkit/src/schedule.rs
@@ -2,7 +2,7 @@
 //! played over processes and made smaller by leaving faults out. It owns their form and their play. It must never
 //! judge anything but by what hosts and clients saw, and by whether the views agree at the end.
 
-use crate::fleet::{Fleet, Guests, FleetOptions, WarmingHosts};
+use crate::fleet::{Fleet, FleetOptions, Guests, WarmingHosts};
 use crate::view::View;
 use crate::ways::{Spoil, Ways};
 use crate::Discovery;
--- a/testkit/src/soak/site.rs
+++ b/testkit/src/soak/site.rs
@@ -134,8 +134,10 @@
             self.seed + seat as u64,
         );
         node_config["limits"] = json!({"cores": 1.0, "memory_mb": 128, "sockets": 512});
-        (node_config["settings"]["balancers"], node_config["settings"]["index"]) =
-            (json!(self.processes.len()), json!(seat));
+        (
+            node_config["settings"]["balancers"],
+            node_config["settings"]["index"],
+        ) = (json!(self.processes.len()), json!(seat));
         node_config["ops"] = json!("127.0.0.1:0");
         if let Some(address) = self.seats[seat].lock().unwrap().address {
             node_config["listen"] = json!(address.to_string());
@@ -148,7 +150,9 @@
         let node_config = self.node_config(seat);
         let spoiler = Spoiler::default();
         let node = match &self.processes[seat].shared {
-            Some((listener, folder)) => Node::start_spoilt_at(&node_config, listener, folder, &spoiler),
+            Some((listener, folder)) => {
+                Node::start_spoilt_at(&node_config, listener, folder, &spoiler)
+            }
             None => Node::start_spoilt(&node_config, &spoiler),
         };
         let mut noted = self.seats[seat].lock().unwrap();
