--- a/testkit/src/speaker.rs
+++ b/testkit/src/speaker.rs
@@ -2,7 +2,8 @@
 //! for measurements of a planner alone. It must never be taken for a forwarder: it keeps no rule.
 
 use reedferry_control_plane::frames::{
-    self, Asked, Down, Hello, PriorAttempts, Reader, Tally, Up, Welcome, Writer,
+    self, ForwarderMessage, Hello, PlacementRequest, PlannerMessage, PriorAttempts, Reader, Tally,
+    Welcome, Writer,
 };
 use std::collections::VecDeque;
 use std::io::{Read, Write};
@@ -20,8 +21,8 @@
 }
 
 /// What an attachment asks for in these measurements.
-pub fn asked(id: u64) -> Asked {
-    Asked {
+pub fn asked(id: u64) -> PlacementRequest {
+    PlacementRequest {
         class: 0,
         key: Some(id % 4096 + 1),
         group: None,
@@ -65,13 +66,13 @@
         while speaker.session == 0 {
             speaker.hear(&mut |_| {})?;
         }
-        speaker.put(&Up::Follow { standing: 0 });
-        speaker.put(&Up::Told);
+        speaker.put(&ForwarderMessage::Follow { standing: 0 });
+        speaker.put(&ForwarderMessage::StateSyncComplete);
         speaker.send()?;
         Ok(speaker)
     }
 
-    fn put(&mut self, note: &Up) {
+    fn put(&mut self, note: &ForwarderMessage) {
         self.writer.put(self.session, self.beat, note);
     }
 
@@ -85,7 +86,7 @@
         Ok(())
     }
 
-    fn hear(&mut self, each: &mut impl FnMut(Down)) -> Result<(), String> {
+    fn hear(&mut self, each: &mut impl FnMut(PlannerMessage)) -> Result<(), String> {
         let mut bytes = [0; 1 << 16];
         let count = self.stream.read(&mut bytes).map_err(|e| e.to_string())?;
         if count == 0 {
@@ -96,7 +97,7 @@
             if *session == 0 {
                 match frames::greeting(body)? {
                     Welcome::Session(number) => *session = number,
-                    Welcome::Refused(why) => return Err(frames::Fault::Refused(why)),
+                    Welcome::Refused(why) => return Err(frames::LinkError::Refused(why)),
                 }
                 return Ok(());
             }
@@ -118,7 +119,7 @@
         for n in 0..count {
             self.next += 1;
             let (id, host) = (self.next, hosts[(n % hosts.len() as u64) as usize]);
-            self.put(&Up::Stands {
+            self.put(&ForwarderMessage::OpenConnection {
                 id,
                 asked: asked(id),
                 host,
@@ -130,7 +131,7 @@
         // What is asked behind them is decided behind them.
         self.next += 1;
         let id = self.next;
-        self.put(&Up::Ask {
+        self.put(&ForwarderMessage::RequestPlacement {
             id,
             step: 0,
             asked: asked(id),
@@ -140,7 +141,10 @@
         let mut decided = false;
         while !decided {
             self.hear(&mut |note| {
-                decided |= matches!(note, Down::HandOff { .. } | Down::Dismiss { .. })
+                decided |= matches!(
+                    note,
+                    PlannerMessage::StartAttempt { .. } | PlannerMessage::Reject { .. }
+                )
             })?;
         }
         Ok(())
@@ -158,7 +162,7 @@
             while self.next - first < count && self.next - first - answered < window {
                 self.next += 1;
                 let id = self.next;
-                self.put(&Up::Ask {
+                self.put(&ForwarderMessage::RequestPlacement {
                     id,
                     step: 0,
                     asked: asked(id),
@@ -170,24 +174,24 @@
             self.hear(&mut |note| news.push(note))?;
             for note in news {
                 match note {
-                    Down::HandOff { id, .. } => {
+                    PlannerMessage::StartAttempt { id, .. } => {
                         (answered, handed) = (answered + 1, handed + 1);
-                        self.put(&Up::Begun {
+                        self.put(&ForwarderMessage::ConnectionEstablished {
                             id,
                             took: 1_000_000,
                         });
                         standing.push_back(id);
                     }
-                    Down::Dismiss { .. } | Down::GiveUp { .. } => answered += 1,
+                    PlannerMessage::Reject { .. } | PlannerMessage::Fail { .. } => answered += 1,
                     _ => {}
                 }
             }
             while standing.len() > open {
                 if let Some(id) = standing.pop_front() {
-                    self.put(&Up::Ended {
+                    self.put(&ForwarderMessage::AttemptEnded {
                         id,
                         step: 0,
-                        came: frames::Came::Done,
+                        came: frames::WireOutcome::Completed,
                         over: true,
                     });
                 }
--- a/testkit/src/two_tier.rs
+++ b/testkit/src/two_tier.rs
@@ -6,7 +6,9 @@
 use crate::tiers::{node_config, Tiers, LEASE};
 use crate::{Discovery, Node};
 use hdrhistogram::Histogram;
-use reedferry::{Action, Balancer, AttemptOutcome, Event, HostId, Endpoint, EndpointUpdate, HostState, SECOND};
+use reedferry::{
+    Action, AttemptOutcome, Balancer, Endpoint, EndpointUpdate, Event, HostId, HostState, SECOND,
+};
 use serde_json::{json, Map, Value};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -254,7 +254,10 @@
 /// each of the `steps` of 50 ms.
 fn cold_host(nodes: u32, steps: u64, clients: impl Fn(u64) -> Vec<usize>) -> Fleet {
     let mut fleet = Fleet::new(nodes as usize, |node| settings(node, nodes));
-    fleet.list(EndpointUpdate::Cached, &[host(1), host(2), host(3), host(4)]);
+    fleet.list(
+        EndpointUpdate::Cached,
+        &[host(1), host(2), host(3), host(4)],
+    );
     for node in 0..2 * nodes as usize {
         fleet.client(node % nodes as usize);
     }
@@ -383,7 +386,11 @@
                 let Some(host) = fleet.client(node) else {
                     continue;
                 };
-                let (id, ending, load_metrics) = (RequestId(fleet.next - 1), AttemptOutcome::Completed, Vec::new());
+                let (id, ending, load_metrics) = (
+                    RequestId(fleet.next - 1),
+                    AttemptOutcome::Completed,
+                    Vec::new(),
+                );
                 fleet.tell(
                     node,
                     Event::AttemptEnded {
@@ -807,8 +814,11 @@
                     node
                 };
                 if let Some(host) = fleet.client(node) {
-                    let (id, ending, load_metrics) =
-                        (RequestId(fleet.next - 1), AttemptOutcome::Completed, Vec::new());
+                    let (id, ending, load_metrics) = (
+                        RequestId(fleet.next - 1),
+                        AttemptOutcome::Completed,
+                        Vec::new(),
+                    );
                     fleet.tell(
                         node,
                         Event::AttemptEnded {
--- a/tests/patience.rs
+++ b/tests/patience.rs
@@ -59,7 +59,8 @@
             ..IncomingRequest::default()
         };
         let mut out = Vec::new();
-        self.module.handle(now, Event::RequestArrived(incoming), &mut out);
+        self.module
+            .handle(now, Event::RequestArrived(incoming), &mut out);
         let waits = out.iter().find_map(|action| match action {
             Action::StartAttempt { until, host, .. } => Some((until - now, *host)),
             _ => None,
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -50,12 +50,20 @@
 
 fn class(rng: &mut ChaCha8Rng) -> RequestClass {
     RequestClass {
-        idempotency: *[Idempotency::Idempotent, Idempotency::WithKey, Idempotency::NonIdempotent]
-            .choose(rng)
-            .unwrap(),
-        idempotency_group: *[IdempotencyGroup::All, IdempotencyGroup::Zone, IdempotencyGroup::Cell]
-            .choose(rng)
-            .unwrap(),
+        idempotency: *[
+            Idempotency::Idempotent,
+            Idempotency::WithKey,
+            Idempotency::NonIdempotent,
+        ]
+        .choose(rng)
+        .unwrap(),
+        idempotency_group: *[
+            IdempotencyGroup::All,
+            IdempotencyGroup::Zone,
+            IdempotencyGroup::Cell,
+        ]
+        .choose(rng)
+        .unwrap(),
         idempotency_window: rng.random_range(0..3 * SECOND),
         priority_weight: *[0.0, 0.1, 1.0, 30.0].choose(rng).unwrap(),
         latency_objective: *[MILLI, 100 * MILLI, SECOND].choose(rng).unwrap(),
@@ -66,7 +74,11 @@
 
 fn settings(rng: &mut ChaCha8Rng) -> BalancerSettings {
     let nodes = *[1, 2, 7, 300, 900].choose(rng).unwrap();
-    let load_metrics = [vec![], vec![LoadMetric::Utilization, LoadMetric::Load], vec![LoadMetric::Backlog]];
+    let load_metrics = [
+        vec![],
+        vec![LoadMetric::Utilization, LoadMetric::Load],
+        vec![LoadMetric::Backlog],
+    ];
     BalancerSettings {
         node_index: rng.random_range(0..nodes),
         node_count: nodes,
@@ -145,7 +157,10 @@
                 until,
                 by,
             } => self.attempt(id.0, *host, *until, *by),
-            Action::Reject { id, retry_after: wait } => {
+            Action::Reject {
+                id,
+                retry_after: wait,
+            } => {
                 let request = self.answered(id.0);
                 assert!(
                     may_dismiss(&request.class, request.ran.is_some()),
@@ -355,7 +370,8 @@
         if !ending.never_ran() && request.ran.is_none() {
             request.ran = Some((self.hosts[&host.0], request.sent));
         }
-        let over = request.begun.is_some() || request.client_gone || ending == AttemptOutcome::Completed;
+        let over =
+            request.begun.is_some() || request.client_gone || ending == AttemptOutcome::Completed;
         let attempt = request.attempts.saturating_sub(1);
         if over {
             self.requests.remove(&id);
@@ -392,9 +408,13 @@
         let Some(id) = self.any(|r| r.begun.is_some()) else {
             return;
         };
-        let ending = *[AttemptOutcome::Completed, AttemptOutcome::ConnectionLost, AttemptOutcome::Cancelled]
-            .choose(&mut self.rng)
-            .unwrap();
+        let ending = *[
+            AttemptOutcome::Completed,
+            AttemptOutcome::ConnectionLost,
+            AttemptOutcome::Cancelled,
+        ]
+        .choose(&mut self.rng)
+        .unwrap();
         self.ends(id, ending);
     }
 
@@ -403,9 +423,7 @@
             return;
         };
         self.requests.get_mut(&id).unwrap().client_gone = true;
-        self.tell(Event::ClientLeft {
-            id: RequestId(id),
-        });
+        self.tell(Event::ClientLeft { id: RequestId(id) });
     }
 
     fn listing(&mut self, host: u64) -> Endpoint {
@@ -461,7 +479,10 @@
             self.hosts
                 .extend(hosts.iter().map(|host| (host.id.0, *host)));
         }
-        self.tell(Event::EndpointsUpdated { kind, endpoints: hosts });
+        self.tell(Event::EndpointsUpdated {
+            kind,
+            endpoints: hosts,
+        });
     }
 
     fn host_tells(&mut self) {
@@ -475,7 +496,10 @@
             .map(|_| self.rng.random())
             .collect();
         let event = match self.rng.random_range(0..5) {
-            0 | 1 => Event::MessageLatency { host, latency: time },
+            0 | 1 => Event::MessageLatency {
+                host,
+                latency: time,
+            },
             2 => Event::ProbeEnded {
                 host,
                 ending: AttemptOutcome::Completed,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -335,7 +335,10 @@
             self.standing.insert(listing.id.0, listing.state);
             hosts.push(listing);
         }
-        self.tell(Event::EndpointsUpdated { kind, endpoints: hosts });
+        self.tell(Event::EndpointsUpdated {
+            kind,
+            endpoints: hosts,
+        });
     }
 
     fn settings(&mut self, words: &[&str]) {
@@ -353,7 +356,10 @@
                 "groups" => c.groups_enabled = true,
                 "pass" => c.passthrough = true,
                 "gathers" => c.centralized = true,
-                "probes" => (c.load_from_probes, c.load_metrics) = (true, vec![LoadMetric::Utilization, LoadMetric::Load]),
+                "probes" => {
+                    (c.load_from_probes, c.load_metrics) =
+                        (true, vec![LoadMetric::Utilization, LoadMetric::Load])
+                }
                 "peers" => c.gossip_enabled = true,
                 "cross-zone" => c.cross_zone_cost = num(value),
                 "moves" => c.migration_cost = num(value),
@@ -407,7 +413,9 @@
             "dismisses" => self.saw(|a| matches!(a, Action::Reject { id: x, .. } if *x == id(1))),
             "gives-up" => self.saw(|a| matches!(a, Action::Fail { id: x } if *x == id(1))),
             "moves" => self.saw(|a| matches!(a, Action::Migrate { id: x } if *x == id(1))),
-            "calls-off" => self.saw(|a| matches!(a, Action::CancelAttempt { id: x, .. } if *x == id(1))),
+            "calls-off" => {
+                self.saw(|a| matches!(a, Action::CancelAttempt { id: x, .. } if *x == id(1)))
+            }
             "asks" => self.saw(|a| matches!(a, Action::WatchEndpoints | Action::PollEndpoints)),
             "logs" => self.saw(|a| matches!(a, Action::Log(text) if text.starts_with(words[1]))),
             "quiet" => {
@@ -489,7 +497,9 @@
                             "error" => (AttemptOutcome::Error, false),
                             "refused" => (AttemptOutcome::Rejected, false),
                             "unconnected" => (AttemptOutcome::ConnectFailed, false),
-                            "broken" => (AttemptOutcome::ConnectionLost, self.taken[&id(2).0].begun),
+                            "broken" => {
+                                (AttemptOutcome::ConnectionLost, self.taken[&id(2).0].begun)
+                            }
                             _ => panic!("unknown ending {}", words[3]),
                         };
                         self.end(id(2).0, ending, over);
@@ -512,7 +522,9 @@
                             word.split_once(':')
                                 .map(|(of, part)| (num(of) as u32, num(part)))
                         };
-                        self.tell(Event::SlowStartSlotsAssigned(words[2..].iter().filter_map(share).collect()));
+                        self.tell(Event::SlowStartSlotsAssigned(
+                            words[2..].iter().filter_map(share).collect(),
+                        ));
                     }
                     "looks" => self.tell(Event::ProbeTargetsAssigned(
                         words[2..].iter().map(|name| host(name)).collect(),
