--- a/control-plane/src/planner.rs
+++ b/control-plane/src/planner.rs
@@ -639,7 +639,7 @@
                         self.answer(id, |id, step| PlannerMessage::Reject { id, step, wait });
                     }
                     Action::Fail { id } => {
-                        self.answer(id, |id, step| PlannerMessage::Fail { id, step })
+                        self.answer(id, |id, step| PlannerMessage::Fail { id, step });
                     }
                     Action::Migrate { id } => {
                         if let Some((session, held)) = self.find(id) {
@@ -659,7 +659,7 @@
                     Action::WatchEndpoints => out.push(PlannerAction::WatchEndpoints),
                     Action::Probe { host } => out.push(PlannerAction::Probe { host }),
                     Action::Log(text) => {
-                        out.push(PlannerAction::Log(format!("{text} zone={zone}")))
+                        out.push(PlannerAction::Log(format!("{text} zone={zone}")));
                     }
                 }
             }
@@ -1259,7 +1259,7 @@
                 id: 10_000 + id,
                 asked,
                 host: 2 + id % 2,
-            })
+            });
         });
         pair.put(&ForwarderMessage::StateSyncComplete);
         let mut sent = [0; 2];
@@ -1339,7 +1339,7 @@
                 id: 10_000 + id,
                 asked,
                 host: 1,
-            })
+            });
         });
         pair.ask(1);
         assert_eq!(to(&pair.turn(T), 1) + to(&pair.turn(T + 100 * MILLI), 2), 0);
--- a/membership/src/trials.rs
+++ b/membership/src/trials.rs
@@ -574,7 +574,7 @@
     net.run(20 * P);
     let mut twin = one(3, net.now, &[0, 1]);
     twin.view.say(net.now, |me| {
-        (me.who.address, me.age.word) = (address(20), u32::MAX)
+        (me.who.address, me.age.word) = (address(20), u32::MAX);
     });
     net.nodes[20] = Some(twin);
     net.handle(20, Event::Wake);
@@ -1085,7 +1085,7 @@
                 place: node as u32,
                 roster: 7,
             },
-        )
+        );
     });
     (0..6).for_each(|node| {
         net.handle(
@@ -1094,11 +1094,11 @@
                 place: node as u32,
                 roster: 6,
             },
-        )
+        );
     });
     (0..6).for_each(|node| net.handle(node, Event::Lending(true)));
     let near = |share: f64, wanted: f64| {
-        assert!((share - wanted).abs() < 1e-9, "{share} used, not {wanted}")
+        assert!((share - wanted).abs() < 1e-9, "{share} used, not {wanted}");
     };
     near(run(&mut net, 12), 1.0);
     net.kill(2);
@@ -1123,7 +1123,7 @@
                 place: node as u32,
                 roster: 4,
             },
-        )
+        );
     });
     run(&mut net, 10);
     (0..2).for_each(|node| {
@@ -1133,7 +1133,7 @@
                 place: node as u32,
                 roster: 6,
             },
-        )
+        );
     });
     net.part = vec![0; 6];
     run(&mut net, 30);
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -251,7 +251,7 @@
                         from: now,
                         by: vec![claim.by],
                     },
-                )
+                );
             }
             _ => _ = self.doubted.remove(&id),
         }
--- a/node/src/connections/landing.rs
+++ b/node/src/connections/landing.rs
@@ -501,7 +501,7 @@
             match connection
                 .down
                 .fill(&context.pool, &mut landing.side, &mut |word| {
-                    said.push(word)
+                    said.push(word);
                 }) {
                 Flow::Idle if connection.down.ended && said.is_empty() => {
                     return self.fell_through(context, slot, AttemptOutcome::ConnectionLost);
@@ -519,7 +519,7 @@
                 .as_ref()
                 .is_some_and(Buffer::is_empty) =>
             {
-                connection.down.buffer = None
+                connection.down.buffer = None;
             }
             None => {}
             Some(Word::Up) => self.begin(context, slot, &said[1..]),
@@ -566,7 +566,7 @@
                 context.now,
                 &mut connection.asked,
                 (&mut context.events, &mut context.hosts),
-            )
+            );
         });
         connection.letter = None;
         self.pass(context, slot);
--- a/node/src/connections/mod.rs
+++ b/node/src/connections/mod.rs
@@ -327,13 +327,13 @@
                 // Guards: clients that wait or rest until the program is ended from outside, and never have an answer.
                 Stage::Unasked if now >= stopped => self.send_away(context, slot),
                 Stage::Held if now >= stopped && connection.landing.is_some() => {
-                    self.time_is_up(context, slot)
+                    self.time_is_up(context, slot);
                 }
                 Stage::Unasked if now >= connection.came + SILENT_CLIENT => {
-                    self.rests(context, slot)
+                    self.rests(context, slot);
                 }
                 Stage::Returning(next) if connection.landing.is_none() && now >= next => {
-                    self.go_back(context, slot)
+                    self.go_back(context, slot);
                 }
                 Stage::Closing(by) if now >= by => self.remove(context, slot, Close::Answered),
                 Stage::Closing(_) => {
--- a/node/src/connections/passage.rs
+++ b/node/src/connections/passage.rs
@@ -36,7 +36,7 @@
             None => connection
                 .up
                 .run(&context.pool, client, &mut landing.side, |_| {
-                    asked.push_back(now)
+                    asked.push_back(now);
                 }),
         };
         let (events, hosts) = (&mut context.events, &mut context.hosts);
--- a/node/src/discovery/list.rs
+++ b/node/src/discovery/list.rs
@@ -338,7 +338,7 @@
             ("locality", Value::Text(text) | Value::Bare(text)) => member.zone = text.to_string(),
             ("cell", Value::Bare("null")) => self.cell = None,
             ("cell", Value::Bare(text)) => {
-                self.cell = Some(text.parse().unwrap_or_else(|_| hash(text)))
+                self.cell = Some(text.parse().unwrap_or_else(|_| hash(text)));
             }
             ("cell", Value::Text(text)) => self.cell = Some(hash(text)),
             ("phase", Value::Text(text)) => {
--- a/node/src/discovery/staleness_tests.rs
+++ b/node/src/discovery/staleness_tests.rs
@@ -321,7 +321,7 @@
             let failed = match (&call, service) {
                 (None, _) if now < next => None,
                 (None, Service::Busy) => Some(Failure::Refused),
-                (None, Service::Gone) | (Some(_), Service::Gone) => Some(Failure::Broken),
+                (None | Some(_), Service::Gone) => Some(Failure::Broken),
                 (None, Service::Garbled) => Some(Failure::Unread),
                 (None, Service::Well | Service::Mute) => {
                     let hold = if refused { MILLI } else { hearing.hold() };
--- a/node/src/operators/tally.rs
+++ b/node/src/operators/tally.rs
@@ -102,7 +102,7 @@
                 ("failed", of.failed),
             ];
             outcomes.into_iter().for_each(|(what, count)| {
-                line(&format!("requests.{}.{what}", of.name), count, "c")
+                line(&format!("requests.{}.{what}", of.name), count, "c");
             });
         }
         line("attempts", self.attempts, "c");
--- a/node/src/peers/wards.rs
+++ b/node/src/peers/wards.rs
@@ -406,7 +406,7 @@
                         self.hear(context, place, answer);
                     }
                     word => {
-                        fleet.send_letter(place, &postcard::to_allocvec(&word).unwrap_or_default())
+                        fleet.send_letter(place, &postcard::to_allocvec(&word).unwrap_or_default());
                     }
                 }
             }
--- a/node/src/roles/alone.rs
+++ b/node/src/roles/alone.rs
@@ -358,7 +358,7 @@
             };
             match action {
                 Action::SetTimer { time, timer: word } => {
-                    context.poller.remind(time, mark(context::MODULE), word)
+                    context.poller.remind(time, mark(context::MODULE), word);
                 }
                 Action::PollEndpoints => self.discovery.ask(context),
                 Action::WatchEndpoints => self.discovery.follow(context),
--- a/node/src/roles/succession.rs
+++ b/node/src/roles/succession.rs
@@ -214,7 +214,7 @@
                     .watch(&successor_listener, context::mark(SUCCESSOR_LISTENER))
                     .is_ok() =>
             {
-                self.successor_listener = Some(successor_listener)
+                self.successor_listener = Some(successor_listener);
             }
             other => {
                 self.expected_again = context.now + EXPECT_AGAIN;
@@ -355,7 +355,7 @@
                     .as_ref()
                     .is_some_and(|e| e.1 == ready.mark.stamp) =>
             {
-                self.take(context, connections)
+                self.take(context, connections);
             }
             _ => {}
         }
--- a/node/tests/members.rs
+++ b/node/tests/members.rs
@@ -276,7 +276,11 @@
     guests.end();
     assert_eq!(hosts.broken(Duration::from_millis(300)), [""; 0]);
     assert_eq!(fleet.broken(&guests), [""; 0]);
-    let suspect = fleet.nodes.iter().flatten().flat_map(|node| node.logged());
+    let suspect = fleet
+        .nodes
+        .iter()
+        .flatten()
+        .flat_map(reedferry_testkit::Node::logged);
     assert_eq!(
         suspect
             .filter(|line| line.contains("member suspect"))
--- a/node/tests/ops.rs
+++ b/node/tests/ops.rs
@@ -72,7 +72,7 @@
 fn a_failed_one_counts_as_failed_and_bad_papers_as_turned_down() {
     let hosts = Hosts::start(2);
     let (node, _discovery) = start(&hosts, |p| {
-        p["settings"]["offerings"][0]["effect"] = json!("single_shot")
+        p["settings"]["offerings"][0]["effect"] = json!("single_shot");
     });
     let mut client = node.open(OPEN);
     let (_, mut host) = hosts.accept();
--- a/node/tests/soak.rs
+++ b/node/tests/soak.rs
@@ -22,7 +22,7 @@
             found
                 .figures
                 .get(name)
-                .and_then(|v| v.as_u64())
+                .and_then(serde_json::value::Value::as_u64)
                 .unwrap_or(0)
         };
         assert!(
--- a/node/tests/sockets.rs
+++ b/node/tests/sockets.rs
@@ -107,7 +107,7 @@
 fn an_irreversible_one_that_may_have_run_is_given_up_and_never_sent_again() {
     let hosts = Hosts::start(3);
     let (node, _) = start(&hosts, |p| {
-        p["settings"]["offerings"][0]["effect"] = json!("single_shot")
+        p["settings"]["offerings"][0]["effect"] = json!("single_shot");
     });
     let mut client = node.open(OPEN);
     let (_, mut host) = hosts.accept();
@@ -233,7 +233,7 @@
 fn bad_clients_are_turned_away_in_time_and_none_is_served() {
     let hosts = Hosts::start(2);
     let (mut node, _) = start(&hosts, |p| {
-        p["limits"] = json!({"memory_mb": 32, "sockets": 256})
+        p["limits"] = json!({"memory_mb": 32, "sockets": 256});
     });
     let (mut client, _, mut host) = node.served(&hosts);
     let mut held = node.open("OPEN feed 7f3a c=chat,t=acme,d=2000");
@@ -345,7 +345,7 @@
 fn hundreds_of_silent_clients_take_no_descriptor_that_others_need() {
     let hosts = Hosts::start(1);
     let (node, _) = start(&hosts, |p| {
-        p["limits"] = json!({"memory_mb": 32, "sockets": 256})
+        p["limits"] = json!({"memory_mb": 32, "sockets": 256});
     });
     let mut served = Vec::new();
     let mut silent = Vec::new();
@@ -648,10 +648,10 @@
         }),
         ("reporting.fields", |p| by_probe(p, &["qps"])),
         ("policy_limits.peers", |p| {
-            p["settings"]["policy_limits"]["peers"] = json!(true)
+            p["settings"]["policy_limits"]["peers"] = json!(true);
         }),
         ("registry_mode", |p| {
-            p["settings"]["registry_mode"] = json!("now and then")
+            p["settings"]["registry_mode"] = json!("now and then");
         }),
     ];
     let node = Node::start(&good);
--- a/node/tests/succession.rs
+++ b/node/tests/succession.rs
@@ -184,7 +184,7 @@
             Budget::new(64)
                 .listen_at(&at.join("reedferry.next"))
                 .unwrap(),
-        )
+        );
     };
     let prepared: [&dyn Fn(&Path); 2] = [&garbled, &stale];
     for prepare in prepared {
@@ -410,7 +410,7 @@
             match self.budget.receive_with(&self.line, &mut space) {
                 Ok((length, _given)) => return space[..length].to_vec(),
                 Err(e) if e.raw_os_error() == 11 => {
-                    assert!(Instant::now() < until, "nothing comes")
+                    assert!(Instant::now() < until, "nothing comes");
                 }
                 Err(_) => return Vec::new(),
             }
--- a/runtime/src/poller.rs
+++ b/runtime/src/poller.rs
@@ -59,7 +59,7 @@
         let place = *places.entry(one.mark).or_insert(merged.len());
         match merged.get_mut(place) {
             Some(known) => {
-                (known.read, known.write) = (known.read || one.read, known.write || one.write)
+                (known.read, known.write) = (known.read || one.read, known.write || one.write);
             }
             None => merged.push(one),
         }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -274,7 +274,7 @@
 pub fn sound(settings: &serde_json::Value) -> Result<(), String> {
     let over = |value: &serde_json::Value, key: &str, place: &str| match value
         .get(key)
-        .and_then(|v| v.as_f64())
+        .and_then(serde_json::Value::as_f64)
     {
         Some(figure) if figure <= 0.0 => {
             Err(format!("settings: {place}{key}: {figure} is not over 0"))
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -287,7 +287,7 @@
             // Guards: a budget given twice, as the same moment has another number.
             Note::OtherTurns => self.sit_out(now, at.settings),
             Note::Behind(seconds) => {
-                self.late(now, (seconds * SECOND as f64) as Nanos, at.settings)
+                self.late(now, (seconds * SECOND as f64) as Nanos, at.settings);
             }
             Note::Reported { load, heard } => {
                 (self.report, self.reported, self.since) = (load, now, self.since / 2.0);
@@ -448,7 +448,7 @@
                 out.extend(self.calls.due(now, knows, pace).map(|call| match call {
                     Call::Ask => Action::PollEndpoints,
                     Call::Follow => Action::WatchEndpoints,
-                }))
+                }));
             }
             _ => {}
         }
@@ -596,7 +596,7 @@
                 post(To::Desk, Note::TakenUp(incoming, past.attempts, ran, tried));
             }
             (Event::ConnectionFound(incoming, _), _, Some(host)) => {
-                post(To::Desk, Note::ConnectionFound(incoming, host, now))
+                post(To::Desk, Note::ConnectionFound(incoming, host, now));
             }
             (Event::ConnectionHandedOver(incoming, _, since), _, Some(host)) => {
                 post(To::Desk, Note::ConnectionFound(incoming, host, since));
@@ -654,7 +654,7 @@
                 post(To::Host(host), Note::LoadNow { slot, load });
             }
             (Event::MessageLatency { latency: time, .. }, _, Some(host)) => {
-                post(To::Host(host), Note::Slow(time))
+                post(To::Host(host), Note::Slow(time));
             }
             (
                 Event::ProbeEnded {
@@ -933,7 +933,7 @@
                             desk: &self.desk,
                         };
                         self.hosts[host].read(note, now, &mut room);
-                    })
+                    });
                 }
                 To::Desk => deliver!(self.desk.inbox, note, self.attend(now, note, out)),
                 To::Helm => deliver!(
@@ -949,7 +949,7 @@
                     };
                     let knows = self.hosts.iter().any(Host::ready);
                     self.roll
-                        .read(note, now, self.rng.random(), (knows, pace), out)
+                        .read(note, now, self.rng.random(), (knows, pace), out);
                 }),
             }
         }
@@ -1087,7 +1087,7 @@
             }
             // Guards: clients of a node that was called back, sent away by an old timer; two paces at once.
             Note::Part if self.desk.leaving.is_some() && now >= self.desk.parts => {
-                self.part(now, out)
+                self.part(now, out);
             }
             Note::Shift { slot } => {
                 if let Some(request) = self.desk.slots[slot]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,17 +6,21 @@
 //! stand in [`types`].
 //!
 //! ```
-//! use reedferry::{Action, Arrival, AttachmentId, Balancer, Charter, Event, HostId, Listing, Offering};
-//! use reedferry::{RollKind, Standing};
+//! use reedferry::{Action, Balancer, BalancerSettings, Endpoint, EndpointUpdate, Event, HostId};
+//! use reedferry::{HostState, IncomingRequest, RequestClass, RequestId};
 //!
-//! let charter = Charter { offerings: vec![Offering::default()], ..Charter::default() };
-//! let mut out = Vec::new();
-//! let mut node = Balancer::new(charter, 7, 0, &mut out);
-//! let host = Listing { id: HostId(1), standing: Standing::Ready, size: 1.0, ..Listing::default() };
-//! node.handle(0, Event::Roll { kind: RollKind::Cached, hosts: vec![host] }, &mut out);
-//! let arrival = Arrival { id: AttachmentId(5), time_left: 2_000_000_000, ..Arrival::default() };
-//! node.handle(1_000_000, Event::Arrived(arrival), &mut out);
-//! assert!(out.iter().any(|a| matches!(a, Action::HandOff { host: HostId(1), .. })));
+//! let classes = vec![RequestClass::default()];
+//! let settings = BalancerSettings { classes, ..BalancerSettings::default() };
+//! let mut actions = Vec::new();
+//! let mut balancer = Balancer::new(settings, 7, 0, &mut actions);
+//!
+//! let endpoint = Endpoint { id: HostId(1), state: HostState::Ready, size: 1.0, ..Endpoint::default() };
+//! let update = Event::EndpointsUpdated { kind: EndpointUpdate::Cached, endpoints: vec![endpoint] };
+//! balancer.handle(0, update, &mut actions);
+//!
+//! let request = IncomingRequest { id: RequestId(5), time_left: 2_000_000_000, ..IncomingRequest::default() };
+//! balancer.handle(1_000_000, Event::RequestArrived(request), &mut actions);
+//! assert!(actions.iter().any(|action| matches!(action, Action::StartAttempt { host: HostId(1), .. })));
 //! ```
 
 /// One short line for a change of mode.
--- a/testkit/src/acting.rs
+++ b/testkit/src/acting.rs
@@ -163,7 +163,7 @@
                 .any(|(_, said)| said.starts_with("BUSY"));
             match client.class {
                 2 if ran.len() > 1 => {
-                    broken.push(format!("rule 2: {name} may have run {} times", ran.len()))
+                    broken.push(format!("rule 2: {name} may have run {} times", ran.len()));
                 }
                 2 if dismissed && !ran.is_empty() => {
                     broken.push(format!(
@@ -360,7 +360,7 @@
             self.round.clone(),
         );
         self.running.push(small(move || {
-            live(address, name, key, class, holds, &referee, &round)
+            live(address, name, key, class, holds, &referee, &round);
         }));
     }
 
--- a/testkit/src/chart.rs
+++ b/testkit/src/chart.rs
@@ -70,7 +70,7 @@
                 row.by_second
                     .get(second)
                     .map_or(String::new(), usize::to_string)
-            )
+            );
         });
         page.push_str("</tr>\n");
     }
--- a/testkit/src/discovery.rs
+++ b/testkit/src/discovery.rs
@@ -141,7 +141,11 @@
 
     /// Has the next calls answered so in place of the list.
     pub fn answer_instead(&self, answers: &[&str]) {
-        self.kept.0.lock().unwrap().instead = answers.iter().rev().map(|a| a.to_string()).collect();
+        self.kept.0.lock().unwrap().instead = answers
+            .iter()
+            .rev()
+            .map(std::string::ToString::to_string)
+            .collect();
     }
 
     /// Waits until so many calls have come, and says how long after the last answer each followed.
--- a/testkit/src/fleet.rs
+++ b/testkit/src/fleet.rs
@@ -669,7 +669,7 @@
                 thread::sleep(Duration::from_millis(100));
             }
             Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {
-                thread::sleep(Duration::from_millis(50))
+                thread::sleep(Duration::from_millis(50));
             }
             _ => break,
         }
--- a/testkit/src/program.rs
+++ b/testkit/src/program.rs
@@ -306,7 +306,7 @@
         thread::spawn(move || {
             lines
                 .map_while(Result::ok)
-                .for_each(|line| _ = sender.send((Instant::now(), line)))
+                .for_each(|line| _ = sender.send((Instant::now(), line)));
         });
         let mut node = Node {
             process,
--- a/testkit/src/soak/site.rs
+++ b/testkit/src/soak/site.rs
@@ -187,7 +187,7 @@
             Trouble::Reload(seat) => self.reload(seat),
             Trouble::StandStill(seat) => self.stand_still(seat, begins),
             Trouble::StepClock(seat, seconds) if begins => {
-                self.processes[seat].spoiler.step_clock(seconds)
+                self.processes[seat].spoiler.step_clock(seconds);
             }
             Trouble::StepClock(..) => {}
             Trouble::Calls(seat, family) => self.spoil(seat, begins, family),
@@ -196,9 +196,9 @@
             Trouble::ServiceDown => {
                 for service in &self.services {
                     if begins {
-                        service.go_down()
+                        service.go_down();
                     } else {
-                        service.come_up()
+                        service.come_up();
                     }
                 }
                 self.service_lasts("down", begins);
@@ -251,7 +251,7 @@
 
     fn service_lasts(&mut self, what: &str, begins: bool) {
         self.lasts(format!("service {what}"), begins, |site, span| {
-            site.notes.service.push(span)
+            site.notes.service.push(span);
         });
     }
 
--- a/testkit/src/speaker.rs
+++ b/testkit/src/speaker.rs
@@ -144,7 +144,7 @@
                 decided |= matches!(
                     note,
                     PlannerMessage::StartAttempt { .. } | PlannerMessage::Reject { .. }
-                )
+                );
             })?;
         }
         Ok(())
--- a/testkit/src/two_tier.rs
+++ b/testkit/src/two_tier.rs
@@ -318,7 +318,7 @@
 pub fn measure(size: Size, seed: u64) -> Result<Found, String> {
     let (mut figures, mut broken) = (Map::new(), Vec::new());
     let mut put = |name: &str, value: f64| {
-        _ = figures.insert(name.into(), json!((value * 1000.0).round() / 1000.0))
+        _ = figures.insert(name.into(), json!((value * 1000.0).round() / 1000.0));
     };
     let mut wanted = |what: &str, holds: bool| {
         if !holds {
--- a/testkit/src/ways.rs
+++ b/testkit/src/ways.rs
@@ -352,7 +352,7 @@
             ends.iter().for_each(|end| {
                 _ = end
                     .set_nonblocking(true)
-                    .and_then(|()| end.set_nodelay(true))
+                    .and_then(|()| end.set_nodelay(true));
             });
             let (held, over, told) = Default::default();
             self.lines.push(Line {
@@ -457,7 +457,7 @@
             .collect();
         ends.iter().for_each(|end| {
             end.set_read_timeout(Some(Duration::from_millis(200)))
-                .unwrap()
+                .unwrap();
         });
         let hears = |end: usize| {
             let mut space = [0; 64];
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -110,7 +110,7 @@
             self.actions.push(action.clone());
             match action {
                 Action::StartAttempt { id, host, .. } if self.auto.contains(&host) => {
-                    self.begun(id.0, 20 * MILLI)
+                    self.begun(id.0, 20 * MILLI);
                 }
                 Action::StartAttempt { id, host, .. } if self.shut.contains(&host) => {
                     self.end(id.0, AttemptOutcome::Rejected, false);
@@ -358,7 +358,7 @@
                 "gathers" => c.centralized = true,
                 "probes" => {
                     (c.load_from_probes, c.load_metrics) =
-                        (true, vec![LoadMetric::Utilization, LoadMetric::Load])
+                        (true, vec![LoadMetric::Utilization, LoadMetric::Load]);
                 }
                 "peers" => c.gossip_enabled = true,
                 "cross-zone" => c.cross_zone_cost = num(value),
@@ -414,7 +414,7 @@
             "gives-up" => self.saw(|a| matches!(a, Action::Fail { id: x } if *x == id(1))),
             "moves" => self.saw(|a| matches!(a, Action::Migrate { id: x } if *x == id(1))),
             "calls-off" => {
-                self.saw(|a| matches!(a, Action::CancelAttempt { id: x, .. } if *x == id(1)))
+                self.saw(|a| matches!(a, Action::CancelAttempt { id: x, .. } if *x == id(1)));
             }
             "asks" => self.saw(|a| matches!(a, Action::WatchEndpoints | Action::PollEndpoints)),
             "logs" => self.saw(|a| matches!(a, Action::Log(text) if text.starts_with(words[1]))),
