--- a/link/src/following.rs
+++ b/control-plane/src/following.rs
@@ -10,7 +10,7 @@
 
 /// A planner as the operator names it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PlannerAt {
+pub struct PlannerAddress {
     pub name: String,
     pub address: SocketAddr,
 }
@@ -18,25 +18,25 @@
 /// Planners in the order in which this forwarder follows them: each pair of names draws a number, the
 /// highest first (highest random weight, Thaler and Ravishankar 1998). Forwarders spread evenly over the
 /// planners, and when one comes or goes only those move whose first it is or was.
-pub fn order(forwarder: &str, planners: &mut [PlannerAt]) {
-    let draw = |planner: &PlannerAt| crate::fingerprint([forwarder, &planner.name]);
+pub fn order(forwarder: &str, planners: &mut [PlannerAddress]) {
+    let draw = |planner: &PlannerAddress| crate::fingerprint([forwarder, &planner.name]);
     planners.sort_by(|a, b| draw(b).cmp(&draw(a)).then_with(|| a.name.cmp(&b.name)));
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// Not connected; when it is called next.
-    Down(Nanos),
+    PlannerMessage(Nanos),
     /// Called; by when it must stand and have greeted.
     Calling(Nanos),
     /// In a session of this number.
-    Up(u64),
+    ForwarderMessage(u64),
 }
 
 pub struct Line {
     /// What the shell knows this line by.
     pub token: u32,
-    pub at: PlannerAt,
+    pub at: PlannerAddress,
     pub state: State,
     pub reader: Reader,
     pub writer: Writer,
@@ -63,11 +63,11 @@
 const MOST_BEATS: usize = 64;
 
 impl Line {
-    pub fn new(token: u32, at: PlannerAt, now: Nanos) -> Self {
+    pub fn new(token: u32, at: PlannerAddress, now: Nanos) -> Self {
         Line {
             token,
             at,
-            state: State::Down(now),
+            state: State::PlannerMessage(now),
             reader: Reader::default(),
             writer: Writer::default(),
             tally: Tally::default(),
@@ -86,12 +86,12 @@
 
     /// Whether its word holds now.
     pub fn holds(&self, now: Nanos) -> bool {
-        matches!(self.state, State::Up(_)) && now < self.granted
+        matches!(self.state, State::ForwarderMessage(_)) && now < self.granted
     }
 
     pub fn session(&self) -> Option<u64> {
         match self.state {
-            State::Up(session) => Some(session),
+            State::ForwarderMessage(session) => Some(session),
             _ => None,
         }
     }
@@ -100,17 +100,24 @@
     pub fn reset(&mut self, state: State) {
         let (token, at, tries) = (self.token, self.at.clone(), self.tries);
         let why = std::mem::take(&mut self.why);
-        *self = Line { state, tries, why, ..Line::new(token, at, 0) };
+        *self = Line {
+            state,
+            tries,
+            why,
+            ..Line::new(token, at, 0)
+        };
     }
 
     pub fn begin(&mut self, session: u64, now: Nanos) {
-        (self.state, self.up_since, self.next_beat) = (State::Up(session), now, now);
+        (self.state, self.up_since, self.next_beat) = (State::ForwarderMessage(session), now, now);
         (self.tries, self.named, self.why) = (0, Some(HashSet::new()), String::new());
     }
 
     /// Sends a beat when one is due.
     pub fn beat(&mut self, now: Nanos, lease: Nanos) {
-        let Some(session) = self.session().filter(|_| now >= self.next_beat) else { return };
+        let Some(session) = self.session().filter(|_| now >= self.next_beat) else {
+            return;
+        };
         // Guards: a beat from before a pause of this process that goes out after it under a fresh number.
         self.writer.seal();
         self.beat += 1;
@@ -136,10 +143,18 @@
         if head.beat > self.beat {
             return None;
         }
-        while self.beats.front().is_some_and(|(beat, _)| *beat < head.beat) {
+        while self
+            .beats
+            .front()
+            .is_some_and(|(beat, _)| *beat < head.beat)
+        {
             self.beats.pop_front();
         }
-        let sent = self.beats.front().filter(|(beat, _)| *beat == head.beat).map(|(_, sent)| *sent);
+        let sent = self
+            .beats
+            .front()
+            .filter(|(beat, _)| *beat == head.beat)
+            .map(|(_, sent)| *sent);
         let until = sent.map_or(0, |sent| sent + lease);
         if until > self.granted {
             if now >= self.granted && now < until {
@@ -156,12 +171,15 @@
     use super::*;
     use std::collections::HashMap;
 
-    fn planners(count: usize) -> Vec<PlannerAt> {
-        let at = |n| PlannerAt { name: format!("p{n}"), address: ([127, 0, 0, 1], 9000 + n as u16).into() };
+    fn planners(count: usize) -> Vec<PlannerAddress> {
+        let at = |n| PlannerAddress {
+            name: format!("p{n}"),
+            address: ([127, 0, 0, 1], 9000 + n as u16).into(),
+        };
         (0..count).map(at).collect()
     }
 
-    fn firsts(planners: &[PlannerAt]) -> Vec<String> {
+    fn firsts(planners: &[PlannerAddress]) -> Vec<String> {
         let first = |n: usize| {
             let mut mine = planners.to_vec();
             order(&format!("f{n}"), &mut mine);
@@ -175,8 +193,13 @@
         let all = planners(5);
         let before = firsts(&all);
         let mut counts: HashMap<&str, usize> = HashMap::new();
-        before.iter().for_each(|name| *counts.entry(name).or_default() += 1);
-        assert!(counts.len() == 5 && counts.values().all(|c| (150..=250).contains(c)), "{counts:?}");
+        before
+            .iter()
+            .for_each(|name| *counts.entry(name).or_default() += 1);
+        assert!(
+            counts.len() == 5 && counts.values().all(|c| (150..=250).contains(c)),
+            "{counts:?}"
+        );
         let after = firsts(&all[1..]);
         assert!(before.iter().zip(&after).all(|(b, a)| b == "p0" || a == b));
         assert!(!after.iter().any(|name| name == "p0"));
@@ -186,7 +209,11 @@
     fn a_word_holds_a_lease_from_the_beat_that_it_answers_however_late_it_comes() {
         let mut line = Line::new(0, planners(1)[0].clone(), 0);
         line.begin(7, 1000);
-        let head = |beat| Head { session: 7, number: 1, beat };
+        let head = |beat| Head {
+            session: 7,
+            number: 1,
+            beat,
+        };
         line.beat(1000, 800);
         line.beat(1050, 800);
         line.beat(1100, 800);
@@ -198,6 +225,10 @@
         assert_eq!(line.grants(&head(3), 1500, 800), None);
         assert_eq!(line.grants(&head(2), 2500, 800), Some(1900));
         assert!(!line.holds(2500));
-        assert_eq!(line.grants(&head(1), 2500, 800), Some(0), "an older beat is forgotten");
+        assert_eq!(
+            line.grants(&head(1), 2500, 800),
+            Some(0),
+            "an older beat is forgotten"
+        );
     }
 }
--- a/link/src/forwarder.rs
+++ b/control-plane/src/forwarder.rs
@@ -5,13 +5,18 @@
 //! of one attachment out, nor one that the attachment's history forbids, whoever orders it.
 
 use crate::duty::{Duty, Phase};
-pub use crate::following::PlannerAt;
+pub use crate::following::PlannerAddress;
 use crate::following::{order, Line, State};
-use crate::frames::{self, Down, Fault, Hello, HostLine, Stands, Up, Welcome, LONGEST_NAME};
+use crate::frames::{
+    self, ForwarderMessage, Hello, HostEntry, LinkError, PlannerMessage, Welcome, WireHostState,
+    LONGEST_NAME,
+};
 use crate::plan::Plan;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use reedferry::{Action, AttachmentId, Charter, Ending, Event, HostId, Nanos, MILLI, SECOND};
+use reedferry::{
+    Action, AttemptOutcome, BalancerSettings, Event, HostId, Nanos, RequestId, MILLI, SECOND,
+};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -36,9 +41,9 @@
 
 /// What a forwarder keeps to.
 #[derive(Clone, Debug)]
-pub struct Covenant {
+pub struct ForwarderConfig {
     pub name: String,
-    pub charter: Charter,
+    pub balancer_settings: BalancerSettings,
     /// Of the lists that index what passes.
     pub fingerprint: u64,
     /// Grows with each start.
@@ -55,31 +60,31 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Deed {
+pub enum ForwarderAction {
     /// For the connection: final answers, moves, hand-offs called off.
-    Act(Action),
+    Perform(Action),
     /// A hand-off whose line is to start by `by`, or not at all.
-    HandOff {
-        id: AttachmentId,
+    StartAttempt {
+        id: RequestId,
         host: HostId,
         until: Nanos,
         by: Nanos,
     },
     /// Opens a connection to a planner; answered by `called` or `lost`.
-    Call {
+    ConnectPlanner {
         line: u32,
         address: SocketAddr,
     },
     /// Ends it.
-    Hang {
+    DisconnectPlanner {
         line: u32,
     },
-    Host(HostLine),
+    HostLearned(HostEntry),
     Log(String),
 }
 
 pub struct Forwarder {
-    keeps: Covenant,
+    keeps: ForwarderConfig,
     rng: ChaCha8Rng,
     /// In the order in which it would follow them.
     lines: Vec<Line>,
@@ -97,7 +102,7 @@
     due: BinaryHeap<Reverse<(Nanos, u64, u32)>>,
     plan: Plan,
     plan_until: Nanos,
-    hosts: HashMap<HostId, Stands>,
+    hosts: HashMap<HostId, WireHostState>,
     /// Hosts that a planner said drain or are gone: as of which version, and until when that counts here.
     barred: HashMap<HostId, (u64, Nanos)>,
     pruned: Nanos,
@@ -114,7 +119,12 @@
 }
 
 impl Forwarder {
-    pub fn new(keeps: Covenant, planners: Vec<PlannerAt>, seed: u64, now: Nanos) -> Self {
+    pub fn new(
+        keeps: ForwarderConfig,
+        planners: Vec<PlannerAddress>,
+        seed: u64,
+        now: Nanos,
+    ) -> Self {
         let mut forwarder = Forwarder {
             keeps,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -160,7 +170,12 @@
     }
 
     /// Takes up another list of planners: those that stay keep their sessions.
-    pub fn planners(&mut self, now: Nanos, mut list: Vec<PlannerAt>, out: &mut Vec<Deed>) {
+    pub fn planners(
+        &mut self,
+        now: Nanos,
+        mut list: Vec<PlannerAddress>,
+        out: &mut Vec<ForwarderAction>,
+    ) {
         let lead = self.lead.map(|n| self.lines[n].token);
         order(&self.keeps.name, &mut list);
         let mut old = std::mem::take(&mut self.lines);
@@ -173,7 +188,10 @@
                 }
             }
         }
-        out.extend(old.iter().map(|line| Deed::Hang { line: line.token }));
+        out.extend(
+            old.iter()
+                .map(|line| ForwarderAction::DisconnectPlanner { line: line.token }),
+        );
         self.lead = lead.and_then(|token| self.line(token));
         if lead.is_some() && self.lead.is_none() {
             self.unfollowed();
@@ -186,7 +204,8 @@
 
     /// What waits to be sent to a planner.
     pub fn outgoing(&self, token: u32) -> &[u8] {
-        self.line(token).map_or(&[], |n| self.lines[n].writer.waiting())
+        self.line(token)
+            .map_or(&[], |n| self.lines[n].writer.waiting())
     }
 
     pub fn sent(&mut self, token: u32, count: usize) {
@@ -198,39 +217,48 @@
     /// The connection that was called for stands.
     pub fn called(&mut self, token: u32) {
         let Some(n) = self.line(token) else { return };
-        let Covenant { name, epoch, fingerprint, charter, .. } = &self.keeps;
+        let ForwarderConfig {
+            name,
+            epoch,
+            fingerprint,
+            balancer_settings,
+            ..
+        } = &self.keeps;
         let line = &mut self.lines[n];
         line.writer.greet(&Hello {
             name: name.clone(),
             planner: line.at.name.clone(),
-            zone: charter.zone,
+            zone: balancer_settings.zone,
             epoch: *epoch,
             fingerprint: *fingerprint,
         });
     }
 
     /// The connection could not be made, or has ended.
-    pub fn lost(&mut self, now: Nanos, token: u32, why: &str, out: &mut Vec<Deed>) {
+    pub fn lost(&mut self, now: Nanos, token: u32, why: &str, out: &mut Vec<ForwarderAction>) {
         let Some(n) = self.line(token) else { return };
         let line = &mut self.lines[n];
         if line.session().is_some() {
             let name = &line.at.name;
-            out.push(Deed::Log(format!("planner lost name={name} why={why} held={}", self.duties.len())));
+            out.push(ForwarderAction::Log(format!(
+                "planner lost name={name} why={why} held={}",
+                self.duties.len()
+            )));
         }
         // Spread and growing, so that forwarders do not storm a planner that is back.
         let pause = (AGAIN << line.tries.min(5)).min(LONGEST_AGAIN);
         let pause = (pause as f64 * self.rng.random_range(0.5..1.5)) as Nanos;
         line.tries += 1;
-        line.reset(State::Down(now + pause));
+        line.reset(State::PlannerMessage(now + pause));
         if self.lead == Some(n) {
             self.lead = None;
             self.unfollowed();
         }
     }
 
-    fn hang(&mut self, now: Nanos, n: usize, why: &str, out: &mut Vec<Deed>) {
+    fn hang(&mut self, now: Nanos, n: usize, why: &str, out: &mut Vec<ForwarderAction>) {
         let token = self.lines[n].token;
-        out.push(Deed::Hang { line: token });
+        out.push(ForwarderAction::DisconnectPlanner { line: token });
         self.lost(now, token, why, out);
     }
 
@@ -250,7 +278,7 @@
     }
 
     /// Bytes of a planner. What cannot be read ends that planner's connection alone.
-    pub fn came(&mut self, now: Nanos, token: u32, bytes: &[u8], out: &mut Vec<Deed>) {
+    pub fn came(&mut self, now: Nanos, token: u32, bytes: &[u8], out: &mut Vec<ForwarderAction>) {
         self.wake(now);
         let Some(n) = self.line(token) else { return };
         let mut reader = std::mem::take(&mut self.lines[n].reader);
@@ -261,7 +289,9 @@
                 let line = &mut self.lines[n];
                 if line.session().is_none() && line.why != why.to_string() {
                     let name = &line.at.name;
-                    out.push(Deed::Log(format!("planner turned away name={name} why={why}")));
+                    out.push(ForwarderAction::Log(format!(
+                        "planner turned away name={name} why={why}"
+                    )));
                     line.why = why.to_string();
                 }
                 self.hang(now, n, &why.to_string(), out);
@@ -269,25 +299,35 @@
         }
     }
 
-    fn body(&mut self, now: Nanos, n: usize, body: &[u8], out: &mut Vec<Deed>) -> Result<(), Fault> {
+    fn body(
+        &mut self,
+        now: Nanos,
+        n: usize,
+        body: &[u8],
+        out: &mut Vec<ForwarderAction>,
+    ) -> Result<(), LinkError> {
         let lease = self.keeps.lease;
         let line = &mut self.lines[n];
         let session = match line.state {
-            State::Up(session) => session,
+            State::ForwarderMessage(session) => session,
             State::Calling(_) => match frames::greeting(body)? {
                 Welcome::Session(session) => {
                     line.begin(session, now);
                     return Ok(());
                 }
                 Welcome::Refused(why) => {
-                    return Err(Fault::Refused(why.chars().take(LONGEST_NAME).collect()));
+                    return Err(LinkError::Refused(why.chars().take(LONGEST_NAME).collect()));
                 }
             },
-            State::Down(_) => return Err(Fault::Unexpected("bytes that nobody asked for")),
+            State::PlannerMessage(_) => {
+                return Err(LinkError::Unexpected("bytes that nobody asked for"))
+            }
         };
         let (head, mut notes) = frames::piece(body)?;
         line.tally.take(&head, session)?;
-        let until = line.grants(&head, now, lease).ok_or(Fault::Unexpected("a beat that was never sent"))?;
+        let until = line
+            .grants(&head, now, lease)
+            .ok_or(LinkError::Unexpected("a beat that was never sent"))?;
         if self.lead == Some(n) {
             self.plan_until = self.plan_until.max(line.granted);
         }
@@ -302,53 +342,69 @@
         now: Nanos,
         n: usize,
         by: Nanos,
-        note: Down,
-        out: &mut Vec<Deed>,
-    ) -> Result<(), Fault> {
+        note: PlannerMessage,
+        out: &mut Vec<ForwarderAction>,
+    ) -> Result<(), LinkError> {
         let leads = self.lead == Some(n);
         match note {
-            Down::Host(line) => return self.host(now, n, line, out),
-            Down::Listed { .. } => self.listed(n, out),
-            Down::Going => self.lines[n].going = true,
+            PlannerMessage::Host(line) => return self.host(now, n, line, out),
+            PlannerMessage::HostsComplete { .. } => self.listed(n, out),
+            PlannerMessage::ShuttingDown => self.lines[n].going = true,
             // The word of one that is not followed decides nothing.
             _ if !leads => {}
-            Down::HandOff { id, step, host, within } => {
-                self.ordered(now, by, (id, step), HostId(host), within, out)
-            }
-            Down::Dismiss { id, step, wait } => self.final_word(id, step, Some(wait), out),
-            Down::GiveUp { id, step } => self.final_word(id, step, None, out),
-            Down::Move { id } => {
-                let open = self.duties.get(&id).is_some_and(|d| matches!(d.phase, Phase::Open(_)));
+            PlannerMessage::StartAttempt {
+                id,
+                step,
+                host,
+                within,
+            } => self.ordered(now, by, (id, step), HostId(host), within, out),
+            PlannerMessage::Reject { id, step, wait } => self.final_word(id, step, Some(wait), out),
+            PlannerMessage::Fail { id, step } => self.final_word(id, step, None, out),
+            PlannerMessage::Migrate { id } => {
+                let open = self
+                    .duties
+                    .get(&id)
+                    .is_some_and(|d| matches!(d.phase, Phase::Open(_)));
                 if open && now < by {
-                    out.push(Deed::Act(Action::Move { id: AttachmentId(id) }));
+                    out.push(ForwarderAction::Perform(Action::Migrate {
+                        id: RequestId(id),
+                    }));
                 }
             }
-            Down::Plan { hosts, allowance } => self.plan = Plan::of(&hosts, allowance),
+            PlannerMessage::Plan { hosts, allowance } => self.plan = Plan::of(&hosts, allowance),
         }
         Ok(())
     }
 
     /// A planner speaks of a host. Whichever says that it drains is believed; that it is well again is
     /// believed of one who knows a version no older.
-    fn host(&mut self, now: Nanos, n: usize, line: HostLine, out: &mut Vec<Deed>) -> Result<(), Fault> {
+    fn host(
+        &mut self,
+        now: Nanos,
+        n: usize,
+        line: HostEntry,
+        out: &mut Vec<ForwarderAction>,
+    ) -> Result<(), LinkError> {
         let id = HostId(line.id);
         if line.name.is_empty() || line.name.len() > LONGEST_NAME {
-            return Err(Fault::Unexpected("a host without a proper name"));
+            return Err(LinkError::Unexpected("a host without a proper name"));
         }
         if self.hosts.len() >= MOST_HOSTS && !self.hosts.contains_key(&id) {
-            return Err(Fault::Unexpected("more hosts than there may be"));
+            return Err(LinkError::Unexpected("more hosts than there may be"));
         }
         if let Some(named) = self.lines[n].named.as_mut() {
             named.insert(id);
         }
         let bar = self.barred.get(&id).copied();
-        if line.stands != Stands::Ready {
+        if line.stands != WireHostState::Ready {
             if self.barred.len() >= MOST_BARRED && now >= self.pruned + SECOND {
                 self.barred.retain(|_, (_, until)| now < *until);
                 self.pruned = now;
             }
             if self.barred.len() >= MOST_HOSTS {
-                return Err(Fault::Unexpected("more hosts that are gone than there may be"));
+                return Err(LinkError::Unexpected(
+                    "more hosts that are gone than there may be",
+                ));
             }
             // Guards: a run-away version that would bar a host for ever.
             self.barred.insert(id, (line.as_of, now + BARRED));
@@ -360,27 +416,40 @@
         }
         // Guards: a table that fills up with hosts of long ago, until no planner is listened to any more.
         match line.stands {
-            Stands::Gone => _ = self.hosts.remove(&id),
+            WireHostState::Gone => _ = self.hosts.remove(&id),
             stands => _ = self.hosts.insert(id, stands),
         }
-        out.push(Deed::Host(line));
+        out.push(ForwarderAction::HostLearned(line));
         Ok(())
     }
 
     /// A planner has named all its hosts: those that the one followed does not name are gone.
-    fn listed(&mut self, n: usize, out: &mut Vec<Deed>) {
-        let Some(named) = self.lines[n].named.take().filter(|_| self.lead == Some(n) || self.lead.is_none())
+    fn listed(&mut self, n: usize, out: &mut Vec<ForwarderAction>) {
+        let Some(named) = self.lines[n]
+            .named
+            .take()
+            .filter(|_| self.lead == Some(n) || self.lead.is_none())
         else {
             return;
         };
-        let mut gone: Vec<HostId> = self.hosts.keys().copied().filter(|id| !named.contains(id)).collect();
+        let mut gone: Vec<HostId> = self
+            .hosts
+            .keys()
+            .copied()
+            .filter(|id| !named.contains(id))
+            .collect();
         gone.sort_by_key(|id| id.0);
         for id in gone {
             self.hosts.remove(&id);
             self.barred.remove(&id);
-            let line =
-                HostLine { id: id.0, name: String::new(), address: None, stands: Stands::Gone, as_of: 0 };
-            out.push(Deed::Host(line));
+            let line = HostEntry {
+                id: id.0,
+                name: String::new(),
+                address: None,
+                stands: WireHostState::Gone,
+                as_of: 0,
+            };
+            out.push(ForwarderAction::HostLearned(line));
         }
     }
 
@@ -396,17 +465,19 @@
         (id, step): (u64, u32),
         host: HostId,
         within: Nanos,
-        out: &mut Vec<Deed>,
+        out: &mut Vec<ForwarderAction>,
     ) {
-        let charter = &self.keeps.charter;
-        let Some(duty) = self.duties.get_mut(&id) else { return };
+        let balancer_settings = &self.keeps.balancer_settings;
+        let Some(duty) = self.duties.get_mut(&id) else {
+            return;
+        };
         // Guards: an order that crossed what was settled here meanwhile.
         if duty.phase != Phase::Waiting || duty.step != step || !duty.asked {
             return;
         }
-        let offering = offering(charter, duty);
-        let last = duty.answer_by(charter);
-        if now >= last || !duty.may_go(offering, charter.most_hand_offs, now) {
+        let class = class(balancer_settings, duty);
+        let last = duty.answer_by(balancer_settings);
+        if now >= last || !duty.may_go(class, balancer_settings.max_attempts, now) {
             return self.answer(id, out);
         }
         duty.asked = false;
@@ -414,24 +485,40 @@
         // Guards: a late order carried out; its planner, if it still is that, decides anew.
         if now >= by || !Self::may_take(&self.barred, host, now) {
             duty.step += 1;
-            return self.ask_on(now, id, Ending::NeverSent);
+            return self.ask_on(now, id, AttemptOutcome::NeverSent);
         }
         duty.sent(host, now);
         let until = now.saturating_add(within).min(last);
-        out.push(Deed::HandOff { id: AttachmentId(id), host, until, by });
+        out.push(ForwarderAction::StartAttempt {
+            id: RequestId(id),
+            host,
+            until,
+            by,
+        });
     }
 
-    fn final_word(&mut self, id: u64, step: u32, wait: Option<Nanos>, out: &mut Vec<Deed>) {
-        let Some(duty) = self.duties.get(&id) else { return };
+    fn final_word(
+        &mut self,
+        id: u64,
+        step: u32,
+        wait: Option<Nanos>,
+        out: &mut Vec<ForwarderAction>,
+    ) {
+        let Some(duty) = self.duties.get(&id) else {
+            return;
+        };
         if duty.phase != Phase::Waiting || duty.step != step || !duty.asked {
             return;
         }
-        let harmless = duty.harmless(offering(&self.keeps.charter, duty));
+        let harmless = duty.harmless(class(&self.keeps.balancer_settings, duty));
         self.settle(id);
-        let id = AttachmentId(id);
-        out.push(Deed::Act(match wait.filter(|_| harmless) {
-            Some(wait) => Action::Dismiss { id, wait: wait.min(self.keeps.charter.longest_advice) },
-            None => Action::GiveUp { id },
+        let id = RequestId(id);
+        out.push(ForwarderAction::Perform(match wait.filter(|_| harmless) {
+            Some(wait) => Action::Reject {
+                id,
+                retry_after: wait.min(self.keeps.balancer_settings.max_retry_after),
+            },
+            None => Action::Fail { id },
         }));
     }
 
@@ -443,77 +530,100 @@
     }
 
     /// What the connection tells.
-    pub fn event(&mut self, now: Nanos, event: Event, out: &mut Vec<Deed>) {
+    pub fn event(&mut self, now: Nanos, event: Event, out: &mut Vec<ForwarderAction>) {
         self.wake(now);
         // Guards: what comes in the turn in which a planner is lost, answered as if there were no other.
         if !self.led(now) {
             self.elect(now, out);
         }
         match event {
-            Event::Arrived(arrival) => {
-                let id = arrival.id.0;
-                self.duties.insert(id, Duty::new(arrival, now));
+            Event::RequestArrived(incoming) => {
+                let id = incoming.id.0;
+                self.duties.insert(id, Duty::new(incoming, now));
                 if self.leaving.is_some() {
                     self.answer(id, out);
                 } else {
                     self.want(now, id, out);
                 }
             }
-            Event::Standing(arrival, host) => {
-                self.duties.insert(arrival.id.0, Duty::standing(arrival, host, now));
-                self.stands(now, arrival.id.0);
+            Event::ConnectionFound(incoming, host) => {
+                self.duties
+                    .insert(incoming.id.0, Duty::standing(incoming, host, now));
+                self.stands(now, incoming.id.0);
             }
-            Event::Begun { id, took } => self.begun(now, id.0, took),
-            Event::Ended { id, over, ending, .. } => self.ended(now, id.0, over, ending, out),
-            Event::Left { id } => self.left(id.0, out),
-            Event::LoadNow { id, load } => {
+            Event::ConnectionEstablished { id, took } => self.begun(now, id.0, took),
+            Event::AttemptEnded {
+                id,
+                request_over: over,
+                ending,
+                ..
+            } => self.ended(now, id.0, over, ending, out),
+            Event::ClientLeft { id } => self.left(id.0, out),
+            Event::LoadMeasured { id, load } => {
                 if self.duties.get(&id.0).is_some_and(|d| d.known) && !self.choked() {
-                    self.tell(Up::LoadNow { id: id.0, load });
+                    self.tell(ForwarderMessage::LoadMeasured { id: id.0, load });
                 }
             }
-            Event::MessageTime { host, time } => {
+            Event::MessageLatency {
+                host,
+                latency: time,
+            } => {
                 if self.told && !self.choked() {
-                    self.tell(Up::MessageTime { host: host.0, time });
+                    self.tell(ForwarderMessage::MessageLatency { host: host.0, time });
                 }
             }
-            Event::Leaving { from, by } => {
+            Event::ShutdownStarted { from, by } => {
                 (self.leaving, self.next_part) = (Some(by), from);
-                out.push(Deed::Log(format!("leaving held={}", self.duties.len())));
+                out.push(ForwarderAction::Log(format!(
+                    "leaving held={}",
+                    self.duties.len()
+                )));
             }
             // A forwarder follows no roll, sends no probes and hears no nodes.
-            Event::Roll { .. }
-            | Event::TakenUp(..)
-            | Event::Timer { .. }
-            | Event::Probed { .. }
-            | Event::Heard { .. }
-            | Event::Turns(_)
-            | Event::Looks(_)
-            | Event::Staying
-            | Event::PassedOn(..)
-            | Event::Renewed(..)
-            | Event::Successor(_)
-            | Event::Inherited(_) => {}
+            Event::EndpointsUpdated { .. }
+            | Event::RequestTakenOver(..)
+            | Event::TimerFired { .. }
+            | Event::ProbeEnded { .. }
+            | Event::GossipReceived { .. }
+            | Event::SlowStartSlotsAssigned(_)
+            | Event::ProbeTargetsAssigned(_)
+            | Event::ShutdownCancelled
+            | Event::ConnectionHandedOver(..)
+            | Event::SettingsChanged(..)
+            | Event::SuccessorChanged(_)
+            | Event::StateInherited(_) => {}
         }
     }
 
     /// Puts a note behind what waits for the planner that is followed.
-    fn tell(&mut self, note: Up) {
-        let Some(line) = self.lead.map(|n| &mut self.lines[n]) else { return };
+    fn tell(&mut self, note: ForwarderMessage) {
+        let Some(line) = self.lead.map(|n| &mut self.lines[n]) else {
+            return;
+        };
         if let Some(session) = line.session() {
             line.writer.put(session, line.last_beat(), &note);
         }
     }
 
     fn choked(&self) -> bool {
-        self.lead.is_none_or(|n| self.lines[n].writer.unsent() > CHOKED)
+        self.lead
+            .is_none_or(|n| self.lines[n].writer.unsent() > CHOKED)
     }
 
     /// Has what waits decided: by the planner, or here where that cannot be.
-    fn want(&mut self, now: Nanos, id: u64, out: &mut Vec<Deed>) {
-        let Some(duty) = self.duties.get(&id) else { return };
-        let charter = &self.keeps.charter;
-        let last = duty.answer_by(charter);
-        if now >= last || !duty.may_go(offering(charter, duty), charter.most_hand_offs, now) {
+    fn want(&mut self, now: Nanos, id: u64, out: &mut Vec<ForwarderAction>) {
+        let Some(duty) = self.duties.get(&id) else {
+            return;
+        };
+        let balancer_settings = &self.keeps.balancer_settings;
+        let last = duty.answer_by(balancer_settings);
+        if now >= last
+            || !duty.may_go(
+                class(balancer_settings, duty),
+                balancer_settings.max_attempts,
+                now,
+            )
+        {
             return self.answer(id, out);
         }
         // While it is still told what stands, what comes waits its turn behind that.
@@ -521,12 +631,21 @@
         if !self.led(now) || choked || self.asked + self.parked.len() >= self.keeps.most_asked {
             return self.decide_alone(now, id, out);
         }
-        self.due.push(Reverse((last.min(now + self.keeps.decide_within), id, duty.step)));
+        self.due.push(Reverse((
+            last.min(now + self.keeps.decide_within),
+            id,
+            duty.step,
+        )));
         if !self.told {
             return self.parked.push(id);
         }
         let (step, asked, past) = (duty.step, duty.asked(now), duty.past(now));
-        self.tell(Up::Ask { id, step, asked, past });
+        self.tell(ForwarderMessage::RequestPlacement {
+            id,
+            step,
+            asked,
+            past,
+        });
         self.awaited(id);
     }
 
@@ -538,64 +657,99 @@
     }
 
     /// Tells the planner that a hand-off it ordered came to nothing, and awaits its next word.
-    fn ask_on(&mut self, now: Nanos, id: u64, ending: Ending) {
-        let Some(duty) = self.duties.get(&id) else { return };
-        let last = duty.answer_by(&self.keeps.charter);
-        self.due.push(Reverse((last.min(now + self.keeps.decide_within), id, duty.step)));
+    fn ask_on(&mut self, now: Nanos, id: u64, ending: AttemptOutcome) {
+        let Some(duty) = self.duties.get(&id) else {
+            return;
+        };
+        let last = duty.answer_by(&self.keeps.balancer_settings);
+        self.due.push(Reverse((
+            last.min(now + self.keeps.decide_within),
+            id,
+            duty.step,
+        )));
         let step = duty.step;
-        self.tell(Up::Ended { id, step, came: ending.into(), over: false });
+        self.tell(ForwarderMessage::AttemptEnded {
+            id,
+            step,
+            came: ending.into(),
+            over: false,
+        });
         self.awaited(id);
     }
 
     /// Decides without a planner: a first hand-off by the plan while that holds, else the final answer.
-    fn decide_alone(&mut self, now: Nanos, id: u64, out: &mut Vec<Deed>) {
-        let Some(duty) = self.duties.get_mut(&id) else { return };
-        let charter = &self.keeps.charter;
-        let last = duty.answer_by(charter);
-        let planned = if duty.hand_offs == 0 && now < self.plan_until.min(last) && self.leaving.is_none() {
-            let barred = &self.barred;
-            self.plan.take(&mut self.rng, |host| Self::may_take(barred, host, now))
-        } else {
-            None
+    fn decide_alone(&mut self, now: Nanos, id: u64, out: &mut Vec<ForwarderAction>) {
+        let Some(duty) = self.duties.get_mut(&id) else {
+            return;
+        };
+        let balancer_settings = &self.keeps.balancer_settings;
+        let last = duty.answer_by(balancer_settings);
+        let planned =
+            if duty.attempts == 0 && now < self.plan_until.min(last) && self.leaving.is_none() {
+                let barred = &self.barred;
+                self.plan
+                    .take(&mut self.rng, |host| Self::may_take(barred, host, now))
+            } else {
+                None
+            };
+        let Some(host) = planned else {
+            return self.answer(id, out);
         };
-        let Some(host) = planned else { return self.answer(id, out) };
         if std::mem::take(&mut duty.asked) {
             self.asked -= 1;
         }
         duty.step += 1;
         duty.sent(host, now);
         let known = std::mem::take(&mut duty.known);
-        let until = match offering(charter, duty) {
-            o if o.effect == reedferry::Effect::Irreversible => last,
-            o => last.min(now + o.contract_time),
+        let until = match class(balancer_settings, duty) {
+            o if o.idempotency == reedferry::Idempotency::NonIdempotent => last,
+            o => last.min(now + o.latency_objective),
         };
-        out.push(Deed::HandOff { id: AttachmentId(id), host, until, by: self.plan_until });
+        out.push(ForwarderAction::StartAttempt {
+            id: RequestId(id),
+            host,
+            until,
+            by: self.plan_until,
+        });
         if known {
-            self.tell(Up::Gone { id });
+            self.tell(ForwarderMessage::RequestClosed { id });
         }
         self.alone.0 += 1;
     }
 
     /// The final answer where no planner gives it, at once.
-    fn answer(&mut self, id: u64, out: &mut Vec<Deed>) {
+    fn answer(&mut self, id: u64, out: &mut Vec<ForwarderAction>) {
         let Some(duty) = self.settle(id) else { return };
         if duty.known {
-            self.tell(Up::Gone { id });
+            self.tell(ForwarderMessage::RequestClosed { id });
         }
-        let charter = &self.keeps.charter;
-        let (id, harmless) = (AttachmentId(id), duty.harmless(offering(charter, &duty)));
+        let balancer_settings = &self.keeps.balancer_settings;
+        let (id, harmless) = (
+            RequestId(id),
+            duty.harmless(class(balancer_settings, &duty)),
+        );
         // Spread, so that the clients do not come back in step.
-        let wait = (charter.longest_advice as f64 * self.rng.random_range(0.25..1.0)) as Nanos;
-        out.push(Deed::Act(if harmless { Action::Dismiss { id, wait } } else { Action::GiveUp { id } }));
+        let wait =
+            (balancer_settings.max_retry_after as f64 * self.rng.random_range(0.25..1.0)) as Nanos;
+        out.push(ForwarderAction::Perform(if harmless {
+            Action::Reject {
+                id,
+                retry_after: wait,
+            }
+        } else {
+            Action::Fail { id }
+        }));
         self.alone.1 += 1;
     }
 
     fn begun(&mut self, now: Nanos, id: u64, took: Nanos) {
-        let Some(duty) = self.duties.get_mut(&id) else { return };
+        let Some(duty) = self.duties.get_mut(&id) else {
+            return;
+        };
         let Phase::Out(host) = duty.phase else { return };
         duty.phase = Phase::Open(host);
         if duty.known {
-            self.tell(Up::Begun { id, took });
+            self.tell(ForwarderMessage::ConnectionEstablished { id, took });
         } else {
             self.stands(now, id);
         }
@@ -610,22 +764,44 @@
     }
 
     fn restate(&mut self, now: Nanos, id: u64) {
-        let Some(duty) = self.duties.get_mut(&id) else { return };
-        let Phase::Open(host) = duty.phase else { return };
+        let Some(duty) = self.duties.get_mut(&id) else {
+            return;
+        };
+        let Phase::Open(host) = duty.phase else {
+            return;
+        };
         if std::mem::replace(&mut duty.known, true) {
             return;
         }
         let asked = duty.asked(now);
-        self.tell(Up::Stands { id, asked, host: host.0 });
+        self.tell(ForwarderMessage::OpenConnection {
+            id,
+            asked,
+            host: host.0,
+        });
     }
 
-    fn ended(&mut self, now: Nanos, id: u64, over: bool, ending: Ending, out: &mut Vec<Deed>) {
-        let Some(duty) = self.duties.get_mut(&id) else { return };
+    fn ended(
+        &mut self,
+        now: Nanos,
+        id: u64,
+        over: bool,
+        ending: AttemptOutcome,
+        out: &mut Vec<ForwarderAction>,
+    ) {
+        let Some(duty) = self.duties.get_mut(&id) else {
+            return;
+        };
         if over || duty.left || matches!(duty.phase, Phase::Open(_)) {
             let (step, known) = (duty.step, duty.known);
             self.settle(id);
             if known {
-                self.tell(Up::Ended { id, step, came: ending.into(), over: true });
+                self.tell(ForwarderMessage::AttemptEnded {
+                    id,
+                    step,
+                    came: ending.into(),
+                    over: true,
+                });
             }
             return;
         }
@@ -633,39 +809,51 @@
             return;
         }
         duty.came_back(ending);
-        let last = duty.answer_by(&self.keeps.charter);
+        let last = duty.answer_by(&self.keeps.balancer_settings);
         if duty.known && now < last && self.led(now) {
             self.ask_on(now, id, ending);
         } else {
-            let Some(duty) = self.duties.get_mut(&id) else { return };
+            let Some(duty) = self.duties.get_mut(&id) else {
+                return;
+            };
             if std::mem::take(&mut duty.known) {
                 let step = duty.step;
-                self.tell(Up::Ended { id, step, came: ending.into(), over: true });
+                self.tell(ForwarderMessage::AttemptEnded {
+                    id,
+                    step,
+                    came: ending.into(),
+                    over: true,
+                });
             }
             self.want(now, id, out);
         }
     }
 
-    fn left(&mut self, id: u64, out: &mut Vec<Deed>) {
-        let Some(duty) = self.duties.get_mut(&id) else { return };
+    fn left(&mut self, id: u64, out: &mut Vec<ForwarderAction>) {
+        let Some(duty) = self.duties.get_mut(&id) else {
+            return;
+        };
         let known = duty.known;
         match duty.phase {
             Phase::Out(_) => {
                 duty.left = true;
-                if self.keeps.charter.may_call_off {
-                    let (id, hand_off) = (AttachmentId(id), duty.hand_offs - 1);
-                    out.push(Deed::Act(Action::CallOff { id, hand_off }));
+                if self.keeps.balancer_settings.may_cancel {
+                    let (id, attempt) = (RequestId(id), duty.attempts - 1);
+                    out.push(ForwarderAction::Perform(Action::CancelAttempt {
+                        id,
+                        attempt,
+                    }));
                 }
             }
             _ => _ = self.settle(id),
         }
         if known {
-            self.tell(Up::Left { id });
+            self.tell(ForwarderMessage::ClientLeft { id });
         }
     }
 
     /// What falls to be done as time goes by, and the end of a turn: to be called once a turn, last.
-    pub fn tick(&mut self, now: Nanos, out: &mut Vec<Deed>) {
+    pub fn tick(&mut self, now: Nanos, out: &mut Vec<ForwarderAction>) {
         self.wake(now);
         self.keep_lines(now, out);
         self.elect(now, out);
@@ -676,8 +864,11 @@
             }
             self.due.pop();
             let waits = |d: &&Duty| d.phase == Phase::Waiting && d.step == step;
-            let Some(duty) = self.duties.get(&id).filter(waits) else { continue };
-            if now < self.patience && duty.answer_by(&self.keeps.charter) > self.patience {
+            let Some(duty) = self.duties.get(&id).filter(waits) else {
+                continue;
+            };
+            if now < self.patience && duty.answer_by(&self.keeps.balancer_settings) > self.patience
+            {
                 self.due.push(Reverse((self.patience, id, step)));
             } else {
                 self.decide_alone(now, id, out);
@@ -691,7 +882,9 @@
         }
         let (planned, answered) = self.alone;
         if (planned > 0 || answered > 0) && now >= self.alone_told + SECOND {
-            out.push(Deed::Log(format!("decided alone planned={planned} answered={answered}")));
+            out.push(ForwarderAction::Log(format!(
+                "decided alone planned={planned} answered={answered}"
+            )));
             (self.alone, self.alone_told) = ((0, 0), now);
         }
     }
@@ -699,26 +892,33 @@
     /// When `tick` is wanted next at the latest.
     pub fn next(&self) -> Nanos {
         let line = |line: &Line| match line.state {
-            State::Down(at) | State::Calling(at) => at,
-            State::Up(_) => line.next_beat().unwrap_or(Nanos::MAX),
+            State::PlannerMessage(at) | State::Calling(at) => at,
+            State::ForwarderMessage(_) => line.next_beat().unwrap_or(Nanos::MAX),
         };
         let lines = self.lines.iter().map(line).min();
         let due = self.due.peek().map(|Reverse((time, ..))| *time);
         let lead = self.lead.map(|n| self.lines[n].granted);
         let part = self.leaving.map(|_| self.next_part);
-        [lines, due, lead, part].into_iter().flatten().min().unwrap_or(Nanos::MAX)
+        [lines, due, lead, part]
+            .into_iter()
+            .flatten()
+            .min()
+            .unwrap_or(Nanos::MAX)
     }
 
-    fn keep_lines(&mut self, now: Nanos, out: &mut Vec<Deed>) {
+    fn keep_lines(&mut self, now: Nanos, out: &mut Vec<ForwarderAction>) {
         for n in 0..self.lines.len() {
             let line = &mut self.lines[n];
             match line.state {
-                State::Down(at) if now >= at => {
+                State::PlannerMessage(at) if now >= at => {
                     line.state = State::Calling(now + WELCOME);
-                    out.push(Deed::Call { line: line.token, address: line.at.address });
+                    out.push(ForwarderAction::ConnectPlanner {
+                        line: line.token,
+                        address: line.at.address,
+                    });
                 }
                 State::Calling(by) if now >= by => self.hang(now, n, "no welcome in time", out),
-                State::Up(_) => {
+                State::ForwarderMessage(_) => {
                     let heard = line.granted.max(line.up_since + self.keeps.lease);
                     if now >= heard + (SILENT - 1) * self.keeps.lease {
                         self.hang(now, n, "silent", out);
@@ -733,7 +933,7 @@
 
     /// Follows the first planner in its order whose word holds. One that it would rather follow than the
     /// present one must have been well for a while. Guards: forwarders that run to and fro between two.
-    fn elect(&mut self, now: Nanos, out: &mut Vec<Deed>) {
+    fn elect(&mut self, now: Nanos, out: &mut Vec<ForwarderAction>) {
         let holds = |n: usize| self.lines[n].holds(now);
         let lead = self.lead.filter(|&n| holds(n));
         if lead.is_none() && self.led(now) {
@@ -751,23 +951,29 @@
         };
         let held = self.duties.len();
         if chosen.is_none() && !std::mem::replace(&mut self.orphaned, true) {
-            out.push(Deed::Log(format!("no planner answers held={held}")));
+            out.push(ForwarderAction::Log(format!(
+                "no planner answers held={held}"
+            )));
         }
         if chosen == self.lead {
             return;
         }
         match chosen {
             Some(n) => {
-                self.tell(Up::Unfollow);
+                self.tell(ForwarderMessage::Unfollow);
                 (self.lead, self.orphaned) = (Some(n), false);
                 self.unfollowed();
                 let standing = self.retell.len();
                 let name = &self.lines[n].at.name;
-                out.push(Deed::Log(format!("follows planner={name} standing={standing} held={held}")));
-                self.tell(Up::Follow { standing: standing as u32 });
+                out.push(ForwarderAction::Log(format!(
+                    "follows planner={name} standing={standing} held={held}"
+                )));
+                self.tell(ForwarderMessage::Follow {
+                    standing: standing as u32,
+                });
             }
             None => {
-                self.tell(Up::Unfollow);
+                self.tell(ForwarderMessage::Unfollow);
                 self.lead = None;
                 self.unfollowed();
             }
@@ -798,7 +1004,7 @@
 
     /// Tells a planner what stands, as much as goes at once, and then asks for what waits. Where there is no
     /// planner, what waits is decided here.
-    fn tell_standing(&mut self, now: Nanos, out: &mut Vec<Deed>) {
+    fn tell_standing(&mut self, now: Nanos, out: &mut Vec<ForwarderAction>) {
         if self.lead.is_none() {
             for id in std::mem::take(&mut self.parked) {
                 self.decide_alone(now, id, out);
@@ -806,12 +1012,14 @@
             return;
         }
         while !self.choked() {
-            let Some(id) = self.retell.pop_front() else { break };
+            let Some(id) = self.retell.pop_front() else {
+                break;
+            };
             self.restate(now, id);
         }
         if !self.told && self.retell.is_empty() {
             self.told = true;
-            self.tell(Up::Told);
+            self.tell(ForwarderMessage::StateSyncComplete);
             for id in std::mem::take(&mut self.parked) {
                 self.want(now, id, out);
             }
@@ -819,21 +1027,25 @@
     }
 
     /// Sends the clients of a forwarder that stops away evenly. Guards: hosts and planners stormed by all.
-    fn part(&mut self, now: Nanos, out: &mut Vec<Deed>) {
-        let Some(by) = self.leaving.filter(|_| now >= self.next_part) else { return };
+    fn part(&mut self, now: Nanos, out: &mut Vec<ForwarderAction>) {
+        let Some(by) = self.leaving.filter(|_| now >= self.next_part) else {
+            return;
+        };
         self.next_part = now + PARTING;
         let open = |d: &Duty| matches!(d.phase, Phase::Open(_)) && !d.moved;
         let count = self.duties.values().filter(|d| open(d)).count();
         let share = count.div_ceil((by.saturating_sub(now) / PARTING + 1) as usize);
         for (&id, duty) in self.duties.iter_mut().filter(|(_, d)| open(d)).take(share) {
             duty.moved = true;
-            out.push(Deed::Act(Action::Move { id: AttachmentId(id) }));
+            out.push(ForwarderAction::Perform(Action::Migrate {
+                id: RequestId(id),
+            }));
         }
     }
 }
 
-fn offering<'a>(charter: &'a Charter, duty: &Duty) -> &'a reedferry::Offering {
-    &charter.offerings[duty.arrival.offering.min(charter.offerings.len() - 1)]
+fn class<'a>(balancer_settings: &'a BalancerSettings, duty: &Duty) -> &'a reedferry::RequestClass {
+    &balancer_settings.classes[duty.incoming.class.min(balancer_settings.classes.len() - 1)]
 }
 
 #[cfg(test)]
@@ -843,12 +1055,26 @@
 
     #[test]
     fn hosts_that_come_and_go_for_months_never_cut_a_forwarder_off() {
-        let charter = Charter { offerings: vec![reedferry::Offering::default()], ..Charter::default() };
+        let balancer_settings = BalancerSettings {
+            classes: vec![reedferry::RequestClass::default()],
+            ..BalancerSettings::default()
+        };
         let (lease, settle) = (250 * MILLI, SECOND);
         let (name, decide_within) = ("f".to_string(), 400 * MILLI);
-        let keeps =
-            Covenant { name, charter, fingerprint: 1, epoch: 1, lease, decide_within, most_asked: 9, settle };
-        let at = PlannerAt { name: "p".into(), address: ([127, 0, 0, 1], 1).into() };
+        let keeps = ForwarderConfig {
+            name,
+            balancer_settings,
+            fingerprint: 1,
+            epoch: 1,
+            lease,
+            decide_within,
+            most_asked: 9,
+            settle,
+        };
+        let at = PlannerAddress {
+            name: "p".into(),
+            address: ([127, 0, 0, 1], 1).into(),
+        };
         let mut forwarder = Forwarder::new(keeps, vec![at], 1, SECOND);
         let (mut deeds, mut writer) = (Vec::new(), Writer::default());
         forwarder.tick(SECOND, &mut deeds);
@@ -857,9 +1083,15 @@
         // More than its table has room for, some thousands at a time.
         for batch in 0..14 {
             for id in batch * 5_000..(batch + 1) * 5_000 {
-                for stands in [Stands::Ready, Stands::Gone] {
-                    let line = HostLine { id, name: "x".into(), address: None, stands, as_of: id };
-                    writer.put(5, 0, &Down::Host(line));
+                for stands in [WireHostState::Ready, WireHostState::Gone] {
+                    let line = HostEntry {
+                        id,
+                        name: "x".into(),
+                        address: None,
+                        stands,
+                        as_of: id,
+                    };
+                    writer.put(5, 0, &PlannerMessage::Host(line));
                 }
             }
             writer.seal();
@@ -867,23 +1099,38 @@
             writer.sent(bytes.len());
             forwarder.came((batch + 1) * 11 * SECOND, 1, &bytes, &mut deeds);
         }
-        assert!(!deeds.iter().any(|deed| matches!(deed, Deed::Hang { .. })));
+        assert!(!deeds
+            .iter()
+            .any(|deed| matches!(deed, ForwarderAction::DisconnectPlanner { .. })));
         assert!(forwarder.hosts.is_empty());
         // As many as there may be at once, and one more.
         let mut writer = Writer::default();
         writer.greet(&Welcome::Session(5));
-        let mut forwarder = Forwarder { lines: Vec::new(), ..forwarder };
-        let at = PlannerAt { name: "p".into(), address: ([127, 0, 0, 1], 1).into() };
+        let mut forwarder = Forwarder {
+            lines: Vec::new(),
+            ..forwarder
+        };
+        let at = PlannerAddress {
+            name: "p".into(),
+            address: ([127, 0, 0, 1], 1).into(),
+        };
         forwarder.planners(SECOND, vec![at], &mut deeds);
         deeds.clear();
         forwarder.tick(SECOND, &mut deeds);
         for id in 0..=MOST_HOSTS as u64 {
-            let line =
-                HostLine { id, name: "x".into(), address: None, stands: Stands::Ready, as_of: 1 << 40 };
-            writer.put(5, 0, &Down::Host(line));
+            let line = HostEntry {
+                id,
+                name: "x".into(),
+                address: None,
+                stands: WireHostState::Ready,
+                as_of: 1 << 40,
+            };
+            writer.put(5, 0, &PlannerMessage::Host(line));
         }
         writer.seal();
         forwarder.came(SECOND, 2, writer.waiting(), &mut deeds);
-        assert!(deeds.iter().any(|deed| matches!(deed, Deed::Hang { line: 2 })));
+        assert!(deeds
+            .iter()
+            .any(|deed| matches!(deed, ForwarderAction::DisconnectPlanner { line: 2 })));
     }
 }
--- a/link/src/planner.rs
+++ b/control-plane/src/planner.rs
@@ -5,15 +5,16 @@
 //! keep more for a forwarder than its bounds.
 
 use crate::frames::{
-    self, Asked, Down, Fault, Hello, HostLine, Past, Reader, Stands, Tally, Up, Welcome, Writer,
+    self, ForwarderMessage, Hello, HostEntry, LinkError, PlacementRequest, PlannerMessage,
+    PriorAttempts, Reader, Tally, Welcome, WireHostState, Writer,
 };
 use crate::frames::{LONGEST_NAME, MOST_NAMED};
 use crate::plan::Shares;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use reedferry::{
-    Action, AttachmentId, Balancer, Charter, Ending, Event, HostId, Listing, Nanos, RollKind, Standing,
-    MILLI, SECOND,
+    Action, AttemptOutcome, Balancer, BalancerSettings, Endpoint, EndpointUpdate, Event, HostId,
+    HostState, Nanos, RequestId, MILLI, SECOND,
 };
 use rustc_hash::FxHashMap;
 use slab::Slab;
@@ -42,9 +43,9 @@
 
 /// What a planner is given.
 #[derive(Clone, Debug)]
-pub struct Remit {
+pub struct PlannerConfig {
     pub name: String,
-    pub charter: Charter,
+    pub balancer_settings: BalancerSettings,
     pub zones: u16,
     /// Its place among the planners that the operator names, and how many those are.
     pub place: u32,
@@ -60,20 +61,20 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum PlannerAction {
     /// Has `timer` called for the zone at this time.
-    Wake {
+    SetTimer {
         time: Nanos,
         zone: u16,
         mark: u64,
     },
-    AskRoll,
-    FollowRoll,
+    PollEndpoints,
+    WatchEndpoints,
     Probe {
         host: HostId,
     },
     /// Ends a forwarder's connection once what waits for it is sent.
-    Cut {
+    Disconnect {
         line: u32,
     },
     Log(String),
@@ -89,7 +90,7 @@
     reader: Reader,
     writer: Writer,
     tally: Tally,
-    inbox: Vec<Up>,
+    inbox: Vec<ForwarderMessage>,
     /// The last beat read, the last that was decided under, and the last that was answered.
     beat: u64,
     heard: u64,
@@ -123,8 +124,8 @@
 }
 
 struct Known {
-    line: HostLine,
-    listing: Listing,
+    line: HostEntry,
+    listing: Endpoint,
     change: u64,
 }
 
@@ -140,11 +141,11 @@
     /// What has gathered towards the next hand-off to a cold host.
     thinned: f64,
     /// What came while something else was still told: the record and its round.
-    waiting: VecDeque<(u32, u32, Asked, Past, Nanos)>,
+    waiting: VecDeque<(u32, u32, PlacementRequest, PriorAttempts, Nanos)>,
 }
 
 pub struct Planner {
-    remit: Remit,
+    remit: PlannerConfig,
     rng: ChaCha8Rng,
     start: Nanos,
     zones: Vec<Zone>,
@@ -164,22 +165,22 @@
 }
 
 impl Planner {
-    pub fn new(remit: Remit, seed: u64, now: Nanos, out: &mut Vec<Order>) -> Self {
+    pub fn new(remit: PlannerConfig, seed: u64, now: Nanos, out: &mut Vec<PlannerAction>) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let zones = u32::from(remit.zones.max(1));
         let all = 0..zones;
         let zones = all.map(|zone| {
-            let charter = Charter {
-                node: remit.place * zones + zone,
-                nodes: remit.planners.max(1) * zones,
+            let balancer_settings = BalancerSettings {
+                node_index: remit.place * zones + zone,
+                node_count: remit.planners.max(1) * zones,
                 zone: zone as u16,
                 // Guards: the hosts that a node among many leaves to the others, left idle by all of a few.
-                gathers: true,
-                tip_multiple: remit.charter.tip_multiple * LATE_ORDERS,
-                ..remit.charter.clone()
+                centralized: true,
+                overload_factor: remit.balancer_settings.overload_factor * LATE_ORDERS,
+                ..remit.balancer_settings.clone()
             };
             let mut actions = Vec::new();
-            let module = Balancer::new(charter, rng.random(), now, &mut actions);
+            let module = Balancer::new(balancer_settings, rng.random(), now, &mut actions);
             let (shares, weights, waiting) = (Shares::default(), Vec::new(), VecDeque::new());
             Zone {
                 module,
@@ -231,10 +232,12 @@
     }
 
     /// A connection has come in.
-    pub fn accept(&mut self, now: Nanos, line: u32, out: &mut Vec<Order>) {
+    pub fn accept(&mut self, now: Nanos, line: u32, out: &mut Vec<PlannerAction>) {
         if self.sessions.len() >= MOST_SESSIONS {
-            out.push(Order::Log("forwarder turned away why=too many sessions".into()));
-            return out.push(Order::Cut { line });
+            out.push(PlannerAction::Log(
+                "forwarder turned away why=too many sessions".into(),
+            ));
+            return out.push(PlannerAction::Disconnect { line });
         }
         let key = self.sessions.insert(Session {
             line,
@@ -263,14 +266,16 @@
     }
 
     /// The connection has ended.
-    pub fn lost(&mut self, line: u32, why: &str, out: &mut Vec<Order>) {
+    pub fn lost(&mut self, line: u32, why: &str, out: &mut Vec<PlannerAction>) {
         if let Some(key) = self.lines.get(&line).copied() {
             self.end(key, why, out);
         }
     }
 
     pub fn outgoing(&self, line: u32) -> &[u8] {
-        self.lines.get(&line).map_or(&[], |&key| self.sessions[key].writer.waiting())
+        self.lines
+            .get(&line)
+            .map_or(&[], |&key| self.sessions[key].writer.waiting())
     }
 
     pub fn sent(&mut self, line: u32, count: usize) {
@@ -280,8 +285,10 @@
     }
 
     /// Bytes of a forwarder: kept for `decide`, once they are found to be in order.
-    pub fn came(&mut self, now: Nanos, line: u32, bytes: &[u8], out: &mut Vec<Order>) {
-        let Some(&key) = self.lines.get(&line) else { return };
+    pub fn came(&mut self, now: Nanos, line: u32, bytes: &[u8], out: &mut Vec<PlannerAction>) {
+        let Some(&key) = self.lines.get(&line) else {
+            return;
+        };
         if self.sessions[key].cut {
             return;
         }
@@ -292,19 +299,26 @@
         }
     }
 
-    fn body(&mut self, key: usize, body: &[u8], out: &mut Vec<Order>) -> Result<(), Fault> {
-        let Some(number) = self.sessions[key].number else { return self.greeted(key, body, out) };
+    fn body(
+        &mut self,
+        key: usize,
+        body: &[u8],
+        out: &mut Vec<PlannerAction>,
+    ) -> Result<(), LinkError> {
+        let Some(number) = self.sessions[key].number else {
+            return self.greeted(key, body, out);
+        };
         let session = &mut self.sessions[key];
         let (head, mut notes) = frames::piece(body)?;
         session.tally.take(&head, number)?;
         if head.beat < session.beat {
-            return Err(Fault::Unexpected("a beat that runs backwards"));
+            return Err(LinkError::Unexpected("a beat that runs backwards"));
         }
         session.beat = head.beat;
         while let Some(note) = notes.take()? {
-            if let Up::Ask { past, .. } = &note {
+            if let ForwarderMessage::RequestPlacement { past, .. } = &note {
                 if past.tried.len() > MOST_NAMED {
-                    return Err(Fault::Unexpected("a history without end"));
+                    return Err(LinkError::Unexpected("a history without end"));
                 }
             }
             session.inbox.push(note);
@@ -312,11 +326,18 @@
         Ok(())
     }
 
-    fn greeted(&mut self, key: usize, body: &[u8], out: &mut Vec<Order>) -> Result<(), Fault> {
+    fn greeted(
+        &mut self,
+        key: usize,
+        body: &[u8],
+        out: &mut Vec<PlannerAction>,
+    ) -> Result<(), LinkError> {
         let hello: Hello = frames::greeting(body)?;
         let named = |name: &str| !name.is_empty() && name.len() <= LONGEST_NAME;
-        let other =
-            self.sessions.iter().find(|(n, s)| *n != key && s.number.is_some() && s.name == hello.name);
+        let other = self
+            .sessions
+            .iter()
+            .find(|(n, s)| *n != key && s.number.is_some() && s.name == hello.name);
         let other = other.map(|(n, s)| (n, s.epoch));
         let refused = if !named(&hello.name) {
             Some("no proper name")
@@ -334,7 +355,7 @@
         let session = &mut self.sessions[key];
         if let Some(why) = refused {
             session.writer.greet(&Welcome::Refused(why.into()));
-            return Err(Fault::Unexpected(why));
+            return Err(LinkError::Unexpected(why));
         }
         // A number that a peer of before, or another's peer, does not know.
         let number = self.rng.random::<u64>().max(1);
@@ -342,11 +363,13 @@
         (session.number, session.name, session.epoch) = (Some(number), hello.name, hello.epoch);
         session.zone = hello.zone;
         if self.going {
-            session.writer.put(number, 0, &Down::Going);
+            session.writer.put(number, 0, &PlannerMessage::ShuttingDown);
             session.writer.seal();
         }
         let (name, zone) = (&session.name, session.zone);
-        out.push(Order::Log(format!("forwarder came name={name} zone={zone}")));
+        out.push(PlannerAction::Log(format!(
+            "forwarder came name={name} zone={zone}"
+        )));
         if let Some((older, _)) = other {
             // Guards: a forwarder that is back from a cut link, kept out by what is left of itself.
             self.cut(older, "it came again", out);
@@ -354,7 +377,7 @@
         Ok(())
     }
 
-    fn cut(&mut self, key: usize, why: &str, out: &mut Vec<Order>) {
+    fn cut(&mut self, key: usize, why: &str, out: &mut Vec<PlannerAction>) {
         let session = &mut self.sessions[key];
         if session.cut {
             return;
@@ -362,26 +385,30 @@
         session.cut = true;
         let line = session.line;
         if session.number.is_none() {
-            out.push(Order::Log(format!("forwarder turned away why={why}")));
+            out.push(PlannerAction::Log(format!(
+                "forwarder turned away why={why}"
+            )));
         }
-        out.push(Order::Cut { line });
+        out.push(PlannerAction::Disconnect { line });
         self.release(key, why, out);
     }
 
-    fn end(&mut self, key: usize, why: &str, out: &mut Vec<Order>) {
+    fn end(&mut self, key: usize, why: &str, out: &mut Vec<PlannerAction>) {
         self.release(key, why, out);
         let session = self.sessions.remove(key);
         self.lines.remove(&session.line);
     }
 
     /// Takes a session's attachments off the module, and its number with them.
-    fn release(&mut self, key: usize, why: &str, out: &mut Vec<Order>) {
+    fn release(&mut self, key: usize, why: &str, out: &mut Vec<PlannerAction>) {
         self.unfollow(key);
         let session = &mut self.sessions[key];
         session.inbox.clear();
         if session.number.take().is_some() {
             let name = &session.name;
-            out.push(Order::Log(format!("forwarder gone name={name} why={why}")));
+            out.push(PlannerAction::Log(format!(
+                "forwarder gone name={name} why={why}"
+            )));
         }
     }
 
@@ -392,10 +419,14 @@
         if std::mem::take(&mut session.follows) {
             self.zones[zone].followers -= 1;
         }
-        let mut ids: Vec<u32> = std::mem::take(&mut self.sessions[key].ids).into_values().collect();
+        let mut ids: Vec<u32> = std::mem::take(&mut self.sessions[key].ids)
+            .into_values()
+            .collect();
         ids.sort_unstable();
         for record in ids {
-            let Some(held) = self.held.get_mut(record as usize) else { continue };
+            let Some(held) = self.held.get_mut(record as usize) else {
+                continue;
+            };
             if held.waits {
                 self.held.remove(record as usize);
                 continue;
@@ -408,18 +439,32 @@
     }
 
     /// Takes a portion of the records that no session has any more off the module.
-    fn part(&mut self, now: Nanos, out: &mut Vec<Order>) {
+    fn part(&mut self, now: Nanos, out: &mut Vec<PlannerAction>) {
         for _ in 0..PORTION {
-            let Some((record, round)) = self.parting.pop_front() else { return };
-            if self.held.get(record as usize).is_some_and(|h| h.round == round) {
-                self.forget(now, record, Ending::NeverSent, out);
+            let Some((record, round)) = self.parting.pop_front() else {
+                return;
+            };
+            if self
+                .held
+                .get(record as usize)
+                .is_some_and(|h| h.round == round)
+            {
+                self.forget(now, record, AttemptOutcome::NeverSent, out);
             }
         }
     }
 
     /// The one place where a record is given back; the module is told where it still has it.
-    fn forget(&mut self, now: Nanos, record: u32, ending: Ending, out: &mut Vec<Order>) {
-        let Some(held) = self.held.try_remove(record as usize) else { return };
+    fn forget(
+        &mut self,
+        now: Nanos,
+        record: u32,
+        ending: AttemptOutcome,
+        out: &mut Vec<PlannerAction>,
+    ) {
+        let Some(held) = self.held.try_remove(record as usize) else {
+            return;
+        };
         if let Some(session) = self.sessions.get_mut(held.session as usize) {
             session.ids.remove(&held.id);
         }
@@ -428,8 +473,15 @@
         }
         let (id, zone) = (name(record, held.round), usize::from(held.zone));
         let event = match held.at {
-            Some(host) => Event::Ended { id, hand_off: 0, host, over: true, ending, gauges: Vec::new() },
-            None => Event::Left { id },
+            Some(host) => Event::AttemptEnded {
+                id,
+                attempt: 0,
+                host,
+                request_over: true,
+                ending,
+                load_metrics: Vec::new(),
+            },
+            None => Event::ClientLeft { id },
         };
         self.tell(now, zone, event, out);
     }
@@ -438,42 +490,73 @@
     pub fn roll(
         &mut self,
         now: Nanos,
-        kind: RollKind,
-        hosts: Vec<Listing>,
-        lines: Vec<HostLine>,
-        out: &mut Vec<Order>,
+        kind: EndpointUpdate,
+        hosts: Vec<Endpoint>,
+        lines: Vec<HostEntry>,
+        out: &mut Vec<PlannerAction>,
     ) {
-        let listings: HashMap<HostId, Listing> = hosts.iter().map(|l| (l.id, *l)).collect();
+        let listings: HashMap<HostId, Endpoint> = hosts.iter().map(|l| (l.id, *l)).collect();
         for line in lines {
             let id = HostId(line.id);
-            let Some(listing) = listings.get(&id).copied() else { continue };
+            let Some(listing) = listings.get(&id).copied() else {
+                continue;
+            };
             self.as_of = self.as_of.max(line.as_of);
             self.changed(id, line, listing);
         }
-        if matches!(kind, RollKind::Full | RollKind::Cached) {
-            let gone =
-                |k: &&Known| !listings.contains_key(&k.listing.id) && k.listing.standing != Standing::Gone;
-            let mut gone: Vec<(HostLine, Listing)> =
-                self.hosts.values().filter(gone).map(|k| (k.line.clone(), k.listing)).collect();
+        if matches!(kind, EndpointUpdate::Full | EndpointUpdate::Cached) {
+            let gone = |k: &&Known| {
+                !listings.contains_key(&k.listing.id) && k.listing.state != HostState::Gone
+            };
+            let mut gone: Vec<(HostEntry, Endpoint)> = self
+                .hosts
+                .values()
+                .filter(gone)
+                .map(|k| (k.line.clone(), k.listing))
+                .collect();
             gone.sort_by_key(|(line, _)| line.id);
             for (line, listing) in gone {
-                let line = HostLine { stands: Stands::Gone, as_of: self.as_of, ..line };
-                self.changed(listing.id, line, Listing { standing: Standing::Gone, ..listing });
+                let line = HostEntry {
+                    stands: WireHostState::Gone,
+                    as_of: self.as_of,
+                    ..line
+                };
+                self.changed(
+                    listing.id,
+                    line,
+                    Endpoint {
+                        state: HostState::Gone,
+                        ..listing
+                    },
+                );
             }
         }
         self.bury();
         for zone in 0..self.zones.len() {
             self.zones[zone].weighed = 0;
-            self.tell(now, zone, Event::Roll { kind, hosts: hosts.clone() }, out);
+            self.tell(
+                now,
+                zone,
+                Event::EndpointsUpdated {
+                    kind,
+                    endpoints: hosts.clone(),
+                },
+                out,
+            );
         }
     }
 
     /// Forgets hosts that are gone once all forwarders have been told. Guards: a table that grows with every
     /// host that there ever was.
     fn bury(&mut self) {
-        let told = self.sessions.iter().filter(|(_, s)| s.number.is_some()).map(|(_, s)| s.told).min();
+        let told = self
+            .sessions
+            .iter()
+            .filter(|(_, s)| s.number.is_some())
+            .map(|(_, s)| s.told)
+            .min();
         let told = told.unwrap_or(self.change);
-        let gone = |k: &Known| k.listing.standing == Standing::Gone && k.change <= told;
+        let gone = |k: &Known| k.listing.state == HostState::Gone && k.change <= told;
         let changes = &mut self.changes;
         self.hosts.retain(|_, known| {
             let goes = gone(known);
@@ -484,9 +567,16 @@
         });
     }
 
-    fn changed(&mut self, id: HostId, line: HostLine, listing: Listing) {
+    fn changed(&mut self, id: HostId, line: HostEntry, listing: Endpoint) {
         self.change += 1;
-        let (change, known) = (self.change, Known { line, listing, change: self.change });
+        let (change, known) = (
+            self.change,
+            Known {
+                line,
+                listing,
+                change: self.change,
+            },
+        );
         if let Some(old) = self.hosts.insert(id, known) {
             self.changes.remove(&old.change);
         }
@@ -494,74 +584,101 @@
     }
 
     /// A probe has come back.
-    pub fn probed(&mut self, now: Nanos, event: &Event, out: &mut Vec<Order>) {
+    pub fn probed(&mut self, now: Nanos, event: &Event, out: &mut Vec<PlannerAction>) {
         (0..self.zones.len()).for_each(|zone| self.tell(now, zone, event.clone(), out));
     }
 
-    pub fn timer(&mut self, now: Nanos, zone: u16, mark: u64, out: &mut Vec<Order>) {
+    pub fn timer(&mut self, now: Nanos, zone: u16, mark: u64, out: &mut Vec<PlannerAction>) {
         if usize::from(zone) < self.zones.len() {
-            self.tell(now, zone.into(), Event::Timer { mark }, out);
+            self.tell(now, zone.into(), Event::TimerFired { timer: mark }, out);
         }
     }
 
     /// The planner is asked to stop: forwarders are told to follow another.
-    pub fn leave(&mut self, out: &mut Vec<Order>) {
+    pub fn leave(&mut self, out: &mut Vec<PlannerAction>) {
         self.going = true;
-        out.push(Order::Log(format!("leaving followers={} held={}", self.followers(), self.held.len())));
+        out.push(PlannerAction::Log(format!(
+            "leaving followers={} held={}",
+            self.followers(),
+            self.held.len()
+        )));
         for (_, session) in &mut self.sessions {
             if let Some(number) = session.number {
-                session.writer.put(number, session.heard, &Down::Going);
+                session
+                    .writer
+                    .put(number, session.heard, &PlannerMessage::ShuttingDown);
                 session.writer.seal();
             }
         }
     }
 
-    fn tell(&mut self, now: Nanos, zone: usize, event: Event, out: &mut Vec<Order>) {
+    fn tell(&mut self, now: Nanos, zone: usize, event: Event, out: &mut Vec<PlannerAction>) {
         let it = &mut self.zones[zone];
         it.module.handle(now, event, &mut it.actions);
         self.carry_out(now, zone, out);
     }
 
     /// Carries out what a zone's module ordered.
-    fn carry_out(&mut self, now: Nanos, zone: usize, out: &mut Vec<Order>) {
+    fn carry_out(&mut self, now: Nanos, zone: usize, out: &mut Vec<PlannerAction>) {
         while !self.zones[zone].actions.is_empty() {
             for action in std::mem::take(&mut self.zones[zone].actions) {
                 match action {
                     // A forwarder is told one time: nothing of it is out after either.
-                    Action::HandOff { id, host, until, by } => {
-                        self.hand_off(now, zone, id, host, until.min(by));
+                    Action::StartAttempt {
+                        id,
+                        host,
+                        until,
+                        by,
+                    } => {
+                        self.attempt(now, zone, id, host, until.min(by));
                     }
-                    Action::Dismiss { id, wait } => {
-                        self.answer(id, |id, step| Down::Dismiss { id, step, wait });
+                    Action::Reject {
+                        id,
+                        retry_after: wait,
+                    } => {
+                        self.answer(id, |id, step| PlannerMessage::Reject { id, step, wait });
                     }
-                    Action::GiveUp { id } => self.answer(id, |id, step| Down::GiveUp { id, step }),
-                    Action::Move { id } => {
+                    Action::Fail { id } => {
+                        self.answer(id, |id, step| PlannerMessage::Fail { id, step });
+                    }
+                    Action::Migrate { id } => {
                         if let Some((session, held)) = self.find(id) {
-                            let note = Down::Move { id: held };
+                            let note = PlannerMessage::Migrate { id: held };
                             self.put(session, &note);
                         }
                     }
                     // The forwarder does the one when the client leaves, whoever it follows; a planner
                     // hears all that its forwarders know and has no peers to tell.
-                    Action::CallOff { .. } | Action::Tell { .. } => {}
-                    Action::WakeAt { time, mark } => out.push(Order::Wake { time, zone: zone as u16, mark }),
-                    Action::AskRoll => out.push(Order::AskRoll),
-                    Action::FollowRoll => out.push(Order::FollowRoll),
-                    Action::Probe { host } => out.push(Order::Probe { host }),
-                    Action::Log(text) => out.push(Order::Log(format!("{text} zone={zone}"))),
+                    Action::CancelAttempt { .. } | Action::Gossip { .. } => {}
+                    Action::SetTimer { time, timer: mark } => out.push(PlannerAction::SetTimer {
+                        time,
+                        zone: zone as u16,
+                        mark,
+                    }),
+                    Action::PollEndpoints => out.push(PlannerAction::PollEndpoints),
+                    Action::WatchEndpoints => out.push(PlannerAction::WatchEndpoints),
+                    Action::Probe { host } => out.push(PlannerAction::Probe { host }),
+                    Action::Log(text) => {
+                        out.push(PlannerAction::Log(format!("{text} zone={zone}")));
+                    }
                 }
             }
         }
     }
 
     /// The session that holds it and its name there.
-    fn find(&self, id: AttachmentId) -> Option<(usize, u64)> {
-        let held = self.held.get(id.0 as u32 as usize).filter(|h| u64::from(h.round) == id.0 >> 32)?;
+    fn find(&self, id: RequestId) -> Option<(usize, u64)> {
+        let held = self
+            .held
+            .get(id.0 as u32 as usize)
+            .filter(|h| u64::from(h.round) == id.0 >> 32)?;
         Some((held.session as usize, held.id))
     }
 
-    fn put(&mut self, session: usize, note: &Down) {
-        let Some(session) = self.sessions.get_mut(session) else { return };
+    fn put(&mut self, session: usize, note: &PlannerMessage) {
+        let Some(session) = self.sessions.get_mut(session) else {
+            return;
+        };
         if let Some(number) = session.number {
             session.writer.put(number, session.heard, note);
         }
@@ -569,18 +686,27 @@
 
     fn cold(&self, now: Nanos, host: HostId) -> bool {
         let started = self.hosts.get(&host).and_then(|k| k.listing.started);
-        started.is_some_and(|t| now < t.saturating_add(self.remit.charter.cold))
+        started.is_some_and(|t| now < t.saturating_add(self.remit.balancer_settings.warm_up))
     }
 
-    fn hand_off(&mut self, now: Nanos, zone: usize, id: AttachmentId, host: HostId, until: Nanos) {
-        let Some((key, theirs)) = self.find(id) else { return };
+    fn attempt(&mut self, now: Nanos, zone: usize, id: RequestId, host: HostId, until: Nanos) {
+        let Some((key, theirs)) = self.find(id) else {
+            return;
+        };
         let cold = self.cold(now, host);
         // Guards: the budget of a cold host spent twice, by a planner that died and again by its successor,
         // which remembers nothing of it: it leaves such hosts alone for as long as the budget is counted.
-        let closed = now < self.start + self.remit.charter.tip_after;
+        let closed = now < self.start + self.remit.balancer_settings.overload_window;
         if cold && (closed || !self.thin(zone)) {
-            let (ending, gauges) = (Ending::NeverSent, Vec::new());
-            let event = Event::Ended { id, hand_off: 0, host, over: false, ending, gauges };
+            let (ending, load_metrics) = (AttemptOutcome::NeverSent, Vec::new());
+            let event = Event::AttemptEnded {
+                id,
+                attempt: 0,
+                host,
+                request_over: false,
+                ending,
+                load_metrics,
+            };
             let it = &mut self.zones[zone];
             return it.module.handle(now, event, &mut it.actions);
         }
@@ -592,20 +718,36 @@
         let step = record.step;
         // Guards: an order for a host that its forwarder has not been told of yet.
         if let Some(known) = self.hosts.get(&host) {
-            if self.sessions.get(key).is_some_and(|s| known.change > s.told) {
-                let note = Down::Host(known.line.clone());
+            if self
+                .sessions
+                .get(key)
+                .is_some_and(|s| known.change > s.told)
+            {
+                let note = PlannerMessage::Host(known.line.clone());
                 self.put(key, &note);
             }
         }
         let within = until.saturating_sub(now);
-        self.put(key, &Down::HandOff { id: theirs, step, host: host.0, within });
+        self.put(
+            key,
+            &PlannerMessage::StartAttempt {
+                id: theirs,
+                step,
+                host: host.0,
+                within,
+            },
+        );
     }
 
     /// Whether a hand-off to a cold host that the zone's module orders may go. The module takes what it holds
     /// for the part of one of as many planners; where more forwarders follow this one, as many fewer go.
     /// Guards: a cold host pushed over when planners are gone or forwarders gather at one.
     fn thin(&mut self, zone: usize) -> bool {
-        let all = self.sessions.iter().filter(|(_, s)| s.number.is_some()).count();
+        let all = self
+            .sessions
+            .iter()
+            .filter(|(_, s)| s.number.is_some())
+            .count();
         let parts = self.remit.planners.max(1) as usize * self.zones.len();
         let zone = &mut self.zones[zone];
         zone.thinned += (all as f64 / (zone.followers as f64 * parts as f64).max(1.0)).min(1.0);
@@ -614,8 +756,10 @@
         goes
     }
 
-    fn answer(&mut self, id: AttachmentId, note: impl FnOnce(u64, u32) -> Down) {
-        let Some((session, theirs)) = self.find(id) else { return };
+    fn answer(&mut self, id: RequestId, note: impl FnOnce(u64, u32) -> PlannerMessage) {
+        let Some((session, theirs)) = self.find(id) else {
+            return;
+        };
         let held = self.held.remove(id.0 as u32 as usize);
         self.put(session, &note(theirs, held.step));
         if let Some(session) = self.sessions.get_mut(session) {
@@ -625,7 +769,7 @@
 
     /// Decides what has come since the last turn, and seals what is to be sent. To be called once a turn,
     /// after discovery was read.
-    pub fn decide(&mut self, now: Nanos, out: &mut Vec<Order>) {
+    pub fn decide(&mut self, now: Nanos, out: &mut Vec<PlannerAction>) {
         let keys: Vec<usize> = self.sessions.iter().map(|(key, _)| key).collect();
         for &key in &keys {
             let session = &mut self.sessions[key];
@@ -650,7 +794,7 @@
     }
 
     /// A session's part of a turn's end: the hosts, a plan, the answer to its beat.
-    fn finish(&mut self, now: Nanos, key: usize, out: &mut Vec<Order>) {
+    fn finish(&mut self, now: Nanos, key: usize, out: &mut Vec<PlannerAction>) {
         let session = &mut self.sessions[key];
         if session.cut {
             return;
@@ -674,26 +818,41 @@
             }
             session.told = change;
             let line = &self.hosts[id].line;
-            session.writer.put(number, session.heard, &Down::Host(line.clone()));
+            session
+                .writer
+                .put(number, session.heard, &PlannerMessage::Host(line.clone()));
         }
         if !session.listed && session.told == self.change && self.change > 0 {
             session.listed = true;
-            session.writer.put(number, session.heard, &Down::Listed { as_of: self.as_of });
+            session.writer.put(
+                number,
+                session.heard,
+                &PlannerMessage::HostsComplete { as_of: self.as_of },
+            );
         }
         let zone = &mut self.zones[usize::from(session.zone)];
         if session.follows && (now >= session.planned + PLANS || zone.weighed == 0) {
             if now >= zone.weighed + PLANS || zone.weighed == 0 {
-                let (hosts, cold) = (&self.hosts, self.remit.charter.cold);
-                let warm = |k: &Known| k.listing.started.is_none_or(|t| now >= t.saturating_add(cold));
-                let ready = |k: &&Known| k.listing.standing == Standing::Ready && warm(k);
-                zone.weights = zone.shares.weights(now, |id| hosts.get(&id).filter(ready).is_some());
+                let (hosts, cold) = (&self.hosts, self.remit.balancer_settings.warm_up);
+                let warm = |k: &Known| {
+                    k.listing
+                        .started
+                        .is_none_or(|t| now >= t.saturating_add(cold))
+                };
+                let ready = |k: &&Known| k.listing.state == HostState::Ready && warm(k);
+                zone.weights = zone
+                    .shares
+                    .weights(now, |id| hosts.get(&id).filter(ready).is_some());
                 zone.weighed = now;
             }
             let past = (now - session.planned.min(now)) as f64 / SECOND as f64;
             let allowance = (session.asks / 2.0).clamp(ALLOWED.0, ALLOWED.1) as u32;
             session.asks *= 0.5f64.powf(past.min(10.0));
             session.planned = now;
-            let plan = Down::Plan { hosts: zone.weights.clone(), allowance };
+            let plan = PlannerMessage::Plan {
+                hosts: zone.weights.clone(),
+                allowance,
+            };
             session.writer.put(number, session.heard, &plan);
         }
         if session.answered < session.heard {
@@ -708,29 +867,51 @@
     }
 
     /// Opens a record for an attachment; none where its forwarder has too many.
-    fn open(&mut self, key: usize, id: u64, step: u32, at: Option<HostId>) -> Result<Option<u32>, Fault> {
+    fn open(
+        &mut self,
+        key: usize,
+        id: u64,
+        step: u32,
+        at: Option<HostId>,
+    ) -> Result<Option<u32>, LinkError> {
         let session = &mut self.sessions[key];
         if !session.follows {
-            return Err(Fault::Unexpected("an attachment of one that does not follow"));
+            return Err(LinkError::Unexpected(
+                "an attachment of one that does not follow",
+            ));
         }
         if session.ids.contains_key(&id) {
-            return Err(Fault::Unexpected("an attachment told twice"));
+            return Err(LinkError::Unexpected("an attachment told twice"));
         }
         if session.ids.len() >= self.remit.most_held {
             return Ok(None);
         }
         self.rounds = self.rounds.wrapping_add(1);
         let (zone, round) = (session.zone, self.rounds);
-        let held = Held { session: key as u32, zone, id, step, round, at, waits: false };
+        let held = Held {
+            session: key as u32,
+            zone,
+            id,
+            step,
+            round,
+            at,
+            waits: false,
+        };
         let record = self.held.insert(held) as u32;
         self.sessions[key].ids.insert(id, record);
         Ok(Some(record))
     }
 
-    fn note(&mut self, now: Nanos, key: usize, note: Up, out: &mut Vec<Order>) -> Result<(), Fault> {
+    fn note(
+        &mut self,
+        now: Nanos,
+        key: usize,
+        note: ForwarderMessage,
+        out: &mut Vec<PlannerAction>,
+    ) -> Result<(), LinkError> {
         let zone = usize::from(self.sessions[key].zone);
         match note {
-            Up::Follow { standing } => {
+            ForwarderMessage::Follow { standing } => {
                 self.unfollow(key);
                 let session = &mut self.sessions[key];
                 (session.follows, session.telling) = (true, Some(now + TELLING));
@@ -739,116 +920,173 @@
                 }
                 self.zones[zone].followers += 1;
                 let name = &self.sessions[key].name;
-                out.push(Order::Log(format!("followed by name={name} standing={standing}")));
+                out.push(PlannerAction::Log(format!(
+                    "followed by name={name} standing={standing}"
+                )));
             }
-            Up::Told => self.sessions[key].telling = None,
-            Up::Unfollow => {
+            ForwarderMessage::StateSyncComplete => self.sessions[key].telling = None,
+            ForwarderMessage::Unfollow => {
                 let (name, held) = (&self.sessions[key].name, self.sessions[key].ids.len());
-                out.push(Order::Log(format!("followed no more by name={name} held={held}")));
+                out.push(PlannerAction::Log(format!(
+                    "followed no more by name={name} held={held}"
+                )));
                 self.unfollow(key);
             }
-            Up::Stands { id, asked, host } => {
+            ForwarderMessage::OpenConnection { id, asked, host } => {
                 let host = HostId(host);
                 if let Some(record) = self.open(key, id, 0, Some(host))? {
-                    let arrival = self.arrival(record, &asked)?;
-                    self.tell(now, zone, Event::Standing(arrival, host), out);
+                    let incoming = self.incoming(record, &asked)?;
+                    self.tell(now, zone, Event::ConnectionFound(incoming, host), out);
                 }
             }
-            Up::Ask { id, step, asked, past } => {
+            ForwarderMessage::RequestPlacement {
+                id,
+                step,
+                asked,
+                past,
+            } => {
                 let Some(record) = self.open(key, id, step, None)? else {
-                    let wait = self.remit.charter.longest_advice;
-                    self.put(key, &Down::Dismiss { id, step, wait });
+                    let wait = self.remit.balancer_settings.max_retry_after;
+                    self.put(key, &PlannerMessage::Reject { id, step, wait });
                     return Ok(());
                 };
-                self.arrival(record, &asked)?;
+                self.incoming(record, &asked)?;
                 self.sessions[key].asks += 1.0;
                 self.decided += 1;
                 let held = &mut self.held[record as usize];
                 held.waits = true;
                 let round = held.round;
-                self.zones[zone].waiting.push_back((record, round, asked, past, now));
+                self.zones[zone]
+                    .waiting
+                    .push_back((record, round, asked, past, now));
             }
-            Up::Begun { id, took } => {
+            ForwarderMessage::ConnectionEstablished { id, took } => {
                 if let Some(record) = self.record(key, id) {
                     let id = name(record, self.held[record as usize].round);
-                    self.tell(now, zone, Event::Begun { id, took }, out);
+                    self.tell(now, zone, Event::ConnectionEstablished { id, took }, out);
                 }
             }
-            Up::Ended { id, step, came, over } => {
-                let Some(record) = self.record(key, id) else { return Ok(()) };
+            ForwarderMessage::AttemptEnded {
+                id,
+                step,
+                came,
+                over,
+            } => {
+                let Some(record) = self.record(key, id) else {
+                    return Ok(());
+                };
                 if over {
                     self.forget(now, record, came.into(), out);
                     return Ok(());
                 }
                 let held = &mut self.held[record as usize];
                 held.step = step;
-                let Some(host) = held.at.take() else { return Ok(()) };
+                let Some(host) = held.at.take() else {
+                    return Ok(());
+                };
                 let id = name(record, held.round);
-                let (ending, gauges) = (came.into(), Vec::new());
-                let event = Event::Ended { id, hand_off: 0, host, over, ending, gauges };
+                let (ending, load_metrics) = (came.into(), Vec::new());
+                let event = Event::AttemptEnded {
+                    id,
+                    attempt: 0,
+                    host,
+                    request_over: over,
+                    ending,
+                    load_metrics,
+                };
                 self.tell(now, zone, event, out);
             }
-            Up::LoadNow { id, load } => {
-                let Some(record) = self.record(key, id) else { return Ok(()) };
+            ForwarderMessage::LoadMeasured { id, load } => {
+                let Some(record) = self.record(key, id) else {
+                    return Ok(());
+                };
                 if !(load.is_finite() && (0.0..1e9).contains(&load)) {
-                    return Err(Fault::Unexpected("a load that is no figure"));
+                    return Err(LinkError::Unexpected("a load that is no figure"));
                 }
                 let id = name(record, self.held[record as usize].round);
-                self.tell(now, zone, Event::LoadNow { id, load }, out);
+                self.tell(now, zone, Event::LoadMeasured { id, load }, out);
             }
-            Up::MessageTime { host, time } => {
+            ForwarderMessage::MessageLatency { host, time } => {
                 let time = time.min(60 * SECOND);
-                self.tell(now, zone, Event::MessageTime { host: HostId(host), time }, out);
+                self.tell(
+                    now,
+                    zone,
+                    Event::MessageLatency {
+                        host: HostId(host),
+                        latency: time,
+                    },
+                    out,
+                );
             }
-            Up::Left { id } => {
-                let Some(record) = self.record(key, id) else { return Ok(()) };
+            ForwarderMessage::ClientLeft { id } => {
+                let Some(record) = self.record(key, id) else {
+                    return Ok(());
+                };
                 let held = &self.held[record as usize];
                 if held.at.is_none() {
-                    self.forget(now, record, Ending::NeverSent, out);
+                    self.forget(now, record, AttemptOutcome::NeverSent, out);
                 } else {
                     let id = name(record, held.round);
-                    self.tell(now, zone, Event::Left { id }, out);
+                    self.tell(now, zone, Event::ClientLeft { id }, out);
                 }
             }
-            Up::Gone { id } => {
+            ForwarderMessage::RequestClosed { id } => {
                 if let Some(record) = self.record(key, id) {
-                    self.forget(now, record, Ending::NeverSent, out);
+                    self.forget(now, record, AttemptOutcome::NeverSent, out);
                 }
             }
         }
         Ok(())
     }
 
-    fn arrival(&self, record: u32, asked: &Asked) -> Result<reedferry::Arrival, Fault> {
-        if usize::from(asked.offering) >= self.remit.charter.offerings.len() {
-            return Err(Fault::Unexpected("an unknown offering"));
+    fn incoming(
+        &self,
+        record: u32,
+        asked: &PlacementRequest,
+    ) -> Result<reedferry::IncomingRequest, LinkError> {
+        if usize::from(asked.class) >= self.remit.balancer_settings.classes.len() {
+            return Err(LinkError::Unexpected("an unknown offering"));
         }
-        Ok(asked.arrival(name(record, self.held[record as usize].round)))
+        Ok(asked.incoming(name(record, self.held[record as usize].round)))
     }
 
     /// Has the module place what waits, unless somebody in the zone still tells what stands. Guards: the
     /// first new ones placed as if nothing stood, by a planner that has just begun.
-    fn place_waiting(&mut self, now: Nanos, zone: usize, out: &mut Vec<Order>) {
+    fn place_waiting(&mut self, now: Nanos, zone: usize, out: &mut Vec<PlannerAction>) {
         if self.zones[zone].waiting.is_empty() {
             return;
         }
-        let telling = |s: &Session| usize::from(s.zone) == zone && s.telling.is_some_and(|by| now < by);
+        let telling =
+            |s: &Session| usize::from(s.zone) == zone && s.telling.is_some_and(|by| now < by);
         if now < self.zones[zone].settles || self.sessions.iter().any(|(_, s)| telling(s)) {
             return;
         }
         while let Some((record, round, asked, past, came)) = self.zones[zone].waiting.pop_front() {
-            let Some(held) = self.held.get_mut(record as usize).filter(|h| h.round == round) else {
+            let Some(held) = self
+                .held
+                .get_mut(record as usize)
+                .filter(|h| h.round == round)
+            else {
                 continue;
             };
             held.waits = false;
-            let mut arrival = asked.arrival(name(record, round));
-            arrival.time_left = arrival.time_left.saturating_sub(now - came.min(now));
-            let event = if past.hand_offs == 0 && past.tried.is_empty() {
-                Event::Arrived(arrival)
+            let mut incoming = asked.incoming(name(record, round));
+            incoming.time_left = incoming.time_left.saturating_sub(now - came.min(now));
+            let event = if past.attempts == 0 && past.tried.is_empty() {
+                Event::RequestArrived(incoming)
             } else {
-                let ran = past.ran.map(|(host, ago)| (HostId(host), now.saturating_sub(ago)));
+                let ran = past
+                    .ran
+                    .map(|(host, ago)| (HostId(host), now.saturating_sub(ago)));
                 let tried = past.tried.into_iter().map(HostId).collect();
-                Event::TakenUp(arrival, reedferry::Past { hand_offs: past.hand_offs, ran, tried })
+                Event::RequestTakenOver(
+                    incoming,
+                    reedferry::PriorAttempts {
+                        attempts: past.attempts,
+                        may_have_run: ran,
+                        tried_hosts: tried,
+                    },
+                )
             };
             self.tell(now, zone, event, out);
         }
@@ -862,14 +1100,14 @@
 }
 
 /// The module's name for a record.
-fn name(record: u32, round: u32) -> AttachmentId {
-    AttachmentId(u64::from(round) << 32 | u64::from(record))
+fn name(record: u32, round: u32) -> RequestId {
+    RequestId(u64::from(round) << 32 | u64::from(record))
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use reedferry::Offering;
+    use reedferry::RequestClass;
 
     const T: Nanos = 1_000 * SECOND;
 
@@ -880,19 +1118,36 @@
         session: u64,
     }
 
-    fn listing(id: u64, started: Option<Nanos>) -> (Listing, HostLine) {
-        let listing =
-            Listing { id: HostId(id), standing: Standing::Ready, size: 1.0, started, ..Listing::default() };
-        let (name, stands) = (format!("s{id}"), Stands::Ready);
-        (listing, HostLine { id, name, address: None, stands, as_of: 1 })
+    fn listing(id: u64, started: Option<Nanos>) -> (Endpoint, HostEntry) {
+        let listing = Endpoint {
+            id: HostId(id),
+            state: HostState::Ready,
+            size: 1.0,
+            started,
+            ..Endpoint::default()
+        };
+        let (name, stands) = (format!("s{id}"), WireHostState::Ready);
+        (
+            listing,
+            HostEntry {
+                id,
+                name,
+                address: None,
+                stands,
+                as_of: 1,
+            },
+        )
     }
 
     /// A planner of one, and one forwarder that follows it.
     fn pair(hosts: &[(u64, Option<Nanos>)]) -> Pair {
-        let charter = Charter { offerings: vec![Offering::default()], ..Charter::default() };
-        let remit = Remit {
+        let balancer_settings = BalancerSettings {
+            classes: vec![RequestClass::default()],
+            ..BalancerSettings::default()
+        };
+        let remit = PlannerConfig {
             name: "p".into(),
-            charter,
+            balancer_settings,
             zones: 1,
             place: 0,
             planners: 1,
@@ -903,30 +1158,61 @@
         };
         let mut out = Vec::new();
         let mut planner = Planner::new(remit, 1, T, &mut out);
-        let (listings, lines) = hosts.iter().map(|(id, started)| listing(*id, *started)).unzip();
-        planner.roll(T, RollKind::Full, listings, lines, &mut out);
+        let (listings, lines) = hosts
+            .iter()
+            .map(|(id, started)| listing(*id, *started))
+            .unzip();
+        planner.roll(T, EndpointUpdate::Full, listings, lines, &mut out);
         planner.accept(T, 1, &mut out);
-        let mut pair = Pair { planner, writer: Writer::default(), reader: Reader::default(), session: 0 };
+        let mut pair = Pair {
+            planner,
+            writer: Writer::default(),
+            reader: Reader::default(),
+            session: 0,
+        };
         let (name, planner) = ("f".to_string(), "p".to_string());
-        pair.writer.greet(&Hello { name, planner, zone: 0, epoch: 1, fingerprint: 1 });
+        pair.writer.greet(&Hello {
+            name,
+            planner,
+            zone: 0,
+            epoch: 1,
+            fingerprint: 1,
+        });
         pair.turn(T);
-        pair.session = pair.planner.sessions.iter().next().and_then(|(_, s)| s.number).unwrap();
-        pair.put(&Up::Follow { standing: 0 });
+        pair.session = pair
+            .planner
+            .sessions
+            .iter()
+            .next()
+            .and_then(|(_, s)| s.number)
+            .unwrap();
+        pair.put(&ForwarderMessage::Follow { standing: 0 });
         pair
     }
 
     impl Pair {
-        fn put(&mut self, note: &Up) {
+        fn put(&mut self, note: &ForwarderMessage) {
             self.writer.put(self.session, 1, note);
         }
 
         fn ask(&mut self, id: u64) {
-            let asked = Asked { offering: 0, key: None, group: None, usual_load: None, time_left: SECOND };
-            self.put(&Up::Ask { id, step: 0, asked, past: Past::default() });
+            let asked = PlacementRequest {
+                class: 0,
+                key: None,
+                group: None,
+                usual_load: None,
+                time_left: SECOND,
+            };
+            self.put(&ForwarderMessage::RequestPlacement {
+                id,
+                step: 0,
+                asked,
+                past: PriorAttempts::default(),
+            });
         }
 
         /// What the planner says to what was put.
-        fn turn(&mut self, now: Nanos) -> Vec<Down> {
+        fn turn(&mut self, now: Nanos) -> Vec<PlannerMessage> {
             self.writer.seal();
             let bytes = self.writer.waiting().to_vec();
             self.writer.sent(bytes.len());
@@ -950,24 +1236,39 @@
         }
     }
 
-    fn to(notes: &[Down], wanted: u64) -> usize {
-        notes.iter().filter(|n| matches!(n, Down::HandOff { host, .. } if *host == wanted)).count()
+    fn to(notes: &[PlannerMessage], wanted: u64) -> usize {
+        notes
+            .iter()
+            .filter(|n| matches!(n, PlannerMessage::StartAttempt { host, .. } if *host == wanted))
+            .count()
     }
 
     #[test]
     fn a_planner_that_has_just_begun_leaves_cold_hosts_alone_while_their_budget_is_counted() {
         // It died and is back in the same turn: what it spent on the cold host it has forgotten.
         let mut pair = pair(&[(1, Some(T)), (2, None), (3, None)]);
-        let asked = Asked { offering: 0, key: None, group: None, usual_load: None, time_left: 0 };
-        (0..200).for_each(|id| pair.put(&Up::Stands { id: 10_000 + id, asked, host: 2 + id % 2 }));
-        pair.put(&Up::Told);
+        let asked = PlacementRequest {
+            class: 0,
+            key: None,
+            group: None,
+            usual_load: None,
+            time_left: 0,
+        };
+        (0..200).for_each(|id| {
+            pair.put(&ForwarderMessage::OpenConnection {
+                id: 10_000 + id,
+                asked,
+                host: 2 + id % 2,
+            });
+        });
+        pair.put(&ForwarderMessage::StateSyncComplete);
         let mut sent = [0; 2];
         for n in 0..600 {
             pair.ask(n);
             let now = T + 4 * n * MILLI;
             let notes = pair.turn(now);
             sent[usize::from(now >= T + SECOND)] += to(&notes, 1);
-            pair.put(&Up::Gone { id: n });
+            pair.put(&ForwarderMessage::RequestClosed { id: n });
         }
         assert!(sent[0] == 0 && sent[1] > 0, "{sent:?}");
     }
@@ -976,10 +1277,16 @@
     fn hosts_that_come_and_go_for_months_fill_no_table() {
         let mut pair = pair(&[(1, None)]);
         for n in 2..5_000 {
-            for standing in [Standing::Ready, Standing::Gone] {
+            for standing in [HostState::Ready, HostState::Gone] {
                 let (mut listing, mut line) = listing(n, None);
-                (listing.standing, line.stands) = (standing, standing.into());
-                pair.planner.roll(T + n, RollKind::Changes, vec![listing], vec![line], &mut Vec::new());
+                (listing.state, line.stands) = (standing, standing.into());
+                pair.planner.roll(
+                    T + n,
+                    EndpointUpdate::Delta,
+                    vec![listing],
+                    vec![line],
+                    &mut Vec::new(),
+                );
                 pair.turn(T + n);
             }
             assert!(pair.planner.hosts.len() <= 3 && pair.planner.changes.len() <= 3);
@@ -989,13 +1296,13 @@
     #[test]
     fn a_forwarder_that_reads_nothing_ends_alone_before_it_fills_the_memory() {
         let mut pair = pair(&[(1, None)]);
-        pair.put(&Up::Told);
+        pair.put(&ForwarderMessage::StateSyncComplete);
         pair.turn(T);
         let (mut orders, mut most) = (Vec::new(), 0);
         for n in 0..800 {
             // All afresh each time, so that nothing but what is said to it grows.
-            pair.put(&Up::Follow { standing: 0 });
-            pair.put(&Up::Told);
+            pair.put(&ForwarderMessage::Follow { standing: 0 });
+            pair.put(&ForwarderMessage::StateSyncComplete);
             (0..500).for_each(|id| pair.ask(n * 500 + id));
             pair.writer.seal();
             let bytes = pair.writer.waiting().to_vec();
@@ -1006,16 +1313,34 @@
         }
         assert!(most > 0 && most < STUFFED + (1 << 20), "{most}");
         pair.planner.decide(T + SECOND, &mut orders);
-        let cut = orders.iter().filter(|o| matches!(o, Order::Cut { line: 1 })).count();
-        let told = |o: &&Order| matches!(o, Order::Log(text) if text.ends_with("why=takes nothing"));
-        assert_eq!((cut, orders.iter().filter(told).count(), pair.planner.held()), (1, 1, 0));
+        let cut = orders
+            .iter()
+            .filter(|o| matches!(o, PlannerAction::Disconnect { line: 1 }))
+            .count();
+        let told = |o: &&PlannerAction| matches!(o, PlannerAction::Log(text) if text.ends_with("why=takes nothing"));
+        assert_eq!(
+            (cut, orders.iter().filter(told).count(), pair.planner.held()),
+            (1, 1, 0)
+        );
     }
 
     #[test]
     fn nothing_is_placed_while_a_forwarder_of_the_zone_still_tells_what_stands() {
         let mut pair = pair(&[(1, None), (2, None)]);
-        let asked = Asked { offering: 0, key: None, group: None, usual_load: None, time_left: 0 };
-        (0..20).for_each(|id| pair.put(&Up::Stands { id: 10_000 + id, asked, host: 1 }));
+        let asked = PlacementRequest {
+            class: 0,
+            key: None,
+            group: None,
+            usual_load: None,
+            time_left: 0,
+        };
+        (0..20).for_each(|id| {
+            pair.put(&ForwarderMessage::OpenConnection {
+                id: 10_000 + id,
+                asked,
+                host: 1,
+            });
+        });
         pair.ask(1);
         assert_eq!(to(&pair.turn(T), 1) + to(&pair.turn(T + 100 * MILLI), 2), 0);
         // One that never says that it has told all is not waited for without end.
@@ -1023,7 +1348,7 @@
         pair.turn(T + TELLING - 100 * MILLI);
         assert_eq!(to(&pair.turn(T + TELLING), 2), 1);
         pair.ask(2);
-        pair.put(&Up::Told);
+        pair.put(&ForwarderMessage::StateSyncComplete);
         assert_eq!(to(&pair.turn(T + TELLING), 2), 1);
     }
 }
--- a/node/src/connections/endings.rs
+++ b/node/src/connections/endings.rs
@@ -7,8 +7,8 @@
 use crate::context::Context;
 use crate::operators::counts::Close;
 use crate::operators::tally::Outcome;
-use reedferry::{AttachmentId, Ending, Nanos, MILLI};
-use reedferry_quay::errors::{on_connection, Trouble};
+use reedferry::{AttemptOutcome, Nanos, RequestId, MILLI};
+use reedferry_runtime::errors::{on_connection, Trouble};
 
 /// How long the other side of an ended connection is waited for, and one that still sends, since it came.
 pub(super) const LINGER: Nanos = 900 * MILLI;
@@ -19,28 +19,35 @@
 
 impl Connections {
     /// The module's final answer, where no host gave one.
-    pub fn dismiss(&mut self, context: &mut Context, id: AttachmentId, wait: Nanos) {
+    pub fn dismiss(&mut self, context: &mut Context, id: RequestId, wait: Nanos) {
         let Some(slot) = self.find(id) else { return };
         if wait >= MILLI {
-            self.answer(context, slot, format!("BUSY {}\r\n", wait / MILLI).as_bytes());
+            self.answer(
+                context,
+                slot,
+                format!("BUSY {}\r\n", wait / MILLI).as_bytes(),
+            );
         } else {
             self.answer(context, slot, b"BUSY\r\n");
         }
     }
 
-    pub fn give_up(&mut self, context: &mut Context, id: AttachmentId) {
+    pub fn give_up(&mut self, context: &mut Context, id: RequestId) {
         if let Some(slot) = self.find(id) {
             self.answer(context, slot, b"ERR\r\n");
         }
     }
 
-    pub fn call_off(&mut self, context: &mut Context, id: AttachmentId, hand_off: u32) {
+    pub fn call_off(&mut self, context: &mut Context, id: RequestId, attempt: u32) {
         let Some(slot) = self.find(id) else { return };
         let connection = &self.slab[slot];
         if connection.stage == Stage::Held
-            && connection.landing.as_ref().is_some_and(|l| l.number == hand_off)
+            && connection
+                .landing
+                .as_ref()
+                .is_some_and(|l| l.number == attempt)
         {
-            self.fell_through(context, slot, Ending::CalledOff);
+            self.fell_through(context, slot, AttemptOutcome::Cancelled);
         }
     }
 
@@ -49,8 +56,15 @@
         self.audit_answer(context, slot, line.starts_with(b"BUSY"));
         let connection = &mut self.slab[slot];
         if connection.owed() && connection.client.is_some() {
-            let outcome = if line.starts_with(b"BUSY") { Outcome::Refused } else { Outcome::Failed };
-            context.tally.came_to(&context.terms.offerings[connection.arrival.offering], outcome);
+            let outcome = if line.starts_with(b"BUSY") {
+                Outcome::Refused
+            } else {
+                Outcome::Failed
+            };
+            context.tally.came_to(
+                &context.node_settings.classes[connection.incoming.class],
+                outcome,
+            );
         }
         connection.letter = None;
         connection.landing = None;
@@ -58,10 +72,17 @@
             return self.remove(context, slot, Close::ClientEnded);
         }
         // Guards: an answer to a ping, of which a part is with the client, cut in the middle of its line.
-        let unsent = connection.down.buffer.take().filter(|_| connection.stage == Stage::Unasked);
+        let unsent = connection
+            .down
+            .buffer
+            .take()
+            .filter(|_| connection.stage == Stage::Unasked);
         let mut buffer = unsent.unwrap_or_else(|| context.pool.take_for_answer());
         buffer.put(line);
-        connection.down = Lane { buffer: Some(buffer), ..Lane::default() };
+        connection.down = Lane {
+            buffer: Some(buffer),
+            ..Lane::default()
+        };
         self.close(context, slot);
     }
 
@@ -97,7 +118,9 @@
         }
         // Guards: an answer lost in the reset that closing over unread input brings, and a loop or a share of
         // the processor taken up by who sends without end: so much between two sweeps, and so long.
-        let Some(mut space) = context.pool.take() else { return };
+        let Some(mut space) = context.pool.take() else {
+            return;
+        };
         while client.readable && connection.wasted < WASTE && self.waste > 0 {
             match client.socket.discard(space.spare()) {
                 Ok(0) => return self.remove(context, slot, Close::Answered),
--- a/node/src/connections/landing.rs
+++ b/node/src/connections/landing.rs
@@ -6,13 +6,13 @@
 use crate::connections::lane::{Flow, Lane, Side};
 use crate::connections::lines::{self, Word};
 use crate::context::{Context, HOST};
-use crate::listing::hosts::Hosts;
+use crate::discovery::hosts::Hosts;
 use crate::operators::counts::{Close, Count};
 use crate::operators::tally::Outcome;
 use reedferry::permission::{may_begin, may_go_on, Beginning, Refusal};
-use reedferry::{AttachmentId, Ending, Event, HostId, Nanos, MILLI, SECOND};
-use reedferry_quay::errors::{on_connect, NoConnection};
-use reedferry_quay::{Buffer, Mark};
+use reedferry::{AttemptOutcome, Event, HostId, Nanos, RequestId, MILLI, SECOND};
+use reedferry_runtime::errors::{on_connect, NoConnection};
+use reedferry_runtime::{Buffer, Mark};
 use slog::{info, warn};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -74,7 +74,7 @@
     pub(super) fn heard(
         &mut self,
         word: Word,
-        (id, host): (AttachmentId, usize),
+        (id, host): (RequestId, usize),
         now: Nanos,
         asked: &mut VecDeque<Nanos>,
         (events, hosts): (&mut Vec<Event>, &mut Hosts),
@@ -82,7 +82,7 @@
         match word {
             Word::Load(load) => {
                 self.load = Some(load);
-                events.push(Event::LoadNow { id, load });
+                events.push(Event::LoadMeasured { id, load });
             }
             Word::Bye => self.bye = true,
             Word::Move => self.moved = true,
@@ -111,35 +111,50 @@
     }
 
     /// Carries out a hand-off whose line is to start by `by`, and whose host is waited for until `until`.
-    pub fn hand_off(
+    pub fn attempt(
         &mut self,
         context: &mut Context,
-        id: AttachmentId,
+        id: RequestId,
         host: HostId,
         until: Nanos,
         by: Nanos,
     ) {
-        let held = |f: &Connection| f.stage == Stage::Held && f.landing.is_none() && f.client.is_some();
+        let held =
+            |f: &Connection| f.stage == Stage::Held && f.landing.is_none() && f.client.is_some();
         let slot = self.find(id).filter(|&slot| held(&self.slab[slot]));
         let Some(slot) = slot.filter(|&slot| self.waits(context, slot)) else {
             // Guards: a record kept for ever of a client that left while the module chose.
-            let (ending, gauges) = (Ending::NeverSent, Vec::new());
-            context.events.push(Event::Ended { id, hand_off: 0, host, over: true, ending, gauges });
+            let (ending, load_metrics) = (AttemptOutcome::NeverSent, Vec::new());
+            context.events.push(Event::AttemptEnded {
+                id,
+                attempt: 0,
+                host,
+                request_over: true,
+                ending,
+                load_metrics,
+            });
             return;
         };
         let connection = &mut self.slab[slot];
-        let number = connection.hand_offs;
-        connection.hand_offs += 1;
+        let number = connection.attempts;
+        connection.attempts += 1;
         let index = context.hosts.index(host);
         let launched = match index {
             // Guards: new work for hosts that drain, of which this node has not heard in time.
-            Some(_) if context.deaf.contains(&context.now) => Err(Ending::NeverSent),
+            Some(_) if context.deaf.contains(&context.now) => Err(AttemptOutcome::NeverSent),
             Some(index) => self.launch(context, slot, index, until, by),
-            None => Err(Ending::Unconnected),
+            None => Err(AttemptOutcome::ConnectFailed),
         };
         if let Err(ending) = launched {
-            let gauges = Vec::new();
-            context.events.push(Event::Ended { id, hand_off: number, host, over: false, ending, gauges });
+            let load_metrics = Vec::new();
+            context.events.push(Event::AttemptEnded {
+                id,
+                attempt: number,
+                host,
+                request_over: false,
+                ending,
+                load_metrics,
+            });
         }
     }
 
@@ -151,8 +166,12 @@
         host: usize,
         until: Nanos,
         by: Nanos,
-    ) -> Result<(), Ending> {
-        let address = context.hosts.record(host).address.ok_or(Ending::Unconnected)?;
+    ) -> Result<(), AttemptOutcome> {
+        let address = context
+            .hosts
+            .record(host)
+            .address
+            .ok_or(AttemptOutcome::ConnectFailed)?;
         // Who has asked goes before whoever has not.
         while !context.budget.room(1) && self.make_room(context, 0) {}
         let connection = &mut self.slab[slot];
@@ -163,7 +182,7 @@
                 let (taken, buffers) = (context.budget.taken(), context.pool.left());
                 warn!(context.log, "out of descriptors or buffers"; "taken" => taken, "buffers" => buffers);
             }
-            return Err(Ending::NeverSent);
+            return Err(AttemptOutcome::NeverSent);
         }
         let (socket, connected) = match context.budget.connect(&address) {
             Ok(opened) => opened,
@@ -171,23 +190,28 @@
                 return Err(match on_connect(e) {
                     NoConnection::Machine => {
                         context.machine_trouble("connect");
-                        Ending::NeverSent
+                        AttemptOutcome::NeverSent
                     }
-                    NoConnection::Route => Ending::Unroutable,
-                    NoConnection::Peer => Ending::Unconnected,
+                    NoConnection::Route => AttemptOutcome::NoRoute,
+                    NoConnection::Peer => AttemptOutcome::ConnectFailed,
                 })
             }
         };
         let mark = context.watch(&socket, HOST, slot).map_err(|_| {
             context.machine_trouble("epoll_ctl");
-            Ending::NeverSent
+            AttemptOutcome::NeverSent
         })?;
-        let side = Side { socket, stamp: mark.stamp, readable: false, writable: connected };
+        let side = Side {
+            socket,
+            stamp: mark.stamp,
+            readable: false,
+            writable: connected,
+        };
         connection.landing = Some(Landing {
             side,
             host,
             _lease: context.hosts.record(host).lease.clone(),
-            number: connection.hand_offs.saturating_sub(1),
+            number: connection.attempts.saturating_sub(1),
             since: context.now,
             by,
             connected,
@@ -198,7 +222,7 @@
         connection.down = Lane::default();
         connection.up = Lane::default();
         connection.given = until.saturating_sub(context.now);
-        let stands = by.min(context.now + context.terms.connect_within);
+        let stands = by.min(context.now + context.node_settings.connect_within);
         if stands < until {
             context.poller.remind(stands, mark, CONNECT);
         }
@@ -212,8 +236,14 @@
     /// A time that was set for a hand-off has come.
     pub fn due(&mut self, context: &mut Context, mark: Mark, word: u64) {
         let slot = mark.slot as usize;
-        let Some(connection) = self.slab.get(slot) else { return };
-        let Some(landing) = connection.landing.as_ref().filter(|l| l.side.stamp == mark.stamp) else {
+        let Some(connection) = self.slab.get(slot) else {
+            return;
+        };
+        let Some(landing) = connection
+            .landing
+            .as_ref()
+            .filter(|l| l.side.stamp == mark.stamp)
+        else {
             return;
         };
         if !matches!(connection.stage, Stage::Held | Stage::Returning(_)) {
@@ -222,11 +252,17 @@
         // Guards: a host taken for one that can't be reached, as its connection came up while this process stood still or had
         // much to do.
         if !landing.connected && landing.side.socket.stands() {
-            self.slab[slot].landing.iter_mut().for_each(|landing| landing.side.writable = true);
+            self.slab[slot]
+                .landing
+                .iter_mut()
+                .for_each(|landing| landing.side.writable = true);
             self.land_on(context, slot);
         }
         let out = |landing: &&Landing| landing.side.stamp == mark.stamp;
-        let landing = self.slab.get(slot).and_then(|connection| connection.landing.as_ref().filter(out));
+        let landing = self
+            .slab
+            .get(slot)
+            .and_then(|connection| connection.landing.as_ref().filter(out));
         if landing.is_some_and(|landing| word != CONNECT || !landing.connected) {
             self.time_is_up(context, slot);
         }
@@ -234,13 +270,18 @@
 
     /// The hand-off that is out has had its time, or all that is left: it is waited for no longer, unless its answer is there.
     pub(super) fn time_is_up(&mut self, context: &mut Context, slot: usize) {
-        let Some(connection) = self.slab.get(slot) else { return };
-        let Some(landing) = connection.landing.as_ref() else { return };
+        let Some(connection) = self.slab.get(slot) else {
+            return;
+        };
+        let Some(landing) = connection.landing.as_ref() else {
+            return;
+        };
         let stamp = landing.side.stamp;
         if landing.written && context.now <= connection.since + connection.waits {
             self.read_answer(context, slot);
         }
-        let out = |c: &&Connection| c.owed() && c.landing.as_ref().is_some_and(|l| l.side.stamp == stamp);
+        let out =
+            |c: &&Connection| c.owed() && c.landing.as_ref().is_some_and(|l| l.side.stamp == stamp);
         if self.slab.get(slot).filter(out).is_some() {
             self.out_of_time(context, slot);
         }
@@ -249,31 +290,51 @@
     /// Reads what a host has said by now, whatever the poller has said so far. Guards: an answer that lies unread in its
     /// socket while its attempt is given up, as one turn takes in no more than what is before it.
     fn read_answer(&mut self, context: &mut Context, slot: usize) {
-        self.slab[slot].landing.iter_mut().for_each(|landing| landing.side.readable = true);
+        self.slab[slot]
+            .landing
+            .iter_mut()
+            .for_each(|landing| landing.side.readable = true);
         self.land_on(context, slot);
     }
 
     /// The hand-off that is out is waited for no longer.
     fn out_of_time(&mut self, context: &mut Context, slot: usize) {
-        let Some(landing) = self.slab[slot].landing.as_ref() else { return };
+        let Some(landing) = self.slab[slot].landing.as_ref() else {
+            return;
+        };
         let ending = match (landing.written, landing.connected) {
-            (true, _) => Ending::TimedOut,
+            (true, _) => AttemptOutcome::TimedOut,
             // Its line was not written for want of something at this machine: not the host's doing.
-            (false, true) => Ending::NeverSent,
-            (false, false) => Ending::Unconnected,
+            (false, true) => AttemptOutcome::NeverSent,
+            (false, false) => AttemptOutcome::ConnectFailed,
         };
         self.fell_through(context, slot, ending);
     }
 
     /// A hand-off that came to nothing.
-    pub(super) fn fell_through(&mut self, context: &mut Context, slot: usize, ending: Ending) {
+    pub(super) fn fell_through(
+        &mut self,
+        context: &mut Context,
+        slot: usize,
+        ending: AttemptOutcome,
+    ) {
         let connection = &mut self.slab[slot];
-        let Some(landing) = connection.landing.take() else { return };
-        let moved = context.hosts.record(landing.host).readdressed.is_some_and(|at| at > landing.since);
+        let Some(landing) = connection.landing.take() else {
+            return;
+        };
+        let moved = context
+            .hosts
+            .record(landing.host)
+            .readdressed
+            .is_some_and(|at| at > landing.since);
         // Guards: a host avoided at its new address, as nobody is left at the old one.
-        let ending = if moved && ending == Ending::Unconnected { Ending::NeverSent } else { ending };
+        let ending = if moved && ending == AttemptOutcome::ConnectFailed {
+            AttemptOutcome::NeverSent
+        } else {
+            ending
+        };
         (connection.up, connection.down) = (Lane::default(), Lane::default());
-        connection.errors += u32::from(ending == Ending::Error);
+        connection.errors += u32::from(ending == AttemptOutcome::Error);
         if landing.written && !ending.never_ran() {
             connection.may_have_run.get_or_insert(landing.written_at);
         }
@@ -284,13 +345,13 @@
                 "host" => &context.hosts.record(landing.host).name, "why" => ending.word(), "ms" => took);
         }
         if connection.stage == Stage::Held {
-            context.events.push(Event::Ended {
-                id: connection.arrival.id,
-                hand_off: landing.number,
+            context.events.push(Event::AttemptEnded {
+                id: connection.incoming.id,
+                attempt: landing.number,
                 host: context.hosts.record(landing.host).id,
-                over: connection.client.is_none(),
+                request_over: connection.client.is_none(),
                 ending,
-                gauges: Vec::new(),
+                load_metrics: Vec::new(),
             });
             if connection.client.is_none() {
                 self.remove(context, slot, Close::ClientEnded);
@@ -304,7 +365,9 @@
     /// old, and the process may have stood still since the host's connection came up.
     fn may_write(&mut self, context: &mut Context, slot: usize) -> Result<(), Refusal> {
         let connection = &self.slab[slot];
-        let Some(landing) = connection.landing.as_ref() else { return Ok(()) };
+        let Some(landing) = connection.landing.as_ref() else {
+            return Ok(());
+        };
         if connection.stage != Stage::Held || landing.written {
             return Ok(());
         }
@@ -312,7 +375,7 @@
         if connection.up.buffer.is_some() {
             return may_go_on(context.clock.read(), not_after);
         }
-        let expiry = (landing.since + connection.given).min(connection.expiry());
+        let deadline = (landing.since + connection.given).min(connection.deadline());
         let repeats = connection.may_have_run.is_some();
         // The client last: the process may be held up behind its reading of the clock, which the other limits allow for.
         let now = context.clock.read();
@@ -321,11 +384,11 @@
         let since_then = |changed: Option<Nanos>| changed.is_some_and(|at| at > chosen);
         may_begin(&Beginning {
             now,
-            expiry,
+            deadline,
             not_after,
             client_waits,
             leaving_since: record.left_since,
-            drain_grace: context.terms.drain_grace,
+            drain_grace: context.node_settings.drain_grace,
             list_unheard: context.deaf.contains(&now),
             host_moved: since_then(record.readdressed),
             group_changed: repeats && since_then(record.regrouped),
@@ -340,10 +403,10 @@
             Refusal::ClientGone => {}
             // Its connection came up too late, or it is leaving.
             Refusal::HostLeaving | Refusal::OutsideWindow => {
-                self.fell_through(context, slot, Ending::Unconnected);
+                self.fell_through(context, slot, AttemptOutcome::ConnectFailed);
             }
             // Not the host's doing.
-            _ => self.fell_through(context, slot, Ending::NeverSent),
+            _ => self.fell_through(context, slot, AttemptOutcome::NeverSent),
         }
     }
 
@@ -361,8 +424,12 @@
 
     /// Whether the connection to the host stands.
     fn came_up(&mut self, context: &mut Context, slot: usize) -> bool {
-        let Some(connection) = self.slab.get_mut(slot) else { return false };
-        let Some(landing) = connection.landing.as_mut() else { return false };
+        let Some(connection) = self.slab.get_mut(slot) else {
+            return false;
+        };
+        let Some(landing) = connection.landing.as_mut() else {
+            return false;
+        };
         if landing.connected {
             return true;
         }
@@ -370,7 +437,7 @@
             return false;
         }
         if landing.side.socket.connected().is_err() {
-            self.fell_through(context, slot, Ending::Unconnected);
+            self.fell_through(context, slot, AttemptOutcome::ConnectFailed);
             return false;
         }
         landing.connected = true;
@@ -379,20 +446,27 @@
 
     /// Writes what it can of the attempt's line, and says whether the host has all of it.
     fn write_line(&mut self, context: &mut Context, slot: usize) -> bool {
-        let Some(connection) = self.slab.get_mut(slot) else { return false };
-        let Some(landing) = connection.landing.as_mut() else { return false };
+        let Some(connection) = self.slab.get_mut(slot) else {
+            return false;
+        };
+        let Some(landing) = connection.landing.as_mut() else {
+            return false;
+        };
         if landing.written {
             return true;
         }
         if connection.up.buffer.is_none() {
-            let (Some(letter), Some(mut out)) = (connection.letter.as_ref(), context.pool.take()) else {
-                self.fell_through(context, slot, Ending::NeverSent);
+            let (Some(letter), Some(mut out)) = (connection.letter.as_ref(), context.pool.take())
+            else {
+                self.fell_through(context, slot, AttemptOutcome::NeverSent);
                 return false;
             };
             let wait = (landing.since + connection.given).saturating_sub(context.now);
             let mut digits = String::new();
             let line = &letter.waiting()[..connection.letter_length];
-            lines::onward(line, wait, &mut digits).iter().for_each(|piece| _ = out.put(piece));
+            lines::onward(line, wait, &mut digits)
+                .iter()
+                .for_each(|piece| _ = out.put(piece));
             connection.up.buffer = Some(out);
         }
         match connection.up.flush(&mut landing.side) {
@@ -404,7 +478,7 @@
                 return false;
             }
             _ => {
-                self.fell_through(context, slot, Ending::Unconnected);
+                self.fell_through(context, slot, AttemptOutcome::ConnectFailed);
                 return false;
             }
         }
@@ -416,48 +490,74 @@
 
     /// Reads the host's first word.
     fn hear_host(&mut self, context: &mut Context, slot: usize) {
-        let Some(connection) = self.slab.get_mut(slot) else { return };
-        let Some(landing) = connection.landing.as_mut() else { return };
+        let Some(connection) = self.slab.get_mut(slot) else {
+            return;
+        };
+        let Some(landing) = connection.landing.as_mut() else {
+            return;
+        };
         let mut said = Vec::new();
         while landing.side.readable && said.is_empty() {
-            match connection.down.fill(&context.pool, &mut landing.side, &mut |word| said.push(word)) {
+            match connection
+                .down
+                .fill(&context.pool, &mut landing.side, &mut |word| {
+                    said.push(word);
+                }) {
                 Flow::Idle if connection.down.ended && said.is_empty() => {
-                    return self.fell_through(context, slot, Ending::Broken);
+                    return self.fell_through(context, slot, AttemptOutcome::ConnectionLost);
                 }
                 Flow::Idle => {}
                 Flow::Starved => return self.retry_soon(context, slot),
-                Flow::Malformed => return self.fell_through(context, slot, Ending::Error),
-                _ => return self.fell_through(context, slot, Ending::Broken),
+                Flow::Malformed => return self.fell_through(context, slot, AttemptOutcome::Error),
+                _ => return self.fell_through(context, slot, AttemptOutcome::ConnectionLost),
             }
         }
         match said.first() {
-            None if connection.down.buffer.as_ref().is_some_and(Buffer::is_empty) => {
-                connection.down.buffer = None
+            None if connection
+                .down
+                .buffer
+                .as_ref()
+                .is_some_and(Buffer::is_empty) =>
+            {
+                connection.down.buffer = None;
             }
             None => {}
             Some(Word::Up) => self.begin(context, slot, &said[1..]),
-            Some(Word::Busy) => self.fell_through(context, slot, Ending::Refused),
-            Some(Word::Move) => self.fell_through(context, slot, Ending::CalledOff),
-            Some(_) => self.fell_through(context, slot, Ending::Error),
+            Some(Word::Busy) => self.fell_through(context, slot, AttemptOutcome::Rejected),
+            Some(Word::Move) => self.fell_through(context, slot, AttemptOutcome::Cancelled),
+            Some(_) => self.fell_through(context, slot, AttemptOutcome::Error),
         }
     }
 
     /// The host has taken it: from here on lines pass both ways.
     pub(super) fn begin(&mut self, context: &mut Context, slot: usize, behind: &[Word]) {
         let connection = &mut self.slab[slot];
-        let Some(landing) = connection.landing.as_mut() else { return };
+        let Some(landing) = connection.landing.as_mut() else {
+            return;
+        };
         if connection.client.is_none() {
-            return self.fell_through(context, slot, Ending::CalledOff);
+            return self.fell_through(context, slot, AttemptOutcome::Cancelled);
         }
-        let (id, host) = (connection.arrival.id, context.hosts.record(landing.host).id);
+        let (id, host) = (
+            connection.incoming.id,
+            context.hosts.record(landing.host).id,
+        );
         if connection.stage == Stage::Held {
             let seen_from = context.hosts.stalls.moved_on(landing.since, context.now);
-            context.events.push(Event::Begun { id, took: context.now - seen_from });
+            context.events.push(Event::ConnectionEstablished {
+                id,
+                took: context.now - seen_from,
+            });
         } else {
-            context.events.push(Event::Standing(connection.arrival, host));
+            context
+                .events
+                .push(Event::ConnectionFound(connection.incoming, host));
         }
         connection.stage = Stage::Open;
-        context.tally.came_to(&context.terms.offerings[connection.arrival.offering], Outcome::Served);
+        context.tally.came_to(
+            &context.node_settings.classes[connection.incoming.class],
+            Outcome::Served,
+        );
         // Guards: a first load told in one piece with the answer, and lost to the module.
         behind.iter().for_each(|word| {
             landing.said.heard(
@@ -466,7 +566,7 @@
                 context.now,
                 &mut connection.asked,
                 (&mut context.events, &mut context.hosts),
-            )
+            );
         });
         connection.letter = None;
         self.pass(context, slot);
--- a/node/src/connections/lane.rs
+++ b/node/src/connections/lane.rs
@@ -3,8 +3,8 @@
 //! receiver holds up its sender alone, nor keep a buffer while nothing flows.
 
 use crate::connections::lines::{Scanner, Word};
-use reedferry_quay::errors::{on_connection, Trouble};
-use reedferry_quay::{Buffer, Pool, Socket};
+use reedferry_runtime::errors::{on_connection, Trouble};
+use reedferry_runtime::{Buffer, Pool, Socket};
 
 /// Buffers moved for one connection before the others have their turn.
 const TURN: usize = 8;
@@ -44,7 +44,13 @@
 }
 
 impl Lane {
-    pub fn run(&mut self, pool: &Pool, from: &mut Side, to: &mut Side, mut heard: impl FnMut(Word)) -> Flow {
+    pub fn run(
+        &mut self,
+        pool: &Pool,
+        from: &mut Side,
+        to: &mut Side,
+        mut heard: impl FnMut(Word),
+    ) -> Flow {
         for _ in 0..TURN {
             match self.flush(to) {
                 Flow::Ended => {}
@@ -89,7 +95,9 @@
         if self.buffer.is_none() {
             self.buffer = pool.take();
         }
-        let Some(buffer) = self.buffer.as_mut() else { return Flow::Starved };
+        let Some(buffer) = self.buffer.as_mut() else {
+            return Flow::Starved;
+        };
         let had = buffer.waiting().len();
         match from.socket.receive(buffer.spare()) {
             Ok(0) => self.ended = true,
--- a/node/src/connections/listener.rs
+++ b/node/src/connections/listener.rs
@@ -8,9 +8,9 @@
 use crate::connections::lines::{self, Opening, Request};
 use crate::context::{Context, CLIENT};
 use crate::operators::counts::Close;
-use reedferry::{Arrival, AttachmentId, Ending, Event, HostId, Nanos, MILLI, SECOND};
-use reedferry_quay::errors::{on_accept, on_connection, NotAccepted, Trouble};
-use reedferry_quay::{Mark, Socket};
+use reedferry::{AttemptOutcome, Event, HostId, IncomingRequest, Nanos, RequestId, MILLI, SECOND};
+use reedferry_runtime::errors::{on_accept, on_connection, NotAccepted, Trouble};
+use reedferry_runtime::{Mark, Socket};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::rc::Rc;
 
@@ -93,7 +93,10 @@
         for _ in 0..ACCEPTS {
             // Guards: usual clients kept out by hundreds that connect and say nothing. Where all have just
             // come, those behind them wait at the listener until the next sweep.
-            if !context.budget.room(1) && !self.make_room(context, FLEETING) && context.budget.tight() {
+            if !context.budget.room(1)
+                && !self.make_room(context, FLEETING)
+                && context.budget.tight()
+            {
                 return;
             }
             let socket = match context.budget.accept(listener) {
@@ -107,9 +110,18 @@
                 },
             };
             let slot = self.slab.vacant_key();
-            let mark = Mark { part: CLIENT, slot: slot as u32, stamp: context.stamp() };
+            let mark = Mark {
+                part: CLIENT,
+                slot: slot as u32,
+                stamp: context.stamp(),
+            };
             self.watch(context, &socket, mark);
-            let client = Side { socket, stamp: mark.stamp, readable: false, writable: true };
+            let client = Side {
+                socket,
+                stamp: mark.stamp,
+                readable: false,
+                writable: true,
+            };
             self.listener.idle.push_back((slot, mark.stamp));
             self.slab.insert(Connection::new(client, slot, context.now));
         }
@@ -120,7 +132,8 @@
     /// has just come is not asked to, nor one whose attachment has come meanwhile.
     pub(super) fn make_room(&mut self, context: &mut Context, safe: Nanos) -> bool {
         while let Some(&(slot, stamp)) = self.listener.idle.front() {
-            let same = |f: &&Connection| f.idles() && f.client.as_ref().is_some_and(|c| c.stamp == stamp);
+            let same =
+                |f: &&Connection| f.idles() && f.client.as_ref().is_some_and(|c| c.stamp == stamp);
             let Some(connection) = self.slab.get(slot).filter(same) else {
                 self.listener.idle.pop_front();
                 continue;
@@ -133,7 +146,10 @@
                 self.read_again(context, slot);
                 let Some(connection) = self.slab.get(slot).filter(same) else {
                     // Its attachment has come, or it was gone.
-                    if self.slab.get(slot).is_none_or(|f| f.client.as_ref().is_none_or(|c| c.stamp != stamp))
+                    if self
+                        .slab
+                        .get(slot)
+                        .is_none_or(|f| f.client.as_ref().is_none_or(|c| c.stamp != stamp))
                     {
                         return true;
                     }
@@ -191,7 +207,10 @@
 
     /// Reads what one that has not asked has sent by now, whatever the poller has said so far.
     fn read_again(&mut self, context: &mut Context, slot: usize) {
-        self.slab[slot].client.iter_mut().for_each(|client| client.readable = true);
+        self.slab[slot]
+            .client
+            .iter_mut()
+            .for_each(|client| client.readable = true);
         self.read_opening(context, slot);
     }
 
@@ -202,8 +221,14 @@
         let before = stamp(&self.slab[slot]);
         self.read_again(context, slot);
         let still = |f: &&Connection| f.stage == Stage::Unasked && stamp(f) == before;
-        let Some(connection) = self.slab.get(slot).filter(still) else { return };
-        if connection.letter.as_ref().is_some_and(|letter| !letter.is_empty()) {
+        let Some(connection) = self.slab.get(slot).filter(still) else {
+            return;
+        };
+        if connection
+            .letter
+            .as_ref()
+            .is_some_and(|letter| !letter.is_empty())
+        {
             return self.turn_away(context, slot, "no whole line in time");
         }
         *self.listener.turned.entry("nothing in time").or_default() += 1;
@@ -224,7 +249,9 @@
     /// Reads the client's first line.
     pub(super) fn read_opening(&mut self, context: &mut Context, slot: usize) {
         let connection = &mut self.slab[slot];
-        let Some(client) = connection.client.as_mut() else { return };
+        let Some(client) = connection.client.as_mut() else {
+            return;
+        };
         loop {
             if connection.letter.is_none() {
                 connection.letter = context.pool.take();
@@ -243,7 +270,9 @@
                             context.machine_trouble("receive");
                             return self.retry_soon(context, slot);
                         }
-                        Trouble::Connection => return self.remove(context, slot, Close::ClientBroke),
+                        Trouble::Connection => {
+                            return self.remove(context, slot, Close::ClientBroke)
+                        }
                     },
                 }
             }
@@ -251,9 +280,14 @@
             while letter.waiting().starts_with(b"PING\r\n") && connection.pings < MOST_PINGS {
                 letter.sent(6);
                 connection.pings += 1;
-                let pong = if context.standby.is_some() { b"BUSY\r\n" } else { b"PONG\r\n" };
+                let pong = if context.standby.is_some() {
+                    b"BUSY\r\n"
+                } else {
+                    b"PONG\r\n"
+                };
                 let out = &mut connection.down.buffer;
-                out.get_or_insert_with(|| context.pool.take_for_answer()).put(pong);
+                out.get_or_insert_with(|| context.pool.take_for_answer())
+                    .put(pong);
             }
             // What follows waits until the client has those.
             match connection.down.flush(client) {
@@ -276,22 +310,24 @@
                     let said = lines::opening(line).and_then(|said| match said {
                         Opening::Ping => Err("too many pings"),
                         Opening::Open(request) => {
-                            let arrival = Self::arrival(context, connection.arrival.id, &request)?;
+                            let incoming =
+                                Self::incoming(context, connection.incoming.id, &request)?;
                             let open = self.listener.names.contains(request.id);
                             // Guards: one that uses the id of another's open request, which hosts would
                             // tell from a good one only by an error; the same again and again.
                             if open || self.listener.struck.iter().any(|n| **n == *request.id) {
                                 return Err("an id that is in use");
                             }
-                            Ok((arrival, Rc::from(request.id), request.at.map(lines::hash)))
+                            Ok((incoming, Rc::from(request.id), request.at.map(lines::hash)))
                         }
                     });
-                    let (arrival, name, home): (Arrival, Rc<str>, Option<u64>) = match said {
+                    let (incoming, name, home): (IncomingRequest, Rc<str>, Option<u64>) = match said
+                    {
                         Ok(good) => good,
                         Err(why) => return self.turn_away(context, slot, why),
                     };
-                    (connection.since, connection.waits, connection.arrival) =
-                        (context.now, arrival.time_left, arrival);
+                    (connection.since, connection.waits, connection.incoming) =
+                        (context.now, incoming.time_left, incoming);
                     connection.letter_length = length - 2;
                     self.listener.names.insert(name.clone());
                     connection.name = Some(name);
@@ -301,7 +337,9 @@
                         return self.go_back(context, slot);
                     }
                     connection.stage = Stage::Held;
-                    context.events.push(Event::Arrived(connection.arrival));
+                    context
+                        .events
+                        .push(Event::RequestArrived(connection.incoming));
                     return;
                 }
                 Err(why) => return self.turn_away(context, slot, why),
@@ -314,29 +352,60 @@
     }
 
     /// What the module is told of a request, or why it is none that this node serves.
-    fn arrival(context: &Context, id: AttachmentId, request: &Request) -> Result<Arrival, &'static str> {
-        let terms = &context.terms;
-        let offering = terms.offering(request.offering).ok_or("an unknown offering")?;
-        if !terms.tenants.is_empty() && !terms.tenants.iter().any(|t| t == request.tenant) {
+    fn incoming(
+        context: &Context,
+        id: RequestId,
+        request: &Request,
+    ) -> Result<IncomingRequest, &'static str> {
+        let node_settings = &context.node_settings;
+        let class = node_settings
+            .class(request.class)
+            .ok_or("an unknown offering")?;
+        if !node_settings.tenants.is_empty()
+            && !node_settings.tenants.iter().any(|t| t == request.tenant)
+        {
             return Err("an unknown tenant");
         }
         // Guards: a client that says it stood somewhere, and would be kept for as long as it likes.
         if request.at.is_some() && context.now > context.start + 2 * STANDING_WITHIN {
             return Err("a standing connection long after the start");
         }
-        let longest = if terms.longest_expiry > 0 { terms.longest_expiry } else { Nanos::MAX / WILD };
+        let longest = if node_settings.max_request_timeout > 0 {
+            node_settings.max_request_timeout
+        } else {
+            Nanos::MAX / WILD
+        };
         if request.at.is_none() && request.wait > WILD * longest {
             return Err("a wild wait");
         }
-        let time_left = if request.at.is_some() { request.wait } else { request.wait.min(longest) };
-        let Request { key, group, usual_load, .. } = *request;
-        Ok(Arrival { id, offering, key, group, time_left, usual_load, midway: false })
+        let time_left = if request.at.is_some() {
+            request.wait
+        } else {
+            request.wait.min(longest)
+        };
+        let Request {
+            key,
+            group,
+            usual_load,
+            ..
+        } = *request;
+        Ok(IncomingRequest {
+            id,
+            class,
+            key,
+            group,
+            time_left,
+            usual_load,
+            mid_stream: false,
+        })
     }
 
     /// Notices a client that leaves while it waits, or that goes on talking.
     pub(super) fn listen(&mut self, context: &mut Context, slot: usize) {
         let connection = &mut self.slab[slot];
-        let Some(client) = connection.client.as_mut().filter(|client| client.readable) else { return };
+        let Some(client) = connection.client.as_mut().filter(|client| client.readable) else {
+            return;
+        };
         // Guards: an end that is never seen behind a first line which fills its buffer.
         let left = match client.socket.receive(&mut [0; 64]) {
             Err(e) if on_connection(e) == Trouble::NotReady => {
@@ -361,14 +430,20 @@
         connection.letter = None;
         let held = connection.stage == Stage::Held;
         if held {
-            context.events.push(Event::Left { id: connection.arrival.id });
+            context.events.push(Event::ClientLeft {
+                id: connection.incoming.id,
+            });
         }
         if !held || connection.landing.is_none() {
             self.remove(context, slot, Close::ClientEnded);
-        } else if connection.landing.as_ref().is_some_and(|landing| !landing.written) {
+        } else if connection
+            .landing
+            .as_ref()
+            .is_some_and(|landing| !landing.written)
+        {
             // Guards: a line that begins for a client which had gone while its host's connection came up, where the
             // settings allow none to be called off: this one has not begun, or never ends.
-            self.fell_through(context, slot, Ending::NeverSent);
+            self.fell_through(context, slot, AttemptOutcome::NeverSent);
         }
         let Some(client) = client else { return };
         // Guards: a client that sends hundreds of lines at once, served by its first one, and an answer that comes in part: it
@@ -389,27 +464,39 @@
     /// A record of its own for a client that has left its attachment.
     fn parted(&mut self, context: &mut Context, mut client: Side, came: Nanos) -> usize {
         let slot = self.slab.vacant_key();
-        let mark = Mark { part: CLIENT, slot: slot as u32, stamp: context.stamp() };
+        let mark = Mark {
+            part: CLIENT,
+            slot: slot as u32,
+            stamp: context.stamp(),
+        };
         self.watch(context, &client.socket, mark);
         client.stamp = mark.stamp;
-        self.slab.insert(Connection { came, ..Connection::new(client, slot, context.now) })
+        self.slab.insert(Connection {
+            came,
+            ..Connection::new(client, slot, context.now)
+        })
     }
 
     /// Whether the client still waits, as its socket has it now, whatever the poller has said so far. Guards: an attempt
     /// that begins for one which has gone, and whose end waits behind many events or a process that stood still.
     pub(super) fn waits(&mut self, context: &mut Context, slot: usize) -> bool {
-        let id = self.slab[slot].arrival.id;
-        self.slab[slot].client.iter_mut().for_each(|client| client.readable = true);
+        let id = self.slab[slot].incoming.id;
+        self.slab[slot]
+            .client
+            .iter_mut()
+            .for_each(|client| client.readable = true);
         self.listen(context, slot);
         self.slab
             .get(slot)
-            .is_some_and(|connection| connection.arrival.id == id && connection.client.is_some())
+            .is_some_and(|connection| connection.incoming.id == id && connection.client.is_some())
     }
 
     /// The id of what is answered or gone is no longer in use, unless hosts would not have it.
     pub(super) fn free_name(&mut self, slot: usize) {
         let connection = &mut self.slab[slot];
-        let Some(name) = connection.name.take() else { return };
+        let Some(name) = connection.name.take() else {
+            return;
+        };
         self.listener.names.remove(&name);
         if connection.errors >= STRIKES && connection.stage == Stage::Held {
             self.listener.struck.push_back(name);
--- a/node/src/connections/passage.rs
+++ b/node/src/connections/passage.rs
@@ -8,8 +8,8 @@
 use crate::connections::lane::Flow;
 use crate::context::{Context, LONGEST_MOVE};
 use crate::operators::counts::Close;
-use reedferry::{AttachmentId, Ending, Event, Nanos, MILLI, SECOND};
-use reedferry_quay::Buffer;
+use reedferry::{AttemptOutcome, Event, Nanos, RequestId, MILLI, SECOND};
+use reedferry_runtime::Buffer;
 use slog::{info, warn};
 
 /// How long a client's line may go unanswered before its host counts as silent. Under the seven seconds
@@ -23,27 +23,49 @@
     /// Passes lines both ways, and ends the one side as the other ended.
     pub(super) fn pass(&mut self, context: &mut Context, slot: usize) {
         let connection = &mut self.slab[slot];
-        let (Some(client), Some(landing)) = (connection.client.as_mut(), connection.landing.as_mut()) else {
+        let (Some(client), Some(landing)) =
+            (connection.client.as_mut(), connection.landing.as_mut())
+        else {
             return;
         };
-        let (now, host, id) = (context.now, landing.host, connection.arrival.id);
+        let (now, host, id) = (context.now, landing.host, connection.incoming.id);
 
         let asked = &mut connection.asked;
         let up = match connection.client_ended {
             Some(_) => Flow::Idle,
-            None => connection.up.run(&context.pool, client, &mut landing.side, |_| asked.push_back(now)),
+            None => connection
+                .up
+                .run(&context.pool, client, &mut landing.side, |_| {
+                    asked.push_back(now);
+                }),
         };
         let (events, hosts) = (&mut context.events, &mut context.hosts);
         let said = &mut landing.said;
-        let down = connection.down.run(&context.pool, &mut landing.side, client, |word| {
-            said.heard(word, (id, host), now, &mut connection.asked, (events, hosts));
-        });
+        let down = connection
+            .down
+            .run(&context.pool, &mut landing.side, client, |word| {
+                said.heard(
+                    word,
+                    (id, host),
+                    now,
+                    &mut connection.asked,
+                    (events, hosts),
+                );
+            });
 
-        let broke = if landing.said.bye { Ending::Done } else { Ending::Broken };
-        let ended = match (landing.said.bye, landing.said.moved, connection.client_ended) {
-            (true, ..) => Ending::Done,
-            (_, false, None) => Ending::Broken,
-            _ => Ending::CalledOff,
+        let broke = if landing.said.bye {
+            AttemptOutcome::Completed
+        } else {
+            AttemptOutcome::ConnectionLost
+        };
+        let ended = match (
+            landing.said.bye,
+            landing.said.moved,
+            connection.client_ended,
+        ) {
+            (true, ..) => AttemptOutcome::Completed,
+            (_, false, None) => AttemptOutcome::ConnectionLost,
+            _ => AttemptOutcome::Cancelled,
         };
         match (down, up) {
             (Flow::Ended, _) => {
@@ -56,7 +78,7 @@
             }
             (Flow::Malformed, _) => {
                 info!(context.log, "cut off"; "why" => "a host's line that is too long");
-                self.over(context, slot, Ending::Broken);
+                self.over(context, slot, AttemptOutcome::ConnectionLost);
                 return self.remove(context, slot, Close::Malformed);
             }
             (Flow::Refused, _) | (_, Flow::Broken) => {
@@ -81,42 +103,54 @@
 
     /// The client's connection broke: its host's is reset in turn.
     pub(super) fn client_broke(&mut self, context: &mut Context, slot: usize) {
-        if let Some(landing) = self.over(context, slot, Ending::CalledOff) {
+        if let Some(landing) = self.over(context, slot, AttemptOutcome::Cancelled) {
             landing.side.socket.reset();
         }
         self.remove(context, slot, Close::ClientBroke);
     }
 
     /// Tells the module how an open connection ended, and takes its host's side off.
-    pub(super) fn over(&mut self, context: &mut Context, slot: usize, ending: Ending) -> Option<Landing> {
+    pub(super) fn over(
+        &mut self,
+        context: &mut Context,
+        slot: usize,
+        ending: AttemptOutcome,
+    ) -> Option<Landing> {
         let connection = &mut self.slab[slot];
         let landing = connection.landing.take()?;
-        context.events.push(Event::Ended {
-            id: connection.arrival.id,
-            hand_off: landing.number,
+        context.events.push(Event::AttemptEnded {
+            id: connection.incoming.id,
+            attempt: landing.number,
             host: context.hosts.record(landing.host).id,
-            over: true,
+            request_over: true,
             ending,
-            gauges: Vec::new(),
+            load_metrics: Vec::new(),
         });
         Some(landing)
     }
 
     /// The module wants the client to come again.
-    pub fn move_on(&mut self, context: &mut Context, id: AttachmentId) {
+    pub fn move_on(&mut self, context: &mut Context, id: RequestId) {
         let Some(slot) = self.find(id) else { return };
         let connection = &mut self.slab[slot];
         if connection.stage == Stage::Open && connection.moving.is_none() {
             connection.moving = Some(context.now + LONGEST_MOVE);
-            connection.ending = Ending::CalledOff;
+            connection.ending = AttemptOutcome::Cancelled;
             self.move_now(context, slot);
         }
     }
 
     /// Sends the client away once it stands between two lines.
     pub(super) fn move_now(&mut self, context: &mut Context, slot: usize) {
-        let Some(connection) = self.slab.get_mut(slot) else { return };
-        let Some(by) = connection.moving.filter(|_| connection.stage == Stage::Open) else { return };
+        let Some(connection) = self.slab.get_mut(slot) else {
+            return;
+        };
+        let Some(by) = connection
+            .moving
+            .filter(|_| connection.stage == Stage::Open)
+        else {
+            return;
+        };
         let between = connection.down.buffer.as_ref().is_none_or(Buffer::is_empty)
             && connection.down.scanner.between_lines();
         if !between || (!connection.up.scanner.between_lines() && context.now < by) {
@@ -130,16 +164,29 @@
     pub(super) fn look_after(&mut self, context: &mut Context, slot: usize) {
         let now = context.now;
         let connection = &mut self.slab[slot];
-        let late = connection.asked.front().is_some_and(|&then| now >= then + SILENT_HOST);
+        let late = connection
+            .asked
+            .front()
+            .is_some_and(|&then| now >= then + SILENT_HOST);
         if late && connection.moving.is_none() {
             // Guards: a host taken for silent whose answer lies unread, as one turn takes in no more than what is before it.
-            connection.landing.iter_mut().for_each(|landing| landing.side.readable = true);
+            connection
+                .landing
+                .iter_mut()
+                .for_each(|landing| landing.side.readable = true);
             self.pass(context, slot);
         }
-        let Some(connection) = self.slab.get_mut(slot).filter(|c| c.stage == Stage::Open) else { return };
-        let Some(landing) = connection.landing.as_ref() else { return };
-        if connection.client_ended.is_some_and(|t| now >= t + LAST_WORDS) {
-            self.over(context, slot, Ending::CalledOff);
+        let Some(connection) = self.slab.get_mut(slot).filter(|c| c.stage == Stage::Open) else {
+            return;
+        };
+        let Some(landing) = connection.landing.as_ref() else {
+            return;
+        };
+        if connection
+            .client_ended
+            .is_some_and(|t| now >= t + LAST_WORDS)
+        {
+            self.over(context, slot, AttemptOutcome::Cancelled);
             return self.remove(context, slot, Close::ClientEnded);
         }
         if let Some(&then) = connection.asked.front() {
@@ -149,7 +196,11 @@
                 connection.moving = Some(now + LONGEST_MOVE);
                 // Guards: a host that answers all others, masked and cut for one connection.
                 let alone = context.hosts.answers_since(landing.host, then);
-                connection.ending = if alone { Ending::CalledOff } else { Ending::Broken };
+                connection.ending = if alone {
+                    AttemptOutcome::Cancelled
+                } else {
+                    AttemptOutcome::ConnectionLost
+                };
             }
         }
         let empty = context.empty_by();
@@ -158,14 +209,23 @@
             let moving = connection.moving.get_or_insert(now);
             *moving = now.min(*moving);
             self.move_now(context, slot);
-            if self.slab.get(slot).is_none_or(|connection| connection.stage != Stage::Open) {
+            if self
+                .slab
+                .get(slot)
+                .is_none_or(|connection| connection.stage != Stage::Open)
+            {
                 return;
             }
         }
-        let Some(connection) = self.slab.get_mut(slot) else { return };
-        if connection.moving.is_some_and(|by| now >= (by + LINGER).min(empty)) {
+        let Some(connection) = self.slab.get_mut(slot) else {
+            return;
+        };
+        if connection
+            .moving
+            .is_some_and(|by| now >= (by + LINGER).min(empty))
+        {
             // The host has stopped in the middle of a line, and the client takes no other there.
-            self.over(context, slot, Ending::Broken);
+            self.over(context, slot, AttemptOutcome::ConnectionLost);
             return self.remove(context, slot, Close::HostStalled);
         }
         self.move_now(context, slot);
--- a/node/src/connections/passing.rs
+++ b/node/src/connections/passing.rs
@@ -8,9 +8,9 @@
 use crate::connections::lines::Scanner;
 use crate::context::{Context, CLIENT, HOST};
 use crate::operators::counts::Close;
-use reedferry::{AttachmentId, Ending, Event, Nanos, Offering};
-use reedferry_quay::{Mark, Socket};
-use reedferry_terms::renewal;
+use reedferry::{AttemptOutcome, Event, Nanos, RequestClass, RequestId};
+use reedferry_runtime::{Mark, Socket};
+use reedferry_settings::renewal;
 use serde::{Deserialize, Serialize};
 use std::os::fd::{AsFd, BorrowedFd};
 
@@ -51,7 +51,7 @@
     letter: Vec<u8>,
     name: Option<String>,
     /// What it goes by, and what that means.
-    offering: Option<(String, Offering)>,
+    class: Option<(String, RequestClass)>,
     key: Option<u64>,
     group: Option<u64>,
     usual_load: Option<f64>,
@@ -75,8 +75,15 @@
 
 impl Flowing {
     fn of(lane: &Lane) -> Self {
-        let waiting = lane.buffer.as_ref().map_or(Vec::new(), |b| b.waiting().to_vec());
-        Flowing { waiting, scanner: lane.scanner, ended: lane.ended }
+        let waiting = lane
+            .buffer
+            .as_ref()
+            .map_or(Vec::new(), |b| b.waiting().to_vec());
+        Flowing {
+            waiting,
+            scanner: lane.scanner,
+            ended: lane.ended,
+        }
     }
 
     /// None where it holds more than there are buffers for.
@@ -87,7 +94,11 @@
             fresh.put(&self.waiting).then_some(())?;
             buffer = Some(fresh);
         }
-        Some(Lane { buffer, scanner: self.scanner, ended: self.ended })
+        Some(Lane {
+            buffer,
+            scanner: self.scanner,
+            ended: self.ended,
+        })
     }
 }
 
@@ -107,12 +118,15 @@
     }
 
     /// Lets go of one that is passable, and says what the next process must know of it.
-    pub fn release(&mut self, context: &mut Context, slot: usize) -> (HandedOver, AttachmentId) {
+    pub fn release(&mut self, context: &mut Context, slot: usize) -> (HandedOver, RequestId) {
         let connection = &mut self.slab[slot];
         let open = connection.stage == Stage::Open;
         connection.stage = Stage::Passing(open);
-        let arrival = connection.arrival;
-        let sides = connection.client.iter().chain(connection.landing.as_ref().map(|l| &l.side));
+        let incoming = connection.incoming;
+        let sides = connection
+            .client
+            .iter()
+            .chain(connection.landing.as_ref().map(|l| &l.side));
         sides.for_each(|side| _ = context.poller.unwatch(&side.socket));
         let landing = connection.landing.as_ref().filter(|_| open);
         let open = landing.map(|landing| Open {
@@ -122,14 +136,16 @@
             down: Flowing::of(&connection.down),
             asked: connection.asked.iter().copied().collect(),
             moving: connection.moving,
-            broken: connection.ending == Ending::Broken,
+            broken: connection.ending == AttemptOutcome::ConnectionLost,
             client_ended: connection.client_ended,
             bye: landing.said.bye,
             moved: landing.said.moved,
         });
-        let offering = open.as_ref().and_then(|_| {
-            let (name, means) =
-                (context.terms.offerings.get(arrival.offering), context.offerings.get(arrival.offering));
+        let class = open.as_ref().and_then(|_| {
+            let (name, means) = (
+                context.node_settings.classes.get(incoming.class),
+                context.classes.get(incoming.class),
+            );
             Some((name?.clone(), means?.clone()))
         });
         let handed_over = HandedOver {
@@ -137,40 +153,47 @@
             came: connection.came,
             since: connection.since,
             pings: connection.pings,
-            letter: connection.letter.as_ref().map_or(Vec::new(), |l| l.waiting().to_vec()),
+            letter: connection
+                .letter
+                .as_ref()
+                .map_or(Vec::new(), |l| l.waiting().to_vec()),
             name: connection.name.as_deref().map(str::to_string),
-            offering,
-            key: arrival.key,
-            group: arrival.group,
-            usual_load: arrival.usual_load,
+            class,
+            key: incoming.key,
+            group: incoming.group,
+            usual_load: incoming.usual_load,
             open,
         };
         if let Some(landing) = &connection.landing {
-            context.events.push(Event::Ended {
-                id: arrival.id,
-                hand_off: landing.number,
+            context.events.push(Event::AttemptEnded {
+                id: incoming.id,
+                attempt: landing.number,
                 host: context.hosts.record(landing.host).id,
-                over: true,
-                ending: Ending::PassedOn,
-                gauges: Vec::new(),
+                request_over: true,
+                ending: AttemptOutcome::HandedOver,
+                load_metrics: Vec::new(),
             });
         }
-        (handed_over, arrival.id)
+        (handed_over, incoming.id)
     }
 
     /// The descriptors that go with it: its client's, and its host's.
     pub fn descriptors(&self, slot: usize) -> Vec<BorrowedFd<'_>> {
         let connection = &self.slab[slot];
-        let sides = connection.client.iter().chain(connection.landing.as_ref().map(|l| &l.side));
+        let sides = connection
+            .client
+            .iter()
+            .chain(connection.landing.as_ref().map(|l| &l.side));
         sides.map(|side| side.socket.as_fd()).collect()
     }
 
-    fn passing(&self, id: AttachmentId) -> Option<usize> {
-        self.find(id).filter(|&slot| matches!(self.slab[slot].stage, Stage::Passing(_)))
+    fn passing(&self, id: RequestId) -> Option<usize> {
+        self.find(id)
+            .filter(|&slot| matches!(self.slab[slot].stage, Stage::Passing(_)))
     }
 
     /// The next process has it.
-    pub fn passed(&mut self, context: &mut Context, id: AttachmentId) {
+    pub fn passed(&mut self, context: &mut Context, id: RequestId) {
         if let Some(slot) = self.passing(id) {
             self.remove(context, slot, Close::PassedOn);
         }
@@ -178,16 +201,25 @@
 
     /// This process goes on with one that was being passed: the next one never had it, or it has come from the one before,
     /// which was told so.
-    pub fn keep(&mut self, context: &mut Context, id: AttachmentId) {
+    pub fn keep(&mut self, context: &mut Context, id: RequestId) {
         let Some(slot) = self.passing(id) else { return };
         let connection = &mut self.slab[slot];
-        connection.stage =
-            if connection.stage == Stage::Passing(true) { Stage::Open } else { Stage::Unasked };
-        let sides =
-            [(CLIENT, connection.client.as_mut()), (HOST, connection.landing.as_mut().map(|l| &mut l.side))];
+        connection.stage = if connection.stage == Stage::Passing(true) {
+            Stage::Open
+        } else {
+            Stage::Unasked
+        };
+        let sides = [
+            (CLIENT, connection.client.as_mut()),
+            (HOST, connection.landing.as_mut().map(|l| &mut l.side)),
+        ];
         for (part, side) in sides {
             let Some(side) = side else { continue };
-            let mark = Mark { part, slot: slot as u32, stamp: context.stamp() };
+            let mark = Mark {
+                part,
+                slot: slot as u32,
+                stamp: context.stamp(),
+            };
             side.stamp = mark.stamp;
             if context.poller.watch_anyway(&side.socket, mark).is_err() {
                 context.machine_trouble("epoll_ctl");
@@ -196,9 +228,16 @@
         }
         if let Some(landing) = &connection.landing {
             let host = context.hosts.record(landing.host).id;
-            let (arrival, load) = (connection.arrival, landing.said.load);
-            context.events.push(Event::PassedOn(arrival, host, connection.since));
-            context.events.extend(load.map(|load| Event::LoadNow { id: arrival.id, load }));
+            let (incoming, load) = (connection.incoming, landing.said.load);
+            context.events.push(Event::ConnectionHandedOver(
+                incoming,
+                host,
+                connection.since,
+            ));
+            context.events.extend(load.map(|load| Event::LoadMeasured {
+                id: incoming.id,
+                load,
+            }));
         } else if let Some(client) = &connection.client {
             self.listener.idle.push_back((slot, client.stamp));
         }
@@ -210,7 +249,7 @@
 
     /// The next process would not have it: this one goes on with it, and has it moved. Guards: one that is given and turned down
     /// again and again until the program is ended.
-    pub fn turned_down(&mut self, context: &mut Context, id: AttachmentId) {
+    pub fn turned_down(&mut self, context: &mut Context, id: RequestId) {
         self.keep(context, id);
         if let Some(slot) = self.find(id) {
             self.slab[slot].turned_down = true;
@@ -219,7 +258,7 @@
     }
 
     /// Lets one be that was adopted, with nothing said on it: the process before goes on with it after all.
-    pub fn abandon(&mut self, context: &mut Context, id: AttachmentId) {
+    pub fn abandon(&mut self, context: &mut Context, id: RequestId) {
         if let Some(slot) = self.passing(id) {
             self.remove(context, slot, Close::PassedOn);
         }
@@ -233,11 +272,15 @@
         context: &mut Context,
         handed_over: HandedOver,
         sockets: Vec<Socket>,
-    ) -> Option<AttachmentId> {
+    ) -> Option<RequestId> {
         let handed_over = handed_over.timed_by(context.clock.ahead());
         // Guards: one customer's connection that goes by another's terms, as its own are offered no more.
-        let goes_by = handed_over.offering.as_ref().and_then(|(name, means)| {
-            renewal::place((&context.offerings, &context.terms.offerings), name, means)
+        let goes_by = handed_over.class.as_ref().and_then(|(name, means)| {
+            renewal::place(
+                (&context.classes, &context.node_settings.classes),
+                name,
+                means,
+            )
         });
         if handed_over.open.is_some() && goes_by.is_none() {
             return None;
@@ -245,29 +288,54 @@
         let slot = self.slab.vacant_key();
         let mut sockets = sockets.into_iter();
         let client = sockets.next()?;
-        let client = Side { socket: client, stamp: context.stamp(), readable: false, writable: true };
+        let client = Side {
+            socket: client,
+            stamp: context.stamp(),
+            readable: false,
+            writable: true,
+        };
         let mut connection = Connection::new(client, slot, handed_over.came);
         (connection.since, connection.pings) = (handed_over.since, handed_over.pings);
         match handed_over.open {
             Some(open) => {
                 let host = sockets.next()?;
-                let (Some(up), Some(down)) = (open.up.lane(context), open.down.lane(context)) else {
+                let (Some(up), Some(down)) = (open.up.lane(context), open.down.lane(context))
+                else {
                     return None;
                 };
-                let side = Side { socket: host, stamp: context.stamp(), readable: false, writable: true };
+                let side = Side {
+                    socket: host,
+                    stamp: context.stamp(),
+                    readable: false,
+                    writable: true,
+                };
                 let index = context.hosts.adopt(context.now, &open.host);
                 let record = context.hosts.record(index);
-                let said = Said { bye: open.bye, moved: open.moved, load: open.load };
-                connection.landing =
-                    Some(Landing::stood(side, index, record.lease.clone(), handed_over.since, said));
+                let said = Said {
+                    bye: open.bye,
+                    moved: open.moved,
+                    load: open.load,
+                };
+                connection.landing = Some(Landing::stood(
+                    side,
+                    index,
+                    record.lease.clone(),
+                    handed_over.since,
+                    said,
+                ));
                 (connection.up, connection.down) = (up, down);
                 (connection.asked, connection.moving, connection.client_ended) =
                     (open.asked.into(), open.moving, open.client_ended);
-                connection.ending = if open.broken { Ending::Broken } else { Ending::CalledOff };
+                connection.ending = if open.broken {
+                    AttemptOutcome::ConnectionLost
+                } else {
+                    AttemptOutcome::Cancelled
+                };
                 connection.stage = Stage::Passing(true);
-                connection.arrival.offering = goes_by.unwrap_or_default();
-                (connection.arrival.key, connection.arrival.group) = (handed_over.key, handed_over.group);
-                connection.arrival.usual_load = handed_over.usual_load;
+                connection.incoming.class = goes_by.unwrap_or_default();
+                (connection.incoming.key, connection.incoming.group) =
+                    (handed_over.key, handed_over.group);
+                connection.incoming.usual_load = handed_over.usual_load;
                 if let Some(name) = handed_over.name {
                     let name = std::rc::Rc::from(name);
                     self.listener.names.insert(std::rc::Rc::clone(&name));
@@ -283,8 +351,12 @@
                 }
             }
         }
-        let id = connection.arrival.id;
+        let id = connection.incoming.id;
         self.slab.insert(connection);
         Some(id)
     }
 }
+
+#[cfg(test)]
+#[path = "passing_bytes_tests.rs"]
+mod bytes_tests;
--- a/node/src/connections/probe.rs
+++ b/node/src/connections/probe.rs
@@ -3,8 +3,8 @@
 
 use crate::connections::lines::{self, Scanner, Word};
 use crate::context::{Context, PROBE};
-use reedferry::{Ending, Event, HostId, Nanos};
-use reedferry_quay::{Buffer, Errno, Mark, Readiness, Socket};
+use reedferry::{AttemptOutcome, Event, HostId, Nanos};
+use reedferry_runtime::{Buffer, Errno, Mark, Readiness, Socket};
 use slab::Slab;
 
 struct Probe {
@@ -22,30 +22,49 @@
 
 impl Probes {
     pub fn send(&mut self, context: &mut Context, host: HostId) {
-        let address = context.hosts.index(host).and_then(|h| context.hosts.record(h).address);
+        let address = context
+            .hosts
+            .index(host)
+            .and_then(|h| context.hosts.record(h).address);
         let opened = match address {
             Some(address) if context.budget.room(1) => context.budget.connect(&address).ok(),
             _ => None,
         };
         let Some((socket, _)) = opened else {
-            return Self::tell(context, host, Ending::Unconnected, Vec::new());
+            return Self::tell(context, host, AttemptOutcome::ConnectFailed, Vec::new());
         };
         let entry = self.slab.vacant_entry();
         let Ok(mark) = context.watch(&socket, PROBE, entry.key()) else {
-            return Self::tell(context, host, Ending::Unconnected, Vec::new());
+            return Self::tell(context, host, AttemptOutcome::ConnectFailed, Vec::new());
         };
-        entry.insert(Probe { host, socket, stamp: mark.stamp, asked: false, heard: None });
-        let until: Nanos = context.now + 2 * context.terms.connect_within;
+        entry.insert(Probe {
+            host,
+            socket,
+            stamp: mark.stamp,
+            asked: false,
+            heard: None,
+        });
+        let until: Nanos = context.now + 2 * context.node_settings.connect_within;
         context.poller.remind(until, mark, 0);
     }
 
-    fn tell(context: &mut Context, host: HostId, ending: Ending, gauges: Vec<f64>) {
-        context.events.push(Event::Probed { host, ending, gauges });
+    fn tell(context: &mut Context, host: HostId, ending: AttemptOutcome, load_metrics: Vec<f64>) {
+        context.events.push(Event::ProbeEnded {
+            host,
+            ending,
+            load_metrics,
+        });
     }
 
-    fn end(&mut self, context: &mut Context, slot: usize, ending: Ending, gauges: Vec<f64>) {
+    fn end(
+        &mut self,
+        context: &mut Context,
+        slot: usize,
+        ending: AttemptOutcome,
+        load_metrics: Vec<f64>,
+    ) {
         let probe = self.slab.remove(slot);
-        Self::tell(context, probe.host, ending, gauges);
+        Self::tell(context, probe.host, ending, load_metrics);
     }
 
     /// A probe has had its time. Guards: a host taken for silent, and full, as its answer lies unread in a process that stood
@@ -56,23 +75,39 @@
             self.read(context, slot);
         }
         if let Some(probe) = self.out(mark) {
-            let ending = if probe.asked { Ending::TimedOut } else { Ending::Unconnected };
+            let ending = if probe.asked {
+                AttemptOutcome::TimedOut
+            } else {
+                AttemptOutcome::ConnectFailed
+            };
             self.end(context, slot, ending, Vec::new());
         }
     }
 
     /// The probe of this mark, while it is out.
     fn out(&self, mark: Mark) -> Option<&Probe> {
-        self.slab.get(mark.slot as usize).filter(|probe| probe.stamp == mark.stamp)
+        self.slab
+            .get(mark.slot as usize)
+            .filter(|probe| probe.stamp == mark.stamp)
     }
 
     pub fn ready(&mut self, context: &mut Context, ready: Readiness) {
         let slot = ready.mark.slot as usize;
-        let Some(probe) = self.slab.get_mut(slot).filter(|p| p.stamp == ready.mark.stamp) else { return };
+        let Some(probe) = self
+            .slab
+            .get_mut(slot)
+            .filter(|p| p.stamp == ready.mark.stamp)
+        else {
+            return;
+        };
         if ready.write && !probe.asked {
-            let line: &[u8] = if context.terms.gauges.is_empty() { b"PING\r\n" } else { b"STATS\r\n" };
+            let line: &[u8] = if context.node_settings.load_metrics.is_empty() {
+                b"PING\r\n"
+            } else {
+                b"STATS\r\n"
+            };
             if probe.socket.connected().is_err() || probe.socket.send(line) != Ok(line.len()) {
-                return self.end(context, slot, Ending::Unconnected, Vec::new());
+                return self.end(context, slot, AttemptOutcome::ConnectFailed, Vec::new());
             }
             probe.asked = true;
         }
@@ -85,29 +120,39 @@
     fn read(&mut self, context: &mut Context, slot: usize) {
         let probe = &mut self.slab[slot];
         let Some(mut heard) = probe.heard.take().or_else(|| context.pool.take()) else {
-            return self.end(context, slot, Ending::NeverSent, Vec::new());
+            return self.end(context, slot, AttemptOutcome::NeverSent, Vec::new());
         };
         loop {
             if heard.spare().is_empty() {
-                return self.end(context, slot, Ending::Error, Vec::new());
+                return self.end(context, slot, AttemptOutcome::Error, Vec::new());
             }
             match probe.socket.receive(heard.spare()) {
-                Ok(0) => return self.end(context, slot, Ending::Broken, Vec::new()),
+                Ok(0) => {
+                    return self.end(context, slot, AttemptOutcome::ConnectionLost, Vec::new())
+                }
                 Ok(count) => heard.filled(count),
                 Err(Errno::AGAIN) => break,
-                Err(_) => return self.end(context, slot, Ending::Broken, Vec::new()),
+                Err(_) => {
+                    return self.end(context, slot, AttemptOutcome::ConnectionLost, Vec::new())
+                }
             }
         }
         match lines::first(heard.waiting()) {
             Ok(None) => probe.heard = Some(heard),
             Ok(Some((line, length))) => {
-                let said =
-                    Scanner::default().step(&heard.waiting()[..length]).ok().and_then(|(_, said)| said);
-                let ending = if said == Some(Word::Pong) { Ending::Done } else { Ending::Error };
-                let gauges = lines::report(line, &context.terms.gauges);
-                self.end(context, slot, ending, gauges);
+                let said = Scanner::default()
+                    .step(&heard.waiting()[..length])
+                    .ok()
+                    .and_then(|(_, said)| said);
+                let ending = if said == Some(Word::Pong) {
+                    AttemptOutcome::Completed
+                } else {
+                    AttemptOutcome::Error
+                };
+                let load_metrics = lines::report(line, &context.node_settings.load_metrics);
+                self.end(context, slot, ending, load_metrics);
             }
-            Err(_) => self.end(context, slot, Ending::Error, Vec::new()),
+            Err(_) => self.end(context, slot, AttemptOutcome::Error, Vec::new()),
         }
     }
 }
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -4,7 +4,7 @@
 
 mod connections;
 mod context;
-mod listing;
+mod discovery;
 mod operators;
 mod peers;
 mod ready;
@@ -14,8 +14,8 @@
 
 use clap::{Args, Parser, Subcommand};
 use reedferry::{Nanos, MILLI};
-use reedferry_quay::signals::{SIGHUP, SIGTERM};
-use reedferry_quay::Signal;
+use reedferry_runtime::signals::{SIGHUP, SIGTERM};
+use reedferry_runtime::Signal;
 use std::path::PathBuf;
 
 /// How often a role looks over its connections.
@@ -68,16 +68,27 @@
 
 fn run() -> Result<(), String> {
     // First of all. Guards: a node ended by a call to read its papers that comes while it starts.
-    let start = AtStart { stop: Signal::told(SIGTERM)?, reread: Signal::told(SIGHUP)? };
+    let start = AtStart {
+        stop: Signal::told(SIGTERM)?,
+        reread: Signal::told(SIGHUP)?,
+    };
     match Line::parse().command {
         None => roles::alone::run(roles::alone::Told::Environment, start),
-        Some(Command::Node(file)) => roles::alone::run(roles::alone::Told::Operator(&file.config), start),
+        Some(Command::Node(file)) => {
+            roles::alone::run(roles::alone::Told::Operator(&file.config), start)
+        }
         Some(Command::Forward(file)) => roles::forward::run(&file.config, start),
         Some(Command::Plan(file)) => roles::plan::run(&file.config, start),
         Some(Command::Check { file }) => {
-            let articles = operators::articles::Articles::read(&file)?;
-            let (role, papers) = (articles.role.word(), articles.papers_at.display());
-            println!("{}: in order, for `reedferry {role}`, with the papers {papers}", file.display());
+            let operator_config = operators::operator_config::OperatorConfig::read(&file)?;
+            let (role, node_config) = (
+                operator_config.role.word(),
+                operator_config.node_config_path.display(),
+            );
+            println!(
+                "{}: in order, for `reedferry {role}`, with the papers {node_config}",
+                file.display()
+            );
             Ok(())
         }
     }
--- a/node/src/operators/counts.rs
+++ b/node/src/operators/counts.rs
@@ -3,7 +3,7 @@
 //! and log lines. It must never count what its caller has not seen happen.
 
 use reedferry::permission::Refusal;
-use reedferry::Ending;
+use reedferry::AttemptOutcome;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -87,7 +87,10 @@
 
     /// Whether the client's connection is ended by a reset, as its other end was.
     pub fn resets(self) -> bool {
-        matches!(self, Close::ClientBroke | Close::HostBroke | Close::HostStalled | Close::Malformed)
+        matches!(
+            self,
+            Close::ClientBroke | Close::HostBroke | Close::HostStalled | Close::Malformed
+        )
     }
 }
 
@@ -95,7 +98,7 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Count {
     NotBegun(Refusal),
-    AttemptEnded(Ending),
+    AttemptEnded(AttemptOutcome),
     Closed(Close),
     Violated(Violation),
     /// A system call failed for a moment's trouble of this machine, and is made again.
@@ -121,7 +124,12 @@
 impl Default for Counts {
     /// Violations have their lines from the start, so that whoever watches them need not wait for the first.
     fn default() -> Self {
-        Counts(Violation::ALL.into_iter().map(|v| (Count::Violated(v).key(), 0)).collect())
+        Counts(
+            Violation::ALL
+                .into_iter()
+                .map(|v| (Count::Violated(v).key(), 0))
+                .collect(),
+        )
     }
 }
 
@@ -152,7 +160,7 @@
         for _ in 0..2 {
             counts.add(Count::Violated(Violation::Unanswered));
         }
-        counts.add(Count::AttemptEnded(Ending::NeverSent));
+        counts.add(Count::AttemptEnded(AttemptOutcome::NeverSent));
         counts.add(Count::NotBegun(Refusal::ListNotHeard));
         let text = counts.text();
         for line in [
@@ -166,7 +174,12 @@
 
     #[test]
     fn each_kind_has_a_name_of_its_own() {
-        let names: std::collections::BTreeSet<_> = Violation::ALL.iter().map(|v| v.name()).collect();
+        let names: std::collections::BTreeSet<_> =
+            Violation::ALL.iter().map(|v| v.name()).collect();
         assert_eq!(names.len(), Violation::ALL.len());
     }
 }
+
+#[cfg(test)]
+#[path = "counts_text_tests.rs"]
+mod text_tests;
--- a/node/src/operators/files.rs
+++ b/node/src/operators/files.rs
@@ -1,8 +1,8 @@
 //! Reading the files that the program is told by. It owns the difference between a file that could not be read for a
 //! moment and one that is missing or wrong. It must never know what a file says.
 
-use reedferry_quay::errors::{for_a_moment, patiently};
-use reedferry_quay::Errno;
+use reedferry_runtime::errors::{for_a_moment, patiently};
+use reedferry_runtime::Errno;
 use std::fmt;
 use std::path::Path;
 use std::time::Duration;
@@ -46,7 +46,11 @@
 pub fn read(path: &Path) -> Result<Vec<u8>, NotRead> {
     let once = || std::fs::read(path).map_err(|e| Errno::from_io_error(&e).unwrap_or(Errno::IO));
     patiently(READ_WITHIN, once).map_err(|error| {
-        let why = format!("cannot read {}: {}", path.display(), std::io::Error::from(error));
+        let why = format!(
+            "cannot read {}: {}",
+            path.display(),
+            std::io::Error::from(error)
+        );
         if for_a_moment(error) || error == Errno::IO {
             NotRead::Moment(why)
         } else {
