--- a/node/src/peers/wards.rs
+++ b/node/src/peers/wards.rs
@@ -5,8 +5,13 @@
 
 use crate::context::{mark, Context, WARDS};
 use crate::peers::fleet::Fleet;
-use reedferry::{Action, Arrival, AttachmentId, Effect, Ending, Event, HostId, Nanos, Past, SECOND};
-use reedferry_wards::{guardians, Answer, Guardian, Holder, Keeper, Outcome, Question, Record};
+use reedferry::{
+    Action, AttemptOutcome, Event, HostId, Idempotency, IncomingRequest, Nanos, PriorAttempts,
+    RequestId, SECOND,
+};
+use reedferry_replication::{
+    guardians, Answer, Guardian, Holder, Keeper, Outcome, Question, Record,
+};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use slog::warn;
@@ -14,7 +19,7 @@
 
 /// What the operator's file says of wards.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WardTerms {
+pub struct ReplicationConfig {
     /// How long a record matters, how long a majority may take, and how many records are kept for others.
     pub life: Nanos,
     pub within: Nanos,
@@ -35,7 +40,7 @@
 /// What passed of an attachment, as guardians keep it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct History {
-    hand_offs: u32,
+    attempts: u32,
     /// The host of the first hand-off that may have run, and how long ago that was when this was written.
     ran: Option<(u64, Nanos)>,
     tried: Vec<u64>,
@@ -52,9 +57,9 @@
 impl Passed {
     fn handed_off(&mut self, now: Nanos, host: u64) {
         let history = &mut self.history;
-        history.hand_offs += 1;
+        history.attempts += 1;
         if history.ran.is_none() {
-            (self.ran_at, self.ran_by) = (now, history.hand_offs);
+            (self.ran_at, self.ran_by) = (now, history.attempts);
         }
         let first = history.ran.map_or(host, |(ran, _)| ran);
         history.ran = Some((first, now.saturating_sub(self.ran_at)));
@@ -66,7 +71,7 @@
     /// Guards: an earlier hand-off to the same host, which may have run, forgotten as a later one did not.
     fn never_ran(&mut self, host: u64) {
         let history = &mut self.history;
-        if history.hand_offs == self.ran_by && history.ran.is_some_and(|(ran, _)| ran == host) {
+        if history.attempts == self.ran_by && history.ran.is_some_and(|(ran, _)| ran == host) {
             history.ran = None;
         }
     }
@@ -74,8 +79,8 @@
 
 /// An attachment under a ward.
 struct Held {
-    id: AttachmentId,
-    arrival: Arrival,
+    id: RequestId,
+    incoming: IncomingRequest,
     came: Nanos,
     passed: Passed,
     /// The hand-off that waits for its record, and since when.
@@ -91,15 +96,15 @@
 }
 
 pub struct Wards {
-    terms: WardTerms,
+    node_settings: ReplicationConfig,
     keeper: Keeper,
     guardian: Guardian,
     place: u32,
     roster: u32,
     held: HashMap<u64, Held>,
-    keys: HashMap<AttachmentId, u64>,
+    keys: HashMap<RequestId, u64>,
     /// Answered here, and not to be handed off by what the module orders in the same turn.
-    refused: HashSet<AttachmentId>,
+    refused: HashSet<RequestId>,
     out: Vec<(u32, Word)>,
     ready: Vec<Action>,
     figures: Figures,
@@ -108,11 +113,17 @@
 }
 
 impl Wards {
-    pub fn new(context: &Context, terms: &WardTerms, place: u32, roster: u32, life: u64) -> Wards {
+    pub fn new(
+        context: &Context,
+        node_settings: &ReplicationConfig,
+        place: u32,
+        roster: u32,
+        life: u64,
+    ) -> Wards {
         Wards {
-            terms: terms.clone(),
-            keeper: Keeper::new(Holder { place, life }, roster, terms.within),
-            guardian: Guardian::new(context.now, terms.life, terms.most),
+            node_settings: node_settings.clone(),
+            keeper: Keeper::new(Holder { place, life }, roster, node_settings.within),
+            guardian: Guardian::new(context.now, node_settings.life, node_settings.most),
             place,
             roster,
             held: HashMap::new(),
@@ -127,7 +138,11 @@
 
     /// What operators see.
     pub fn figures(&self) -> serde_json::Value {
-        let Figures { written, taken_over, turned_away } = &self.figures;
+        let Figures {
+            written,
+            taken_over,
+            turned_away,
+        } = &self.figures;
         let (kept, held) = (self.guardian.count(), self.held.len());
         json!({"kept_for_others": kept, "held": held, "written_ahead": written, "taken_over": taken_over,
             "turned_away": turned_away})
@@ -137,31 +152,47 @@
         for place in guardians(key, self.roster) {
             self.out.push((place, Word::Question(question.clone())));
         }
-        context.poller.remind(context.now + self.terms.within, mark(WARDS), 0);
+        context
+            .poller
+            .remind(context.now + self.node_settings.within, mark(WARDS), 0);
     }
 
     /// An event on its way to the module: one that waits for a ward does not get there yet.
-    pub fn before(&mut self, context: &mut Context, effects: &[Effect], event: Event) -> Option<Event> {
+    pub fn before(
+        &mut self,
+        context: &mut Context,
+        idempotencies: &[Idempotency],
+        event: Event,
+    ) -> Option<Event> {
         match &event {
-            Event::Arrived(arrival) if effects.get(arrival.offering) != Some(&Effect::Redoable) => {
+            Event::RequestArrived(incoming)
+                if idempotencies.get(incoming.class) != Some(&Idempotency::Idempotent) =>
+            {
                 // Without a key nobody can bring it again; and this is one whose ward has come.
-                let Some(client) = arrival.key.filter(|_| !self.keys.contains_key(&arrival.id)) else {
+                let Some(client) = incoming
+                    .key
+                    .filter(|_| !self.keys.contains_key(&incoming.id))
+                else {
                     return Some(event);
                 };
                 let key = client.rotate_left(17)
-                    ^ (arrival.offering as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+                    ^ (incoming.class as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
                 if self.held.contains_key(&key) {
-                    self.turn_away(arrival.id);
+                    self.turn_away(incoming.id);
                     return None;
                 }
-                let (id, arrival, came) = (arrival.id, *arrival, context.now);
+                let (id, incoming, came) = (incoming.id, *incoming, context.now);
                 self.held.insert(
                     key,
                     Held {
                         id,
-                        arrival,
+                        incoming,
                         came,
-                        passed: Passed { history: History::default(), ran_at: context.now, ran_by: 0 },
+                        passed: Passed {
+                            history: History::default(),
+                            ran_at: context.now,
+                            ran_by: 0,
+                        },
                         waits: None,
                     },
                 );
@@ -170,15 +201,17 @@
                 self.ask(context, key, &question);
                 return None;
             }
-            Event::Begun { id, .. } => self.answered(context, *id),
-            Event::Left { id } => {
+            Event::ConnectionEstablished { id, .. } => self.answered(context, *id),
+            Event::ClientLeft { id } => {
                 // Its history stays on record: it may come again.
                 if let Some(key) = self.keys.remove(id) {
                     self.held.remove(&key);
                     self.keeper.drop(key);
                 }
             }
-            Event::Ended { id, host, ending, .. } if ending.never_ran() => {
+            Event::AttemptEnded {
+                id, host, ending, ..
+            } if ending.never_ran() => {
                 if let Some(held) = self.keys.get(id).and_then(|key| self.held.get_mut(key)) {
                     held.passed.never_ran(host.0);
                 }
@@ -191,15 +224,19 @@
     /// An action on its way out: a hand-off waits until it is on record.
     pub fn ahead(&mut self, context: &mut Context, action: Action) -> Option<Action> {
         match &action {
-            Action::HandOff { id, .. } if self.refused.contains(id) => return None,
-            Action::HandOff { id, host, .. } => {
-                let Some(&key) = self.keys.get(id) else { return Some(action) };
+            Action::StartAttempt { id, .. } if self.refused.contains(id) => return None,
+            Action::StartAttempt { id, host, .. } => {
+                let Some(&key) = self.keys.get(id) else {
+                    return Some(action);
+                };
                 let host = host.0;
                 let held = self.held.get_mut(&key)?;
                 held.passed.handed_off(context.now, host);
                 let history = &held.passed.history;
-                let record =
-                    Record { history: postcard::to_allocvec(history).unwrap_or_default(), over: false };
+                let record = Record {
+                    history: postcard::to_allocvec(history).unwrap_or_default(),
+                    over: false,
+                };
                 held.waits = Some((action, context.now));
                 match self.keeper.keep(context.now, key, record) {
                     Some(question) => self.ask(context, key, &question),
@@ -207,44 +244,68 @@
                 }
                 return None;
             }
-            Action::Dismiss { id, .. } | Action::GiveUp { id } => self.answered(context, *id),
+            Action::Reject { id, .. } | Action::Fail { id } => self.answered(context, *id),
             _ => {}
         }
         Some(action)
     }
 
     /// It has had its final answer: what comes under its key from here on is another one.
-    fn answered(&mut self, context: &mut Context, id: AttachmentId) {
-        let Some(key) = self.keys.remove(&id) else { return };
+    fn answered(&mut self, context: &mut Context, id: RequestId) {
+        let Some(key) = self.keys.remove(&id) else {
+            return;
+        };
         self.held.remove(&key);
-        if let Some(question) = self.keeper.keep(context.now, key, Record { history: Vec::new(), over: true })
-        {
+        if let Some(question) = self.keeper.keep(
+            context.now,
+            key,
+            Record {
+                history: Vec::new(),
+                over: true,
+            },
+        ) {
             self.ask(context, key, &question);
         }
     }
 
     /// Answers one that the module knows nothing of.
-    fn turn_away(&mut self, id: AttachmentId) {
+    fn turn_away(&mut self, id: RequestId) {
         self.figures.turned_away += 1;
-        self.ready.push(Action::Dismiss { id, wait: COME_BACK });
+        self.ready.push(Action::Reject {
+            id,
+            retry_after: COME_BACK,
+        });
     }
 
     /// The ward is not to be had: what has not run is dismissed, the rest given up; nothing more is handed off.
     fn refuse(&mut self, context: &mut Context, key: u64) {
-        let Some(held) = self.held.remove(&key) else { return };
+        let Some(held) = self.held.remove(&key) else {
+            return;
+        };
         self.keys.remove(&held.id);
         self.keeper.drop(key);
         let waits = held.waits.map(|(action, _)| action);
-        if let Some(Action::HandOff { id, host, .. }) = waits {
-            let (hand_off, ending, gauges) = (held.passed.history.hand_offs, Ending::NeverSent, Vec::new());
-            context.events.push(Event::Ended { id, hand_off, host, over: true, ending, gauges });
-            context.events.push(Event::Left { id });
+        if let Some(Action::StartAttempt { id, host, .. }) = waits {
+            let (attempt, ending, load_metrics) = (
+                held.passed.history.attempts,
+                AttemptOutcome::NeverSent,
+                Vec::new(),
+            );
+            context.events.push(Event::AttemptEnded {
+                id,
+                attempt,
+                host,
+                request_over: true,
+                ending,
+                load_metrics,
+            });
+            context.events.push(Event::ClientLeft { id });
             self.refused.insert(id);
         }
         // What waits has not run; what went before it may have.
-        let before = held.passed.history.hand_offs > 1 && held.passed.history.ran.is_some();
+        let before = held.passed.history.attempts > 1 && held.passed.history.ran.is_some();
         if before {
-            self.ready.push(Action::GiveUp { id: held.id });
+            self.ready.push(Action::Fail { id: held.id });
         } else {
             self.turn_away(held.id);
         }
@@ -253,30 +314,52 @@
     fn came(&mut self, context: &mut Context, outcome: Outcome) {
         match outcome {
             Outcome::Owned { key, record, age } => {
-                let Some(held) = self.held.get_mut(&key) else { return };
+                let Some(held) = self.held.get_mut(&key) else {
+                    return;
+                };
                 let waited = context.now.saturating_sub(held.came);
-                let arrival =
-                    Arrival { time_left: held.arrival.time_left.saturating_sub(waited), ..held.arrival };
-                let known =
-                    if record.over { None } else { postcard::from_bytes::<History>(&record.history).ok() };
+                let incoming = IncomingRequest {
+                    time_left: held.incoming.time_left.saturating_sub(waited),
+                    ..held.incoming
+                };
+                let known = if record.over {
+                    None
+                } else {
+                    postcard::from_bytes::<History>(&record.history).ok()
+                };
                 held.passed.history = known.unwrap_or_default();
-                if held.passed.history.hand_offs == 0 {
-                    return context.events.push(Event::Arrived(arrival));
+                if held.passed.history.attempts == 0 {
+                    return context.events.push(Event::RequestArrived(incoming));
                 }
                 self.figures.taken_over += 1;
-                let History { hand_offs, ran, tried } = &held.passed.history;
+                let History {
+                    attempts,
+                    ran,
+                    tried,
+                } = &held.passed.history;
                 // No two clocks are compared: so long before it was written, since then there, and on the way here.
-                let ago = ran.map_or(0, |(_, before)| before) + age + self.terms.within;
+                let ago = ran.map_or(0, |(_, before)| before) + age + self.node_settings.within;
                 held.passed.ran_at = context.now.saturating_sub(ago);
                 let ran = ran.map(|(host, _)| (HostId(host), held.passed.ran_at));
                 let tried = tried.iter().map(|host| HostId(*host)).collect();
-                context.events.push(Event::TakenUp(arrival, Past { hand_offs: *hand_offs, ran, tried }));
+                context.events.push(Event::RequestTakenOver(
+                    incoming,
+                    PriorAttempts {
+                        attempts: *attempts,
+                        may_have_run: ran,
+                        tried_hosts: tried,
+                    },
+                ));
             }
             Outcome::Written { key } => {
-                let Some(held) = self.held.get_mut(&key) else { return self.keeper.drop(key) };
-                let Some((action, since)) = held.waits.take() else { return };
+                let Some(held) = self.held.get_mut(&key) else {
+                    return self.keeper.drop(key);
+                };
+                let Some((action, since)) = held.waits.take() else {
+                    return;
+                };
                 // Guards: a hand-off by a record that another has taken up, after a stand-still.
-                if context.now >= since + self.terms.within {
+                if context.now >= since + self.node_settings.within {
                     held.waits = Some((action, since));
                     return self.refuse(context, key);
                 }
@@ -322,7 +405,9 @@
                         let answer = self.guardian.answer(context.now, &question);
                         self.hear(context, place, answer);
                     }
-                    word => fleet.send_letter(place, &postcard::to_allocvec(&word).unwrap_or_default()),
+                    word => {
+                        fleet.send_letter(place, &postcard::to_allocvec(&word).unwrap_or_default());
+                    }
                 }
             }
         }
@@ -356,13 +441,24 @@
     /// Guards: a labelled line that may have run at a host, sent outside its circle as a second try there was refused.
     #[test]
     fn what_may_have_run_is_not_forgotten_by_a_later_hand_off_that_did_not() {
-        let mut passed = Passed { history: History::default(), ran_at: 0, ran_by: 0 };
+        let mut passed = Passed {
+            history: History::default(),
+            ran_at: 0,
+            ran_by: 0,
+        };
         passed.handed_off(SECOND, 5);
         passed.never_ran(5);
         assert_eq!(passed.history.ran, None);
         passed.handed_off(2 * SECOND, 6);
         passed.handed_off(5 * SECOND, 6);
         passed.never_ran(6);
-        assert_eq!((passed.history.ran, passed.history.hand_offs), (Some((6, 3 * SECOND)), 3));
+        assert_eq!(
+            (passed.history.ran, passed.history.attempts),
+            (Some((6, 3 * SECOND)), 3)
+        );
     }
 }
+
+#[cfg(test)]
+#[path = "ward_bytes_tests.rs"]
+mod bytes_tests;
--- a/node/src/peers/words.rs
+++ b/node/src/peers/words.rs
@@ -3,11 +3,11 @@
 //! is longer than a message, hold a turn up over a flood, nor care whether a message arrives.
 
 use crate::context::{mark, Context, PEERS, START_WITHIN};
-use crate::peers::fleet::FleetTerms;
+use crate::peers::fleet::FleetConfig;
 use reedferry::word::LONGEST;
 use reedferry::Event;
-use reedferry_quay::errors::patiently;
-use reedferry_quay::{Errno, Socket};
+use reedferry_runtime::errors::patiently;
+use reedferry_runtime::{Errno, Socket};
 use slog::{info, warn};
 use std::net::SocketAddr;
 
@@ -20,7 +20,7 @@
     pub at: SocketAddr,
     pub peers: Vec<SocketAddr>,
     /// Where the node keeps a view of its fleet: its members are its peers.
-    pub fleet: Option<FleetTerms>,
+    pub fleet: Option<FleetConfig>,
 }
 
 pub struct Peers {
@@ -33,12 +33,18 @@
 impl Peers {
     pub fn open(context: &mut Context, correspondence: &Correspondence) -> Result<Peers, String> {
         let wrong = |e: Errno| format!("cannot take messages on {}: {e}", correspondence.at);
-        let socket =
-            patiently(START_WITHIN, || context.budget.datagrams(&correspondence.at)).map_err(wrong)?;
+        let socket = patiently(START_WITHIN, || {
+            context.budget.datagrams(&correspondence.at)
+        })
+        .map_err(wrong)?;
         patiently(START_WITHIN, || context.poller.watch(&socket, mark(PEERS))).map_err(wrong)?;
         let at = socket.address().unwrap_or(correspondence.at);
         info!(context.log, "messages"; "at" => %at, "peers" => correspondence.peers.len());
-        Ok(Peers { socket, peers: correspondence.peers.clone(), warned: false })
+        Ok(Peers {
+            socket,
+            peers: correspondence.peers.clone(),
+            warned: false,
+        })
     }
 
     /// To all of them; whom it cannot reach does without.
@@ -59,7 +65,9 @@
             };
             let known = from.is_some_and(|from| self.peers.contains(&from));
             if known && length <= LONGEST {
-                context.events.push(Event::Heard { message: space[..length].to_vec() });
+                context.events.push(Event::GossipReceived {
+                    message: space[..length].to_vec(),
+                });
             } else if !std::mem::replace(&mut self.warned, true) {
                 let from = from.map_or("nobody".to_string(), |from| from.to_string());
                 warn!(context.log, "message dropped"; "from" => from, "known" => known, "length" => length);
--- a/node/src/roles/forward.rs
+++ b/node/src/roles/forward.rs
@@ -6,12 +6,12 @@
 use crate::connections::wire::{Wire, Wires};
 use crate::connections::Connections;
 use crate::context::{self, mark, Context, LINK, STOP, TICK};
-use crate::operators::articles::{Articles, Forwards, Role};
+use crate::operators::operator_config::{Forwards, OperatorConfig, Role};
 use crate::ready::Ready;
 use crate::{AtStart, BEYOND_EXPIRY, SWEEP};
 use reedferry::Nanos;
-use reedferry_link::{Covenant, Deed, Forwarder, PlannerAt};
-use reedferry_quay::{Clock, Errno, Mark, Readiness, Signal, Socket};
+use reedferry_control_plane::{Forwarder, ForwarderAction, ForwarderConfig, PlannerAddress};
+use reedferry_runtime::{Clock, Errno, Mark, Readiness, Signal, Socket};
 use slog::{info, warn};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -27,37 +27,48 @@
     reread: Signal,
     path: PathBuf,
     forwards: Forwards,
-    planners: Vec<PlannerAt>,
+    planners: Vec<PlannerAddress>,
     /// When the core is to be called next, as far as the poller knows.
     armed: Nanos,
-    deeds: Vec<Deed>,
+    deeds: Vec<ForwarderAction>,
     ready: Ready,
 }
 
 pub fn run(path: &Path, start: AtStart) -> Result<(), String> {
-    let Articles { papers, role, planners, .. } = Articles::read(path)?;
+    let OperatorConfig {
+        node_config,
+        role,
+        planners,
+        ..
+    } = OperatorConfig::read(path)?;
     let Role::Forward(forwards) = role else {
-        return Err(format!("{} is for `reedferry {}`", path.display(), role.word()));
+        return Err(format!(
+            "{} is for `reedferry {}`",
+            path.display(),
+            role.word()
+        ));
     };
     let clock = Clock::start();
-    let (mut context, backlog) = Context::open(&papers, &clock, &start)?;
-    let listener = context.listen(&papers.listen, context::LISTENER)?;
-    let listen = listener.address().unwrap_or(papers.listen);
-    let keeps = Covenant {
-        name: papers.name.clone(),
-        fingerprint: papers.fingerprint(),
+    let (mut context, backlog) = Context::open(&node_config, &clock, &start)?;
+    let listener = context.listen(&node_config.listen, context::LISTENER)?;
+    let listen = listener.address().unwrap_or(node_config.listen);
+    let keeps = ForwarderConfig {
+        name: node_config.name.clone(),
+        fingerprint: node_config.fingerprint(),
         epoch: context.start,
-        charter: papers.charter,
+        balancer_settings: node_config.balancer_settings,
         lease: forwards.lease,
         decide_within: forwards.decide_within,
         most_asked: forwards.most_asked,
         settle: forwards.settle,
     };
-    let core = Forwarder::new(keeps, planners.clone(), papers.seed, context.now);
+    let core = Forwarder::new(keeps, planners.clone(), node_config.seed, context.now);
     let log = context.log.clone();
     info!(log, "started"; "listen" => %listen, "role" => "forward", "planners" => planners.len(),
-        "sockets" => papers.sockets, "memory_mb" => papers.memory >> 20);
-    context.poller.remind(context.now + SWEEP, mark(context::SWEEP), 0);
+        "sockets" => node_config.sockets, "memory_mb" => node_config.memory >> 20);
+    context
+        .poller
+        .remind(context.now + SWEEP, mark(context::SWEEP), 0);
     let AtStart { stop, reread } = start;
     let mut forward = Forward {
         context,
@@ -77,14 +88,19 @@
     loop {
         forward.turn();
         backlog.drain();
-        if forward.context.leaving.is_some_and(|t| forward.context.now >= t)
+        if forward
+            .context
+            .leaving
+            .is_some_and(|t| forward.context.now >= t)
             && forward.connections.count() == 0
         {
             info!(log, "stopped");
             backlog.drain();
             return Ok(());
         }
-        forward.gather(&clock).map_err(|e| format!("cannot poll: {e}"))?;
+        forward
+            .gather(&clock)
+            .map_err(|e| format!("cannot poll: {e}"))?;
     }
 }
 
@@ -97,7 +113,8 @@
         }
         let mut ready = Vec::new();
         let behind = self.ready.is_behind();
-        let at_once = behind || !self.context.events.is_empty() || self.connections.busy() || self.wires.more;
+        let at_once =
+            behind || !self.context.events.is_empty() || self.connections.busy() || self.wires.more;
         let waited = clock.read();
         self.context.poller.wait(waited, at_once, &mut ready)?;
         self.context.look_round(waited, clock.read(), behind);
@@ -113,7 +130,8 @@
             }
         }
         if self.connections.busy() {
-            self.connections.resume(&mut self.context, Some(&self.listener));
+            self.connections
+                .resume(&mut self.context, Some(&self.listener));
         }
         while let Some((mark, word)) = self.context.poller.due(self.context.now) {
             match mark.part {
@@ -135,12 +153,19 @@
         self.connections.sweep(context);
         context.spare();
         context.hosts.look(context.now, &mut context.events);
-        context.poller.remind(context.now + SWEEP, mark(context::SWEEP), 0);
+        context
+            .poller
+            .remind(context.now + SWEEP, mark(context::SWEEP), 0);
     }
 
     fn ready(&mut self, ready: Readiness) {
         let line = ready.mark.slot;
-        let Some(wire) = self.wires.all.get_mut(&line).filter(|w| w.stamp == ready.mark.stamp) else {
+        let Some(wire) = self
+            .wires
+            .all
+            .get_mut(&line)
+            .filter(|w| w.stamp == ready.mark.stamp)
+        else {
             return;
         };
         wire.ready(ready);
@@ -160,8 +185,12 @@
     fn turn(&mut self) {
         let now = self.context.now;
         let (core, deeds) = (&mut self.core, &mut self.deeds);
-        let ended = self.wires.read(|line, bytes| core.came(now, line, bytes, deeds));
-        ended.into_iter().for_each(|(line, why)| self.lost(line, why));
+        let ended = self
+            .wires
+            .read(|line, bytes| core.came(now, line, bytes, deeds));
+        ended
+            .into_iter()
+            .for_each(|(line, why)| self.lost(line, why));
         for event in std::mem::take(&mut self.context.events) {
             self.core.event(now, event, &mut self.deeds);
         }
@@ -175,21 +204,28 @@
             core.sent(line, count);
             Ok(())
         });
-        ended.into_iter().for_each(|(line, why)| self.lost(line, why));
+        ended
+            .into_iter()
+            .for_each(|(line, why)| self.lost(line, why));
     }
 
-    fn carry_out(&mut self, deed: Deed) {
+    fn carry_out(&mut self, deed: ForwarderAction) {
         let context = &mut self.context;
         match deed {
-            Deed::Act(action) => _ = self.connections.carry_out(context, action),
-            Deed::HandOff { id, host, until, by } => self.connections.hand_off(context, id, host, until, by),
-            Deed::Call { line, address } => self.call(line, address),
-            Deed::Hang { line } => _ = self.wires.all.remove(&line),
-            Deed::Host(line) => {
+            ForwarderAction::Perform(action) => _ = self.connections.carry_out(context, action),
+            ForwarderAction::StartAttempt {
+                id,
+                host,
+                until,
+                by,
+            } => self.connections.attempt(context, id, host, until, by),
+            ForwarderAction::ConnectPlanner { line, address } => self.call(line, address),
+            ForwarderAction::DisconnectPlanner { line } => _ = self.wires.all.remove(&line),
+            ForwarderAction::HostLearned(line) => {
                 let log = context.log.clone();
                 context.hosts.heard(context.now, line, &log);
             }
-            Deed::Log(text) => info!(context.log, "{}", text),
+            ForwarderAction::Log(text) => info!(context.log, "{}", text),
         }
     }
 
@@ -197,7 +233,11 @@
         let context = &mut self.context;
         let opened = context.budget.connect(&address).and_then(|(socket, _)| {
             // Whether it stands is told by the poller in either case.
-            let mark = Mark { part: LINK, slot: line, stamp: context.stamp() };
+            let mark = Mark {
+                part: LINK,
+                slot: line,
+                stamp: context.stamp(),
+            };
             context.poller.watch(&socket, mark)?;
             Ok(Wire::new(socket, mark.stamp, false))
         });
@@ -221,7 +261,7 @@
         }
         let log = self.context.log.clone();
         // Guards: a forwarder led astray by a file that is half written or wrong.
-        let fresh = match Articles::read(&self.path) {
+        let fresh = match OperatorConfig::read(&self.path) {
             Ok(fresh) => fresh,
             Err(why) => return warn!(log, "articles not taken up"; "why" => why),
         };
@@ -234,7 +274,8 @@
         info!(log, "articles read again"; "planners" => fresh.planners.len());
         if fresh.planners != self.planners {
             self.planners = fresh.planners.clone();
-            self.core.planners(self.context.now, fresh.planners, &mut self.deeds);
+            self.core
+                .planners(self.context.now, fresh.planners, &mut self.deeds);
         }
     }
 }
--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -6,13 +6,13 @@
 use crate::connections::probe::Probes;
 use crate::connections::wire::{Wire, Wires};
 use crate::context::{self, mark, Context, LINK, STOP};
-use crate::listing::discovery::Discovery;
-use crate::operators::articles::{Articles, Plans, Role};
-use crate::operators::papers::Papers;
+use crate::discovery::client::Discovery;
+use crate::operators::node_config::NodeConfig;
+use crate::operators::operator_config::{OperatorConfig, Plans, Role};
 use crate::{AtStart, SWEEP};
-use reedferry::{Event, Listing, Nanos, MILLI};
-use reedferry_link::{HostLine, Order, Planner, Remit};
-use reedferry_quay::{Clock, Errno, Mark, Readiness, Signal, Socket};
+use reedferry::{Endpoint, Event, Nanos, MILLI};
+use reedferry_control_plane::{HostEntry, Planner, PlannerAction, PlannerConfig};
+use reedferry_runtime::{Clock, Errno, Mark, Readiness, Signal, Socket};
 use slog::{info, warn};
 use std::path::{Path, PathBuf};
 
@@ -35,40 +35,61 @@
     plans: Plans,
     planners: usize,
     at: std::net::SocketAddr,
-    orders: Vec<Order>,
+    orders: Vec<PlannerAction>,
 }
 
 pub fn run(path: &Path, start: AtStart) -> Result<(), String> {
-    let Articles { papers, role, planners, .. } = Articles::read(path)?;
+    let OperatorConfig {
+        node_config,
+        role,
+        planners,
+        ..
+    } = OperatorConfig::read(path)?;
     let Role::Plan(plans) = role else {
-        return Err(format!("{} is for `reedferry {}`", path.display(), role.word()));
+        return Err(format!(
+            "{} is for `reedferry {}`",
+            path.display(),
+            role.word()
+        ));
     };
     let clock = Clock::start();
-    let (mut context, backlog) = Context::open(&papers, &clock, &start)?;
+    let (mut context, backlog) = Context::open(&node_config, &clock, &start)?;
     let listener = context.listen(&plans.listen, context::LINK_LISTENER)?;
     let listen = listener.address().unwrap_or(plans.listen);
-    let remit = Remit {
+    let remit = PlannerConfig {
         name: plans.name.clone(),
-        zones: papers.terms.zones.len().max(1) as u16,
+        zones: node_config.node_settings.zones.len().max(1) as u16,
         place: plans.place,
         planners: planners.len() as u32,
-        fingerprint: papers.fingerprint(),
+        fingerprint: node_config.fingerprint(),
         silent: plans.silent,
         settle: plans.settle,
         most_held: plans.most_held,
-        charter: papers.charter.clone(),
+        balancer_settings: node_config.balancer_settings.clone(),
     };
     let mut orders = Vec::new();
-    let core = Planner::new(remit, papers.seed, context.now, &mut orders);
-    let revision = context.known(&papers)?;
+    let core = Planner::new(remit, node_config.seed, context.now, &mut orders);
+    let revision = context.known(&node_config)?;
     let log = context.log.clone();
     let hosts = context.hosts.count();
     info!(log, "started"; "listen" => %listen, "role" => "plan", "name" => &plans.name, "hosts" => hosts,
         "revision" => revision);
-    context.poller.remind(context.now + SWEEP, mark(context::SWEEP), 0);
+    context
+        .poller
+        .remind(context.now + SWEEP, mark(context::SWEEP), 0);
     let AtStart { stop, reread } = start;
-    let Papers { charter, terms, .. } = &papers;
-    let discovery = Discovery::new(papers.discovery, revision, charter, terms.drain_grace, context.now);
+    let NodeConfig {
+        balancer_settings,
+        node_settings,
+        ..
+    } = &node_config;
+    let discovery = Discovery::new(
+        node_config.discovery,
+        revision,
+        balancer_settings,
+        node_settings.drain_grace,
+        context.now,
+    );
     let mut plan = Plan {
         context,
         core,
@@ -81,19 +102,24 @@
         path: path.to_path_buf(),
         planners: planners.len(),
         plans,
-        at: papers.discovery,
+        at: node_config.discovery,
         orders,
     };
     loop {
         plan.turn();
         backlog.drain();
         let alone = plan.context.now >= plan.context.start && plan.core.followers() == 0;
-        if plan.context.leaving.is_some_and(|t| plan.context.now >= t || alone) {
+        if plan
+            .context
+            .leaving
+            .is_some_and(|t| plan.context.now >= t || alone)
+        {
             info!(log, "stopped"; "held" => plan.core.held());
             backlog.drain();
             return Ok(());
         }
-        plan.gather(&clock).map_err(|e| format!("cannot poll: {e}"))?;
+        plan.gather(&clock)
+            .map_err(|e| format!("cannot poll: {e}"))?;
     }
 }
 
@@ -103,7 +129,9 @@
         self.context.poller.remind(next, mark(context::TICK), 0);
         let mut ready = Vec::new();
         let at_once = !self.context.events.is_empty() || self.wires.more;
-        self.context.poller.wait(clock.read(), at_once, &mut ready)?;
+        self.context
+            .poller
+            .wait(clock.read(), at_once, &mut ready)?;
         self.context.now = clock.read();
         for one in ready {
             match one.mark.part {
@@ -124,9 +152,22 @@
             if !context.budget.room(1) {
                 return;
             }
-            let Ok(socket) = context.budget.accept(&self.listener) else { return };
+            let Ok(socket) = context.budget.accept(&self.listener) else {
+                return;
+            };
             let stamp = context.stamp();
-            if context.poller.watch(&socket, Mark { part: LINK, slot: 0, stamp }).is_err() {
+            if context
+                .poller
+                .watch(
+                    &socket,
+                    Mark {
+                        part: LINK,
+                        slot: 0,
+                        stamp,
+                    },
+                )
+                .is_err()
+            {
                 // The forwarder calls again.
                 context.machine_trouble("epoll_ctl");
                 continue;
@@ -151,7 +192,9 @@
     fn turn(&mut self) {
         let now = self.context.now;
         let (core, orders) = (&mut self.core, &mut self.orders);
-        let ended = self.wires.read(|line, bytes| core.came(now, line, bytes, orders));
+        let ended = self
+            .wires
+            .read(|line, bytes| core.came(now, line, bytes, orders));
         // Behind the forwarders' beats. Guards: a drain that was written before a beat was sent, and that an
         // order under that beat does not know.
         self.discovery.look(&mut self.context);
@@ -160,25 +203,35 @@
         }
         while let Some((mark, word)) = self.context.poller.due(now) {
             match mark.part {
-                context::MODULE => self.core.timer(now, mark.slot as u16, word, &mut self.orders),
+                context::MODULE => self
+                    .core
+                    .timer(now, mark.slot as u16, word, &mut self.orders),
                 context::PROBE => self.probes.due(&mut self.context, mark),
                 context::SWEEP => {
                     self.discovery.sweep(&mut self.context);
                     self.context.spare();
-                    self.context.poller.remind(now + SWEEP, crate::context::mark(context::SWEEP), 0);
+                    self.context.poller.remind(
+                        now + SWEEP,
+                        crate::context::mark(context::SWEEP),
+                        0,
+                    );
                 }
                 _ => {}
             }
         }
         self.core.decide(now, &mut self.orders);
-        ended.into_iter().for_each(|(line, why)| self.lost(line, why));
+        ended
+            .into_iter()
+            .for_each(|(line, why)| self.lost(line, why));
         let core = &mut self.core;
         let ended = self.wires.write(|line, wire| {
             let count = wire.write(core.outgoing(line))?;
             core.sent(line, count);
             Ok(())
         });
-        ended.into_iter().for_each(|(line, why)| self.lost(line, why));
+        ended
+            .into_iter()
+            .for_each(|(line, why)| self.lost(line, why));
         for order in std::mem::take(&mut self.orders) {
             self.carry_out(order);
         }
@@ -187,8 +240,14 @@
     fn told(&mut self, event: Event) {
         let now = self.context.now;
         match event {
-            Event::Roll { kind, hosts } => {
-                let lines = hosts.iter().filter_map(|listing| self.line(listing)).collect();
+            Event::EndpointsUpdated {
+                kind,
+                endpoints: hosts,
+            } => {
+                let lines = hosts
+                    .iter()
+                    .filter_map(|listing| self.line(listing))
+                    .collect();
                 self.core.roll(now, kind, hosts, lines, &mut self.orders);
             }
             event => self.core.probed(now, &event, &mut self.orders),
@@ -196,25 +255,38 @@
     }
 
     /// A host as forwarders are told of it.
-    fn line(&self, listing: &Listing) -> Option<HostLine> {
-        let record = self.context.hosts.record(self.context.hosts.index(listing.id)?);
+    fn line(&self, listing: &Endpoint) -> Option<HostEntry> {
+        let record = self
+            .context
+            .hosts
+            .record(self.context.hosts.index(listing.id)?);
         let (name, address) = (record.name.clone(), record.address);
         let as_of = self.discovery.revision().unwrap_or(0);
-        Some(HostLine { id: listing.id.0, name, address, stands: listing.standing.into(), as_of })
+        Some(HostEntry {
+            id: listing.id.0,
+            name,
+            address,
+            stands: listing.state.into(),
+            as_of,
+        })
     }
 
-    fn carry_out(&mut self, order: Order) {
+    fn carry_out(&mut self, order: PlannerAction) {
         let context = &mut self.context;
         match order {
-            Order::Wake { time, zone, mark } => {
-                let at = Mark { part: context::MODULE, slot: zone.into(), stamp: 0 };
+            PlannerAction::SetTimer { time, zone, mark } => {
+                let at = Mark {
+                    part: context::MODULE,
+                    slot: zone.into(),
+                    stamp: 0,
+                };
                 context.poller.remind(time, at, mark);
             }
-            Order::AskRoll => self.discovery.ask(context),
-            Order::FollowRoll => self.discovery.follow(context),
-            Order::Probe { host } => self.probes.send(context, host),
-            Order::Cut { line } => self.lost(line, "cut"),
-            Order::Log(text) => info!(context.log, "{}", text),
+            PlannerAction::PollEndpoints => self.discovery.ask(context),
+            PlannerAction::WatchEndpoints => self.discovery.follow(context),
+            PlannerAction::Probe { host } => self.probes.send(context, host),
+            PlannerAction::Disconnect { line } => self.lost(line, "cut"),
+            PlannerAction::Log(text) => info!(context.log, "{}", text),
         }
     }
 
@@ -232,16 +304,16 @@
             return;
         }
         let log = self.context.log.clone();
-        let fresh = match Articles::read(&self.path) {
+        let fresh = match OperatorConfig::read(&self.path) {
             Ok(fresh) => fresh,
             Err(why) => return warn!(log, "articles not taken up"; "why" => why),
         };
         if fresh.role != Role::Plan(self.plans.clone()) || fresh.planners.len() != self.planners {
             warn!(log, "kept until the next start"; "parts" => "plan planners");
         }
-        info!(log, "articles read again"; "discovery" => %fresh.papers.discovery);
-        if fresh.papers.discovery != self.at {
-            self.at = fresh.papers.discovery;
+        info!(log, "articles read again"; "discovery" => %fresh.node_config.discovery);
+        if fresh.node_config.discovery != self.at {
+            self.at = fresh.node_config.discovery;
             self.discovery.go_over(&mut self.context, self.at);
         }
     }
--- a/node/src/roles/succession.rs
+++ b/node/src/roles/succession.rs
@@ -5,11 +5,11 @@
 
 use crate::connections::{Connections, HandedOver, RETRY_AFTER};
 use crate::context::{self, Context, PREDECESSOR, SUCCESSOR, SUCCESSOR_LISTENER};
-use crate::listing::list::Member;
-use crate::operators::papers::Papers;
-use reedferry::{AttachmentId, Event, Legacy, Nanos, Offering, MILLI};
-use reedferry_quay::errors::{on_connection, patiently, Trouble};
-use reedferry_quay::{channel, Clock, Errno, Mark, Readiness, Socket};
+use crate::discovery::list::Member;
+use crate::operators::node_config::NodeConfig;
+use reedferry::{Event, InheritedState, Nanos, RequestClass, RequestId, MILLI};
+use reedferry_runtime::errors::{on_connection, patiently, Trouble};
+use reedferry_runtime::{channel, Clock, Errno, Mark, Readiness, Socket};
 use serde::{Deserialize, Serialize};
 use slog::{info, warn};
 use std::collections::VecDeque;
@@ -63,21 +63,21 @@
     pub revision: Option<u64>,
     pub members: Vec<Member>,
     /// The names of the offerings, in the order in which the rest speaks of them.
-    pub offerings: Vec<String>,
+    pub classes: Vec<String>,
     /// Those of them that connections go by, and what they mean.
-    pub held: Vec<(String, Offering)>,
-    pub legacy: Legacy,
+    pub held: Vec<(String, RequestClass)>,
+    pub legacy: InheritedState,
 }
 
 impl Knowledge {
     /// The same, as one speaks of it to whom these offerings are named in this order.
-    pub fn in_terms_of(mut self, offerings: &[String]) -> Knowledge {
+    pub fn in_terms_of(mut self, classes: &[String]) -> Knowledge {
         let usual = |name: &String| {
-            let place = self.offerings.iter().position(|o| o == name)?;
-            self.legacy.usual.get(place).copied().flatten()
+            let place = self.classes.iter().position(|o| o == name)?;
+            self.legacy.class_loads.get(place).copied().flatten()
         };
-        self.legacy.usual = offerings.iter().map(usual).collect();
-        self.offerings = offerings.to_vec();
+        self.legacy.class_loads = classes.iter().map(usual).collect();
+        self.classes = classes.to_vec();
         self
     }
 }
@@ -88,7 +88,7 @@
     /// Messages that the line has not taken yet.
     out: VecDeque<Vec<u8>>,
     /// Those on their way, the first first, and since when.
-    going: VecDeque<(AttachmentId, Nanos)>,
+    going: VecDeque<(RequestId, Nanos)>,
     /// It took too long: nothing it says from now on can reach this process, what it has said is still read.
     given_up: bool,
 }
@@ -104,7 +104,7 @@
     successor: Option<Successor>,
     predecessor: Option<(Socket, u32)>,
     /// What the predecessor has not been told yet of the connection that came last: which it is here, where it was adopted.
-    owed: Option<Option<AttachmentId>>,
+    owed: Option<Option<RequestId>>,
     /// A successor wants what this one knows.
     wanted: bool,
     /// When it tries to be there for the next process again, where it could not.
@@ -119,13 +119,22 @@
 
 impl Succession {
     /// The listener that the platform holds, where it names one, or else one of the node's own.
-    pub fn open(context: &mut Context, papers: &Papers) -> Result<Succession, String> {
+    pub fn open(context: &mut Context, node_config: &NodeConfig) -> Result<Succession, String> {
         let Ok(named) = std::env::var("GW_ACCEPT_FD") else {
-            let listener = context.listen(&papers.listen, context::LISTENER)?;
-            return Ok(Succession { listener: Some(listener), ..Succession::default() });
+            let listener = context.listen(&node_config.listen, context::LISTENER)?;
+            return Ok(Succession {
+                listener: Some(listener),
+                ..Succession::default()
+            });
         };
-        let number = named.parse().map_err(|_| format!("GW_ACCEPT_FD {named:?} is no descriptor"))?;
-        Ok(Succession { listener: Some(context.inherit(number)?), shared: true, ..Succession::default() })
+        let number = named
+            .parse()
+            .map_err(|_| format!("GW_ACCEPT_FD {named:?} is no descriptor"))?;
+        Ok(Succession {
+            listener: Some(context.inherit(number)?),
+            shared: true,
+            ..Succession::default()
+        })
     }
 
     /// Where this process takes in clients, while it does.
@@ -188,7 +197,11 @@
         }
         context.machine_trouble(call);
         if !std::mem::replace(&mut self.retries, true) {
-            context.poller.remind(context.now + RETRY_AFTER, context::mark(context::CHANNEL_RETRY), 0);
+            context.poller.remind(
+                context.now + RETRY_AFTER,
+                context::mark(context::CHANNEL_RETRY),
+                0,
+            );
         }
     }
 
@@ -196,9 +209,12 @@
     fn expect(&mut self, context: &Context) {
         match context.budget.listen_at(&self.path) {
             Ok(successor_listener)
-                if context.poller.watch(&successor_listener, context::mark(SUCCESSOR_LISTENER)).is_ok() =>
+                if context
+                    .poller
+                    .watch(&successor_listener, context::mark(SUCCESSOR_LISTENER))
+                    .is_ok() =>
             {
-                self.successor_listener = Some(successor_listener)
+                self.successor_listener = Some(successor_listener);
             }
             other => {
                 self.expected_again = context.now + EXPECT_AGAIN;
@@ -209,7 +225,10 @@
     }
 
     fn ask(&mut self, context: &mut Context, clock: &Clock, line: Socket) -> Option<Knowledge> {
-        patiently(HELLO_WITHIN, || line.send_with(&message(&FromSuccessor::Hello(VERSION)), &[])).ok()?;
+        patiently(HELLO_WITHIN, || {
+            line.send_with(&message(&FromSuccessor::Hello(VERSION)), &[])
+        })
+        .ok()?;
         let until = clock.read() + KNOWLEDGE_WITHIN;
         let (mut space, mut bytes) = (vec![0; channel::LONGEST], Vec::new());
         let mut knowledge = None;
@@ -225,7 +244,8 @@
                 Ok((0, _)) | Err(_) => return None,
                 Ok((length, _)) => length,
             };
-            let Ok(FromPredecessor::Piece(piece, last)) = postcard::from_bytes(&space[..length]) else {
+            let Ok(FromPredecessor::Piece(piece, last)) = postcard::from_bytes(&space[..length])
+            else {
                 return None;
             };
             bytes.extend(piece);
@@ -237,7 +257,11 @@
             }
         }
         // What is still to come is read from here on.
-        let mark = Mark { part: PREDECESSOR, slot: 0, stamp: context.stamp() };
+        let mark = Mark {
+            part: PREDECESSOR,
+            slot: 0,
+            stamp: context.stamp(),
+        };
         if context.poller.watch(&line, mark).is_err() {
             // The sweep looks at it.
             context.machine_trouble("epoll_ctl");
@@ -271,22 +295,33 @@
         std::mem::take(&mut self.wanted)
     }
 
-    pub fn leave(&mut self, context: &mut Context, connections: &mut Connections, knowledge: &Knowledge) {
+    pub fn leave(
+        &mut self,
+        context: &mut Context,
+        connections: &mut Connections,
+        knowledge: &Knowledge,
+    ) {
         let bytes = message(knowledge);
-        let Some(successor) = self.successor.as_mut() else { return };
+        let Some(successor) = self.successor.as_mut() else {
+            return;
+        };
         let pieces = bytes.chunks(PIECE);
         let last = pieces.len().saturating_sub(1);
         for (n, piece) in pieces.enumerate() {
-            successor.out.push_back(message(&FromPredecessor::Piece(piece.to_vec(), n == last)));
+            successor
+                .out
+                .push_back(message(&FromPredecessor::Piece(piece.to_vec(), n == last)));
         }
-        context.events.push(Event::Successor(true));
+        context.events.push(Event::SuccessorChanged(true));
         info!(context.log, "another process comes"; "bytes" => bytes.len());
         self.write(context, connections);
     }
 
     fn write(&mut self, context: &mut Context, connections: &mut Connections) {
         while let Some(successor) = self.successor.as_mut() {
-            let Some(next) = successor.out.front() else { return };
+            let Some(next) = successor.out.front() else {
+                return;
+            };
             match successor.line.send_with(next, &[]) {
                 Ok(()) => _ = successor.out.pop_front(),
                 Err(e) if on_connection(e) != Trouble::Connection => {
@@ -297,15 +332,30 @@
         }
     }
 
-    pub fn ready(&mut self, context: &mut Context, connections: &mut Connections, ready: Readiness) {
+    pub fn ready(
+        &mut self,
+        context: &mut Context,
+        connections: &mut Connections,
+        ready: Readiness,
+    ) {
         match ready.mark.part {
             SUCCESSOR_LISTENER => self.called(context, connections),
-            SUCCESSOR if self.successor.as_ref().is_some_and(|h| h.stamp == ready.mark.stamp) => {
+            SUCCESSOR
+                if self
+                    .successor
+                    .as_ref()
+                    .is_some_and(|h| h.stamp == ready.mark.stamp) =>
+            {
                 self.write(context, connections);
                 self.hear(context, connections);
             }
-            PREDECESSOR if self.predecessor.as_ref().is_some_and(|e| e.1 == ready.mark.stamp) => {
-                self.take(context, connections)
+            PREDECESSOR
+                if self
+                    .predecessor
+                    .as_ref()
+                    .is_some_and(|e| e.1 == ready.mark.stamp) =>
+            {
+                self.take(context, connections);
             }
             _ => {}
         }
@@ -320,10 +370,17 @@
         {
             self.give_up(context, connections);
             if self.successor.is_some() {
-                warn!(context.log, "a process is not followed, as another's words can't be read now");
+                warn!(
+                    context.log,
+                    "a process is not followed, as another's words can't be read now"
+                );
                 continue;
             }
-            let mark = Mark { part: SUCCESSOR, slot: 0, stamp: context.stamp() };
+            let mark = Mark {
+                part: SUCCESSOR,
+                slot: 0,
+                stamp: context.stamp(),
+            };
             if context.poller.watch(&line, mark).is_err() {
                 // The sweep looks at it.
                 context.machine_trouble("epoll_ctl");
@@ -368,7 +425,13 @@
     /// Waits for the successor no longer: what it has not said by now it can't say any more. Guards: connections that both go on
     /// with, as its word comes in the moment in which this process gives up, or lies unread.
     fn give_up(&mut self, context: &mut Context, connections: &mut Connections) {
-        let Some(successor) = self.successor.as_mut().filter(|successor| !successor.given_up) else { return };
+        let Some(successor) = self
+            .successor
+            .as_mut()
+            .filter(|successor| !successor.given_up)
+        else {
+            return;
+        };
         successor.given_up = true;
         successor.out.clear();
         successor.line.end_receiving();
@@ -377,11 +440,16 @@
 
     /// The successor is gone, if there was one: this process goes on with what it had not taken.
     fn lose_successor(&mut self, context: &mut Context, connections: &mut Connections) {
-        let Some(successor) = self.successor.take() else { return };
+        let Some(successor) = self.successor.take() else {
+            return;
+        };
         warn!(context.log, "the process that came is gone"; "kept" => successor.going.len());
-        successor.going.into_iter().for_each(|(id, _)| connections.keep(context, id));
+        successor
+            .going
+            .into_iter()
+            .for_each(|(id, _)| connections.keep(context, id));
         self.wanted = false;
-        context.events.push(Event::Successor(false));
+        context.events.push(Event::SuccessorChanged(false));
         // Guards: a next try that calls where the one that died would have listened.
         if context.leaving.is_none() {
             self.expect(context);
@@ -395,14 +463,19 @@
             return self.give_up(context, connections);
         }
         let ready = |successor: &&mut Successor| successor.out.is_empty() && !successor.given_up;
-        let Some(successor) = self.successor.as_mut().filter(ready) else { return };
+        let Some(successor) = self.successor.as_mut().filter(ready) else {
+            return;
+        };
         for slot in connections.passable() {
             if successor.going.len() >= WINDOW {
                 return;
             }
             let (handed_over, id) = connections.release(context, slot);
             let bytes = message(&FromPredecessor::HandedOver(Box::new(handed_over)));
-            match successor.line.send_with(&bytes, &connections.descriptors(slot)) {
+            match successor
+                .line
+                .send_with(&bytes, &connections.descriptors(slot))
+            {
                 Ok(()) => successor.going.push_back((id, context.now)),
                 // The line is full, and tells when it is not; or broken, and tells that.
                 Err(e) => {
@@ -415,10 +488,14 @@
 
     /// Whether the successor takes too long to say that it has a connection, or those that it has not are to be moved now.
     fn overdue(&self, context: &Context) -> bool {
-        let Some(successor) = &self.successor else { return false };
+        let Some(successor) = &self.successor else {
+            return false;
+        };
         let first = successor.going.front();
         let late = first.is_some_and(|(_, since)| context.now >= since + TAKEN_WITHIN);
-        late || context.stopped_by.is_some_and(|by| context.now + TIME_TO_MOVE >= by)
+        late || context
+            .stopped_by
+            .is_some_and(|by| context.now + TIME_TO_MOVE >= by)
     }
 
     /// Goes on with what the predecessor has let go of.
@@ -428,7 +505,9 @@
             if !self.answer_predecessor(context, connections) {
                 return;
             }
-            let Some((line, _)) = &self.predecessor else { return };
+            let Some((line, _)) = &self.predecessor else {
+                return;
+            };
             let (length, sockets) = match context.budget.receive_with(line, &mut space) {
                 Ok((length @ 1.., sockets)) => (length, sockets),
                 Err(e) if on_connection(e) != Trouble::Connection => {
@@ -452,18 +531,28 @@
         if !self.answer_predecessor(context, connections) {
             return;
         }
-        let Some((line, stamp)) = &self.predecessor else { return };
-        let mark = Mark { part: PREDECESSOR, slot: 0, stamp: *stamp };
+        let Some((line, stamp)) = &self.predecessor else {
+            return;
+        };
+        let mark = Mark {
+            part: PREDECESSOR,
+            slot: 0,
+            stamp: *stamp,
+        };
         _ = context.poller.rewatch(line, mark);
     }
 
     /// Tells the predecessor what has become of the connection that came last; false where that has to wait, or it is gone.
     fn answer_predecessor(&mut self, context: &mut Context, connections: &mut Connections) -> bool {
-        let (Some((line, _)), Some(adopted)) = (&self.predecessor, self.owed) else { return true };
+        let (Some((line, _)), Some(adopted)) = (&self.predecessor, self.owed) else {
+            return true;
+        };
         match line.send_with(&message(&FromSuccessor::Has(adopted.is_some())), &[]) {
             Ok(()) => {
                 self.owed = None;
-                adopted.into_iter().for_each(|id| connections.keep(context, id));
+                adopted
+                    .into_iter()
+                    .for_each(|id| connections.keep(context, id));
                 true
             }
             Err(e) if on_connection(e) != Trouble::Connection => {
@@ -473,9 +562,15 @@
             // Guards: a connection that two processes go on with: the predecessor keeps what it was not told of.
             Err(_) => {
                 (self.predecessor, self.owed) = (None, None);
-                adopted.into_iter().for_each(|id| connections.abandon(context, id));
+                adopted
+                    .into_iter()
+                    .for_each(|id| connections.abandon(context, id));
                 false
             }
         }
     }
 }
+
+#[cfg(test)]
+#[path = "succession_bytes_tests.rs"]
+mod bytes_tests;
--- /dev/null
+++ b/node/src/roles/succession_bytes_tests.rs
@@ -0,0 +1,117 @@
+//! The exact bytes of what passes between a process and the next one in its place, but for its connections.
+
+use super::*;
+use reedferry::{ClientStatistics, HostId, HostSnapshot, HostState, Idempotency, IdempotencyGroup};
+
+fn hex(value: &impl Serialize) -> String {
+    postcard::to_allocvec(value)
+        .unwrap()
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect()
+}
+
+fn regard() -> HostSnapshot {
+    HostSnapshot {
+        id: HostId(0x0a01_0012_1388),
+        newcomer: true,
+        draining_since: 1,
+        connect_failed_at: Some(2),
+        ejected_until: 3,
+        ejections: 4,
+        latency_ratio: 0.5,
+        latency_measured_at: 5,
+        load_limit: Some(1.5),
+        sustained_load: 2.5,
+        limit_decreased_at: 6,
+        latency_ratio_at_decrease: 0.25,
+        reported_load: 0.75,
+        reported_at: 7,
+    }
+}
+
+fn legacy() -> InheritedState {
+    InheritedState {
+        clients: vec![(
+            11,
+            ClientStatistics {
+                mean_duration: Some(3.0),
+                last_load: None,
+                last_seen: 12,
+            },
+        )],
+        mean_duration: Some(1.25),
+        open_time: 2.0,
+        ended_connections: 3.0,
+        class_loads: vec![None, Some(0.125)],
+        mean_load: Some(0.0625),
+        load_samples: 13,
+        mean_setup_time: 14.0,
+        hosts: vec![regard()],
+        setup_failure_rate: 0.375,
+        late_message_rate: 0.875,
+    }
+}
+
+fn class(idempotency: Idempotency, idempotency_group: IdempotencyGroup) -> RequestClass {
+    RequestClass {
+        idempotency,
+        idempotency_group,
+        idempotency_window: 20,
+        priority_weight: 1.5,
+        latency_objective: 30,
+        message_latency_objective: 40,
+        active: false,
+    }
+}
+
+fn member() -> Member {
+    Member {
+        name: "s-1".into(),
+        address: Some("10.1.0.18:5000".parse().unwrap()),
+        zone: "a".into(),
+        cell: 3,
+        standing: HostState::Draining,
+        size: 1.5,
+        started: Some(15),
+        believed: Some(None),
+    }
+}
+
+#[test]
+fn greetings_and_pieces_keep_their_bytes() {
+    assert_eq!(hex(&FromSuccessor::Hello(VERSION)), "0003");
+    assert_eq!(hex(&FromSuccessor::Has(true)), "0101");
+    assert_eq!(
+        hex(&FromPredecessor::Piece(vec![1, 2, 3], true)),
+        "000301020301"
+    );
+}
+
+#[test]
+fn what_a_predecessor_knows_keeps_its_bytes() {
+    let held = vec![
+        (
+            "chat".to_string(),
+            class(Idempotency::Idempotent, IdempotencyGroup::All),
+        ),
+        (
+            "pay".to_string(),
+            class(Idempotency::WithKey, IdempotencyGroup::Zone),
+        ),
+        (
+            "once".to_string(),
+            class(Idempotency::NonIdempotent, IdempotencyGroup::Cell),
+        ),
+    ];
+    let knowledge = Knowledge {
+        discovery: "127.0.0.1:8500".parse().unwrap(),
+        clock_ahead: 8,
+        revision: Some(41),
+        members: vec![member()],
+        classes: vec!["chat".into(), "pay".into()],
+        held,
+        legacy: legacy(),
+    };
+    assert_eq!(hex(&knowledge), "007f000001b4420801290103732d3101000a010012882701610301000000000000f83f010f010002046368617403706179030463686174000014000000000000f83f1e280003706179010114000000000000f83f1e2800046f6e6365020214000000000000f83f1e2800010b010000000000000840000c01000000000000f43f00000000000000400000000000000840020001000000000000c03f01000000000000b03f0d0000000000002c400188a7c88090c002010101020304000000000000e03f0501000000000000f83f000000000000044006000000000000d03f000000000000e83f07000000000000d83f000000000000ec3f");
+}
--- a/node/tests/cold.rs
+++ b/node/tests/cold.rs
@@ -1,9 +1,9 @@
 //! Twenty processes of the program before one cold host: it is sent no more than its budget and chance by the sum of all,
 //! with some of them killed and started again meanwhile.
 
-use reedferry_rig::acting::{Clients, Hosts, Referee};
-use reedferry_rig::program::papers_of;
-use reedferry_rig::{Discovery, Node};
+use reedferry_testkit::acting::{Clients, Hosts, Referee};
+use reedferry_testkit::program::node_config_of;
+use reedferry_testkit::{Discovery, Node};
 use serde_json::{json, Value};
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -15,16 +15,16 @@
 const COLD: f64 = 10.0;
 const FROM: f64 = 0.2;
 
-fn papers(service: &Discovery, members: Value, node: usize) -> Value {
-    let mut papers = papers_of(members, service.address);
-    papers["name"] = json!(format!("n{node}"));
-    let settings = &mut papers["settings"];
+fn node_config(service: &Discovery, members: Value, node: usize) -> Value {
+    let mut node_config = node_config_of(members, service.address);
+    node_config["name"] = json!(format!("n{node}"));
+    let settings = &mut node_config["settings"];
     settings["balancers"] = json!(NODES);
     settings["index"] = json!(node);
     settings["offerings"][0]["name"] = json!("free");
     settings["contract"]["cold"] = json!(1000.0 * COLD);
     settings["contract"]["cold_from"] = json!(FROM);
-    papers
+    node_config
 }
 
 /// Guards: a cold host pushed over by the sum of twenty processes, each of which keeps to its own part.
@@ -33,14 +33,21 @@
     let (service, referee) = (Discovery::start(), Referee::default());
     let hosts = Hosts::start(WARM + 1, &referee);
     let warm: Value = (0..WARM).map(|host| hosts.member(host, "active")).collect();
-    let mut nodes: Vec<Node> = (0..NODES).map(|n| Node::start(&papers(&service, warm.clone(), n))).collect();
+    let mut nodes: Vec<Node> = (0..NODES)
+        .map(|n| Node::start(&node_config(&service, warm.clone(), n)))
+        .collect();
     let mut standing: Vec<Clients> = Vec::new();
     for (n, node) in nodes.iter().enumerate() {
         let mut clients = Clients::new(vec![node.address], &referee, n as u64);
-        clients.load(100.0, Duration::from_millis(10 * HELD as u64), &[0], Duration::from_secs(60));
+        clients.load(
+            100.0,
+            Duration::from_millis(10 * HELD as u64),
+            &[0],
+            Duration::from_secs(60),
+        );
         standing.push(clients);
     }
-    reedferry_rig::eventually("they do not stand", || {
+    reedferry_testkit::eventually("they do not stand", || {
         hosts.standing().iter().sum::<u32>() as usize >= NODES * HELD * 9 / 10
     });
     let mut new = hosts.member(WARM, "active");
@@ -57,28 +64,44 @@
                 let (address, referee) = (node.address, &referee);
                 let rate = if n % 5 == round % 5 { 8.0 } else { 2.0 };
                 scope.spawn(move || {
-                    let mut clients = Clients::new(vec![address], referee, (1000 + round * NODES + n) as u64);
-                    clients.load(rate, Duration::from_secs(1), &[0], Duration::from_millis(100));
+                    let mut clients =
+                        Clients::new(vec![address], referee, (1000 + round * NODES + n) as u64);
+                    clients.load(
+                        rate,
+                        Duration::from_secs(1),
+                        &[0],
+                        Duration::from_millis(100),
+                    );
                     clients.end();
                 });
             }
         });
         for n in [2 * round, 2 * round + 1] {
             nodes[n].kill();
-            nodes[n] = Node::start(&papers(&service, json!(listed), n));
+            nodes[n] = Node::start(&node_config(&service, json!(listed), n));
         }
     }
-    let mut times: Vec<Instant> =
-        referee.reached().iter().filter(|one| one.host == WARM).map(|one| one.at).collect();
+    let mut times: Vec<Instant> = referee
+        .reached()
+        .iter()
+        .filter(|one| one.host == WARM)
+        .map(|one| one.at)
+        .collect();
     times.sort();
     assert!(times.len() >= 5, "left idle: {}", times.len());
     for (n, first) in times.iter().enumerate() {
-        let came = times[n..].iter().take_while(|at| **at < *first + Duration::from_secs(1)).count() as f64;
+        let came = times[n..]
+            .iter()
+            .take_while(|at| **at < *first + Duration::from_secs(1))
+            .count() as f64;
         let age = (first.saturating_duration_since(start).as_secs_f64() + 1.0).min(COLD);
         // What the fleet holds at warm hosts of its size is taken for a quarter of what one bears.
         let bears = 4.0 * (NODES * HELD) as f64 / WARM as f64;
         let budget = 3.0 * (FROM + (1.0 - FROM) * age / COLD) * bears / COLD;
         let most = budget + 2.0 * budget.sqrt() + 2.0;
-        assert!(came <= most, "{came} of {budget:.1} in a second, {age:.1} s after the start");
+        assert!(
+            came <= most,
+            "{came} of {budget:.1} in a second, {age:.1} s after the start"
+        );
     }
 }
--- a/node/tests/handover.rs
+++ b/node/tests/handover.rs
@@ -1,8 +1,8 @@
 //! A connection that passes from one process to the next has one owner at each moment, also where a word between both can't be
 //! sent or read for a while, or the next process stands still.
 
-use reedferry_rig::syscalls::{Call, Fault, Outcome, Spoiler};
-use reedferry_rig::*;
+use reedferry_testkit::syscalls::{Call, Fault, Outcome, Spoiler};
+use reedferry_testkit::*;
 use rustix::io::Errno;
 use serde_json::{json, Value};
 use std::net::TcpListener;
@@ -15,14 +15,18 @@
 const CONNECTIONS: usize = 20;
 
 fn never_succeeds(call: Call) -> Fault {
-    Fault { call, outcome: Outcome::Fails(Errno::NOBUFS), every: 1 }
+    Fault {
+        call,
+        outcome: Outcome::Fails(Errno::NOBUFS),
+        every: 1,
+    }
 }
 
 /// A node with open connections, at a listener that the test holds, and how its calls are spoilt.
 struct Site {
     hosts: Hosts,
     _discovery: Discovery,
-    papers: Value,
+    node_config: Value,
     listener: TcpListener,
     folder: PathBuf,
 }
@@ -30,12 +34,19 @@
 impl Site {
     fn new() -> Self {
         let (hosts, discovery) = (Hosts::start(2), Discovery::start());
-        let papers = papers(&hosts, discovery.address);
-        Site { hosts, _discovery: discovery, papers, listener: listener(), folder: folder() }
+        let node_config = node_config(&hosts, discovery.address);
+        Site {
+            hosts,
+            _discovery: discovery,
+            node_config,
+            listener: listener(),
+            folder: folder(),
+        }
     }
 
     fn start(&self, spoiler: &Spoiler) -> Node {
-        let mut node = Node::start_spoilt_at(&self.papers, &self.listener, &self.folder, spoiler);
+        let mut node =
+            Node::start_spoilt_at(&self.node_config, &self.listener, &self.folder, spoiler);
         node.address = self.listener.local_addr().unwrap();
         node
     }
@@ -53,7 +64,9 @@
     let site = Site::new();
     let spoiler = Spoiler::default();
     let mut predecessor = site.start(&spoiler);
-    let mut open: Vec<_> = (0..CONNECTIONS).map(|_| predecessor.served(&site.hosts)).collect();
+    let mut open: Vec<_> = (0..CONNECTIONS)
+        .map(|_| predecessor.served(&site.hosts))
+        .collect();
     let _heir = site.start(&Spoiler::default());
     spoiler.set(&[never_succeeds(Call::ReceiveMessage)]);
     predecessor.stop();
@@ -76,7 +89,9 @@
     let site = Site::new();
     let spoiler = Spoiler::default();
     let mut predecessor = site.start(&Spoiler::default());
-    let mut open: Vec<_> = (0..CONNECTIONS).map(|_| predecessor.served(&site.hosts)).collect();
+    let mut open: Vec<_> = (0..CONNECTIONS)
+        .map(|_| predecessor.served(&site.hosts))
+        .collect();
     let _heir = site.start(&spoiler);
     spoiler.set(&[never_succeeds(Call::SendMessage)]);
     predecessor.stop();
@@ -91,7 +106,10 @@
             host.stream.set_nonblocking(true).unwrap();
             let came = host.stream.peek(&mut [0; 8]);
             host.stream.set_nonblocking(false).unwrap();
-            assert!(came.is_err(), "it touched a connection that it had not answered for: {came:?}");
+            assert!(
+                came.is_err(),
+                "it touched a connection that it had not answered for: {came:?}"
+            );
         }
         thread::sleep(Duration::from_millis(20));
     }
@@ -108,10 +126,12 @@
 #[test]
 fn clients_are_moved_in_time_where_the_next_process_stands_still_and_the_longest_expiry_is_short() {
     let mut site = Site::new();
-    site.papers["settings"]["offerings"][0]["expiry"] = json!(500.0);
-    site.papers["settings"]["offerings"][0]["contract_time"] = json!(300.0);
+    site.node_config["settings"]["offerings"][0]["expiry"] = json!(500.0);
+    site.node_config["settings"]["offerings"][0]["contract_time"] = json!(300.0);
     let mut predecessor = site.start(&Spoiler::default());
-    let mut open: Vec<_> = (0..CONNECTIONS).map(|_| predecessor.served(&site.hosts)).collect();
+    let mut open: Vec<_> = (0..CONNECTIONS)
+        .map(|_| predecessor.served(&site.hosts))
+        .collect();
     let successor = site.start(&Spoiler::default());
     successor.stand_still();
     // It stands still once this is said of it.
@@ -121,7 +141,11 @@
         client.hears("MOVE");
     }
     // The longest expiry and what a node may take beyond it.
-    assert!(asked.elapsed() < Duration::from_millis(1200), "{:?}", asked.elapsed());
+    assert!(
+        asked.elapsed() < Duration::from_millis(1200),
+        "{:?}",
+        asked.elapsed()
+    );
     successor.go_on();
     assert!(predecessor.wait().success());
     for (_, _, host) in &mut open {
--- a/node/tests/pause.rs
+++ b/node/tests/pause.rs
@@ -1,8 +1,8 @@
 //! A process that stands still for a while, or is held up again and again, as its machine is, blames no host for what it did
 //! not see meanwhile.
 
-use reedferry_rig::syscalls::{Call, Fault, Outcome, Spoiler};
-use reedferry_rig::*;
+use reedferry_testkit::syscalls::{Call, Fault, Outcome, Spoiler};
+use reedferry_testkit::*;
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -48,12 +48,16 @@
     fn start() -> Site {
         let (referee, discovery) = (acting::Referee::default(), Discovery::start());
         let hosts = acting::Hosts::start(HOSTS, &referee);
-        let mut papers = program::papers_of(hosts.members(), discovery.address);
-        papers["settings"]["offerings"][0]["name"] = serde_json::json!("free");
+        let mut node_config = program::node_config_of(hosts.members(), discovery.address);
+        node_config["settings"]["offerings"][0]["name"] = serde_json::json!("free");
         let spoiler = Spoiler::default();
-        let node = Node::start_spoilt(&papers, &spoiler);
+        let node = Node::start_spoilt(&node_config, &spoiler);
         discovery.calls(1);
-        Site { node, spoiler, _discovery: discovery }
+        Site {
+            node,
+            spoiler,
+            _discovery: discovery,
+        }
     }
 
     /// One client more: its connection, and its answer.
@@ -85,7 +89,11 @@
             thread::sleep(Duration::from_millis(20));
         }
         let log = self.node.logged();
-        assert!(served * 10 >= heard.len() * 9, "{served} of {} served: {log:#?}", heard.len());
+        assert!(
+            served * 10 >= heard.len() * 9,
+            "{served} of {} served: {log:#?}",
+            heard.len()
+        );
     }
 }
 
@@ -108,12 +116,19 @@
     let site = Site::start();
     let talking = site.talking();
     let held = Outcome::HeldUp(Duration::from_millis(140));
-    site.spoiler.set(&[Fault { call: Call::Send, outcome: held, every: 2 }]);
+    site.spoiler.set(&[Fault {
+        call: Call::Send,
+        outcome: held,
+        every: 2,
+    }]);
     let until = Instant::now() + PAUSE;
     let mut clients = Vec::new();
     while Instant::now() < until {
         let mut client = Peer::connect(site.node.address);
-        client.say(&format!("OPEN h{0} {0:x} c=free,t=acme,d=2000", clients.len()));
+        client.say(&format!(
+            "OPEN h{0} {0:x} c=free,t=acme,d=2000",
+            clients.len()
+        ));
         clients.push(client);
         thread::sleep(Duration::from_millis(40));
     }
@@ -127,9 +142,9 @@
 fn what_is_due_is_answered_in_time_though_each_turn_has_much_to_do() {
     const TALKING: usize = 60;
     let (hosts, discovery, spoiler) = (Hosts::start(1), Discovery::start(), Spoiler::default());
-    let mut papers = papers(&hosts, discovery.address);
-    papers["settings"]["offerings"][0]["contract_time"] = serde_json::json!(2000.0);
-    let node = Node::start_spoilt(&papers, &spoiler);
+    let mut node_config = node_config(&hosts, discovery.address);
+    node_config["settings"]["offerings"][0]["contract_time"] = serde_json::json!(2000.0);
+    let node = Node::start_spoilt(&node_config, &spoiler);
     let mut open: Vec<_> = (0..TALKING).map(|_| node.served(&hosts)).collect();
     // Its host says nothing.
     let mut waits = node.open(&OPEN.replace("d=2000", "d=1000"));
@@ -137,7 +152,11 @@
     let (_, mut silent) = hosts.accept();
     assert!(silent.hear().starts_with("OPEN"));
     let held = Outcome::HeldUp(Duration::from_millis(100));
-    spoiler.set(&[Fault { call: Call::Send, outcome: held, every: 2 }]);
+    spoiler.set(&[Fault {
+        call: Call::Send,
+        outcome: held,
+        every: 2,
+    }]);
     // All their lines lie ready in the moment in which the answer is due.
     while asked.elapsed() < Duration::from_millis(900) {
         thread::sleep(Duration::from_millis(10));
@@ -156,7 +175,11 @@
 
 fn interrupt_waits(spoiler: &Spoiler) {
     let outcome = Outcome::Fails(rustix::io::Errno::INTR);
-    spoiler.set(&[Fault { call: Call::EpollWait, outcome, every: 1 }]);
+    spoiler.set(&[Fault {
+        call: Call::EpollWait,
+        outcome,
+        every: 1,
+    }]);
 }
 
 /// The process goes on; its waits are interrupted at first, so that what is due is seen before what is ready.
@@ -173,13 +196,13 @@
     let (listener, first) = jammed();
     let discovery = Discovery::start();
     let late = member(5, &listener.local_addr().unwrap().to_string(), "active");
-    let mut papers = program::papers_of(serde_json::json!([late]), discovery.address);
+    let mut node_config = program::node_config_of(serde_json::json!([late]), discovery.address);
     // The system asks for a connection again a second after the first time.
-    papers["settings"]["policy_limits"]["connect_timeout"] = serde_json::json!(1500.0);
-    papers["settings"]["offerings"][0]["expiry"] = serde_json::json!(6000.0);
-    papers["settings"]["offerings"][0]["contract_time"] = serde_json::json!(6000.0);
+    node_config["settings"]["policy_limits"]["connect_timeout"] = serde_json::json!(1500.0);
+    node_config["settings"]["offerings"][0]["expiry"] = serde_json::json!(6000.0);
+    node_config["settings"]["offerings"][0]["contract_time"] = serde_json::json!(6000.0);
     let spoiler = Spoiler::default();
-    let node = Node::start_spoilt(&papers, &spoiler);
+    let node = Node::start_spoilt(&node_config, &spoiler);
     discovery.calls(1);
     let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
     let mut other = Peer::connect(node.address);
@@ -204,10 +227,11 @@
 #[test]
 fn a_probe_that_was_answered_while_the_process_stood_still_counts_as_answered() {
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
-    let mut papers = papers(&hosts, discovery.address);
-    papers["settings"]["reporting"] = serde_json::json!({"fields": ["util", "x0"], "via": "pull"});
+    let mut node_config = node_config(&hosts, discovery.address);
+    node_config["settings"]["reporting"] =
+        serde_json::json!({"fields": ["util", "x0"], "via": "pull"});
     let spoiler = Spoiler::default();
-    let node = Node::start_spoilt(&papers, &spoiler);
+    let node = Node::start_spoilt(&node_config, &spoiler);
     let (_, mut probe) = hosts.accept();
     probe.hears("STATS");
     interrupt_waits(&spoiler);
--- a/node/tests/ready.rs
+++ b/node/tests/ready.rs
@@ -1,9 +1,9 @@
 //! Restarts: nine in ten processes serve within ten seconds of their start, in turn and together, under load, beside a list
 //! service that is slow.
 
-use reedferry_rig::acting::{Hosts, Referee};
-use reedferry_rig::program::papers_of;
-use reedferry_rig::*;
+use reedferry_testkit::acting::{Hosts, Referee};
+use reedferry_testkit::program::node_config_of;
+use reedferry_testkit::*;
 use serde_json::{json, Value};
 use std::thread;
 use std::time::{Duration, Instant};
@@ -13,14 +13,14 @@
 
 /// One of hundreds, by settings that leave a node a minute to ask, which knows no host.
 fn fresh(service: &Discovery, node: usize) -> Value {
-    let mut papers = papers_of(Value::Null, service.address);
-    papers["known"] = Value::Null;
-    papers["name"] = json!(format!("n{node}"));
-    let settings = &mut papers["settings"];
+    let mut node_config = node_config_of(Value::Null, service.address);
+    node_config["known"] = Value::Null;
+    node_config["name"] = json!(format!("n{node}"));
+    let settings = &mut node_config["settings"];
     settings["balancers"] = json!(300);
     settings["index"] = json!(300 - NODES + node);
     settings["contract"]["ask_within"] = json!(60_000.0);
-    papers
+    node_config
 }
 
 /// How long after this a client that comes again and again is first served there.
@@ -30,12 +30,17 @@
             return None;
         }
         let mut client = Peer::connect(node.address);
-        client.say(&format!("OPEN {:x} {n:x} c=chat,t=acme,d=2000", named << 20 | n));
+        client.say(&format!(
+            "OPEN {:x} {n:x} c=chat,t=acme,d=2000",
+            named << 20 | n
+        ));
         if client.hear().starts_with("UP") {
             return Some(started.elapsed());
         }
         let asked = Instant::now();
-        eventually("no time passes", || asked.elapsed() > Duration::from_millis(20));
+        eventually("no time passes", || {
+            asked.elapsed() > Duration::from_millis(20)
+        });
     }
     None
 }
@@ -65,12 +70,17 @@
                 // The one half, and then the other.
                 let half = |from: usize| {
                     let all: Vec<_> = (from..from + NODES / 2).map(one).collect();
-                    all.into_iter().map(|each| each.join().unwrap()).collect::<Vec<_>>()
+                    all.into_iter()
+                        .map(|each| each.join().unwrap())
+                        .collect::<Vec<_>>()
                 };
                 [half(0), half(NODES / 2)].concat()
             }
         });
-        let late = took.iter().filter(|took| took.is_none_or(|took| took > WITHIN)).count();
+        let late = took
+            .iter()
+            .filter(|took| took.is_none_or(|took| took > WITHIN))
+            .count();
         assert!(late <= NODES / 10, "together {together}: {took:?}");
     }
 }
--- a/node/tests/relisted.rs
+++ b/node/tests/relisted.rs
@@ -1,8 +1,8 @@
 //! Hosts that the list names anew, in another group or at another address: what was chosen for them before goes by where they
 //! were.
 
-use reedferry_rig::program::papers_of;
-use reedferry_rig::*;
+use reedferry_testkit::program::node_config_of;
+use reedferry_testkit::*;
 use serde_json::json;
 use std::thread::yield_now;
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
 /// which it may have run it: its name has come back in another.
 #[test]
 fn a_repeat_stays_in_the_circle_in_which_the_first_attempt_may_have_run() {
-    for circle in ["zone", "cell"] {
+    for idempotency_group in ["zone", "cell"] {
         let hosts = Hosts::start(2);
         let discovery = Discovery::start();
         let named = |host: usize, place: usize| {
@@ -22,12 +22,12 @@
             (member["locality"], member["cell"]) = (json!(["a", "b"][place]), json!(place));
             member
         };
-        let mut papers = papers_of(json!([named(0, 0)]), discovery.address);
-        let settings = &mut papers["settings"];
+        let mut node_config = node_config_of(json!([named(0, 0)]), discovery.address);
+        let settings = &mut node_config["settings"];
         settings["zones"] = json!(["a", "b"]);
         settings["offerings"][0] = json!({"name": "chat", "contract_time": 1500.0, "expiry": 6000.0,
-            "effect": "guarded", "group": circle, "payoff": 1.0, "repeat_window": 6000.0});
-        let node = Node::start(&papers);
+            "effect": "guarded", "group": idempotency_group, "payoff": 1.0, "repeat_window": 6000.0});
+        let node = Node::start(&node_config);
         discovery.calls(1);
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
         let (_, mut host) = hosts.accept();
@@ -39,7 +39,10 @@
         discovery.calls(3);
         host.reset();
         client.hears("ERR");
-        assert!(hosts.accept_soon().is_none(), "{circle}: sent out of its circle");
+        assert!(
+            hosts.accept_soon().is_none(),
+            "{idempotency_group}: sent out of its circle"
+        );
     }
 }
 
@@ -51,18 +54,18 @@
         let hosts = Hosts::start(1);
         let (listener, first) = jammed();
         let discovery = Discovery::start();
-        let mut papers = papers_of(hosts.members(), discovery.address);
-        let settings = &mut papers["settings"];
+        let mut node_config = node_config_of(hosts.members(), discovery.address);
+        let settings = &mut node_config["settings"];
         settings["policy_limits"]["connect_timeout"] = json!(5000.0);
         settings["offerings"][0] = json!({"name": "chat", "contract_time": 300.0, "expiry": 6000.0,
             "effect": "guarded", "group": "cell", "payoff": 1.0, "repeat_window": 6000.0});
-        let node = Node::start(&papers);
+        let node = Node::start(&node_config);
         discovery.calls(1);
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
         let (_, mut host) = hosts.accept();
         host.hear();
         let mut late = member(5, &listener.local_addr().unwrap().to_string(), "active");
-        late["cell"] = papers["known"]["members"][0]["cell"].clone();
+        late["cell"] = node_config["known"]["members"][0]["cell"].clone();
         discovery.change(late.clone());
         host.hears("end");
         discovery.calls(2);
@@ -70,7 +73,11 @@
         let mut other = Peer::connect(node.address);
         other.say("PING");
         other.hears("PONG");
-        late["cell"] = json!(if moves { 77 } else { late["cell"].as_i64().unwrap() });
+        late["cell"] = json!(if moves {
+            77
+        } else {
+            late["cell"].as_i64().unwrap()
+        });
         discovery.change(late);
         discovery.calls(3);
         drop(first);
@@ -79,7 +86,9 @@
         let (asked, mut got) = (Instant::now(), None);
         // The system asks for a connection again a second after the first time.
         while asked.elapsed() < Duration::from_millis(2500) && got.is_none() {
-            let Ok((stream, _)) = listener.accept() else { continue };
+            let Ok((stream, _)) = listener.accept() else {
+                continue;
+            };
             stream.set_nonblocking(false).unwrap();
             let mut peer = Peer::new(stream);
             if peer.hear().starts_with("OPEN") {
@@ -89,7 +98,10 @@
         }
         assert_eq!(got.is_some(), sent, "moves {moves}");
         let said = client.hear();
-        assert!(said.starts_with(if sent { "UP 2" } else { "ERR" }), "moves {moves}: {said}");
+        assert!(
+            said.starts_with(if sent { "UP 2" } else { "ERR" }),
+            "moves {moves}: {said}"
+        );
     }
 }
 
@@ -100,12 +112,12 @@
     let (listener, first) = jammed();
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
     let old = member(0, &listener.local_addr().unwrap().to_string(), "active");
-    let mut papers = papers_of(json!([old]), discovery.address);
-    let settings = &mut papers["settings"];
+    let mut node_config = node_config_of(json!([old]), discovery.address);
+    let settings = &mut node_config["settings"];
     settings["policy_limits"]["connect_timeout"] = json!(6000.0);
     settings["offerings"][0]["contract_time"] = json!(5000.0);
     settings["offerings"][0]["expiry"] = json!(8000.0);
-    let node = Node::start(&papers);
+    let node = Node::start(&node_config);
     discovery.calls(1);
     let mut client = node.open(&OPEN.replace("d=2000", "d=8000"));
     // Whoever answers this has asked for that connection.
@@ -128,7 +140,10 @@
         if let Ok((late, _)) = listener.accept() {
             late.set_nonblocking(false).unwrap();
             let end = Peer::new(late).hear();
-            assert!(["end", "reset"].contains(&end.as_str()), "at the old address: {end}");
+            assert!(
+                ["end", "reset"].contains(&end.as_str()),
+                "at the old address: {end}"
+            );
         }
     }
     let (_, mut host) = at_the_new_one.expect("nothing came to the new address");
@@ -143,9 +158,9 @@
     let (listener, first) = jammed();
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
     let old = member(0, &listener.local_addr().unwrap().to_string(), "active");
-    let mut papers = papers_of(json!([old]), discovery.address);
-    papers["settings"]["policy_limits"]["connect_timeout"] = json!(1000.0);
-    let node = Node::start(&papers);
+    let mut node_config = node_config_of(json!([old]), discovery.address);
+    node_config["settings"]["policy_limits"]["connect_timeout"] = json!(1000.0);
+    let node = Node::start(&node_config);
     discovery.calls(1);
     let mut client = node.open(OPEN);
     // Whoever answers this has asked for that connection.
@@ -158,7 +173,11 @@
     host.hear();
     host.say("UP 2");
     client.hears("UP 2");
-    let masks: Vec<String> = node.logged().into_iter().filter(|line| line.contains("mask host")).collect();
+    let masks: Vec<String> = node
+        .logged()
+        .into_iter()
+        .filter(|line| line.contains("mask host"))
+        .collect();
     assert!(masks.is_empty(), "{masks:?}");
     drop((first, listener));
 }
--- a/node/tests/succession.rs
+++ b/node/tests/succession.rs
@@ -1,8 +1,8 @@
 //! One process in place of another: both started and spoken to over sockets, at a listener that the test holds.
 
-use reedferry_quay::Budget;
-use reedferry_rig::acting::{self, Clients, Referee, Way};
-use reedferry_rig::*;
+use reedferry_runtime::Budget;
+use reedferry_testkit::acting::{self, Clients, Referee, Way};
+use reedferry_testkit::*;
 use serde_json::{json, Value};
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
 struct Site {
     hosts: Hosts,
     _discovery: Discovery,
-    papers: Value,
+    node_config: Value,
     listener: TcpListener,
     folder: PathBuf,
 }
@@ -19,13 +19,19 @@
 impl Site {
     fn new(hosts: usize) -> Self {
         let (hosts, discovery) = (Hosts::start(hosts), Discovery::start());
-        let mut papers = papers(&hosts, discovery.address);
-        papers["ops"] = json!("127.0.0.1:0");
-        Site { hosts, _discovery: discovery, papers, listener: listener(), folder: folder() }
+        let mut node_config = node_config(&hosts, discovery.address);
+        node_config["ops"] = json!("127.0.0.1:0");
+        Site {
+            hosts,
+            _discovery: discovery,
+            node_config,
+            listener: listener(),
+            folder: folder(),
+        }
     }
 
     fn start(&self) -> Node {
-        let mut node = Node::start_at(&self.papers, &self.listener, &self.folder);
+        let mut node = Node::start_at(&self.node_config, &self.listener, &self.folder);
         node.address = self.listener.local_addr().unwrap();
         eventually("ready", || node.call("GET /status").0 == 200);
         node
@@ -61,7 +67,8 @@
         host.write("do");
     }
     eventually("half a line has come", || {
-        open.iter_mut().all(|(client, ..)| client.stream.peek(&mut [0; 2]).is_ok())
+        open.iter_mut()
+            .all(|(client, ..)| client.stream.peek(&mut [0; 2]).is_ok())
     });
     let mut twice = Vec::new();
     for _ in 0..2 {
@@ -69,7 +76,11 @@
         predecessor.stop();
         let asked = Instant::now();
         ended(&mut predecessor);
-        assert!(asked.elapsed() < Duration::from_secs(2), "it leaves early: {:?}", asked.elapsed());
+        assert!(
+            asked.elapsed() < Duration::from_secs(2),
+            "it leaves early: {:?}",
+            asked.elapsed()
+        );
         twice.push(std::mem::replace(&mut predecessor, successor));
     }
     for (client, _, host) in &mut open {
@@ -88,7 +99,8 @@
     client.hears("end");
     // And the rest is moved when nobody follows.
     predecessor.stop();
-    open.iter_mut().for_each(|(client, ..)| client.hears("MOVE"));
+    open.iter_mut()
+        .for_each(|(client, ..)| client.hears("MOVE"));
     ended(&mut predecessor);
 }
 
@@ -148,9 +160,14 @@
     successor.stand_still();
     predecessor.stop();
     let asked = Instant::now();
-    open.iter_mut().for_each(|(client, ..)| client.hears("MOVE"));
+    open.iter_mut()
+        .for_each(|(client, ..)| client.hears("MOVE"));
     // The longest expiry, and what is granted beyond it.
-    assert!(asked.elapsed() < Duration::from_millis(2700), "{:?}", asked.elapsed());
+    assert!(
+        asked.elapsed() < Duration::from_millis(2700),
+        "{:?}",
+        asked.elapsed()
+    );
     ended(&mut predecessor);
     successor.go_on();
     let _served = successor.served(&site.hosts);
@@ -162,7 +179,13 @@
 #[test]
 fn whatever_lies_in_the_folder_a_node_starts_and_is_followed() {
     let garbled = |at: &Path| std::fs::write(at.join("reedferry.next"), "garbled").unwrap();
-    let stale = |at: &Path| drop(Budget::new(64).listen_at(&at.join("reedferry.next")).unwrap());
+    let stale = |at: &Path| {
+        drop(
+            Budget::new(64)
+                .listen_at(&at.join("reedferry.next"))
+                .unwrap(),
+        );
+    };
     let prepared: [&dyn Fn(&Path); 2] = [&garbled, &stale];
     for prepare in prepared {
         let site = Site::new(1);
@@ -177,7 +200,7 @@
     // A folder that is none, or whose path is too long for a socket's: it serves, and nobody can follow.
     for folder in ["/dev/null", &format!("/tmp/{}", "long".repeat(40))] {
         let site = Site::new(1);
-        let node = Node::start_at(&site.papers, &site.listener, Path::new(folder));
+        let node = Node::start_at(&site.node_config, &site.listener, Path::new(folder));
         assert_eq!(node.call("GET /status").0, 200);
     }
 }
@@ -208,9 +231,15 @@
 fn a_descriptor_that_is_no_listener_is_one_plain_line_and_no_start() {
     let site = Site::new(1);
     for named in ["three", "", "-1", "999", "0", "99999999999999999999"] {
-        let output = program_at(&site.papers.to_string(), named, &site.folder).output().unwrap();
+        let output = program_at(&site.node_config.to_string(), named, &site.folder)
+            .output()
+            .unwrap();
         let said = String::from_utf8(output.stderr).unwrap();
-        assert_eq!((output.status.code(), said.lines().count()), (Some(1), 1), "{named}: {said}");
+        assert_eq!(
+            (output.status.code(), said.lines().count()),
+            (Some(1), 1),
+            "{named}: {said}"
+        );
         assert!(said.contains("GW_ACCEPT_FD"), "{said}");
     }
 }
@@ -218,7 +247,7 @@
 #[test]
 fn masks_and_drains_that_one_process_knows_hold_in_the_next() {
     let mut site = Site::new(2);
-    site.papers["settings"]["policy_limits"]["most_hand_offs"] = json!(2);
+    site.node_config["settings"]["policy_limits"]["most_hand_offs"] = json!(2);
     let mut predecessor = site.start();
     // One host breaks off what it is asked: it is left alone, also by the next process.
     let mut client = predecessor.open(OPEN);
@@ -248,17 +277,17 @@
     hosts.go(3, Way::Fails);
     hosts.go(4, Way::Silent);
     let discovery = Discovery::start();
-    let offering = |name: &str, effect: &str, group: &str| {
-        json!({"name": name, "contract_time": 200.0, "expiry": 2000.0, "effect": effect, "group": group,
+    let class = |name: &str, idempotency: &str, group: &str| {
+        json!({"name": name, "contract_time": 200.0, "expiry": 2000.0, "effect": idempotency, "group": group,
             "payoff": 1.0, "repeat_window": 1000.0})
     };
     let mut site = Site::new(0);
-    site.papers["discovery"] = json!(discovery.address.to_string());
-    site.papers["known"]["members"] = hosts.members();
-    site.papers["settings"]["offerings"] = json!([
-        offering("free", "free", "all"),
-        offering("mark", "guarded", "cell"),
-        offering("once", "single_shot", "all")
+    site.node_config["discovery"] = json!(discovery.address.to_string());
+    site.node_config["known"]["members"] = hosts.members();
+    site.node_config["settings"]["offerings"] = json!([
+        class("free", "free", "all"),
+        class("mark", "guarded", "cell"),
+        class("once", "single_shot", "all")
     ]);
     let mut predecessor = site.start();
     let mut clients = Clients::new(vec![predecessor.address], &referee, 7);
@@ -275,12 +304,16 @@
     clients.end();
     let broken = referee.broken(ms(150));
     assert!(broken.is_empty(), "{broken:#?}");
-    assert_eq!(referee.lived().len(), clients.started(), "some were lost at the listener");
+    assert_eq!(
+        referee.lived().len(),
+        clients.started(),
+        "some were lost at the listener"
+    );
 }
 
 /// A class of the settings.
-fn class(name: &str, effect: &str) -> Value {
-    json!({"name": name, "contract_time": 500.0, "expiry": 2000.0, "effect": effect, "group": "all", "payoff": 1.0,
+fn class(name: &str, idempotency: &str) -> Value {
+    json!({"name": name, "contract_time": 500.0, "expiry": 2000.0, "effect": idempotency, "group": "all", "payoff": 1.0,
         "repeat_window": 900.0})
 }
 
@@ -290,13 +323,22 @@
 fn connections_keep_their_own_terms_in_a_next_process_with_other_settings() {
     let mut site = Site::new(2);
     std::env::set_var("REEDFERRY_TRACE", "1");
-    site.papers["settings"]["offerings"] =
-        json!([class("chat", "free"), class("till", "single_shot"), class("seat", "guarded")]);
-    site.papers["settings"]["tenants"] = json!([{"name": "acme"}, {"name": "zeta"}]);
+    site.node_config["settings"]["offerings"] = json!([
+        class("chat", "free"),
+        class("till", "single_shot"),
+        class("seat", "guarded")
+    ]);
+    site.node_config["settings"]["tenants"] = json!([{"name": "acme"}, {"name": "zeta"}]);
     let mut predecessor = site.start();
     let mut open = Vec::new();
-    for (name, tenant) in [("chat", "acme"), ("till", "zeta"), ("seat", "acme"), ("seat", "zeta")] {
-        let mut client = predecessor.open(&OPEN.replace("c=chat,t=acme", &format!("c={name},t={tenant}")));
+    for (name, tenant) in [
+        ("chat", "acme"),
+        ("till", "zeta"),
+        ("seat", "acme"),
+        ("seat", "zeta"),
+    ] {
+        let mut client =
+            predecessor.open(&OPEN.replace("c=chat,t=acme", &format!("c={name},t={tenant}")));
         let (_, mut host) = site.hosts.accept();
         host.hear();
         host.say("UP 77aa");
@@ -304,16 +346,21 @@
         open.push((client, host));
     }
     // `chat` is gone, `seat` means something else, `late` is new and stands first.
-    site.papers["settings"]["offerings"] =
-        json!([class("late", "single_shot"), class("seat", "free"), class("till", "single_shot")]);
+    site.node_config["settings"]["offerings"] = json!([
+        class("late", "single_shot"),
+        class("seat", "free"),
+        class("till", "single_shot")
+    ]);
     let mut successor = site.start();
     predecessor.stop();
     ended(&mut predecessor);
     let mut places = Vec::new();
     for _ in 0..open.len() {
         let line = successor.logs("event PassedOn");
-        let place =
-            line.split("offering: ").nth(1).and_then(|rest| rest.split(',').next()?.parse::<usize>().ok());
+        let place = line
+            .split("offering: ")
+            .nth(1)
+            .and_then(|rest| rest.split(',').next()?.parse::<usize>().ok());
         places.push(place.unwrap());
     }
     places.sort_unstable();
@@ -341,7 +388,7 @@
 /// A process that comes as the next one, and speaks to the predecessor by its own words.
 struct Stranger {
     budget: Budget,
-    line: reedferry_quay::Socket,
+    line: reedferry_runtime::Socket,
 }
 
 impl Stranger {
@@ -362,7 +409,9 @@
         loop {
             match self.budget.receive_with(&self.line, &mut space) {
                 Ok((length, _given)) => return space[..length].to_vec(),
-                Err(e) if e.raw_os_error() == 11 => assert!(Instant::now() < until, "nothing comes"),
+                Err(e) if e.raw_os_error() == 11 => {
+                    assert!(Instant::now() < until, "nothing comes");
+                }
                 Err(_) => return Vec::new(),
             }
             std::thread::yield_now();
@@ -397,7 +446,11 @@
         host.hears("end");
     }
     rests.hears("BUSY");
-    assert!(asked.elapsed() < Duration::from_millis(2700), "{:?}", asked.elapsed());
+    assert!(
+        asked.elapsed() < Duration::from_millis(2700),
+        "{:?}",
+        asked.elapsed()
+    );
     assert!(stranger.hear().is_empty(), "given again");
     ended(&mut predecessor);
 }
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -91,11 +91,13 @@
     }
 
     /// Whether it is this node's turn to look at it: as told, or by number, in another order for each host.
-    fn due(&self, now: Nanos, charter: &Charter) -> bool {
+    fn due(&self, now: Nanos, settings: &BalancerSettings) -> bool {
         let turn = now / LOOK;
         let place = turn.wrapping_add((draw(self.id.0, 1) * 1e6) as u64);
-        let nodes = u64::from(charter.nodes.max(1));
-        let mine = self.mine.unwrap_or(place % nodes == u64::from(charter.node) % nodes);
+        let nodes = u64::from(settings.node_count.max(1));
+        let mine = self
+            .mine
+            .unwrap_or(place % nodes == u64::from(settings.node_index) % nodes);
         self.ready() && turn != self.looked && mine
     }
 
@@ -104,8 +106,8 @@
         f64::from(u8::from(now < self.slow_told + 5 * PULSE)) * self.slowness
     }
 
-    pub(crate) fn late(&mut self, now: Nanos, time: Nanos, charter: &Charter) {
-        self.slowness = time as f64 / charter.shortest_message_time().max(1) as f64;
+    pub(crate) fn late(&mut self, now: Nanos, time: Nanos, settings: &BalancerSettings) {
+        self.slowness = time as f64 / settings.shortest_message_latency_objective().max(1) as f64;
         self.slow_told = now;
     }
 
@@ -114,7 +116,10 @@
         if now >= self.masked_until {
             self.strikes += 1;
             let (id, strikes, own, conns) = (self.id.0, self.strikes, self.own(), self.conns.len());
-            log!(out, "mask host={id:x} why={why} strikes={strikes} own={own:.2} conns={conns}");
+            log!(
+                out,
+                "mask host={id:x} why={why} strikes={strikes} own={own:.2} conns={conns}"
+            );
         }
         // Spread, so that nodes do not let a host back in step.
         self.masked_until = now + (length as f64 * (0.75 + 0.5 * chance)) as Nanos;
@@ -122,11 +127,14 @@
 
     /// Takes a long set-up for late messages. Guards: clients left at a host whose messages tell nothing.
     fn waited(&mut self, now: Nanos, took: Nanos, at: &mut Room) {
-        let known = self.slow(now) * at.charter.shortest_message_time() as f64;
+        let known = self.slow(now) * at.settings.shortest_message_latency_objective() as f64;
         // Guards: hosts taken for late one after the other while a store that all set-ups share is.
         let shared = at.desk.common() || at.ledger.long.is_some_and(|host| host != self.id);
-        if !shared && self.reported(now).is_none() && took as f64 > known.max(6.0 * at.ledger.set_up) {
-            self.late(now, took, at.charter);
+        if !shared
+            && self.reported(now).is_none()
+            && took as f64 > known.max(6.0 * at.ledger.set_up)
+        {
+            self.late(now, took, at.settings);
         }
         at.post.push_back((To::Ledger, Note::SetUp(self.id, took)));
     }
@@ -135,27 +143,33 @@
         match note {
             Note::Listed(listing, first) => {
                 let fresh = !self.listed || listing.started != self.listing.started;
-                if fresh && listing.standing == Standing::Ready {
+                if fresh && listing.state == HostState::Ready {
                     (self.newcomer, self.credit, self.turn) = (!first, 0.0, 0);
                     (self.masked_until, self.strikes, self.slowness) = (0, 0, 0.0);
                 }
-                if self.listing.standing != Standing::Draining || listing.standing != Standing::Draining {
+                if self.listing.state != HostState::Draining || listing.state != HostState::Draining
+                {
                     self.draining = now;
                 }
-                let group = |listing: &Listing| (listing.zone, listing.cell);
+                let group = |listing: &Endpoint| (listing.zone, listing.cell);
                 if !self.never_listed() && group(&listing) != group(&self.listing) {
                     self.regrouped = Some(now);
                 }
-                self.listed = listing.standing != Standing::Gone;
+                self.listed = listing.state != HostState::Gone;
                 (self.gone_since, self.listing) = (now, listing);
-                self.listing.size = if listing.size > 0.0 { listing.size } else { 1.0 };
+                self.listing.size = if listing.size > 0.0 {
+                    listing.size
+                } else {
+                    1.0
+                };
             }
             Note::Unlisted => (self.listed, self.gone_since) = (false, now),
             Note::Sent(conn) => {
-                if self.cold(now, at.charter) {
-                    (self.credit, self.turn) = self.credit_at(now, at.count, at.charter);
+                if self.cold(now, at.settings) {
+                    (self.credit, self.turn) = self.credit_at(now, at.count, at.settings);
                     // Guards: a few connections of many times the usual load.
-                    self.credit -= at.ledger.load(conn.offering, conn.load) / at.ledger.unit.unwrap_or(1.0);
+                    self.credit -=
+                        at.ledger.load(conn.class, conn.load) / at.ledger.unit.unwrap_or(1.0);
                 }
                 if !conn.begun {
                     (self.pending, self.sent) = (self.pending + 1, now);
@@ -163,52 +177,91 @@
                 if let Some(group) = conn.group {
                     *self.groups.entry(group).or_insert(0) += 1;
                 }
-                self.since += at.ledger.load(conn.offering, conn.load);
+                self.since += at.ledger.load(conn.class, conn.load);
                 self.conns.push(conn);
                 self.count(self.conns.len() - 1, now, at.ledger);
             }
             Note::Begun { slot, took } => {
-                let Some(conn) = self.conns.iter_mut().find(|c| c.slot == slot) else { return };
+                let Some(conn) = self.conns.iter_mut().find(|c| c.slot == slot) else {
+                    return;
+                };
                 (conn.begun, conn.since) = (true, now);
                 self.unroutable = 0;
                 self.pending -= 1;
                 self.waited(now, took, at);
             }
             Note::Ended { slot, ending } => {
-                let Some(found) = self.conns.iter().position(|c| c.slot == slot) else { return };
+                let Some(found) = self.conns.iter().position(|c| c.slot == slot) else {
+                    return;
+                };
                 let conn = self.drop_conn(found);
                 let length = now.saturating_sub(conn.since);
-                let bore = conn.load.filter(|_| conn.begun).map(|load| Note::Bore { key: conn.key, load });
+                let bore = conn.load.filter(|_| conn.begun).map(|load| Note::Bore {
+                    key: conn.key,
+                    load,
+                });
                 at.post.extend(bore.map(|note| (To::Ledger, note)));
                 // Guards: clients that this node moved, taken for ones that never stay.
                 let moved = at.desk.slots[slot].as_ref().is_some_and(|a| a.moved);
-                if conn.begun && !moved && matches!(ending, Ending::Done | Ending::CalledOff) {
-                    at.post.push_back((To::Ledger, Note::Lived { key: conn.key, length }));
+                if conn.begun
+                    && !moved
+                    && matches!(
+                        ending,
+                        AttemptOutcome::Completed | AttemptOutcome::Cancelled
+                    )
+                {
+                    at.post.push_back((
+                        To::Ledger,
+                        Note::Lived {
+                            key: conn.key,
+                            length,
+                        },
+                    ));
                     self.strikes = self.strikes.min(1);
                 }
-                if ending == Ending::TimedOut {
+                if ending == AttemptOutcome::TimedOut {
                     self.waited(now, length, at);
                 }
-                let broke = u32::from(conn.begun && ending == Ending::Broken);
-                self.broken = if self.conns.is_empty() { 0 } else { self.broken + broke };
+                let broke = u32::from(conn.begun && ending == AttemptOutcome::ConnectionLost);
+                self.broken = if self.conns.is_empty() {
+                    0
+                } else {
+                    self.broken + broke
+                };
                 // Guards: all hosts left out for a moment in which this machine had no route.
-                self.unroutable = if ending == Ending::Unroutable { self.unroutable + 1 } else { 0 };
-                if ending == Ending::Unroutable && self.unroutable < UNROUTABLE {
+                self.unroutable = if ending == AttemptOutcome::NoRoute {
+                    self.unroutable + 1
+                } else {
+                    0
+                };
+                if ending == AttemptOutcome::NoRoute && self.unroutable < UNROUTABLE {
                     return;
                 }
                 // An error is the host's only once another host has taken the same: see `Blamed`.
-                if matches!(ending, Ending::Done | Ending::CalledOff | Ending::NeverSent | Ending::Error)
-                    || ending == Ending::PassedOn
+                if matches!(
+                    ending,
+                    AttemptOutcome::Completed
+                        | AttemptOutcome::Cancelled
+                        | AttemptOutcome::NeverSent
+                        | AttemptOutcome::Error
+                ) || ending == AttemptOutcome::HandedOver
                 {
                     return;
                 }
                 // Where most hand-offs fail, the cause is not the host's: a mask would leave the rest all.
                 // Only a fleet of many can push it over by trying again: guards the last host of a small one.
-                let unconnected = matches!(ending, Ending::Unconnected | Ending::Unroutable);
-                if unconnected && by_lot(at.charter) {
+                let unconnected = matches!(
+                    ending,
+                    AttemptOutcome::ConnectFailed | AttemptOutcome::NoRoute
+                );
+                if unconnected && by_lot(at.settings) {
                     self.down = Some(now);
                 }
-                let its_own = unconnected || matches!(ending, Ending::Refused | Ending::Broken);
+                let its_own = unconnected
+                    || matches!(
+                        ending,
+                        AttemptOutcome::Rejected | AttemptOutcome::ConnectionLost
+                    );
                 if its_own || !at.desk.common() {
                     self.mask(now, at.chance, ending.word(), at.out);
                 }
@@ -219,29 +272,37 @@
             Note::LoadNow { slot, load } => {
                 if let Some(found) = self.conns.iter().position(|c| c.slot == slot) {
                     self.conns[found].load = Some(load);
-                    let offering = self.conns[found].offering;
-                    at.post.push_back((To::Ledger, Note::Weighed { offering, load }));
+                    let class = self.conns[found].class;
+                    at.post
+                        .push_back((To::Ledger, Note::Weighed { class, load }));
                     self.count(found, now, at.ledger);
                 }
             }
-            Note::Slow(time) => self.late(now, time, at.charter),
+            Note::Slow(time) => self.late(now, time, at.settings),
             Note::Regarded(by) => {
                 self.regarded(*by);
                 // Guards: a cold host pushed over by two processes that each think the turn is theirs.
-                self.sit_out(now, at.charter);
+                self.sit_out(now, at.settings);
             }
             // Guards: a budget given twice, as the same moment has another number.
-            Note::OtherTurns => self.sit_out(now, at.charter),
-            Note::Behind(seconds) => self.late(now, (seconds * SECOND as f64) as Nanos, at.charter),
+            Note::OtherTurns => self.sit_out(now, at.settings),
+            Note::Behind(seconds) => {
+                self.late(now, (seconds * SECOND as f64) as Nanos, at.settings);
+            }
             Note::Reported { load, heard } => {
                 (self.report, self.reported, self.since) = (load, now, self.since / 2.0);
-                let step = if load.max(self.told) > CROWDED { NEWS / 2.0 } else { NEWS };
+                let step = if load.max(self.told) > CROWDED {
+                    NEWS / 2.0
+                } else {
+                    NEWS
+                };
                 let news = (load - self.told).abs() > step || now > self.told_at + RETELL;
                 let message = word::encode(self.id, load);
-                let price = message.len() as f64 * f64::from(at.charter.nodes.saturating_sub(1));
-                let tells = at.charter.peers && news && !heard && at.desk.purse >= price;
+                let price =
+                    message.len() as f64 * f64::from(at.settings.node_count.saturating_sub(1));
+                let tells = at.settings.gossip_enabled && news && !heard && at.desk.purse >= price;
                 if tells {
-                    at.out.push(Action::Tell { message });
+                    at.out.push(Action::Gossip { message });
                     at.post.push_back((To::Desk, Note::Spent(price)));
                 }
                 if heard || tells {
@@ -250,14 +311,25 @@
             }
             Note::Step { mean } => {
                 self.newcomer &= self.own() < mean;
-                let spread = if mean > 0.0 { (self.own() / mean - 1.0).powi(2) } else { 0.0 };
+                let spread = if mean > 0.0 {
+                    (self.own() / mean - 1.0).powi(2)
+                } else {
+                    0.0
+                };
                 let longest = self.longest.saturating_sub(now) as f64;
                 let late = self.slow(now) >= LATE;
                 for conn in &mut self.conns {
                     if conn.begun && now >= conn.since + STEP {
                         if let Some(vector) = conn.vector.take() {
                             at.post.push_back((To::Desk, Note::Fared { late }));
-                            at.post.push_back((To::Helm, Note::Judged { vector, spread, longest }));
+                            at.post.push_back((
+                                To::Helm,
+                                Note::Judged {
+                                    vector,
+                                    spread,
+                                    longest,
+                                },
+                            ));
                         }
                     }
                 }
@@ -284,7 +356,7 @@
 
 /// What a host sees of the rest while it reads a note.
 pub(crate) struct Room<'a> {
-    pub charter: &'a Charter,
+    pub settings: &'a BalancerSettings,
     pub ledger: &'a Ledger,
     pub post: &'a mut Post,
     pub out: &'a mut Vec<Action>,
@@ -295,7 +367,7 @@
 
 /// What an attachment asks of a host.
 struct Ask<'a> {
-    attachment: &'a Attachment,
+    request: &'a Request,
     /// Its load, and the part of it that falls in the look-ahead steps.
     load: f64,
     ahead: f64,
@@ -306,7 +378,14 @@
 
 impl Helm {
     fn read(&mut self, note: Note, rng: &mut ChaCha8Rng, out: &mut Vec<Action>) {
-        let Note::Judged { vector, spread, longest } = note else { return };
+        let Note::Judged {
+            vector,
+            spread,
+            longest,
+        } = note
+        else {
+            return;
+        };
         let v = &mut self.vectors[vector];
         (v.spread, v.longest, v.judged) = (v.spread + spread, v.longest + longest, v.judged + 1);
         if self.vectors.iter().any(|v| v.judged < JUDGED_AFTER) {
@@ -314,7 +393,11 @@
         }
         let old = self.vectors;
         let beaten = (0..4).find(|&b| (0..4).any(|a| old[a].dominates(&old[b])));
-        self.vectors = old.map(|v| Vector { balance: v.balance, gap: v.gap, ..Vector::default() });
+        self.vectors = old.map(|v| Vector {
+            balance: v.balance,
+            gap: v.gap,
+            ..Vector::default()
+        });
         let Some(beaten) = beaten else { return };
         // Two parents of the rest, crossed at one point; then each weight may mutate.
         let mother = (beaten + rng.random_range(1..4)) % 4;
@@ -323,13 +406,21 @@
         for weight in &mut weights {
             if rng.random::<f64>() < MUTATION.0 {
                 let (u, v): (f64, f64) = (rng.random(), rng.random());
-                *weight += MUTATION.1 * (-2.0 * (1.0 - u).ln()).sqrt() * (std::f64::consts::TAU * v).cos();
+                *weight +=
+                    MUTATION.1 * (-2.0 * (1.0 - u).ln()).sqrt() * (std::f64::consts::TAU * v).cos();
             }
         }
         let balance = weights[0].max(0.1);
         let gap = weights[1].clamp(0.0, balance);
-        self.vectors[beaten] = Vector { balance, gap, ..Vector::default() };
-        log!(out, "vector {beaten} replaced balance={balance:.2} gap={gap:.2}");
+        self.vectors[beaten] = Vector {
+            balance,
+            gap,
+            ..Vector::default()
+        };
+        log!(
+            out,
+            "vector {beaten} replaced balance={balance:.2} gap={gap:.2}"
+        );
     }
 }
 
@@ -343,20 +434,22 @@
         out: &mut Vec<Action>,
     ) {
         match note {
-            Note::Told(RollKind::Failed) => {
+            Note::Told(EndpointUpdate::Failed) => {
                 let failures = self.calls.failed(now, chance, knows, pace);
                 log!(out, "roll lost failures={failures}");
             }
-            Note::Told(RollKind::Changes | RollKind::Full) => {
+            Note::Told(EndpointUpdate::Delta | EndpointUpdate::Full) => {
                 let ended = self.calls.told(now, knows, pace);
                 if ended > 0 {
                     log!(out, "roll followed again after failures={ended}");
                 }
             }
-            Note::Pulse { .. } => out.extend(self.calls.due(now, knows, pace).map(|call| match call {
-                Call::Ask => Action::AskRoll,
-                Call::Follow => Action::FollowRoll,
-            })),
+            Note::Pulse { .. } => {
+                out.extend(self.calls.due(now, knows, pace).map(|call| match call {
+                    Call::Ask => Action::PollEndpoints,
+                    Call::Follow => Action::WatchEndpoints,
+                }));
+            }
             _ => {}
         }
     }
@@ -368,7 +461,13 @@
         let before = self.common();
         self.trouble += (f64::from(u8::from(failed)) - self.trouble) / 8.0;
         if before != self.common() {
-            log!(out, "common trouble={} failing={:.2} held={}", !before, self.trouble, self.names.len());
+            log!(
+                out,
+                "common trouble={} failing={:.2} held={}",
+                !before,
+                self.trouble,
+                self.names.len()
+            );
         }
     }
 
@@ -380,7 +479,8 @@
     /// Whether the next attachment is handed off though others are dismissed. Guards: a node that refuses all for tens of
     /// seconds after its hosts are well again, as nothing it refuses can tell it so.
     fn tries_on(&self, now: Nanos) -> bool {
-        self.refused_since.is_some_and(|since| now >= since + LONGEST_REFUSAL)
+        self.refused_since
+            .is_some_and(|since| now >= since + LONGEST_REFUSAL)
     }
 
     /// Whether the hand-offs fail so often that no single host can be to blame.
@@ -390,15 +490,16 @@
 }
 
 /// The node's place among many, from 0 to 1, over as much of that as there are more than would be few.
-fn place(charter: &Charter) -> Option<f64> {
-    let few = charter.cold as f64 / charter.tip_after.max(1) as f64;
-    let nodes = f64::from(charter.nodes.max(1));
-    many(charter).then(|| (f64::from(charter.node) + 0.5) / nodes * (1.0 - (few / nodes).powi(2)))
+fn place(settings: &BalancerSettings) -> Option<f64> {
+    let few = settings.warm_up as f64 / settings.overload_window.max(1) as f64;
+    let nodes = f64::from(settings.node_count.max(1));
+    many(settings)
+        .then(|| (f64::from(settings.node_index) + 0.5) / nodes * (1.0 - (few / nodes).powi(2)))
 }
 
 /// One node's decisions.
 pub struct Balancer {
-    charter: Charter,
+    settings: BalancerSettings,
     rng: ChaCha8Rng,
     hosts: Vec<Host>,
     known: HashMap<HostId, usize>,
@@ -412,23 +513,46 @@
 }
 
 impl Balancer {
-    pub fn new(charter: Charter, seed: u64, now: Nanos, out: &mut Vec<Action>) -> Self {
+    pub fn new(settings: BalancerSettings, seed: u64, now: Nanos, out: &mut Vec<Action>) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let vectors = [0.0, 0.05, 0.1, 0.2].map(|gap| Vector { balance: 1.0, gap, ..Vector::default() });
-        let usual = vec![None; charter.offerings.len()];
-        let set_up = charter.offerings.iter().map(|o| o.contract_time).min().unwrap_or(SECOND) as f64 / 12.0;
+        let vectors = [0.0, 0.05, 0.1, 0.2].map(|gap| Vector {
+            balance: 1.0,
+            gap,
+            ..Vector::default()
+        });
+        let usual = vec![None; settings.classes.len()];
+        let set_up = settings
+            .classes
+            .iter()
+            .map(|o| o.latency_objective)
+            .min()
+            .unwrap_or(SECOND) as f64
+            / 12.0;
 
         // The first look-around comes at a moment of the node's own.
         let first = now + (PULSE as f64 * rng.random::<f64>()) as Nanos;
-        out.push(Action::WakeAt { time: first, mark: 0 });
+        out.push(Action::SetTimer {
+            time: first,
+            timer: 0,
+        });
         Balancer {
-            charter,
+            settings,
             rng,
             hosts: Vec::new(),
             known: HashMap::new(),
-            desk: Desk { purse: FULL_PURSE, ..Desk::default() },
-            helm: Helm { vectors, ..Helm::default() },
-            ledger: Ledger { usual, set_up, ..Ledger::default() },
+            desk: Desk {
+                purse: FULL_PURSE,
+                ..Desk::default()
+            },
+            helm: Helm {
+                vectors,
+                ..Helm::default()
+            },
+            ledger: Ledger {
+                usual,
+                set_up,
+                ..Ledger::default()
+            },
             roll: Roll::default(),
             post: VecDeque::new(),
             pulses: 0,
@@ -438,75 +562,116 @@
 
     /// Takes one event in and appends what is to be done.
     pub fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
-        let slot = event.attachment().and_then(|id| self.desk.names.get(&id).copied());
+        let slot = event
+            .request()
+            .and_then(|id| self.desk.names.get(&id).copied());
         let host = event.host().and_then(|id| self.known.get(&id).copied());
-        let attachment = slot.and_then(|s| self.desk.slots[s].as_ref());
-        let (at, begun) = (attachment.and_then(|a| a.at), attachment.is_some_and(|a| a.begun));
+        let request = slot.and_then(|s| self.desk.slots[s].as_ref());
+        let (at, begun) = (request.and_then(|a| a.at), request.is_some_and(|a| a.begun));
         let mut post = |to, note| self.post.push_back((to, note));
         match (event, slot, host.or(at)) {
-            (Event::Roll { kind, hosts }, ..) => self.list(now, kind, hosts),
-            (Event::Timer { mark: PART }, ..) => post(To::Desk, Note::Part),
-            (Event::Timer { .. }, ..) => self.pulse(now, out),
-            (Event::Leaving { from, by }, ..) => post(To::Desk, Note::Leaving { from, by }),
-            (Event::Staying, ..) => post(To::Desk, Note::Staying),
-            (Event::Arrived(arrival), ..) => post(To::Desk, Note::Arrived(arrival)),
-            (Event::TakenUp(arrival, past), ..) => {
+            (
+                Event::EndpointsUpdated {
+                    kind,
+                    endpoints: hosts,
+                },
+                ..,
+            ) => self.list(now, kind, hosts),
+            (Event::TimerFired { timer: PART }, ..) => post(To::Desk, Note::Part),
+            (Event::TimerFired { .. }, ..) => self.pulse(now, out),
+            (Event::ShutdownStarted { from, by }, ..) => post(To::Desk, Note::Leaving { from, by }),
+            (Event::ShutdownCancelled, ..) => post(To::Desk, Note::Staying),
+            (Event::RequestArrived(incoming), ..) => post(To::Desk, Note::Arrived(incoming)),
+            (Event::RequestTakenOver(incoming, past), ..) => {
                 let known = |id: &HostId| self.known.get(id).copied();
                 // Guards: a repeat sent on where nobody knows any more which group would drop it.
-                let same_group = |host: &usize, sent| self.hosts[*host].regrouped.is_none_or(|at| at < sent);
-                let ran = past.ran.map(|(id, sent)| {
-                    known(&id).filter(|host| same_group(host, sent)).map_or((0, 0), |host| (host, sent))
+                let same_group =
+                    |host: &usize, sent| self.hosts[*host].regrouped.is_none_or(|at| at < sent);
+                let ran = past.may_have_run.map(|(id, sent)| {
+                    known(&id)
+                        .filter(|host| same_group(host, sent))
+                        .map_or((0, 0), |host| (host, sent))
                 });
-                let tried = past.tried.iter().filter_map(known).collect();
-                post(To::Desk, Note::TakenUp(arrival, past.hand_offs, ran, tried));
+                let tried = past.tried_hosts.iter().filter_map(known).collect();
+                post(To::Desk, Note::TakenUp(incoming, past.attempts, ran, tried));
             }
-            (Event::Standing(arrival, _), _, Some(host)) => {
-                post(To::Desk, Note::Standing(arrival, host, now))
+            (Event::ConnectionFound(incoming, _), _, Some(host)) => {
+                post(To::Desk, Note::ConnectionFound(incoming, host, now));
             }
-            (Event::PassedOn(arrival, _, since), _, Some(host)) => {
-                post(To::Desk, Note::Standing(arrival, host, since));
+            (Event::ConnectionHandedOver(incoming, _, since), _, Some(host)) => {
+                post(To::Desk, Note::ConnectionFound(incoming, host, since));
             }
-            (Event::Renewed(charter, others), ..) => {
-                post(To::Ledger, Note::Offers(charter.offerings.len(), others));
-                log!(out, "terms renewed offered={}", charter.offered().count());
-                if charter.tip_after != self.charter.tip_after {
+            (Event::SettingsChanged(settings, others), ..) => {
+                post(To::Ledger, Note::Offers(settings.classes.len(), others));
+                log!(out, "terms renewed offered={}", settings.active().count());
+                if settings.overload_window != self.settings.overload_window {
                     let hosts = 0..self.hosts.len();
-                    self.post.extend(hosts.map(|host| (To::Host(host), Note::OtherTurns)));
+                    self.post
+                        .extend(hosts.map(|host| (To::Host(host), Note::OtherTurns)));
                 }
-                let turns = std::mem::take(&mut self.charter.turns);
-                self.charter = Charter { turns, ..*charter };
+                let turns = std::mem::take(&mut self.settings.slow_start_slots);
+                self.settings = BalancerSettings {
+                    slow_start_slots: turns,
+                    ..*settings
+                };
             }
-            (Event::Successor(comes), ..) => post(To::Desk, Note::Successor(comes)),
-            (Event::Inherited(mut legacy), ..) => {
-                let known = |one: Regard| Some((*self.known.get(&one.id)?, Note::Regarded(Box::new(one))));
-                let hosts = std::mem::take(&mut legacy.hosts).into_iter().filter_map(known);
-                self.post.extend(hosts.map(|(host, note)| (To::Host(host), note)));
+            (Event::SuccessorChanged(comes), ..) => post(To::Desk, Note::Successor(comes)),
+            (Event::StateInherited(mut legacy), ..) => {
+                let known = |one: HostSnapshot| {
+                    Some((*self.known.get(&one.id)?, Note::Regarded(Box::new(one))))
+                };
+                let hosts = std::mem::take(&mut legacy.hosts)
+                    .into_iter()
+                    .filter_map(known);
+                self.post
+                    .extend(hosts.map(|(host, note)| (To::Host(host), note)));
                 self.post.push_back((To::Desk, Note::Inherited(legacy)));
             }
-            (Event::Left { .. }, Some(slot), _) => post(To::Desk, Note::Left { slot }),
-            (Event::Begun { took, .. }, Some(slot), Some(host)) if !begun => {
+            (Event::ClientLeft { .. }, Some(slot), _) => post(To::Desk, Note::Left { slot }),
+            (Event::ConnectionEstablished { took, .. }, Some(slot), Some(host)) if !begun => {
                 post(To::Host(host), Note::Begun { slot, took });
                 post(To::Desk, Note::Begun { slot, took });
             }
-            (Event::Ended { over, ending, gauges, .. }, slot, Some(host)) => {
-                self.gauge(host, &gauges, None);
+            (
+                Event::AttemptEnded {
+                    request_over: over,
+                    ending,
+                    load_metrics,
+                    ..
+                },
+                slot,
+                Some(host),
+            ) => {
+                self.load_metric(host, &load_metrics, None);
                 if let Some(slot) = slot.filter(|_| at == Some(host)) {
-                    self.post.push_back((To::Host(host), Note::Ended { slot, ending }));
-                    self.post.push_back((To::Desk, Note::Returned { slot, over, ending }));
+                    self.post
+                        .push_back((To::Host(host), Note::Ended { slot, ending }));
+                    self.post
+                        .push_back((To::Desk, Note::Returned { slot, over, ending }));
                 }
             }
-            (Event::LoadNow { load, .. }, Some(slot), Some(host)) => {
+            (Event::LoadMeasured { load, .. }, Some(slot), Some(host)) => {
                 post(To::Host(host), Note::LoadNow { slot, load });
             }
-            (Event::MessageTime { time, .. }, _, Some(host)) => post(To::Host(host), Note::Slow(time)),
-            (Event::Probed { ending, gauges, .. }, _, Some(host)) => {
+            (Event::MessageLatency { latency: time, .. }, _, Some(host)) => {
+                post(To::Host(host), Note::Slow(time));
+            }
+            (
+                Event::ProbeEnded {
+                    ending,
+                    load_metrics,
+                    ..
+                },
+                _,
+                Some(host),
+            ) => {
                 // Too many probes at once, or a shaken line, say nothing of its load.
-                let silent = (ending == Ending::TimedOut).then_some(SILENT);
-                self.gauge(host, &gauges, silent);
+                let silent = (ending == AttemptOutcome::TimedOut).then_some(SILENT);
+                self.load_metric(host, &load_metrics, silent);
             }
-            (Event::Heard { message }, ..) => self.hear(&message),
-            (Event::Turns(turns), ..) => self.charter.turns = turns,
-            (Event::Looks(mine), ..) => {
+            (Event::GossipReceived { message }, ..) => self.hear(&message),
+            (Event::SlowStartSlotsAssigned(turns), ..) => self.settings.slow_start_slots = turns,
+            (Event::ProbeTargetsAssigned(mine), ..) => {
                 let told = self
                     .hosts
                     .iter()
@@ -520,15 +685,29 @@
     }
 
     /// What the process that takes this one's place is to know.
-    pub fn leave(&self) -> Legacy {
-        let hosts = self.hosts.iter().filter(|h| h.listed).map(Host::regard).collect();
+    pub fn leave(&self) -> InheritedState {
+        let hosts = self
+            .hosts
+            .iter()
+            .filter(|h| h.listed)
+            .map(Host::regard)
+            .collect();
         let (trouble, late) = (self.desk.trouble, self.desk.late);
-        Legacy { hosts, trouble, late, ..self.ledger.leave() }
+        InheritedState {
+            hosts,
+            setup_failure_rate: trouble,
+            late_message_rate: late,
+            ..self.ledger.leave()
+        }
     }
 
     /// Whether any host is cold whose budget is shared by turns.
     pub fn shares_turns(&self, now: Nanos) -> bool {
-        !by_lot(&self.charter) && self.hosts.iter().any(|h| h.ready() && h.cold(now, &self.charter))
+        !by_lot(&self.settings)
+            && self
+                .hosts
+                .iter()
+                .any(|h| h.ready() && h.cold(now, &self.settings))
     }
 
     /// How many hosts the roll lists, and how many of those this node avoids now.
@@ -538,38 +717,56 @@
         (listed.clone().count(), listed.filter(avoided).count())
     }
 
-    fn gauge(&mut self, host: usize, values: &[f64], silent: Option<f64>) {
-        let place = |what| self.charter.gauges.iter().position(|&g| g == what);
+    fn load_metric(&mut self, host: usize, values: &[f64], silent: Option<f64>) {
+        let place = |what| self.settings.load_metrics.iter().position(|&g| g == what);
         let sane = |n: usize| values.get(n).copied().filter(|v| (0.0..1e3).contains(v));
-        let load = place(Gauge::Load).or(place(Gauge::Busy)).and_then(sane).or(silent);
+        let load = place(LoadMetric::Load)
+            .or(place(LoadMetric::Utilization))
+            .and_then(sane)
+            .or(silent);
         let note = |note| (To::Host(host), note);
-        self.post.extend(load.map(|load| note(Note::Reported { load, heard: false })));
-        self.post.extend(place(Gauge::Backlog).and_then(sane).map(|behind| note(Note::Behind(behind))));
+        self.post
+            .extend(load.map(|load| note(Note::Reported { load, heard: false })));
+        self.post.extend(
+            place(LoadMetric::Backlog)
+                .and_then(sane)
+                .map(|behind| note(Note::Behind(behind))),
+        );
     }
 
     /// Takes in what another node tells, of hosts that the own roll names.
     fn hear(&mut self, message: &[u8]) {
-        let Some((tag, load)) = word::decode(message) else { return };
+        let Some((tag, load)) = word::decode(message) else {
+            return;
+        };
         let meant = |&n: &usize| self.hosts[n].listed && word::tag(self.hosts[n].id) == tag;
         let mut named = (0..self.hosts.len()).filter(meant);
         // Guards: a word on one host taken for another's where two tags are the same.
         if let (Some(host), None) = (named.next(), named.next()) {
-            self.post.push_back((To::Host(host), Note::Reported { load, heard: true }));
+            self.post
+                .push_back((To::Host(host), Note::Reported { load, heard: true }));
         }
     }
 
-    fn list(&mut self, now: Nanos, kind: RollKind, listings: Vec<Listing>) {
+    fn list(&mut self, now: Nanos, kind: EndpointUpdate, listings: Vec<Endpoint>) {
         self.post.push_back((To::Roll, Note::Told(kind)));
-        if kind == RollKind::Failed {
+        if kind == EndpointUpdate::Failed {
             return;
         }
         let (mut named, mut searched) = (vec![false; self.hosts.len()], 0);
         for listing in listings {
-            let host = record(&mut self.hosts, &mut self.known, listing.id, now, &mut searched);
+            let host = record(
+                &mut self.hosts,
+                &mut self.known,
+                listing.id,
+                now,
+                &mut searched,
+            );
             named.get_mut(host).into_iter().for_each(|n| *n = true);
-            self.post.push_back((To::Host(host), Note::Listed(listing, !self.listed_once)));
+            self.post
+                .push_back((To::Host(host), Note::Listed(listing, !self.listed_once)));
         }
-        if kind != RollKind::Changes {
+        if kind != EndpointUpdate::Delta {
             for host in (0..named.len()).filter(|&h| !named[h]) {
                 self.post.push_back((To::Host(host), Note::Unlisted));
             }
@@ -578,27 +775,34 @@
     }
 
     fn pulse(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        out.push(Action::WakeAt { time: now + PULSE, mark: 0 });
+        out.push(Action::SetTimer {
+            time: now + PULSE,
+            timer: 0,
+        });
         self.pulses += 1;
         let view = self.survey(now);
         let (mean, refuge) = (view.mean, view.refuge);
-        self.post.push_back((To::Desk, Note::Pulse { mean, refuge }));
-        self.post.push_back((To::Ledger, Note::Open(self.desk.names.len() as f64)));
-        if self.charter.roll_on_request {
-            self.post.push_back((To::Roll, Note::Pulse { mean, refuge }));
+        self.post
+            .push_back((To::Desk, Note::Pulse { mean, refuge }));
+        self.post
+            .push_back((To::Ledger, Note::Open(self.desk.names.len() as f64)));
+        if self.settings.endpoints_are_polled {
+            self.post
+                .push_back((To::Roll, Note::Pulse { mean, refuge }));
         }
         self.lead_home(now, &view);
         for (n, host) in self.hosts.iter().enumerate() {
             // Guards: hundreds of hosts that hold nothing of this node and cost it time all the same.
             let idle = host.conns.is_empty() && host.ceiling.is_none();
-            if self.charter.probe_for_gauges && host.due(now, &self.charter) {
+            if self.settings.load_from_probes && host.due(now, &self.settings) {
                 self.post.push_back((To::Host(n), Note::Look));
             }
             if self.pulses.is_multiple_of(STEP / PULSE) && !idle {
                 self.post.push_back((To::Host(n), Note::Step { mean }));
             }
             if !idle {
-                self.post.push_back((To::Host(n), Note::Pulse { mean, refuge }));
+                self.post
+                    .push_back((To::Host(n), Note::Pulse { mean, refuge }));
             }
         }
     }
@@ -607,20 +811,28 @@
     /// there, until it has its share. Guards: a zone that came back, or hosts that took the place of most,
     /// idle for minutes beside hosts overrun, as clients stay where they are.
     fn lead_home(&mut self, now: Nanos, view: &Survey) {
-        let charter = &self.charter;
-        let near = |h: &Host| h.listing.zone == charter.zone;
-        let young = |h: &&Host| h.ready() && now >= h.masked_until && h.cold(now, charter) && by_lot(charter);
+        let settings = &self.settings;
+        let near = |h: &Host| h.listing.zone == settings.zone;
+        let young = |h: &&Host| {
+            h.ready() && now >= h.masked_until && h.cold(now, settings) && by_lot(settings)
+        };
         let mut young: Vec<&Host> = self.hosts.iter().filter(young).collect();
         // To those elsewhere only from a zone that is short of warm hosts itself.
         let short = young.iter().any(|h| near(h));
         young.retain(|_| short);
         let share = |h: &Host| h.listing.size / if near(h) { view.near_size } else { view.size };
         let fair = |h: &Host, key| draw(key, h.id.0) < share(h);
-        let turn = |h: &Host, key| fair(h, key) && h.drawn(now, Some(key), PULSE, view, charter);
-        for host in self.hosts.iter().filter(|h| !young.is_empty() && !h.cold(now, charter)) {
-            let turn = |c: &&Conn| c.begun && c.key.is_some_and(|key| young.iter().any(|h| turn(h, key)));
+        let turn = |h: &Host, key| fair(h, key) && h.drawn(now, Some(key), PULSE, view, settings);
+        for host in self
+            .hosts
+            .iter()
+            .filter(|h| !young.is_empty() && !h.cold(now, settings))
+        {
+            let turn =
+                |c: &&Conn| c.begun && c.key.is_some_and(|key| young.iter().any(|h| turn(h, key)));
             let due = host.conns.iter().filter(turn);
-            self.post.extend(due.map(|c| (To::Desk, Note::Shift { slot: c.slot })));
+            self.post
+                .extend(due.map(|c| (To::Desk, Note::Shift { slot: c.slot })));
         }
     }
 
@@ -630,7 +842,8 @@
         let (mut all, mut zone) = (0.0, 0.0);
         let (mut own, mut counted, mut near, mut pressed, mut heard) = (0.0, 0.0, 0.0, 0.0, 1.0);
         let (mut new, mut newcomers) = (0.0, 0.0);
-        let (mut conns, mut size, mut warm, mut full, mut loaded, mut known) = (0.0, 0.0, 0.0, 0.0, 0.0, 0.0);
+        let (mut conns, mut size, mut warm, mut full, mut loaded, mut known) =
+            (0.0, 0.0, 0.0, 0.0, 0.0, 0.0);
         for host in self.hosts.iter().filter(|h| h.ready()) {
             let (masks, caps) = (now < host.masked_until, host.ceiling.is_some());
             let one = |b: bool| f64::from(u8::from(b));
@@ -640,27 +853,37 @@
                 (capped, ceilings) = (capped + 1.0, ceilings + ceiling / host.listing.size);
             }
             let report = host.reported(now);
-            (loaded, known) = (loaded + report.unwrap_or(0.0), known + one(report.is_some()));
+            (loaded, known) = (
+                loaded + report.unwrap_or(0.0),
+                known + one(report.is_some()),
+            );
             if !masks && !host.newcomer {
                 (own, counted) = (own + host.own(), counted + 1.0);
             } else if !masks {
                 (new, newcomers) = (new + host.own(), newcomers + 1.0);
             }
-            if host.listing.zone == self.charter.zone {
+            if host.listing.zone == self.settings.zone {
                 (near, pressed) = (near + 1.0, pressed + one(masks || caps));
                 zone += host.listing.size;
                 heard += one(masks || caps || !host.conns.is_empty());
             }
-            if !host.cold(now, &self.charter) {
+            if !host.cold(now, &self.settings) {
                 (conns, size) = (conns + host.conns.len() as f64, size + host.listing.size);
                 (warm, full) = (warm + 1.0, full + one(caps));
             }
         }
-        let (others, unit) = (own / f64::max(counted, 1.0), self.ledger.unit.unwrap_or(1.0));
+        let (others, unit) = (
+            own / f64::max(counted, 1.0),
+            self.ledger.unit.unwrap_or(1.0),
+        );
         let unseen = |mean: f64| (unit * unit / mean.max(f64::MIN_POSITIVE)).min(UNSEEN * unit);
         // Newcomers count at the others' mean, and that stays as it is; the more a node sees, the more they
         // count as they are. Guards: hosts filled and filled beside new ones where two nodes see it all.
-        let blind = if self.charter.gathers { 1.0 } else { unseen(others) / (others + unseen(others)) };
+        let blind = if self.settings.centralized {
+            1.0
+        } else {
+            unseen(others) / (others + unseen(others))
+        };
         let new = blind * others * newcomers + (1.0 - blind) * new;
         let mean = (own + new) / f64::max(counted + newcomers, 1.0);
         let unseen = unseen(mean);
@@ -672,8 +895,12 @@
             blind,
             refuge: well / f64::max(ready, 1.0),
             near: f64::max(near, 1.0),
-            typical: if 2.0 * capped > ready { ceilings / capped } else { f64::INFINITY },
-            crossing: CROSSING * self.charter.cross_zone_charge * relief,
+            typical: if 2.0 * capped > ready {
+                ceilings / capped
+            } else {
+                f64::INFINITY
+            },
+            crossing: CROSSING * self.settings.cross_zone_cost * relief,
             unit,
             ready,
             loaded: f64::max(loaded / f64::max(known, 1.0), 0.05),
@@ -690,22 +917,39 @@
         while let Some((to, note)) = self.post.pop_front() {
             match to {
                 To::Host(host) => {
-                    let cold = self.hosts[host].cold(now, &self.charter);
+                    let cold = self.hosts[host].cold(now, &self.settings);
                     let count = if cold { self.survey(now).count } else { 0.0 };
                     deliver!(self.hosts[host].inbox, note, {
                         let chance = self.rng.random();
-                        let (charter, ledger, post) = (&self.charter, &self.ledger, &mut self.post);
-                        let mut room = Room { charter, ledger, post, out, chance, count, desk: &self.desk };
+                        let (settings, ledger, post) =
+                            (&self.settings, &self.ledger, &mut self.post);
+                        let mut room = Room {
+                            settings,
+                            ledger,
+                            post,
+                            out,
+                            chance,
+                            count,
+                            desk: &self.desk,
+                        };
                         self.hosts[host].read(note, now, &mut room);
-                    })
+                    });
                 }
                 To::Desk => deliver!(self.desk.inbox, note, self.attend(now, note, out)),
-                To::Helm => deliver!(self.helm.inbox, note, self.helm.read(note, &mut self.rng, out)),
+                To::Helm => deliver!(
+                    self.helm.inbox,
+                    note,
+                    self.helm.read(note, &mut self.rng, out)
+                ),
                 To::Ledger => deliver!(self.ledger.inbox, note, self.ledger.read(note, now)),
                 To::Roll => deliver!(self.roll.inbox, note, {
-                    let pace = Pace { ask_within: self.charter.ask_within, place: place(&self.charter) };
+                    let pace = Pace {
+                        max_poll_interval: self.settings.max_poll_interval,
+                        place: place(&self.settings),
+                    };
                     let knows = self.hosts.iter().any(Host::ready);
-                    self.roll.read(note, now, self.rng.random(), (knows, pace), out)
+                    self.roll
+                        .read(note, now, self.rng.random(), (knows, pace), out);
                 }),
             }
         }
@@ -714,47 +958,60 @@
     /// The desk reads a note: it owns the attachments and gives the final answers.
     fn attend(&mut self, now: Nanos, note: Note, out: &mut Vec<Action>) {
         match note {
-            Note::Arrived(arrival) => {
+            Note::Arrived(incoming) => {
                 self.desk.came(now);
-                let slot = self.desk.admit(now, arrival, &self.charter);
+                let slot = self.desk.admit(now, incoming, &self.settings);
                 self.place(now, slot, out);
             }
-            Note::TakenUp(arrival, hand_offs, ran, tried) => {
-                let slot = self.desk.admit(now, arrival, &self.charter);
+            Note::TakenUp(incoming, attempts, ran, tried) => {
+                let slot = self.desk.admit(now, incoming, &self.settings);
                 let first_run = |(host, sent): (usize, Nanos)| FirstRun {
                     host,
-                    listed: self.hosts.get(host).map(|host| host.listing).unwrap_or_default(),
+                    listed: self
+                        .hosts
+                        .get(host)
+                        .map(|host| host.listing)
+                        .unwrap_or_default(),
                     sent,
                 };
-                if let Some(attachment) = self.desk.slots[slot].as_mut() {
-                    (attachment.hand_offs, attachment.may_have_run, attachment.tried) =
-                        (hand_offs, ran.map(first_run), tried);
+                if let Some(request) = self.desk.slots[slot].as_mut() {
+                    (request.attempts, request.may_have_run, request.tried) =
+                        (attempts, ran.map(first_run), tried);
                 }
                 self.place(now, slot, out);
             }
-            Note::Standing(arrival, host, since) => {
-                let slot = self.desk.admit(now, arrival, &self.charter);
-                let Some(attachment) = self.desk.slots[slot].as_mut() else { return };
-                (attachment.begun, attachment.answered, attachment.at) = (true, true, Some(host));
-                let conn = Conn::new(since, slot, &arrival, &self.ledger, &self.charter);
-                let conn = Conn { begun: true, ..conn };
+            Note::ConnectionFound(incoming, host, since) => {
+                let slot = self.desk.admit(now, incoming, &self.settings);
+                let Some(request) = self.desk.slots[slot].as_mut() else {
+                    return;
+                };
+                (request.begun, request.answered, request.at) = (true, true, Some(host));
+                let conn = Conn::new(since, slot, &incoming, &self.ledger, &self.settings);
+                let conn = Conn {
+                    begun: true,
+                    ..conn
+                };
                 self.post.push_back((To::Host(host), Note::Sent(conn)));
             }
             Note::Begun { slot, .. } => {
-                if let Some(attachment) = self.desk.slots[slot].as_mut() {
-                    (attachment.begun, attachment.answered) = (true, true);
-                    self.post.extend(attachment.failed.map(|host| (To::Host(host), Note::Blamed)));
+                if let Some(request) = self.desk.slots[slot].as_mut() {
+                    (request.begun, request.answered) = (true, true);
+                    self.post
+                        .extend(request.failed.map(|host| (To::Host(host), Note::Blamed)));
                 }
                 self.desk.set_up(false, out);
             }
             Note::Returned { slot, over, ending } => {
-                let Some(attachment) = self.desk.slots[slot].as_mut() else { return };
-                let (host, begun) = (attachment.at.take(), attachment.begun);
-                attachment.answered |= over;
-                let answered = attachment.answered;
+                let Some(request) = self.desk.slots[slot].as_mut() else {
+                    return;
+                };
+                let (host, begun) = (request.at.take(), request.begun);
+                request.answered |= over;
+                let answered = request.answered;
                 // What is refused or not connected is the host's doing, no store's; what one attachment meets
                 // at host after host counts once. Guards: bad clients taken for a store that fails.
-                let fails = matches!(ending, Ending::Error | Ending::TimedOut) && attachment.tried.is_empty();
+                let fails = matches!(ending, AttemptOutcome::Error | AttemptOutcome::TimedOut)
+                    && request.tried.is_empty();
                 // What one host alone fails is its own. Guards: one that fails fast, and so draws clients,
                 // taken for a store that fails, and left in use.
                 if !begun && fails && std::mem::replace(&mut self.desk.failing, host) != host {
@@ -763,33 +1020,48 @@
                 if answered {
                     return self.desk.forget(slot);
                 }
-                let Some(attachment) = self.desk.slots[slot].as_mut() else { return };
+                let Some(request) = self.desk.slots[slot].as_mut() else {
+                    return;
+                };
                 if let Some(host) = host {
-                    attachment.tried.push(host);
-                    if ending == Ending::Error {
-                        (attachment.errors, attachment.failed) = (attachment.errors + 1, Some(host));
+                    request.tried.push(host);
+                    if ending == AttemptOutcome::Error {
+                        (request.errors, request.failed) = (request.errors + 1, Some(host));
                     }
                     if !ending.never_ran() {
-                        let (listed, sent) = (attachment.sent_to, attachment.sent);
-                        attachment.may_have_run.get_or_insert(FirstRun { host, listed, sent });
+                        let (listed, sent) = (request.sent_to, request.sent);
+                        request
+                            .may_have_run
+                            .get_or_insert(FirstRun { host, listed, sent });
                     }
                 }
                 self.place(now, slot, out);
             }
             Note::Left { slot } => {
-                let Some(attachment) = self.desk.slots[slot].as_mut() else { return };
-                attachment.answered = true;
-                if attachment.at.is_none() {
+                let Some(request) = self.desk.slots[slot].as_mut() else {
+                    return;
+                };
+                request.answered = true;
+                if request.at.is_none() {
                     self.desk.forget(slot);
-                } else if self.charter.may_call_off && !attachment.begun {
-                    out.push(Action::CallOff { id: attachment.id, hand_off: attachment.hand_offs - 1 });
+                } else if self.settings.may_cancel && !request.begun {
+                    out.push(Action::CancelAttempt {
+                        id: request.id,
+                        attempt: request.attempts - 1,
+                    });
                 }
             }
             Note::Fared { late } => {
                 let before = self.desk.sheds();
                 self.desk.late += (f64::from(u8::from(late)) - self.desk.late) / 3.0;
                 if before != self.desk.sheds() {
-                    log!(out, "shed={} late={:.2} held={}", !before, self.desk.late, self.desk.names.len());
+                    log!(
+                        out,
+                        "shed={} late={:.2} held={}",
+                        !before,
+                        self.desk.late,
+                        self.desk.names.len()
+                    );
                 }
             }
             Note::Spent(bytes) => self.desk.purse -= bytes,
@@ -798,11 +1070,15 @@
             Note::Leaving { from, by } => {
                 (self.desk.leaving, self.desk.parts) = (Some(by), from);
                 log!(out, "leaving held={}", self.desk.names.len());
-                out.push(Action::WakeAt { time: from, mark: PART });
+                out.push(Action::SetTimer {
+                    time: from,
+                    timer: PART,
+                });
             }
             Note::Successor(comes) => self.desk.successor = comes,
             Note::Inherited(legacy) => {
-                (self.desk.trouble, self.desk.late) = (legacy.trouble, legacy.late);
+                (self.desk.trouble, self.desk.late) =
+                    (legacy.setup_failure_rate, legacy.late_message_rate);
                 self.post.push_back((To::Ledger, Note::Inherited(legacy)));
             }
             Note::Staying => {
@@ -810,11 +1086,16 @@
                 log!(out, "staying held={}", self.desk.names.len());
             }
             // Guards: clients of a node that was called back, sent away by an old timer; two paces at once.
-            Note::Part if self.desk.leaving.is_some() && now >= self.desk.parts => self.part(now, out),
+            Note::Part if self.desk.leaving.is_some() && now >= self.desk.parts => {
+                self.part(now, out);
+            }
             Note::Shift { slot } => {
-                if let Some(attachment) = self.desk.slots[slot].as_mut().filter(|a| a.begun && !a.moved) {
-                    attachment.moved = true;
-                    out.push(Action::Move { id: attachment.id });
+                if let Some(request) = self.desk.slots[slot]
+                    .as_mut()
+                    .filter(|a| a.begun && !a.moved)
+                {
+                    request.moved = true;
+                    out.push(Action::Migrate { id: request.id });
                 }
             }
             _ => {}
@@ -824,76 +1105,124 @@
     /// Sends the clients of a node that stops away evenly. Guards: hosts and store stormed, clients cut off.
     fn part(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let left = self.desk.leaving.map_or(0, |by| by.saturating_sub(now));
-        let open = |slot: &usize| self.desk.slots[*slot].as_ref().is_some_and(|a| a.begun && !a.moved);
+        let open = |slot: &usize| {
+            self.desk.slots[*slot]
+                .as_ref()
+                .is_some_and(|a| a.begun && !a.moved)
+        };
         let slots: Vec<usize> = (0..self.desk.slots.len()).filter(open).collect();
-        let (count, share) = (slots.len(), slots.len().div_ceil((left / PARTING + 1) as usize));
-        self.post.extend(slots.into_iter().take(share).map(|slot| (To::Desk, Note::Shift { slot })));
+        let (count, share) = (
+            slots.len(),
+            slots.len().div_ceil((left / PARTING + 1) as usize),
+        );
+        self.post.extend(
+            slots
+                .into_iter()
+                .take(share)
+                .map(|slot| (To::Desk, Note::Shift { slot })),
+        );
         // Guards: a few that are all sent away in the first part of the time.
         self.desk.parts = now + (left / (count as u64 + 1)).clamp(PARTING, 4 * PARTING);
-        out.push(Action::WakeAt { time: self.desk.parts, mark: PART });
+        out.push(Action::SetTimer {
+            time: self.desk.parts,
+            timer: PART,
+        });
     }
 
     /// The final answer to what can be handed off no more: a dismissal where a retry is harmless.
     fn answer(&mut self, slot: usize, out: &mut Vec<Action>) {
-        let Some(attachment) = self.desk.slots[slot].as_ref() else { return };
-        let (id, ran) = (attachment.id, attachment.may_have_run.is_some());
-        let harmless = may_dismiss(&self.charter.offerings[attachment.arrival.offering], ran);
+        let Some(request) = self.desk.slots[slot].as_ref() else {
+            return;
+        };
+        let (id, ran) = (request.id, request.may_have_run.is_some());
+        let harmless = may_dismiss(&self.settings.classes[request.incoming.class], ran);
         // Spread, so that the clients do not come back in step.
-        let wait = self.charter.longest_advice as f64 * self.rng.random_range(0.25..1.0);
-        let dismissal = Action::Dismiss { id, wait: wait as Nanos };
-        out.push(if harmless { dismissal } else { Action::GiveUp { id } });
+        let wait = self.settings.max_retry_after as f64 * self.rng.random_range(0.25..1.0);
+        let dismissal = Action::Reject {
+            id,
+            retry_after: wait as Nanos,
+        };
+        out.push(if harmless {
+            dismissal
+        } else {
+            Action::Fail { id }
+        });
         self.desk.forget(slot);
     }
 
     /// Hands the attachment to the best host, or gives its final answer at once.
     fn place(&mut self, now: Nanos, slot: usize, out: &mut Vec<Action>) {
         let tie = self.rng.random();
-        let Some(attachment) = self.desk.slots[slot].as_ref() else { return };
-        let offering = &self.charter.offerings[attachment.arrival.offering];
-        let ran = attachment.may_have_run;
+        let Some(request) = self.desk.slots[slot].as_ref() else {
+            return;
+        };
+        let class = &self.settings.classes[request.incoming.class];
+        let ran = request.may_have_run;
         // Guards: one that has its answer only after the node that stops was ended from outside.
-        let last = attachment.expiry.min(self.desk.leaving.unwrap_or(Nanos::MAX));
-        let last = answer_by(last, attachment.arrival.time_left, self.charter.round);
+        let last = request
+            .deadline
+            .min(self.desk.leaving.unwrap_or(Nanos::MAX));
+        let last = answer_by(
+            last,
+            request.incoming.time_left,
+            self.settings.min_call_interval,
+        );
         // Guards: a store that fails at once, asked five times over for each attachment.
-        let most = if self.desk.common() { 1 } else { attachment.most };
+        let most = if self.desk.common() { 1 } else { request.most };
         // Guards: what no host will have, as bad clients send it, offered to host after host.
-        let late = now >= last || attachment.hand_offs >= most || attachment.errors >= UNWANTED;
-        let by = repeat_deadline(offering, ran.map(|ran| ran.sent));
+        let late = now >= last || request.attempts >= most || request.errors >= UNWANTED;
+        let by = repeat_deadline(class, ran.map(|ran| ran.sent));
         let vector = self.helm.next;
         // Guards: hosts that many nodes fill up again as fast as each cuts its one connection there. The
         // less a node sees of the hosts, the more of what it might hold to ceilings it dismisses by chance.
-        let shed = attachment.hand_offs == 0
+        let shed = request.attempts == 0
             && (self.desk.leaving.is_some()
                 || self.desk.sheds() && {
                     let view = self.survey(now);
                     let blind = view.unseen / (view.mean + view.unseen);
                     // The less it pays for its load, the sooner.
-                    let worth = |n: usize| self.charter.offerings[n].payoff / self.ledger.load(n, None);
+                    let worth = |n: usize| {
+                        self.settings.classes[n].priority_weight / self.ledger.load(n, None)
+                    };
                     let pays = |n| worth(n).max(f64::MIN_POSITIVE);
-                    let offered = |n: &usize| self.charter.offerings[*n].offered;
-                    let all = (0..self.charter.offerings.len()).filter(offered);
+                    let active = |n: &usize| self.settings.classes[*n].active;
+                    let all = (0..self.settings.classes.len()).filter(active);
                     let least = all.map(pays).fold(f64::INFINITY, f64::min);
-                    let blind = blind * (least / pays(attachment.arrival.offering)).sqrt();
+                    let blind = blind * (least / pays(request.incoming.class)).sqrt();
                     draw(tie, 0) < SHED * blind * (self.desk.late - MANY) / (1.0 - MANY)
                 });
         let shed = shed && (self.desk.leaving.is_some() || !self.desk.tries_on(now));
-        let chosen = if late || now >= by || shed { None } else { self.choose(now, attachment, vector, tie) };
+        let chosen = if late || now >= by || shed {
+            None
+        } else {
+            self.choose(now, request, vector, tie)
+        };
         if shed {
             self.desk.refused_since.get_or_insert(now);
         }
-        let Some(host) = chosen else { return self.answer(slot, out) };
-        let patience = self.patience(now, offering);
-        let only = attachment.hand_offs + 1 >= attachment.most || offering.effect == Effect::Irreversible;
+        let Some(host) = chosen else {
+            return self.answer(slot, out);
+        };
+        let patience = self.patience(now, class);
+        let only =
+            request.attempts + 1 >= request.most || class.idempotency == Idempotency::NonIdempotent;
         let until = if only { last } else { last.min(now + patience) };
         self.helm.next = (vector + 1) % self.helm.vectors.len();
-        out.push(Action::HandOff { id: attachment.id, host: self.hosts[host].id, until, by });
-        let conn = Conn::new(now, slot, &attachment.arrival, &self.ledger, &self.charter);
-        let conn = Conn { vector: Some(vector), ..conn };
+        out.push(Action::StartAttempt {
+            id: request.id,
+            host: self.hosts[host].id,
+            until,
+            by,
+        });
+        let conn = Conn::new(now, slot, &request.incoming, &self.ledger, &self.settings);
+        let conn = Conn {
+            vector: Some(vector),
+            ..conn
+        };
         self.post.push_back((To::Host(host), Note::Sent(conn)));
-        if let Some(attachment) = self.desk.slots[slot].as_mut() {
-            (attachment.hand_offs, attachment.at, attachment.sent) =
-                (attachment.hand_offs + 1, Some(host), now);
-            attachment.sent_to = self.hosts[host].listing;
+        if let Some(request) = self.desk.slots[slot].as_mut() {
+            (request.attempts, request.at, request.sent) = (request.attempts + 1, Some(host), now);
+            request.sent_to = self.hosts[host].listing;
         }
         self.desk.refused_since = None;
         self.desk.purse = (self.desk.purse + PURSE).min(FULL_PURSE);
@@ -902,35 +1231,53 @@
     /// How long a set-up is waited for before another host is asked. Guards: a store that all set-ups share, whose answers come
     /// when the node has asked anew already. The fewer set-ups a node sees, the less it can tell such a store from a host that
     /// hangs, and the longer it waits.
-    fn patience(&self, now: Nanos, offering: &Offering) -> Nanos {
-        let hears_loads = self.charter.probe_for_gauges || self.ledger.weighed > 0;
-        let longest = match (many(&self.charter), hears_loads) {
+    fn patience(&self, now: Nanos, class: &RequestClass) -> Nanos {
+        let hears_loads = self.settings.load_from_probes || self.ledger.weighed > 0;
+        let longest = match (many(&self.settings), hears_loads) {
             (false, _) => 0,
             (true, true) => UNSURE_HEARING_LOADS,
             (true, false) => UNSURE,
         };
         let unsure = longest as f64 / (1.0 + (self.desk.came_of_late(now) / TELLING).powi(2));
-        let usual = (offering.contract_time as f64 + unsure).max(6.0 * self.ledger.set_up);
+        let usual = (class.latency_objective as f64 + unsure).max(6.0 * self.ledger.set_up);
         (usual * (1.0 + PATIENCE * self.desk.trouble)) as Nanos
     }
 
     /// The host with the lowest score of those that may and can take the attachment; ties at random.
-    fn choose(&self, now: Nanos, attachment: &Attachment, vector: usize, tie: u64) -> Option<usize> {
-        let arrival = &attachment.arrival;
-        let length = self.ledger.length(arrival.key, now);
-        let known = arrival.usual_load.or(self.ledger.last_load(arrival.key, now));
-        let load = self.ledger.load(arrival.offering, known);
-        let steps = length.map_or(1.0, |l| (l / STEP as f64).ceil().clamp(1.0, STEPS as f64) / STEPS as f64);
-        let groups = self.charter.groups && !self.charter.pass;
-        let home = if self.charter.pass { arrival.key } else { arrival.group.filter(|_| groups) };
-        let ask = Ask { attachment, load, ahead: load * steps, length, home };
+    fn choose(&self, now: Nanos, request: &Request, vector: usize, tie: u64) -> Option<usize> {
+        let incoming = &request.incoming;
+        let length = self.ledger.length(incoming.key, now);
+        let known = incoming
+            .usual_load
+            .or(self.ledger.last_load(incoming.key, now));
+        let load = self.ledger.load(incoming.class, known);
+        let steps = length.map_or(1.0, |l| {
+            (l / STEP as f64).ceil().clamp(1.0, STEPS as f64) / STEPS as f64
+        });
+        let groups = self.settings.groups_enabled && !self.settings.passthrough;
+        let home = if self.settings.passthrough {
+            incoming.key
+        } else {
+            incoming.group.filter(|_| groups)
+        };
+        let ask = Ask {
+            request,
+            load,
+            ahead: load * steps,
+            length,
+            home,
+        };
         let view = self.survey(now);
         // First the node's set, then all ready hosts, then those masked or tried before.
         for (set, again) in [(true, false), (false, false), (false, true)] {
-            let lapsed = again && self.hosts.iter().all(|h| !h.ready() || now < h.masked_until);
+            let lapsed = again
+                && self
+                    .hosts
+                    .iter()
+                    .all(|h| !h.ready() || now < h.masked_until);
             let mut best: Option<(f64, f64, usize)> = None;
             for (n, host) in self.hosts.iter().enumerate() {
-                let open = host.ready() && (again || !attachment.tried.contains(&n));
+                let open = host.ready() && (again || !request.tried.contains(&n));
                 let open = open && (!set || self.in_set(now, host, &ask, &view));
                 if !open || !self.takes(now, host, &ask, &view, (again, lapsed)) {
                     continue;
@@ -952,23 +1299,28 @@
     /// zone at which it holds the group, or anything, what is new, and a few by a draw over node and host.
     fn in_set(&self, now: Nanos, host: &Host, ask: &Ask, view: &Survey) -> bool {
         // Guards: a zone with most of the clients overrun beside another whose hosts all are new and empty.
-        let young = host.cold(now, &self.charter) && by_lot(&self.charter);
+        let young = host.cold(now, &self.settings) && by_lot(&self.settings);
         let used = match ask.home {
             // Guards: clients led to a new host by nodes that have just started, which then look elsewhere.
             _ if young => true,
-            Some(home) => !self.charter.pass && host.groups.contains_key(&home),
-            _ if !host.conns.is_empty() || host.newcomer || self.charter.gathers => true,
-            _ => draw(u64::from(self.charter.node), host.id.0) < FEW / view.near,
+            Some(home) => !self.settings.passthrough && host.groups.contains_key(&home),
+            _ if !host.conns.is_empty() || host.newcomer || self.settings.centralized => true,
+            _ => draw(u64::from(self.settings.node_index), host.id.0) < FEW / view.near,
         };
         let part = BUSY * (view.mean + view.unseen);
-        let busy = host.reported(now).map_or(host.own() + view.unseen > part, |load| load > CROWDED);
-        let busy = busy || host.ceiling.is_some() || now < host.masked_until || host.slow(now) >= LATE;
-        used && !busy && (young || host.listing.zone == self.charter.zone)
+        let busy = host
+            .reported(now)
+            .map_or(host.own() + view.unseen > part, |load| load > CROWDED);
+        let busy =
+            busy || host.ceiling.is_some() || now < host.masked_until || host.slow(now) >= LATE;
+        used && !busy && (young || host.listing.zone == self.settings.zone)
     }
 
     /// What a host that does not hold its group would pay for the attachment beside its load.
     fn opening(&self, host: &Host, ask: &Ask) -> f64 {
-        let opens = ask.home.is_some_and(|g| !self.charter.pass && !host.groups.contains_key(&g));
+        let opens = ask
+            .home
+            .is_some_and(|g| !self.settings.passthrough && !host.groups.contains_key(&g));
         f64::from(u8::from(opens)) * self.ledger.group_price()
     }
 
@@ -984,39 +1336,63 @@
         let masked = now < host.masked_until;
         let trickle = host.pending == 0 && now >= host.sent + PULSE / 2;
         // Guards: a node whose own line was down, and that then takes all hosts for just started.
-        let old = host.listing.started.is_none_or(|t| now >= t.saturating_add(self.charter.cold));
+        let old = host
+            .listing
+            .started
+            .is_none_or(|t| now >= t.saturating_add(self.settings.warm_up));
         if masked && !(lapsed && trickle) {
             return false;
         }
-        let theirs = self.desk.successor && host.cold(now, &self.charter);
+        let theirs = self.desk.successor && host.cold(now, &self.settings);
         !theirs
             && host.bears(now, ask.load + self.opening(host, ask), view.typical)
-            && (host.cold_room(now, ask.attachment.arrival.key, view, &self.charter)
+            && (host.cold_room(now, ask.request.incoming.key, view, &self.settings)
                 || again && trickle && old)
-            && self.in_circle(&host.listing, ask.attachment)
+            && self.in_circle(&host.listing, ask.request)
     }
 
     /// Whether the host would drop a repeat of a labelled attachment that may have run: it is in the group in which the first
     /// one ran, and in which that host is listed now. Guards: a repeat led out of its group by a host that came back under its
     /// name in another; and one matched against the zone that has the place of the first one's in new terms.
-    fn in_circle(&self, place: &Listing, attachment: &Attachment) -> bool {
-        let offering = &self.charter.offerings[attachment.arrival.offering];
-        let Some(ran) = &attachment.may_have_run else { return true };
+    fn in_circle(&self, place: &Endpoint, request: &Request) -> bool {
+        let class = &self.settings.classes[request.incoming.class];
+        let Some(ran) = &request.may_have_run else {
+            return true;
+        };
         let places = [&ran.listed, &self.hosts[ran.host].listing];
-        places.into_iter().all(|first| may_repeat_at(offering, Some(first), place).is_ok())
+        places
+            .into_iter()
+            .all(|first| may_repeat_at(class, Some(first), place).is_ok())
     }
 
     /// The design's two-part score, and the leanings to homes and to the own zone.
-    fn score(&self, now: Nanos, host: &Host, ask: &Ask, view: &Survey, vector: usize, luck: f64) -> f64 {
+    fn score(
+        &self,
+        now: Nanos,
+        host: &Host,
+        ask: &Ask,
+        view: &Survey,
+        vector: usize,
+        luck: f64,
+    ) -> f64 {
         let weights = &self.helm.vectors[vector];
         // Guards: a newcomer that stays empty at a planner, as of hosts in balance some are always just under
         // the mean: it counts as it is for twice its share of what comes.
-        let share = f64::from(u8::from(self.charter.gathers)) * 2.0 / view.near;
+        let share = f64::from(u8::from(self.settings.centralized)) * 2.0 / view.near;
         // What others can have placed at a host that started lately is little.
-        let fresh = by_lot(&self.charter) && host.cold(now, &self.charter);
-        let filled = if fresh { host.filled(now, &self.charter) } else { 1.0 };
+        let fresh = by_lot(&self.settings) && host.cold(now, &self.settings);
+        let filled = if fresh {
+            host.filled(now, &self.settings)
+        } else {
+            1.0
+        };
         let stays = host.newcomer && luck >= share && !fresh;
-        let own = host.own() + if stays { view.blind * (view.mean - host.own()).max(0.0) } else { 0.0 };
+        let own = host.own()
+            + if stays {
+                view.blind * (view.mean - host.own()).max(0.0)
+            } else {
+                0.0
+            };
         let with = own + (ask.ahead + self.opening(host, ask)) / host.listing.size;
         // Guards: new hosts taken for as full as the rest, where each node sees next to nothing of any.
         let unseen = view.unseen * filled;
@@ -1027,18 +1403,36 @@
         let balance = balance + STEEP * seen * seen * (balance - BUSY).max(0.0);
         // What a report tells of the host comes in place of what the node alone can see.
         let balance = host.reported(now).map_or(balance, |load| {
-            let part = view.loaded / (view.mean * f64::from(self.charter.nodes)).max(4.0 * view.unit);
-            let load = load + (host.since + ask.ahead + self.opening(host, ask)) / host.listing.size * part;
-            (load + BLUR + STEEP * (load - CROWDED).max(0.0)) * (1.0 + host.slow(now)) / (view.loaded + BLUR)
+            let part = view.loaded
+                / (view.mean * f64::from(self.settings.node_count)).max(4.0 * view.unit);
+            let load = load
+                + (host.since + ask.ahead + self.opening(host, ask)) / host.listing.size * part;
+            (load + BLUR + STEEP * (load - CROWDED).max(0.0)) * (1.0 + host.slow(now))
+                / (view.loaded + BLUR)
         });
-        let apart = |l: f64| ((host.longest.saturating_sub(now) as f64 - l).abs() / HORIZON).min(1.0);
+        let apart =
+            |l: f64| ((host.longest.saturating_sub(now) as f64 - l).abs() / HORIZON).min(1.0);
         let score = weights.balance * balance + weights.gap * ask.length.map_or(0.0, apart);
 
-        let crossing = if host.listing.zone == self.charter.zone { 0.0 } else { view.crossing * filled };
-        let away = ask.home.filter(|g| self.charter.pass || !host.groups.contains_key(g));
+        let crossing = if host.listing.zone == self.settings.zone {
+            0.0
+        } else {
+            view.crossing * filled
+        };
+        let away = ask
+            .home
+            .filter(|g| self.settings.passthrough || !host.groups.contains_key(g));
         // Midway packets go where every node would look for them.
-        let pull = if host.reported(now).is_some() { STEPWISE * view.ready } else { HOME };
-        let pull = if ask.attachment.arrival.midway { 1e6 } else { pull };
+        let pull = if host.reported(now).is_some() {
+            STEPWISE * view.ready
+        } else {
+            HOME
+        };
+        let pull = if ask.request.incoming.mid_stream {
+            1e6
+        } else {
+            pull
+        };
         let homing = |g: u64| pull * (-draw(g, host.id.0).ln() / host.listing.size).min(1.0);
         score + crossing + away.map_or(0.0, homing)
     }
