--- a/rig/src/fleet.rs
+++ b/testkit/src/fleet.rs
@@ -3,7 +3,7 @@
 //! clients saw is noted with its time, and the rules are judged by that alone.
 
 use crate::acting::{first_line, small, GRACE, SOCKETS};
-use crate::program::{papers_of, path, Node};
+use crate::program::{node_config_of, path, Node};
 use crate::view::View;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -22,33 +22,34 @@
 
 /// The terms on cold hosts and on calls to the list service that the whole site works under.
 #[derive(Clone, Copy)]
-pub struct Terms {
+pub struct FleetOptions {
     pub cold: Duration,
-    pub cold_from: f64,
-    pub tip_after: Duration,
-    pub tip_multiple: f64,
-    pub ask_within: Duration,
+    pub warm_up_initial_share: f64,
+    pub overload_window: Duration,
+    pub overload_factor: f64,
+    pub max_poll_interval: Duration,
     /// Connections that fill a warm host.
     pub full: f64,
 }
 
-impl Terms {
+impl FleetOptions {
     /// Those of trials: many nodes are more than ten. A warm host bears six times what it holds there, where the module
     /// counts on four: the numbers are small, and chance and a busy machine bunch what comes.
-    pub const TRIAL: Terms = Terms {
+    pub const TRIAL: FleetOptions = FleetOptions {
         cold: Duration::from_secs(5),
-        cold_from: 0.2,
-        tip_after: Duration::from_millis(500),
-        tip_multiple: 3.0,
-        ask_within: Duration::from_secs(4),
+        warm_up_initial_share: 0.2,
+        overload_window: Duration::from_millis(500),
+        overload_factor: 3.0,
+        max_poll_interval: Duration::from_secs(4),
         full: 120.0,
     };
 
     /// What a host that started so long ago may be sent within one window.
     pub fn budget(&self, age: Duration) -> f64 {
         let warmed = (age.as_secs_f64() / self.cold.as_secs_f64()).min(1.0);
-        let warmth = self.cold_from + (1.0 - self.cold_from) * warmed;
-        self.tip_multiple * warmth * self.full * self.tip_after.as_secs_f64() / self.cold.as_secs_f64()
+        let warmth = self.warm_up_initial_share + (1.0 - self.warm_up_initial_share) * warmed;
+        self.overload_factor * warmth * self.full * self.overload_window.as_secs_f64()
+            / self.cold.as_secs_f64()
     }
 }
 
@@ -72,12 +73,15 @@
 #[derive(Clone)]
 pub struct WarmingHosts {
     all: Arc<Mutex<Vec<Arc<WarmingHost>>>>,
-    terms: Terms,
+    terms: FleetOptions,
 }
 
 impl WarmingHosts {
-    pub fn new(terms: Terms) -> Self {
-        WarmingHosts { all: Arc::default(), terms }
+    pub fn new(terms: FleetOptions) -> Self {
+        WarmingHosts {
+            all: Arc::default(),
+            terms,
+        }
     }
 
     /// Starts some, cold or warm, and says which.
@@ -85,7 +89,10 @@
         let first = self.all.lock().unwrap().len();
         for _ in 0..count {
             let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-            let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
+            let since = SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .unwrap()
+                .as_millis() as u64;
             let warming = Arc::new(WarmingHost {
                 address: listener.local_addr().unwrap(),
                 started: cold.then(|| (Instant::now(), since)),
@@ -150,10 +157,17 @@
             }
             let drains = *warming.drains.lock().unwrap();
             let late = drains.map(|t| t + GRACE + SOCKETS + told);
-            let after =
-                warming.arrived.lock().unwrap().iter().filter(|t| late.is_some_and(|l| **t > l)).count();
+            let after = warming
+                .arrived
+                .lock()
+                .unwrap()
+                .iter()
+                .filter(|t| late.is_some_and(|l| **t > l))
+                .count();
             if after > 0 {
-                broken.push(format!("rule 3: {after} came to host {host} after its drain"));
+                broken.push(format!(
+                    "rule 3: {after} came to host {host} after its drain"
+                ));
             }
         }
         broken
@@ -161,8 +175,10 @@
 }
 
 impl WarmingHost {
-    fn serve(&self, mut stream: TcpStream, terms: Terms) {
-        let Some((mut reader, mut line)) = first_line(&stream) else { return };
+    fn serve(&self, mut stream: TcpStream, terms: FleetOptions) {
+        let Some((mut reader, mut line)) = first_line(&stream) else {
+            return;
+        };
         while line.starts_with("STATS") {
             self.probed.lock().unwrap().push(Instant::now());
             line.clear();
@@ -176,9 +192,16 @@
         {
             let mut arrived = self.arrived.lock().unwrap();
             arrived.push(now);
-            let within = arrived.iter().rev().take_while(|t| **t + terms.tip_after > now).count() as f64;
+            let within = arrived
+                .iter()
+                .rev()
+                .take_while(|t| **t + terms.overload_window > now)
+                .count() as f64;
             // What warm ones take is no matter here.
-            let age = self.started.map(|(t, _)| now - t).filter(|age| *age < terms.cold);
+            let age = self
+                .started
+                .map(|(t, _)| now - t)
+                .filter(|age| *age < terms.cold);
             if age.is_some_and(|age| within > terms.budget(age).max(1.0)) {
                 self.tipped.store(true, SeqCst);
             }
@@ -188,7 +211,9 @@
         }
         self.open.fetch_add(1, SeqCst);
         line.clear();
-        while matches!(reader.read_line(&mut line), Ok(1..)) && stream.write_all(line.as_bytes()).is_ok() {
+        while matches!(reader.read_line(&mut line), Ok(1..))
+            && stream.write_all(line.as_bytes()).is_ok()
+        {
             line.clear();
         }
         self.open.fetch_sub(1, SeqCst);
@@ -208,7 +233,12 @@
     }
 
     fn leaves_out(&self, address: SocketAddr, from: Instant) {
-        self.0.lock().unwrap().iter_mut().filter(|(a, _)| *a == address).for_each(|one| one.1 = Some(from));
+        self.0
+            .lock()
+            .unwrap()
+            .iter_mut()
+            .filter(|(a, _)| *a == address)
+            .for_each(|one| one.1 = Some(from));
     }
 
     fn pick(&self, rng: &mut ChaCha8Rng) -> Option<SocketAddr> {
@@ -224,12 +254,12 @@
     pub front: Front,
     program: PathBuf,
     discovery: SocketAddr,
-    terms: Terms,
+    terms: FleetOptions,
     alone: bool,
     /// Loads are told by probes alone.
     probes: bool,
     /// What every attachment's effect is, and how long records of work in hand matter where they are kept.
-    effect: &'static str,
+    idempotency: &'static str,
     wards: Option<Duration>,
     /// The places that settings name, where some of the processes have none of their own.
     pub(crate) places: usize,
@@ -240,7 +270,7 @@
 
 impl Fleet {
     /// None runs yet.
-    pub fn new(nodes: usize, discovery: SocketAddr, terms: Terms) -> Self {
+    pub fn new(nodes: usize, discovery: SocketAddr, terms: FleetOptions) -> Self {
         let (places, nodes) = (nodes, (0..nodes).map(|_| None).collect());
         let (front, program, ended) = (Front::default(), path(), Vec::new());
         Fleet {
@@ -251,7 +281,7 @@
             terms,
             alone: false,
             probes: false,
-            effect: "free",
+            idempotency: "free",
             wards: None,
             places,
             view: None,
@@ -288,8 +318,8 @@
     }
 
     /// Of attachments with this effect, recorded by guardians for so long where that is told.
-    pub fn offering(mut self, effect: &'static str, wards: Option<Duration>) -> Self {
-        (self.effect, self.wards) = (effect, wards);
+    pub fn class(mut self, idempotency: &'static str, wards: Option<Duration>) -> Self {
+        (self.idempotency, self.wards) = (idempotency, wards);
         self
     }
 
@@ -301,58 +331,81 @@
 
     /// Where those that run take clients in, by their numbers.
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        self.nodes.iter().flatten().map(|node| node.address).collect()
+        self.nodes
+            .iter()
+            .flatten()
+            .map(|node| node.address)
+            .collect()
     }
 
-    fn papers(&self, node: usize, known: &[Value], revision: u64) -> Value {
+    fn node_config(&self, node: usize, known: &[Value], revision: u64) -> Value {
         let millis = |d: Duration| json!(d.as_secs_f64() * 1000.0);
-        let mut papers = papers_of(json!(known), self.discovery);
-        papers["name"] = json!(format!("n{node}"));
-        papers["listen"] = json!(format!("127.1.{}.{}:0", node / 200, node % 200 + 1));
-        papers["seed"] = json!(format!("{:016x}", 0x8c1f_30d2 + node as u64));
-        papers["known"]["revision"] = json!(revision);
-        let settings = &mut papers["settings"];
+        let mut node_config = node_config_of(json!(known), self.discovery);
+        node_config["name"] = json!(format!("n{node}"));
+        node_config["listen"] = json!(format!("127.1.{}.{}:0", node / 200, node % 200 + 1));
+        node_config["seed"] = json!(format!("{:016x}", 0x8c1f_30d2 + node as u64));
+        node_config["known"]["revision"] = json!(revision);
+        let settings = &mut node_config["settings"];
         if self.view.is_some() {
             settings["policy_limits"]["peers"] = json!(true);
-            papers["ops"] = json!("127.0.0.1:0");
+            node_config["ops"] = json!("127.0.0.1:0");
         }
-        papers["settings"]["offerings"][0]["effect"] = json!(self.effect);
-        if self.effect == "guarded" {
-            papers["settings"]["offerings"][0]["repeat_window"] = millis(REPEATS);
+        node_config["settings"]["offerings"][0]["effect"] = json!(self.idempotency);
+        if self.idempotency == "guarded" {
+            node_config["settings"]["offerings"][0]["repeat_window"] = millis(REPEATS);
         }
         if self.probes {
-            papers["settings"]["reporting"] = json!({"fields": ["util", "x0"], "via": "pull"});
+            node_config["settings"]["reporting"] = json!({"fields": ["util", "x0"], "via": "pull"});
         }
-        let settings = &mut papers["settings"];
-        let place = if self.alone { (1, 0) } else { (self.places, node) };
+        let settings = &mut node_config["settings"];
+        let place = if self.alone {
+            (1, 0)
+        } else {
+            (self.places, node)
+        };
         (settings["balancers"], settings["index"]) = (json!(place.0), json!(place.1));
         let contract = &mut settings["contract"];
         contract["cold"] = millis(self.terms.cold);
-        contract["cold_from"] = json!(self.terms.cold_from);
-        contract["tip_after"] = millis(self.terms.tip_after);
-        contract["tip_multiple"] = json!(self.terms.tip_multiple);
-        contract["ask_within"] = millis(self.terms.ask_within);
-        papers
+        contract["cold_from"] = json!(self.terms.warm_up_initial_share);
+        contract["tip_after"] = millis(self.terms.overload_window);
+        contract["tip_multiple"] = json!(self.terms.overload_factor);
+        contract["ask_within"] = millis(self.terms.max_poll_interval);
+        node_config
     }
 
     /// Starts these at once, each knowing this list; the front takes them in.
     pub fn start(&mut self, which: &[usize], known: &[Value], revision: u64) {
-        let papers: Vec<(usize, Value)> =
-            which.iter().map(|&n| (n, self.papers(n, known, revision))).collect();
+        let node_config: Vec<(usize, Value)> = which
+            .iter()
+            .map(|&n| (n, self.node_config(n, known, revision)))
+            .collect();
         let (program, view) = (&self.program, self.view.as_ref());
-        let more = self.wards.map(|life| format!("[fleet.wards]\nlife = \"{}ms\"\n", life.as_millis()));
+        let more = self
+            .wards
+            .map(|life| format!("[fleet.wards]\nlife = \"{}ms\"\n", life.as_millis()));
         let more = more.unwrap_or_default();
         let started: Vec<(usize, Node)> = thread::scope(|scope| {
-            let one = |(node, papers): &(usize, Value)| match view {
-                Some(view) => {
-                    (*node, Node::start_of_as(program, "node", &(view.articles(*node) + &more), papers))
-                }
-                None => (*node, Node::start_of(program, papers)),
+            let one = |(node, node_config): &(usize, Value)| match view {
+                Some(view) => (
+                    *node,
+                    Node::start_of_as(
+                        program,
+                        "node",
+                        &(view.operator_config(*node) + &more),
+                        node_config,
+                    ),
+                ),
+                None => (*node, Node::start_of(program, node_config)),
             };
-            let share = papers.len().div_ceil(16).max(1);
-            let parts = papers.chunks(share).map(|part| scope.spawn(move || part.iter().map(one).collect()));
+            let share = node_config.len().div_ceil(16).max(1);
+            let parts = node_config
+                .chunks(share)
+                .map(|part| scope.spawn(move || part.iter().map(one).collect()));
             let parts: Vec<thread::ScopedJoinHandle<Vec<_>>> = parts.collect();
-            parts.into_iter().flat_map(|part| part.join().expect("a node did not start")).collect()
+            parts
+                .into_iter()
+                .flat_map(|part| part.join().expect("a node did not start"))
+                .collect()
         });
         for (number, node) in started {
             self.front.takes_in(node.address);
@@ -364,8 +417,9 @@
     pub fn tells_of(&mut self, discovery: SocketAddr, known: &[Value], revision: u64) {
         self.discovery = discovery;
         for (number, node) in self.nodes.iter().enumerate() {
-            let papers = self.papers(number, known, revision).to_string();
-            node.iter().for_each(|node| node.reread_papers(&papers));
+            let node_config = self.node_config(number, known, revision).to_string();
+            node.iter()
+                .for_each(|node| node.reload_node_config(&node_config));
         }
     }
 
@@ -379,17 +433,19 @@
     ) {
         self.places = places;
         for number in which {
-            let papers = self.papers(number, known, revision).to_string();
-            self.nodes[number].iter().for_each(|node| node.reread_papers(&papers));
+            let node_config = self.node_config(number, known, revision).to_string();
+            self.nodes[number]
+                .iter()
+                .for_each(|node| node.reload_node_config(&node_config));
         }
     }
 
     /// Starts a second process under the name of this one, with a face of its own: the first beyond the places.
     pub fn start_twin(&mut self, of: usize, known: &[Value], revision: u64) {
-        let mut papers = self.papers(of, known, revision);
-        papers["listen"] = json!("127.0.0.1:0");
-        let articles = self.view().articles(self.places);
-        let twin = Node::start_of_as(&self.program, "node", &articles, &papers);
+        let mut node_config = self.node_config(of, known, revision);
+        node_config["listen"] = json!("127.0.0.1:0");
+        let operator_config = self.view().operator_config(self.places);
+        let twin = Node::start_of_as(&self.program, "node", &operator_config, &node_config);
         self.front.takes_in(twin.address);
         self.nodes[self.places] = Some(twin);
     }
@@ -450,7 +506,9 @@
                 match ask.answered {
                     None if !ended => broken.push(format!("rule 1: guest {number} had no answer")),
                     Some(took) if took > EXPIRY + SOCKETS + SOCKETS && !ended => {
-                        broken.push(format!("rule 1: guest {number} was answered after {took:?}"));
+                        broken.push(format!(
+                            "rule 1: guest {number} was answered after {took:?}"
+                        ));
                     }
                     _ => {}
                 }
@@ -484,7 +542,13 @@
 
 impl Guests {
     /// They come within `spread`; where `at` is given, each keeps to the node of its number.
-    pub fn come(count: usize, front: &Front, spread: Duration, at: Option<&[SocketAddr]>, seed: u64) -> Self {
+    pub fn come(
+        count: usize,
+        front: &Front,
+        spread: Duration,
+        at: Option<&[SocketAddr]>,
+        seed: u64,
+    ) -> Self {
         let seen: Arc<Vec<Mutex<Seen>>> = Arc::new((0..count).map(|_| Mutex::default()).collect());
         let over = Arc::new(AtomicBool::new(false));
         let one = |number: usize| {
@@ -502,17 +566,28 @@
                     };
                     let wait = visit(node, key, &mut again, &seen[number], &over, &mut rng);
                     // Who keeps to a node is there to see when that serves.
-                    thread::sleep(if kept.is_some() { wait.min(Duration::from_millis(100)) } else { wait });
+                    thread::sleep(if kept.is_some() {
+                        wait.min(Duration::from_millis(100))
+                    } else {
+                        wait
+                    });
                 }
             })
         };
         let running = (0..count).map(one).collect();
-        Guests { seen, over, running }
+        Guests {
+            seen,
+            over,
+            running,
+        }
     }
 
     /// How many stand now.
     pub fn standing(&self) -> usize {
-        self.seen.iter().filter(|seen| seen.lock().unwrap().stands.is_some()).count()
+        self.seen
+            .iter()
+            .filter(|seen| seen.lock().unwrap().stands.is_some())
+            .count()
     }
 
     /// When each first stood, since `from`.
@@ -543,17 +618,27 @@
     rng: &mut ChaCha8Rng,
 ) -> Duration {
     let backs_off = Duration::from_millis(rng.random_range(100..400));
-    let Ok(mut stream) = TcpStream::connect(node) else { return backs_off };
+    let Ok(mut stream) = TcpStream::connect(node) else {
+        return backs_off;
+    };
     _ = stream.set_nodelay(true);
     let (at, id) = (Instant::now(), rng.random::<u64>());
     let mark = if *again { ",again=1" } else { "" };
-    let line = format!("OPEN {id:x} {key:x} c=chat,t=acme,d={}{mark}\r\n", EXPIRY.as_millis());
+    let line = format!(
+        "OPEN {id:x} {key:x} c=chat,t=acme,d={}{mark}\r\n",
+        EXPIRY.as_millis()
+    );
     if stream.write_all(line.as_bytes()).is_err() {
         return backs_off;
     }
     let number = {
         let mut seen = seen.lock().unwrap();
-        seen.asks.push(Ask { at, node, answered: None, up: false });
+        seen.asks.push(Ask {
+            at,
+            node,
+            answered: None,
+            up: false,
+        });
         seen.asks.len() - 1
     };
     _ = stream.set_read_timeout(Some(EXPIRY + Duration::from_secs(1)));
@@ -569,7 +654,9 @@
         seen.stands = up.then(Instant::now);
     }
     if !up {
-        let told = said.strip_prefix("BUSY ").and_then(|ms| ms.trim().parse().ok());
+        let told = said
+            .strip_prefix("BUSY ")
+            .and_then(|ms| ms.trim().parse().ok());
         return told.map_or(backs_off, Duration::from_millis);
     }
     _ = stream.set_read_timeout(Some(Duration::from_millis(250)));
@@ -581,7 +668,9 @@
                 said.clear();
                 thread::sleep(Duration::from_millis(100));
             }
-            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => thread::sleep(Duration::from_millis(50)),
+            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {
+                thread::sleep(Duration::from_millis(50));
+            }
             _ => break,
         }
     }
@@ -595,12 +684,12 @@
     use super::*;
     use crate::peers::eventually;
 
-    const TERMS: Terms = Terms {
+    const TERMS: FleetOptions = FleetOptions {
         cold: Duration::from_secs(10),
-        cold_from: 0.2,
-        tip_after: Duration::from_secs(1),
-        tip_multiple: 3.0,
-        ask_within: Duration::from_secs(4),
+        warm_up_initial_share: 0.2,
+        overload_window: Duration::from_secs(1),
+        overload_factor: 3.0,
+        max_poll_interval: Duration::from_secs(4),
         full: 40.0,
     };
 
@@ -618,7 +707,9 @@
         hosts.start(2, true);
         hosts.start(1, false);
         // Two within a second are what a host that has just started can take; a warm one takes more.
-        let _well: Vec<TcpStream> = [0, 0, 2, 2, 2, 2].map(|host| asks(hosts.at(host).address)).into();
+        let _well: Vec<TcpStream> = [0, 0, 2, 2, 2, 2]
+            .map(|host| asks(hosts.at(host).address))
+            .into();
         eventually("six stand", || hosts.standing(0..3) == 6);
         assert_eq!(hosts.broken(Duration::ZERO), Vec::<String>::new());
         let _flood: Vec<TcpStream> = (0..4).map(|_| asks(hosts.at(1).address)).collect();
@@ -629,7 +720,10 @@
         eventually("one came late", || hosts.arrived(2).len() == 5);
         let broken = hosts.broken(Duration::ZERO);
         assert_eq!(broken.len(), 2, "{broken:?}");
-        assert!(broken[0].starts_with("rule 4: host 1") && broken[1].starts_with("rule 3: 1 came to host 2"));
+        assert!(
+            broken[0].starts_with("rule 4: host 1")
+                && broken[1].starts_with("rule 3: 1 came to host 2")
+        );
     }
 
     /// Guards: clients left without an answer that nobody notices, and those of a node that died held against it.
@@ -650,7 +744,7 @@
             terms: TERMS,
             alone: false,
             probes: false,
-            effect: "free",
+            idempotency: "free",
             wards: None,
             places: 0,
             view: None,
@@ -658,7 +752,9 @@
         };
         fleet.front.takes_in(address);
         let mut guests = Guests::come(1, &fleet.front, Duration::ZERO, None, 1);
-        eventually("it has asked twice", || guests.seen[0].lock().unwrap().asks.len() > 1);
+        eventually("it has asked twice", || {
+            guests.seen[0].lock().unwrap().asks.len() > 1
+        });
         guests.end();
         assert!(!fleet.broken(&guests).is_empty());
         fleet.ended.push((address, Instant::now()));
--- a/rig/src/soak/clients.rs
+++ b/testkit/src/soak/clients.rs
@@ -43,7 +43,7 @@
 pub struct Lived {
     pub name: String,
     pub seat: usize,
-    pub offering: usize,
+    pub class: usize,
     pub manner: Manner,
     pub asked: Instant,
     pub heard: Heard,
@@ -76,7 +76,9 @@
                 thread::sleep(next.saturating_duration_since(Instant::now()));
                 next += step;
                 number += 1;
-                let Some((seat, address)) = deal(&seats, &mut rng) else { continue };
+                let Some((seat, address)) = deal(&seats, &mut rng) else {
+                    continue;
+                };
                 let client = Client::draw(&mut rng, format!("{seed:x}-{number}"), seat, address);
                 let lived: Arc<Mutex<Vec<Lived>>> = their_lived.clone();
                 running.push(small(move || {
@@ -85,9 +87,15 @@
                     }
                 }));
             }
-            running.into_iter().for_each(|one| one.join().expect("a client panicked"));
+            running
+                .into_iter()
+                .for_each(|one| one.join().expect("a client panicked"));
         });
-        Load { over, dealer: Some(dealer), lived }
+        Load {
+            over,
+            dealer: Some(dealer),
+            lived,
+        }
     }
 
     /// No more come; those that are there live out their time.
@@ -117,7 +125,7 @@
     name: String,
     seat: usize,
     address: SocketAddr,
-    offering: usize,
+    class: usize,
     manner: Manner,
     key: u64,
     /// How long it stays, rests, or waits before it goes.
@@ -134,16 +142,30 @@
             5 => (Manner::Slow, rng.random_range(50..600)),
             _ => (Manner::Plain, rng.random_range(50..1500)),
         };
-        let (offering, key, span) = (rng.random_range(0..3), rng.random(), Duration::from_millis(span));
-        Client { name, seat, address, offering, manner, key, span }
+        let (class, key, span) = (
+            rng.random_range(0..3),
+            rng.random(),
+            Duration::from_millis(span),
+        );
+        Client {
+            name,
+            seat,
+            address,
+            class,
+            manner,
+            key,
+            span,
+        }
     }
 
     fn live(self) -> Option<Lived> {
         let mut stream = TcpStream::connect(self.address).ok()?;
         _ = stream.set_nodelay(true);
         let wait = EXPIRY.as_millis();
-        let line =
-            format!("OPEN {} {:x} c={},t=acme,d={wait}\r\n", self.name, self.key, OFFERINGS[self.offering]);
+        let line = format!(
+            "OPEN {} {:x} c={},t=acme,d={wait}\r\n",
+            self.name, self.key, OFFERINGS[self.class]
+        );
         match self.manner {
             Manner::Half => stream.write_all(&line.as_bytes()[..line.len() / 2]).ok()?,
             Manner::Pipelines => stream.write_all(line.repeat(3).as_bytes()).ok()?,
@@ -163,7 +185,7 @@
         let mut lived = Lived {
             name: self.name.clone(),
             seat: self.seat,
-            offering: self.offering,
+            class: self.class,
             manner: self.manner,
             asked,
             heard: Heard::Nothing,
--- a/rig/src/tiers.rs
+++ b/testkit/src/tiers.rs
@@ -28,24 +28,29 @@
 
 /// The planner that a log line says is followed.
 fn followed(line: &str) -> Option<usize> {
-    line.split("follows planner=p").nth(1)?.split(' ').next()?.parse().ok()
+    line.split("follows planner=p")
+        .nth(1)?
+        .split(' ')
+        .next()?
+        .parse()
+        .ok()
 }
 
 /// The papers of one program among these hosts.
-pub fn papers(name: &str, hosts: &Hosts, discovery: &Discovery, seed: u64) -> Value {
-    let effects = ["free", "guarded", "single_shot"];
-    let offerings: Vec<Value> = OFFERINGS
+pub fn node_config(name: &str, hosts: &Hosts, discovery: &Discovery, seed: u64) -> Value {
+    let idempotencies = ["free", "guarded", "single_shot"];
+    let classes: Vec<Value> = OFFERINGS
         .iter()
-        .zip(effects)
-        .map(|(name, effect)| {
-            json!({"name": name, "contract_time": 500, "expiry": EXPIRY.as_millis() as u64, "effect": effect,
+        .zip(idempotencies)
+        .map(|(name, idempotency)| {
+            json!({"name": name, "contract_time": 500, "expiry": EXPIRY.as_millis() as u64, "effect": idempotency,
             "group": "cell", "repeat_window": WINDOW.as_millis() as u64, "payoff": 1})
         })
         .collect();
     json!({"name": name, "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
         "seed": seed.to_string(), "limits": {"cores": 1.0, "memory_mb": 512, "sockets": 16384},
         "known": {"revision": 0, "complete": true, "members": hosts.members()},
-        "settings": {"balancers": 1, "index": 0, "zone": 0, "zones": ["a"], "round": 4.0, "offerings": offerings,
+        "settings": {"balancers": 1, "index": 0, "zone": 0, "zones": ["a"], "round": 4.0, "offerings": classes,
             "tenants": [{"name": "acme"}],
             "contract": {"ask_within": 1000.0, "cold": 1000.0, "cold_from": 0.5,
                 "drain_grace": GRACE.as_millis() as u64, "tip_after": 1000.0, "tip_multiple": 3.0},
@@ -64,7 +69,11 @@
 
 fn nominal(count: usize) -> String {
     let address = |n: usize| SocketAddr::from(([127, 0, 0, 1], n as u16 + 1));
-    listed(&(0..count).map(|n| (format!("p{n}"), address(n))).collect::<Vec<_>>())
+    listed(
+        &(0..count)
+            .map(|n| (format!("p{n}"), address(n)))
+            .collect::<Vec<_>>(),
+    )
 }
 
 impl Tiers {
@@ -87,9 +96,16 @@
         for n in 0..forwarders {
             let to = |p: &Option<Node>| Relay::to(p.as_ref().unwrap().address);
             tiers.relays.push(tiers.planners.iter().map(to).collect());
-            let papers = papers(&format!("f{n}"), &tiers.hosts, &tiers.discovery, seed + n as u64);
-            let text = tiers.articles(n, planners);
-            tiers.forwarders.push(Node::start_as("forward", &text, &papers));
+            let node_config = node_config(
+                &format!("f{n}"),
+                &tiers.hosts,
+                &tiers.discovery,
+                seed + n as u64,
+            );
+            let text = tiers.operator_config(n, planners);
+            tiers
+                .forwarders
+                .push(Node::start_as("forward", &text, &node_config));
         }
         let first = |f: &Node| followed(&f.logs("follows planner")).unwrap_or(0);
         tiers.follows = tiers.forwarders.iter().map(first).collect();
@@ -97,9 +113,10 @@
     }
 
     /// A forwarder's file with the first so many planners.
-    pub fn articles(&self, forwarder: usize, planners: usize) -> String {
+    pub fn operator_config(&self, forwarder: usize, planners: usize) -> String {
         let relays = self.relays[forwarder].iter().take(planners).enumerate();
-        let list: Vec<(String, SocketAddr)> = relays.map(|(n, r)| (format!("p{n}"), r.address)).collect();
+        let list: Vec<(String, SocketAddr)> =
+            relays.map(|(n, r)| (format!("p{n}"), r.address)).collect();
         let lease = LEASE.as_millis();
         format!(
             "papers = \"PAPERS\"\n[forward]\nlease = \"{lease}ms\"\nsettle = \"500ms\"\n{}",
@@ -108,18 +125,32 @@
     }
 
     pub fn start_planner(&mut self, n: usize) {
-        let papers = papers(&format!("plan-{n}"), &self.hosts, &self.discovery, self.seed ^ (n as u64 + 99));
+        let node_config = node_config(
+            &format!("plan-{n}"),
+            &self.hosts,
+            &self.discovery,
+            self.seed ^ (n as u64 + 99),
+        );
         let list = nominal(self.planners.len());
-        let text = format!("papers = \"PAPERS\"\n[plan]\nname = \"p{n}\"\nlisten = \"127.0.0.1:0\"\n{list}");
-        let node = Node::start_as("plan", &text, &papers);
-        self.relays.iter().for_each(|all| all[n].lead_to(node.address));
+        let text = format!(
+            "papers = \"PAPERS\"\n[plan]\nname = \"p{n}\"\nlisten = \"127.0.0.1:0\"\n{list}"
+        );
+        let node = Node::start_as("plan", &text, &node_config);
+        self.relays
+            .iter()
+            .for_each(|all| all[n].lead_to(node.address));
         self.planners[n] = Some(node);
     }
 
     /// The planner that most forwarders follow now.
     pub fn busiest(&mut self) -> usize {
         for (forwarder, follows) in self.forwarders.iter().zip(&mut self.follows) {
-            *follows = forwarder.logged().iter().rev().find_map(|line| followed(line)).unwrap_or(*follows);
+            *follows = forwarder
+                .logged()
+                .iter()
+                .rev()
+                .find_map(|line| followed(line))
+                .unwrap_or(*follows);
         }
         let count = |p: &usize| self.follows.iter().filter(|f| *f == p).count();
         (0..self.planners.len()).max_by_key(count).unwrap_or(0)
@@ -136,7 +167,10 @@
 
     pub fn drain(&self, host: usize, drains: bool) {
         self.referee.drains(host, drains);
-        self.discovery.change(self.hosts.member(host, if drains { "leaving" } else { "active" }));
+        self.discovery.change(
+            self.hosts
+                .member(host, if drains { "leaving" } else { "active" }),
+        );
     }
 
     /// Waits until so many planners answer every forwarder again.
@@ -157,7 +191,11 @@
     /// One of the faults that are known, by number; `a` and `b` draw whom it meets. Tells what it did.
     pub fn fault(&mut self, kind: u64, a: usize, b: usize) -> String {
         use std::sync::atomic::Ordering::SeqCst;
-        let (f, p, h) = (a % self.forwarders.len(), b % self.planners.len(), a % self.hosts.addresses.len());
+        let (f, p, h) = (
+            a % self.forwarders.len(),
+            b % self.planners.len(),
+            a % self.hosts.addresses.len(),
+        );
         let relay = &self.relays[f][p];
         match kind % FAULTS {
             0 => {
@@ -182,7 +220,9 @@
                 format!("link {f}-{p} cut downwards")
             }
             5 => {
-                self.relays.iter().for_each(|all| all[p].down.delay.store(120, SeqCst));
+                self.relays
+                    .iter()
+                    .for_each(|all| all[p].down.delay.store(120, SeqCst));
                 format!("planner {p} heard late")
             }
             6 => {
@@ -194,7 +234,8 @@
                 format!("planner {p} asked to stop")
             }
             8 => {
-                self.hosts.go(h, [Way::Busy, Way::Fails, Way::Silent, Way::Breaks][b % 4]);
+                self.hosts
+                    .go(h, [Way::Busy, Way::Fails, Way::Silent, Way::Breaks][b % 4]);
                 format!("host {h} goes wrong, {}", b % 4)
             }
             _ => {
--- a/rig/src/two_tier.rs
+++ b/testkit/src/two_tier.rs
@@ -3,10 +3,12 @@
 
 use crate::acting::{Clients, Hosts, Referee};
 use crate::speaker::{asked, Speaker};
-use crate::tiers::{papers, Tiers, LEASE};
+use crate::tiers::{node_config, Tiers, LEASE};
 use crate::{Discovery, Node};
 use hdrhistogram::Histogram;
-use reedferry::{Action, Balancer, Ending, Event, HostId, Listing, RollKind, Standing, SECOND};
+use reedferry::{
+    Action, AttemptOutcome, Balancer, Endpoint, EndpointUpdate, Event, HostId, HostState, SECOND,
+};
 use serde_json::{json, Map, Value};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -69,10 +71,21 @@
     all.iter()
         .filter_map(|(_, took)| *took)
         .for_each(|took| first.saturating_record(took.as_micros() as u64));
-    let served =
-        all.iter().filter(|(l, _)| l.answers.first().is_some_and(|(_, said)| said.starts_with("UP"))).count();
+    let served = all
+        .iter()
+        .filter(|(l, _)| {
+            l.answers
+                .first()
+                .is_some_and(|(_, said)| said.starts_with("UP"))
+        })
+        .count();
     let jain = looks.iter().sum::<f64>() / looks.len().max(1) as f64;
-    Shown { first, jain, served: served as f64 / all.len().max(1) as f64, broken: referee.broken(TOLD) }
+    Shown {
+        first,
+        jain,
+        served: served as f64 / all.len().max(1) as f64,
+        broken: referee.broken(TOLD),
+    }
 }
 
 fn singles(size: Size, seed: u64) -> Shown {
@@ -81,10 +94,10 @@
     let discovery = Discovery::start();
     (0..size.hosts).for_each(|h| discovery.change(hosts.member(h, "active")));
     let node = |n: usize| {
-        let mut papers = papers(&format!("n{n}"), &hosts, &discovery, seed + n as u64);
-        papers["settings"]["balancers"] = json!(size.nodes);
-        papers["settings"]["index"] = json!(n);
-        Node::start(&papers)
+        let mut node_config = node_config(&format!("n{n}"), &hosts, &discovery, seed + n as u64);
+        node_config["settings"]["balancers"] = json!(size.nodes);
+        node_config["settings"]["index"] = json!(n);
+        Node::start(&node_config)
     };
     let nodes: Vec<Node> = (0..size.nodes).map(node).collect();
     let doors = nodes.iter().map(|n| n.address).collect();
@@ -95,7 +108,12 @@
     let tiers = Tiers::start(size.nodes, PLANNERS, size.hosts, seed);
     // Until each follows its own.
     std::thread::sleep(Duration::from_secs(1));
-    loaded(Clients::new(tiers.doors(), &tiers.referee, seed), &tiers.hosts, &tiers.referee, size)
+    loaded(
+        Clients::new(tiers.doors(), &tiers.referee, seed),
+        &tiers.hosts,
+        &tiers.referee,
+        size,
+    )
 }
 
 /// A planner dies under the load: the latest first hand-off, and the 95th percentiles before the death and
@@ -111,8 +129,10 @@
     let died = Instant::now();
     clients.load(size.rate, Duration::from_secs(3), &[0, 1, 2], HOLDS);
     clients.end();
-    let (mut before, mut after) =
-        (Histogram::<u64>::new(3).expect("allowed"), Histogram::<u64>::new(3).expect("allowed"));
+    let (mut before, mut after) = (
+        Histogram::<u64>::new(3).expect("allowed"),
+        Histogram::<u64>::new(3).expect("allowed"),
+    );
     let mut latest = Duration::ZERO;
     for (lived, took) in tiers.referee.first_hand_offs() {
         let Some(took) = took else { continue };
@@ -125,47 +145,83 @@
     }
     let broken = tiers.referee.broken(TOLD);
     tiers.heal();
-    (latest, before.value_at_quantile(0.95), after.value_at_quantile(0.95), broken)
+    (
+        latest,
+        before.value_at_quantile(0.95),
+        after.value_at_quantile(0.95),
+        broken,
+    )
 }
 
 /// Attachments a second that the module decides alone, in this process, in the same order of events.
-fn alone(count: u64, open: usize, hosts: usize, settings: &Value, seed: u64) -> Result<f64, String> {
-    let (charter, _) = reedferry_terms::from_value(settings.clone())?;
+fn alone(
+    count: u64,
+    open: usize,
+    hosts: usize,
+    settings: &Value,
+    seed: u64,
+) -> Result<f64, String> {
+    let (balancer_settings, _) = reedferry_settings::from_value(settings.clone())?;
     let start = 1_000 * SECOND;
     let mut out = Vec::new();
-    let mut module = Balancer::new(charter, seed, start, &mut out);
-    let listing =
-        |n| Listing { id: HostId(n + 1), standing: Standing::Ready, size: 1.0, ..Listing::default() };
+    let mut module = Balancer::new(balancer_settings, seed, start, &mut out);
+    let listing = |n| Endpoint {
+        id: HostId(n + 1),
+        state: HostState::Ready,
+        size: 1.0,
+        ..Endpoint::default()
+    };
     let listed = (0..hosts as u64).map(listing).collect();
-    module.handle(start, Event::Roll { kind: RollKind::Full, hosts: listed }, &mut out);
+    module.handle(
+        start,
+        Event::EndpointsUpdated {
+            kind: EndpointUpdate::Full,
+            endpoints: listed,
+        },
+        &mut out,
+    );
     let (from, mut standing, mut wakes) = (Instant::now(), VecDeque::new(), Vec::new());
     for n in 0..count {
         let now = start + from.elapsed().as_nanos() as u64;
-        let id = reedferry::AttachmentId(n + 1);
-        module.handle(now, Event::Arrived(asked(n).arrival(id)), &mut out);
+        let id = reedferry::RequestId(n + 1);
+        module.handle(now, Event::RequestArrived(asked(n).incoming(id)), &mut out);
         for action in std::mem::take(&mut out) {
             match action {
-                Action::HandOff { id, host, .. } => {
-                    module.handle(now, Event::Begun { id, took: 1_000_000 }, &mut out);
+                Action::StartAttempt { id, host, .. } => {
+                    module.handle(
+                        now,
+                        Event::ConnectionEstablished {
+                            id,
+                            took: 1_000_000,
+                        },
+                        &mut out,
+                    );
                     standing.push_back((id, host));
                 }
-                Action::WakeAt { time, mark } => wakes.push((time, mark)),
+                Action::SetTimer { time, timer: mark } => wakes.push((time, mark)),
                 _ => {}
             }
         }
         if standing.len() > open {
             if let Some((id, host)) = standing.pop_front() {
-                let (ending, gauges) = (Ending::Done, Vec::new());
+                let (ending, load_metrics) = (AttemptOutcome::Completed, Vec::new());
                 module.handle(
                     now,
-                    Event::Ended { id, hand_off: 0, host, over: true, ending, gauges },
+                    Event::AttemptEnded {
+                        id,
+                        attempt: 0,
+                        host,
+                        request_over: true,
+                        ending,
+                        load_metrics,
+                    },
                     &mut out,
                 );
             }
         }
         if let Some(due) = wakes.iter().position(|(time, _)| *time <= now) {
             let (_, mark) = wakes.swap_remove(due);
-            module.handle(now, Event::Timer { mark }, &mut out);
+            module.handle(now, Event::TimerFired { timer: mark }, &mut out);
         }
     }
     Ok(count as f64 / from.elapsed().as_secs_f64())
@@ -188,12 +244,13 @@
     let acting = Hosts::start(hosts, &referee);
     let discovery = Discovery::start();
     (0..hosts).for_each(|h| discovery.change(acting.member(h, "active")));
-    let papers = papers("plan", &acting, &discovery, seed);
-    let text = "papers = \"PAPERS\"\n[plan]\nname = \"p0\"\nlisten = \"127.0.0.1:0\"\nsettle = \"0s\"\n\
+    let node_config = node_config("plan", &acting, &discovery, seed);
+    let text =
+        "papers = \"PAPERS\"\n[plan]\nname = \"p0\"\nlisten = \"127.0.0.1:0\"\nsettle = \"0s\"\n\
         [[planner]]\nname = \"p0\"\naddress = \"127.0.0.1:1\"\n";
-    let node = Node::start_as("plan", text, &papers);
-    let (_, terms) = reedferry_terms::from_value(papers["settings"].clone())?;
-    let fingerprint = reedferry_link::fingerprint(terms.names());
+    let node = Node::start_as("plan", text, &node_config);
+    let (_, terms) = reedferry_settings::from_value(node_config["settings"].clone())?;
+    let fingerprint = reedferry_control_plane::fingerprint(terms.names());
     // Several at once, so that none of them is what is measured.
     let speak = |n: u64| -> Result<u64, String> {
         let mut speaker = Speaker::follow(node.address, "p0", &format!("s{n}"), fingerprint)?;
@@ -201,10 +258,15 @@
     };
     let (mut module, mut planner) = (0.0, 0.0);
     for round in 0..ROUNDS {
-        module = f64::max(module, alone(count, open, hosts, &papers["settings"], seed + round)?);
+        module = f64::max(
+            module,
+            alone(count, open, hosts, &node_config["settings"], seed + round)?,
+        );
         let (from, speak) = (Instant::now(), &speak);
         let handed: u64 = std::thread::scope(|scope| {
-            let all: Vec<_> = (0..SPEAKERS).map(|n| scope.spawn(move || speak(n))).collect();
+            let all: Vec<_> = (0..SPEAKERS)
+                .map(|n| scope.spawn(move || speak(n)))
+                .collect();
             let each = |one: std::thread::ScopedJoinHandle<_>| {
                 one.join().unwrap_or(Err("a speaker panicked".into()))
             };
@@ -235,20 +297,29 @@
         other.decide(1, 1, 10)?;
         stall = stall.max(asked.elapsed());
     }
-    Ok(Speed { module, planner, memory, told, stall })
+    Ok(Speed {
+        module,
+        planner,
+        memory,
+        told,
+        stall,
+    })
 }
 
 /// FNV-1a, by which the program names hosts.
 fn hash(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 /// # Errors
 /// Where something could not be measured at all.
 pub fn measure(size: Size, seed: u64) -> Result<Found, String> {
     let (mut figures, mut broken) = (Map::new(), Vec::new());
-    let mut put =
-        |name: &str, value: f64| _ = figures.insert(name.into(), json!((value * 1000.0).round() / 1000.0));
+    let mut put = |name: &str, value: f64| {
+        _ = figures.insert(name.into(), json!((value * 1000.0).round() / 1000.0));
+    };
     let mut wanted = |what: &str, holds: bool| {
         if !holds {
             broken.push(what.to_string());
@@ -257,24 +328,47 @@
     let (one, two) = (singles(size, seed), two(size, seed));
     let micros = |shown: &Shown, q: f64| shown.first.value_at_quantile(q) as f64;
     for (shape, shown) in [("nodes", &one), ("tiers", &two)] {
-        put(&format!("{shape}_first_hand_off_p50_us"), micros(shown, 0.5));
-        put(&format!("{shape}_first_hand_off_p99_us"), micros(shown, 0.99));
+        put(
+            &format!("{shape}_first_hand_off_p50_us"),
+            micros(shown, 0.5),
+        );
+        put(
+            &format!("{shape}_first_hand_off_p99_us"),
+            micros(shown, 0.99),
+        );
         put(&format!("{shape}_jain"), shown.jain);
         put(&format!("{shape}_served"), shown.served);
-        shown.broken.iter().for_each(|b| wanted(&format!("{shape}: {b}"), false));
+        shown
+            .broken
+            .iter()
+            .for_each(|b| wanted(&format!("{shape}: {b}"), false));
     }
     let ratio = micros(&two, 0.5) / micros(&one, 0.5);
     put("p50_ratio", ratio);
-    wanted("median to the first hand-off at most twice the nodes'", ratio <= 2.0);
+    wanted(
+        "median to the first hand-off at most twice the nodes'",
+        ratio <= 2.0,
+    );
     let more = micros(&two, 0.99) - micros(&one, 0.99);
     put("p99_more_us", more);
-    wanted("99th percentile at most 1 ms more than the nodes'", more <= 1000.0);
+    wanted(
+        "99th percentile at most 1 ms more than the nodes'",
+        more <= 1000.0,
+    );
     put("jain_more", two.jain - one.jain);
-    wanted("load spread no worse than the nodes'", two.jain >= one.jain - 0.01);
-    wanted("served as many as the nodes", two.served >= one.served - 0.01);
+    wanted(
+        "load spread no worse than the nodes'",
+        two.jain >= one.jain - 0.01,
+    );
+    wanted(
+        "served as many as the nodes",
+        two.served >= one.served - 0.01,
+    );
 
     let (latest, before, after, rules) = death(size, seed);
-    rules.iter().for_each(|b| wanted(&format!("death: {b}"), false));
+    rules
+        .iter()
+        .for_each(|b| wanted(&format!("death: {b}"), false));
     put("death_latest_first_hand_off_ms", latest.as_secs_f64() * 1e3);
     put("death_p95_before_us", before as f64);
     put("death_p95_a_second_after_us", after as f64);
@@ -282,17 +376,41 @@
         "no first hand-off later than 700 ms after a planner's death",
         latest <= Duration::from_millis(700),
     );
-    wanted("decisions take their usual time a second after it", after <= 2 * before + 1000);
+    wanted(
+        "decisions take their usual time a second after it",
+        after <= 2 * before + 1000,
+    );
 
-    let Speed { module, planner, memory, told, stall } = speed(100_000, 2_000, 100_000, size.hosts, seed)?;
+    let Speed {
+        module,
+        planner,
+        memory,
+        told,
+        stall,
+    } = speed(100_000, 2_000, 100_000, size.hosts, seed)?;
     put("module_attachments_a_second", module);
     put("planner_attachments_a_second", planner);
     put("planner_part_of_module", planner / module);
-    put("planner_memory_of_100000_open_mb", memory as f64 / f64::from(1 << 20));
+    put(
+        "planner_memory_of_100000_open_mb",
+        memory as f64 / f64::from(1 << 20),
+    );
     put("planner_told_100000_open_ms", told.as_secs_f64() * 1e3);
-    put("planner_longest_wait_at_their_end_ms", stall.as_secs_f64() * 1e3);
-    wanted("nobody waits a lease long as 100,000 open attachments end", stall < LEASE);
-    wanted("a planner decides at least half of what the module does alone", planner >= module / 2.0);
-    wanted("100,000 open attachments in under 100 MB", memory < 100 << 20);
+    put(
+        "planner_longest_wait_at_their_end_ms",
+        stall.as_secs_f64() * 1e3,
+    );
+    wanted(
+        "nobody waits a lease long as 100,000 open attachments end",
+        stall < LEASE,
+    );
+    wanted(
+        "a planner decides at least half of what the module does alone",
+        planner >= module / 2.0,
+    );
+    wanted(
+        "100,000 open attachments in under 100 MB",
+        memory < 100 << 20,
+    );
     Ok(Found { figures, broken })
 }
--- a/tests/late_messages.rs
+++ b/tests/late_messages.rs
@@ -17,27 +17,45 @@
     now: Nanos,
     next: u64,
     wakes: Vec<(Nanos, u64)>,
-    held: HashMap<AttachmentId, HostId>,
+    held: HashMap<RequestId, HostId>,
 }
 
 impl Node {
     fn start() -> Self {
-        let offering = Offering { contract_time: SECOND, message_time: WANTED, ..Offering::default() };
-        let charter = Charter {
-            nodes: 1,
-            offerings: vec![offering],
-            most_hand_offs: 3,
-            longest_expiry: 2 * SECOND,
-            longest_advice: SECOND,
-            ..Charter::default()
+        let class = RequestClass {
+            latency_objective: SECOND,
+            message_latency_objective: WANTED,
+            ..RequestClass::default()
+        };
+        let settings = BalancerSettings {
+            node_count: 1,
+            classes: vec![class],
+            max_attempts: 3,
+            max_request_timeout: 2 * SECOND,
+            max_retry_after: SECOND,
+            ..BalancerSettings::default()
         };
         let mut out = Vec::new();
-        let module = Balancer::new(charter, 7, START, &mut out);
+        let module = Balancer::new(settings, 7, START, &mut out);
         let (wakes, held) = (Vec::new(), HashMap::new());
-        let mut node = Node { module, now: START, next: 0, wakes, held };
+        let mut node = Node {
+            module,
+            now: START,
+            next: 0,
+            wakes,
+            held,
+        };
         node.carry_out(out);
-        let listing = |id| Listing { id, standing: Standing::Ready, size: 1.0, ..Listing::default() };
-        node.tell(Event::Roll { kind: RollKind::Full, hosts: HOSTS.map(listing).to_vec() });
+        let listing = |id| Endpoint {
+            id,
+            state: HostState::Ready,
+            size: 1.0,
+            ..Endpoint::default()
+        };
+        node.tell(Event::EndpointsUpdated {
+            kind: EndpointUpdate::Full,
+            endpoints: HOSTS.map(listing).to_vec(),
+        });
         node
     }
 
@@ -51,25 +69,39 @@
     fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::HandOff { id, host, .. } => {
+                Action::StartAttempt { id, host, .. } => {
                     self.held.insert(id, host);
-                    self.tell(Event::Begun { id, took: MILLI });
+                    self.tell(Event::ConnectionEstablished { id, took: MILLI });
                 }
-                Action::Move { id } => self.leaves(id),
-                Action::WakeAt { time, mark } => self.wakes.push((time, mark)),
+                Action::Migrate { id } => self.leaves(id),
+                Action::SetTimer { time, timer: mark } => self.wakes.push((time, mark)),
                 _ => {}
             }
         }
     }
 
-    fn leaves(&mut self, id: AttachmentId) {
-        let Some(host) = self.held.remove(&id) else { return };
-        let (hand_off, ending, gauges) = (0, Ending::Done, Vec::new());
-        self.tell(Event::Ended { id, hand_off, host, over: true, ending, gauges });
+    fn leaves(&mut self, id: RequestId) {
+        let Some(host) = self.held.remove(&id) else {
+            return;
+        };
+        let (attempt, ending, load_metrics) = (0, AttemptOutcome::Completed, Vec::new());
+        self.tell(Event::AttemptEnded {
+            id,
+            attempt,
+            host,
+            request_over: true,
+            ending,
+            load_metrics,
+        });
     }
 
-    fn held_at(&self, host: HostId) -> Vec<AttachmentId> {
-        let mut held: Vec<_> = self.held.iter().filter(|(_, at)| **at == host).map(|(id, _)| *id).collect();
+    fn held_at(&self, host: HostId) -> Vec<RequestId> {
+        let mut held: Vec<_> = self
+            .held
+            .iter()
+            .filter(|(_, at)| **at == host)
+            .map(|(id, _)| *id)
+            .collect();
         held.sort_by_key(|id| id.0);
         held
     }
@@ -84,23 +116,36 @@
     fn come(&mut self, count: u64) {
         for _ in 0..count {
             self.next += 1;
-            let id = AttachmentId(self.next);
-            self.tell(Event::Arrived(Arrival { id, time_left: 2 * SECOND, ..Arrival::default() }));
+            let id = RequestId(self.next);
+            self.tell(Event::RequestArrived(IncomingRequest {
+                id,
+                time_left: 2 * SECOND,
+                ..IncomingRequest::default()
+            }));
         }
     }
 
     fn pass(&mut self, span: Nanos) {
         let until = self.now + span;
-        while let Some(next) = self.wakes.iter().copied().min().filter(|(time, _)| *time <= until) {
+        while let Some(next) = self
+            .wakes
+            .iter()
+            .copied()
+            .min()
+            .filter(|(time, _)| *time <= until)
+        {
             self.wakes.retain(|wake| *wake != next);
             self.now = self.now.max(next.0);
-            self.tell(Event::Timer { mark: next.1 });
+            self.tell(Event::TimerFired { timer: next.1 });
         }
         self.now = until;
     }
 
     fn was_late(&mut self) {
-        self.tell(Event::MessageTime { host: ONCE_LATE, time: LATE });
+        self.tell(Event::MessageLatency {
+            host: ONCE_LATE,
+            latency: LATE,
+        });
     }
 }
 
@@ -119,7 +164,10 @@
     node.pass(LATE_FOR);
     node.come(16);
     let held = node.held_at(ONCE_LATE).len();
-    assert!(held >= 12, "{held} of 16 at a host that is well and holds nothing, beside two with 20 each");
+    assert!(
+        held >= 12,
+        "{held} of 16 at a host that is well and holds nothing, beside two with 20 each"
+    );
 }
 
 /// Guards: the one connection of a nearly empty host that was late once taken for all that the host bears.
