--- /dev/null
+++ b/node/tests/upgrade.rs
@@ -0,0 +1,215 @@
+//! An older and a newer build work together, both ways: one replaces the other with open connections, they share a
+//! fleet view and keep request records for each other, and they are the two ends of the control plane.
+//!
+//! `REEDFERRY_PREVIOUS` names the program of the older build; without it both are the build under test.
+
+use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, WarmingHosts};
+use reedferry_testkit::program::{folder, listener, node_config_of, path};
+use reedferry_testkit::view::View;
+use reedferry_testkit::ways::Ways;
+use reedferry_testkit::{eventually, node_config, Discovery, Hosts, Node, Peer, OPEN};
+use serde_json::json;
+use std::collections::HashMap;
+use std::io::{BufRead, BufReader};
+use std::net::TcpListener;
+use std::path::PathBuf;
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::Duration;
+
+const PERIOD: Duration = Duration::from_millis(100);
+/// How long request records are kept.
+const RECORD_LIFETIME: Duration = Duration::from_secs(2);
+
+fn previous_build() -> PathBuf {
+    std::env::var_os("REEDFERRY_PREVIOUS").map_or_else(path, PathBuf::from)
+}
+
+/// The two orders: which build comes first, which second.
+fn both_ways() -> [(PathBuf, PathBuf); 2] {
+    [(previous_build(), path()), (path(), previous_build())]
+}
+
+#[test]
+fn open_connections_survive_an_upgrade_and_a_rollback() {
+    for (older, newer) in both_ways() {
+        let (hosts, discovery) = (Hosts::start(3), Discovery::start());
+        let mut config = node_config(&hosts, discovery.address);
+        config["ops"] = json!("127.0.0.1:0");
+        let (listener, folder) = (listener(), folder());
+        let start = |program: &PathBuf| {
+            let mut node = Node::start_of_at(program, &config, &listener, &folder);
+            node.address = listener.local_addr().unwrap();
+            eventually("ready", || node.call("GET /status").0 == 200);
+            node
+        };
+        let mut predecessor = start(&older);
+        let mut open: Vec<_> = (0..20).map(|_| predecessor.served(&hosts)).collect();
+        for (client, _, host) in &mut open {
+            client.write("ha");
+            host.write("do");
+        }
+        let successor = start(&newer);
+        predecessor.stop();
+        assert!(predecessor.wait().success());
+        for (client, _, host) in &mut open {
+            client.write("lf\r\n");
+            host.write("wn\r\n");
+            host.hears("half");
+            client.hears("down");
+        }
+        assert_eq!(successor.figure("in_flight"), 20);
+        _ = std::fs::remove_dir_all(&folder);
+    }
+}
+
+/// A fleet in which nodes of the two builds alternate.
+fn mixed_fleet(
+    nodes: usize,
+    service: &Discovery,
+    known: &[serde_json::Value],
+    build: impl Fn(Fleet) -> Fleet,
+) -> Fleet {
+    let options = FleetOptions {
+        full: 1e6,
+        ..FleetOptions::TRIAL
+    };
+    let view = View {
+        ways: Ways::new(nodes, 1),
+        period: PERIOD,
+        seeds: vec![0, 1],
+    };
+    let mut fleet = build(Fleet::new(nodes, service.address, options).with_view(view));
+    let (even, odd): (Vec<usize>, Vec<usize>) = (0..nodes).partition(|node| node % 2 == 0);
+    fleet.start(&even, known, 1);
+    fleet = fleet.of(previous_build());
+    fleet.start(&odd, known, 1);
+    assert!(
+        fleet.agrees_within(PERIOD * 60).is_some(),
+        "views differ: {:?}",
+        fleet.held()
+    );
+    fleet
+}
+
+#[test]
+fn nodes_of_two_builds_share_a_fleet_view() {
+    let _turn = alone();
+    let service = Discovery::start();
+    let mut fleet = mixed_fleet(6, &service, &[], |fleet| fleet);
+    for node in [0, 1] {
+        fleet.kill(node, Duration::ZERO);
+        assert!(
+            fleet.agrees_within(PERIOD * 60).is_some(),
+            "after a death: {:?}",
+            fleet.held()
+        );
+    }
+}
+
+/// How often the lines of each key reached a host that answers nothing.
+type Lines = Arc<Mutex<HashMap<String, usize>>>;
+
+fn host_that_counts() -> (serde_json::Value, Lines) {
+    let host = TcpListener::bind("127.0.0.1:0").unwrap();
+    let member = json!({"id": "s-0", "host_port": host.local_addr().unwrap().to_string(), "locality": "a",
+        "flavor": "m", "cell": 0, "phase": "active", "size": 1.0, "up_since_ms": 0});
+    let lines = Lines::default();
+    let seen = lines.clone();
+    thread::spawn(move || {
+        for stream in host.incoming().flatten() {
+            let seen = seen.clone();
+            thread::spawn(move || {
+                for line in BufReader::new(stream).lines().map_while(Result::ok) {
+                    let key = line.split(' ').nth(1).unwrap_or("").to_string();
+                    *seen.lock().unwrap().entry(key).or_default() += 1;
+                }
+            });
+        }
+    });
+    (member, lines)
+}
+
+/// Non-idempotent requests whose node dies are not sent again, whichever build the node and the replicas are of.
+#[test]
+fn nodes_of_two_builds_keep_records_for_each_other() {
+    let _turn = alone();
+    let (member, lines) = host_that_counts();
+    let service = Discovery::start();
+    service.change(member.clone());
+    let mut fleet = mixed_fleet(6, &service, &[member], |fleet| {
+        fleet.class("single_shot", Some(RECORD_LIFETIME))
+    });
+    // A replica that has just started does not vote before a record's lifetime is over.
+    thread::sleep(RECORD_LIFETIME + PERIOD);
+    let ask = |fleet: &Fleet, node: usize, key: usize| {
+        let mut client = Peer::connect(fleet.nodes[node].as_ref().unwrap().address);
+        client.say(&format!("OPEN {key:x} {key:x} c=chat,t=acme,d=2000"));
+        client
+    };
+    let sent = |key: usize| lines.lock().unwrap().get(&format!("{key:x}")).copied();
+    let keys = 0x1000..0x1014_usize;
+    let waiting: Vec<Peer> = keys.clone().map(|key| ask(&fleet, key % 2, key)).collect();
+    eventually("each is sent once", || {
+        keys.clone().all(|key| sent(key) == Some(1))
+    });
+    fleet.kill(0, Duration::ZERO);
+    fleet.kill(1, Duration::ZERO);
+    for key in keys.clone() {
+        let answer = ask(&fleet, 2 + key % 4, key).hear();
+        assert!(
+            answer.starts_with("ERR") || answer.starts_with("BUSY"),
+            "{key:x}: {answer}"
+        );
+    }
+    assert!(keys.clone().all(|key| sent(key) == Some(1)));
+    let taken_over = |node| {
+        let status = fleet.status(node).unwrap();
+        status["wards"]["taken_over"].as_u64().unwrap()
+    };
+    // Those of which two replicas died with their nodes are rejected until these vote again.
+    for (build, nodes) in [("this build", [2, 4]), ("the previous build", [3, 5])] {
+        assert!(
+            nodes.into_iter().map(taken_over).sum::<u64>() > 0,
+            "{build}"
+        );
+    }
+    drop(waiting);
+}
+
+#[test]
+fn a_forwarder_and_a_planner_of_two_builds_work_together() {
+    for (forwarder, planner) in both_ways() {
+        let (hosts, service) = (WarmingHosts::new(FleetOptions::TRIAL), Discovery::start());
+        let members = hosts.members(hosts.start(2, false));
+        members
+            .iter()
+            .for_each(|member| service.change(member.clone()));
+        let mut config = node_config_of(json!(members), service.address);
+        config["settings"]["policy_limits"]["may_probe"] = json!(false);
+        let listed = |address| format!("[[planner]]\nname = \"p0\"\naddress = \"{address}\"\n");
+        let text = format!(
+            "papers = \"PAPERS\"\n[plan]\nname = \"p0\"\nlisten = \"127.0.0.1:0\"\n{}",
+            listed("127.0.0.1:1".to_string())
+        );
+        let planner = Node::start_of_as(&planner, "plan", &text, &config);
+        let text = format!(
+            "papers = \"PAPERS\"\n[forward]\nlease = \"250ms\"\n{}",
+            listed(planner.address.to_string())
+        );
+        let forwarder = Node::start_of_as(&forwarder, "forward", &text, &config);
+        let mut open = Vec::new();
+        // Before the planner has been heard the forwarder rejects.
+        eventually("twenty are served", || {
+            let mut client = forwarder.open(OPEN);
+            if client.hear().starts_with("UP") {
+                open.push(client);
+            }
+            open.len() == 20
+        });
+        for client in &mut open {
+            client.say("echo");
+            client.hears("echo");
+        }
+    }
+}
--- a/testkit/src/program.rs
+++ b/testkit/src/program.rs
@@ -168,7 +168,11 @@
 
 /// The same, with clients taken in at the descriptor that is named so.
 pub fn program_at(node_config: &str, listener: &str, folder: &Path) -> Command {
-    let mut command = program(node_config);
+    program_of_at(&path(), node_config, listener, folder)
+}
+
+fn program_of_at(program: &Path, node_config: &str, listener: &str, folder: &Path) -> Command {
+    let mut command = program_of(program, node_config);
     command.env("GW_ACCEPT_FD", listener).env("TMPDIR", folder);
     command
 }
@@ -230,6 +234,22 @@
         ))
     }
 
+    /// The same, of this build of the program.
+    pub fn start_of_at(
+        program: &Path,
+        node_config: &Value,
+        listener: &TcpListener,
+        folder: &Path,
+    ) -> Self {
+        let listener = listener.as_raw_fd().to_string();
+        Node::launch(program_of_at(
+            program,
+            &node_config.to_string(),
+            &listener,
+            folder,
+        ))
+    }
+
     /// One that the system allows no more than so many descriptors.
     pub fn start_within(node_config: &Value, descriptors: usize) -> Self {
         let plain = program(&node_config.to_string());
