--- a/node/src/connections/landing.rs
+++ b/node/src/connections/landing.rs
@@ -342,7 +342,7 @@
         if context.request_lines.room(context.now) {
             let took = context.now.saturating_sub(landing.since) / MILLI;
             info!(context.log, "attempt ended"; "id" => connection.id(), "attempt" => landing.number,
-                "host" => &context.hosts.record(landing.host).name, "why" => ending.word(), "ms" => took);
+                "host" => &context.hosts.record(landing.host).name, "why" => ending.as_str(), "ms" => took);
         }
         if connection.stage == Stage::Held {
             context.events.push(Event::AttemptEnded {
--- a/node/src/operators/counts.rs
+++ b/node/src/operators/counts.rs
@@ -109,7 +109,7 @@
     fn key(self) -> (&'static str, &'static str) {
         match self {
             Count::NotBegun(refusal) => ("attempts_not_begun", refusal.name()),
-            Count::AttemptEnded(ending) => ("attempts_ended", ending.word()),
+            Count::AttemptEnded(ending) => ("attempts_ended", ending.as_str()),
             Count::Closed(close) => ("closed", close.name()),
             Count::Violated(violation) => ("violations", violation.name()),
             Count::MachineTrouble(call) => ("machine_trouble", call),
--- a/node/src/peers/fleet.rs
+++ b/node/src/peers/fleet.rs
@@ -207,7 +207,7 @@
                         .core
                         .others()
                         .any(|m| m.who.address == from && m.state != State::Gone);
-                    if known && word.len() <= reedferry::word::LONGEST {
+                    if known && word.len() <= reedferry::gossip::MAX_MESSAGE_BYTES {
                         context.events.push(Event::GossipReceived {
                             message: word.to_vec(),
                         });
--- a/node/src/peers/words.rs
+++ b/node/src/peers/words.rs
@@ -4,7 +4,7 @@
 
 use crate::context::{mark, Context, PEERS, START_WITHIN};
 use crate::peers::fleet::FleetConfig;
-use reedferry::word::LONGEST;
+use reedferry::gossip::MAX_MESSAGE_BYTES as LONGEST;
 use reedferry::Event;
 use reedferry_runtime::errors::patiently;
 use reedferry_runtime::{Errno, Socket};
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -2,7 +2,7 @@
 //! moments of its calls, their spread over the fleet and their growth after failures. It must never know what the
 //! list says, nor how a call is made.
 
-use crate::types::*;
+use crate::*;
 
 /// Within how long a node that knows nothing has its first turn, and how long it waits after a call that failed, at the
 /// most, whatever the settings leave it: nine in ten are to serve within 10 s of their start.
--- a/src/ceilings.rs
+++ b/src/ceilings.rs
@@ -3,7 +3,7 @@
 
 use crate::choice::{Room, CROWDED, FULL, LATE};
 use crate::records::{draw, Conn, Host, Note, To, PULSE};
-use crate::types::{Action, HostState, Nanos, SECOND};
+use crate::{Action, HostState, Nanos, SECOND};
 
 /// How fast a ceiling rises, a second.
 const RISE: f64 = 0.02;
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -9,11 +9,11 @@
 //! may look at another's record; only the part itself changes it.
 
 use crate::calls::{Call, Pace};
+use crate::gossip;
 use crate::permission::{answer_by, may_dismiss, may_repeat_at, repeat_deadline};
 use crate::records::*;
 use crate::slow_start::{by_lot, many, BEARS, LOT};
-use crate::types::*;
-use crate::word;
+use crate::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{HashMap, VecDeque};
@@ -263,7 +263,7 @@
                         AttemptOutcome::Rejected | AttemptOutcome::ConnectionLost
                     );
                 if its_own || !at.desk.common() {
-                    self.mask(now, at.chance, ending.word(), at.out);
+                    self.mask(now, at.chance, ending.as_str(), at.out);
                 }
             }
             // Guards: a host that fails fast looks empty and draws the clients; and hosts left out for
@@ -297,7 +297,7 @@
                     NEWS
                 };
                 let news = (load - self.told).abs() > step || now > self.told_at + RETELL;
-                let message = word::encode(self.id, load);
+                let message = gossip::encode(self.id, load);
                 let price =
                     message.len() as f64 * f64::from(at.settings.node_count.saturating_sub(1));
                 let tells = at.settings.gossip_enabled && news && !heard && at.desk.purse >= price;
@@ -736,10 +736,10 @@
 
     /// Takes in what another node tells, of hosts that the own roll names.
     fn hear(&mut self, message: &[u8]) {
-        let Some((tag, load)) = word::decode(message) else {
+        let Some((tag, load)) = gossip::decode(message) else {
             return;
         };
-        let meant = |&n: &usize| self.hosts[n].listed && word::tag(self.hosts[n].id) == tag;
+        let meant = |&n: &usize| self.hosts[n].listed && gossip::host_tag(self.hosts[n].id) == tag;
         let mut named = (0..self.hosts.len()).filter(meant);
         // Guards: a word on one host taken for another's where two tags are the same.
         if let (Some(host), None) = (named.next(), named.next()) {
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -3,7 +3,7 @@
 //! anything: the module asks it and judges.
 
 use crate::records::{Ledger, Note, FADE, GROUP_PRICE, HORIZON, PULSE, STEP, TABLE_AGE};
-use crate::types::*;
+use crate::*;
 
 const TABLE_SIZE: usize = 8192;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! The library takes [`Event`]s in and gives [`Action`]s out. It does no I/O, keeps no clock and
 //! knows no protocol; whoever speaks a protocol translates it to these types. Hosts are chosen in
-//! [`choice`]; whether a request may be attempted, repeated or dismissed at all is decided in [`permission`]; the types
-//! stand in [`types`].
+//! [`choice`]; whether a request may be attempted, repeated or dismissed at all is decided in [`permission`]; the rest is the
+//! interface: settings, events and actions.
 //!
 //! ```
 //! use reedferry::{Action, Balancer, BalancerSettings, Endpoint, EndpointUpdate, Event, HostId};
@@ -28,15 +28,27 @@
     ($out:expr, $($text:tt)*) => { $out.push(Action::Log(format!($($text)*))) };
 }
 
+mod action;
 pub mod calls;
 mod ceilings;
 pub mod choice;
+mod endpoint;
+mod event;
+pub mod gossip;
+mod inherited_state;
 mod ledger;
 pub mod permission;
 mod records;
+mod request;
+mod settings;
 mod slow_start;
-pub mod types;
-pub mod word;
+mod time;
 
+pub use action::Action;
 pub use choice::Balancer;
-pub use types::*;
+pub use endpoint::{Endpoint, EndpointUpdate, HostId, HostState};
+pub use event::Event;
+pub use inherited_state::{ClientStatistics, HostSnapshot, InheritedState};
+pub use request::{AttemptOutcome, IncomingRequest, PriorAttempts, RequestId};
+pub use settings::{BalancerSettings, Idempotency, IdempotencyGroup, LoadMetric, RequestClass};
+pub use time::{Nanos, MILLI, SECOND};
--- a/src/permission.rs
+++ b/src/permission.rs
@@ -5,7 +5,7 @@
 //! before the first byte of an attempt, as the clock and the world have moved on in between. A refusal names its reason,
 //! which is counted and logged by whoever asked.
 
-use crate::types::{Endpoint, Idempotency, IdempotencyGroup, Nanos, RequestClass, MILLI};
+use crate::{Endpoint, Idempotency, IdempotencyGroup, Nanos, RequestClass, MILLI};
 
 /// How long a process may be held up between reading its clock and writing. The grace of a draining host has to cover it.
 pub const LONGEST_STALL: Nanos = 150 * MILLI;
--- a/src/permission_tests.rs
+++ b/src/permission_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::types::SECOND;
+use crate::SECOND;
 
 fn class(idempotency: Idempotency, idempotency_group: IdempotencyGroup) -> RequestClass {
     RequestClass {
--- a/src/records.rs
+++ b/src/records.rs
@@ -2,7 +2,7 @@
 //! It must never decide anything.
 
 use crate::calls::Calls;
-use crate::types::*;
+use crate::*;
 use std::collections::{HashMap, VecDeque};
 
 /// Look-ahead steps, the paper's setting, and their length.
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -2,7 +2,7 @@
 //! budget of a cold host and this node's part of it, by turns or by lot. It must never choose a host.
 
 use crate::records::{draw, Host, Survey};
-use crate::types::{BalancerSettings, Nanos, MILLI, SECOND};
+use crate::{BalancerSettings, Nanos, MILLI, SECOND};
 
 /// How long a client's lot at a cold host holds.
 pub(crate) const LOT: Nanos = 2 * SECOND;
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -205,7 +205,7 @@
             }
             Action::Gossip { message } => {
                 assert!(
-                    self.settings.gossip_enabled && message.len() <= word::LONGEST,
+                    self.settings.gossip_enabled && message.len() <= gossip::MAX_MESSAGE_BYTES,
                     "{seed}: told without leave"
                 );
             }
@@ -506,7 +506,7 @@
                 load_metrics: values,
             },
             3 => Event::GossipReceived {
-                message: word::encode(host, load),
+                message: gossip::encode(host, load),
             },
             _ => Event::GossipReceived { message: bytes },
         };
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -178,7 +178,7 @@
             }
             Action::Gossip { message } => {
                 assert!(
-                    self.settings.gossip_enabled && message.len() <= word::LONGEST,
+                    self.settings.gossip_enabled && message.len() <= gossip::MAX_MESSAGE_BYTES,
                     "told without leave, or too long"
                 );
                 self.told += 1;
@@ -554,7 +554,7 @@
                     }
                     "heard" => {
                         self.tell(Event::GossipReceived {
-                            message: word::encode(host(words[2]), num(words[3])),
+                            message: gossip::encode(host(words[2]), num(words[3])),
                         });
                     }
                     "heard-bytes" => {
--- a/tests/wire_bytes.rs
+++ b/tests/wire_bytes.rs
@@ -1,6 +1,6 @@
 //! The exact bytes of what nodes tell each other: an older and a newer process share a fleet.
 
-use reedferry::word::{decode, encode};
+use reedferry::gossip::{decode, encode};
 use reedferry::HostId;
 
 fn hex(bytes: &[u8]) -> String {
