--- a/node/src/roles/alone.rs
+++ b/node/src/roles/alone.rs
@@ -19,7 +19,7 @@
 use crate::ready::Ready;
 use crate::roles::succession::{Knowledge, Succession};
 use crate::{AtStart, BEYOND_EXPIRY, SWEEP};
-use reedferry::{Action, Balancer, BalancerSettings, Event, Idempotency};
+use reedferry::{Action, Balancer, BalancerSettings, Event, HostCounts, Idempotency};
 use reedferry_membership::State;
 use reedferry_runtime::{Clock, Errno, Signal, Socket};
 use reedferry_settings::renewal;
@@ -306,7 +306,7 @@
                 members: context.hosts.members(),
                 classes: context.node_settings.classes.clone(),
                 held: self.connections.held(context),
-                legacy: self.module.leave(),
+                legacy: self.module.export_state(),
             };
             self.succession
                 .leave(context, &mut self.connections, &knowledge);
@@ -397,7 +397,7 @@
         self.succession.sweep(context, &mut self.connections);
         self.discovery.sweep(context);
         let (shares, looks) = (
-            self.module.shares_turns(context.now),
+            self.module.uses_slow_start_slots(context.now),
             self.node_config.balancer_settings.load_from_probes,
         );
         if let Some(fleet) = &mut self.fleet {
@@ -419,7 +419,10 @@
         let held = self.connections.count();
         match call {
             Call::Figures => {
-                let (hosts_known, hosts_excluded) = self.module.regard(self.context.now);
+                let HostCounts {
+                    listed: hosts_known,
+                    avoided: hosts_excluded,
+                } = self.module.host_counts(self.context.now);
                 let in_flight = self.connections.in_flight();
                 Reply::new(
                     200,
@@ -439,7 +442,7 @@
             },
             Call::Status if stops => Reply::new(503, "stopping\n"),
             Call::Status if stands_by => Reply::new(503, "standby\n"),
-            Call::Status if self.module.regard(self.context.now).0 == 0 => {
+            Call::Status if self.module.host_counts(self.context.now).listed == 0 => {
                 Reply::new(503, "no hosts known\n")
             }
             Call::Status => Reply::new(200, "ready\n"),
--- a/node/tests/relisted.rs
+++ b/node/tests/relisted.rs
@@ -176,7 +176,7 @@
     let masks: Vec<String> = node
         .logged()
         .into_iter()
-        .filter(|line| line.contains("mask host"))
+        .filter(|line| line.contains("host ejected"))
         .collect();
     assert!(masks.is_empty(), "{masks:?}");
     drop((first, listener));
--- a/node/tests/repeats.rs
+++ b/node/tests/repeats.rs
@@ -123,7 +123,7 @@
             node_config["settings"]["zones"] = json!(["b", "a"]);
             node_config["settings"]["zone"] = json!(1);
             node.reread(&node_config.to_string());
-            node.logs("terms renewed");
+            node.logs("settings changed active_classes=");
         }
         host.reset();
         client.hears("ERR");
--- a/node/tests/sockets.rs
+++ b/node/tests/sockets.rs
@@ -181,7 +181,7 @@
     let all: Vec<_> = (0..12).map(|_| node.served(&hosts)).collect();
     let began = Instant::now();
     node.stop();
-    node.logs("leaving held=12");
+    node.logs("shutting down requests=12");
     let mut late = node.open(OPEN);
     assert!(late.hear().starts_with("BUSY"));
     for (mut client, _, mut host) in all {
@@ -703,7 +703,7 @@
     probe.hears("STATS");
     probe.say("PONG x0=1.5,x1=4.0");
     probe.hears("end");
-    node.logs("cut host=");
+    node.logs("load limit decreased host=");
     client.hears("MOVE");
 }
 
--- /dev/null
+++ b/src/balancer.rs
@@ -0,0 +1,346 @@
+//! The balancer of one node: events in, actions out.
+//!
+//! How to use it: make one [`Balancer`] for each node, hand each event to [`Balancer::handle`] with the caller's clock, and
+//! carry out the actions that it appends, in their order. Why decisions are as they are is told in `docs/design.md`.
+//!
+//! Each part (the host records, the request table, the weight optimizer, the connection history, the endpoint poller) owns
+//! its state. An event becomes messages to these parts, and handling a message may send more: [`Balancer`] handles them in
+//! order until none is left. A part may read another's state; only the part itself changes it.
+
+mod endpoints;
+mod fleet_estimate;
+mod inheritance;
+mod load_reports;
+mod placement;
+mod requests;
+mod scoring;
+mod selection;
+mod shutdown;
+mod tick;
+
+use crate::action::Action;
+use crate::arrival_rate::ArrivalRate;
+use crate::connection_history::ConnectionHistory;
+use crate::endpoint::HostId;
+use crate::endpoint_poller::EndpointPoller;
+use crate::event::Event;
+use crate::gossip_budget::GossipBudget;
+use crate::host::{uses_client_slots, HostContext, HostTable};
+use crate::intervals::TICK_INTERVAL;
+use crate::load_shedding::LoadShedding;
+use crate::messages::{
+    HistoryMessage, HostMessage, Message, MessageQueue, PollerMessage, RequestMessage,
+};
+use crate::request::{AttemptOutcome, RequestId};
+use crate::request_table::RequestTable;
+use crate::settings::BalancerSettings;
+use crate::setup_failures::SetupFailures;
+use crate::time::Nanos;
+use crate::weight_optimizer::WeightOptimizer;
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use shutdown::Shutdown;
+
+/// The timer of [`Action::SetTimer`] that makes a tick due.
+const TICK_TIMER: u64 = 0;
+/// The timer that makes the next migration of a shutdown due.
+const MIGRATION_TIMER: u64 = 1;
+
+/// How many hosts a node knows, and how many of them it avoids.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct HostCounts {
+    /// Hosts in the endpoint list.
+    pub listed: usize,
+    /// Listed hosts that are not ready, ejected, or late with messages.
+    pub avoided: usize,
+}
+
+/// All decisions of one node.
+pub struct Balancer {
+    settings: BalancerSettings,
+    rng: ChaCha8Rng,
+    hosts: HostTable,
+    requests: RequestTable,
+    weight_optimizer: WeightOptimizer,
+    history: ConnectionHistory,
+    poller: EndpointPoller,
+    setup_failures: SetupFailures,
+    load_shedding: LoadShedding,
+    gossip_budget: GossipBudget,
+    arrival_rate: ArrivalRate,
+    shutdown: Shutdown,
+    messages: MessageQueue,
+    ticks: u64,
+    received_endpoints: bool,
+}
+
+impl Balancer {
+    /// A balancer that knows no host yet. `seed` decides all its random choices.
+    pub fn new(
+        settings: BalancerSettings,
+        seed: u64,
+        now: Nanos,
+        actions: &mut Vec<Action>,
+    ) -> Self {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        // The first tick comes at a moment of the node's own, so that nodes do not tick in step.
+        let time = now + (TICK_INTERVAL as f64 * rng.random::<f64>()) as Nanos;
+        let timer = TICK_TIMER;
+        actions.push(Action::SetTimer { time, timer });
+        Balancer {
+            rng,
+            history: ConnectionHistory::new(&settings.classes),
+            settings,
+            hosts: HostTable::default(),
+            requests: RequestTable::default(),
+            weight_optimizer: WeightOptimizer::new(),
+            poller: EndpointPoller::default(),
+            setup_failures: SetupFailures::default(),
+            load_shedding: LoadShedding::default(),
+            gossip_budget: GossipBudget::new(),
+            arrival_rate: ArrivalRate::default(),
+            shutdown: Shutdown::default(),
+            messages: MessageQueue::new(),
+            ticks: 0,
+            received_endpoints: false,
+        }
+    }
+
+    /// Takes in one event and appends the actions that it calls for.
+    pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
+        self.take_in(now, event, actions);
+        while let Some(message) = self.messages.pop_front() {
+            self.handle_message(now, message, actions);
+        }
+    }
+
+    /// Whether any host is warming up whose budget the nodes share by slots.
+    pub fn uses_slow_start_slots(&self, now: Nanos) -> bool {
+        !uses_client_slots(&self.settings)
+            && self
+                .hosts
+                .iter()
+                .any(|host| host.is_ready() && host.is_warming_up(now, &self.settings))
+    }
+
+    /// How many hosts are listed, and how many of those this node avoids now.
+    pub fn host_counts(&self, now: Nanos) -> HostCounts {
+        let listed = self.hosts.iter().filter(|host| host.listed);
+        let avoided = listed.clone().filter(|host| {
+            !host.is_ready() || host.ejection.is_active(now) || host.latency.is_late(now)
+        });
+        HostCounts {
+            avoided: avoided.count(),
+            listed: listed.count(),
+        }
+    }
+
+    fn take_in(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::EndpointsUpdated { kind, endpoints } => {
+                self.update_endpoints(now, kind, endpoints);
+            }
+            Event::TimerFired {
+                timer: MIGRATION_TIMER,
+            } => self.send_request(RequestMessage::MigrationTimer),
+            Event::TimerFired { .. } => self.tick(now, actions),
+            Event::ShutdownStarted { from, by } => {
+                self.send_request(RequestMessage::ShutdownStarted { from, by });
+            }
+            Event::ShutdownCancelled => self.send_request(RequestMessage::ShutdownCancelled),
+            Event::RequestArrived(incoming) => {
+                self.send_request(RequestMessage::Arrived(incoming));
+            }
+            Event::RequestTakenOver(incoming, prior) => self.request_taken_over(incoming, &prior),
+            Event::ConnectionFound(incoming, host) => self.connection_found(incoming, host, now),
+            Event::ConnectionHandedOver(incoming, host, since) => {
+                self.connection_found(incoming, host, since);
+            }
+            Event::SettingsChanged(settings, replaced_classes) => {
+                self.change_settings(*settings, replaced_classes, actions);
+            }
+            Event::SuccessorChanged(has_state) => {
+                self.send_request(RequestMessage::SuccessorChanged(has_state));
+            }
+            Event::StateInherited(state) => self.inherit_state(state),
+            Event::ClientLeft { id } => {
+                if let Some(slot) = self.requests.slot(id) {
+                    self.send_request(RequestMessage::ClientLeft { slot });
+                }
+            }
+            Event::ConnectionEstablished { id, took } => self.connection_established(id, took),
+            Event::AttemptEnded {
+                id,
+                host,
+                request_over,
+                ending,
+                load_metrics,
+                ..
+            } => self.attempt_ended(id, host, request_over, ending, &load_metrics),
+            Event::LoadMeasured { id, load } => {
+                if let Some((slot, host)) = self.slot_and_host(id) {
+                    self.send_host(host, HostMessage::LoadMeasured { slot, load });
+                }
+            }
+            Event::MessageLatency { host, latency } => {
+                if let Some(host) = self.hosts.index(host) {
+                    self.send_host(host, HostMessage::MessageLatency(latency));
+                }
+            }
+            Event::ProbeEnded {
+                host,
+                ending,
+                load_metrics,
+            } => self.probe_ended(host, ending, &load_metrics),
+            Event::GossipReceived { message } => self.gossip_received(&message),
+            Event::SlowStartSlotsAssigned(slots) => self.settings.slow_start_slots = slots,
+            Event::ProbeTargetsAssigned(targets) => self.assign_probe_targets(&targets),
+        }
+    }
+
+    fn connection_established(&mut self, id: RequestId, took: Nanos) {
+        let Some((slot, host)) = self.slot_and_host(id) else {
+            return;
+        };
+        let established = |slot| self.requests.get(slot).is_some_and(|r| r.established);
+        if !established(slot) {
+            self.send_host(host, HostMessage::ConnectionEstablished { slot, took });
+            self.send_request(RequestMessage::ConnectionEstablished { slot });
+        }
+    }
+
+    fn attempt_ended(
+        &mut self,
+        id: RequestId,
+        host: HostId,
+        request_over: bool,
+        outcome: AttemptOutcome,
+        load_metrics: &[f64],
+    ) {
+        let current = self.slot_and_host(id);
+        let named = self.hosts.index(host);
+        let Some(host) = named.or(current.map(|(_, host)| host)) else {
+            return;
+        };
+        self.load_report_received(host, load_metrics, None);
+        // An attempt that is no longer the current one changes nothing else.
+        if let Some((slot, _)) = current.filter(|(_, current)| *current == host) {
+            self.send_host(host, HostMessage::ConnectionEnded { slot, outcome });
+            self.send_request(RequestMessage::AttemptEnded {
+                slot,
+                request_over,
+                outcome,
+            });
+        }
+    }
+
+    fn change_settings(
+        &mut self,
+        settings: BalancerSettings,
+        replaced: Vec<usize>,
+        actions: &mut Vec<Action>,
+    ) {
+        let count = settings.classes.len();
+        let changed = HistoryMessage::ClassesChanged { count, replaced };
+        self.messages.push_back(Message::History(changed));
+        let active = settings.active().count();
+        log!(actions, "settings changed active_classes={active}");
+        if settings.overload_window != self.settings.overload_window {
+            for host in 0..self.hosts.len() {
+                self.send_host(host, HostMessage::SlotLengthChanged);
+            }
+        }
+        let slow_start_slots = std::mem::take(&mut self.settings.slow_start_slots);
+        self.settings = BalancerSettings {
+            slow_start_slots,
+            ..settings
+        };
+    }
+
+    /// The slot of a known request, and the host of its attempt in flight or open connection.
+    fn slot_and_host(&self, id: RequestId) -> Option<(usize, usize)> {
+        let slot = self.requests.slot(id)?;
+        Some((slot, self.requests.get(slot)?.host?))
+    }
+
+    fn send_host(&mut self, host: usize, message: HostMessage) {
+        self.messages.push_back(Message::Host(host, message));
+    }
+
+    fn send_request(&mut self, message: RequestMessage) {
+        self.messages.push_back(Message::Request(message));
+    }
+
+    fn handle_message(&mut self, now: Nanos, message: Message, actions: &mut Vec<Action>) {
+        match message {
+            Message::Host(host, message) => self.handle_host(now, host, message, actions),
+            Message::Request(message) => self.handle_request(now, message, actions),
+            Message::PlacementJudged {
+                vector,
+                load_spread,
+                longest_remaining,
+            } => self.weight_optimizer.placement_judged(
+                vector,
+                load_spread,
+                longest_remaining,
+                &mut self.rng,
+                actions,
+            ),
+            Message::History(message) => self.handle_history(now, message),
+            Message::Poller(message) => self.handle_poller(now, message, actions),
+        }
+    }
+
+    fn handle_host(
+        &mut self,
+        now: Nanos,
+        host: usize,
+        message: HostMessage,
+        actions: &mut Vec<Action>,
+    ) {
+        let connections_per_size = if self.hosts[host].is_warming_up(now, &self.settings) {
+            self.estimate_fleet(now).share.connections_per_size
+        } else {
+            0.0
+        };
+        let mut context = HostContext {
+            settings: &self.settings,
+            history: &self.history,
+            requests: &self.requests,
+            setup_failures: &self.setup_failures,
+            gossip_budget: &self.gossip_budget,
+            messages: &mut self.messages,
+            actions,
+            random: self.rng.random(),
+            connections_per_size,
+        };
+        self.hosts[host].handle(message, now, &mut context);
+    }
+
+    fn handle_history(&mut self, now: Nanos, message: HistoryMessage) {
+        match message {
+            HistoryMessage::ConnectionEnded { key, duration } => {
+                self.history.connection_ended(key, duration, now);
+            }
+            HistoryMessage::FinalLoad { key, load } => self.history.final_load(key, load, now),
+            HistoryMessage::LoadMeasured { class, load } => self.history.load_measured(class, load),
+            HistoryMessage::SetupTook { host, took } => self.history.setup_took(host, took),
+            HistoryMessage::ClassesChanged { count, replaced } => {
+                self.history.classes_changed(count, replaced);
+            }
+            HistoryMessage::StateInherited(state) => self.history.inherit(*state),
+            HistoryMessage::Tick { open_requests } => self.history.tick(open_requests),
+        }
+    }
+
+    fn handle_poller(&mut self, now: Nanos, message: PollerMessage, actions: &mut Vec<Action>) {
+        let schedule = self.poll_schedule();
+        let random = self.rng.random();
+        match message {
+            PollerMessage::Updated(kind) => {
+                self.poller.updated(now, kind, random, schedule, actions);
+            }
+            PollerMessage::Tick => self.poller.tick(now, schedule, actions),
+        }
+    }
+}
--- /dev/null
+++ b/src/balancer/placement.rs
@@ -0,0 +1,173 @@
+//! The placement of one request: it is sent to the best host, or gets its final answer at once.
+
+use super::Balancer;
+use crate::action::Action;
+use crate::connection::Connection;
+use crate::hashing::hash_to_unit_interval;
+use crate::host::is_large_fleet;
+use crate::messages::HostMessage;
+use crate::permission::{answer_by, may_dismiss, repeat_deadline};
+use crate::request_table::Request;
+use crate::settings::{Idempotency, RequestClass};
+use crate::time::{Nanos, SECOND};
+use rand::Rng;
+
+/// Attempts that end with an error before no other host is tried.
+const MAX_ERRORS: u32 = 2;
+/// How much longer than its objective a set-up is waited for by a node of many that sees next to none. Where probes or
+/// connections tell how loaded hosts are, one that hangs is found out by that, and the wait is shorter.
+const EXTRA_SETUP_TIME: Nanos = 6 * SECOND;
+const EXTRA_SETUP_TIME_WITH_LOADS: Nanos = 2 * SECOND;
+/// Requests a second at which that extra time is halved.
+const TELLING_ARRIVAL_RATE: f64 = 5.0;
+/// How many times longer a set-up is waited for where all fail.
+const FAILURE_PATIENCE: f64 = 20.0;
+
+impl Balancer {
+    /// Sends the request to the best host, or gives its final answer at once.
+    pub(super) fn place(&mut self, now: Nanos, slot: usize, actions: &mut Vec<Action>) {
+        let random: u64 = self.rng.random();
+        let Some(request) = self.requests.get(slot) else {
+            return;
+        };
+        let class = &self.settings.classes[request.incoming.class];
+        let answer_by = self.answer_by(request);
+        let write_by = repeat_deadline(class, request.first_run.map(|first| first.sent_at));
+        let shed = self.should_shed(now, request, random);
+        let out_of_attempts = now >= answer_by || now >= write_by || self.has_failed(request);
+        let vector = self.weight_optimizer.current();
+        let host = if out_of_attempts || shed {
+            None
+        } else {
+            self.select_host(now, request, vector, random)
+        };
+        if shed {
+            self.load_shedding.request_rejected(now);
+        }
+        let Some(host) = host else {
+            return self.give_final_answer(slot, actions);
+        };
+        let last_attempt = request.attempts + 1 >= request.max_attempts
+            || class.idempotency == Idempotency::NonIdempotent;
+        let until = if last_attempt {
+            answer_by
+        } else {
+            answer_by.min(now + self.setup_timeout(now, class))
+        };
+        actions.push(Action::StartAttempt {
+            id: request.id,
+            host: self.hosts[host].id,
+            until,
+            by: write_by,
+        });
+        self.attempt_started(now, slot, host, vector);
+    }
+
+    fn attempt_started(&mut self, now: Nanos, slot: usize, host: usize, vector: usize) {
+        self.weight_optimizer.advance();
+        self.load_shedding.request_placed();
+        self.gossip_budget.attempt_started();
+        let endpoint = self.hosts[host].endpoint;
+        let Some(request) = self.requests.get_mut(slot) else {
+            return;
+        };
+        request.attempt_started(host, endpoint, now);
+        let incoming = request.incoming;
+        let connection = Connection {
+            weight_vector: Some(vector),
+            ..Connection::new(now, slot, &incoming, &self.history, &self.settings)
+        };
+        self.send_host(host, HostMessage::ConnectionAdded(connection));
+    }
+
+    /// By when the request gets its answer. Without the shutdown's deadline, it might have one only after a node that stops was
+    /// ended from outside.
+    fn answer_by(&self, request: &Request) -> Nanos {
+        let shutdown_deadline = self.shutdown.deadline.unwrap_or(Nanos::MAX);
+        answer_by(
+            request.deadline.min(shutdown_deadline),
+            request.incoming.time_left,
+            self.settings.min_call_interval,
+        )
+    }
+
+    /// Whether the request has failed too often to be attempted again. Without the first limit, a store that fails at once would
+    /// be asked five times over for each request; without the second, what no host accepts, as bad clients send it, would be
+    /// offered to host after host.
+    fn has_failed(&self, request: &Request) -> bool {
+        let max_attempts = if self.setup_failures.are_common() {
+            1
+        } else {
+            request.max_attempts
+        };
+        request.attempts >= max_attempts || request.errors >= MAX_ERRORS
+    }
+
+    /// Whether a request that has just arrived is rejected: all are in a shutdown; in an overload, the less a node sees of the
+    /// hosts, the more of what load limits might hold it rejects by chance. Prevents many nodes from filling hosts up again as
+    /// fast as each migrates its one connection there.
+    fn should_shed(&self, now: Nanos, request: &Request, random: u64) -> bool {
+        if request.attempts > 0 {
+            return false;
+        }
+        if self.shutdown.is_in_progress() {
+            return true;
+        }
+        if !self.load_shedding.is_active() || self.load_shedding.should_try(now) {
+            return false;
+        }
+        let unseen_share = self.estimate_fleet(now).unseen_share();
+        // The less it is worth for its load, the sooner.
+        let least = self
+            .settings
+            .classes
+            .iter()
+            .enumerate()
+            .filter(|(_, class)| class.active)
+            .map(|(class, _)| self.worth_for_load(class))
+            .fold(f64::INFINITY, f64::min);
+        let relative_worth = least / self.worth_for_load(request.incoming.class);
+        let unseen_share = unseen_share * relative_worth.sqrt();
+        hash_to_unit_interval(random, 0) < self.load_shedding.rejected_share(unseen_share)
+    }
+
+    fn worth_for_load(&self, class: usize) -> f64 {
+        let worth = self.settings.classes[class].priority_weight / self.history.load(class, None);
+        worth.max(f64::MIN_POSITIVE)
+    }
+
+    /// The final answer to what cannot be attempted any more: a rejection where a retry is harmless.
+    fn give_final_answer(&mut self, slot: usize, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(slot) else {
+            return;
+        };
+        let class = &self.settings.classes[request.incoming.class];
+        let harmless = may_dismiss(class, request.first_run.is_some());
+        let id = request.id;
+        // Spread, so that the clients do not come back in step.
+        let wait = self.settings.max_retry_after as f64 * self.rng.random_range(0.25..1.0);
+        actions.push(if harmless {
+            let retry_after = wait as Nanos;
+            Action::Reject { id, retry_after }
+        } else {
+            Action::Fail { id }
+        });
+        self.requests.remove(slot);
+    }
+
+    /// How long a set-up is waited for before another host is tried. Without the longer waits, a store that all set-ups share
+    /// would give its answers when the node has asked anew already. The fewer set-ups a node sees, the less it can tell such a
+    /// store from a host that hangs, and the longer it waits.
+    fn setup_timeout(&self, now: Nanos, class: &RequestClass) -> Nanos {
+        let knows_loads = self.settings.load_from_probes || self.history.has_measured_loads();
+        let max_extra = match (is_large_fleet(&self.settings), knows_loads) {
+            (false, _) => 0,
+            (true, true) => EXTRA_SETUP_TIME_WITH_LOADS,
+            (true, false) => EXTRA_SETUP_TIME,
+        };
+        let arrivals = self.arrival_rate.per_second(now);
+        let extra = max_extra as f64 / (1.0 + (arrivals / TELLING_ARRIVAL_RATE).powi(2));
+        let usual = (class.latency_objective as f64 + extra).max(self.history.slow_setup_time());
+        (usual * (1.0 + FAILURE_PATIENCE * self.setup_failures.rate())) as Nanos
+    }
+}
--- /dev/null
+++ b/src/balancer/selection.rs
@@ -0,0 +1,229 @@
+//! The selection of a host for one request: which hosts may and can take it. Scores are in `scoring.rs`.
+
+use super::fleet_estimate::FleetEstimate;
+use super::Balancer;
+use crate::hashing::hash_to_unit_interval;
+use crate::host::{uses_client_slots, Host, CROWDED_LOAD};
+use crate::intervals::{LOOK_AHEAD_STEP, LOOK_AHEAD_STEPS, TICK_INTERVAL};
+use crate::permission::may_repeat_at;
+use crate::request_table::Request;
+use crate::time::Nanos;
+
+/// How many hosts a node starts with.
+const INITIAL_HOSTS: f64 = 3.0;
+/// The own load over the mean from which a host counts as busy.
+pub(super) const BUSY_FACTOR: f64 = 1.2;
+
+/// What a request asks of a host.
+pub(super) struct Demand<'a> {
+    pub request: &'a Request,
+    /// Its load, and the part of that within the look-ahead steps.
+    pub load: f64,
+    pub look_ahead_load: f64,
+    /// How long the connection is expected to last, in nanoseconds.
+    pub duration: Option<f64>,
+    /// By which it prefers a host: its group, or in mid-stream its key.
+    pub affinity: Option<u64>,
+}
+
+/// From which hosts one is selected.
+#[derive(Clone, Copy, PartialEq)]
+enum Candidates {
+    /// The few that this node uses.
+    UsedSet,
+    /// All that are ready and were not tried before.
+    Untried,
+    /// Also those tried before, and if all are ejected, those.
+    Any {
+        /// All ready hosts are ejected.
+        all_ejected: bool,
+    },
+}
+
+impl Balancer {
+    /// The host with the lowest score of those that may and can take the request; ties at random.
+    pub(super) fn select_host(
+        &self,
+        now: Nanos,
+        request: &Request,
+        vector: usize,
+        random: u64,
+    ) -> Option<usize> {
+        let demand = self.demand(now, request);
+        let fleet = self.estimate_fleet(now);
+        let all_ejected = || {
+            self.hosts
+                .iter()
+                .all(|host| !host.is_ready() || host.ejection.is_active(now))
+        };
+        let best = |candidates| self.best_host(now, &demand, &fleet, candidates, vector, random);
+        best(Candidates::UsedSet)
+            .or_else(|| best(Candidates::Untried))
+            .or_else(|| {
+                best(Candidates::Any {
+                    all_ejected: all_ejected(),
+                })
+            })
+    }
+
+    fn demand<'a>(&self, now: Nanos, request: &'a Request) -> Demand<'a> {
+        let incoming = &request.incoming;
+        let duration = self.history.expected_duration(incoming.key, now);
+        let known_load = incoming
+            .usual_load
+            .or(self.history.last_load(incoming.key, now));
+        let load = self.history.load(incoming.class, known_load);
+        let look_ahead_share = duration.map_or(1.0, |duration| {
+            let steps = (duration / LOOK_AHEAD_STEP as f64).ceil();
+            steps.clamp(1.0, LOOK_AHEAD_STEPS as f64) / LOOK_AHEAD_STEPS as f64
+        });
+        let affinity = if self.settings.passthrough {
+            incoming.key
+        } else {
+            incoming.group.filter(|_| self.settings.groups_enabled)
+        };
+        Demand {
+            request,
+            load,
+            look_ahead_load: load * look_ahead_share,
+            duration,
+            affinity,
+        }
+    }
+
+    fn best_host(
+        &self,
+        now: Nanos,
+        demand: &Demand,
+        fleet: &FleetEstimate,
+        candidates: Candidates,
+        vector: usize,
+        random: u64,
+    ) -> Option<usize> {
+        let mut best: Option<(f64, f64, usize)> = None;
+        for (index, host) in self.hosts.iter().enumerate() {
+            let tried = demand.request.tried_hosts.contains(&index);
+            let is_candidate = host.is_ready()
+                && match candidates {
+                    Candidates::UsedSet => !tried && self.is_in_used_set(now, host, demand, fleet),
+                    Candidates::Untried => !tried,
+                    Candidates::Any { .. } => true,
+                };
+            if !is_candidate || !self.can_take(now, host, demand, fleet, candidates) {
+                continue;
+            }
+            let tie_breaker = hash_to_unit_interval(random, index as u64);
+            let score = self.score(now, host, demand, fleet, vector, tie_breaker);
+            let is_better = best.is_none_or(|(best_score, best_tie_breaker, _)| {
+                score < best_score || (score == best_score && tie_breaker < best_tie_breaker)
+            });
+            if is_better {
+                best = Some((score, tie_breaker, index));
+            }
+        }
+        best.map(|(_, _, index)| index)
+    }
+
+    /// A node starts with few hosts and adds one whenever those are all busy: those of its zone at which it holds the group, or
+    /// anything, what is new, and a few by a hash of node and host.
+    fn is_in_used_set(
+        &self,
+        now: Nanos,
+        host: &Host,
+        demand: &Demand,
+        fleet: &FleetEstimate,
+    ) -> bool {
+        // Without this, a zone with most of the clients would be overloaded beside another whose hosts all are new and empty.
+        let warming = host.is_warming_up(now, &self.settings) && uses_client_slots(&self.settings);
+        let local = self.is_local(host);
+        self.is_used(host, demand, fleet, warming)
+            && !self.is_busy(now, host, fleet)
+            && (warming || local)
+    }
+
+    fn is_used(&self, host: &Host, demand: &Demand, fleet: &FleetEstimate, warming: bool) -> bool {
+        // Without this, clients migrated to a new host by nodes that have just started would then look elsewhere.
+        if warming {
+            return true;
+        }
+        if let Some(affinity) = demand.affinity {
+            return !self.settings.passthrough && host.groups.contains_key(&affinity);
+        }
+        if !host.connections.is_empty() || host.newcomer || self.settings.centralized {
+            return true;
+        }
+        let node = u64::from(self.settings.node_index);
+        hash_to_unit_interval(node, host.id.0) < INITIAL_HOSTS / fleet.local_hosts
+    }
+
+    fn is_busy(&self, now: Nanos, host: &Host, fleet: &FleetEstimate) -> bool {
+        let busy_load = BUSY_FACTOR * (fleet.mean_load + fleet.unseen_load);
+        let loaded = host.report.load(now).map_or(
+            host.relative_load() + fleet.unseen_load > busy_load,
+            |reported| reported > CROWDED_LOAD,
+        );
+        loaded
+            || host.load_limit.is_set()
+            || host.ejection.is_active(now)
+            || host.latency.is_late(now)
+    }
+
+    /// What a host that does not hold its group would pay for the request beside its load.
+    pub(super) fn new_group_cost(&self, host: &Host, demand: &Demand) -> f64 {
+        let is_new = demand
+            .affinity
+            .is_some_and(|group| !self.settings.passthrough && !host.groups.contains_key(&group));
+        f64::from(u8::from(is_new)) * self.history.group_cost()
+    }
+
+    /// Whether a ready host may and can take the request.
+    fn can_take(
+        &self,
+        now: Nanos,
+        host: &Host,
+        demand: &Demand,
+        fleet: &FleetEstimate,
+        candidates: Candidates,
+    ) -> bool {
+        let is_quiet = host.is_quiet(now, TICK_INTERVAL / 2);
+        let all_ejected = candidates == Candidates::Any { all_ejected: true };
+        if host.ejection.is_active(now) && !(all_ejected && is_quiet) {
+            return false;
+        }
+        let left_to_successor =
+            self.shutdown.has_successor && host.is_warming_up(now, &self.settings);
+        let load = demand.load + self.new_group_cost(host, demand);
+        !left_to_successor
+            && host.can_bear(now, load, fleet.typical_limit)
+            && (self.slow_start_allows(now, host, demand, fleet)
+                // By the list, as a node whose own network was down would take all hosts for just started.
+                || matches!(candidates, Candidates::Any { .. })
+                    && is_quiet
+                    && host.is_listed_as_warm(now, &self.settings))
+            && self.is_in_idempotency_group(host, demand.request)
+    }
+
+    fn slow_start_allows(
+        &self,
+        now: Nanos,
+        host: &Host,
+        demand: &Demand,
+        fleet: &FleetEstimate,
+    ) -> bool {
+        let key = demand.request.incoming.key;
+        host.has_slow_start_capacity(now, key, &fleet.share, &self.settings)
+    }
+
+    /// Whether the host would drop a repeat of a request with an idempotency key that may have run: it is in the group in which
+    /// the first attempt ran, and in which that host is listed now. Prevents a repeat from leaving its group by a host that
+    /// came back under its id in another, or by a zone whose number means another zone under new settings.
+    fn is_in_idempotency_group(&self, host: &Host, request: &Request) -> bool {
+        let class = &self.settings.classes[request.incoming.class];
+        let Some(first_run) = &request.first_run else {
+            return true;
+        };
+        [&first_run.endpoint, &self.hosts[first_run.host].endpoint]
+            .into_iter()
+            .all(|first| may_repeat_at(class, Some(first), &host.endpoint).is_ok())
+    }
+}
--- /dev/null
+++ b/src/host/limiting.rs
@@ -0,0 +1,144 @@
+//! What a host can bear, and which of its connections are migrated: off a draining host, and off one whose messages come
+//! late until the node's own load there is within its limit. A host with queued work serves nobody.
+
+use super::load_limit::Overload;
+use super::load_report::{CROWDED_LOAD, FULL_LOAD};
+use super::{Host, HostContext};
+use crate::hashing::hash_to_unit_interval;
+use crate::messages::{Message, RequestMessage};
+use crate::time::{Nanos, SECOND};
+
+/// A host that broke more than one in so many of its connections since the last tick counts as late.
+const BROKEN_PART: usize = 8;
+/// What a connection is worth at the least when costs are divided by it.
+const MIN_PRIORITY_WEIGHT: f64 = 1e-6;
+
+impl Host {
+    /// Whether `load` more fits under what the host has shown to bear; `typical_limit` is for each unit of size.
+    pub(crate) fn can_bear(&self, now: Nanos, load: f64, typical_limit: f64) -> bool {
+        let limit = self
+            .load_limit
+            .effective(typical_limit * self.endpoint.size);
+        let limited = self.load_limit.is_set();
+        let fits = self.own_load() + load <= limit;
+        let max_reported = if limited { CROWDED_LOAD } else { FULL_LOAD };
+        let fits = self
+            .report
+            .load(now)
+            .map_or(fits, |reported| reported < max_reported || limited && fits);
+        !self.latency.is_late(now) && fits
+    }
+
+    /// Migrates connections off a draining host; decreases the limit where messages come late, and raises it while they do
+    /// not.
+    pub(super) fn adjust_load(
+        &mut self,
+        now: Nanos,
+        mean_load: f64,
+        healthy_share: f64,
+        context: &mut HostContext,
+    ) {
+        if self.is_draining() {
+            return self.migrate_off_draining(now, context);
+        }
+        // Without this, clients would be left at a host that sheds load: it breaks many connections and keeps some, while one
+        // that died has none.
+        let broken = std::mem::take(&mut self.broken_connections) as usize;
+        if BROKEN_PART * broken > self.connections.len() {
+            self.latency_measured(now, SECOND, context);
+        }
+        let measured_at = self.latency.measured_at;
+        if !self.latency.is_late(now) {
+            let load = self.own_load();
+            let least = mean_load * self.endpoint.size / 2.0;
+            self.load_limit.raise(now, load, measured_at, least);
+        } else if self.load_limit.may_decrease(now, measured_at) {
+            self.decrease_limit(now, mean_load, healthy_share, context);
+        }
+    }
+
+    /// Migrates evenly over the longest that the host can still owe an answer: a hundred nodes that each migrate one at once
+    /// would overload hosts and the session store. Prevents connections from being cut off when the host goes away.
+    fn migrate_off_draining(&self, now: Nanos, context: &mut HostContext) {
+        let drained_share = now.saturating_sub(self.draining_since) as f64
+            / context.settings.max_request_timeout.max(1) as f64;
+        for connection in &self.connections {
+            let identity = connection.key.unwrap_or(connection.since);
+            let position = hash_to_unit_interval(self.id.0, identity);
+            if connection.established && position < drained_share {
+                context.migrate(connection.slot);
+            }
+        }
+    }
+
+    fn decrease_limit(
+        &mut self,
+        now: Nanos,
+        mean_load: f64,
+        healthy_share: f64,
+        context: &mut HostContext,
+    ) {
+        let objective = context.settings.shortest_message_latency_objective();
+        let overload = Overload {
+            latency_ratio: self.latency.ratio(now),
+            objective_seconds: objective as f64 / SECOND as f64,
+            load: self.own_load(),
+            mean_load,
+            size: self.endpoint.size,
+            healthy_share,
+        };
+        let Some(limit) = self.load_limit.decrease(now, &overload) else {
+            return;
+        };
+        log!(
+            context.actions,
+            "load limit decreased host={:x} latency_ratio={:.1} load={:.2} limit={limit:.2} connections={}",
+            self.id.0,
+            overload.latency_ratio,
+            overload.load,
+            self.connections.len()
+        );
+        self.migrate_down_to(limit, context);
+    }
+
+    /// Migrates connections, the most costly for their worth first, until the node's own load is within the limit.
+    fn migrate_down_to(&mut self, limit: f64, context: &mut HostContext) {
+        let random = context.random.to_bits();
+        let mut load = self.own_load();
+        let mut judged = false;
+        for index in self.by_cost_for_worth(random, context) {
+            // Without this, many nodes would each migrate one whole connection where a tenth of one was meant.
+            let cost = self.connection_cost(index, context.history);
+            if load - limit < 0.5 * cost * hash_to_unit_interval(!random, index as u64) {
+                break;
+            }
+            load -= cost;
+            // A connection that was judged before counts too, where it is the only one: without this, a day overloaded from
+            // its start would go unnoticed. One counts for each decrease: without this, all new requests would be rejected
+            // because a single host hangs.
+            let not_judged = self.connections[index].weight_vector.take().is_some();
+            let counts = not_judged || self.connections.len() == 1;
+            if counts && !std::mem::replace(&mut judged, true) {
+                let message = RequestMessage::MessagesJudged { late: true };
+                context.messages.push_back(Message::Request(message));
+            }
+            context.migrate(self.connections[index].slot);
+        }
+    }
+
+    /// The indices of open connections by cost over worth and chance, the highest first.
+    fn by_cost_for_worth(&self, random: u64, context: &HostContext) -> Vec<usize> {
+        let rank = |index: usize| {
+            let class = &context.settings.classes[self.connections[index].class];
+            self.connection_cost(index, context.history)
+                / class.priority_weight.max(MIN_PRIORITY_WEIGHT)
+                * hash_to_unit_interval(random, index as u64)
+        };
+        let mut order: Vec<(f64, usize)> = (0..self.connections.len())
+            .filter(|&index| self.connections[index].established)
+            .map(|index| (rank(index), index))
+            .collect();
+        order.sort_by(|a, b| b.0.total_cmp(&a.0));
+        order.into_iter().map(|(_, index)| index).collect()
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! The library takes [`Event`]s in and gives [`Action`]s out. It does no I/O, keeps no clock and
 //! knows no protocol; whoever speaks a protocol translates it to these types. Hosts are chosen in
-//! [`choice`]; whether a request may be attempted, repeated or dismissed at all is decided in [`permission`]; the rest is the
+//! `balancer`; whether a request may be attempted, repeated or dismissed at all is decided in [`permission`]; the rest is the
 //! interface: settings, events and actions.
 //!
 //! ```
@@ -23,29 +23,37 @@
 //! assert!(actions.iter().any(|action| matches!(action, Action::StartAttempt { host: HostId(1), .. })));
 //! ```
 
-/// One short line for a change of mode.
+/// Appends one short line to the log, for a change of mode.
 macro_rules! log {
-    ($out:expr, $($text:tt)*) => { $out.push(Action::Log(format!($($text)*))) };
+    ($actions:expr, $($text:tt)*) => { $actions.push($crate::Action::Log(format!($($text)*))) };
 }
 
 mod action;
-pub mod calls;
-mod ceilings;
-pub mod choice;
+mod arrival_rate;
+mod balancer;
+mod connection;
+mod connection_history;
 mod endpoint;
+mod endpoint_poller;
 mod event;
 pub mod gossip;
+mod gossip_budget;
+mod hashing;
+mod host;
 mod inherited_state;
-mod ledger;
+mod intervals;
+mod load_shedding;
+mod messages;
 pub mod permission;
-mod records;
 mod request;
+mod request_table;
 mod settings;
-mod slow_start;
+mod setup_failures;
 mod time;
+mod weight_optimizer;
 
 pub use action::Action;
-pub use choice::Balancer;
+pub use balancer::{Balancer, HostCounts};
 pub use endpoint::{Endpoint, EndpointUpdate, HostId, HostState};
 pub use event::Event;
 pub use inherited_state::{ClientStatistics, HostSnapshot, InheritedState};
--- a/src/permission.rs
+++ b/src/permission.rs
@@ -1,43 +1,43 @@
-//! Permission: the one place that decides whether a request may be attempted, repeated or dismissed now.
+//! Permission: the one place that decides whether a request may be attempted, repeated or rejected now.
 //!
-//! Everything here is a pure function of what is known of the request, the terms of its offering and the caller's clock.
+//! Everything here is a pure function of what is known of the request, the terms of its class and the caller's clock.
 //! The balancer asks when it chooses a host, a forwarder when a planner is silent, and the socket layer once more right
 //! before the first byte of an attempt, as the clock and the world have moved on in between. A refusal names its reason,
-//! which is counted and logged by whoever asked.
+//! which the caller counts and logs.
 
 use crate::{Endpoint, Idempotency, IdempotencyGroup, Nanos, RequestClass, MILLI};
 
-/// How long a process may be held up between reading its clock and writing. The grace of a draining host has to cover it.
+/// How long a process may stall between reading its clock and writing. The grace of a draining host has to cover it.
 pub const LONGEST_STALL: Nanos = 150 * MILLI;
 
-/// What part of its whole time a request is answered before its expiry at the latest, and the most of that: what the rules
-/// allow on sockets is for the peers, and a busy machine wakes a process later than that.
-const ANSWER_RESERVE: Nanos = 20;
-const LONGEST_RESERVE: Nanos = 50 * MILLI;
+/// What part of the time it had a request is answered before its deadline at the latest, and the most of that: a busy machine
+/// wakes a process late.
+const RESERVED_PART: Nanos = 20;
+const MAX_RESERVE: Nanos = 50 * MILLI;
 
 /// Why an attempt may not begin, or not go on, now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Refusal {
-    /// The time within which the request has to be answered is over.
+    /// The deadline of the request is over.
     Expired,
     /// Its client has closed or cancelled.
     ClientGone,
-    /// It is irreversible, and an earlier attempt may have run.
+    /// It is not idempotent, and an earlier attempt may have run.
     MayHaveRun,
-    /// It is labelled, and the window in which repeats are dropped is over.
+    /// It has an idempotency key, and the window in which repeats are dropped is over.
     OutsideWindow,
-    /// It is labelled, and the host is not in the group that drops its repeats.
+    /// It has an idempotency key, and the host is not in the group that drops its repeats.
     OutsideGroup,
-    /// The host drains or has left, and the grace is over.
+    /// The host is draining or gone, and the grace is over.
     HostLeaving,
     /// The host has been listed at another address since it was chosen.
     HostMoved,
-    /// The list of hosts may be out of date: a drain may count as told that was not heard of.
+    /// The endpoint list may be stale: a host may be draining without this node knowing it.
     ListNotHeard,
 }
 
 impl Refusal {
-    /// Its name in log lines and figures.
+    /// Its name in log lines and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Refusal::Expired => "expired",
@@ -55,17 +55,19 @@
 /// What the socket layer knows at the moment in which an attempt would begin.
 #[derive(Clone, Copy, Debug)]
 pub struct Beginning {
+    /// The time.
     pub now: Nanos,
     /// By when the request has to be answered, as far as this attempt goes.
     pub deadline: Nanos,
     /// By when the last byte of the attempt has to be written: see [`repeat_deadline`].
     pub not_after: Nanos,
+    /// Whether the client still waits.
     pub client_waits: bool,
-    /// Since when the host is told to be draining or gone.
+    /// Since when the host is listed as draining or gone.
     pub leaving_since: Option<Nanos>,
     /// The grace for draining hosts, as the settings give it.
     pub drain_grace: Nanos,
-    /// Whether a drain may count as told that this node has not heard of.
+    /// Whether the endpoint list may be stale, so that a drain may be in force that this node does not know of.
     pub list_unheard: bool,
     /// Whether its host has been listed at another address since it was chosen.
     pub host_moved: bool,
@@ -73,8 +75,8 @@
     pub group_changed: bool,
 }
 
-/// The part of the grace for draining hosts in which an attempt may still begin: what is left of it once the process may
-/// have been held up; half of it where it is shorter than twice that.
+/// The part of the grace for draining hosts in which an attempt may still begin: what is left of it after a stall of the
+/// process; half of it where it is shorter than twice that.
 pub fn usable_grace(drain_grace: Nanos) -> Nanos {
     drain_grace
         .saturating_sub(LONGEST_STALL)
@@ -111,10 +113,10 @@
     may_go_on(at.now, at.not_after)
 }
 
-/// When a request that has had no success gets its final answer at the latest: early enough before its expiry for two messages
-/// that take a `round` each, and for a process that is woken late. `time_left` is what it had when it came.
+/// When a request that has had no success gets its final answer at the latest: early enough before its deadline for two messages
+/// that take a `round` each, and for a process that is woken late. `time_left` is what it had when it arrived.
 pub fn answer_by(deadline: Nanos, time_left: Nanos, round: Nanos) -> Nanos {
-    let reserve = (time_left / ANSWER_RESERVE).min(LONGEST_RESERVE);
+    let reserve = (time_left / RESERVED_PART).min(MAX_RESERVE);
     deadline.saturating_sub(reserve.max(2 * round))
 }
 
@@ -129,8 +131,8 @@
     Ok(())
 }
 
-/// The latest moment in which an attempt may be written, where the first one that may have run was sent then; none
-/// binds where no attempt can have run.
+/// The latest moment at which an attempt may be written, where the first one that may have run was sent at `first_sent`; there
+/// is no such limit where no attempt can have run.
 pub fn repeat_deadline(class: &RequestClass, first_sent: Option<Nanos>) -> Nanos {
     match (class.idempotency, first_sent) {
         (Idempotency::NonIdempotent, Some(_)) => 0,
@@ -139,7 +141,7 @@
     }
 }
 
-/// Whether there may be another attempt anywhere, where the first one that may have run was sent then.
+/// Whether there may be another attempt anywhere, where the first one that may have run was sent at `first_sent`.
 ///
 /// # Errors
 /// Why there may be none.
@@ -181,7 +183,7 @@
     }
 }
 
-/// Whether the client may be told to come again: a retry of its own does no harm.
+/// Whether the request may be rejected: a retry by the client does no harm.
 pub fn may_dismiss(class: &RequestClass, may_have_run: bool) -> bool {
     match class.idempotency {
         Idempotency::Idempotent => true,
--- a/src/permission_tests.rs
+++ b/src/permission_tests.rs
@@ -1,3 +1,5 @@
+//! Tests of when a request may be attempted, repeated and rejected.
+
 use super::*;
 use crate::SECOND;
 
@@ -24,75 +26,44 @@
     }
 }
 
+/// Conditions that forbid an attempt, and why.
+fn forbidden() -> [(Beginning, Refusal); 7] {
+    let now = allowed().now;
+    let mut cases = [
+        (allowed(), Refusal::ClientGone),
+        (allowed(), Refusal::Expired),
+        (allowed(), Refusal::ListNotHeard),
+        (allowed(), Refusal::HostMoved),
+        (allowed(), Refusal::OutsideGroup),
+        (allowed(), Refusal::OutsideWindow),
+        (allowed(), Refusal::HostLeaving),
+    ];
+    cases[0].0.client_waits = false;
+    cases[1].0.deadline = now;
+    cases[2].0.list_unheard = true;
+    cases[3].0.host_moved = true;
+    cases[4].0.group_changed = true;
+    cases[5].0.not_after = now - 1;
+    cases[6].0.leaving_since = Some(now - 151 * MILLI);
+    cases
+}
+
 #[test]
 fn an_attempt_begins_only_while_every_condition_holds() {
     assert_eq!(may_begin(&allowed()), Ok(()));
-    let now = allowed().now;
-    for (at, refusal) in [
-        (
-            Beginning {
-                client_waits: false,
-                ..allowed()
-            },
-            Refusal::ClientGone,
-        ),
-        (
-            Beginning {
-                deadline: now,
-                ..allowed()
-            },
-            Refusal::Expired,
-        ),
-        (
-            Beginning {
-                list_unheard: true,
-                ..allowed()
-            },
-            Refusal::ListNotHeard,
-        ),
-        (
-            Beginning {
-                host_moved: true,
-                ..allowed()
-            },
-            Refusal::HostMoved,
-        ),
-        (
-            Beginning {
-                group_changed: true,
-                ..allowed()
-            },
-            Refusal::OutsideGroup,
-        ),
-        (
-            Beginning {
-                not_after: now - 1,
-                ..allowed()
-            },
-            Refusal::OutsideWindow,
-        ),
-        (
-            Beginning {
-                leaving_since: Some(now - 151 * MILLI),
-                ..allowed()
-            },
-            Refusal::HostLeaving,
-        ),
-    ] {
-        assert_eq!(may_begin(&at), Err(refusal));
+    for (beginning, refusal) in forbidden() {
+        assert_eq!(may_begin(&beginning), Err(refusal));
     }
-    assert_eq!(
-        may_begin(&Beginning {
-            not_after: now,
-            ..allowed()
-        }),
-        Ok(())
-    );
+    let last_moment = Beginning {
+        not_after: allowed().now,
+        ..allowed()
+    };
+    assert_eq!(may_begin(&last_moment), Ok(()));
 }
 
-/// Guards: a line that begins in the last moment of the grace, by a process that is then held up before it writes.
+/// Prevents a request from being written after the grace, by a process that stalls after it was allowed in the last moment.
 #[test]
-fn the_grace_covers_a_process_that_is_held_up_before_it_writes() {
+fn the_grace_covers_a_process_that_stalls_before_it_writes() {
     for grace in [100 * MILLI, 300 * MILLI, 500 * MILLI, SECOND] {
         let usable = usable_grace(grace);
         assert!(usable >= grace / 2);
@@ -110,38 +81,41 @@
 }
 
 #[test]
-fn what_may_have_run_binds_each_effect_in_its_own_way() {
+fn an_attempt_that_may_have_run_restricts_each_kind_of_idempotency_in_its_own_way() {
     for idempotency_group in [
         IdempotencyGroup::All,
         IdempotencyGroup::Zone,
         IdempotencyGroup::Cell,
     ] {
-        let (free, labelled, once) = (
+        let (idempotent, with_key, non_idempotent) = (
             class(Idempotency::Idempotent, idempotency_group),
             class(Idempotency::WithKey, idempotency_group),
             class(Idempotency::NonIdempotent, idempotency_group),
         );
-        for one in [&free, &labelled, &once] {
-            assert_eq!(may_repeat(one, None, 5000), Ok(()));
-            assert!(may_dismiss(one, false));
+        for class in [&idempotent, &with_key, &non_idempotent] {
+            assert_eq!(may_repeat(class, None, 5000), Ok(()));
+            assert!(may_dismiss(class, false));
         }
-        assert_eq!(may_repeat(&free, Some(10), 5000), Ok(()));
-        assert_eq!(may_repeat(&labelled, Some(10), 109), Ok(()));
+        assert_eq!(may_repeat(&idempotent, Some(10), 5000), Ok(()));
+        assert_eq!(may_repeat(&with_key, Some(10), 109), Ok(()));
         assert_eq!(
-            may_repeat(&labelled, Some(10), 110),
+            may_repeat(&with_key, Some(10), 110),
             Err(Refusal::OutsideWindow)
         );
-        assert_eq!(may_repeat(&once, Some(10), 11), Err(Refusal::MayHaveRun));
-        assert!(may_dismiss(&free, true) && !may_dismiss(&once, true));
         assert_eq!(
-            may_dismiss(&labelled, true),
+            may_repeat(&non_idempotent, Some(10), 11),
+            Err(Refusal::MayHaveRun)
+        );
+        assert!(may_dismiss(&idempotent, true) && !may_dismiss(&non_idempotent, true));
+        assert_eq!(
+            may_dismiss(&with_key, true),
             idempotency_group == IdempotencyGroup::All
         );
     }
 }
 
 #[test]
-fn a_labelled_repeat_stays_in_the_group_that_drops_it() {
+fn a_repeat_with_an_idempotency_key_stays_in_the_group_that_drops_it() {
     let first = Endpoint {
         zone: 1,
         cell: 4,
@@ -183,9 +157,9 @@
     }
 }
 
-/// Guards: requests with little time that get no attempt, and answers that a process woken 70 ms late gives too late.
+/// Without this, requests with little time would get no attempt, and a process woken 70 ms late would answer too late.
 #[test]
-fn the_reserve_before_an_expiry_grows_with_the_time_there_was_and_is_bounded() {
+fn the_reserve_before_a_deadline_grows_with_the_time_there_was_and_is_bounded() {
     let deadline = 100 * SECOND;
     let reserve = |time_left, round| deadline - answer_by(deadline, time_left, round);
     assert_eq!(reserve(2 * SECOND, 4 * MILLI), 50 * MILLI);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -351,7 +351,7 @@
         // A new process for node 0 in the middle of each second, which both then take clients for.
         if step % 20 == 10 {
             let predecessor = fleet.nodes.len() - 1 - usize::from(fleet.nodes.len() == 2);
-            let legacy = Box::new(fleet.nodes[predecessor].leave());
+            let legacy = Box::new(fleet.nodes[predecessor].export_state());
             fleet.tell(predecessor, Event::SuccessorChanged(true));
             let mut out = Vec::new();
             fleet
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -547,7 +547,7 @@
 
     /// Another process takes this one's place, with what it has learned and all that it holds.
     fn is_replaced(&mut self) {
-        let legacy = self.node.leave();
+        let legacy = self.node.export_state();
         let seed = self.rng.random();
         self.wakes.clear();
         self.node = Balancer::new(self.settings.clone(), seed, self.now, &mut self.actions);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -417,7 +417,10 @@
                 self.saw(|a| matches!(a, Action::CancelAttempt { id: x, .. } if *x == id(1)));
             }
             "asks" => self.saw(|a| matches!(a, Action::WatchEndpoints | Action::PollEndpoints)),
-            "logs" => self.saw(|a| matches!(a, Action::Log(text) if text.starts_with(words[1]))),
+            "logs" => {
+                let line = words[1..].join(" ");
+                self.saw(|a| matches!(a, Action::Log(text) if text.starts_with(&line)));
+            }
             "quiet" => {
                 let idle = |a: &Action| matches!(a, Action::SetTimer { .. } | Action::Log(_));
                 assert!(
