--- /dev/null
+++ b/adapter/src/batch_tests.rs
@@ -0,0 +1,214 @@
+//! Tests of how batches are decoded, by the worked examples of the wire's description.
+
+use super::*;
+use crate::hex::{hex, padded};
+use crate::reply::Reply;
+use reedferry::{Action, HostId};
+
+/// The instance and the event of the record with this index.
+fn event(body: &[u8], index: usize) -> (u32, Event) {
+    let batch = Batch::new(1, body.len() / RECORD_BYTES, body).unwrap();
+    match batch.command(index).unwrap() {
+        (instance, Command::Event(event)) => (instance, event),
+        other => panic!("{other:?}"),
+    }
+}
+
+#[test]
+fn decodes_the_worked_batch() {
+    let head = hex("0000000c 40c06e2000000000 000000a8 00000003")
+        .try_into()
+        .unwrap();
+    assert_eq!(
+        Header::decode(&head).unwrap(),
+        Header {
+            batch: 12,
+            now: 8_412_250_000,
+            body_bytes: 168,
+            records: 3
+        }
+    );
+    let mut body = padded(
+        "02 00000003 5d3a91c4 00 0000 91f03b7c55d20a64 406e000000000000 4028000000000000
+            2b8e6401d9f37c10 0001",
+        RECORD_BYTES,
+    );
+    body.extend(padded("06 00000003 000000000000004d", RECORD_BYTES));
+    body.extend(padded("05 00000005 0e6f2b19", RECORD_BYTES));
+    let (node, Event::RequestArrived(incoming)) = event(&body, 0) else {
+        panic!()
+    };
+    assert_eq!(
+        (node, incoming.id, incoming.time_left),
+        (3, RequestId(0x5d3a91c4), 240_000_000)
+    );
+    assert_eq!(
+        (incoming.usual_load, incoming.mid_stream),
+        (Some(0.012), false)
+    );
+    assert!(matches!(
+        event(&body, 1),
+        (3, Event::TimerFired { timer: 77 })
+    ));
+    assert!(matches!(
+        event(&body, 2),
+        (
+            5,
+            Event::ClientLeft {
+                id: RequestId(0x0e6f2b19)
+            }
+        )
+    ));
+}
+
+#[test]
+fn decodes_the_worked_records() {
+    let mut body = padded("01 00000003 03 00000029 00000000 00000002", RECORD_BYTES);
+    body.extend(hex(
+        "0a124a07 1f43 0000 00 0000 01 3f800000 0000000000000000",
+    ));
+    body.extend(hex(
+        "0a9011f2 1f6c 0001 00 0000 01 3fc00000 40b7d40000000000",
+    ));
+    let batch = Batch::new(1, 1, &body).unwrap();
+    let (
+        3,
+        Command::Event(Event::EndpointsUpdated {
+            kind,
+            endpoints: hosts,
+        }),
+    ) = batch.command(0).unwrap()
+    else {
+        panic!()
+    };
+    assert_eq!(
+        (kind, hosts.len(), hosts[1].zone, hosts[1].size),
+        (EndpointUpdate::Cached, 2, 1, 1.5)
+    );
+    assert_eq!(
+        (hosts[0].started, hosts[1].started),
+        (None, Some(6_100_000_000))
+    );
+
+    let ended = padded(
+        "04 00000003 5d3a91c4 4032800000000000 0a124a07 1f43 01 00 00 00",
+        RECORD_BYTES,
+    );
+    let (
+        _,
+        Event::AttemptEnded {
+            host,
+            request_over: over,
+            ending,
+            attempt,
+            ..
+        },
+    ) = event(&ended, 0)
+    else {
+        panic!()
+    };
+    assert_eq!(
+        (host, over, ending, attempt),
+        (HostId(0x0a12_4a07_1f43), true, AttemptOutcome::Completed, 0)
+    );
+    let established = padded(
+        "03 00000003 5d3a91c4 00 0a124a07 1f43 4022800000000000",
+        RECORD_BYTES,
+    );
+    assert!(matches!(
+        event(&established, 0).1,
+        Event::ConnectionEstablished {
+            took: 9_250_000,
+            ..
+        }
+    ));
+    let note = padded(
+        "0b 00000003 5d3a91c4 00 0a124a07 1f43 01 3f000000",
+        RECORD_BYTES,
+    );
+    assert!(matches!(event(&note, 0).1, Event::LoadMeasured { load, .. } if load == 0.5e-6));
+    let probed = padded(
+        "07 00000003 3ff6666666666666 00 0a9011f2 1f6c 00",
+        RECORD_BYTES,
+    );
+    assert!(matches!(
+        event(&probed, 0).1,
+        Event::ProbeEnded {
+            ending: AttemptOutcome::Completed,
+            ..
+        }
+    ));
+    let open = "0a 00000003 0e6f2b19 00 0000 91f03b7c55d20a64 406e000000000000 4028000000000000
+        2b8e6401d9f37c10 0001 0a9011f2 1f6c";
+    let (_, Event::ConnectionFound(_, on)) = event(&padded(open, RECORD_BYTES), 0) else {
+        panic!()
+    };
+    assert_eq!(on, HostId(0x0a90_11f2_1f6c));
+}
+
+#[test]
+fn messages_between_nodes_come_and_go_as_worked() {
+    let mut body = padded("08 00000003 0002 00000000 00000004", RECORD_BYTES);
+    body.extend(hex("68692037"));
+    let batch = Batch::new(1, 1, &body).unwrap();
+    let (3, Command::Event(Event::GossipReceived { message })) = batch.command(0).unwrap() else {
+        panic!()
+    };
+    assert_eq!(message, b"hi 7");
+    let mut reply = Reply::new(1);
+    reply.push(3, &Action::Gossip { message });
+    let mut wanted = hex("00000001 00000001 0000001c");
+    wanted.extend(padded("09 00000003 ffffffff 00000000 00000004", 24));
+    wanted.extend(hex("68692037"));
+    assert_eq!(reply.finish(), wanted);
+}
+
+#[test]
+fn says_what_is_malformed_and_where() {
+    assert!(Header::decode(
+        &hex("00000001 7ff8000000000000 00000000 00000000")
+            .try_into()
+            .unwrap()
+    )
+    .is_err());
+    assert!(Batch::new(1, 2, &[0; RECORD_BYTES]).is_err());
+    for (record, what) in [
+        ("63 00000003", "unknown event code 99"),
+        ("01 00000003 09", "unknown list kind 9"),
+        ("01 00000003 04 00000001 00000000 00000003", "points at 0+3"),
+        (
+            "01 00000003 04 00000001 ffffffff ffffffff",
+            "tail has 0 bytes",
+        ),
+        (
+            "04 00000003 00000001 0000000000000000 00000000 0000 00 09",
+            "unknown outcome 9",
+        ),
+    ] {
+        let body = padded(record, RECORD_BYTES);
+        let error = Batch::new(7, 1, &body)
+            .unwrap()
+            .command(0)
+            .unwrap_err()
+            .to_string();
+        assert!(
+            error.starts_with("batch 7, record 0: ") && error.contains(what),
+            "{error}"
+        );
+    }
+    assert!(reedferry_settings::balancer_settings(b"{")
+        .unwrap_err()
+        .to_string()
+        .starts_with("settings: "));
+    let bare =
+        br#"{"balancers": 1, "index": 0, "offerings": [], "policy_limits": {"most_hand_offs": 1},
+        "contract": {"cold": 1, "cold_from": 1, "tip_after": 1, "tip_multiple": 1}}"#;
+    assert!(reedferry_settings::balancer_settings(bare)
+        .unwrap_err()
+        .to_string()
+        .contains("no offering"));
+    assert!(reedferry_settings::balancer_settings(b"{\"balancers\": 1}")
+        .unwrap_err()
+        .to_string()
+        .contains("missing field"));
+}
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,93 +1,135 @@
-//! Runs instances of the decision module on the bench's wire: standard input to standard output.
+//! Runs instances of the decision module on the bench's wire: batches of events on standard input, replies with actions on
+//! standard output.
 
-mod frames;
+mod batch;
+mod error;
+mod fields;
+#[cfg(test)]
+#[path = "hex_tests.rs"]
+mod hex;
+mod reply;
 
-use frames::{Fault, Frame, Reply};
-use reedferry::{Action, Balancer};
+use batch::{Batch, Command, Header, HEADER_BYTES};
+use error::{AdapterError, RecordError};
+use reedferry::{Action, Balancer, Nanos};
+use reply::Reply;
 use std::collections::HashMap;
 use std::io::{self, BufReader, BufWriter, Read, Write};
 
+/// The size of the buffers of input and output, in bytes.
+const BUFFER_BYTES: usize = 1 << 16;
+
 fn main() {
-    if let Err(fault) = run() {
-        eprintln!("reedferry-adapter: {fault}");
+    if let Err(error) = run() {
+        eprintln!("reedferry-adapter: {error}");
         std::process::exit(1);
     }
 }
 
-/// Fills `buf`; false at a clean end of input before its first byte.
-fn fill(input: &mut impl Read, buf: &mut [u8], what: &str) -> Result<bool, Fault> {
-    let mut have = 0;
-    while have < buf.len() {
-        match input.read(&mut buf[have..]) {
-            Ok(0) if have == 0 => return Ok(false),
+fn run() -> Result<(), AdapterError> {
+    let mut input = BufReader::with_capacity(BUFFER_BYTES, io::stdin().lock());
+    let mut output = BufWriter::with_capacity(BUFFER_BYTES, io::stdout().lock());
+    let mut instances = Instances::default();
+    let mut body = Vec::new();
+    while let Some(header) = read_header(&mut input)? {
+        read_body(&mut input, &header, &mut body)?;
+        let batch = Batch::new(header.batch, header.records, &body)?;
+        let mut reply = Reply::new(header.batch);
+        for index in 0..batch.len() {
+            instances.handle(&batch, index, header.now, &mut reply)?;
+        }
+        output
+            .write_all(&reply.finish())
+            .and_then(|()| output.flush())
+            .map_err(AdapterError::WriteReply)?;
+    }
+    Ok(())
+}
+
+/// Reads the next header; `None` at the end of the input.
+fn read_header(input: &mut impl Read) -> Result<Option<Header>, AdapterError> {
+    let mut bytes = [0; HEADER_BYTES];
+    let mut received = 0;
+    while received < HEADER_BYTES {
+        match input.read(&mut bytes[received..]) {
+            Ok(0) if received == 0 => return Ok(None),
             Ok(0) => {
-                return Err(Fault(format!(
-                    "input ended after {have} of {} bytes of {what}",
-                    buf.len()
-                )))
+                return Err(AdapterError::TruncatedHeader {
+                    received,
+                    expected: HEADER_BYTES,
+                })
             }
-            Ok(n) => have += n,
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            Err(e) => return Err(Fault(format!("cannot read {what}: {e}"))),
+            Ok(count) => received += count,
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            Err(error) => return Err(AdapterError::ReadHeader(error)),
         }
     }
-    Ok(true)
+    Header::decode(&bytes).map(Some)
 }
 
-fn run() -> Result<(), Fault> {
-    let mut input = BufReader::with_capacity(1 << 16, io::stdin().lock());
-    let mut output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
-    let mut nodes: HashMap<u32, Balancer> = HashMap::new();
-    let mut out: Vec<Action> = Vec::new();
-    let (mut header, mut body) = ([0u8; frames::HEADER], Vec::new());
-    while fill(&mut input, &mut header, "a batch header")? {
-        let (seq, now, length, count) = frames::header(&header)?;
-        // Grows with what really arrives, so that a wild length does not claim the memory at once.
-        body.clear();
-        let got = input
-            .by_ref()
-            .take(length as u64)
-            .read_to_end(&mut body)
-            .map_err(|e| Fault(format!("cannot read batch {seq}: {e}")))?;
-        if got < length {
-            return Err(Fault(format!(
-                "batch {seq}: input ended after {got} of {length} body bytes"
-            )));
-        }
-        let frame = Frame::new(seq, count, &body)?;
-        let mut reply = Reply::new(seq);
-        for at in 0..frame.count() {
-            let (node, told) = frame.event(at, now)?;
-            match told {
-                frames::Told::Start {
-                    seed,
-                    node_settings,
-                } => {
-                    let settings = reedferry_settings::balancer_settings(node_settings)
-                        .map_err(|e| frame.fault(at, &e))?;
-                    nodes.insert(node, Balancer::new(settings, seed, now, &mut out));
-                }
-                frames::Told::Stop => {
-                    nodes.remove(&node);
-                }
-                frames::Told::Ignored => {}
-                frames::Told::Event(event) => match nodes.get_mut(&node) {
-                    Some(balancer) => balancer.handle(now, event, &mut out),
-                    None => {
-                        return Err(
-                            frame.fault(at, &format!("instance {node} has not been started"))
-                        )
-                    }
-                },
+/// Reads the body that a header announces. The buffer grows with what really arrives, so that a wrong length does not claim
+/// the memory at once.
+fn read_body(
+    input: &mut impl Read,
+    header: &Header,
+    body: &mut Vec<u8>,
+) -> Result<(), AdapterError> {
+    body.clear();
+    let received = input
+        .take(header.body_bytes as u64)
+        .read_to_end(body)
+        .map_err(|source| AdapterError::ReadBody {
+            batch: header.batch,
+            source,
+        })?;
+    if received < header.body_bytes {
+        return Err(AdapterError::TruncatedBody {
+            batch: header.batch,
+            received,
+            expected: header.body_bytes,
+        });
+    }
+    Ok(())
+}
+
+/// The instances of the module, by the bench's numbers.
+#[derive(Default)]
+struct Instances {
+    balancers: HashMap<u32, Balancer>,
+    actions: Vec<Action>,
+}
+
+impl Instances {
+    /// Does what a record asks for, and appends the actions that this leads to.
+    fn handle(
+        &mut self,
+        batch: &Batch,
+        index: usize,
+        now: Nanos,
+        reply: &mut Reply,
+    ) -> Result<(), AdapterError> {
+        let (instance, command) = batch.command(index)?;
+        match command {
+            Command::Start { seed, settings } => {
+                let settings =
+                    reedferry_settings::balancer_settings(settings).map_err(|error| {
+                        batch.record_error(index, RecordError::Settings(error.to_string()))
+                    })?;
+                let balancer = Balancer::new(settings, seed, now, &mut self.actions);
+                self.balancers.insert(instance, balancer);
             }
-            for action in out.drain(..) {
-                reply.push(node, &action);
+            Command::Stop => _ = self.balancers.remove(&instance),
+            Command::Event(event) => {
+                let Some(balancer) = self.balancers.get_mut(&instance) else {
+                    return Err(batch.record_error(index, RecordError::NotStarted(instance)));
+                };
+                balancer.handle(now, event, &mut self.actions);
             }
+            Command::Ignore => {}
         }
-        output
-            .write_all(&reply.finish())
-            .and_then(|()| output.flush())
-            .map_err(|e| Fault(format!("cannot write the reply: {e}")))?;
+        for action in self.actions.drain(..) {
+            reply.push(instance, &action);
+        }
+        Ok(())
     }
-    Ok(())
 }
--- a/adapter/tests/size.rs
+++ b/adapter/tests/size.rs
@@ -1,4 +1,4 @@
-//! The adapter as the bench starts it, told of many hosts and nodes.
+//! The adapter as the bench starts it, with many hosts and nodes.
 
 use std::io::{Read, Write};
 use std::process::{Command, Stdio};
@@ -27,85 +27,104 @@
     .concat()
 }
 
-/// Guards: lists and fleets cut off at some bound, or a node that takes a place beyond one for another's.
-#[test]
-fn eleven_hundred_hosts_and_nodes_are_all_known() {
-    let settings = format!(
+const NODE: u32 = 7;
+const RECORD_BYTES: usize = 24;
+
+/// Where a part of the tail stands.
+fn pointer(offset: usize, length: usize) -> Vec<u8> {
+    [(offset as u32).to_be_bytes(), (length as u32).to_be_bytes()].concat()
+}
+
+/// The settings of the last of as many nodes as there are hosts.
+fn settings() -> String {
+    format!(
         r#"{{"balancers":{HOSTS},"index":{},"zone":0,"zones":["a"],"registry_mode":"on_request","round":4.0,
         "offerings":[{{"name":"c","contract_time":500.0,"expiry":2000.0,"effect":"free","group":"all","payoff":1.0,
         "streaming":true}}],"contract":{{"ask_within":10000.0,"cold":1000.0,"cold_from":0.5,"drain_grace":300.0,
         "tip_after":1000.0,"tip_multiple":3.0}},"policy_limits":{{"connect_timeout":250.0,"most_hand_offs":3}},
         "extra":{{"message_aim":[50.0],"mode":"proxy"}}}}"#,
         HOSTS - 1
-    );
-    let node = 7u32.to_be_bytes();
-    // All but the last are leaving.
-    let row = |n: u32| {
-        let stage = if n + 1 == HOSTS { 1u8 } else { 2 };
-        let mut row = [
-            &n.to_be_bytes()[..],
-            &9000u16.to_be_bytes(),
-            &[0; 5],
-            &[stage],
-        ]
-        .concat();
-        row.extend(1f32.to_be_bytes());
-        row.extend(0f64.to_be_bytes());
-        assert_eq!(row.len(), 24);
-        row
-    };
-    let rows: Vec<u8> = (0..HOSTS).flat_map(row).collect();
-    let at = |offset: usize, length: usize| {
-        [(offset as u32).to_be_bytes(), (length as u32).to_be_bytes()].concat()
-    };
-    let hello = record(&[&[0], &node, &3u64.to_be_bytes(), &at(0, settings.len())]);
-    let view = record(&[
-        &[1],
-        &node,
-        &[3],
-        &1u32.to_be_bytes(),
-        &at(settings.len(), HOSTS as usize),
-    ]);
-    let knock = |id: u32| {
-        let waits = 2000f64.to_be_bytes();
-        record(&[
-            &[2],
-            &node,
-            &id.to_be_bytes(),
-            &[0, 0, 0],
-            &u64::from(id).to_be_bytes(),
-            &waits,
-        ])
-    };
-    let tail = [settings.as_bytes(), &rows].concat();
-    let mut sent = batch(0, 1000.0, &[hello, view], &tail);
-    sent.extend(batch(
-        1,
-        1004.0,
-        &(0..50).map(knock).collect::<Vec<_>>(),
-        &[],
-    ));
+    )
+}
+
+/// An entry of the endpoint list; all hosts but the last are draining.
+fn endpoint(host: u32) -> Vec<u8> {
+    let state = if host + 1 == HOSTS { 1u8 } else { 2 };
+    let mut entry = [
+        &host.to_be_bytes()[..],
+        &9000u16.to_be_bytes(),
+        &[0; 5],
+        &[state],
+    ]
+    .concat();
+    entry.extend(1f32.to_be_bytes());
+    entry.extend(0f64.to_be_bytes());
+    assert_eq!(entry.len(), 24);
+    entry
+}
+
+/// A request that arrives.
+fn request(id: u32) -> Vec<u8> {
+    record(&[
+        &[2],
+        &NODE.to_be_bytes(),
+        &id.to_be_bytes(),
+        &[0, 0, 0],
+        &u64::from(id).to_be_bytes(),
+        &2000f64.to_be_bytes(),
+    ])
+}
+
+/// What the adapter replies to this input.
+fn replies(input: &[u8]) -> Vec<u8> {
     let mut adapter = Command::new(env!("CARGO_BIN_EXE_reedferry-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
         .unwrap();
-    adapter.stdin.take().unwrap().write_all(&sent).unwrap();
+    adapter.stdin.take().unwrap().write_all(input).unwrap();
     let mut replies = Vec::new();
-    adapter
-        .stdout
-        .take()
-        .unwrap()
-        .read_to_end(&mut replies)
-        .unwrap();
+    let mut output = adapter.stdout.take().unwrap();
+    output.read_to_end(&mut replies).unwrap();
     assert!(adapter.wait().unwrap().success());
-    let figure = |at: usize| u32::from_be_bytes(replies[at..at + 4].try_into().unwrap()) as usize;
-    let second = 12 + figure(8);
-    assert_eq!(figure(second), 1);
-    let actions = replies[second + 12..].chunks(24).take(figure(second + 4));
+    replies
+}
+
+/// Prevents lists and fleets from being cut off at some bound, and a node beyond one from being taken for another.
+#[test]
+fn eleven_hundred_hosts_and_nodes_are_all_known() {
+    let settings = settings();
+    let endpoints: Vec<u8> = (0..HOSTS).flat_map(endpoint).collect();
+    let start = record(&[
+        &[0],
+        &NODE.to_be_bytes(),
+        &3u64.to_be_bytes(),
+        &pointer(0, settings.len()),
+    ]);
+    let list = record(&[
+        &[1],
+        &NODE.to_be_bytes(),
+        &[3],
+        &1u32.to_be_bytes(),
+        &pointer(settings.len(), HOSTS as usize),
+    ]);
+    let tail = [settings.as_bytes(), &endpoints].concat();
+    let mut input = batch(0, 1000.0, &[start, list], &tail);
+    let requests: Vec<Vec<u8>> = (0..50).map(request).collect();
+    input.extend(batch(1, 1004.0, &requests, &[]));
+
+    let replies = replies(&input);
+    let number = |offset: usize| {
+        u32::from_be_bytes(replies[offset..offset + 4].try_into().unwrap()) as usize
+    };
+    let second = 12 + number(8);
+    assert_eq!(number(second), 1);
+    let actions = replies[second + 12..]
+        .chunks(RECORD_BYTES)
+        .take(number(second + 4));
     let hosts: Vec<u32> = actions
-        .filter(|a| a[0] == 5)
-        .map(|a| u32::from_be_bytes(a[9..13].try_into().unwrap()))
+        .filter(|action| action[0] == 5)
+        .map(|action| u32::from_be_bytes(action[9..13].try_into().unwrap()))
         .collect();
     assert_eq!(hosts, [HOSTS - 1; 50]);
 }
