--- a/adapter/src/batch_tests.rs
+++ b/adapter/src/batch_tests.rs
@@ -35,11 +35,11 @@
     );
     body.extend(padded("06 00000003 000000000000004d", RECORD_BYTES));
     body.extend(padded("05 00000005 0e6f2b19", RECORD_BYTES));
-    let (node, Event::RequestArrived(incoming)) = event(&body, 0) else {
+    let (instance, Event::RequestArrived(incoming)) = event(&body, 0) else {
         panic!()
     };
     assert_eq!(
-        (node, incoming.id, incoming.time_left),
+        (instance, incoming.id, incoming.time_left),
         (3, RequestId(0x5d3a91c4), 240_000_000)
     );
     assert_eq!(
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn decodes_the_worked_records() {
+fn decodes_the_worked_endpoint_list() {
     let mut body = padded("01 00000003 03 00000029 00000000 00000002", RECORD_BYTES);
     body.extend(hex(
         "0a124a07 1f43 0000 00 0000 01 3f800000 0000000000000000",
@@ -71,25 +71,23 @@
         "0a9011f2 1f6c 0001 00 0000 01 3fc00000 40b7d40000000000",
     ));
     let batch = Batch::new(1, 1, &body).unwrap();
-    let (
-        3,
-        Command::Event(Event::EndpointsUpdated {
-            kind,
-            endpoints: hosts,
-        }),
-    ) = batch.command(0).unwrap()
+    let (3, Command::Event(Event::EndpointsUpdated { kind, endpoints })) =
+        batch.command(0).unwrap()
     else {
         panic!()
     };
     assert_eq!(
-        (kind, hosts.len(), hosts[1].zone, hosts[1].size),
+        (kind, endpoints.len(), endpoints[1].zone, endpoints[1].size),
         (EndpointUpdate::Cached, 2, 1, 1.5)
     );
     assert_eq!(
-        (hosts[0].started, hosts[1].started),
+        (endpoints[0].started, endpoints[1].started),
         (None, Some(6_100_000_000))
     );
+}
 
+#[test]
+fn decodes_the_worked_records() {
     let ended = padded(
         "04 00000003 5d3a91c4 4032800000000000 0a124a07 1f43 01 00 00 00",
         RECORD_BYTES,
@@ -98,7 +96,7 @@
         _,
         Event::AttemptEnded {
             host,
-            request_over: over,
+            request_over,
             ending,
             attempt,
             ..
@@ -108,7 +106,7 @@
         panic!()
     };
     assert_eq!(
-        (host, over, ending, attempt),
+        (host, request_over, ending, attempt),
         (HostId(0x0a12_4a07_1f43), true, AttemptOutcome::Completed, 0)
     );
     let established = padded(
@@ -122,11 +120,11 @@
             ..
         }
     ));
-    let note = padded(
+    let measured = padded(
         "0b 00000003 5d3a91c4 00 0a124a07 1f43 01 3f000000",
         RECORD_BYTES,
     );
-    assert!(matches!(event(&note, 0).1, Event::LoadMeasured { load, .. } if load == 0.5e-6));
+    assert!(matches!(event(&measured, 0).1, Event::LoadMeasured { load, .. } if load == 0.5e-6));
     let probed = padded(
         "07 00000003 3ff6666666666666 00 0a9011f2 1f6c 00",
         RECORD_BYTES,
@@ -140,14 +138,14 @@
     ));
     let open = "0a 00000003 0e6f2b19 00 0000 91f03b7c55d20a64 406e000000000000 4028000000000000
         2b8e6401d9f37c10 0001 0a9011f2 1f6c";
-    let (_, Event::ConnectionFound(_, on)) = event(&padded(open, RECORD_BYTES), 0) else {
+    let (_, Event::ConnectionFound(_, host)) = event(&padded(open, RECORD_BYTES), 0) else {
         panic!()
     };
-    assert_eq!(on, HostId(0x0a90_11f2_1f6c));
+    assert_eq!(host, HostId(0x0a90_11f2_1f6c));
 }
 
 #[test]
-fn messages_between_nodes_come_and_go_as_worked() {
+fn gossip_is_decoded_and_encoded_as_worked() {
     let mut body = padded("08 00000003 0002 00000000 00000004", RECORD_BYTES);
     body.extend(hex("68692037"));
     let batch = Batch::new(1, 1, &body).unwrap();
