--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -1,6 +1,6 @@
-//! The module under events drawn at random: lists, clients, hosts, new terms, a successor and a clock that stands still for
-//! a while cross in every order, and each action is held to the rules. A seed that fails is named, and plays alone with
-//! `RANDOM_EVENTS_SEED`.
+//! The module under random events: endpoint lists, clients, hosts, new settings, hot restarts and a process that stalls
+//! come in every order, and each action is checked against the rules. A seed that fails is named, and can be played alone
+//! with `RANDOM_EVENTS_SEED`.
 
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -12,7 +12,7 @@
 const START: Nanos = 86_400 * SECOND;
 const SEEDS: u64 = 600;
 const EVENTS: usize = 400;
-const MOST_HOSTS: u64 = 6;
+const MAX_HOSTS: u64 = 6;
 
 /// A request, as its client and its hosts see it.
 #[derive(Clone)]
@@ -22,14 +22,14 @@
     deadline: Nanos,
     max_attempts: u32,
     attempts: u32,
-    /// The attempt that is out, with its limit, or the connection that stands.
-    at: Option<(HostId, Nanos)>,
-    sent: Nanos,
-    begun: Option<Nanos>,
-    moved: bool,
+    /// The attempt in flight, with its limit, or the open connection.
+    attempt: Option<(HostId, Nanos)>,
+    sent_at: Nanos,
+    established_at: Option<Nanos>,
+    migrating: bool,
     /// The first attempt that may have run.
-    ran: Option<(Endpoint, Nanos)>,
-    tried: Vec<HostId>,
+    first_run: Option<(Endpoint, Nanos)>,
+    tried_hosts: Vec<HostId>,
     client_gone: bool,
 }
 
@@ -42,10 +42,10 @@
     hosts: BTreeMap<u64, Endpoint>,
     requests: BTreeMap<u64, Request>,
     next_request: u64,
-    wakes: Vec<(Nanos, u64)>,
+    timers: Vec<(Nanos, u64)>,
     actions: Vec<Action>,
-    /// Between an event and the end of what it leads to.
-    handling: bool,
+    /// A successor takes over, and has not been told of all requests yet.
+    in_hot_restart: bool,
 }
 
 fn class(rng: &mut ChaCha8Rng) -> RequestClass {
@@ -108,8 +108,8 @@
         let settings = settings(&mut rng);
         let mut actions = Vec::new();
         let node = Balancer::new(settings.clone(), seed, START, &mut actions);
-        let (hosts, requests, wakes) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
-        let (now, next_request, handling) = (START, 0, false);
+        let (hosts, requests, timers) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
+        let (now, next_request, in_hot_restart) = (START, 0, false);
         let mut world = World {
             seed,
             rng,
@@ -119,36 +119,36 @@
             hosts,
             requests,
             next_request,
-            wakes,
+            timers,
             actions,
-            handling,
+            in_hot_restart,
         };
-        world.carry_out();
+        world.check_actions();
         world
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.node.handle(self.now, event, &mut self.actions);
-        self.carry_out();
+        self.check_actions();
     }
 
-    fn carry_out(&mut self) {
+    fn check_actions(&mut self) {
         for action in std::mem::take(&mut self.actions) {
-            self.hold(&action);
+            self.check(&action);
         }
-        if !self.handling {
+        if !self.in_hot_restart {
             for (id, request) in &self.requests {
                 assert!(
-                    request.at.is_some(),
-                    "{}: {id} neither answered nor handed off",
+                    request.attempt.is_some(),
+                    "{}: {id} neither answered nor in flight",
                     self.seed
                 );
             }
         }
     }
 
-    /// Holds an action to the rules, and does it.
-    fn hold(&mut self, action: &Action) {
+    /// Checks an action against the rules, and carries it out.
+    fn check(&mut self, action: &Action) {
         let seed = self.seed;
         match action {
             Action::StartAttempt {
@@ -156,46 +156,16 @@
                 host,
                 until,
                 by,
-            } => self.attempt(id.0, *host, *until, *by),
-            Action::Reject {
-                id,
-                retry_after: wait,
-            } => {
-                let request = self.answered(id.0);
-                assert!(
-                    may_dismiss(&request.class, request.ran.is_some()),
-                    "{seed}: {id:?} dismissed"
-                );
-                assert!(
-                    *wait <= self.settings.max_retry_after,
-                    "{seed}: advice of {wait}"
-                );
-            }
-            Action::Fail { id } => _ = self.answered(id.0),
-            Action::Migrate { id } => {
-                let request = self.requests.get_mut(&id.0).expect("moved after its end");
-                assert!(
-                    request.begun.is_some() && !request.moved,
-                    "{seed}: {id:?} moved twice or too early"
-                );
-                request.moved = true;
-            }
-            Action::CancelAttempt { id, attempt } => {
-                let request = &self.requests[&id.0];
-                assert!(
-                    request.client_gone && self.settings.may_cancel,
-                    "{seed}: {id:?} called off"
-                );
-                assert!(
-                    request.begun.is_none() && *attempt + 1 == request.attempts,
-                    "{seed}: {id:?}"
-                );
-            }
-            Action::SetTimer { time, timer: mark } => self.wakes.push((*time, *mark)),
+            } => self.check_attempt(id.0, *host, *until, *by),
+            Action::Reject { id, retry_after } => self.check_rejection(id.0, *retry_after),
+            Action::Fail { id } => _ = self.take_answer(id.0),
+            Action::Migrate { id } => self.check_migration(id.0),
+            Action::CancelAttempt { id, attempt } => self.check_cancellation(id.0, *attempt),
+            Action::SetTimer { time, timer } => self.timers.push((*time, *timer)),
             Action::Probe { host } => {
                 assert!(
                     self.settings.load_from_probes,
-                    "{seed}: a probe without leave"
+                    "{seed}: a probe though none is allowed"
                 );
                 assert_eq!(
                     self.hosts[&host.0].state,
@@ -206,25 +176,63 @@
             Action::Gossip { message } => {
                 assert!(
                     self.settings.gossip_enabled && message.len() <= gossip::MAX_MESSAGE_BYTES,
-                    "{seed}: told without leave"
+                    "{seed}: gossip that is not allowed"
                 );
             }
             Action::PollEndpoints | Action::WatchEndpoints | Action::Log(_) => {}
         }
     }
 
-    fn attempt(&mut self, id: u64, host: HostId, until: Nanos, by: Nanos) {
+    fn check_rejection(&mut self, id: u64, retry_after: Nanos) {
+        let seed = self.seed;
+        let request = self.take_answer(id);
+        assert!(
+            may_dismiss(&request.class, request.first_run.is_some()),
+            "{seed}: {id} rejected"
+        );
+        assert!(
+            retry_after <= self.settings.max_retry_after,
+            "{seed}: Retry-After of {retry_after}"
+        );
+    }
+
+    fn check_migration(&mut self, id: u64) {
+        let request = self.requests.get_mut(&id).expect("migrated after its end");
+        assert!(
+            request.established_at.is_some() && !request.migrating,
+            "{}: {id} migrated twice or too early",
+            self.seed
+        );
+        request.migrating = true;
+    }
+
+    fn check_cancellation(&mut self, id: u64, attempt: u32) {
+        let (seed, request) = (self.seed, &self.requests[&id]);
+        assert!(
+            request.client_gone && self.settings.may_cancel,
+            "{seed}: {id} cancelled"
+        );
+        assert!(
+            request.established_at.is_none() && attempt + 1 == request.attempts,
+            "{seed}: {id}"
+        );
+    }
+
+    fn check_attempt(&mut self, id: u64, host: HostId, until: Nanos, by: Nanos) {
         let (seed, now) = (self.seed, self.now);
-        let place = self.hosts[&host.0];
+        let endpoint = self.hosts[&host.0];
         let request = self
             .requests
             .get_mut(&id)
-            .expect("a hand-off after the answer");
+            .expect("an attempt after the answer");
         assert!(
             !request.client_gone,
-            "{seed}: {id} handed off after its client had gone"
+            "{seed}: {id} attempted after its client had gone"
+        );
+        assert!(
+            request.attempt.is_none(),
+            "{seed}: {id} has two attempts in flight"
         );
-        assert!(request.at.is_none(), "{seed}: {id} has two attempts out");
         assert!(
             now < until && until <= request.deadline,
             "{seed}: {id} limit {until}, {}",
@@ -232,74 +240,75 @@
         );
         assert!(
             request.attempts < request.max_attempts,
-            "{seed}: {id} handed off too often"
+            "{seed}: {id} attempted too often"
         );
         assert_eq!(
-            place.state,
+            endpoint.state,
             HostState::Ready,
             "{seed}: {id} to a host that is not ready"
         );
-        if let Some((first, sent)) = &request.ran {
+        if let Some((first, sent_at)) = &request.first_run {
             assert_ne!(
                 request.class.idempotency,
                 Idempotency::NonIdempotent,
                 "{seed}: {id} may run twice"
             );
             assert_eq!(
-                may_repeat_at(&request.class, Some(first), &place),
+                may_repeat_at(&request.class, Some(first), &endpoint),
                 Ok(()),
                 "{seed}: {id}"
             );
             if request.class.idempotency == Idempotency::WithKey {
-                let window = sent + request.class.idempotency_window;
+                let window = sent_at + request.class.idempotency_window;
                 assert!(
                     now < window && by <= window,
                     "{seed}: {id} out of its window"
                 );
             }
         }
-        (request.at, request.sent) = (Some((host, until)), now);
+        (request.attempt, request.sent_at) = (Some((host, until)), now);
         request.attempts += 1;
-        request.tried.push(host);
+        request.tried_hosts.push(host);
     }
 
     /// Takes the final answer.
-    fn answered(&mut self, id: u64) -> Request {
+    fn take_answer(&mut self, id: u64) -> Request {
         let request = self.requests.remove(&id).expect("a second answer");
         assert!(
-            request.at.is_none(),
+            request.attempt.is_none(),
             "{}: {id} answered beside an attempt",
             self.seed
         );
         request
     }
 
-    /// Lets time pass; timers and limits come in their order, or late where the process stands still.
-    fn pass(&mut self, span: Nanos, stands_still: bool) {
+    /// Lets time pass; timers and limits come in their order, or late where the process stalls.
+    fn let_time_pass(&mut self, span: Nanos, stalled: bool) {
         let until = self.now + span;
-        if stands_still {
+        if stalled {
             self.now = until;
         }
         loop {
-            let wake = self
-                .wakes
+            let timer = self
+                .timers
                 .iter()
                 .copied()
                 .min()
                 .filter(|(time, _)| *time <= until);
             let limit = |(id, r): (&u64, &Request)| {
-                Some((r.at?.1, *id)).filter(|(limit, _)| r.begun.is_none() && *limit <= until)
+                Some((r.attempt?.1, *id))
+                    .filter(|(limit, _)| r.established_at.is_none() && *limit <= until)
             };
             let limit = self.requests.iter().filter_map(limit).min();
-            match (wake, limit) {
-                (Some(wake), limit) if limit.is_none_or(|limit| wake.0 <= limit.0) => {
-                    self.wakes.retain(|other| *other != wake);
-                    self.now = self.now.max(wake.0);
-                    self.tell(Event::TimerFired { timer: wake.1 });
+            match (timer, limit) {
+                (Some(timer), limit) if limit.is_none_or(|limit| timer.0 <= limit.0) => {
+                    self.timers.retain(|other| *other != timer);
+                    self.now = self.now.max(timer.0);
+                    self.handle(Event::TimerFired { timer: timer.1 });
                 }
                 (_, Some((limit, id))) => {
                     self.now = self.now.max(limit);
-                    self.ends(id, AttemptOutcome::TimedOut);
+                    self.end(id, AttemptOutcome::TimedOut);
                 }
                 _ => break,
             }
@@ -307,7 +316,7 @@
         self.now = until;
     }
 
-    fn arrives(&mut self) {
+    fn request_arrives(&mut self) {
         self.next_request += 1;
         let id = self.next_request;
         let rng = &mut self.rng;
@@ -328,56 +337,57 @@
             deadline: self.now + incoming.time_left,
             max_attempts: self.settings.max_attempts,
             attempts: 0,
-            at: None,
-            sent: 0,
-            begun: None,
-            moved: false,
-            ran: None,
-            tried: Vec::new(),
+            attempt: None,
+            sent_at: 0,
+            established_at: None,
+            migrating: false,
+            first_run: None,
+            tried_hosts: Vec::new(),
             client_gone: false,
         };
         self.requests.insert(id, request);
-        self.tell(Event::RequestArrived(incoming));
+        self.handle(Event::RequestArrived(incoming));
     }
 
-    fn any(&mut self, fits: impl Fn(&Request) -> bool) -> Option<u64> {
+    fn any_request(&mut self, is_wanted: impl Fn(&Request) -> bool) -> Option<u64> {
         let fitting: Vec<u64> = self
             .requests
             .iter()
-            .filter(|(_, r)| fits(r))
+            .filter(|(_, r)| is_wanted(r))
             .map(|(id, _)| *id)
             .collect();
         fitting.choose(&mut self.rng).copied()
     }
 
-    fn begins(&mut self) {
-        let Some(id) = self.any(|r| r.begun.is_none()) else {
+    fn connection_opens(&mut self) {
+        let Some(id) = self.any_request(|r| r.established_at.is_none()) else {
             return;
         };
         let request = self.requests.get_mut(&id).unwrap();
-        (request.begun, request.client_gone) = (Some(self.now), false);
-        let took = self.now - request.sent;
-        self.tell(Event::ConnectionEstablished {
+        (request.established_at, request.client_gone) = (Some(self.now), false);
+        let took = self.now - request.sent_at;
+        self.handle(Event::ConnectionEstablished {
             id: RequestId(id),
             took,
         });
     }
 
-    /// The attempt that is out, or the connection that stands, comes to this.
-    fn ends(&mut self, id: u64, ending: AttemptOutcome) {
+    /// The attempt in flight, or the open connection, ends.
+    fn end(&mut self, id: u64, ending: AttemptOutcome) {
         let request = self.requests.get_mut(&id).unwrap();
-        let (host, _) = request.at.take().unwrap();
-        if !ending.never_ran() && request.ran.is_none() {
-            request.ran = Some((self.hosts[&host.0], request.sent));
+        let (host, _) = request.attempt.take().unwrap();
+        if !ending.never_ran() && request.first_run.is_none() {
+            request.first_run = Some((self.hosts[&host.0], request.sent_at));
         }
-        let over =
-            request.begun.is_some() || request.client_gone || ending == AttemptOutcome::Completed;
+        let over = request.established_at.is_some()
+            || request.client_gone
+            || ending == AttemptOutcome::Completed;
         let attempt = request.attempts.saturating_sub(1);
         if over {
             self.requests.remove(&id);
         }
         let load_metrics = vec![self.rng.random_range(-1.0..2.0), f64::NAN];
-        self.tell(Event::AttemptEnded {
+        self.handle(Event::AttemptEnded {
             id: RequestId(id),
             attempt,
             host,
@@ -388,7 +398,7 @@
     }
 
     fn attempt_ends(&mut self) {
-        let Some(id) = self.any(|r| r.begun.is_none()) else {
+        let Some(id) = self.any_request(|r| r.established_at.is_none()) else {
             return;
         };
         let endings = [
@@ -401,11 +411,11 @@
             AttemptOutcome::NoRoute,
         ];
         let ending = *endings.choose(&mut self.rng).unwrap();
-        self.ends(id, ending);
+        self.end(id, ending);
     }
 
     fn connection_ends(&mut self) {
-        let Some(id) = self.any(|r| r.begun.is_some()) else {
+        let Some(id) = self.any_request(|r| r.established_at.is_some()) else {
             return;
         };
         let ending = *[
@@ -415,20 +425,20 @@
         ]
         .choose(&mut self.rng)
         .unwrap();
-        self.ends(id, ending);
+        self.end(id, ending);
     }
 
-    fn client_goes(&mut self) {
-        let Some(id) = self.any(|r| r.begun.is_none() && !r.client_gone) else {
+    fn client_leaves(&mut self) {
+        let Some(id) = self.any_request(|r| r.established_at.is_none() && !r.client_gone) else {
             return;
         };
         self.requests.get_mut(&id).unwrap().client_gone = true;
-        self.tell(Event::ClientLeft { id: RequestId(id) });
+        self.handle(Event::ClientLeft { id: RequestId(id) });
     }
 
-    fn listing(&mut self, host: u64) -> Endpoint {
+    fn random_endpoint(&mut self, host: u64) -> Endpoint {
         let rng = &mut self.rng;
-        let standings = [
+        let states = [
             HostState::Ready,
             HostState::Ready,
             HostState::Ready,
@@ -448,13 +458,13 @@
             id: HostId(host),
             zone: rng.random_range(0..2),
             cell: rng.random_range(0..2),
-            state: *standings.choose(rng).unwrap(),
+            state: *states.choose(rng).unwrap(),
             size: *[0.0, 0.001, 1.0, 1.0, 64.0, f64::NAN].choose(rng).unwrap(),
             started,
         }
     }
 
-    fn list_changes(&mut self) {
+    fn endpoints_change(&mut self) {
         let kinds = [
             EndpointUpdate::Delta,
             EndpointUpdate::Delta,
@@ -463,13 +473,16 @@
             EndpointUpdate::Failed,
         ];
         let kind = *kinds.choose(&mut self.rng).unwrap();
-        let count = self.rng.random_range(0..=MOST_HOSTS);
-        let mut names: Vec<u64> = (0..count)
-            .map(|_| self.rng.random_range(0..MOST_HOSTS))
+        let count = self.rng.random_range(0..=MAX_HOSTS);
+        let mut ids: Vec<u64> = (0..count)
+            .map(|_| self.rng.random_range(0..MAX_HOSTS))
+            .collect();
+        ids.sort_unstable();
+        ids.dedup();
+        let hosts: Vec<Endpoint> = ids
+            .into_iter()
+            .map(|name| self.random_endpoint(name))
             .collect();
-        names.sort_unstable();
-        names.dedup();
-        let hosts: Vec<Endpoint> = names.into_iter().map(|name| self.listing(name)).collect();
         if kind != EndpointUpdate::Failed {
             if kind != EndpointUpdate::Delta {
                 self.hosts
@@ -479,14 +492,14 @@
             self.hosts
                 .extend(hosts.iter().map(|host| (host.id.0, *host)));
         }
-        self.tell(Event::EndpointsUpdated {
+        self.handle(Event::EndpointsUpdated {
             kind,
             endpoints: hosts,
         });
     }
 
-    fn host_tells(&mut self) {
-        let host = HostId(self.rng.random_range(0..MOST_HOSTS + 1));
+    fn host_reports(&mut self) {
+        let host = HostId(self.rng.random_range(0..MAX_HOSTS + 1));
         let time = *[0, MILLI, 63 * MILLI, 10 * SECOND, Nanos::MAX]
             .choose(&mut self.rng)
             .unwrap();
@@ -510,22 +523,22 @@
             },
             _ => Event::GossipReceived { message: bytes },
         };
-        self.tell(event);
+        self.handle(event);
     }
 
     fn load_changes(&mut self) {
-        let Some(id) = self.any(|r| r.begun.is_some()) else {
+        let Some(id) = self.any_request(|r| r.established_at.is_some()) else {
             return;
         };
         let load = *[0.0, 1e-9, 0.5, 3.0, 1e6].choose(&mut self.rng).unwrap();
-        self.tell(Event::LoadMeasured {
+        self.handle(Event::LoadMeasured {
             id: RequestId(id),
             load,
         });
     }
 
-    /// New terms: what was offered stays known, some of it is offered no more, some comes anew.
-    fn terms_change(&mut self) {
+    /// New settings: classes stay known, some are no longer active, some are new.
+    fn settings_change(&mut self) {
         let mut new = settings(&mut self.rng);
         let fresh = std::mem::take(&mut new.classes);
         let before = self.settings.classes.len();
@@ -534,103 +547,106 @@
             class.active = self.rng.random();
         }
         new.classes.extend(fresh);
-        let others = (before..new.classes.len()).collect();
+        let replaced = (before..new.classes.len()).collect();
         self.settings = new.clone();
-        self.tell(Event::SettingsChanged(Box::new(new), others));
+        self.handle(Event::SettingsChanged(Box::new(new), replaced));
     }
 
-    fn leaves(&mut self) {
+    fn shut_down(&mut self) {
         let from = self.now + self.rng.random_range(0..SECOND);
         let by = from + self.rng.random_range(0..10 * SECOND);
-        self.tell(Event::ShutdownStarted { from, by });
+        self.handle(Event::ShutdownStarted { from, by });
     }
 
-    /// Another process takes this one's place, with what it has learned and all that it holds.
-    fn is_replaced(&mut self) {
-        let legacy = self.node.export_state();
+    /// Another process replaces this one, with what it has learned and all its requests.
+    fn restart_hot(&mut self) {
+        let state = self.node.export_state();
         let seed = self.rng.random();
-        self.wakes.clear();
+        self.timers.clear();
         self.node = Balancer::new(self.settings.clone(), seed, self.now, &mut self.actions);
-        self.handling = true;
-        self.carry_out();
+        self.in_hot_restart = true;
+        self.check_actions();
         let hosts: Vec<Endpoint> = self.hosts.values().copied().collect();
-        self.tell(Event::EndpointsUpdated {
+        self.handle(Event::EndpointsUpdated {
             kind: EndpointUpdate::Cached,
             endpoints: hosts,
         });
-        self.tell(Event::StateInherited(Box::new(legacy)));
-        let held: Vec<u64> = self.requests.keys().copied().collect();
-        for id in held {
-            self.takes_up(id);
+        self.handle(Event::StateInherited(Box::new(state)));
+        let open: Vec<u64> = self.requests.keys().copied().collect();
+        for id in open {
+            self.take_over(id);
         }
-        self.handling = false;
-        self.carry_out();
+        self.in_hot_restart = false;
+        self.check_actions();
     }
 
-    fn takes_up(&mut self, id: u64) {
+    fn take_over(&mut self, id: u64) {
         let now = self.now;
         let request = self.requests.get_mut(&id).unwrap();
         request.incoming.time_left = request.deadline.saturating_sub(now);
         let incoming = request.incoming;
-        let (host, _) = request.at.unwrap();
-        if request.client_gone && request.begun.is_none() {
+        let (host, _) = request.attempt.unwrap();
+        if request.client_gone && request.established_at.is_none() {
             self.requests.remove(&id);
             return;
         }
-        if let Some(since) = request.begun {
-            (request.moved, request.attempts) = (false, 1);
-            return self.tell(Event::ConnectionHandedOver(incoming, host, since));
+        if let Some(since) = request.established_at {
+            (request.migrating, request.attempts) = (false, 1);
+            return self.handle(Event::ConnectionHandedOver(incoming, host, since));
         }
-        request.at = None;
+        request.attempt = None;
         request.max_attempts = self.settings.max_attempts;
-        if request.ran.is_none() {
-            request.ran = Some((self.hosts[&host.0], request.sent));
+        if request.first_run.is_none() {
+            request.first_run = Some((self.hosts[&host.0], request.sent_at));
         }
-        let ran = request.ran.as_ref().map(|(first, sent)| (first.id, *sent));
-        let past = PriorAttempts {
+        let first_run = request
+            .first_run
+            .as_ref()
+            .map(|(first, sent_at)| (first.id, *sent_at));
+        let prior = PriorAttempts {
             attempts: request.attempts,
-            may_have_run: ran,
-            tried_hosts: request.tried.clone(),
+            may_have_run: first_run,
+            tried_hosts: request.tried_hosts.clone(),
         };
-        self.tell(Event::RequestTakenOver(incoming, past));
+        self.handle(Event::RequestTakenOver(incoming, prior));
     }
 
     fn step(&mut self) {
         match self.rng.random_range(0..100) {
-            0..30 => self.arrives(),
-            30..45 => self.begins(),
+            0..30 => self.request_arrives(),
+            30..45 => self.connection_opens(),
             45..58 => self.attempt_ends(),
             58..66 => self.connection_ends(),
-            66..70 => self.client_goes(),
-            70..77 => self.list_changes(),
-            77..84 => self.host_tells(),
+            66..70 => self.client_leaves(),
+            70..77 => self.endpoints_change(),
+            77..84 => self.host_reports(),
             84..88 => self.load_changes(),
-            88 => self.terms_change(),
-            89 => self.leaves(),
-            90 => self.tell(Event::ShutdownCancelled),
-            91 => self.is_replaced(),
+            88 => self.settings_change(),
+            89 => self.shut_down(),
+            90 => self.handle(Event::ShutdownCancelled),
+            91 => self.restart_hot(),
             92 => {
-                let comes = self.rng.random();
-                self.tell(Event::SuccessorChanged(comes));
+                let has_state = self.rng.random();
+                self.handle(Event::SuccessorChanged(has_state));
             }
             93 => {
-                let turns = (0..4)
+                let slots = (0..4)
                     .map(|_| (self.rng.random_range(0..300), self.rng.random()))
                     .collect();
-                self.tell(Event::SlowStartSlotsAssigned(turns));
+                self.handle(Event::SlowStartSlotsAssigned(slots));
             }
             94 => {
-                let looks = (0..3)
-                    .map(|_| HostId(self.rng.random_range(0..MOST_HOSTS + 2)))
+                let targets = (0..3)
+                    .map(|_| HostId(self.rng.random_range(0..MAX_HOSTS + 2)))
                     .collect();
-                self.tell(Event::ProbeTargetsAssigned(looks));
+                self.handle(Event::ProbeTargetsAssigned(targets));
             }
             _ => {
                 let span = *[0, MILLI, 100 * MILLI, SECOND, 20 * SECOND]
                     .choose(&mut self.rng)
                     .unwrap();
-                let stands_still = self.rng.random_bool(0.2);
-                self.pass(span, stands_still);
+                let stalled = self.rng.random_bool(0.2);
+                self.let_time_pass(span, stalled);
             }
         }
     }
@@ -647,9 +663,9 @@
         for _ in 0..EVENTS {
             world.step();
         }
-        world.pass(60 * SECOND, false);
+        world.let_time_pass(60 * SECOND, false);
         assert!(
-            world.requests.values().all(|r| r.begun.is_some()),
+            world.requests.values().all(|r| r.established_at.is_some()),
             "{seed}: lost"
         );
     }
