--- /dev/null
+++ b/tests/fleet/restarts.rs
@@ -0,0 +1,248 @@
+//! Hot and cold restarts of nodes while hosts warm up.
+
+use crate::simulation::{
+    attempt_at, count_within, host, is_migration, overload_budget, settings, warm_connections,
+    Fleet, START,
+};
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use reedferry::*;
+
+/// Rule 4 over a node that is replaced while it runs. Prevents a warming host from being overloaded by the two processes that
+/// are one node, as the successor thinks that nothing of the slot is spent, and the predecessor goes on.
+#[test]
+fn a_warming_host_is_not_overloaded_by_a_process_and_its_successor() {
+    let hosts = [host(1), host(2), host(3), host(4)];
+    let mut fleet = Fleet::new(2, |node| settings(node, 2));
+    fleet.update_endpoints(EndpointUpdate::Cached, &hosts);
+    fleet.new_clients(200);
+    fleet.pass(20 * SECOND);
+    let warming = Endpoint {
+        started: Some(fleet.now - SECOND),
+        ..host(9)
+    };
+    fleet.update_endpoints(EndpointUpdate::Delta, &[warming]);
+    let endpoints = [&hosts[..], &[warming]].concat();
+    for step in 0..100 {
+        // A successor of node 0 in the middle of each second; both processes then take clients.
+        if step % 20 == 10 {
+            add_successor(&mut fleet, step, &endpoints);
+        }
+        for node in 0..fleet.nodes.len() {
+            // They come and go, so that the number of connections stays the same.
+            for _ in 0..5 {
+                fleet.brief_client(node);
+            }
+        }
+        fleet.pass(50 * MILLI);
+    }
+    let all = fleet.max_within(60 * SECOND, attempt_at(9));
+    let max = fleet.max_within(SECOND, attempt_at(9));
+    let budget = overload_budget(6.0, warm_connections(200.0));
+    assert!(
+        all > 0 && max as f64 <= budget,
+        "{max} of {all} within a second, {budget:.0} at most"
+    );
+}
+
+/// Starts a successor of the last process of node 0, with its state and a hundred of its connections.
+fn add_successor(fleet: &mut Fleet, step: u64, endpoints: &[Endpoint]) {
+    let predecessor = fleet.nodes.len() - 1 - usize::from(fleet.nodes.len() == 2);
+    let state = Box::new(fleet.nodes[predecessor].export_state());
+    fleet.handle(predecessor, Event::SuccessorChanged(true));
+    let successor = fleet.add_node(settings(0, 2), step);
+    fleet.update_endpoints_of(successor, EndpointUpdate::Cached, endpoints);
+    fleet.handle(successor, Event::StateInherited(state));
+    for connection in 0..100 {
+        let incoming = IncomingRequest {
+            id: RequestId(1 << 40 | step << 20 | connection),
+            ..IncomingRequest::default()
+        };
+        let host = HostId(connection % 4 + 1);
+        let event = Event::ConnectionHandedOver(incoming, host, START);
+        fleet.handle(successor, event);
+    }
+}
+
+/// Prevents clients from being migrated to new hosts by one node and placed elsewhere by the next, which has started after
+/// those hosts, finds them in its first list and so takes them for hosts like the rest, of which it uses few.
+#[test]
+fn clients_are_migrated_to_new_hosts_by_nodes_that_started_after_these() {
+    let mut fleet = Fleet::new(100, |node| settings(node, 100));
+    let mut hosts: Vec<Endpoint> = (1..=20).map(host).collect();
+    fleet.update_endpoints(EndpointUpdate::Cached, &hosts);
+    fleet.new_clients(1000);
+    fleet.pass(10 * SECOND);
+    hosts.extend((21..=40).map(|id| Endpoint {
+        started: Some(fleet.now),
+        ..host(id)
+    }));
+    for node in 0..100 {
+        replace_process(&mut fleet, node, &hosts);
+    }
+    let before = fleet.log.len();
+    fleet.pass(12 * SECOND);
+    let migrated = fleet.count_since(before, is_migration);
+    let at_new_host = |a: &Action| matches!(a, Action::StartAttempt { host, .. } if host.0 > 20);
+    let placed = fleet.count_since(before, at_new_host);
+    assert!(
+        migrated >= 200 && 10 * placed >= 9 * migrated,
+        "{placed} of {migrated} placed there"
+    );
+}
+
+/// Replaces a process by one that finds the connections of its predecessor.
+fn replace_process(fleet: &mut Fleet, node: usize, endpoints: &[Endpoint]) {
+    let own = fleet.log.iter().filter(|logged| logged.node == node);
+    let open = own.filter_map(|logged| match logged.action {
+        Action::StartAttempt { id, host, .. } => Some((id, host)),
+        _ => None,
+    });
+    let open: Vec<(RequestId, HostId)> = open.collect();
+    fleet.restart_node(node, settings(node as u32, 100), node as u64, endpoints);
+    for (id, host) in open {
+        let incoming = IncomingRequest {
+            id,
+            key: Some(fleet.client_key(id)),
+            ..IncomingRequest::default()
+        };
+        let event = Event::ConnectionHandedOver(incoming, host, START);
+        fleet.handle(node, event);
+    }
+}
+
+/// Rule 4 over the sum of all processes, also of those that were killed and started again. What the settings allow in a window
+/// is N; beyond that only two roots of N and two are chance.
+///
+/// Prevents a warming host from being overloaded by twenty or thirty nodes, each of which keeps to its own part; on both sides
+/// of the border between node slots and client slots.
+#[test]
+fn the_sum_of_all_processes_stays_within_a_warming_hosts_budget_and_chance() {
+    let mut exceeded: Vec<String> = Vec::new();
+    let mut windows = 0;
+    for seed in 0..143 {
+        let run = RandomRestarts::new(seed).play();
+        windows += run.windows;
+        exceeded.extend(run.exceeded);
+    }
+    assert!(windows > 1000, "too tame: {windows}");
+    assert!(
+        exceeded.is_empty(),
+        "{} windows of {windows} over, such as {:#?}",
+        exceeded.len(),
+        &exceeded[..exceeded.len().min(20)]
+    );
+}
+
+/// A fleet whose nodes are killed and started again at random beside a warming host.
+struct RandomRestarts {
+    seed: u64,
+    rng: ChaCha8Rng,
+    nodes: u32,
+    /// Connections before the warming host is listed.
+    open: usize,
+    fleet: Fleet,
+    endpoints: Vec<Endpoint>,
+}
+
+/// How a run went.
+struct Run {
+    /// How many windows of a second there were.
+    windows: usize,
+    /// Those that were over the budget and chance.
+    exceeded: Vec<String>,
+}
+
+impl RandomRestarts {
+    fn new(seed: u64) -> Self {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let nodes: u32 = if seed >= 140 {
+            300
+        } else {
+            [12, 19, 20, 21, 30, 48, 120][seed as usize % 7]
+        };
+        // Of hosts that bear little, and much.
+        let open = if seed.is_multiple_of(2) {
+            rng.random_range(1..4)
+        } else {
+            rng.random_range(4..20)
+        };
+        let open = (open * nodes as usize).min(600);
+        let mut fleet = Fleet::new(nodes as usize, |node| settings(node, nodes));
+        let endpoints: Vec<Endpoint> = (1..=4).map(host).collect();
+        fleet.update_endpoints(EndpointUpdate::Cached, &endpoints);
+        fleet.new_clients(open);
+        RandomRestarts {
+            seed,
+            rng,
+            nodes,
+            open,
+            fleet,
+            endpoints,
+        }
+    }
+
+    fn play(mut self) -> Run {
+        self.fleet.pass(10 * SECOND);
+        let warming = Endpoint {
+            started: Some(self.fleet.now),
+            ..host(9)
+        };
+        self.fleet
+            .update_endpoints(EndpointUpdate::Delta, &[warming]);
+        self.endpoints.push(warming);
+        let start = self.fleet.now;
+        let busy = self.rng.random_range(0.05..1.0);
+        // Clients come and go; some nodes get several times the mean.
+        let mean_clients = (self.open as f64 * busy * 0.05).max(1.0) as usize;
+        for _ in 0..120 {
+            for _ in 0..self.rng.random_range(0..=2 * mean_clients) {
+                self.brief_client();
+            }
+            if self.rng.random_range(0..8) == 0 {
+                self.restart_node();
+            }
+            self.fleet.pass(50 * MILLI);
+        }
+        self.judge(start)
+    }
+
+    fn brief_client(&mut self) {
+        let node = self.rng.random_range(0..self.nodes as usize);
+        let crowded = self.rng.random_range(0..3) == 0;
+        self.fleet
+            .brief_client(if crowded { node % 5 } else { node });
+    }
+
+    /// One is killed and started again, with nothing learned but the list.
+    fn restart_node(&mut self) {
+        let node = self.rng.random_range(0..self.nodes as usize);
+        let seed = self.rng.random();
+        let settings = settings(node as u32, self.nodes);
+        self.fleet
+            .restart_node(node, settings, seed, &self.endpoints);
+        for _ in 0..self.open / self.nodes as usize {
+            self.fleet.new_client(node);
+        }
+    }
+
+    fn judge(&self, start: Nanos) -> Run {
+        let times = self.fleet.times(attempt_at(9));
+        let mut exceeded = Vec::new();
+        for (index, first) in times.iter().enumerate() {
+            let attempts = count_within(&times[index..], SECOND) as f64;
+            let age = (first + SECOND - start) as f64 / SECOND as f64;
+            let budget = overload_budget(age, warm_connections(self.open as f64));
+            if attempts > budget + 2.0 * budget.sqrt() + 2.0 {
+                exceeded.push(format!(
+                    "seed {}, {} nodes, {} open: {attempts} of {budget:.1} at {age:.1} s",
+                    self.seed, self.nodes, self.open
+                ));
+            }
+        }
+        Run {
+            windows: times.len(),
+            exceeded,
+        }
+    }
+}
--- /dev/null
+++ b/tests/fleet/slow_start.rs
@@ -0,0 +1,267 @@
+//! Slow start of hosts over a whole fleet: they are filled, and never overloaded.
+
+use crate::simulation::{
+    attempt_at, host, is_migration, key, overload_budget, settings, warm_connections, Fleet,
+};
+use reedferry::*;
+
+/// Hosts 1 to 4 warm and with two clients a node, then host 9 comes back and warms up; `clients` says to which nodes new
+/// ones come in each of the `steps` of 50 ms.
+fn warming_host(nodes: u32, steps: u64, clients: impl Fn(u64) -> Vec<usize>) -> Fleet {
+    let mut fleet = Fleet::new(nodes as usize, |node| settings(node, nodes));
+    let hosts = [host(1), host(2), host(3), host(4)];
+    fleet.update_endpoints(EndpointUpdate::Cached, &hosts);
+    fleet.new_clients(2 * nodes as usize);
+    fleet.pass(20 * SECOND);
+    let warming = Endpoint {
+        started: Some(fleet.now - SECOND),
+        ..host(9)
+    };
+    fleet.update_endpoints(EndpointUpdate::Delta, &[warming]);
+    for step in 0..steps {
+        for node in clients(step) {
+            fleet.new_client(node);
+        }
+        fleet.pass(50 * MILLI);
+    }
+    fleet
+}
+
+/// Prevents a new host from staying idle where each node sees too few clients to have one in its own slot.
+#[test]
+fn a_warming_host_is_filled_by_a_fleet_that_sees_few_clients_each() {
+    // Ten clients a second over a hundred nodes, for twenty seconds.
+    let clients = |step: u64| {
+        if step.is_multiple_of(2) {
+            vec![(step / 2 * 37 % 100) as usize]
+        } else {
+            Vec::new()
+        }
+    };
+    let fleet = warming_host(100, 400, clients);
+    let all = fleet.max_within(60 * SECOND, attempt_at(9));
+    assert!(all >= 40, "{all} clients in twenty seconds");
+}
+
+/// Rule 4 over the fleet. Prevents a warming host from being overloaded by a burst that no node could see coming, also where
+/// most nodes are dead and all their clients come to the rest.
+#[test]
+fn no_burst_overloads_a_warming_host() {
+    for (name, clients) in [
+        (
+            "one at every node at once",
+            (|s| if s == 0 { (0..100).collect() } else { vec![] }) as fn(u64) -> _,
+        ),
+        ("all clients within a second", |s| {
+            if s < 20 {
+                (0..100).skip(s as usize % 10).step_by(10).collect()
+            } else {
+                vec![]
+            }
+        }),
+        ("all clients to a third of the nodes", |s| {
+            if s < 20 {
+                (0..30).skip(s as usize % 3).step_by(3).collect()
+            } else {
+                vec![]
+            }
+        }),
+        ("a hundred a second for long", |s| {
+            (0..100).skip(s as usize % 20).step_by(20).collect()
+        }),
+    ] {
+        let fleet = warming_host(100, 100, clients);
+        let max = fleet.max_within(SECOND, attempt_at(9));
+        let open = fleet.request_count() as f64;
+        assert!(
+            max as f64 <= overload_budget(6.0, warm_connections(open)),
+            "{name}: {max} within a second"
+        );
+    }
+}
+
+/// Prevents a zone that came back from staying idle beside overloaded hosts, as clients stay where they are: each is migrated
+/// once, when its slot at the new host comes, and whichever node it comes to next places it there.
+#[test]
+fn clients_are_migrated_to_a_host_that_came_back_until_it_has_its_share() {
+    let mut fleet = warming_host(100, 0, |_| Vec::new());
+    let before = fleet.log.len();
+    fleet.pass(20 * SECOND);
+    let migrated = fleet.count_since(before, is_migration);
+    // 200 clients on five hosts of one size.
+    assert!((25..=55).contains(&migrated), "{migrated} of 200 migrated");
+    let max = fleet.max_within(SECOND, is_migration);
+    assert!(max <= 20, "{max} migrated within a second");
+    let placed = fleet.count_since(before, attempt_at(9));
+    assert!(
+        10 * placed >= 9 * migrated,
+        "{placed} of {migrated} placed there"
+    );
+}
+
+/// Prevents hosts that died and came back before the list told of it from being overloaded by a hundred nodes that each try
+/// them again.
+#[test]
+fn a_host_to_which_connections_failed_warms_up_when_it_takes_them_again() {
+    let mut fleet = Fleet::new(100, |node| settings(node, 100));
+    fleet.update_endpoints(EndpointUpdate::Cached, &[host(1), host(2), host(3)]);
+    fleet.new_clients(200);
+    for node in 0..100 {
+        fail_to_connect(&mut fleet, node, HostId(3));
+    }
+    let nodes = fleet.nodes_with(attempt_at(3));
+    assert!(nodes >= 80, "only {nodes} nodes tried it");
+    // It is back, and the list has not told of anything; the ejections are over.
+    fleet.pass(8 * SECOND);
+    let before = fleet.log.len();
+    for step in 0..100 {
+        fleet.new_client(step * 37 % 100);
+        fleet.pass(10 * MILLI);
+    }
+    let attempts = fleet.count_since(before, attempt_at(3));
+    // Eight seconds after connections to it last failed, the fleet's budget for it is over twenty a second.
+    assert!(attempts <= 20, "{attempts} clients within a second");
+}
+
+/// The node finds that no connection to the host opens: requests come until one is sent there.
+fn fail_to_connect(fleet: &mut Fleet, node: usize, host: HostId) {
+    for _ in 0..20 {
+        let id = fleet.next_request_id();
+        let attempt = fleet.request(node, id, key(id.0 + 1));
+        let Some(attempted) = attempt else { continue };
+        if attempted == host {
+            let outcome = AttemptOutcome::ConnectFailed;
+            return fleet.attempt_ended(node, id, host, outcome, false);
+        }
+        fleet.end(node, id, HostId(1), AttemptOutcome::Cancelled);
+    }
+}
+
+/// Prevents one zone with most clients from being overloaded beside another whose hosts are all new and stay empty.
+#[test]
+fn a_zone_whose_hosts_are_all_new_takes_clients_of_the_others() {
+    let mut fleet = Fleet::new(100, |node| BalancerSettings {
+        cross_zone_cost: 0.1,
+        ..settings(node, 100)
+    });
+    fleet.update_endpoints(EndpointUpdate::Cached, &[host(1), host(2)]);
+    fleet.new_clients(200);
+    fleet.pass(10 * SECOND);
+    let started = Some(fleet.now);
+    let new = [7, 8, 9].map(|id| Endpoint {
+        started,
+        zone: 1,
+        ..host(id)
+    });
+    fleet.update_endpoints(EndpointUpdate::Delta, &new);
+    for step in 0..200 {
+        fleet.new_client(step * 37 % 100);
+        fleet.pass(50 * MILLI);
+    }
+    let placed = [7, 8, 9].map(|id| fleet.count_since(0, attempt_at(id)));
+    let placed: usize = placed.iter().sum();
+    assert!(placed >= 10, "{placed} of 200 clients in ten seconds");
+}
+
+/// Prevents the new hosts of a release in all zones from staying nearly empty beside overloaded ones, as each is given clients
+/// of its own zone alone, which holds a few of all. And rule 4 with it, a third of all clients reconnecting at once; also
+/// where one of six zones has all clients.
+#[test]
+fn new_hosts_of_a_release_are_given_clients_of_all_zones() {
+    for zones in [6, 1] {
+        check_release(zones);
+    }
+}
+
+/// A release that replaces half of the hosts in six zones, with clients in the first `zones` of them.
+fn check_release(zones: u64) {
+    let zone = |n: u64| (n % 6) as u16;
+    let mut fleet = Fleet::new(300, |node| BalancerSettings {
+        zone: zone(u64::from(node) % zones),
+        cross_zone_cost: 0.1,
+        ..settings(node, 300)
+    });
+    let in_zone = |id| Endpoint {
+        zone: zone(id),
+        ..host(id)
+    };
+    let mut hosts: Vec<Endpoint> = (1..=60).map(in_zone).collect();
+    fleet.update_endpoints(EndpointUpdate::Cached, &hosts);
+    fleet.new_clients(1800);
+    fleet.pass(10 * SECOND);
+    for old in &mut hosts[30..] {
+        old.state = HostState::Gone;
+    }
+    let started = Some(fleet.now);
+    hosts.extend((61..=90).map(|id| Endpoint {
+        started,
+        ..in_zone(id)
+    }));
+    fleet.update_endpoints(EndpointUpdate::Delta, &hosts);
+    let before = fleet.log.len();
+    fleet.pass(9 * SECOND);
+    let at_new_host = |a: &Action| matches!(a, Action::StartAttempt { host, .. } if host.0 > 60);
+    let placed = fleet.count_since(before, at_new_host);
+    assert!(
+        placed >= 350,
+        "{placed} of 1800 clients at half of the hosts after nine seconds"
+    );
+    for client in 0..600 {
+        fleet.client_arrives(client % 300, key(client as u64 + 1));
+    }
+    let budget = overload_budget(9.0, 4.0 * 1800.0 / 60.0);
+    let max = (61..=90)
+        .map(|id| fleet.max_within(SECOND, attempt_at(id)))
+        .max()
+        .unwrap_or(0);
+    assert!(
+        max as f64 <= budget,
+        "{zones} zones: {max} at a host within a second, {budget:.1} at most"
+    );
+}
+
+/// Prevents clients from being migrated to new hosts, though these fill as it is, in fleets in which reports tell loads or that
+/// have few nodes.
+#[test]
+fn nobody_is_migrated_where_reports_tell_loads_or_the_nodes_are_few() {
+    for (nodes, reported, migrates) in [(100, false, true), (100, true, false), (11, false, false)]
+    {
+        let mut fleet = Fleet::new(nodes as usize, |node| BalancerSettings {
+            load_from_probes: reported,
+            load_metrics: if reported {
+                vec![LoadMetric::Load]
+            } else {
+                Vec::new()
+            },
+            ..settings(node, nodes)
+        });
+        fleet.update_endpoints(EndpointUpdate::Cached, &[host(1), host(2)]);
+        fleet.new_clients(2 * nodes as usize);
+        fleet.pass(5 * SECOND);
+        let started = Some(fleet.now);
+        let new = Endpoint { started, ..host(9) };
+        fleet.update_endpoints(EndpointUpdate::Delta, &[new]);
+        fleet.pass(15 * SECOND);
+        let migrating = fleet.nodes_with(is_migration);
+        assert_eq!(
+            migrating > 0,
+            migrates,
+            "{nodes} nodes, reports {reported}: {migrating} migrated clients"
+        );
+    }
+}
+
+/// Prevents an extreme setting from ending a node.
+#[test]
+fn an_overload_window_of_centuries_ends_no_node() {
+    let mut fleet = Fleet::new(2, |node| BalancerSettings {
+        overload_window: 9_000_000_000_000_000_000,
+        ..settings(node, 100)
+    });
+    fleet.update_endpoints(EndpointUpdate::Cached, &[host(1)]);
+    assert_eq!(fleet.new_client(0), Some(HostId(1)));
+    let started = Some(fleet.now);
+    let new = Endpoint { started, ..host(9) };
+    fleet.update_endpoints(EndpointUpdate::Delta, &[new]);
+    fleet.pass(SECOND);
+}
