--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -204,8 +204,8 @@
         let Some((slot, host)) = self.slot_and_host(id) else {
             return;
         };
-        let established = |slot| self.requests.get(slot).is_some_and(|r| r.established);
-        if !established(slot) {
+        let request = self.requests.get(slot);
+        if request.is_some_and(|request| !request.established) {
             self.send_host(host, HostMessage::ConnectionEstablished { slot, took });
             self.send_request(RequestMessage::ConnectionEstablished { slot });
         }
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -41,6 +41,21 @@
     },
 }
 
+/// A host that can take the request, and how well it suits.
+struct ScoredHost {
+    index: usize,
+    /// The lower the better.
+    score: f64,
+    tie_breaker: f64,
+}
+
+impl ScoredHost {
+    fn is_better(&self, other: &ScoredHost) -> bool {
+        self.score < other.score
+            || (self.score == other.score && self.tie_breaker < other.tie_breaker)
+    }
+}
+
 impl Balancer {
     /// The host with the lowest score of those that may and can take the request; ties at random.
     pub(super) fn select_host(
@@ -101,7 +116,7 @@
         vector: usize,
         random: u64,
     ) -> Option<usize> {
-        let mut best: Option<(f64, f64, usize)> = None;
+        let mut best: Option<ScoredHost> = None;
         for (index, host) in self.hosts.iter().enumerate() {
             let tried = demand.request.tried_hosts.contains(&index);
             let is_candidate = host.is_ready()
@@ -114,15 +129,16 @@
                 continue;
             }
             let tie_breaker = hash_to_unit_interval(random, index as u64);
-            let score = self.score(now, host, demand, fleet, vector, tie_breaker);
-            let is_better = best.is_none_or(|(best_score, best_tie_breaker, _)| {
-                score < best_score || (score == best_score && tie_breaker < best_tie_breaker)
-            });
-            if is_better {
-                best = Some((score, tie_breaker, index));
+            let scored = ScoredHost {
+                index,
+                score: self.score(now, host, demand, fleet, vector, tie_breaker),
+                tie_breaker,
+            };
+            if best.as_ref().is_none_or(|best| scored.is_better(best)) {
+                best = Some(scored);
             }
         }
-        best.map(|(_, _, index)| index)
+        best.map(|best| best.index)
     }
 
     /// A node starts with few hosts and adds one whenever those are all busy: those of its zone at
--- a/src/host.rs
+++ b/src/host.rs
@@ -1,6 +1,7 @@
 //! The record of one host: how it is listed, what this node has open there, and how it has behaved.
 //! It must never choose a host.
 
+mod context;
 mod ejection;
 mod events;
 mod limiting;
@@ -10,7 +11,7 @@
 mod slow_start;
 mod table;
 
-pub(crate) use events::HostContext;
+pub(crate) use context::HostContext;
 pub(crate) use load_report::CROWDED_LOAD;
 pub(crate) use slow_start::{
     is_large_fleet, uses_client_slots, FleetShare, CLIENT_SLOT_TIME, WARM_CAPACITY_FACTOR,
--- /dev/null
+++ b/src/host/context.rs
@@ -0,0 +1,39 @@
+//! What a host's record can use of the rest of the node while it handles a message.
+
+use crate::action::Action;
+use crate::connection_history::ConnectionHistory;
+use crate::gossip_budget::GossipBudget;
+use crate::messages::{HistoryMessage, Message, MessageQueue, RequestMessage};
+use crate::request_table::RequestTable;
+use crate::settings::BalancerSettings;
+use crate::setup_failures::SetupFailures;
+
+/// The rest of the node, to read and to send messages to.
+pub(crate) struct HostContext<'a> {
+    pub settings: &'a BalancerSettings,
+    pub history: &'a ConnectionHistory,
+    pub requests: &'a RequestTable,
+    pub setup_failures: &'a SetupFailures,
+    pub gossip_budget: &'a GossipBudget,
+    pub messages: &'a mut MessageQueue,
+    pub actions: &'a mut Vec<Action>,
+    /// A random number from 0 to 1 for this message.
+    pub random: f64,
+    /// Own connections that a warm host can sustain for each unit of size; computed for a warming
+    /// host only.
+    pub connections_per_size: f64,
+}
+
+impl HostContext<'_> {
+    pub(super) fn migrate(&mut self, slot: usize) {
+        self.send_request(RequestMessage::Migrate { slot });
+    }
+
+    pub(super) fn send_request(&mut self, message: RequestMessage) {
+        self.messages.push_back(Message::Request(message));
+    }
+
+    pub(super) fn update_history(&mut self, message: HistoryMessage) {
+        self.messages.push_back(Message::History(message));
+    }
+}
--- a/src/host/events.rs
+++ b/src/host/events.rs
@@ -1,52 +1,21 @@
 //! What a host's record does with each message: it follows the list, connections, measurements and
 //! reports, and ejects the host after a failure that is its own.
 
+use super::context::HostContext;
 use super::slow_start::uses_client_slots;
 use super::Host;
 use crate::action::Action;
 use crate::connection::Connection;
-use crate::connection_history::ConnectionHistory;
 use crate::endpoint::{Endpoint, HostState};
 use crate::gossip;
-use crate::gossip_budget::GossipBudget;
 use crate::intervals::LOOK_AHEAD_STEP;
-use crate::messages::{HistoryMessage, HostMessage, Message, MessageQueue, RequestMessage};
+use crate::messages::{HistoryMessage, HostMessage, Message, RequestMessage};
 use crate::request::AttemptOutcome;
-use crate::request_table::RequestTable;
-use crate::settings::BalancerSettings;
-use crate::setup_failures::SetupFailures;
 use crate::time::{Nanos, SECOND};
 
 /// Attempts in a row without a route from which that is taken for the host's fault.
 const MAX_NO_ROUTE: u32 = 3;
 
-/// What a host sees of the rest of the node while it handles a message.
-pub(crate) struct HostContext<'a> {
-    pub settings: &'a BalancerSettings,
-    pub history: &'a ConnectionHistory,
-    pub requests: &'a RequestTable,
-    pub setup_failures: &'a SetupFailures,
-    pub gossip_budget: &'a GossipBudget,
-    pub messages: &'a mut MessageQueue,
-    pub actions: &'a mut Vec<Action>,
-    /// A random number from 0 to 1 for this message.
-    pub random: f64,
-    /// Own connections that a warm host can sustain for each unit of size; computed for a warming
-    /// host only.
-    pub connections_per_size: f64,
-}
-
-impl HostContext<'_> {
-    pub(super) fn migrate(&mut self, slot: usize) {
-        let message = RequestMessage::Migrate { slot };
-        self.messages.push_back(Message::Request(message));
-    }
-
-    fn tell_history(&mut self, message: HistoryMessage) {
-        self.messages.push_back(Message::History(message));
-    }
-}
-
 impl Host {
     /// Handles one message.
     pub(crate) fn handle(&mut self, message: HostMessage, now: Nanos, context: &mut HostContext) {
@@ -206,7 +175,7 @@
         }
         let key = connection.key;
         if let Some(load) = connection.load {
-            context.tell_history(HistoryMessage::FinalLoad { key, load });
+            context.update_history(HistoryMessage::FinalLoad { key, load });
         }
         // Without this, clients that this node has migrated would be taken for ones that never
         // stay.
@@ -219,7 +188,7 @@
             AttemptOutcome::Completed | AttemptOutcome::Cancelled
         );
         if !migrated && ended_well {
-            context.tell_history(HistoryMessage::ConnectionEnded { key, duration });
+            context.update_history(HistoryMessage::ConnectionEnded { key, duration });
             self.ejection.connection_succeeded();
         }
     }
@@ -237,7 +206,7 @@
             self.latency_measured(now, took, context);
         }
         let host = self.id;
-        context.tell_history(HistoryMessage::SetupTook { host, took });
+        context.update_history(HistoryMessage::SetupTook { host, took });
     }
 
     /// Ejects the host where the outcome of an attempt is its own fault. An error is that only once
@@ -288,7 +257,7 @@
         let connection = &mut self.connections[index];
         connection.load = Some(load);
         let class = connection.class;
-        context.tell_history(HistoryMessage::LoadMeasured { class, load });
+        context.update_history(HistoryMessage::LoadMeasured { class, load });
         self.count_load(index, now, context.history);
     }
 
@@ -316,8 +285,7 @@
             && context.gossip_budget.allows(bytes);
         if gossips {
             context.actions.push(Action::Gossip { message });
-            let spent = RequestMessage::GossipSent { bytes };
-            context.messages.push_back(Message::Request(spent));
+            context.send_request(RequestMessage::GossipSent { bytes });
         }
         if from_gossip || gossips {
             self.report.gossiped(now, load);
@@ -339,8 +307,8 @@
                 continue;
             }
             if let Some(vector) = connection.weight_vector.take() {
-                let judged = RequestMessage::LatencyObserved { late };
-                context.messages.push_back(Message::Request(judged));
+                let observed = RequestMessage::LatencyObserved { late };
+                context.send_request(observed);
                 context.messages.push_back(Message::PlacementEvaluated {
                     vector,
                     load_spread,
--- a/src/host/limiting.rs
+++ b/src/host/limiting.rs
@@ -2,11 +2,12 @@
 //! host, and off one whose messages come late until the node's own load there is within its limit.
 //! A host with queued work answers nobody in time.
 
+use super::context::HostContext;
 use super::load_limit::Overload;
 use super::load_report::{CROWDED_LOAD, FULL_LOAD};
-use super::{Host, HostContext};
+use super::Host;
 use crate::hashing::hash_to_unit_interval;
-use crate::messages::{Message, RequestMessage};
+use crate::messages::RequestMessage;
 use crate::time::{Nanos, SECOND};
 
 /// A host that broke more than one in so many of its connections since the last tick counts as
@@ -109,7 +110,7 @@
     fn migrate_down_to(&mut self, limit: f64, context: &mut HostContext) {
         let random = context.random.to_bits();
         let mut load = self.own_load();
-        let mut judged = false;
+        let mut observed = false;
         for index in self.by_cost_per_priority(random, context) {
             // Without this, many nodes would each migrate one whole connection where a tenth of one
             // was meant.
@@ -122,11 +123,10 @@
             // this, a day overloaded from its start would go unnoticed. One counts for each
             // decrease: without this, all new requests would be rejected because a single host
             // hangs.
-            let not_judged = self.connections[index].weight_vector.take().is_some();
-            let counts = not_judged || self.connections.len() == 1;
-            if counts && !std::mem::replace(&mut judged, true) {
-                let message = RequestMessage::LatencyObserved { late: true };
-                context.messages.push_back(Message::Request(message));
+            let not_evaluated = self.connections[index].weight_vector.take().is_some();
+            let counts = not_evaluated || self.connections.len() == 1;
+            if counts && !std::mem::replace(&mut observed, true) {
+                context.send_request(RequestMessage::LatencyObserved { late: true });
             }
             context.migrate(self.connections[index].slot);
         }
--- a/src/permission.rs
+++ b/src/permission.rs
@@ -11,7 +11,7 @@
 
 /// How long a process may stall between reading its clock and writing. The grace of a draining host
 /// has to cover it.
-pub const LONGEST_STALL: Nanos = 150 * MILLI;
+pub const MAX_STALL: Nanos = 150 * MILLI;
 
 /// What part of the time it had a request is answered before its deadline at the latest, and the
 /// most of that: a busy machine wakes a process late.
@@ -83,9 +83,7 @@
 /// The part of the grace for draining hosts in which an attempt may still begin: what is left of it
 /// after a stall of the process; half of it where it is shorter than twice that.
 pub fn usable_grace(drain_grace: Nanos) -> Nanos {
-    drain_grace
-        .saturating_sub(LONGEST_STALL)
-        .max(drain_grace / 2)
+    drain_grace.saturating_sub(MAX_STALL).max(drain_grace / 2)
 }
 
 /// Whether the first byte of an attempt may be written.
--- a/src/permission_tests.rs
+++ b/src/permission_tests.rs
@@ -69,7 +69,7 @@
         let usable = usable_grace(grace);
         assert!(usable >= grace / 2);
         assert!(
-            usable + LONGEST_STALL <= grace || usable == grace / 2,
+            usable + MAX_STALL <= grace || usable == grace / 2,
             "{grace}"
         );
     }
