--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! The library takes [`Event`]s in and gives [`Action`]s out. It does no I/O, keeps no clock and
 //! knows no protocol; whoever speaks a protocol translates it to these types. Hosts are chosen in
-//! [`choice`]; whether a request may be attempted, repeated or dismissed at all is decided in [`permission`]; the types
-//! stand in [`types`].
+//! `balancer`; whether a request may be attempted, repeated or rejected at all is decided in
+//! [`permission`]; the rest is the interface: settings, events and actions.
 //!
 //! ```
 //! use reedferry::{Action, Balancer, BalancerSettings, Endpoint, EndpointUpdate, Event, HostId};
@@ -23,20 +23,40 @@
 //! assert!(actions.iter().any(|action| matches!(action, Action::StartAttempt { host: HostId(1), .. })));
 //! ```
 
-/// One short line for a change of mode.
+/// Appends one short line to the log, for a change of mode.
 macro_rules! log {
-    ($out:expr, $($text:tt)*) => { $out.push(Action::Log(format!($($text)*))) };
+    ($actions:expr, $($text:tt)*) => { $actions.push($crate::Action::Log(format!($($text)*))) };
 }
 
-pub mod calls;
-mod ceilings;
-pub mod choice;
-mod ledger;
+mod action;
+mod arrival_rate;
+mod balancer;
+mod connection;
+mod connection_history;
+mod endpoint;
+mod endpoint_poller;
+mod event;
+pub mod gossip;
+mod gossip_budget;
+mod hashing;
+mod host;
+mod inherited_state;
+mod intervals;
+mod load_shedding;
+mod messages;
 pub mod permission;
-mod records;
-mod slow_start;
-pub mod types;
-pub mod word;
+mod request;
+mod request_table;
+mod settings;
+mod setup_failures;
+mod time;
+mod weight_optimizer;
 
-pub use choice::Balancer;
-pub use types::*;
+pub use action::Action;
+pub use balancer::{Balancer, HostCounts};
+pub use endpoint::{Endpoint, EndpointUpdate, HostId, HostState};
+pub use event::Event;
+pub use inherited_state::{ClientStatistics, HostSnapshot, InheritedState};
+pub use request::{AttemptOutcome, IncomingRequest, PriorAttempts, RequestId};
+pub use settings::{BalancerSettings, Idempotency, IdempotencyGroup, LoadMetric, RequestClass};
+pub use time::{Nanos, MILLI, SECOND};
