--- /dev/null
+++ b/control-plane/src/forwarder/connections.rs
@@ -0,0 +1,309 @@
+//! The connections to all planners: connecting with backoff, the greeting, frames and timeouts.
+
+use super::{ConnectionState, Forwarder, ForwarderAction, PlannerAddress, PlannerSession};
+use crate::codec;
+use crate::error::LinkError;
+use crate::fallback_plan::FallbackPlan;
+use crate::messages::{Hello, HostEntry, PlannerMessage, Welcome, WireHostState, MAX_NAME_BYTES};
+use crate::planner_session::sort_by_preference;
+use rand::Rng;
+use reedferry::{HostId, Nanos, MILLI, SECOND};
+
+/// Unsent bytes for a planner from which on its connection is closed.
+const MAX_BACKLOG_BYTES: usize = 4 << 20;
+/// How long connecting may take, with the greeting.
+const CONNECT_TIMEOUT: Nanos = SECOND;
+/// The backoff after the first failed connect, how often it doubles, and its maximum; each before jitter.
+const MIN_BACKOFF: Nanos = 50 * MILLI;
+const MAX_BACKOFF_DOUBLINGS: u32 = 5;
+const MAX_BACKOFF: Nanos = SECOND;
+/// Leases without a frame after which a connection is closed.
+const SILENCE_TIMEOUT_LEASES: u64 = 4;
+
+impl Forwarder {
+    /// Replaces the list of planners: those that stay keep their sessions.
+    pub fn set_planners(
+        &mut self,
+        now: Nanos,
+        mut planners: Vec<PlannerAddress>,
+        out: &mut Vec<ForwarderAction>,
+    ) {
+        let followed = self.followed.map(|index| self.sessions[index].connection);
+        sort_by_preference(&self.config.name, &mut planners);
+        let mut previous = std::mem::take(&mut self.sessions);
+        for planner in planners {
+            match previous.iter().position(|s| s.planner == planner) {
+                Some(found) => self.sessions.push(previous.remove(found)),
+                None => {
+                    self.last_connection += 1;
+                    self.sessions
+                        .push(PlannerSession::new(self.last_connection, planner, now));
+                }
+            }
+        }
+        out.extend(
+            previous
+                .iter()
+                .map(|session| ForwarderAction::DisconnectPlanner {
+                    connection: session.connection,
+                }),
+        );
+        self.followed = followed.and_then(|connection| self.session_index(connection));
+        if followed.is_some() && self.followed.is_none() {
+            self.reset_planner_state();
+        }
+    }
+
+    pub(super) fn session_index(&self, connection: u32) -> Option<usize> {
+        self.sessions
+            .iter()
+            .position(|session| session.connection == connection)
+    }
+
+    /// The connection that [`ForwarderAction::ConnectPlanner`] asked for is open.
+    pub fn connected(&mut self, connection: u32) {
+        let Some(index) = self.session_index(connection) else {
+            return;
+        };
+        let session = &mut self.sessions[index];
+        session.writer.append_greeting(&Hello {
+            name: self.config.name.clone(),
+            planner: session.planner.name.clone(),
+            zone: self.config.balancer_settings.zone,
+            epoch: self.config.epoch,
+            fingerprint: self.config.fingerprint,
+        });
+    }
+
+    /// The connection could not be made, or has ended.
+    pub fn connection_lost(
+        &mut self,
+        now: Nanos,
+        connection: u32,
+        why: &str,
+        out: &mut Vec<ForwarderAction>,
+    ) {
+        let Some(index) = self.session_index(connection) else {
+            return;
+        };
+        let session = &mut self.sessions[index];
+        if session.session().is_some() {
+            let name = &session.planner.name;
+            out.push(ForwarderAction::Log(format!(
+                "planner connection lost name={name} why={why} requests={}",
+                self.requests.len()
+            )));
+        }
+        // Jitter, so that forwarders do not storm a planner that is back.
+        let doublings = session.failed_connects.min(MAX_BACKOFF_DOUBLINGS);
+        let backoff = (MIN_BACKOFF << doublings).min(MAX_BACKOFF);
+        let backoff = (backoff as f64 * self.rng.random_range(0.5..1.5)) as Nanos;
+        session.failed_connects += 1;
+        session.reset(ConnectionState::Disconnected {
+            retry_at: now + backoff,
+        });
+        if self.followed == Some(index) {
+            self.followed = None;
+            self.reset_planner_state();
+        }
+    }
+
+    fn disconnect(&mut self, now: Nanos, index: usize, why: &str, out: &mut Vec<ForwarderAction>) {
+        let connection = self.sessions[index].connection;
+        out.push(ForwarderAction::DisconnectPlanner { connection });
+        self.connection_lost(now, connection, why, out);
+    }
+
+    /// Takes in bytes of a planner. What cannot be read ends that planner's connection alone.
+    pub fn receive(
+        &mut self,
+        now: Nanos,
+        connection: u32,
+        bytes: &[u8],
+        out: &mut Vec<ForwarderAction>,
+    ) {
+        self.notice_pause(now);
+        let Some(index) = self.session_index(connection) else {
+            return;
+        };
+        let mut reader = std::mem::take(&mut self.sessions[index].reader);
+        let fed = reader.feed(bytes, |body| self.handle_frame(now, index, body, out));
+        match fed {
+            Ok(()) => self.sessions[index].reader = reader,
+            Err(why) => {
+                let why = why.to_string();
+                self.log_rejection(index, &why, out);
+                self.disconnect(now, index, &why, out);
+            }
+        }
+    }
+
+    /// Logs why a session did not begin, once until one does.
+    fn log_rejection(&mut self, index: usize, why: &str, out: &mut Vec<ForwarderAction>) {
+        let session = &mut self.sessions[index];
+        if session.session().is_none() && session.rejection != why {
+            let name = &session.planner.name;
+            out.push(ForwarderAction::Log(format!(
+                "planner session rejected name={name} why={why}"
+            )));
+            session.rejection = why.to_string();
+        }
+    }
+
+    fn handle_frame(
+        &mut self,
+        now: Nanos,
+        index: usize,
+        body: &[u8],
+        out: &mut Vec<ForwarderAction>,
+    ) -> Result<(), LinkError> {
+        let session = &mut self.sessions[index];
+        let number = match session.state {
+            ConnectionState::Established(number) => number,
+            ConnectionState::Connecting { .. } => return handle_welcome(session, body, now),
+            ConnectionState::Disconnected { .. } => {
+                return Err(LinkError::Unexpected("bytes that nobody asked for"));
+            }
+        };
+        let (header, mut messages) = codec::decode_frame(body)?;
+        session.sequence_check.accept(&header, number)?;
+        let valid_until = session
+            .renew_lease(&header, now, self.config.lease)
+            .ok_or(LinkError::Unexpected("a beat that was never sent"))?;
+        if self.followed == Some(index) {
+            self.plan_valid_until = self.plan_valid_until.max(session.lease_until);
+        }
+        while let Some(message) = messages.next_message()? {
+            self.handle_message(now, index, valid_until, message, out)?;
+        }
+        Ok(())
+    }
+
+    /// Handles a planner's message, whose decisions hold until `valid_until`.
+    fn handle_message(
+        &mut self,
+        now: Nanos,
+        index: usize,
+        valid_until: Nanos,
+        message: PlannerMessage,
+        out: &mut Vec<ForwarderAction>,
+    ) -> Result<(), LinkError> {
+        match message {
+            PlannerMessage::Host(entry) => return self.handle_host(now, index, entry, out),
+            PlannerMessage::HostsComplete { .. } => self.handle_hosts_complete(index, out),
+            PlannerMessage::ShuttingDown => self.sessions[index].shutting_down = true,
+            // A planner that is not followed decides nothing.
+            _ if self.followed != Some(index) => {}
+            PlannerMessage::StartAttempt {
+                id,
+                decision_sequence,
+                host,
+                time_limit,
+            } => {
+                let decision = super::decisions::AttemptDecision {
+                    id,
+                    decision_sequence,
+                    host: HostId(host),
+                    time_limit,
+                    valid_until,
+                };
+                self.handle_start_attempt(now, &decision, out);
+            }
+            PlannerMessage::Reject {
+                id,
+                decision_sequence,
+                retry_after,
+            } => self.handle_final_answer(id, decision_sequence, Some(retry_after), out),
+            PlannerMessage::Fail {
+                id,
+                decision_sequence,
+            } => self.handle_final_answer(id, decision_sequence, None, out),
+            PlannerMessage::Migrate { id } => self.handle_migrate(now, id, valid_until, out),
+            PlannerMessage::Plan { hosts, allowance } => {
+                self.fallback_plan = FallbackPlan::new(&hosts, allowance);
+            }
+        }
+        Ok(())
+    }
+
+    fn handle_host(
+        &mut self,
+        now: Nanos,
+        index: usize,
+        entry: HostEntry,
+        out: &mut Vec<ForwarderAction>,
+    ) -> Result<(), LinkError> {
+        self.hosts.check(&entry)?;
+        if let Some(hosts) = self.sessions[index].hosts_in_sync.as_mut() {
+            hosts.insert(HostId(entry.id));
+        }
+        if self.hosts.update(now, &entry)? {
+            out.push(ForwarderAction::HostLearned(entry));
+        }
+        Ok(())
+    }
+
+    /// A planner has sent all its hosts: those that the planner that is followed lacks are gone.
+    fn handle_hosts_complete(&mut self, index: usize, out: &mut Vec<ForwarderAction>) {
+        let Some(listed) = self.sessions[index].hosts_in_sync.take() else {
+            return;
+        };
+        if self.followed.is_some_and(|followed| followed != index) {
+            return;
+        }
+        for host in self.hosts.remove_unlisted(&listed) {
+            out.push(ForwarderAction::HostLearned(HostEntry {
+                id: host.0,
+                name: String::new(),
+                address: None,
+                state: WireHostState::Gone,
+                list_version: 0,
+            }));
+        }
+    }
+
+    /// Connects where the backoff is over, and closes connections that are silent or do not keep up.
+    pub(super) fn maintain_connections(&mut self, now: Nanos, out: &mut Vec<ForwarderAction>) {
+        for index in 0..self.sessions.len() {
+            let session = &mut self.sessions[index];
+            match session.state {
+                ConnectionState::Disconnected { retry_at } if now >= retry_at => {
+                    session.state = ConnectionState::Connecting {
+                        timeout_at: now + CONNECT_TIMEOUT,
+                    };
+                    out.push(ForwarderAction::ConnectPlanner {
+                        connection: session.connection,
+                        address: session.planner.address,
+                    });
+                }
+                ConnectionState::Connecting { timeout_at } if now >= timeout_at => {
+                    self.disconnect(now, index, "no welcome in time", out);
+                }
+                ConnectionState::Established(_) => self.check_health(now, index, out),
+                _ => {}
+            }
+        }
+    }
+
+    fn check_health(&mut self, now: Nanos, index: usize, out: &mut Vec<ForwarderAction>) {
+        let (session, lease) = (&self.sessions[index], self.config.lease);
+        let lease_until = session.lease_until.max(session.established_at + lease);
+        if now >= lease_until + (SILENCE_TIMEOUT_LEASES - 1) * lease {
+            self.disconnect(now, index, "silent", out);
+        } else if session.writer.unsent_bytes() > MAX_BACKLOG_BYTES {
+            self.disconnect(now, index, "takes nothing", out);
+        }
+    }
+}
+
+fn handle_welcome(session: &mut PlannerSession, body: &[u8], now: Nanos) -> Result<(), LinkError> {
+    match codec::decode_greeting(body)? {
+        Welcome::Session(number) => {
+            session.establish(number, now);
+            Ok(())
+        }
+        Welcome::Refused(why) => Err(LinkError::Refused(
+            why.chars().take(MAX_NAME_BYTES).collect(),
+        )),
+    }
+}
--- a/control-plane/src/lib.rs
+++ b/control-plane/src/lib.rs
@@ -1,22 +1,28 @@
-//! What passes between forwarders and planners: the frames, and both ends of the link as plain values.
+//! The link between forwarders and planners: its messages and frames, and the logic of both ends without I/O.
 //!
-//! A [`Forwarder`] owns what it owes to its clients; a [`Planner`] places what forwarders ask for, by the
-//! decision module of `reedferry`, one [`reedferry::Balancer`] a zone. Either takes bytes, events and the
-//! caller's clock in and gives deeds out. Neither opens a socket, reads a clock or knows a client's line.
-//! Why things are as they are stands in `docs/design/two-tier.md`.
+//! A [`Forwarder`] owns the requests of its clients; a [`Planner`] places them by the decision core of
+//! `reedferry`, one [`reedferry::Balancer`] for each zone. Either takes bytes, events and the caller's clock and
+//! returns actions. Neither opens a socket, reads a clock or sees a client's bytes. The design is explained in
+//! `docs/design/two-tier.md`.
 
-pub mod duty;
-pub mod following;
+pub mod codec;
+mod conversions;
+mod error;
+mod fallback_plan;
 pub mod forwarder;
-pub mod frames;
-pub mod plan;
+pub mod messages;
+mod pending_request;
 pub mod planner;
+mod planner_session;
 
-pub use forwarder::{Forwarder, ForwarderAction, ForwarderConfig, PlannerAddress};
-pub use frames::{HostEntry, LinkError};
+pub use error::LinkError;
+pub use forwarder::{Forwarder, ForwarderAction, ForwarderConfig};
+pub use messages::HostEntry;
 pub use planner::{Planner, PlannerAction, PlannerConfig};
+pub use planner_session::PlannerAddress;
 
-/// What two ends must have in common to work together: names stand for their places in a list.
+/// Hashes lists of names whose positions stand for the names in messages: two ends work together only where the
+/// hashes are equal.
 pub fn fingerprint<'a>(names: impl IntoIterator<Item = &'a str>) -> u64 {
     let mut hash = xxhash_rust::xxh3::Xxh3::new();
     for name in names {
--- /dev/null
+++ b/control-plane/src/planner/handshake.rs
@@ -0,0 +1,73 @@
+//! The greeting of a forwarder: whether its session begins.
+
+use super::{Planner, PlannerAction};
+use crate::codec;
+use crate::error::LinkError;
+use crate::messages::{is_valid_name, Hello, PlannerMessage, Welcome};
+use rand::Rng;
+
+impl Planner {
+    /// Begins the session, or rejects it.
+    pub(super) fn handle_greeting(
+        &mut self,
+        key: usize,
+        body: &[u8],
+        out: &mut Vec<PlannerAction>,
+    ) -> Result<(), LinkError> {
+        let hello: Hello = codec::decode_greeting(body)?;
+        let namesake = self
+            .sessions
+            .iter()
+            .find(|(other, session)| {
+                *other != key && session.number.is_some() && session.forwarder == hello.name
+            })
+            .map(|(other, session)| (other, session.epoch));
+        if let Some(why) = self.rejection(&hello, namesake.map(|(_, epoch)| epoch)) {
+            let rejected = Welcome::Refused(why.into());
+            self.sessions[key].writer.append_greeting(&rejected);
+            return Err(LinkError::Unexpected(why));
+        }
+        self.begin_session(key, hello, out);
+        if let Some((replaced, _)) = namesake {
+            // Without this, a forwarder that is back from a cut connection would be kept out by its old session.
+            self.close_session(replaced, "it came again", out);
+        }
+        Ok(())
+    }
+
+    /// Why a session is rejected, if it is. The texts go to the forwarder.
+    fn rejection(&self, hello: &Hello, namesake_epoch: Option<u64>) -> Option<&'static str> {
+        if !is_valid_name(&hello.name) {
+            Some("no proper name")
+        } else if hello.planner != self.config.name {
+            Some("another planner is meant")
+        } else if hello.fingerprint != self.config.fingerprint {
+            Some("other settings")
+        } else if hello.zone >= self.config.zone_count.max(1) {
+            Some("an unknown zone")
+        } else if namesake_epoch.is_some_and(|epoch| epoch > hello.epoch) {
+            Some("a forwarder of this name is here")
+        } else {
+            None
+        }
+    }
+
+    fn begin_session(&mut self, key: usize, hello: Hello, out: &mut Vec<PlannerAction>) {
+        // Random, so that a peer of an earlier session or of another planner does not know it.
+        let number = self.rng.random::<u64>().max(1);
+        let session = &mut self.sessions[key];
+        session.writer.append_greeting(&Welcome::Session(number));
+        session.number = Some(number);
+        session.forwarder = hello.name;
+        session.epoch = hello.epoch;
+        session.zone = hello.zone.into();
+        if self.shutting_down {
+            session.send(&PlannerMessage::ShuttingDown);
+            session.writer.finish_frame();
+        }
+        let (name, zone) = (&session.forwarder, session.zone);
+        out.push(PlannerAction::Log(format!(
+            "forwarder connected name={name} zone={zone}"
+        )));
+    }
+}
--- /dev/null
+++ b/control-plane/src/planner/mod.rs
@@ -0,0 +1,303 @@
+//! The planner's end of the link. It owns the sessions of forwarders, a record of each request that they
+//! reported, and the decision core of each zone, which alone chooses hosts and answers. It must never decide
+//! by messages read later than the endpoint list it knows, so its caller reads forwarders first and discovery
+//! after them; never tell a forwarder of a request for which that one no longer follows it; and never keep
+//! more for a forwarder than its bounds.
+
+mod action;
+mod cleanup;
+mod config;
+mod handshake;
+mod host_table;
+mod inbound;
+mod placement;
+mod request_table;
+mod session;
+mod zone;
+
+pub use action::PlannerAction;
+pub use config::PlannerConfig;
+
+use host_table::HostTable;
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use reedferry::{
+    Balancer, BalancerSettings, Endpoint, EndpointUpdate, Event, Nanos, MILLI, SECOND,
+};
+use request_table::{RecordKey, RequestTable};
+use session::Session;
+use slab::Slab;
+use std::collections::{HashMap, VecDeque};
+use zone::Zone;
+
+use crate::messages::{HostEntry, PlannerMessage};
+
+/// The most sessions.
+pub const MAX_SESSIONS: usize = 1024;
+/// Unsent bytes for a forwarder from which on its connection is closed.
+const MAX_BACKLOG_BYTES: usize = 4 << 20;
+/// How long a new connection may go without a greeting.
+const GREETING_TIMEOUT: Nanos = SECOND;
+/// The latest next turn while something waits to be done, and otherwise.
+const BUSY_TURN_INTERVAL: Nanos = MILLI;
+const IDLE_TURN_INTERVAL: Nanos = 25 * MILLI;
+/// A forwarder may start an attempt a lease after it was decided, so three slow-start slots of a host can meet in
+/// one window where two do at a single node: its overload factor shrinks by as much.
+const SLOW_START_OVERLAP: f64 = 2.0 / 3.0;
+
+/// A planner, without I/O.
+pub struct Planner {
+    config: PlannerConfig,
+    rng: ChaCha8Rng,
+    started_at: Nanos,
+    zones: Vec<Zone>,
+    sessions: Slab<Session>,
+    session_by_connection: HashMap<u32, usize>,
+    requests: RequestTable,
+    /// Records without a session that the decision cores still have.
+    orphans: VecDeque<RecordKey>,
+    hosts: HostTable,
+    shutting_down: bool,
+    placement_requests: u64,
+}
+
+impl Planner {
+    /// A planner without sessions and hosts.
+    pub fn new(config: PlannerConfig, seed: u64, now: Nanos, out: &mut Vec<PlannerAction>) -> Self {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let zones = (0..config.zone_count.max(1))
+            .map(|zone| {
+                let settings = zone_settings(&config, zone);
+                let mut actions = Vec::new();
+                let balancer = Balancer::new(settings, rng.random(), now, &mut actions);
+                Zone::new(balancer, actions)
+            })
+            .collect();
+        let mut planner = Planner {
+            config,
+            rng,
+            started_at: now,
+            zones,
+            sessions: Slab::new(),
+            session_by_connection: HashMap::new(),
+            requests: RequestTable::default(),
+            orphans: VecDeque::new(),
+            hosts: HostTable::default(),
+            shutting_down: false,
+            placement_requests: 0,
+        };
+        for zone in 0..planner.zones.len() {
+            planner.carry_out_actions(now, zone, out);
+        }
+        planner
+    }
+
+    /// Requests on record.
+    pub fn request_count(&self) -> usize {
+        self.requests.len()
+    }
+
+    /// Forwarders that follow this planner.
+    pub fn follower_count(&self) -> usize {
+        self.sessions.iter().filter(|(_, s)| s.follows).count()
+    }
+
+    /// Placements that were requested since the start.
+    pub fn placement_requests(&self) -> u64 {
+        self.placement_requests
+    }
+
+    /// A connection has come in.
+    pub fn accept(&mut self, now: Nanos, connection: u32, out: &mut Vec<PlannerAction>) {
+        if self.sessions.len() >= MAX_SESSIONS {
+            out.push(PlannerAction::Log(
+                "forwarder rejected why=too many sessions".into(),
+            ));
+            return out.push(PlannerAction::Disconnect { connection });
+        }
+        let key = self.sessions.insert(Session::new(connection, now));
+        self.session_by_connection.insert(connection, key);
+    }
+
+    /// The connection has ended.
+    pub fn connection_lost(&mut self, connection: u32, why: &str, out: &mut Vec<PlannerAction>) {
+        if let Some(key) = self.session_by_connection.remove(&connection) {
+            self.release_session(key, why, out);
+            self.sessions.remove(key);
+        }
+    }
+
+    /// The bytes that are to be sent on a connection.
+    pub fn outgoing(&self, connection: u32) -> &[u8] {
+        self.session_by_connection
+            .get(&connection)
+            .map_or(&[], |&key| self.sessions[key].writer.sendable())
+    }
+
+    /// So many bytes of [`Planner::outgoing`] were sent.
+    pub fn mark_sent(&mut self, connection: u32, count: usize) {
+        if let Some(&key) = self.session_by_connection.get(&connection) {
+            self.sessions[key].writer.mark_sent(count);
+        }
+    }
+
+    /// Takes in bytes of a forwarder: checked now, and kept for [`Planner::decide`].
+    pub fn receive(
+        &mut self,
+        now: Nanos,
+        connection: u32,
+        bytes: &[u8],
+        out: &mut Vec<PlannerAction>,
+    ) {
+        let Some(&key) = self.session_by_connection.get(&connection) else {
+            return;
+        };
+        if self.sessions[key].closing {
+            return;
+        }
+        let mut reader = std::mem::take(&mut self.sessions[key].reader);
+        let fed = reader.feed(bytes, |body| match self.sessions[key].number {
+            None => self.handle_greeting(key, body, out),
+            Some(number) => self.sessions[key].receive_frame(number, body),
+        });
+        match fed {
+            Ok(()) => {
+                self.sessions[key].reader = reader;
+                self.sessions[key].last_received_at = now;
+            }
+            Err(why) => self.close_session(key, &why.to_string(), out),
+        }
+    }
+
+    /// Takes in an update of the endpoint list; `entries` are the same hosts as forwarders know them.
+    pub fn update_hosts(
+        &mut self,
+        now: Nanos,
+        kind: EndpointUpdate,
+        endpoints: Vec<Endpoint>,
+        entries: Vec<HostEntry>,
+        out: &mut Vec<PlannerAction>,
+    ) {
+        self.hosts.update(kind, &endpoints, entries);
+        let sent_to_all = self
+            .sessions
+            .iter()
+            .filter(|(_, session)| session.number.is_some())
+            .map(|(_, session)| session.sent_change)
+            .min();
+        self.hosts
+            .forget_gone(sent_to_all.unwrap_or(self.hosts.last_change()));
+        for zone in 0..self.zones.len() {
+            self.zones[zone].invalidate_plan();
+            let endpoints = endpoints.clone();
+            self.notify_core(now, zone, Event::EndpointsUpdated { kind, endpoints }, out);
+        }
+    }
+
+    /// A load probe has ended.
+    pub fn probe_ended(&mut self, now: Nanos, event: &Event, out: &mut Vec<PlannerAction>) {
+        for zone in 0..self.zones.len() {
+            self.notify_core(now, zone, event.clone(), out);
+        }
+    }
+
+    /// A timer that [`PlannerAction::SetTimer`] asked for has fired.
+    pub fn timer_fired(&mut self, now: Nanos, zone: u16, timer: u64, out: &mut Vec<PlannerAction>) {
+        if usize::from(zone) < self.zones.len() {
+            self.notify_core(now, zone.into(), Event::TimerFired { timer }, out);
+        }
+    }
+
+    /// The planner is asked to stop: forwarders are told to follow another.
+    pub fn shut_down(&mut self, out: &mut Vec<PlannerAction>) {
+        self.shutting_down = true;
+        out.push(PlannerAction::Log(format!(
+            "shutting down followers={} requests={}",
+            self.follower_count(),
+            self.request_count()
+        )));
+        for (_, session) in &mut self.sessions {
+            if session.number.is_some() {
+                session.send(&PlannerMessage::ShuttingDown);
+                session.writer.finish_frame();
+            }
+        }
+    }
+
+    /// Decides what has come since the last turn, and encodes what is to be sent. To be called once a turn,
+    /// after discovery was read.
+    pub fn decide(&mut self, now: Nanos, out: &mut Vec<PlannerAction>) {
+        let keys: Vec<usize> = self.sessions.iter().map(|(key, _)| key).collect();
+        for &key in &keys {
+            if !self.sessions[key].closing {
+                self.handle_inbox(now, key, out);
+            }
+        }
+        self.remove_orphans(now, out);
+        for zone in 0..self.zones.len() {
+            self.place_queued(now, zone, out);
+        }
+        for &key in &keys {
+            self.finish_session_turn(now, key, out);
+        }
+    }
+
+    /// A session's part of a turn's end: timeouts, hosts, the fallback plan, the answer to its heartbeat.
+    fn finish_session_turn(&mut self, now: Nanos, key: usize, out: &mut Vec<PlannerAction>) {
+        let session = &mut self.sessions[key];
+        if session.closing {
+            return;
+        }
+        let Some(number) = session.number else {
+            if now >= session.last_received_at + GREETING_TIMEOUT {
+                self.close_session(key, "no greeting in time", out);
+            }
+            return;
+        };
+        if now >= session.last_received_at + self.config.silence_timeout {
+            return self.close_session(key, "silent", out);
+        }
+        if session.writer.unsent_bytes() > MAX_BACKLOG_BYTES {
+            return self.close_session(key, "takes nothing", out);
+        }
+        session.send_host_changes(&self.hosts);
+        let zone = &mut self.zones[session.zone];
+        let warm_up = self.config.balancer_settings.warm_up;
+        session.send_plan(now, zone, &self.hosts, warm_up);
+        session.finish_frame(number);
+    }
+
+    /// When [`Planner::decide`] is wanted next at the latest, besides bytes and timers.
+    pub fn next_deadline(&self, now: Nanos) -> Nanos {
+        let busy = !self.orphans.is_empty() || self.zones.iter().any(|z| !z.queue.is_empty());
+        now + if busy {
+            BUSY_TURN_INTERVAL
+        } else {
+            IDLE_TURN_INTERVAL
+        }
+    }
+
+    /// Hands an event to a zone's decision core and carries out its actions.
+    fn notify_core(&mut self, now: Nanos, zone: usize, event: Event, out: &mut Vec<PlannerAction>) {
+        self.zones[zone].handle(now, event);
+        self.carry_out_actions(now, zone, out);
+    }
+}
+
+/// The settings of a zone's decision core: one of as many as there are zones at all planners.
+fn zone_settings(config: &PlannerConfig, zone: u16) -> BalancerSettings {
+    let zone_count = u32::from(config.zone_count.max(1));
+    BalancerSettings {
+        node_index: config.planner_index * zone_count + u32::from(zone),
+        node_count: config.planner_count.max(1) * zone_count,
+        zone,
+        // Without this, hosts that a node among many leaves to the others would be left idle by all of a few.
+        centralized: true,
+        overload_factor: config.balancer_settings.overload_factor * SLOW_START_OVERLAP,
+        ..config.balancer_settings.clone()
+    }
+}
+
+#[cfg(test)]
+#[path = "planner_tests.rs"]
+mod tests;
--- /dev/null
+++ b/control-plane/src/planner/planner_tests.rs
@@ -0,0 +1,252 @@
+use super::inbound::STATE_SYNC_TIMEOUT;
+use super::*;
+use crate::codec::{self, FrameReader, FrameWriter};
+use crate::messages::{
+    ForwarderMessage, Hello, PlacementRequest, PlannerMessage, PriorAttempts, WireHostState,
+};
+use reedferry::{HostId, HostState, RequestClass};
+
+const START: Nanos = 1_000 * SECOND;
+const CONNECTION: u32 = 1;
+
+const REQUEST: PlacementRequest = PlacementRequest {
+    class: 0,
+    key: None,
+    group: None,
+    usual_load: None,
+    time_left: SECOND,
+};
+
+/// A request that was already open when it was reported.
+const OPEN_REQUEST: PlacementRequest = PlacementRequest {
+    time_left: 0,
+    ..REQUEST
+};
+
+/// A planner, and one forwarder that follows it.
+struct LinkedPlanner {
+    planner: Planner,
+    writer: FrameWriter,
+    reader: FrameReader,
+    session: u64,
+}
+
+fn ready_host(id: u64, started: Option<Nanos>) -> (Endpoint, HostEntry) {
+    let endpoint = Endpoint {
+        id: HostId(id),
+        state: HostState::Ready,
+        size: 1.0,
+        started,
+        ..Endpoint::default()
+    };
+    let entry = HostEntry {
+        id,
+        name: format!("s{id}"),
+        address: None,
+        state: WireHostState::Ready,
+        list_version: 1,
+    };
+    (endpoint, entry)
+}
+
+fn config() -> PlannerConfig {
+    PlannerConfig {
+        name: "p".into(),
+        balancer_settings: BalancerSettings {
+            classes: vec![RequestClass::default()],
+            ..BalancerSettings::default()
+        },
+        zone_count: 1,
+        planner_index: 0,
+        planner_count: 1,
+        fingerprint: 1,
+        silence_timeout: 60 * SECOND,
+        settle_time: 0,
+        max_requests_per_forwarder: 1000,
+    }
+}
+
+impl LinkedPlanner {
+    /// With hosts of these ids and start times.
+    fn new(hosts: &[(u64, Option<Nanos>)]) -> Self {
+        let mut out = Vec::new();
+        let mut planner = Planner::new(config(), 1, START, &mut out);
+        let (endpoints, entries) = hosts
+            .iter()
+            .map(|(id, started)| ready_host(*id, *started))
+            .unzip();
+        planner.update_hosts(START, EndpointUpdate::Full, endpoints, entries, &mut out);
+        planner.accept(START, CONNECTION, &mut out);
+        let mut linked = LinkedPlanner {
+            planner,
+            writer: FrameWriter::default(),
+            reader: FrameReader::default(),
+            session: 0,
+        };
+        linked.writer.append_greeting(&Hello {
+            name: "f".into(),
+            planner: "p".into(),
+            zone: 0,
+            epoch: 1,
+            fingerprint: 1,
+        });
+        linked.turn(START);
+        let (_, session) = linked.planner.sessions.iter().next().unwrap();
+        linked.session = session.number.unwrap();
+        linked.send(&ForwarderMessage::Follow {
+            open_connections: 0,
+        });
+        linked
+    }
+
+    fn send(&mut self, message: &ForwarderMessage) {
+        self.writer.append(self.session, 1, message);
+    }
+
+    fn request_placement(&mut self, id: u64) {
+        self.send(&ForwarderMessage::RequestPlacement {
+            id,
+            decision_sequence: 0,
+            request: REQUEST,
+            prior_attempts: PriorAttempts::default(),
+        });
+    }
+
+    fn report_open_connection(&mut self, id: u64, host: u64) {
+        self.send(&ForwarderMessage::OpenConnection {
+            id,
+            request: OPEN_REQUEST,
+            host,
+        });
+    }
+
+    /// Hands the planner the bytes of what was sent, and has it decide.
+    fn deliver(&mut self, now: Nanos, out: &mut Vec<PlannerAction>) {
+        self.writer.finish_frame();
+        let bytes = self.writer.sendable().to_vec();
+        self.writer.mark_sent(bytes.len());
+        self.planner.receive(now, CONNECTION, &bytes, out);
+        self.planner.decide(now, out);
+    }
+
+    /// What the planner answers to what was sent.
+    fn turn(&mut self, now: Nanos) -> Vec<PlannerMessage> {
+        self.deliver(now, &mut Vec::new());
+        let answer = self.planner.outgoing(CONNECTION).to_vec();
+        self.planner.mark_sent(CONNECTION, answer.len());
+        let (mut messages, session) = (Vec::new(), self.session);
+        let result = self.reader.feed(&answer, |body| {
+            if session > 0 {
+                let (_, mut decoder) = codec::decode_frame(body)?;
+                while let Some(message) = decoder.next_message()? {
+                    messages.push(message);
+                }
+            }
+            Ok(())
+        });
+        result.unwrap();
+        messages
+    }
+}
+
+fn attempts_at(messages: &[PlannerMessage], wanted: u64) -> usize {
+    messages
+        .iter()
+        .filter(|m| matches!(m, PlannerMessage::StartAttempt { host, .. } if *host == wanted))
+        .count()
+}
+
+#[test]
+fn a_planner_that_has_just_started_avoids_warming_hosts_while_their_quota_is_counted() {
+    // It died and is back in the same turn: it has forgotten what it spent on the warming host.
+    let mut linked = LinkedPlanner::new(&[(1, Some(START)), (2, None), (3, None)]);
+    for id in 0..200 {
+        linked.report_open_connection(10_000 + id, 2 + id % 2);
+    }
+    linked.send(&ForwarderMessage::StateSyncComplete);
+    let mut attempts = [0; 2];
+    for id in 0..600 {
+        linked.request_placement(id);
+        let now = START + 4 * id * MILLI;
+        let messages = linked.turn(now);
+        attempts[usize::from(now >= START + SECOND)] += attempts_at(&messages, 1);
+        linked.send(&ForwarderMessage::RequestClosed { id });
+    }
+    assert!(attempts[0] == 0 && attempts[1] > 0, "{attempts:?}");
+}
+
+#[test]
+fn hosts_that_come_and_go_for_months_do_not_fill_the_table() {
+    let mut linked = LinkedPlanner::new(&[(1, None)]);
+    for n in 2..5_000 {
+        for state in [HostState::Ready, HostState::Gone] {
+            let (mut endpoint, mut entry) = ready_host(n, None);
+            (endpoint.state, entry.state) = (state, state.into());
+            linked.planner.update_hosts(
+                START + n,
+                EndpointUpdate::Delta,
+                vec![endpoint],
+                vec![entry],
+                &mut Vec::new(),
+            );
+            linked.turn(START + n);
+        }
+        let hosts = &linked.planner.hosts;
+        assert!(hosts.records.len() <= 3 && hosts.changes.len() <= 3);
+    }
+}
+
+#[test]
+fn a_forwarder_that_reads_nothing_is_disconnected_before_it_fills_the_memory() {
+    let mut linked = LinkedPlanner::new(&[(1, None)]);
+    linked.send(&ForwarderMessage::StateSyncComplete);
+    linked.turn(START);
+    let (mut actions, mut max_backlog) = (Vec::new(), 0);
+    for n in 0..800 {
+        // Following anew each time, so that nothing but what is sent to it grows.
+        linked.send(&ForwarderMessage::Follow {
+            open_connections: 0,
+        });
+        linked.send(&ForwarderMessage::StateSyncComplete);
+        (0..500).for_each(|id| linked.request_placement(n * 500 + id));
+        linked.deliver(START + n * MILLI, &mut actions);
+        max_backlog = max_backlog.max(linked.planner.outgoing(CONNECTION).len());
+    }
+    assert!(
+        max_backlog > 0 && max_backlog < MAX_BACKLOG_BYTES + (1 << 20),
+        "{max_backlog}"
+    );
+    linked.planner.decide(START + SECOND, &mut actions);
+    let disconnect = PlannerAction::Disconnect {
+        connection: CONNECTION,
+    };
+    let disconnects = actions.iter().filter(|a| **a == disconnect).count();
+    let logged = |action: &&PlannerAction| matches!(action, PlannerAction::Log(text) if text.ends_with("why=takes nothing"));
+    assert_eq!(
+        (
+            disconnects,
+            actions.iter().filter(logged).count(),
+            linked.planner.request_count()
+        ),
+        (1, 1, 0)
+    );
+}
+
+#[test]
+fn nothing_is_placed_while_a_forwarder_of_the_zone_still_reports_its_open_connections() {
+    let mut linked = LinkedPlanner::new(&[(1, None), (2, None)]);
+    (0..20).for_each(|id| linked.report_open_connection(10_000 + id, 1));
+    linked.request_placement(1);
+    let first = linked.turn(START);
+    let second = linked.turn(START + 100 * MILLI);
+    assert_eq!(attempts_at(&first, 1) + attempts_at(&second, 2), 0);
+    // One that never completes its state sync is not waited for without end.
+    linked.request_placement(3);
+    linked.turn(START + STATE_SYNC_TIMEOUT - 100 * MILLI);
+    let placed = linked.turn(START + STATE_SYNC_TIMEOUT);
+    assert_eq!(attempts_at(&placed, 2), 1);
+    linked.request_placement(2);
+    linked.send(&ForwarderMessage::StateSyncComplete);
+    let placed = linked.turn(START + STATE_SYNC_TIMEOUT);
+    assert_eq!(attempts_at(&placed, 2), 1);
+}
--- /dev/null
+++ b/control-plane/src/planner/session.rs
@@ -0,0 +1,162 @@
+//! A planner's session with one forwarder: the connection's frames, heartbeats, and what the forwarder has been
+//! sent of the hosts.
+
+use super::host_table::HostTable;
+use super::request_table::RecordKey;
+use super::zone::Zone;
+use crate::codec::{self, FrameReader, FrameWriter, SequenceCheck};
+use crate::error::LinkError;
+use crate::messages::{ForwarderMessage, PlannerMessage, MAX_TRIED_HOSTS};
+use reedferry::{Nanos, SECOND};
+use rustc_hash::FxHashMap;
+
+/// Unsent bytes from which on host changes, which can wait, are held back.
+const HOST_BACKLOG_BYTES: usize = 128 << 10;
+/// The allowance of a fallback plan: at least, and at most.
+const MIN_PLAN_ALLOWANCE: f64 = 4.0;
+const MAX_PLAN_ALLOWANCE: f64 = 256.0;
+/// The part of the recent placements that a plan allows.
+const PLAN_ALLOWANCE_RATIO: f64 = 0.5;
+/// What is left of the count of recent placements after a second, and for how many seconds it decays at most.
+const PLACEMENT_DECAY_PER_SECOND: f64 = 0.5;
+const MAX_DECAY_SECONDS: f64 = 10.0;
+
+/// The session with a forwarder, from the connection's start to its end.
+pub struct Session {
+    /// The caller's number for the connection.
+    pub connection: u32,
+    /// The session's number; none before the greeting and after the release.
+    pub number: Option<u64>,
+    pub forwarder: String,
+    pub epoch: u64,
+    pub zone: usize,
+    pub reader: FrameReader,
+    pub writer: FrameWriter,
+    sequence_check: SequenceCheck,
+    /// Messages that the next turn handles.
+    pub inbox: Vec<ForwarderMessage>,
+    /// The last heartbeat that was read.
+    received_heartbeat: u64,
+    /// The last heartbeat whose frame, and all before it, decisions have taken into account.
+    decided_heartbeat: u64,
+    /// The last heartbeat that was answered.
+    answered_heartbeat: u64,
+    pub last_received_at: Nanos,
+    /// The forwarder has this planner decide.
+    pub follows: bool,
+    /// The forwarder still reports its open connections, until then at most.
+    pub state_sync_until: Option<Nanos>,
+    /// The planner's record of each of the forwarder's requests.
+    pub requests: FxHashMap<u64, RecordKey>,
+    /// Up to which change of the hosts the forwarder has been sent them.
+    pub sent_change: u64,
+    all_hosts_sent: bool,
+    /// A decayed count of the placements that were requested.
+    pub recent_placements: f64,
+    plan_sent_at: Nanos,
+    /// The connection is to be closed; nothing of it counts any more.
+    pub closing: bool,
+}
+
+impl Session {
+    /// The session of a connection that has just come in.
+    pub fn new(connection: u32, now: Nanos) -> Self {
+        Session {
+            connection,
+            number: None,
+            forwarder: String::new(),
+            epoch: 0,
+            zone: 0,
+            reader: FrameReader::default(),
+            writer: FrameWriter::default(),
+            sequence_check: SequenceCheck::default(),
+            inbox: Vec::new(),
+            received_heartbeat: 0,
+            decided_heartbeat: 0,
+            answered_heartbeat: 0,
+            last_received_at: now,
+            follows: false,
+            state_sync_until: None,
+            requests: FxHashMap::default(),
+            sent_change: 0,
+            all_hosts_sent: false,
+            recent_placements: 0.0,
+            plan_sent_at: 0,
+            closing: false,
+        }
+    }
+
+    /// Checks a frame behind the greeting and puts its messages into the inbox.
+    pub fn receive_frame(&mut self, number: u64, body: &[u8]) -> Result<(), LinkError> {
+        let (header, mut messages) = codec::decode_frame(body)?;
+        self.sequence_check.accept(&header, number)?;
+        if header.heartbeat < self.received_heartbeat {
+            return Err(LinkError::Unexpected("a beat that runs backwards"));
+        }
+        self.received_heartbeat = header.heartbeat;
+        while let Some(message) = messages.next_message()? {
+            if let ForwarderMessage::RequestPlacement { prior_attempts, .. } = &message {
+                if prior_attempts.tried_hosts.len() > MAX_TRIED_HOSTS {
+                    return Err(LinkError::Unexpected("a history without end"));
+                }
+            }
+            self.inbox.push(message);
+        }
+        Ok(())
+    }
+
+    /// Takes the messages to handle this turn. All that is sent from now on answers their heartbeat.
+    pub fn take_inbox(&mut self) -> Vec<ForwarderMessage> {
+        self.decided_heartbeat = self.received_heartbeat;
+        std::mem::take(&mut self.inbox)
+    }
+
+    /// Sends a message, unless there is no session.
+    pub fn send(&mut self, message: &PlannerMessage) {
+        if let Some(number) = self.number {
+            self.writer.append(number, self.decided_heartbeat, message);
+        }
+    }
+
+    /// Sends the host changes that the forwarder has not been sent, as far as its backlog allows.
+    pub fn send_host_changes(&mut self, hosts: &HostTable) {
+        for (change, entry) in hosts.changes_after(self.sent_change) {
+            if self.writer.unsent_bytes() > HOST_BACKLOG_BYTES {
+                break;
+            }
+            self.sent_change = change;
+            self.send(&PlannerMessage::Host(entry.clone()));
+        }
+        let is_current = self.sent_change == hosts.last_change() && hosts.last_change() > 0;
+        if !self.all_hosts_sent && is_current {
+            self.all_hosts_sent = true;
+            self.send(&PlannerMessage::HostsComplete {
+                list_version: hosts.list_version(),
+            });
+        }
+    }
+
+    /// Sends a follower the fallback plan of its zone when one is due.
+    pub fn send_plan(&mut self, now: Nanos, zone: &mut Zone, hosts: &HostTable, warm_up: Nanos) {
+        if !self.follows || !zone.is_plan_due(now, self.plan_sent_at) {
+            return;
+        }
+        let hosts = zone.plan_weights(now, hosts, warm_up);
+        let allowance = (self.recent_placements * PLAN_ALLOWANCE_RATIO)
+            .clamp(MIN_PLAN_ALLOWANCE, MAX_PLAN_ALLOWANCE) as u32;
+        let elapsed_seconds = (now - self.plan_sent_at.min(now)) as f64 / SECOND as f64;
+        self.recent_placements *=
+            PLACEMENT_DECAY_PER_SECOND.powf(elapsed_seconds.min(MAX_DECAY_SECONDS));
+        self.plan_sent_at = now;
+        self.send(&PlannerMessage::Plan { hosts, allowance });
+    }
+
+    /// Answers the last heartbeat, if it was not answered yet, and ends the turn's frame.
+    pub fn finish_frame(&mut self, number: u64) {
+        if self.answered_heartbeat < self.decided_heartbeat {
+            self.answered_heartbeat = self.decided_heartbeat;
+            self.writer.append_heartbeat(number, self.decided_heartbeat);
+        }
+        self.writer.finish_frame();
+    }
+}
--- a/control-plane/tests/bytes.rs
+++ b/control-plane/tests/bytes.rs
@@ -1,8 +1,9 @@
 //! The exact bytes of every frame between forwarders and planners: an older and a newer process work together.
 
-use reedferry_control_plane::frames::{
-    ForwarderMessage, Hello, PlacementRequest, PlannerMessage, PriorAttempts, Welcome,
-    WireHostState, WireOutcome, Writer,
+use reedferry_control_plane::codec::FrameWriter;
+use reedferry_control_plane::messages::{
+    ExecutedAttempt, ForwarderMessage, Hello, HostWeight, PlacementRequest, PlannerMessage,
+    PriorAttempts, Welcome, WireHostState, WireOutcome,
 };
 use reedferry_control_plane::HostEntry;
 
@@ -11,17 +12,17 @@
 }
 
 fn greeting(greeting: &impl serde::Serialize) -> String {
-    let mut writer = Writer::default();
-    writer.greet(greeting);
-    hex(writer.waiting())
+    let mut writer = FrameWriter::default();
+    writer.append_greeting(greeting);
+    hex(writer.sendable())
 }
 
-/// A note alone in the first piece of session 5 with beat 6, without the four bytes of length and the head.
-fn note(note: &impl serde::Serialize) -> String {
-    let mut writer = Writer::default();
-    writer.put(5, 6, note);
-    writer.seal();
-    let frame = writer.waiting();
+/// A message alone in the first frame of session 5 with heartbeat 6, without the four bytes of length and the header.
+fn encoded(message: &impl serde::Serialize) -> String {
+    let mut writer = FrameWriter::default();
+    writer.append(5, 6, message);
+    writer.finish_frame();
+    let frame = writer.sendable();
     assert_eq!(
         u32::from_le_bytes(frame[..4].try_into().unwrap()) as usize,
         frame.len() - 4
@@ -30,7 +31,7 @@
     hex(&frame[7..])
 }
 
-fn asked() -> PlacementRequest {
+fn request() -> PlacementRequest {
     PlacementRequest {
         class: 300,
         key: Some(7),
@@ -58,46 +59,57 @@
 }
 
 #[test]
-fn notes_of_forwarders_keep_their_bytes() {
-    let past = PriorAttempts {
+fn messages_of_forwarders_keep_their_bytes() {
+    let prior_attempts = PriorAttempts {
         attempts: 2,
-        ran: Some((3, 4)),
-        tried: vec![3, 500],
+        may_have_run: Some(ExecutedAttempt {
+            host: 3,
+            sent_ago: 4,
+        }),
+        tried_hosts: vec![3, 500],
     };
-    assert_eq!(note(&ForwarderMessage::Follow { standing: 2 }), "0002");
-    assert_eq!(note(&ForwarderMessage::StateSyncComplete), "01");
-    assert_eq!(note(&ForwarderMessage::Unfollow), "02");
     assert_eq!(
-        note(&ForwarderMessage::OpenConnection {
+        encoded(&ForwarderMessage::Follow {
+            open_connections: 2
+        }),
+        "0002"
+    );
+    assert_eq!(encoded(&ForwarderMessage::StateSyncComplete), "01");
+    assert_eq!(encoded(&ForwarderMessage::Unfollow), "02");
+    assert_eq!(
+        encoded(&ForwarderMessage::OpenConnection {
             id: 1,
-            asked: asked(),
+            request: request(),
             host: 8
         }),
         "0301ac0201070001000000000000e03f80a8d6b90708"
     );
     assert_eq!(
-        note(&ForwarderMessage::RequestPlacement {
+        encoded(&ForwarderMessage::RequestPlacement {
             id: 1,
-            step: 3,
-            asked: asked(),
-            past
+            decision_sequence: 3,
+            request: request(),
+            prior_attempts
         }),
         "040103ac0201070001000000000000e03f80a8d6b907020103040203f403"
     );
     assert_eq!(
-        note(&ForwarderMessage::ConnectionEstablished { id: 1, took: 9 }),
+        encoded(&ForwarderMessage::ConnectionEstablished { id: 1, took: 9 }),
         "050109"
     );
     assert_eq!(
-        note(&ForwarderMessage::LoadMeasured { id: 1, load: 0.25 }),
+        encoded(&ForwarderMessage::LoadMeasured { id: 1, load: 0.25 }),
         "0701000000000000d03f"
     );
     assert_eq!(
-        note(&ForwarderMessage::MessageLatency { host: 8, time: 300 }),
+        encoded(&ForwarderMessage::MessageLatency {
+            host: 8,
+            latency: 300
+        }),
         "0808ac02"
     );
-    assert_eq!(note(&ForwarderMessage::ClientLeft { id: 1 }), "0901");
-    assert_eq!(note(&ForwarderMessage::RequestClosed { id: 1 }), "0a01");
+    assert_eq!(encoded(&ForwarderMessage::ClientLeft { id: 1 }), "0901");
+    assert_eq!(encoded(&ForwarderMessage::RequestClosed { id: 1 }), "0a01");
 }
 
 #[test]
@@ -115,12 +127,12 @@
     ];
     let written: Vec<_> = all
         .iter()
-        .map(|&came| {
-            note(&ForwarderMessage::AttemptEnded {
+        .map(|&outcome| {
+            encoded(&ForwarderMessage::AttemptEnded {
                 id: 1,
-                step: 2,
-                came,
-                over: true,
+                decision_sequence: 2,
+                outcome,
+                request_over: true,
             })
         })
         .collect();
@@ -131,57 +143,76 @@
 }
 
 #[test]
-fn notes_of_planners_keep_their_bytes() {
-    let line = |stands| HostEntry {
-        id: 8,
-        name: "s-1".into(),
-        address: Some("10.1.0.18:5000".parse().unwrap()),
-        stands,
-        as_of: 41,
-    };
+fn messages_of_planners_keep_their_bytes() {
     assert_eq!(
-        note(&PlannerMessage::StartAttempt {
+        encoded(&PlannerMessage::StartAttempt {
             id: 1,
-            step: 2,
+            decision_sequence: 2,
             host: 8,
-            within: 300
+            time_limit: 300
         }),
         "00010208ac02"
     );
     assert_eq!(
-        note(&PlannerMessage::Reject {
+        encoded(&PlannerMessage::Reject {
             id: 1,
-            step: 2,
-            wait: 300
+            decision_sequence: 2,
+            retry_after: 300
         }),
         "010102ac02"
     );
-    assert_eq!(note(&PlannerMessage::Fail { id: 1, step: 2 }), "020102");
-    assert_eq!(note(&PlannerMessage::Migrate { id: 1 }), "0301");
-    assert_eq!(
-        note(&PlannerMessage::Host(line(WireHostState::Ready))),
-        "040803732d3101000a01001288270029"
-    );
     assert_eq!(
-        note(&PlannerMessage::Host(line(WireHostState::Draining))),
-        "040803732d3101000a01001288270129"
+        encoded(&PlannerMessage::Fail {
+            id: 1,
+            decision_sequence: 2
+        }),
+        "020102"
     );
+    assert_eq!(encoded(&PlannerMessage::Migrate { id: 1 }), "0301");
     assert_eq!(
-        note(&PlannerMessage::Host(line(WireHostState::Gone))),
-        "040803732d3101000a01001288270229"
+        encoded(&PlannerMessage::HostsComplete { list_version: 41 }),
+        "0529"
     );
-    assert_eq!(note(&PlannerMessage::HostsComplete { as_of: 41 }), "0529");
     assert_eq!(
-        note(&PlannerMessage::Plan {
-            hosts: vec![(8, 300), (9, 1)],
+        encoded(&PlannerMessage::Plan {
+            hosts: vec![
+                HostWeight {
+                    host: 8,
+                    weight: 300
+                },
+                HostWeight { host: 9, weight: 1 }
+            ],
             allowance: 70_000
         }),
         "060208ac020901f0a204"
     );
-    assert_eq!(note(&PlannerMessage::ShuttingDown), "07");
+    assert_eq!(encoded(&PlannerMessage::ShuttingDown), "07");
+}
+
+#[test]
+fn hosts_keep_their_bytes() {
+    let entry = |state| HostEntry {
+        id: 8,
+        name: "s-1".into(),
+        address: Some("10.1.0.18:5000".parse().unwrap()),
+        state,
+        list_version: 41,
+    };
+    assert_eq!(
+        encoded(&PlannerMessage::Host(entry(WireHostState::Ready))),
+        "040803732d3101000a01001288270029"
+    );
+    assert_eq!(
+        encoded(&PlannerMessage::Host(entry(WireHostState::Draining))),
+        "040803732d3101000a01001288270129"
+    );
+    assert_eq!(
+        encoded(&PlannerMessage::Host(entry(WireHostState::Gone))),
+        "040803732d3101000a01001288270229"
+    );
 }
 
-/// Names stand for places in lists: two ends that hash the same lists otherwise would part.
+/// Positions in lists stand for names: two ends that hash the same lists differently would reject each other.
 #[test]
 fn the_fingerprint_of_names_stays_the_same() {
     assert_eq!(
--- a/control-plane/tests/tiers.rs
+++ b/control-plane/tests/tiers.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use reedferry::*;
-use reedferry_control_plane::frames::WireHostState;
+use reedferry_control_plane::messages::WireHostState;
 use reedferry_control_plane::{
     Forwarder, ForwarderAction, ForwarderConfig, HostEntry, Planner, PlannerAction, PlannerAddress,
     PlannerConfig,
@@ -160,9 +160,9 @@
                 fingerprint: 1,
                 epoch: 1,
                 lease: LEASE,
-                decide_within: 400 * MILLI,
-                most_asked: 64,
-                settle: SECOND,
+                decision_timeout: 400 * MILLI,
+                max_awaiting_decision: 64,
+                failback_delay: SECOND,
             };
             let core = Forwarder::new(keeps, Self::list(0..backs), n as u64, START);
             let (clients, wires) = (BTreeMap::new(), HashMap::new());
@@ -192,20 +192,20 @@
         let remit = PlannerConfig {
             name: format!("p{n}"),
             balancer_settings: self.balancer_settings.clone(),
-            zones: 1,
-            place: n as u32,
-            planners: self.backs.len() as u32,
+            zone_count: 1,
+            planner_index: n as u32,
+            planner_count: self.backs.len() as u32,
             fingerprint: 1,
-            silent: SECOND,
-            settle: 50 * MILLI,
-            most_held: self.most_held,
+            silence_timeout: SECOND,
+            settle_time: 50 * MILLI,
+            max_requests_per_forwarder: self.most_held,
         };
         self.starts += 1;
         let mut out = Vec::new();
         let mut core = Planner::new(remit, self.starts, self.now, &mut out);
         let all = 0..self.hosts.len();
         let (hosts, lines) = all.map(|h| self.listing(h, self.backs[n].revision)).unzip();
-        core.roll(self.now, EndpointUpdate::Full, hosts, lines, &mut out);
+        core.update_hosts(self.now, EndpointUpdate::Full, hosts, lines, &mut out);
         self.backs[n].core = Some(core);
         self.backs[n].written = (0..self.hosts.len())
             .filter(|h| self.hosts[*h].drains)
@@ -239,8 +239,8 @@
                 id,
                 name: format!("s-{host}"),
                 address,
-                stands: WireHostState::from(standing),
-                as_of,
+                state: WireHostState::from(standing),
+                list_version: as_of,
             },
         )
     }
@@ -248,10 +248,14 @@
     fn ordered(&mut self, n: usize, orders: Vec<PlannerAction>) {
         for order in orders {
             match order {
-                PlannerAction::SetTimer { time, zone, mark } => self.backs[n]
+                PlannerAction::SetTimer {
+                    time,
+                    zone,
+                    timer: mark,
+                } => self.backs[n]
                     .timers
                     .push(std::cmp::Reverse((time, zone, mark))),
-                PlannerAction::Disconnect { line } => self.part(line),
+                PlannerAction::Disconnect { connection: line } => self.part(line),
                 PlannerAction::Log(text) => self.backs[n].logs.push(text),
                 _ => {}
             }
@@ -270,10 +274,12 @@
                 let wire = front.wires.remove(&line).unwrap();
                 let mut out = Vec::new();
                 if let Some(core) = self.backs[wire.planner].core.as_mut() {
-                    core.lost(token, "ended", &mut out);
+                    core.connection_lost(token, "ended", &mut out);
                 }
                 let mut deeds = Vec::new();
-                front.core.lost(self.now, line, "ended", &mut deeds);
+                front
+                    .core
+                    .connection_lost(self.now, line, "ended", &mut deeds);
                 self.logs.extend(deeds.into_iter().filter_map(|d| {
                     if let ForwarderAction::Log(t) = d {
                         Some(t)
@@ -394,15 +400,15 @@
                 .filter(|w| w.planner == n && !w.cut_up)
             {
                 while wire.up.front().is_some_and(|(at, _)| *at <= now) {
-                    core.came(now, wire.token, &wire.up.pop_front().unwrap().1, &mut out);
+                    core.receive(now, wire.token, &wire.up.pop_front().unwrap().1, &mut out);
                 }
             }
         }
         for (host, standing) in std::mem::take(&mut self.backs[n].news) {
             self.backs[n].revision += 1;
             let (mut listing, mut line) = self.listing(host, self.backs[n].revision);
-            (listing.state, line.stands) = (standing, standing.into());
-            core.roll(
+            (listing.state, line.state) = (standing, standing.into());
+            core.update_hosts(
                 now,
                 EndpointUpdate::Delta,
                 vec![listing],
@@ -412,13 +418,13 @@
         }
         while self.backs[n].timers.peek().is_some_and(|t| t.0 .0 <= now) {
             let std::cmp::Reverse((_, zone, mark)) = self.backs[n].timers.pop().unwrap();
-            core.timer(now, zone, mark, &mut out);
+            core.timer_fired(now, zone, mark, &mut out);
         }
         core.decide(now, &mut out);
         for front in &mut self.fronts {
             for wire in front.wires.values_mut().filter(|w| w.planner == n) {
                 let bytes = core.outgoing(wire.token).to_vec();
-                core.sent(wire.token, bytes.len());
+                core.mark_sent(wire.token, bytes.len());
                 if !bytes.is_empty() {
                     wire.down.push_back((now + self.delay, bytes));
                 }
@@ -446,11 +452,11 @@
                 all.push(wire.down.pop_front().unwrap().1);
             }
             all.iter()
-                .for_each(|bytes| front.core.came(now, line, bytes, &mut deeds));
+                .for_each(|bytes| front.core.receive(now, line, bytes, &mut deeds));
         }
         self.hosts_answer(n);
         for event in std::mem::take(&mut self.fronts[n].events) {
-            self.fronts[n].core.event(now, event, &mut deeds);
+            self.fronts[n].core.handle_event(now, event, &mut deeds);
         }
         self.fronts[n].core.tick(now, &mut deeds);
         for deed in deeds {
@@ -459,7 +465,7 @@
         let front = &mut self.fronts[n];
         for (line, wire) in front.wires.iter_mut().filter(|(_, w)| !w.full) {
             let bytes = front.core.outgoing(*line).to_vec();
-            front.core.sent(*line, bytes.len());
+            front.core.mark_sent(*line, bytes.len());
             if !bytes.is_empty() {
                 wire.up.push_back((now + self.delay, bytes));
             }
@@ -508,13 +514,17 @@
     fn carry_out(&mut self, n: usize, deed: ForwarderAction) {
         let now = self.now;
         match deed {
-            ForwarderAction::ConnectPlanner { line, .. } => {
+            ForwarderAction::ConnectPlanner {
+                connection: line, ..
+            } => {
                 let front = &mut self.fronts[n];
                 // Tokens count up in the order of the list that the front keeps to.
-                let name = front.core.planner(line).unwrap().to_string();
+                let name = front.core.planner_name(line).unwrap().to_string();
                 let planner: usize = name[1..].parse().unwrap();
                 let Some(core) = self.backs[planner].core.as_mut() else {
-                    return front.core.lost(now, line, "refused", &mut Vec::new());
+                    return front
+                        .core
+                        .connection_lost(now, line, "refused", &mut Vec::new());
                 };
                 self.tokens += 1;
                 let (up, down) = (VecDeque::new(), VecDeque::new());
@@ -529,30 +539,30 @@
                 };
                 core.accept(now, self.tokens, &mut Vec::new());
                 front.wires.insert(line, wire);
-                front.core.called(line);
+                front.core.connected(line);
             }
-            ForwarderAction::DisconnectPlanner { line } => {
+            ForwarderAction::DisconnectPlanner { connection: line } => {
                 let Some(wire) = self.fronts[n].wires.remove(&line) else {
                     return;
                 };
                 let mut out = Vec::new();
                 if let Some(core) = self.backs[wire.planner].core.as_mut() {
-                    core.lost(wire.token, "hung up", &mut out);
+                    core.connection_lost(wire.token, "hung up", &mut out);
                 }
                 self.ordered(wire.planner, out);
             }
             ForwarderAction::StartAttempt {
                 id,
                 host,
-                until,
-                by,
+                deadline: until,
+                start_by: by,
             } => {
                 assert!(now < by, "an order whose lease is over");
                 let host = host.0 as usize - 1;
                 // Whoever ordered it, and what any planner told this forwarder.
                 let lead = self.fronts[n]
                     .core
-                    .follows()
+                    .followed_planner()
                     .map(|name| name[1..].parse::<usize>().unwrap());
                 let heard = lead.and_then(|p| self.backs[p].written.get(&host));
                 let heard = heard
@@ -605,7 +615,7 @@
             ForwarderAction::Log(text) => self.logs.push(text),
             ForwarderAction::HostLearned(line) => {
                 let host = line.id as usize - 1;
-                match line.stands {
+                match line.state {
                     WireHostState::Ready => _ = self.fronts[n].heard.remove(&host),
                     _ => _ = self.fronts[n].heard.entry(host).or_insert(now),
                 }
@@ -694,7 +704,7 @@
 fn leader(tiers: &Tiers, front: usize) -> usize {
     tiers.fronts[front]
         .core
-        .follows()
+        .followed_planner()
         .expect("no planner is followed")[1..]
         .parse()
         .unwrap()
@@ -780,7 +790,7 @@
     let follows = tiers
         .logs
         .iter()
-        .filter(|l| l.starts_with("follows planner"))
+        .filter(|l| l.starts_with("following planner"))
         .count();
     assert!(
         follows >= 4,
@@ -959,7 +969,11 @@
     let before: Vec<usize> = tiers.hosts.iter().map(|h| h.sends.len()).collect();
     // At once: these are asked for in the turn in which a planner is first followed.
     let mut news = Vec::new();
-    while tiers.fronts.iter().any(|f| f.core.follows().is_none()) {
+    while tiers
+        .fronts
+        .iter()
+        .any(|f| f.core.followed_planner().is_none())
+    {
         tiers.run(TICK);
     }
     (0..40).for_each(|n| news.push(tiers.come(n % 2, 0)));
@@ -978,7 +992,7 @@
     let held: usize = tiers
         .backs
         .iter()
-        .map(|b| b.core.as_ref().unwrap().held())
+        .map(|b| b.core.as_ref().unwrap().request_count())
         .sum();
     assert!(held > 500, "{held}");
 }
@@ -1029,7 +1043,7 @@
     }
     tiers.run(50 * MILLI);
     assert_eq!(
-        tiers.backs[lead].core.as_ref().unwrap().held(),
+        tiers.backs[lead].core.as_ref().unwrap().request_count(),
         count as usize
     );
     let other = 1 - lead;
@@ -1049,7 +1063,7 @@
     tiers.run(150 * MILLI);
     assert_eq!(tiers.answer(id), Some("up"));
     assert_eq!(
-        tiers.backs[other].core.as_ref().unwrap().held(),
+        tiers.backs[other].core.as_ref().unwrap().request_count(),
         count as usize + 1
     );
 }
@@ -1063,10 +1077,17 @@
         ids.push(tiers.come(n % 3, n % 3));
         if n % 300 == 100 {
             let mut out = Vec::new();
-            tiers.backs[n / 300].core.as_mut().unwrap().leave(&mut out);
+            tiers.backs[n / 300]
+                .core
+                .as_mut()
+                .unwrap()
+                .shut_down(&mut out);
         }
         if n % 300 == 150 {
-            assert_eq!(tiers.backs[n / 300].core.as_ref().unwrap().followers(), 0);
+            assert_eq!(
+                tiers.backs[n / 300].core.as_ref().unwrap().follower_count(),
+                0
+            );
             tiers.kill(n / 300);
         }
         if n % 300 == 200 {
@@ -1108,7 +1129,7 @@
     let held: usize = tiers
         .backs
         .iter()
-        .map(|b| b.core.as_ref().unwrap().held())
+        .map(|b| b.core.as_ref().unwrap().request_count())
         .sum();
     assert_eq!(held, 1, "records of those that left");
 }
@@ -1125,7 +1146,7 @@
         let mut deeds = Vec::new();
         tiers.fronts[n]
             .core
-            .planners(now, Tiers::list(0..2), &mut deeds);
+            .set_planners(now, Tiers::list(0..2), &mut deeds);
         deeds.into_iter().for_each(|deed| tiers.carry_out(n, deed));
     }
     tiers.run(200 * MILLI);
@@ -1219,8 +1240,8 @@
         let (now, mut out) = (tiers.now, Vec::new());
         let core = tiers.backs[0].core.as_mut().unwrap();
         core.accept(now, 9999, &mut out);
-        core.came(now, 9999, garbage, &mut out);
-        core.came(now, 9999, garbage, &mut out);
+        core.receive(now, 9999, garbage, &mut out);
+        core.receive(now, 9999, garbage, &mut out);
         assert_eq!(
             out.iter()
                 .filter(|o| matches!(o, PlannerAction::Log(_)))
@@ -1230,11 +1251,11 @@
         );
         assert_eq!(
             out.iter()
-                .filter(|o| matches!(o, PlannerAction::Disconnect { line: 9999 }))
+                .filter(|o| matches!(o, PlannerAction::Disconnect { connection: 9999 }))
                 .count(),
             1
         );
-        core.lost(9999, "cut", &mut out);
+        core.connection_lost(9999, "cut", &mut out);
         // To a forwarder, by the planner it follows.
         let lead = leader(&tiers, 0);
         let garbage = garbage.to_vec();
@@ -1247,7 +1268,7 @@
             tiers
                 .logs
                 .iter()
-                .filter(|l| l.starts_with("planner lost"))
+                .filter(|l| l.starts_with("planner connection lost"))
                 .count(),
             1,
             "{:#?}",
@@ -1321,30 +1342,31 @@
 
 #[test]
 fn a_piece_of_another_session_and_a_beat_that_runs_away_end_their_connection() {
-    use reedferry_control_plane::frames::{ForwarderMessage, PlannerMessage, Writer};
+    use reedferry_control_plane::codec::FrameWriter;
+    use reedferry_control_plane::messages::{ForwarderMessage, PlannerMessage};
     for runaway in [false, true] {
         let mut tiers = Tiers::new(1, 2, 2);
         tiers.run(200 * MILLI);
         let lead = leader(&tiers, 0);
         let now = tiers.now;
-        let mut writer = Writer::default();
+        let mut writer = FrameWriter::default();
         // Counted from one, so that it is the number or the session that gives it away, or the beat.
-        writer.put(
+        writer.append(
             if runaway { 1 } else { 12345 },
             u64::MAX,
             &PlannerMessage::ShuttingDown,
         );
-        writer.seal();
-        let bytes = writer.waiting().to_vec();
+        writer.finish_frame();
+        let bytes = writer.sendable().to_vec();
         tiers
             .wires(0, lead)
             .for_each(|w| w.down.push_back((now, bytes.clone())));
         tiers.run(5 * MILLI);
         assert_ne!(leader(&tiers, 0), lead);
-        let mut writer = Writer::default();
-        writer.put(777, 1, &ForwarderMessage::Unfollow);
-        writer.seal();
-        let bytes = writer.waiting().to_vec();
+        let mut writer = FrameWriter::default();
+        writer.append(777, 1, &ForwarderMessage::Unfollow);
+        writer.finish_frame();
+        let bytes = writer.sendable().to_vec();
         let next = leader(&tiers, 0);
         let now = tiers.now;
         tiers
@@ -1388,7 +1410,7 @@
         }
         _ => {
             if let Some(core) = tiers.backs[a % backs].core.as_mut() {
-                core.leave(&mut Vec::new());
+                core.shut_down(&mut Vec::new());
             }
         }
     }
--- a/node/src/discovery/hosts.rs
+++ b/node/src/discovery/hosts.rs
@@ -301,7 +301,7 @@
         if let Some(host) = self.index(id).filter(|_| line.name.is_empty()) {
             _ = self.all[host].left_since.get_or_insert(now);
         } else if HostId(lines::hash(&line.name)) == id {
-            let (name, address, standing) = (line.name, line.address, line.stands.into());
+            let (name, address, standing) = (line.name, line.address, line.state.into());
             let (zone, size) = (String::new(), 1.0);
             self.listed(
                 (now, Source::Kept),
--- a/node/src/operators/operator_config.rs
+++ b/node/src/operators/operator_config.rs
@@ -494,7 +494,7 @@
         for sheet in sheets {
             let PlannerSheet { name, address: at } = sheet.get_ref();
             let address = text.address("address", at)?;
-            if name.is_empty() || name.len() > reedferry_control_plane::frames::LONGEST_NAME {
+            if name.is_empty() || name.len() > reedferry_control_plane::messages::MAX_NAME_BYTES {
                 return Err(text.wrong(sheet.span(), "a planner's name has 1 to 256 bytes"));
             }
             if !names.insert(name.clone()) || !addresses.insert(address) {
--- a/node/src/roles/forward.rs
+++ b/node/src/roles/forward.rs
@@ -58,9 +58,9 @@
         epoch: context.start,
         balancer_settings: node_config.balancer_settings,
         lease: forwards.lease,
-        decide_within: forwards.decide_within,
-        most_asked: forwards.most_asked,
-        settle: forwards.settle,
+        decision_timeout: forwards.decide_within,
+        max_awaiting_decision: forwards.most_asked,
+        failback_delay: forwards.settle,
     };
     let core = Forwarder::new(keeps, planners.clone(), node_config.seed, context.now);
     let log = context.log.clone();
@@ -106,7 +106,7 @@
 
 impl Forward {
     fn gather(&mut self, clock: &Clock) -> Result<(), Errno> {
-        let next = self.core.next();
+        let next = self.core.next_deadline();
         if next < self.armed || self.armed <= self.context.now {
             self.armed = next;
             self.context.poller.remind(next, mark(TICK), 0);
@@ -170,7 +170,7 @@
         };
         wire.ready(ready);
         match wire.came_up() {
-            Ok(true) => self.core.called(line),
+            Ok(true) => self.core.connected(line),
             Ok(false) => {}
             Err(_) => self.lost(line, "unconnected"),
         }
@@ -178,7 +178,7 @@
 
     fn lost(&mut self, line: u32, why: &str) {
         self.wires.all.remove(&line);
-        self.core.lost(self.context.now, line, why, &mut self.deeds);
+        self.core.connection_lost(self.context.now, line, why, &mut self.deeds);
     }
 
     /// All of a turn behind the gathering.
@@ -187,12 +187,12 @@
         let (core, deeds) = (&mut self.core, &mut self.deeds);
         let ended = self
             .wires
-            .read(|line, bytes| core.came(now, line, bytes, deeds));
+            .read(|line, bytes| core.receive(now, line, bytes, deeds));
         ended
             .into_iter()
             .for_each(|(line, why)| self.lost(line, why));
         for event in std::mem::take(&mut self.context.events) {
-            self.core.event(now, event, &mut self.deeds);
+            self.core.handle_event(now, event, &mut self.deeds);
         }
         self.core.tick(now, &mut self.deeds);
         for deed in std::mem::take(&mut self.deeds) {
@@ -201,7 +201,7 @@
         let core = &mut self.core;
         let ended = self.wires.write(|line, wire| {
             let count = wire.write(core.outgoing(line))?;
-            core.sent(line, count);
+            core.mark_sent(line, count);
             Ok(())
         });
         ended
@@ -216,11 +216,11 @@
             ForwarderAction::StartAttempt {
                 id,
                 host,
-                until,
-                by,
-            } => self.connections.attempt(context, id, host, until, by),
-            ForwarderAction::ConnectPlanner { line, address } => self.call(line, address),
-            ForwarderAction::DisconnectPlanner { line } => _ = self.wires.all.remove(&line),
+                deadline,
+                start_by,
+            } => self.connections.attempt(context, id, host, deadline, start_by),
+            ForwarderAction::ConnectPlanner { connection, address } => self.call(connection, address),
+            ForwarderAction::DisconnectPlanner { connection } => _ = self.wires.all.remove(&connection),
             ForwarderAction::HostLearned(line) => {
                 let log = context.log.clone();
                 context.hosts.heard(context.now, line, &log);
@@ -275,7 +275,7 @@
         if fresh.planners != self.planners {
             self.planners = fresh.planners.clone();
             self.core
-                .planners(self.context.now, fresh.planners, &mut self.deeds);
+                .set_planners(self.context.now, fresh.planners, &mut self.deeds);
         }
     }
 }
--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -58,13 +58,13 @@
     let listen = listener.address().unwrap_or(plans.listen);
     let remit = PlannerConfig {
         name: plans.name.clone(),
-        zones: node_config.node_settings.zones.len().max(1) as u16,
-        place: plans.place,
-        planners: planners.len() as u32,
+        zone_count: node_config.node_settings.zones.len().max(1) as u16,
+        planner_index: plans.place,
+        planner_count: planners.len() as u32,
         fingerprint: node_config.fingerprint(),
-        silent: plans.silent,
-        settle: plans.settle,
-        most_held: plans.most_held,
+        silence_timeout: plans.silent,
+        settle_time: plans.settle,
+        max_requests_per_forwarder: plans.most_held,
         balancer_settings: node_config.balancer_settings.clone(),
     };
     let mut orders = Vec::new();
@@ -108,13 +108,13 @@
     loop {
         plan.turn();
         backlog.drain();
-        let alone = plan.context.now >= plan.context.start && plan.core.followers() == 0;
+        let alone = plan.context.now >= plan.context.start && plan.core.follower_count() == 0;
         if plan
             .context
             .leaving
             .is_some_and(|t| plan.context.now >= t || alone)
         {
-            info!(log, "stopped"; "held" => plan.core.held());
+            info!(log, "stopped"; "held" => plan.core.request_count());
             backlog.drain();
             return Ok(());
         }
@@ -125,7 +125,7 @@
 
 impl Plan {
     fn gather(&mut self, clock: &Clock) -> Result<(), Errno> {
-        let next = self.core.next(self.context.now);
+        let next = self.core.next_deadline(self.context.now);
         self.context.poller.remind(next, mark(context::TICK), 0);
         let mut ready = Vec::new();
         let at_once = !self.context.events.is_empty() || self.wires.more;
@@ -185,7 +185,7 @@
 
     fn lost(&mut self, line: u32, why: &str) {
         self.wires.all.remove(&line);
-        self.core.lost(line, why, &mut self.orders);
+        self.core.connection_lost(line, why, &mut self.orders);
     }
 
     /// All of a turn behind the gathering.
@@ -194,7 +194,7 @@
         let (core, orders) = (&mut self.core, &mut self.orders);
         let ended = self
             .wires
-            .read(|line, bytes| core.came(now, line, bytes, orders));
+            .read(|line, bytes| core.receive(now, line, bytes, orders));
         // Behind the forwarders' beats. Guards: a drain that was written before a beat was sent, and that an
         // order under that beat does not know.
         self.discovery.look(&mut self.context);
@@ -205,7 +205,7 @@
             match mark.part {
                 context::MODULE => self
                     .core
-                    .timer(now, mark.slot as u16, word, &mut self.orders),
+                    .timer_fired(now, mark.slot as u16, word, &mut self.orders),
                 context::PROBE => self.probes.due(&mut self.context, mark),
                 context::SWEEP => {
                     self.discovery.sweep(&mut self.context);
@@ -226,7 +226,7 @@
         let core = &mut self.core;
         let ended = self.wires.write(|line, wire| {
             let count = wire.write(core.outgoing(line))?;
-            core.sent(line, count);
+            core.mark_sent(line, count);
             Ok(())
         });
         ended
@@ -248,9 +248,9 @@
                     .iter()
                     .filter_map(|listing| self.line(listing))
                     .collect();
-                self.core.roll(now, kind, hosts, lines, &mut self.orders);
+                self.core.update_hosts(now, kind, hosts, lines, &mut self.orders);
             }
-            event => self.core.probed(now, &event, &mut self.orders),
+            event => self.core.probe_ended(now, &event, &mut self.orders),
         }
     }
 
@@ -266,15 +266,19 @@
             id: listing.id.0,
             name,
             address,
-            stands: listing.state.into(),
-            as_of,
+            state: listing.state.into(),
+            list_version: as_of,
         })
     }
 
     fn carry_out(&mut self, order: PlannerAction) {
         let context = &mut self.context;
         match order {
-            PlannerAction::SetTimer { time, zone, mark } => {
+            PlannerAction::SetTimer {
+                time,
+                zone,
+                timer: mark,
+            } => {
                 let at = Mark {
                     part: context::MODULE,
                     slot: zone.into(),
@@ -285,16 +289,16 @@
             PlannerAction::PollEndpoints => self.discovery.ask(context),
             PlannerAction::WatchEndpoints => self.discovery.follow(context),
             PlannerAction::Probe { host } => self.probes.send(context, host),
-            PlannerAction::Disconnect { line } => self.lost(line, "cut"),
+            PlannerAction::Disconnect { connection } => self.lost(connection, "cut"),
             PlannerAction::Log(text) => info!(context.log, "{}", text),
         }
     }
 
     fn part(&mut self) {
         if self.stop.came() && self.context.leaving.is_none() {
-            warn!(self.context.log, "asked to stop"; "forwarders" => self.core.followers());
+            warn!(self.context.log, "asked to stop"; "forwarders" => self.core.follower_count());
             self.context.leaving = Some(self.context.now + LONGEST_STAY);
-            self.core.leave(&mut self.orders);
+            self.core.shut_down(&mut self.orders);
         }
     }
 
--- a/node/tests/two_tier.rs
+++ b/node/tests/two_tier.rs
@@ -130,8 +130,8 @@
     // Back at once, with empty memories.
     (0..2).for_each(|n| tiers.start_planner(n));
     for forwarder in &tiers.forwarders {
-        forwarder.logs("no planner answers");
-        forwarder.logs("follows planner");
+        forwarder.logs("no planner available");
+        forwarder.logs("following planner");
     }
     clients.load(100.0, ms(500), &[0, 1, 2], HOLDS);
     clients.end();
@@ -379,7 +379,7 @@
         &node_config,
         &spoiler,
     );
-    forwarder.logs("follows planner");
+    forwarder.logs("following planner");
     let open = |n: usize| {
         let mut client = Peer::connect(forwarder.address);
         client.say(&format!("OPEN c{n} {n:x} c=free,t=acme,d=2000"));
--- a/testkit/src/speaker.rs
+++ b/testkit/src/speaker.rs
@@ -1,10 +1,11 @@
 //! A forwarder as a planner sees one, without clients or hosts: it speaks the frames of the link at full speed,
 //! for measurements of a planner alone. It must never be taken for a forwarder: it keeps no rule.
 
-use reedferry_control_plane::frames::{
-    self, ForwarderMessage, Hello, PlacementRequest, PlannerMessage, PriorAttempts, Reader, Tally,
-    Welcome, Writer,
+use reedferry_control_plane::codec::{self, FrameReader, FrameWriter, SequenceCheck};
+use reedferry_control_plane::messages::{
+    ForwarderMessage, Hello, PlacementRequest, PlannerMessage, PriorAttempts, Welcome, WireOutcome,
 };
+use reedferry_control_plane::LinkError;
 use std::collections::VecDeque;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,9 +13,9 @@
 
 pub struct Speaker {
     stream: TcpStream,
-    reader: Reader,
-    writer: Writer,
-    tally: Tally,
+    reader: FrameReader,
+    writer: FrameWriter,
+    tally: SequenceCheck,
     session: u64,
     beat: u64,
     next: u64,
@@ -45,8 +46,8 @@
         stream
             .set_read_timeout(Some(Duration::from_secs(10)))
             .map_err(|e| e.to_string())?;
-        let (reader, mut writer, tally) = (Reader::default(), Writer::default(), Tally::default());
-        writer.greet(&Hello {
+        let (reader, mut writer, tally) = (FrameReader::default(), FrameWriter::default(), SequenceCheck::default());
+        writer.append_greeting(&Hello {
             name: name.into(),
             planner: planner.into(),
             zone: 0,
@@ -66,23 +67,23 @@
         while speaker.session == 0 {
             speaker.hear(&mut |_| {})?;
         }
-        speaker.put(&ForwarderMessage::Follow { standing: 0 });
+        speaker.put(&ForwarderMessage::Follow { open_connections: 0 });
         speaker.put(&ForwarderMessage::StateSyncComplete);
         speaker.send()?;
         Ok(speaker)
     }
 
     fn put(&mut self, note: &ForwarderMessage) {
-        self.writer.put(self.session, self.beat, note);
+        self.writer.append(self.session, self.beat, note);
     }
 
     fn send(&mut self) -> Result<(), String> {
-        self.writer.seal();
-        let count = self.writer.waiting().len();
+        self.writer.finish_frame();
+        let count = self.writer.sendable().len();
         self.stream
-            .write_all(self.writer.waiting())
+            .write_all(self.writer.sendable())
             .map_err(|e| e.to_string())?;
-        self.writer.sent(count);
+        self.writer.mark_sent(count);
         Ok(())
     }
 
@@ -95,15 +96,15 @@
         let Speaker { session, tally, .. } = self;
         let heard = self.reader.feed(&bytes[..count], |body| {
             if *session == 0 {
-                match frames::greeting(body)? {
+                match codec::decode_greeting(body)? {
                     Welcome::Session(number) => *session = number,
-                    Welcome::Refused(why) => return Err(frames::LinkError::Refused(why)),
+                    Welcome::Refused(why) => return Err(LinkError::Refused(why)),
                 }
                 return Ok(());
             }
-            let (head, mut notes) = frames::piece(body)?;
-            tally.take(&head, *session)?;
-            while let Some(note) = notes.take()? {
+            let (head, mut notes) = codec::decode_frame(body)?;
+            tally.accept(&head, *session)?;
+            while let Some(note) = notes.next_message()? {
                 each(note);
             }
             Ok(())
@@ -121,7 +122,7 @@
             let (id, host) = (self.next, hosts[(n % hosts.len() as u64) as usize]);
             self.put(&ForwarderMessage::OpenConnection {
                 id,
-                asked: asked(id),
+                request: asked(id),
                 host,
             });
             if n % 1024 == 0 {
@@ -133,9 +134,9 @@
         let id = self.next;
         self.put(&ForwarderMessage::RequestPlacement {
             id,
-            step: 0,
-            asked: asked(id),
-            past: PriorAttempts::default(),
+            decision_sequence: 0,
+            request: asked(id),
+            prior_attempts: PriorAttempts::default(),
         });
         self.send()?;
         let mut decided = false;
@@ -164,9 +165,9 @@
                 let id = self.next;
                 self.put(&ForwarderMessage::RequestPlacement {
                     id,
-                    step: 0,
-                    asked: asked(id),
-                    past: PriorAttempts::default(),
+                    decision_sequence: 0,
+                    request: asked(id),
+                    prior_attempts: PriorAttempts::default(),
                 });
             }
             self.send()?;
@@ -190,9 +191,9 @@
                 if let Some(id) = standing.pop_front() {
                     self.put(&ForwarderMessage::AttemptEnded {
                         id,
-                        step: 0,
-                        came: frames::WireOutcome::Completed,
-                        over: true,
+                        decision_sequence: 0,
+                        outcome: WireOutcome::Completed,
+                        request_over: true,
                     });
                 }
             }
--- a/testkit/src/tiers.rs
+++ b/testkit/src/tiers.rs
@@ -28,7 +28,7 @@
 
 /// The planner that a log line says is followed.
 fn followed(line: &str) -> Option<usize> {
-    line.split("follows planner=p")
+    line.split("following planner=p")
         .nth(1)?
         .split(' ')
         .next()?
@@ -107,7 +107,7 @@
                 .forwarders
                 .push(Node::start_as("forward", &text, &node_config));
         }
-        let first = |f: &Node| followed(&f.logs("follows planner")).unwrap_or(0);
+        let first = |f: &Node| followed(&f.logs("following planner")).unwrap_or(0);
         tiers.follows = tiers.forwarders.iter().map(first).collect();
         tiers
     }
--- a/testkit/src/two_tier.rs
+++ b/testkit/src/two_tier.rs
@@ -184,7 +184,7 @@
     for n in 0..count {
         let now = start + from.elapsed().as_nanos() as u64;
         let id = reedferry::RequestId(n + 1);
-        module.handle(now, Event::RequestArrived(asked(n).incoming(id)), &mut out);
+        module.handle(now, Event::RequestArrived(asked(n).to_incoming(id)), &mut out);
         for action in std::mem::take(&mut out) {
             match action {
                 Action::StartAttempt { id, host, .. } => {
