--- a/node/tests/two_tier.rs
+++ b/node/tests/two_tier.rs
@@ -190,7 +190,7 @@
     });
     let forwarder = &mut tiers.forwarders[0];
     forwarder.stop();
-    forwarder.logs("leaving held=10");
+    forwarder.logs("shutting down requests=10");
     let mut client = Peer::connect(forwarder.address);
     client.say("OPEN late 1 c=free,t=acme,d=2000");
     assert!(client.hear().starts_with("BUSY "));
