--- a/node/src/roles/forward.rs
+++ b/node/src/roles/forward.rs
@@ -1,9 +1,9 @@
-//! A forwarder: the connection, and in place of the module the link to planners. It owns the sockets to planners
-//! and the order of a turn: gather what is ready, take in what planners say, hand what the connection told to
-//! the forwarder's end of the link, carry out what came back, send what is to go. It must never decide
-//! anything, nor follow discovery: hosts are known as planners tell of them.
+//! The forwarder role: clients' connections, with planners in place of a decision core of its own. It owns the
+//! sockets to planners and the order of a turn: wait for what is ready, take in what planners say, hand the
+//! connections' events to the [`Forwarder`], carry out its actions, send what is to go. It must never decide
+//! anything, nor follow discovery: hosts are known as planners report them.
 
-use crate::connections::wire::{Wire, Wires};
+use crate::connections::wire::{Ended, Wire, Wires};
 use crate::connections::Connections;
 use crate::context::{self, mark, Context, LINK, STOP, TICK};
 use crate::operators::operator_config::{Forwards, OperatorConfig, Role};
@@ -11,123 +11,122 @@
 use crate::{AtStart, BEYOND_EXPIRY, SWEEP};
 use reedferry::Nanos;
 use reedferry_control_plane::{Forwarder, ForwarderAction, ForwarderConfig, PlannerAddress};
+use reedferry_runtime::log::Backlog;
 use reedferry_runtime::{Clock, Errno, Mark, Readiness, Signal, Socket};
 use slog::{info, warn};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-struct Forward {
+/// The process of a forwarder.
+struct ForwarderProcess {
     context: Context,
-    core: Forwarder,
+    forwarder: Forwarder,
     connections: Connections,
-    /// The connections to planners, by the core's name for each.
-    wires: Wires,
+    /// The connections to planners, by the forwarder's number for each.
+    planner_sockets: Wires,
     listener: Socket,
-    stop: Signal,
-    reread: Signal,
-    path: PathBuf,
-    forwards: Forwards,
+    stop_signal: Signal,
+    reload_signal: Signal,
+    config_path: PathBuf,
+    role_config: Forwards,
     planners: Vec<PlannerAddress>,
-    /// When the core is to be called next, as far as the poller knows.
-    armed: Nanos,
-    deeds: Vec<ForwarderAction>,
+    /// The deadline of the forwarder that the poller last was given.
+    armed_deadline: Nanos,
+    actions: Vec<ForwarderAction>,
     ready: Ready,
 }
 
-pub fn run(path: &Path, start: AtStart) -> Result<(), String> {
-    let OperatorConfig {
-        node_config,
-        role,
-        planners,
-        ..
-    } = OperatorConfig::read(path)?;
-    let Role::Forward(forwards) = role else {
-        return Err(format!(
-            "{} is for `reedferry {}`",
-            path.display(),
-            role.word()
-        ));
-    };
+/// Runs a forwarder until it has shut down.
+pub fn run(config_path: &Path, start: AtStart) -> Result<(), String> {
     let clock = Clock::start();
-    let (mut context, backlog) = Context::open(&node_config, &clock, &start)?;
-    let listener = context.listen(&node_config.listen, context::LISTENER)?;
-    let listen = listener.address().unwrap_or(node_config.listen);
-    let keeps = ForwarderConfig {
-        name: node_config.name.clone(),
-        fingerprint: node_config.fingerprint(),
-        epoch: context.start,
-        balancer_settings: node_config.balancer_settings,
-        lease: forwards.lease,
-        decision_timeout: forwards.decide_within,
-        max_awaiting_decision: forwards.most_asked,
-        failback_delay: forwards.settle,
-    };
-    let core = Forwarder::new(keeps, planners.clone(), node_config.seed, context.now);
-    let log = context.log.clone();
-    info!(log, "started"; "listen" => %listen, "role" => "forward", "planners" => planners.len(),
-        "sockets" => node_config.sockets, "memory_mb" => node_config.memory >> 20);
-    context
-        .poller
-        .remind(context.now + SWEEP, mark(context::SWEEP), 0);
-    let AtStart { stop, reread } = start;
-    let mut forward = Forward {
-        context,
-        core,
-        connections: Connections::default(),
-        wires: Wires::default(),
-        listener,
-        stop,
-        reread,
-        path: path.to_path_buf(),
-        forwards,
-        planners,
-        armed: 0,
-        deeds: Vec::new(),
-        ready: Ready::default(),
-    };
+    let (mut process, backlog) = ForwarderProcess::start(config_path, start, &clock)?;
     loop {
-        forward.turn();
+        process.turn();
         backlog.drain();
-        if forward
-            .context
-            .leaving
-            .is_some_and(|t| forward.context.now >= t)
-            && forward.connections.count() == 0
-        {
-            info!(log, "stopped");
+        if process.has_shut_down() {
+            info!(process.context.log, "stopped");
             backlog.drain();
             return Ok(());
         }
-        forward
-            .gather(&clock)
+        process
+            .wait(&clock)
             .map_err(|e| format!("cannot poll: {e}"))?;
     }
 }
 
-impl Forward {
-    fn gather(&mut self, clock: &Clock) -> Result<(), Errno> {
-        let next = self.core.next_deadline();
-        if next < self.armed || self.armed <= self.context.now {
-            self.armed = next;
-            self.context.poller.remind(next, mark(TICK), 0);
-        }
+impl ForwarderProcess {
+    fn start(config_path: &Path, start: AtStart, clock: &Clock) -> Result<(Self, Backlog), String> {
+        let OperatorConfig {
+            node_config,
+            role,
+            planners,
+            ..
+        } = OperatorConfig::read(config_path)?;
+        let Role::Forward(role_config) = role else {
+            let path = config_path.display();
+            return Err(format!("{path} is for `reedferry {}`", role.word()));
+        };
+        let (mut context, backlog) = Context::open(&node_config, clock, &start)?;
+        let listener = context.listen(&node_config.listen, context::LISTENER)?;
+        let listen = listener.address().unwrap_or(node_config.listen);
+        info!(context.log, "started"; "listen" => %listen, "role" => "forward", "planners" => planners.len(),
+            "sockets" => node_config.sockets, "memory_mb" => node_config.memory >> 20);
+        let config = ForwarderConfig {
+            name: node_config.name.clone(),
+            fingerprint: node_config.fingerprint(),
+            epoch: context.start,
+            balancer_settings: node_config.balancer_settings,
+            lease: role_config.lease,
+            decision_timeout: role_config.decide_within,
+            max_awaiting_decision: role_config.most_asked,
+            failback_delay: role_config.settle,
+        };
+        let forwarder = Forwarder::new(config, planners.clone(), node_config.seed, context.now);
+        let next_sweep = context.now + SWEEP;
+        context.poller.remind(next_sweep, mark(context::SWEEP), 0);
+        let process = ForwarderProcess {
+            context,
+            forwarder,
+            connections: Connections::default(),
+            planner_sockets: Wires::default(),
+            listener,
+            stop_signal: start.stop,
+            reload_signal: start.reread,
+            config_path: config_path.to_path_buf(),
+            role_config,
+            planners,
+            armed_deadline: 0,
+            actions: Vec::new(),
+            ready: Ready::default(),
+        };
+        Ok((process, backlog))
+    }
+
+    /// Whether it was asked to stop and holds no connection any more that is worth waiting for.
+    fn has_shut_down(&self) -> bool {
+        let now = self.context.now;
+        self.context.leaving.is_some_and(|earliest| now >= earliest)
+            && self.connections.count() == 0
+    }
+
+    /// Waits until something is ready or due, and hands it to whom it concerns.
+    fn wait(&mut self, clock: &Clock) -> Result<(), Errno> {
+        self.arm_deadline();
         let mut ready = Vec::new();
-        let behind = self.ready.is_behind();
-        let at_once =
-            behind || !self.context.events.is_empty() || self.connections.busy() || self.wires.more;
-        let waited = clock.read();
-        self.context.poller.wait(waited, at_once, &mut ready)?;
-        self.context.look_round(waited, clock.read(), behind);
+        let is_behind = self.ready.is_behind();
+        let at_once = is_behind
+            || !self.context.events.is_empty()
+            || self.connections.busy()
+            || self.planner_sockets.more;
+        let wait_started = clock.read();
+        self.context
+            .poller
+            .wait(wait_started, at_once, &mut ready)?;
+        self.context
+            .look_round(wait_started, clock.read(), is_behind);
         self.ready.add(ready);
-        while let Some(one) = self.ready.next(self.context.now, clock) {
-            let context = &mut self.context;
-            match one.mark.part {
-                context::LISTENER => self.connections.accept(context, Some(&self.listener)),
-                STOP => self.part(),
-                context::REREAD => self.read_again(),
-                LINK => self.ready(one),
-                _ => self.connections.ready(context, one),
-            }
+        while let Some(readiness) = self.ready.next(self.context.now, clock) {
+            self.handle_readiness(readiness);
         }
         if self.connections.busy() {
             self.connections
@@ -144,138 +143,168 @@
         Ok(())
     }
 
+    /// Has the poller wake this process at the forwarder's next deadline.
+    fn arm_deadline(&mut self) {
+        let deadline = self.forwarder.next_deadline();
+        if deadline < self.armed_deadline || self.armed_deadline <= self.context.now {
+            self.armed_deadline = deadline;
+            self.context.poller.remind(deadline, mark(TICK), 0);
+        }
+    }
+
+    fn handle_readiness(&mut self, readiness: Readiness) {
+        match readiness.mark.part {
+            context::LISTENER => self
+                .connections
+                .accept(&mut self.context, Some(&self.listener)),
+            STOP => self.shut_down_if_asked(),
+            context::REREAD => self.reload_config_if_asked(),
+            LINK => self.handle_planner_readiness(readiness),
+            _ => self.connections.ready(&mut self.context, readiness),
+        }
+    }
+
+    /// Looks over everything at regular intervals, whatever the poller has reported.
     fn sweep(&mut self) {
-        // Whatever the poller has said of them.
-        self.part();
-        self.read_again();
+        self.shut_down_if_asked();
+        self.reload_config_if_asked();
         let context = &mut self.context;
         self.connections.accept(context, Some(&self.listener));
         self.connections.sweep(context);
         context.spare();
         context.hosts.look(context.now, &mut context.events);
-        context
-            .poller
-            .remind(context.now + SWEEP, mark(context::SWEEP), 0);
+        let next_sweep = context.now + SWEEP;
+        context.poller.remind(next_sweep, mark(context::SWEEP), 0);
     }
 
-    fn ready(&mut self, ready: Readiness) {
-        let line = ready.mark.slot;
-        let Some(wire) = self
-            .wires
+    fn handle_planner_readiness(&mut self, readiness: Readiness) {
+        let connection = readiness.mark.slot;
+        let Some(socket) = self
+            .planner_sockets
             .all
-            .get_mut(&line)
-            .filter(|w| w.stamp == ready.mark.stamp)
+            .get_mut(&connection)
+            .filter(|socket| socket.stamp == readiness.mark.stamp)
         else {
             return;
         };
-        wire.ready(ready);
-        match wire.came_up() {
-            Ok(true) => self.core.connected(line),
+        socket.ready(readiness);
+        match socket.came_up() {
+            Ok(true) => self.forwarder.connected(connection),
             Ok(false) => {}
-            Err(_) => self.lost(line, "unconnected"),
+            Err(_) => self.planner_connection_lost(connection, "unconnected"),
         }
     }
 
-    fn lost(&mut self, line: u32, why: &str) {
-        self.wires.all.remove(&line);
-        self.core.connection_lost(self.context.now, line, why, &mut self.deeds);
+    fn planner_connection_lost(&mut self, connection: u32, why: &str) {
+        self.planner_sockets.all.remove(&connection);
+        self.forwarder
+            .connection_lost(self.context.now, connection, why, &mut self.actions);
     }
 
-    /// All of a turn behind the gathering.
+    fn planner_connections_lost(&mut self, ended: Ended) {
+        for (connection, why) in ended {
+            self.planner_connection_lost(connection, why);
+        }
+    }
+
+    /// All of a turn behind the wait.
     fn turn(&mut self) {
         let now = self.context.now;
-        let (core, deeds) = (&mut self.core, &mut self.deeds);
+        let (forwarder, actions) = (&mut self.forwarder, &mut self.actions);
         let ended = self
-            .wires
-            .read(|line, bytes| core.receive(now, line, bytes, deeds));
-        ended
-            .into_iter()
-            .for_each(|(line, why)| self.lost(line, why));
+            .planner_sockets
+            .read(|connection, bytes| forwarder.receive(now, connection, bytes, actions));
+        self.planner_connections_lost(ended);
         for event in std::mem::take(&mut self.context.events) {
-            self.core.handle_event(now, event, &mut self.deeds);
+            self.forwarder.handle_event(now, event, &mut self.actions);
         }
-        self.core.tick(now, &mut self.deeds);
-        for deed in std::mem::take(&mut self.deeds) {
-            self.carry_out(deed);
+        self.forwarder.tick(now, &mut self.actions);
+        for action in std::mem::take(&mut self.actions) {
+            self.carry_out(action);
         }
-        let core = &mut self.core;
-        let ended = self.wires.write(|line, wire| {
-            let count = wire.write(core.outgoing(line))?;
-            core.mark_sent(line, count);
+        let forwarder = &mut self.forwarder;
+        let ended = self.planner_sockets.write(|connection, socket| {
+            let count = socket.write(forwarder.outgoing(connection))?;
+            forwarder.mark_sent(connection, count);
             Ok(())
         });
-        ended
-            .into_iter()
-            .for_each(|(line, why)| self.lost(line, why));
+        self.planner_connections_lost(ended);
     }
 
-    fn carry_out(&mut self, deed: ForwarderAction) {
+    fn carry_out(&mut self, action: ForwarderAction) {
         let context = &mut self.context;
-        match deed {
+        match action {
             ForwarderAction::Perform(action) => _ = self.connections.carry_out(context, action),
             ForwarderAction::StartAttempt {
                 id,
                 host,
                 deadline,
                 start_by,
-            } => self.connections.attempt(context, id, host, deadline, start_by),
-            ForwarderAction::ConnectPlanner { connection, address } => self.call(connection, address),
-            ForwarderAction::DisconnectPlanner { connection } => _ = self.wires.all.remove(&connection),
-            ForwarderAction::HostLearned(line) => {
+            } => self
+                .connections
+                .attempt(context, id, host, deadline, start_by),
+            ForwarderAction::ConnectPlanner {
+                connection,
+                address,
+            } => self.connect_planner(connection, address),
+            ForwarderAction::DisconnectPlanner { connection } => {
+                self.planner_sockets.all.remove(&connection);
+            }
+            ForwarderAction::HostLearned(entry) => {
                 let log = context.log.clone();
-                context.hosts.heard(context.now, line, &log);
+                context.hosts.heard(context.now, entry, &log);
             }
             ForwarderAction::Log(text) => info!(context.log, "{}", text),
         }
     }
 
-    fn call(&mut self, line: u32, address: SocketAddr) {
+    fn connect_planner(&mut self, connection: u32, address: SocketAddr) {
         let context = &mut self.context;
         let opened = context.budget.connect(&address).and_then(|(socket, _)| {
-            // Whether it stands is told by the poller in either case.
+            // The poller reports whether it is connected, in either case.
             let mark = Mark {
                 part: LINK,
-                slot: line,
+                slot: connection,
                 stamp: context.stamp(),
             };
             context.poller.watch(&socket, mark)?;
             Ok(Wire::new(socket, mark.stamp, false))
         });
         match opened {
-            Ok(wire) => _ = self.wires.all.insert(line, wire),
-            Err(_) => self.lost(line, "unconnected"),
+            Ok(socket) => _ = self.planner_sockets.all.insert(connection, socket),
+            Err(_) => self.planner_connection_lost(connection, "unconnected"),
         }
     }
 
-    fn part(&mut self) {
-        if self.stop.came() && self.context.leaving.is_none() {
+    fn shut_down_if_asked(&mut self) {
+        if self.stop_signal.came() && self.context.leaving.is_none() {
             let event = self.context.leave(BEYOND_EXPIRY, self.connections.count());
             self.context.events.push(event);
         }
     }
 
-    /// Takes the operator's file up afresh: the planners alone may change in a forwarder that runs.
-    fn read_again(&mut self) {
-        if !self.reread.came() {
+    /// Reads the operator's file anew: of a running forwarder, only the planners may change.
+    fn reload_config_if_asked(&mut self) {
+        if !self.reload_signal.came() {
             return;
         }
         let log = self.context.log.clone();
-        // Guards: a forwarder led astray by a file that is half written or wrong.
-        let fresh = match OperatorConfig::read(&self.path) {
-            Ok(fresh) => fresh,
-            Err(why) => return warn!(log, "articles not taken up"; "why" => why),
+        // Without the checks, a file that is half written or wrong would lead a forwarder astray.
+        let config = match OperatorConfig::read(&self.config_path) {
+            Ok(config) => config,
+            Err(why) => return warn!(log, "config not reloaded"; "why" => why),
         };
-        if fresh.role != Role::Forward(self.forwards.clone()) {
-            warn!(log, "kept until the next start"; "parts" => fresh.role.word());
+        if config.role != Role::Forward(self.role_config.clone()) {
+            warn!(log, "kept until the next start"; "parts" => config.role.word());
         }
-        if fresh.planners.is_empty() {
-            return warn!(log, "articles not taken up"; "why" => "no planner is named");
+        if config.planners.is_empty() {
+            return warn!(log, "config not reloaded"; "why" => "no planner is named");
         }
-        info!(log, "articles read again"; "planners" => fresh.planners.len());
-        if fresh.planners != self.planners {
-            self.planners = fresh.planners.clone();
-            self.core
-                .set_planners(self.context.now, fresh.planners, &mut self.deeds);
+        info!(log, "config reloaded"; "planners" => config.planners.len());
+        if config.planners != self.planners {
+            self.planners = config.planners.clone();
+            self.forwarder
+                .set_planners(self.context.now, config.planners, &mut self.actions);
         }
     }
 }
--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -1,10 +1,10 @@
-//! A planner: the planner's end of the link, with the modules in it, and discovery. It owns the sockets of
-//! forwarders and the order of a turn: read forwarders, then discovery, then decide, then send. That order
-//! holds the drains: what a forwarder asked for before it could know of one is never decided under a roll
-//! that is older than the beat which the order answers. It must never take a client.
+//! The planner role: the [`Planner`] with its decision cores, and discovery. It owns the sockets of forwarders and
+//! the order of a turn: read forwarders, then discovery, then decide, then send. That order keeps the drain
+//! guarantee: what a forwarder asked for before it could know of a drain is never decided by an endpoint list
+//! that is older than the heartbeat which the decision answers. It must never take a client.
 
 use crate::connections::probe::Probes;
-use crate::connections::wire::{Wire, Wires};
+use crate::connections::wire::{Ended, Wire, Wires};
 use crate::context::{self, mark, Context, LINK, STOP};
 use crate::discovery::client::Discovery;
 use crate::operators::node_config::NodeConfig;
@@ -12,142 +12,154 @@
 use crate::{AtStart, SWEEP};
 use reedferry::{Endpoint, Event, Nanos, MILLI};
 use reedferry_control_plane::{HostEntry, Planner, PlannerAction, PlannerConfig};
+use reedferry_runtime::log::Backlog;
 use reedferry_runtime::{Clock, Errno, Mark, Readiness, Signal, Socket};
 use slog::{info, warn};
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// How long a planner that stops waits for its forwarders to follow another.
-const LONGEST_STAY: Nanos = 700 * MILLI;
-/// Forwarders taken in at once.
-const ACCEPTS: usize = 64;
+/// How long a planner that shuts down waits for its forwarders to follow another.
+const SHUTDOWN_TIMEOUT: Nanos = 700 * MILLI;
+/// The most forwarders accepted at once.
+const MAX_ACCEPTS: usize = 64;
 
-struct Plan {
+/// The process of a planner.
+struct PlannerProcess {
     context: Context,
-    core: Planner,
+    planner: Planner,
     discovery: Discovery,
     probes: Probes,
-    /// The connections of forwarders, by the core's name for each.
-    wires: Wires,
+    /// The connections of forwarders, by the planner's number for each.
+    forwarder_sockets: Wires,
     listener: Socket,
-    stop: Signal,
-    reread: Signal,
-    path: PathBuf,
-    plans: Plans,
-    planners: usize,
-    at: std::net::SocketAddr,
-    orders: Vec<PlannerAction>,
+    stop_signal: Signal,
+    reload_signal: Signal,
+    config_path: PathBuf,
+    role_config: Plans,
+    planner_count: usize,
+    discovery_address: SocketAddr,
+    actions: Vec<PlannerAction>,
 }
 
-pub fn run(path: &Path, start: AtStart) -> Result<(), String> {
-    let OperatorConfig {
-        node_config,
-        role,
-        planners,
-        ..
-    } = OperatorConfig::read(path)?;
-    let Role::Plan(plans) = role else {
-        return Err(format!(
-            "{} is for `reedferry {}`",
-            path.display(),
-            role.word()
-        ));
-    };
+/// Runs a planner until it has shut down.
+pub fn run(config_path: &Path, start: AtStart) -> Result<(), String> {
     let clock = Clock::start();
-    let (mut context, backlog) = Context::open(&node_config, &clock, &start)?;
-    let listener = context.listen(&plans.listen, context::LINK_LISTENER)?;
-    let listen = listener.address().unwrap_or(plans.listen);
-    let remit = PlannerConfig {
-        name: plans.name.clone(),
-        zone_count: node_config.node_settings.zones.len().max(1) as u16,
-        planner_index: plans.place,
-        planner_count: planners.len() as u32,
-        fingerprint: node_config.fingerprint(),
-        silence_timeout: plans.silent,
-        settle_time: plans.settle,
-        max_requests_per_forwarder: plans.most_held,
-        balancer_settings: node_config.balancer_settings.clone(),
-    };
-    let mut orders = Vec::new();
-    let core = Planner::new(remit, node_config.seed, context.now, &mut orders);
-    let revision = context.known(&node_config)?;
-    let log = context.log.clone();
-    let hosts = context.hosts.count();
-    info!(log, "started"; "listen" => %listen, "role" => "plan", "name" => &plans.name, "hosts" => hosts,
-        "revision" => revision);
-    context
-        .poller
-        .remind(context.now + SWEEP, mark(context::SWEEP), 0);
-    let AtStart { stop, reread } = start;
-    let NodeConfig {
-        balancer_settings,
-        node_settings,
-        ..
-    } = &node_config;
-    let discovery = Discovery::new(
-        node_config.discovery,
-        revision,
-        balancer_settings,
-        node_settings.drain_grace,
-        context.now,
-    );
-    let mut plan = Plan {
-        context,
-        core,
-        discovery,
-        probes: Probes::default(),
-        wires: Wires::default(),
-        listener,
-        stop,
-        reread,
-        path: path.to_path_buf(),
-        planners: planners.len(),
-        plans,
-        at: node_config.discovery,
-        orders,
-    };
+    let (mut process, backlog) = PlannerProcess::start(config_path, start, &clock)?;
     loop {
-        plan.turn();
+        process.turn();
         backlog.drain();
-        let alone = plan.context.now >= plan.context.start && plan.core.follower_count() == 0;
-        if plan
-            .context
-            .leaving
-            .is_some_and(|t| plan.context.now >= t || alone)
-        {
-            info!(log, "stopped"; "held" => plan.core.request_count());
+        if process.has_shut_down() {
+            info!(process.context.log, "stopped"; "requests" => process.planner.request_count());
             backlog.drain();
             return Ok(());
         }
-        plan.gather(&clock)
+        process
+            .wait(&clock)
             .map_err(|e| format!("cannot poll: {e}"))?;
     }
 }
 
-impl Plan {
-    fn gather(&mut self, clock: &Clock) -> Result<(), Errno> {
-        let next = self.core.next_deadline(self.context.now);
-        self.context.poller.remind(next, mark(context::TICK), 0);
+/// The planner's own part of the configuration.
+fn planner_config(
+    node_config: &NodeConfig,
+    role_config: &Plans,
+    planner_count: usize,
+) -> PlannerConfig {
+    PlannerConfig {
+        name: role_config.name.clone(),
+        zone_count: node_config.node_settings.zones.len().max(1) as u16,
+        planner_index: role_config.place,
+        planner_count: planner_count as u32,
+        fingerprint: node_config.fingerprint(),
+        silence_timeout: role_config.silent,
+        settle_time: role_config.settle,
+        max_requests_per_forwarder: role_config.most_held,
+        balancer_settings: node_config.balancer_settings.clone(),
+    }
+}
+
+impl PlannerProcess {
+    fn start(config_path: &Path, start: AtStart, clock: &Clock) -> Result<(Self, Backlog), String> {
+        let OperatorConfig {
+            node_config,
+            role,
+            planners,
+            ..
+        } = OperatorConfig::read(config_path)?;
+        let Role::Plan(role_config) = role else {
+            let path = config_path.display();
+            return Err(format!("{path} is for `reedferry {}`", role.word()));
+        };
+        let (mut context, backlog) = Context::open(&node_config, clock, &start)?;
+        let listener = context.listen(&role_config.listen, context::LINK_LISTENER)?;
+        let listen = listener.address().unwrap_or(role_config.listen);
+        let mut actions = Vec::new();
+        let config = planner_config(&node_config, &role_config, planners.len());
+        let planner = Planner::new(config, node_config.seed, context.now, &mut actions);
+        let revision = context.known(&node_config)?;
+        info!(context.log, "started"; "listen" => %listen, "role" => "plan", "name" => &role_config.name,
+            "hosts" => context.hosts.count(), "revision" => revision);
+        let next_sweep = context.now + SWEEP;
+        context.poller.remind(next_sweep, mark(context::SWEEP), 0);
+        let discovery = Discovery::new(
+            node_config.discovery,
+            revision,
+            &node_config.balancer_settings,
+            node_config.node_settings.drain_grace,
+            context.now,
+        );
+        let process = PlannerProcess {
+            context,
+            planner,
+            discovery,
+            probes: Probes::default(),
+            forwarder_sockets: Wires::default(),
+            listener,
+            stop_signal: start.stop,
+            reload_signal: start.reread,
+            config_path: config_path.to_path_buf(),
+            role_config,
+            planner_count: planners.len(),
+            discovery_address: node_config.discovery,
+            actions,
+        };
+        Ok((process, backlog))
+    }
+
+    /// Whether it was asked to stop, and no forwarder follows it any more or it has waited long enough.
+    fn has_shut_down(&self) -> bool {
+        let now = self.context.now;
+        let is_alone = now >= self.context.start && self.planner.follower_count() == 0;
+        self.context
+            .leaving
+            .is_some_and(|latest| now >= latest || is_alone)
+    }
+
+    /// Waits until something is ready or due, and hands it to whom it concerns.
+    fn wait(&mut self, clock: &Clock) -> Result<(), Errno> {
+        let deadline = self.planner.next_deadline(self.context.now);
+        self.context.poller.remind(deadline, mark(context::TICK), 0);
         let mut ready = Vec::new();
-        let at_once = !self.context.events.is_empty() || self.wires.more;
+        let at_once = !self.context.events.is_empty() || self.forwarder_sockets.more;
         self.context
             .poller
             .wait(clock.read(), at_once, &mut ready)?;
         self.context.now = clock.read();
-        for one in ready {
-            match one.mark.part {
-                context::LINK_LISTENER => self.accept(),
-                STOP => self.part(),
-                context::REREAD => self.read_again(),
-                context::DISCOVERY => self.discovery.ready(&mut self.context, one),
-                context::PROBE => self.probes.ready(&mut self.context, one),
-                _ => self.ready(one),
+        for readiness in ready {
+            match readiness.mark.part {
+                context::LINK_LISTENER => self.accept_forwarders(),
+                STOP => self.shut_down_if_asked(),
+                context::REREAD => self.reload_config_if_asked(),
+                context::DISCOVERY => self.discovery.ready(&mut self.context, readiness),
+                context::PROBE => self.probes.ready(&mut self.context, readiness),
+                _ => self.handle_forwarder_readiness(readiness),
             }
         }
         Ok(())
     }
 
-    fn accept(&mut self) {
-        for _ in 0..ACCEPTS {
+    fn accept_forwarders(&mut self) {
+        for _ in 0..MAX_ACCEPTS {
             let context = &mut self.context;
             if !context.budget.room(1) {
                 return;
@@ -156,169 +168,163 @@
                 return;
             };
             let stamp = context.stamp();
-            if context
-                .poller
-                .watch(
-                    &socket,
-                    Mark {
-                        part: LINK,
-                        slot: 0,
-                        stamp,
-                    },
-                )
-                .is_err()
-            {
-                // The forwarder calls again.
+            let mark = Mark {
+                part: LINK,
+                slot: 0,
+                stamp,
+            };
+            if context.poller.watch(&socket, mark).is_err() {
+                // The forwarder connects again.
                 context.machine_trouble("epoll_ctl");
                 continue;
             }
-            self.wires.all.insert(stamp, Wire::new(socket, stamp, true));
-            self.core.accept(context.now, stamp, &mut self.orders);
+            let socket = Wire::new(socket, stamp, true);
+            self.forwarder_sockets.all.insert(stamp, socket);
+            self.planner.accept(context.now, stamp, &mut self.actions);
         }
     }
 
-    fn ready(&mut self, ready: Readiness) {
-        if let Some(wire) = self.wires.all.get_mut(&ready.mark.stamp) {
-            wire.ready(ready);
+    fn handle_forwarder_readiness(&mut self, readiness: Readiness) {
+        if let Some(socket) = self.forwarder_sockets.all.get_mut(&readiness.mark.stamp) {
+            socket.ready(readiness);
         }
     }
 
-    fn lost(&mut self, line: u32, why: &str) {
-        self.wires.all.remove(&line);
-        self.core.connection_lost(line, why, &mut self.orders);
+    fn connection_lost(&mut self, connection: u32, why: &str) {
+        self.forwarder_sockets.all.remove(&connection);
+        self.planner
+            .connection_lost(connection, why, &mut self.actions);
     }
 
-    /// All of a turn behind the gathering.
+    fn connections_lost(&mut self, ended: Ended) {
+        for (connection, why) in ended {
+            self.connection_lost(connection, why);
+        }
+    }
+
+    /// All of a turn behind the wait.
     fn turn(&mut self) {
         let now = self.context.now;
-        let (core, orders) = (&mut self.core, &mut self.orders);
+        let (planner, actions) = (&mut self.planner, &mut self.actions);
         let ended = self
-            .wires
-            .read(|line, bytes| core.receive(now, line, bytes, orders));
-        // Behind the forwarders' beats. Guards: a drain that was written before a beat was sent, and that an
-        // order under that beat does not know.
+            .forwarder_sockets
+            .read(|connection, bytes| planner.receive(now, connection, bytes, actions));
+        // Behind the forwarders' heartbeats. Otherwise a decision that answers a heartbeat could miss a drain that was
+        // written before that heartbeat was sent.
         self.discovery.look(&mut self.context);
         for event in std::mem::take(&mut self.context.events) {
-            self.told(event);
+            self.handle_event(event);
+        }
+        self.handle_due_timers(now);
+        self.planner.decide(now, &mut self.actions);
+        self.connections_lost(ended);
+        let planner = &mut self.planner;
+        let ended = self.forwarder_sockets.write(|connection, socket| {
+            let count = socket.write(planner.outgoing(connection))?;
+            planner.mark_sent(connection, count);
+            Ok(())
+        });
+        self.connections_lost(ended);
+        for action in std::mem::take(&mut self.actions) {
+            self.carry_out(action);
         }
-        while let Some((mark, word)) = self.context.poller.due(now) {
-            match mark.part {
-                context::MODULE => self
-                    .core
-                    .timer_fired(now, mark.slot as u16, word, &mut self.orders),
-                context::PROBE => self.probes.due(&mut self.context, mark),
+    }
+
+    fn handle_due_timers(&mut self, now: Nanos) {
+        while let Some((due, word)) = self.context.poller.due(now) {
+            match due.part {
+                context::MODULE => {
+                    let zone = due.slot as u16;
+                    self.planner.timer_fired(now, zone, word, &mut self.actions);
+                }
+                context::PROBE => self.probes.due(&mut self.context, due),
                 context::SWEEP => {
                     self.discovery.sweep(&mut self.context);
                     self.context.spare();
-                    self.context.poller.remind(
-                        now + SWEEP,
-                        crate::context::mark(context::SWEEP),
-                        0,
-                    );
+                    self.context
+                        .poller
+                        .remind(now + SWEEP, mark(context::SWEEP), 0);
                 }
                 _ => {}
             }
         }
-        self.core.decide(now, &mut self.orders);
-        ended
-            .into_iter()
-            .for_each(|(line, why)| self.lost(line, why));
-        let core = &mut self.core;
-        let ended = self.wires.write(|line, wire| {
-            let count = wire.write(core.outgoing(line))?;
-            core.mark_sent(line, count);
-            Ok(())
-        });
-        ended
-            .into_iter()
-            .for_each(|(line, why)| self.lost(line, why));
-        for order in std::mem::take(&mut self.orders) {
-            self.carry_out(order);
-        }
     }
 
-    fn told(&mut self, event: Event) {
+    /// Hands the planner an event of discovery or of a probe.
+    fn handle_event(&mut self, event: Event) {
         let now = self.context.now;
         match event {
-            Event::EndpointsUpdated {
-                kind,
-                endpoints: hosts,
-            } => {
-                let lines = hosts
+            Event::EndpointsUpdated { kind, endpoints } => {
+                let entries = endpoints
                     .iter()
-                    .filter_map(|listing| self.line(listing))
+                    .filter_map(|endpoint| self.host_entry(endpoint))
                     .collect();
-                self.core.update_hosts(now, kind, hosts, lines, &mut self.orders);
+                self.planner
+                    .update_hosts(now, kind, endpoints, entries, &mut self.actions);
             }
-            event => self.core.probe_ended(now, &event, &mut self.orders),
+            event => self.planner.probe_ended(now, &event, &mut self.actions),
         }
     }
 
     /// A host as forwarders are told of it.
-    fn line(&self, listing: &Endpoint) -> Option<HostEntry> {
-        let record = self
-            .context
-            .hosts
-            .record(self.context.hosts.index(listing.id)?);
-        let (name, address) = (record.name.clone(), record.address);
-        let as_of = self.discovery.revision().unwrap_or(0);
+    fn host_entry(&self, endpoint: &Endpoint) -> Option<HostEntry> {
+        let hosts = &self.context.hosts;
+        let record = hosts.record(hosts.index(endpoint.id)?);
         Some(HostEntry {
-            id: listing.id.0,
-            name,
-            address,
-            state: listing.state.into(),
-            list_version: as_of,
+            id: endpoint.id.0,
+            name: record.name.clone(),
+            address: record.address,
+            state: endpoint.state.into(),
+            list_version: self.discovery.revision().unwrap_or(0),
         })
     }
 
-    fn carry_out(&mut self, order: PlannerAction) {
+    fn carry_out(&mut self, action: PlannerAction) {
         let context = &mut self.context;
-        match order {
-            PlannerAction::SetTimer {
-                time,
-                zone,
-                timer: mark,
-            } => {
-                let at = Mark {
+        match action {
+            PlannerAction::SetTimer { time, zone, timer } => {
+                let mark = Mark {
                     part: context::MODULE,
                     slot: zone.into(),
                     stamp: 0,
                 };
-                context.poller.remind(time, at, mark);
+                context.poller.remind(time, mark, timer);
             }
             PlannerAction::PollEndpoints => self.discovery.ask(context),
             PlannerAction::WatchEndpoints => self.discovery.follow(context),
             PlannerAction::Probe { host } => self.probes.send(context, host),
-            PlannerAction::Disconnect { connection } => self.lost(connection, "cut"),
+            PlannerAction::Disconnect { connection } => self.connection_lost(connection, "cut"),
             PlannerAction::Log(text) => info!(context.log, "{}", text),
         }
     }
 
-    fn part(&mut self) {
-        if self.stop.came() && self.context.leaving.is_none() {
-            warn!(self.context.log, "asked to stop"; "forwarders" => self.core.follower_count());
-            self.context.leaving = Some(self.context.now + LONGEST_STAY);
-            self.core.shut_down(&mut self.orders);
+    fn shut_down_if_asked(&mut self) {
+        if self.stop_signal.came() && self.context.leaving.is_none() {
+            warn!(self.context.log, "asked to stop"; "forwarders" => self.planner.follower_count());
+            self.context.leaving = Some(self.context.now + SHUTDOWN_TIMEOUT);
+            self.planner.shut_down(&mut self.actions);
         }
     }
 
-    /// Takes the papers up afresh: discovery alone may change in a planner that runs.
-    fn read_again(&mut self) {
-        if !self.reread.came() {
+    /// Reads the operator's file anew: of a running planner, only the address of discovery may change.
+    fn reload_config_if_asked(&mut self) {
+        if !self.reload_signal.came() {
             return;
         }
         let log = self.context.log.clone();
-        let fresh = match OperatorConfig::read(&self.path) {
-            Ok(fresh) => fresh,
-            Err(why) => return warn!(log, "articles not taken up"; "why" => why),
+        let config = match OperatorConfig::read(&self.config_path) {
+            Ok(config) => config,
+            Err(why) => return warn!(log, "config not reloaded"; "why" => why),
         };
-        if fresh.role != Role::Plan(self.plans.clone()) || fresh.planners.len() != self.planners {
+        let is_same_role = config.role == Role::Plan(self.role_config.clone());
+        if !is_same_role || config.planners.len() != self.planner_count {
             warn!(log, "kept until the next start"; "parts" => "plan planners");
         }
-        info!(log, "articles read again"; "discovery" => %fresh.node_config.discovery);
-        if fresh.node_config.discovery != self.at {
-            self.at = fresh.node_config.discovery;
-            self.discovery.go_over(&mut self.context, self.at);
+        let address = config.node_config.discovery;
+        info!(log, "config reloaded"; "discovery" => %address);
+        if address != self.discovery_address {
+            self.discovery_address = address;
+            self.discovery.go_over(&mut self.context, address);
         }
     }
 }
--- a/node/tests/two_tier.rs
+++ b/node/tests/two_tier.rs
@@ -214,7 +214,7 @@
     let mut clients = load(&tiers, 8);
     clients.load(100.0, ms(300), &[0], Duration::from_secs(20));
     tiers.forwarders[0].reread(&before[..second]);
-    tiers.forwarders[0].logs("articles read again");
+    tiers.forwarders[0].logs("config reloaded");
     // The second planner may go now: nobody follows it any more, whoever was followed before.
     eventually("p0 alone is followed", || {
         tiers.planners[1].as_mut().unwrap().stop();
