--- a/node/tests/two_tier.rs
+++ b/node/tests/two_tier.rs
@@ -1,10 +1,10 @@
-//! Forwarders and planners as processes, among hosts and clients that act by themselves, with faults put in
-//! from outside. The rules are judged by what hosts and clients saw.
+//! Forwarders and planners as processes, among simulated hosts and clients, with faults injected from outside.
+//! The rules are judged by what hosts and clients saw.
 
 use reedferry_testkit::acting::{Clients, Way};
 use reedferry_testkit::program::{path, Node};
 use reedferry_testkit::syscalls::{Call, Fault, Outcome, Spoiler};
-use reedferry_testkit::tiers::{self, until, Tiers, FAULTS};
+use reedferry_testkit::two_tier_cluster::{self, wait_until, TwoTierCluster, FAULT_KINDS};
 use reedferry_testkit::{eventually, Peer};
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -12,13 +12,14 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-const HOLDS: Duration = Duration::from_millis(400);
-/// How late discovery's word reaches a planner here, on a busy machine.
-const TOLD: Duration = Duration::from_millis(150);
+/// How long clients hold their connections.
+const HOLD_TIME: Duration = Duration::from_millis(400);
+/// How late an update of discovery may reach a planner here, on a busy machine.
+const DISCOVERY_DELAY: Duration = Duration::from_millis(150);
 
-/// One at a time: each starts several processes and judges by time. Guards: verdicts that hang on how many
-/// tests run beside each other.
-fn alone() -> MutexGuard<'static, ()> {
+/// Runs the tests one at a time: each starts several processes and judges by time. Without this, verdicts would depend
+/// on how many tests run beside each other.
+fn exclusive() -> MutexGuard<'static, ()> {
     static TURN: Mutex<()> = Mutex::new(());
     TURN.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -27,42 +28,42 @@
     Duration::from_millis(n)
 }
 
-fn load(tiers: &Tiers, seed: u64) -> Clients {
-    Clients::new(tiers.doors(), &tiers.referee, seed)
+fn new_clients(cluster: &TwoTierCluster, seed: u64) -> Clients {
+    Clients::new(cluster.client_addresses(), &cluster.referee, seed)
 }
 
-fn judged(tiers: &Tiers, what: &str) {
-    let broken = tiers.referee.broken(TOLD);
-    assert!(broken.is_empty(), "{what}: {broken:#?}");
+fn assert_no_violation(cluster: &TwoTierCluster, what: &str) {
+    let violations = cluster.referee.broken(DISCOVERY_DELAY);
+    assert!(violations.is_empty(), "{what}: {violations:#?}");
 }
 
-fn answered(tiers: &Tiers, with: &str) -> usize {
-    tiers
+fn count_answers(cluster: &TwoTierCluster, prefix: &str) -> usize {
+    cluster
         .referee
         .lived()
         .iter()
         .filter(|l| {
             l.answers
                 .first()
-                .is_some_and(|(_, said)| said.starts_with(with))
+                .is_some_and(|(_, answer)| answer.starts_with(prefix))
         })
         .count()
 }
 
 #[test]
-fn a_planner_is_killed_under_load_and_every_attachment_has_one_answer_in_time() {
-    let _turn = alone();
-    let mut tiers = Tiers::start(3, 2, 4, 1);
-    let mut clients = load(&tiers, 1);
-    clients.load(200.0, ms(700), &[0, 1, 2], HOLDS);
-    let busiest = tiers.busiest();
-    tiers.kill_planner(busiest);
+fn a_planner_is_killed_under_load_and_every_request_has_one_answer_in_time() {
+    let _guard = exclusive();
+    let mut cluster = TwoTierCluster::start(3, 2, 4, 1);
+    let mut clients = new_clients(&cluster, 1);
+    clients.load(200.0, ms(700), &[0, 1, 2], HOLD_TIME);
+    let busiest = cluster.busiest_planner();
+    cluster.kill_planner(busiest);
     let killed = Instant::now();
-    clients.load(200.0, ms(1500), &[0, 1, 2], HOLDS);
+    clients.load(200.0, ms(1500), &[0, 1, 2], HOLD_TIME);
     clients.end();
-    judged(&tiers, "killed");
-    let all = tiers.referee.first_hand_offs();
-    let (count, up) = (all.len(), answered(&tiers, "UP"));
+    assert_no_violation(&cluster, "killed");
+    let all = cluster.referee.first_hand_offs();
+    let (count, up) = (all.len(), count_answers(&cluster, "UP"));
     assert!(up * 100 >= count * 90, "{up} of {count} served");
     let latest = all.iter().filter_map(|(_, took)| *took).max().unwrap();
     assert!(latest < ms(700), "a first hand-off after {latest:?}");
@@ -81,39 +82,39 @@
 }
 
 #[test]
-fn a_planner_that_stood_still_for_two_seconds_carries_nothing_late_out() {
-    let _turn = alone();
-    let tiers = Tiers::start(3, 2, 4, 2);
-    let mut clients = load(&tiers, 2);
-    clients.load(100.0, ms(300), &[0, 1, 2], HOLDS);
+fn nothing_that_a_planner_decided_before_a_pause_of_two_seconds_is_carried_out_late() {
+    let _guard = exclusive();
+    let cluster = TwoTierCluster::start(3, 2, 4, 2);
+    let mut clients = new_clients(&cluster, 2);
+    clients.load(100.0, ms(300), &[0, 1, 2], HOLD_TIME);
     for n in 0..2 {
-        let planner = tiers.planners[n].as_ref().unwrap();
+        let planner = cluster.planners[n].as_ref().unwrap();
         planner.stand_still();
-        clients.load(100.0, ms(2000), &[0, 1, 2], HOLDS);
+        clients.load(100.0, ms(2000), &[0, 1, 2], HOLD_TIME);
         planner.go_on();
-        clients.load(100.0, ms(500), &[0, 1, 2], HOLDS);
+        clients.load(100.0, ms(500), &[0, 1, 2], HOLD_TIME);
     }
     clients.end();
-    judged(&tiers, "stood still");
-    let (count, up) = (tiers.referee.lived().len(), answered(&tiers, "UP"));
+    assert_no_violation(&cluster, "stood still");
+    let (count, up) = (cluster.referee.lived().len(), count_answers(&cluster, "UP"));
     assert!(up * 100 >= count * 90, "{up} of {count} served");
 }
 
 #[test]
-fn all_planners_gone_open_connections_flow_on_and_what_comes_is_dismissed_at_once() {
-    let _turn = alone();
-    let mut tiers = Tiers::start(2, 2, 3, 3);
-    let mut standing = load(&tiers, 3);
-    (0..200).for_each(|_| standing.come(0, Duration::from_secs(30)));
-    eventually("some stand", || {
-        tiers.hosts.standing().iter().sum::<u32>() == 200
+fn without_planners_open_connections_continue_and_new_requests_are_rejected_at_once() {
+    let _guard = exclusive();
+    let mut cluster = TwoTierCluster::start(2, 2, 3, 3);
+    let mut open_clients = new_clients(&cluster, 3);
+    (0..200).for_each(|_| open_clients.come(0, Duration::from_secs(30)));
+    eventually("some connections are open", || {
+        cluster.hosts.standing().iter().sum::<u32>() == 200
     });
-    (0..2).for_each(|n| tiers.kill_planner(n));
+    (0..2).for_each(|n| cluster.kill_planner(n));
     std::thread::sleep(ms(300));
-    let mut clients = load(&tiers, 4);
-    (0..40).for_each(|n| clients.come(n % 3, HOLDS));
+    let mut clients = new_clients(&cluster, 4);
+    (0..40).for_each(|n| clients.come(n % 3, HOLD_TIME));
     clients.end();
-    let lived = tiers.referee.lived();
+    let lived = cluster.referee.lived();
     assert_eq!(lived.len(), 40);
     for one in &lived {
         let (at, said) = &one.answers[0];
@@ -123,114 +124,114 @@
         );
     }
     assert_eq!(
-        tiers.hosts.standing().iter().sum::<u32>(),
+        cluster.hosts.standing().iter().sum::<u32>(),
         200,
-        "open connections flow on"
+        "open connections continue"
     );
     // Back at once, with empty memories.
-    (0..2).for_each(|n| tiers.start_planner(n));
-    for forwarder in &tiers.forwarders {
+    (0..2).for_each(|n| cluster.start_planner(n));
+    for forwarder in &cluster.forwarders {
         forwarder.logs("no planner available");
         forwarder.logs("following planner");
     }
-    clients.load(100.0, ms(500), &[0, 1, 2], HOLDS);
+    clients.load(100.0, ms(500), &[0, 1, 2], HOLD_TIME);
     clients.end();
-    standing.end();
-    judged(&tiers, "all gone and back");
-    assert!(answered(&tiers, "UP") >= 200 + 45);
+    open_clients.end();
+    assert_no_violation(&cluster, "all gone and back");
+    assert!(count_answers(&cluster, "UP") >= 200 + 45);
 }
 
 #[test]
-fn a_drain_that_forwarders_cannot_be_told_of_is_kept_all_the_same() {
-    let _turn = alone();
+fn a_drain_that_forwarders_cannot_be_told_of_is_honored_all_the_same() {
+    let _guard = exclusive();
     use std::sync::atomic::Ordering::SeqCst;
-    let mut tiers = Tiers::start(2, 2, 3, 5);
-    let mut clients = load(&tiers, 5);
-    clients.load(200.0, ms(500), &[0], HOLDS);
-    tiers
+    let mut cluster = TwoTierCluster::start(2, 2, 3, 5);
+    let mut clients = new_clients(&cluster, 5);
+    clients.load(200.0, ms(500), &[0], HOLD_TIME);
+    cluster
         .relays
         .iter()
         .flatten()
         .for_each(|r| r.down.cut.store(true, SeqCst));
-    tiers.drain(0, true);
-    clients.load(200.0, ms(700), &[0], HOLDS);
-    tiers.heal();
-    clients.load(200.0, ms(1000), &[0], HOLDS);
+    cluster.set_draining(0, true);
+    clients.load(200.0, ms(700), &[0], HOLD_TIME);
+    cluster.heal();
+    clients.load(200.0, ms(1000), &[0], HOLD_TIME);
     let after = Instant::now();
-    clients.load(100.0, ms(300), &[0], HOLDS);
+    clients.load(100.0, ms(300), &[0], HOLD_TIME);
     clients.end();
-    judged(&tiers, "drained");
-    let reached = tiers.referee.reached();
+    assert_no_violation(&cluster, "drained");
+    let reached = cluster.referee.reached();
     assert!(reached.iter().any(|r| r.host == 0) && reached.iter().any(|r| r.at > after));
 }
 
 #[test]
 fn planners_and_forwarders_are_restarted_one_after_the_other_under_load() {
-    let _turn = alone();
-    let mut tiers = Tiers::start(3, 2, 4, 6);
-    let mut clients = load(&tiers, 6);
+    let _guard = exclusive();
+    let mut cluster = TwoTierCluster::start(3, 2, 4, 6);
+    let mut clients = new_clients(&cluster, 6);
     for n in 0..2 {
-        clients.load(150.0, ms(400), &[0, 1, 2], HOLDS);
-        let planner = tiers.planners[n].as_mut().unwrap();
+        clients.load(150.0, ms(400), &[0, 1, 2], HOLD_TIME);
+        let planner = cluster.planners[n].as_mut().unwrap();
         planner.stop();
         assert!(planner.wait().success());
-        clients.load(150.0, ms(300), &[0, 1, 2], HOLDS);
-        tiers.start_planner(n);
-        clients.load(150.0, ms(300), &[0, 1, 2], HOLDS);
+        clients.load(150.0, ms(300), &[0, 1, 2], HOLD_TIME);
+        cluster.start_planner(n);
+        clients.load(150.0, ms(300), &[0, 1, 2], HOLD_TIME);
     }
     clients.end();
-    judged(&tiers, "planners restarted");
-    let (count, up) = (tiers.referee.lived().len(), answered(&tiers, "UP"));
+    assert_no_violation(&cluster, "planners restarted");
+    let (count, up) = (cluster.referee.lived().len(), count_answers(&cluster, "UP"));
     assert!(up * 100 >= count * 95, "{up} of {count} served");
-    // A forwarder that is asked to stop answers what comes, moves what stands, and ends by itself.
-    let mut standing = load(&tiers, 7);
-    (0..30).for_each(|_| standing.come(0, Duration::from_secs(30)));
-    eventually("some stand", || {
-        tiers.hosts.standing().iter().sum::<u32>() == 30
+    // A forwarder that is asked to stop rejects new requests, migrates open connections, and ends by itself.
+    let mut open_clients = new_clients(&cluster, 7);
+    (0..30).for_each(|_| open_clients.come(0, Duration::from_secs(30)));
+    eventually("some connections are open", || {
+        cluster.hosts.standing().iter().sum::<u32>() == 30
     });
-    let forwarder = &mut tiers.forwarders[0];
+    let forwarder = &mut cluster.forwarders[0];
     forwarder.stop();
     forwarder.logs("shutting down requests=10");
     let mut client = Peer::connect(forwarder.address);
     client.say("OPEN late 1 c=free,t=acme,d=2000");
     assert!(client.hear().starts_with("BUSY "));
     assert!(forwarder.wait().success());
-    assert_eq!(tiers.hosts.standing().iter().sum::<u32>(), 20);
-    standing.end();
-    judged(&tiers, "a forwarder stopped");
+    assert_eq!(cluster.hosts.standing().iter().sum::<u32>(), 20);
+    open_clients.end();
+    assert_no_violation(&cluster, "a forwarder stopped");
 }
 
 #[test]
-fn a_changed_list_of_planners_is_taken_up_and_a_wrong_one_is_one_line() {
-    let _turn = alone();
-    let mut tiers = Tiers::start(1, 2, 3, 8);
-    let forwarder = &tiers.forwarders[0];
+fn a_changed_list_of_planners_is_reloaded_and_a_wrong_one_is_one_log_line() {
+    let _guard = exclusive();
+    let mut cluster = TwoTierCluster::start(1, 2, 3, 8);
+    let forwarder = &cluster.forwarders[0];
     let before = forwarder.told();
     forwarder.reread(&before.replace("lease = \"250ms\"", "lease = \"900ms\""));
     forwarder.logs("lease is 900ms, not between");
     let first = before.find("[[planner]]").unwrap();
     let one = &before[first..];
     let second = first + one[1..].find("[[planner]]").unwrap() + 1;
-    let mut clients = load(&tiers, 8);
+    let mut clients = new_clients(&cluster, 8);
     clients.load(100.0, ms(300), &[0], Duration::from_secs(20));
-    tiers.forwarders[0].reread(&before[..second]);
-    tiers.forwarders[0].logs("config reloaded");
-    // The second planner may go now: nobody follows it any more, whoever was followed before.
+    cluster.forwarders[0].reread(&before[..second]);
+    cluster.forwarders[0].logs("config reloaded");
+    // The second planner may stop now: nobody follows it any more, whoever was followed before.
     eventually("p0 alone is followed", || {
-        tiers.planners[1].as_mut().unwrap().stop();
-        until(ms(3000), || !tiers.planners[1].as_mut().unwrap().runs()).is_some()
+        cluster.planners[1].as_mut().unwrap().stop();
+        wait_until(ms(3000), || !cluster.planners[1].as_mut().unwrap().runs()).is_some()
     });
-    clients.load(100.0, ms(500), &[0], HOLDS);
+    clients.load(100.0, ms(500), &[0], HOLD_TIME);
     clients.end();
-    judged(&tiers, "another list");
-    assert_eq!(answered(&tiers, "UP"), tiers.referee.lived().len());
+    assert_no_violation(&cluster, "another list");
+    assert_eq!(count_answers(&cluster, "UP"), cluster.referee.lived().len());
 }
 
 #[test]
-fn strangers_at_a_planner_end_alone_with_one_line_and_no_memory() {
-    let _turn = alone();
-    let tiers = Tiers::start(1, 1, 2, 9);
-    let planner = tiers.planners[0].as_ref().unwrap();
+fn strangers_at_a_planner_are_disconnected_with_one_log_line_and_no_memory() {
+    let _guard = exclusive();
+    let cluster = TwoTierCluster::start(1, 1, 2, 9);
+    let planner = cluster.planners[0].as_ref().unwrap();
     let mut older = vec![10, 0, 0, 0];
     older.extend_from_slice(b"rfLK\0\0aaaa");
     let before = planner.memory();
@@ -252,7 +253,7 @@
         _ = stream.read_to_end(&mut rest);
         planner.logs(why);
     }
-    // One that says nothing is not waited for either.
+    // One that sends nothing is not waited for either.
     let mut stream = TcpStream::connect(planner.address).unwrap();
     stream
         .set_read_timeout(Some(Duration::from_secs(5)))
@@ -260,73 +261,76 @@
     assert_eq!(stream.read(&mut [0; 8]).unwrap_or(0), 0);
     planner.logs("no greeting in time");
     assert!(planner.memory() < before + (2 << 20));
-    let mut clients = load(&tiers, 9);
-    (0..20).for_each(|_| clients.come(0, HOLDS));
+    let mut clients = new_clients(&cluster, 9);
+    (0..20).for_each(|_| clients.come(0, HOLD_TIME));
     clients.end();
-    assert_eq!(answered(&tiers, "UP"), 20);
+    assert_eq!(count_answers(&cluster, "UP"), 20);
 }
 
 #[test]
-fn faults_and_pairs_of_them_drawn_by_seed_break_no_rule() {
-    let _turn = alone();
-    // Each draw is a day of its own; the seed is in the message.
-    let days: Vec<u64> = (0..8).collect();
+fn pairs_of_faults_drawn_by_seed_break_no_rule() {
+    let _guard = exclusive();
+    // Each seed draws a trial of its own; it is in the message.
+    let seeds: Vec<u64> = (0..8).collect();
     std::thread::scope(|scope| {
-        for chunk in days.chunks(4) {
+        for chunk in seeds.chunks(4) {
             scope.spawn(move || {
                 for &seed in chunk {
-                    day(seed);
+                    random_faults(seed);
                 }
             });
         }
     });
 }
 
-fn day(seed: u64) {
-    let mut tiers = Tiers::start(3, 2, 4, 100 + seed);
-    let mut clients = load(&tiers, 100 + seed);
-    clients.load(80.0, ms(300), &[0, 1, 2], HOLDS);
-    let mut done = Vec::new();
+fn random_faults(seed: u64) {
+    let mut cluster = TwoTierCluster::start(3, 2, 4, 100 + seed);
+    let mut clients = new_clients(&cluster, 100 + seed);
+    clients.load(80.0, ms(300), &[0, 1, 2], HOLD_TIME);
+    let mut faults = Vec::new();
     for n in 0..2 {
         let draw = seed
             .wrapping_mul(0x9E37_79B9_7F4A_7C15)
             .rotate_left(20 * n as u32 + 7);
-        done.push(tiers.fault(
-            (seed + n * (seed / FAULTS + 3)) % FAULTS,
+        faults.push(cluster.inject_fault(
+            (seed + n * (seed / FAULT_KINDS + 3)) % FAULT_KINDS,
             draw as usize >> 8,
             draw as usize >> 40,
         ));
-        clients.load(80.0, ms(150), &[0, 1, 2], HOLDS);
+        clients.load(80.0, ms(150), &[0, 1, 2], HOLD_TIME);
     }
-    clients.load(80.0, ms(900), &[0, 1, 2], HOLDS);
-    tiers.heal();
-    clients.load(80.0, ms(800), &[0, 1, 2], HOLDS);
+    clients.load(80.0, ms(900), &[0, 1, 2], HOLD_TIME);
+    cluster.heal();
+    clients.load(80.0, ms(800), &[0, 1, 2], HOLD_TIME);
     clients.end();
-    judged(&tiers, &format!("day {seed}: {done:?}"));
+    assert_no_violation(&cluster, &format!("seed {seed}: {faults:?}"));
     assert!(
-        answered(&tiers, "UP") * 2 > tiers.referee.lived().len(),
-        "day {seed}: {done:?}"
+        count_answers(&cluster, "UP") * 2 > cluster.referee.lived().len(),
+        "seed {seed}: {faults:?}"
     );
 }
 
 #[test]
-fn a_host_that_fails_what_is_irreversible_has_it_once() {
-    let _turn = alone();
-    let tiers = Tiers::start(1, 1, 3, 20);
-    (0..3).for_each(|h| tiers.hosts.go(h, Way::Breaks));
-    let mut clients = load(&tiers, 20);
-    (0..10).for_each(|_| clients.come(2, HOLDS));
+fn a_host_that_breaks_off_non_idempotent_requests_gets_each_once() {
+    let _guard = exclusive();
+    let cluster = TwoTierCluster::start(1, 1, 3, 20);
+    (0..3).for_each(|h| cluster.hosts.go(h, Way::Breaks));
+    let mut clients = new_clients(&cluster, 20);
+    (0..10).for_each(|_| clients.come(2, HOLD_TIME));
     clients.end();
-    judged(&tiers, "broken off");
+    assert_no_violation(&cluster, "broken off");
     assert_eq!(
-        (answered(&tiers, "ERR"), tiers.referee.reached().len()),
+        (
+            count_answers(&cluster, "ERR"),
+            cluster.referee.reached().len()
+        ),
         (10, 10)
     );
 }
 
 #[test]
-fn check_says_what_is_wrong_and_where_without_starting() {
-    let _turn = alone();
+fn the_check_command_says_what_is_wrong_and_where_without_starting() {
+    let _guard = exclusive();
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy");
     let check = |file: &std::path::Path| {
         Command::new(path())
@@ -366,16 +370,18 @@
     );
 }
 
-/// Guards: an answer that is due while a forwarder's turn goes on with all that is ready, each write of which may hold it up.
+/// Prevents an answer from being late because a forwarder's turn goes on with all that is ready, each write of which may
+/// block it.
 #[test]
-fn a_forwarder_answers_what_is_due_in_time_though_each_turn_has_much_to_do() {
-    const TALKING: usize = 60;
-    let _turn = alone();
-    let (tiers, spoiler) = (Tiers::start(1, 1, 1, 8), Spoiler::default());
-    let node_config = tiers::node_config("held-up", &tiers.hosts, &tiers.discovery, 8);
+fn a_forwarder_answers_in_time_though_each_turn_has_much_to_do() {
+    const ACTIVE_CLIENTS: usize = 60;
+    let _guard = exclusive();
+    let (cluster, spoiler) = (TwoTierCluster::start(1, 1, 1, 8), Spoiler::default());
+    let node_config =
+        two_tier_cluster::node_config("held-up", &cluster.hosts, &cluster.discovery, 8);
     let forwarder = Node::start_as_spoilt(
         "forward",
-        &tiers.operator_config(0, 1),
+        &cluster.operator_config(0, 1),
         &node_config,
         &spoiler,
     );
@@ -387,21 +393,23 @@
         assert!(said.starts_with("UP"), "{said}");
         client
     };
-    let mut talking: Vec<Peer> = (0..TALKING).map(open).collect();
-    tiers.hosts.go(0, Way::Silent);
-    let mut waits = Peer::connect(forwarder.address);
-    waits.say("OPEN late 7f c=once,t=acme,d=1000");
+    let mut active_clients: Vec<Peer> = (0..ACTIVE_CLIENTS).map(open).collect();
+    cluster.hosts.go(0, Way::Silent);
+    let mut waiting = Peer::connect(forwarder.address);
+    waiting.say("OPEN late 7f c=once,t=acme,d=1000");
     let asked = Instant::now();
-    _ = until(ms(1000), || asked.elapsed() >= ms(500));
+    _ = wait_until(ms(1000), || asked.elapsed() >= ms(500));
     spoiler.set(&[Fault {
         call: Call::Send,
         outcome: Outcome::HeldUp(ms(100)),
         every: 2,
     }]);
     // All their lines lie ready in the moment in which the answer is due.
-    _ = until(ms(1000), || asked.elapsed() >= ms(900));
-    talking.iter_mut().for_each(|client| client.say("hello"));
-    let said = waits.hear();
+    _ = wait_until(ms(1000), || asked.elapsed() >= ms(900));
+    active_clients
+        .iter_mut()
+        .for_each(|client| client.say("hello"));
+    let said = waiting.hear();
     let took = asked.elapsed();
     spoiler.clear();
     assert_eq!(said, "ERR");
--- a/testkit/src/soak/site.rs
+++ b/testkit/src/soak/site.rs
@@ -8,7 +8,7 @@
 use crate::peers::Peer;
 use crate::program::{folder, listener, Node};
 use crate::syscalls::{Fault, Spoiler};
-use crate::tiers;
+use crate::two_tier_cluster;
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpListener};
@@ -127,7 +127,7 @@
 
     fn node_config(&self, seat: usize) -> Value {
         let service = &self.services[self.processes[seat].service];
-        let mut node_config = tiers::node_config(
+        let mut node_config = two_tier_cluster::node_config(
             &format!("n{seat}"),
             &self.hosts,
             service,
--- /dev/null
+++ b/testkit/src/two_tier/load.rs
@@ -0,0 +1,158 @@
+//! Single nodes and the two tiers under the same load, and the death of a planner under it.
+
+use super::Size;
+use crate::acting::{Clients, Hosts, Referee};
+use crate::two_tier_cluster::{node_config, TwoTierCluster};
+use crate::{Discovery, Node};
+use hdrhistogram::Histogram;
+use serde_json::json;
+use std::time::{Duration, Instant};
+
+const PLANNERS: usize = 2;
+/// How long clients hold their connections.
+const HOLD_TIME: Duration = Duration::from_millis(1500);
+/// How late an update of discovery may reach whoever decides on a busy machine.
+const DISCOVERY_DELAY: Duration = Duration::from_millis(150);
+/// How often the spread over hosts is looked at.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
+/// Until each forwarder follows its preferred planner.
+const SETTLE_TIME: Duration = Duration::from_secs(1);
+
+/// Jain's index of fairness: one where all have the same, 1/n where one has all (Jain, Chiu and Hawe 1984).
+fn jain_index(shares: &[u32]) -> f64 {
+    let sum: f64 = shares.iter().map(|share| f64::from(*share)).sum();
+    let squares: f64 = shares.iter().map(|share| f64::from(*share).powi(2)).sum();
+    if squares == 0.0 {
+        1.0
+    } else {
+        sum * sum / (shares.len() as f64 * squares)
+    }
+}
+
+fn micros_histogram() -> Histogram<u64> {
+    Histogram::new(3).expect("three digits are allowed")
+}
+
+/// What one shape showed under the load.
+pub struct LoadResult {
+    /// From a client's request to its first attempt, in microseconds.
+    first_attempt: Histogram<u64>,
+    /// The mean of Jain's index of open connections over hosts.
+    pub jain_index: f64,
+    /// The part of the requests that got a connection.
+    pub served_ratio: f64,
+    pub violations: Vec<String>,
+}
+
+impl LoadResult {
+    /// The time to the first attempt at a quantile, in microseconds.
+    pub fn first_attempt_micros(&self, quantile: f64) -> f64 {
+        self.first_attempt.value_at_quantile(quantile) as f64
+    }
+}
+
+/// Applies the load, and samples the spread over hosts meanwhile.
+fn measure_load(mut clients: Clients, hosts: &Hosts, referee: &Referee, size: Size) -> LoadResult {
+    let mut samples = Vec::new();
+    let started = Instant::now();
+    while started.elapsed() < size.span {
+        clients.load(size.rate, SAMPLE_INTERVAL, &[0], HOLD_TIME);
+        if started.elapsed() > HOLD_TIME {
+            samples.push(jain_index(&hosts.standing()));
+        }
+    }
+    clients.end();
+    let mut first_attempt = micros_histogram();
+    let requests = referee.first_hand_offs();
+    requests
+        .iter()
+        .filter_map(|(_, took)| *took)
+        .for_each(|took| first_attempt.saturating_record(took.as_micros() as u64));
+    let served = requests
+        .iter()
+        .filter(|(client, _)| {
+            client
+                .answers
+                .first()
+                .is_some_and(|(_, answer)| answer.starts_with("UP"))
+        })
+        .count();
+    LoadResult {
+        first_attempt,
+        jain_index: samples.iter().sum::<f64>() / samples.len().max(1) as f64,
+        served_ratio: served as f64 / requests.len().max(1) as f64,
+        violations: referee.broken(DISCOVERY_DELAY),
+    }
+}
+
+/// The load on single nodes.
+pub fn measure_single_nodes(size: Size, seed: u64) -> LoadResult {
+    let referee = Referee::default();
+    let hosts = Hosts::start(size.hosts, &referee);
+    let discovery = Discovery::start();
+    (0..size.hosts).for_each(|host| discovery.change(hosts.member(host, "active")));
+    let start_node = |n: usize| {
+        let mut node_config = node_config(&format!("n{n}"), &hosts, &discovery, seed + n as u64);
+        node_config["settings"]["balancers"] = json!(size.nodes);
+        node_config["settings"]["index"] = json!(n);
+        Node::start(&node_config)
+    };
+    let nodes: Vec<Node> = (0..size.nodes).map(start_node).collect();
+    let addresses = nodes.iter().map(|node| node.address).collect();
+    let clients = Clients::new(addresses, &referee, seed);
+    measure_load(clients, &hosts, &referee, size)
+}
+
+fn start_cluster(size: Size, seed: u64) -> (TwoTierCluster, Clients) {
+    let cluster = TwoTierCluster::start(size.nodes, PLANNERS, size.hosts, seed);
+    std::thread::sleep(SETTLE_TIME);
+    let clients = Clients::new(cluster.client_addresses(), &cluster.referee, seed);
+    (cluster, clients)
+}
+
+/// The load on the two tiers.
+pub fn measure_two_tiers(size: Size, seed: u64) -> LoadResult {
+    let (cluster, clients) = start_cluster(size, seed);
+    measure_load(clients, &cluster.hosts, &cluster.referee, size)
+}
+
+/// What a planner's death under the load showed.
+pub struct FailoverResult {
+    pub latest_first_attempt: Duration,
+    /// The 95th percentile of the time to the first attempt before the death.
+    pub p95_micros_before: u64,
+    /// The same from a second after the death on.
+    pub p95_micros_after: u64,
+    pub violations: Vec<String>,
+}
+
+/// A planner dies under the load.
+pub fn measure_failover(size: Size, seed: u64) -> FailoverResult {
+    let (mut cluster, mut clients) = start_cluster(size, seed);
+    clients.load(size.rate, Duration::from_secs(2), &[0, 1, 2], HOLD_TIME);
+    // The one that is paused for good says nothing, as a machine that is gone.
+    let busiest = cluster.busiest_planner();
+    cluster.planners[busiest].iter().for_each(Node::stand_still);
+    let died_at = Instant::now();
+    clients.load(size.rate, Duration::from_secs(3), &[0, 1, 2], HOLD_TIME);
+    clients.end();
+    let (mut before, mut after) = (micros_histogram(), micros_histogram());
+    let mut latest_first_attempt = Duration::ZERO;
+    for (client, took) in cluster.referee.first_hand_offs() {
+        let Some(took) = took else { continue };
+        latest_first_attempt = latest_first_attempt.max(took);
+        if client.asked < died_at - Duration::from_millis(100) {
+            before.saturating_record(took.as_micros() as u64);
+        } else if client.asked > died_at + Duration::from_secs(1) {
+            after.saturating_record(took.as_micros() as u64);
+        }
+    }
+    let violations = cluster.referee.broken(DISCOVERY_DELAY);
+    cluster.heal();
+    FailoverResult {
+        latest_first_attempt,
+        p95_micros_before: before.value_at_quantile(0.95),
+        p95_micros_after: after.value_at_quantile(0.95),
+        violations,
+    }
+}
--- /dev/null
+++ b/testkit/src/two_tier/mod.rs
@@ -0,0 +1,164 @@
+//! The measurement of the two tiers beside as many single nodes, with the same simulated hosts and the same load in
+//! one run. It owns what is promised and the figures. It must never report what it did not measure.
+
+mod load;
+mod planner;
+
+use crate::two_tier_cluster::LEASE;
+use load::{FailoverResult, LoadResult};
+use planner::PlannerResult;
+use serde_json::{json, Map, Value};
+use std::time::Duration;
+
+/// Decisions, connections open meanwhile, and connections open before, in the measurement of a planner alone.
+const DECISIONS: u64 = 100_000;
+const OPEN_DURING_DECISIONS: usize = 2_000;
+const OPEN_CONNECTIONS: u64 = 100_000;
+
+/// How much a measurement takes in.
+#[derive(Clone, Copy)]
+pub struct Size {
+    /// Single nodes, and forwarders.
+    pub nodes: usize,
+    /// Hosts.
+    pub hosts: usize,
+    /// Requests a second.
+    pub rate: f64,
+    /// How long the load lasts.
+    pub span: Duration,
+}
+
+/// What a measurement found.
+pub struct Found {
+    /// The figures, by name.
+    pub figures: Map<String, Value>,
+    /// The promises and rules that were broken.
+    pub broken: Vec<String>,
+}
+
+/// Collects figures, and the promises that were broken.
+#[derive(Default)]
+struct Report {
+    figures: Map<String, Value>,
+    broken: Vec<String>,
+}
+
+impl Report {
+    /// Adds a figure, rounded to thousandths.
+    fn figure(&mut self, name: &str, value: f64) {
+        let rounded = (value * 1000.0).round() / 1000.0;
+        self.figures.insert(name.into(), json!(rounded));
+    }
+
+    /// Notes a promise as broken unless it holds.
+    fn expect(&mut self, promise: &str, holds: bool) {
+        if !holds {
+            self.broken.push(promise.to_string());
+        }
+    }
+
+    /// Notes the rules that were broken under a load.
+    fn violations(&mut self, load: &str, violations: &[String]) {
+        self.broken
+            .extend(violations.iter().map(|what| format!("{load}: {what}")));
+    }
+
+    fn load(&mut self, shape: &str, result: &LoadResult) {
+        let micros = |quantile| result.first_attempt_micros(quantile);
+        self.figure(&format!("{shape}_first_hand_off_p50_us"), micros(0.5));
+        self.figure(&format!("{shape}_first_hand_off_p99_us"), micros(0.99));
+        self.figure(&format!("{shape}_jain"), result.jain_index);
+        self.figure(&format!("{shape}_served"), result.served_ratio);
+        self.violations(shape, &result.violations);
+    }
+
+    fn comparison(&mut self, nodes: &LoadResult, tiers: &LoadResult) {
+        let ratio = tiers.first_attempt_micros(0.5) / nodes.first_attempt_micros(0.5);
+        self.figure("p50_ratio", ratio);
+        self.expect(
+            "median to the first hand-off at most twice the nodes'",
+            ratio <= 2.0,
+        );
+        let added_micros = tiers.first_attempt_micros(0.99) - nodes.first_attempt_micros(0.99);
+        self.figure("p99_more_us", added_micros);
+        self.expect(
+            "99th percentile at most 1 ms more than the nodes'",
+            added_micros <= 1000.0,
+        );
+        self.figure("jain_more", tiers.jain_index - nodes.jain_index);
+        self.expect(
+            "load spread no worse than the nodes'",
+            tiers.jain_index >= nodes.jain_index - 0.01,
+        );
+        self.expect(
+            "served as many as the nodes",
+            tiers.served_ratio >= nodes.served_ratio - 0.01,
+        );
+    }
+
+    fn failover(&mut self, result: &FailoverResult) {
+        self.violations("death", &result.violations);
+        let latest_millis = result.latest_first_attempt.as_secs_f64() * 1e3;
+        self.figure("death_latest_first_hand_off_ms", latest_millis);
+        let (before, after) = (result.p95_micros_before, result.p95_micros_after);
+        self.figure("death_p95_before_us", before as f64);
+        self.figure("death_p95_a_second_after_us", after as f64);
+        self.expect(
+            "no first hand-off later than 700 ms after a planner's death",
+            result.latest_first_attempt <= Duration::from_millis(700),
+        );
+        self.expect(
+            "decisions take their usual time a second after it",
+            after <= 2 * before + 1000,
+        );
+    }
+
+    fn planner(&mut self, result: &PlannerResult) {
+        let PlannerResult {
+            core_rate,
+            planner_rate,
+            memory_bytes,
+            report_time,
+            max_wait,
+        } = *result;
+        self.figure("module_attachments_a_second", core_rate);
+        self.figure("planner_attachments_a_second", planner_rate);
+        self.figure("planner_part_of_module", planner_rate / core_rate);
+        let memory_mb = memory_bytes as f64 / f64::from(1 << 20);
+        self.figure("planner_memory_of_100000_open_mb", memory_mb);
+        let report_millis = report_time.as_secs_f64() * 1e3;
+        self.figure("planner_told_100000_open_ms", report_millis);
+        let max_wait_millis = max_wait.as_secs_f64() * 1e3;
+        self.figure("planner_longest_wait_at_their_end_ms", max_wait_millis);
+        self.expect(
+            "nobody waits a lease long as 100,000 open attachments end",
+            max_wait < LEASE,
+        );
+        self.expect(
+            "a planner decides at least half of what the module does alone",
+            planner_rate >= core_rate / 2.0,
+        );
+        self.expect(
+            "100,000 open attachments in under 100 MB",
+            memory_bytes < 100 << 20,
+        );
+    }
+}
+
+/// Measures both shapes, a planner's death, and a planner alone.
+///
+/// # Errors
+/// If something could not be measured at all.
+pub fn measure(size: Size, seed: u64) -> Result<Found, String> {
+    let mut report = Report::default();
+    let nodes = load::measure_single_nodes(size, seed);
+    let tiers = load::measure_two_tiers(size, seed);
+    report.load("nodes", &nodes);
+    report.load("tiers", &tiers);
+    report.comparison(&nodes, &tiers);
+    report.failover(&load::measure_failover(size, seed));
+    let planner = planner::measure(size.hosts, seed).map_err(|error| error.to_string())?;
+    report.planner(&planner);
+    let Report { figures, broken } = report;
+    Ok(Found { figures, broken })
+}
--- /dev/null
+++ b/testkit/src/two_tier_cluster.rs
@@ -0,0 +1,259 @@
+//! Both tiers as processes on loopback: forwarders and planners, a relay between each pair, simulated hosts and
+//! discovery. It owns how they are started, and the faults that tests draw. It must never judge: that is the
+//! referee's.
+
+use crate::acting::{Hosts, Referee, Way, EXPIRY, GRACE, OFFERINGS, WINDOW};
+use crate::program::Node;
+use crate::relay::Relay;
+use crate::Discovery;
+use serde_json::{json, Value};
+use std::net::SocketAddr;
+use std::sync::atomic::Ordering::SeqCst;
+use std::time::{Duration, Instant};
+
+/// How long a planner's decisions hold in these trials.
+pub const LEASE: Duration = Duration::from_millis(250);
+/// How many kinds of faults [`TwoTierCluster::inject_fault`] knows.
+pub const FAULT_KINDS: u64 = 10;
+/// How late a planner is heard where that is the fault.
+const LATE_MILLIS: u64 = 120;
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// What forwarders log when they follow a planner, up to the number in its name.
+const FOLLOWING: &str = "following planner=p";
+
+/// Forwarders, planners and all that they meet.
+pub struct TwoTierCluster {
+    /// Notes what hosts and clients see.
+    pub referee: Referee,
+    /// The hosts.
+    pub hosts: Hosts,
+    /// Discovery.
+    pub discovery: Discovery,
+    /// The planners, where they run.
+    pub planners: Vec<Option<Node>>,
+    /// The forwarders.
+    pub forwarders: Vec<Node>,
+    /// By forwarder, then by planner.
+    pub relays: Vec<Vec<Relay>>,
+    /// The planner that each forwarder last said that it follows.
+    followed_planners: Vec<usize>,
+    seed: u64,
+}
+
+/// The planner that a log line says is followed.
+fn followed_planner(line: &str) -> Option<usize> {
+    let (_, rest) = line.split_once(FOLLOWING)?;
+    rest.split(' ').next()?.parse().ok()
+}
+
+/// The configuration of one program among these hosts.
+pub fn node_config(name: &str, hosts: &Hosts, discovery: &Discovery, seed: u64) -> Value {
+    let idempotencies = ["free", "guarded", "single_shot"];
+    let classes: Vec<Value> = OFFERINGS
+        .iter()
+        .zip(idempotencies)
+        .map(|(name, idempotency)| {
+            json!({"name": name, "contract_time": 500, "expiry": EXPIRY.as_millis() as u64, "effect": idempotency,
+            "group": "cell", "repeat_window": WINDOW.as_millis() as u64, "payoff": 1})
+        })
+        .collect();
+    json!({"name": name, "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
+        "seed": seed.to_string(), "limits": {"cores": 1.0, "memory_mb": 512, "sockets": 16384},
+        "known": {"revision": 0, "complete": true, "members": hosts.members()},
+        "settings": {"balancers": 1, "index": 0, "zone": 0, "zones": ["a"], "round": 4.0, "offerings": classes,
+            "tenants": [{"name": "acme"}],
+            "contract": {"ask_within": 1000.0, "cold": 1000.0, "cold_from": 0.5,
+                "drain_grace": GRACE.as_millis() as u64, "tip_after": 1000.0, "tip_multiple": 3.0},
+            "policy_limits": {"cancel": true, "connect_timeout": 250.0, "max_retry_after": 1000.0,
+                "may_probe": false, "most_hand_offs": 3, "retry_after": true},
+            "registry_mode": "on_request", "extra": {"message_aim": [100.0, 100.0, 100.0], "mode": "proxy"}}})
+}
+
+/// The list of planners as an operator writes it.
+fn planner_list(addresses: impl Iterator<Item = SocketAddr>) -> String {
+    addresses
+        .enumerate()
+        .map(|(n, address)| format!("[[planner]]\nname = \"p{n}\"\naddress = \"{address}\"\n"))
+        .collect()
+}
+
+/// A list of so many planners for the planners themselves, who do not connect to each other.
+fn nominal_planner_list(count: usize) -> String {
+    planner_list((0..count).map(|n| SocketAddr::from(([127, 0, 0, 1], n as u16 + 1))))
+}
+
+impl TwoTierCluster {
+    /// Starts so many of each.
+    pub fn start(forwarders: usize, planners: usize, hosts: usize, seed: u64) -> Self {
+        let referee = Referee::default();
+        let hosts = Hosts::start(hosts, &referee);
+        let discovery = Discovery::start();
+        (0..hosts.addresses.len()).for_each(|h| discovery.change(hosts.member(h, "active")));
+        let mut cluster = TwoTierCluster {
+            referee,
+            hosts,
+            discovery,
+            planners: (0..planners).map(|_| None).collect(),
+            forwarders: Vec::new(),
+            relays: Vec::new(),
+            followed_planners: Vec::new(),
+            seed,
+        };
+        (0..planners).for_each(|planner| cluster.start_planner(planner));
+        (0..forwarders).for_each(|forwarder| cluster.start_forwarder(forwarder));
+        let followed = |forwarder: &Node| followed_planner(&forwarder.logs(FOLLOWING)).unwrap_or(0);
+        cluster.followed_planners = cluster.forwarders.iter().map(followed).collect();
+        cluster
+    }
+
+    fn start_forwarder(&mut self, index: usize) {
+        let relay_to = |planner: &Option<Node>| {
+            let planner = planner.as_ref().expect("planners are started first");
+            Relay::to(planner.address)
+        };
+        self.relays
+            .push(self.planners.iter().map(relay_to).collect());
+        let name = format!("f{index}");
+        let seed = self.seed + index as u64;
+        let node_config = node_config(&name, &self.hosts, &self.discovery, seed);
+        let operator_config = self.operator_config(index, self.planners.len());
+        let forwarder = Node::start_as("forward", &operator_config, &node_config);
+        self.forwarders.push(forwarder);
+    }
+
+    /// A forwarder's file with the first so many planners.
+    pub fn operator_config(&self, forwarder: usize, planners: usize) -> String {
+        let relays = self.relays[forwarder].iter().take(planners);
+        let list = planner_list(relays.map(|relay| relay.address));
+        let lease = LEASE.as_millis();
+        format!("papers = \"PAPERS\"\n[forward]\nlease = \"{lease}ms\"\nsettle = \"500ms\"\n{list}")
+    }
+
+    /// Starts a planner, and leads the forwarders' relays to it.
+    pub fn start_planner(&mut self, index: usize) {
+        let name = format!("plan-{index}");
+        let seed = self.seed ^ (index as u64 + 99);
+        let node_config = node_config(&name, &self.hosts, &self.discovery, seed);
+        let list = nominal_planner_list(self.planners.len());
+        let operator_config = format!(
+            "papers = \"PAPERS\"\n[plan]\nname = \"p{index}\"\nlisten = \"127.0.0.1:0\"\n{list}"
+        );
+        let planner = Node::start_as("plan", &operator_config, &node_config);
+        for relays in &self.relays {
+            relays[index].lead_to(planner.address);
+        }
+        self.planners[index] = Some(planner);
+    }
+
+    /// The planner that most forwarders follow now.
+    pub fn busiest_planner(&mut self) -> usize {
+        for (forwarder, followed) in self.forwarders.iter().zip(&mut self.followed_planners) {
+            let logged = forwarder.logged();
+            let last = logged.iter().rev().find_map(|line| followed_planner(line));
+            *followed = last.unwrap_or(*followed);
+        }
+        let followers = |planner: &usize| {
+            let followed = self.followed_planners.iter();
+            followed.filter(|followed| *followed == planner).count()
+        };
+        (0..self.planners.len()).max_by_key(followers).unwrap_or(0)
+    }
+
+    /// Kills a planner. Its connections end with the process, and the relays pass that on.
+    pub fn kill_planner(&mut self, index: usize) {
+        self.planners[index] = None;
+    }
+
+    /// Where clients connect to.
+    pub fn client_addresses(&self) -> Vec<SocketAddr> {
+        self.forwarders.iter().map(|f| f.address).collect()
+    }
+
+    /// Has discovery say that a host drains, or is ready again.
+    pub fn set_draining(&self, host: usize, draining: bool) {
+        self.referee.drains(host, draining);
+        let phase = if draining { "leaving" } else { "active" };
+        self.discovery.change(self.hosts.member(host, phase));
+    }
+
+    /// Takes back all faults but drains: planners run, relays pass everything on, hosts accept.
+    pub fn heal(&mut self) {
+        for index in 0..self.planners.len() {
+            self.planners[index].iter().for_each(Node::go_on);
+            if !self.planners[index].as_mut().is_some_and(Node::runs) {
+                self.start_planner(index);
+            }
+        }
+        for relay in self.relays.iter().flatten() {
+            relay.up.clear();
+            relay.down.clear();
+        }
+        (0..self.hosts.addresses.len()).for_each(|host| self.hosts.go(host, Way::Takes));
+    }
+
+    /// Injects a fault of this kind; `a` and `b` draw whom it meets. Returns what it did.
+    pub fn inject_fault(&mut self, kind: u64, a: usize, b: usize) -> String {
+        let forwarder = a % self.forwarders.len();
+        let planner = b % self.planners.len();
+        let host = a % self.hosts.addresses.len();
+        let relay = &self.relays[forwarder][planner];
+        match kind % FAULT_KINDS {
+            0 => {
+                self.kill_planner(planner);
+                format!("planner {planner} killed")
+            }
+            1 => {
+                self.planners[planner].iter().for_each(Node::stand_still);
+                format!("planner {planner} paused")
+            }
+            2 => {
+                relay.up.cut.store(true, SeqCst);
+                relay.down.cut.store(true, SeqCst);
+                format!("link {forwarder}-{planner} cut")
+            }
+            3 => {
+                relay.up.cut.store(true, SeqCst);
+                format!("link {forwarder}-{planner} cut to the planner")
+            }
+            4 => {
+                relay.down.cut.store(true, SeqCst);
+                format!("link {forwarder}-{planner} cut to the forwarder")
+            }
+            5 => {
+                for relays in &self.relays {
+                    relays[planner].down.delay.store(LATE_MILLIS, SeqCst);
+                }
+                format!("planner {planner} heard late")
+            }
+            6 => {
+                relay.down.garble.store(true, SeqCst);
+                format!("link {forwarder}-{planner} garbled")
+            }
+            7 => {
+                self.planners[planner].iter().for_each(Node::stop);
+                format!("planner {planner} asked to stop")
+            }
+            8 => {
+                let behaviors = [Way::Busy, Way::Fails, Way::Silent, Way::Breaks];
+                self.hosts.go(host, behaviors[b % 4]);
+                format!("host {host} goes wrong, {}", b % 4)
+            }
+            _ => {
+                self.set_draining(host, true);
+                format!("host {host} drains")
+            }
+        }
+    }
+}
+
+/// Waits until the condition holds, and returns how long that took; `None` if it did not within the timeout.
+pub fn wait_until(timeout: Duration, mut condition: impl FnMut() -> bool) -> Option<Duration> {
+    let started = Instant::now();
+    while !condition() {
+        if started.elapsed() > timeout {
+            return None;
+        }
+        std::thread::sleep(POLL_INTERVAL);
+    }
+    Some(started.elapsed())
+}
