--- a/control-plane/src/codec.rs
+++ b/control-plane/src/codec.rs
@@ -3,7 +3,7 @@
 //! one turn gathered, in the postcard format. This module owns how frames are written and how they are read
 //! as bytes arrive. It must never buffer more of a peer's bytes than one frame, nor trust a length.
 
-use crate::error::LinkError;
+use crate::error::{LinkError, ProtocolViolation};
 use crate::messages::FrameHeader;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -200,7 +200,7 @@
 pub fn decode_greeting<T: DeserializeOwned>(body: &[u8]) -> Result<T, LinkError> {
     let rest = body
         .strip_prefix(&MAGIC)
-        .ok_or(LinkError::Unexpected("no greeting of the link"))?;
+        .ok_or(ProtocolViolation::NoGreeting)?;
     let (version, rest) = rest.split_first_chunk::<2>().ok_or(LinkError::Malformed)?;
     match u16::from_le_bytes(*version) {
         PROTOCOL_VERSION => decode_all(rest),
@@ -257,10 +257,10 @@
     /// If the frame is of another session, repeated, or out of sequence.
     pub fn accept(&mut self, header: &FrameHeader, session: u64) -> Result<(), LinkError> {
         if header.session != session {
-            return Err(LinkError::Unexpected("a piece of another session"));
+            return Err(ProtocolViolation::OtherSession.into());
         }
         if header.sequence != self.last_sequence + 1 {
-            return Err(LinkError::Unexpected("a piece out of its turn"));
+            return Err(ProtocolViolation::OutOfSequence.into());
         }
         self.last_sequence = header.sequence;
         Ok(())
--- a/control-plane/src/forwarder/connections.rs
+++ b/control-plane/src/forwarder/connections.rs
@@ -2,7 +2,7 @@
 
 use super::{ConnectionState, Forwarder, ForwarderAction, PlannerAddress, PlannerSession};
 use crate::codec;
-use crate::error::LinkError;
+use crate::error::{LinkError, ProtocolViolation};
 use crate::fallback_plan::FallbackPlan;
 use crate::messages::{Hello, HostEntry, PlannerMessage, Welcome, WireHostState, MAX_NAME_BYTES};
 use crate::planner_session::sort_by_preference;
@@ -162,14 +162,14 @@
             ConnectionState::Established(number) => number,
             ConnectionState::Connecting { .. } => return handle_welcome(session, body, now),
             ConnectionState::Disconnected { .. } => {
-                return Err(LinkError::Unexpected("bytes that nobody asked for"));
+                return Err(ProtocolViolation::UnsolicitedBytes.into());
             }
         };
         let (header, mut messages) = codec::decode_frame(body)?;
         session.sequence_check.accept(&header, number)?;
         let valid_until = session
             .renew_lease(&header, now, self.config.lease)
-            .ok_or(LinkError::Unexpected("a beat that was never sent"))?;
+            .ok_or(ProtocolViolation::UnknownHeartbeat)?;
         if self.followed == Some(index) {
             self.plan_valid_until = self.plan_valid_until.max(session.lease_until);
         }
@@ -302,7 +302,7 @@
             session.establish(number, now);
             Ok(())
         }
-        Welcome::Refused(why) => Err(LinkError::Refused(
+        Welcome::Refused(why) => Err(LinkError::RejectedByPeer(
             why.chars().take(MAX_NAME_BYTES).collect(),
         )),
     }
--- a/control-plane/src/forwarder/host_table.rs
+++ b/control-plane/src/forwarder/host_table.rs
@@ -2,7 +2,7 @@
 //! planner says that a host drains is believed; that it is ready again is believed of one that knows a version
 //! of the endpoint list no older.
 
-use crate::error::LinkError;
+use crate::error::{LinkError, ProtocolViolation};
 use crate::messages::{is_valid_name, HostEntry, WireHostState};
 use reedferry::{HostId, Nanos, SECOND};
 use std::collections::{HashMap, HashSet};
@@ -48,10 +48,10 @@
     /// Checks that a reported host is within bounds.
     pub fn check(&self, entry: &HostEntry) -> Result<(), LinkError> {
         if !is_valid_name(&entry.name) {
-            return Err(LinkError::Unexpected("a host without a proper name"));
+            return Err(ProtocolViolation::InvalidHostName.into());
         }
         if self.hosts.len() >= MAX_HOSTS && !self.hosts.contains(&HostId(entry.id)) {
-            return Err(LinkError::Unexpected("more hosts than there may be"));
+            return Err(ProtocolViolation::TooManyHosts.into());
         }
         Ok(())
     }
@@ -88,9 +88,7 @@
             self.pruned_at = now;
         }
         if self.drain_reports.len() >= MAX_HOSTS {
-            return Err(LinkError::Unexpected(
-                "more hosts that are gone than there may be",
-            ));
+            return Err(ProtocolViolation::TooManyDrainReports.into());
         }
         // It expires: without that, an absurdly high list version would bar a host for ever.
         let report = DrainReport {
--- a/control-plane/src/forwarder/planner_selection.rs
+++ b/control-plane/src/forwarder/planner_selection.rs
@@ -5,12 +5,12 @@
 use reedferry::Nanos;
 use std::collections::VecDeque;
 
-/// What the planner that is followed still has to be told.
+/// What the planner that is followed does not know yet.
 #[derive(Default)]
 pub struct StateSync {
-    /// Whether it has been told of all open connections once.
+    /// Whether all open connections were reported once.
     pub complete: bool,
-    /// Open connections that it is still to be told of.
+    /// Open connections that are still to be reported.
     pub unreported: VecDeque<u64>,
     /// Requests that are asked for once the sync is complete.
     pub parked: Vec<u64>,
@@ -84,7 +84,7 @@
         });
     }
 
-    /// No planner knows any more what the last one was told; all waits for the next.
+    /// No planner knows any more what was reported to the last one; all waits for the next.
     pub(super) fn reset_planner_state(&mut self) {
         let unreported = self.requests.reset_planner_state();
         self.state_sync = StateSync {
--- a/control-plane/src/lib.rs
+++ b/control-plane/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod planner;
 mod planner_session;
 
-pub use error::LinkError;
+pub use error::{LinkError, ProtocolViolation, SessionRejection};
 pub use forwarder::{Forwarder, ForwarderAction, ForwarderConfig};
 pub use messages::HostEntry;
 pub use planner::{Planner, PlannerAction, PlannerConfig};
--- a/control-plane/src/messages.rs
+++ b/control-plane/src/messages.rs
@@ -169,7 +169,7 @@
         /// What has become of it so far.
         prior_attempts: PriorAttempts,
     },
-    /// A connection that the planner placed stands.
+    /// A connection that the planner placed is open.
     ConnectionEstablished {
         /// The forwarder's id of the request.
         id: u64,
--- a/control-plane/src/planner/cleanup.rs
+++ b/control-plane/src/planner/cleanup.rs
@@ -56,7 +56,7 @@
             }
             // Without this, a planner would block over tens of thousands of records of one dead forwarder for longer
             // than the others' leases.
-            record.session = None;
+            record.orphan();
             self.orphans.push_back(key);
         }
     }
@@ -82,7 +82,7 @@
         let Some(record) = self.requests.remove(key) else {
             return;
         };
-        self.forget_in_session(record.session, record.forwarder_id);
+        self.forget_in_session(record.session(), record.forwarder_id);
         if record.is_queued {
             return;
         }
@@ -98,7 +98,7 @@
             },
             None => Event::ClientLeft { id },
         };
-        self.notify_core(now, record.zone, event, out);
+        self.notify_core(now, record.zone(), event, out);
     }
 
     /// The session that held a record, if any, holds it no more.
--- a/control-plane/src/planner/handshake.rs
+++ b/control-plane/src/planner/handshake.rs
@@ -2,7 +2,7 @@
 
 use super::{Planner, PlannerAction};
 use crate::codec;
-use crate::error::LinkError;
+use crate::error::{LinkError, SessionRejection};
 use crate::messages::{is_valid_name, Hello, PlannerMessage, Welcome};
 use rand::Rng;
 
@@ -22,10 +22,10 @@
                 *other != key && session.number.is_some() && session.forwarder == hello.name
             })
             .map(|(other, session)| (other, session.epoch));
-        if let Some(why) = self.rejection(&hello, namesake.map(|(_, epoch)| epoch)) {
-            let rejected = Welcome::Refused(why.into());
+        if let Err(rejection) = self.check_hello(&hello, namesake.map(|(_, epoch)| epoch)) {
+            let rejected = Welcome::Refused(rejection.to_string());
             self.sessions[key].writer.append_greeting(&rejected);
-            return Err(LinkError::Unexpected(why));
+            return Err(rejection.into());
         }
         self.begin_session(key, hello, out);
         if let Some((replaced, _)) = namesake {
@@ -35,20 +35,23 @@
         Ok(())
     }
 
-    /// Why a session is rejected, if it is. The texts go to the forwarder.
-    fn rejection(&self, hello: &Hello, namesake_epoch: Option<u64>) -> Option<&'static str> {
+    fn check_hello(
+        &self,
+        hello: &Hello,
+        namesake_epoch: Option<u64>,
+    ) -> Result<(), SessionRejection> {
         if !is_valid_name(&hello.name) {
-            Some("no proper name")
+            Err(SessionRejection::InvalidName)
         } else if hello.planner != self.config.name {
-            Some("another planner is meant")
+            Err(SessionRejection::OtherPlanner)
         } else if hello.fingerprint != self.config.fingerprint {
-            Some("other settings")
+            Err(SessionRejection::OtherSettings)
         } else if hello.zone >= self.config.zone_count.max(1) {
-            Some("an unknown zone")
+            Err(SessionRejection::UnknownZone)
         } else if namesake_epoch.is_some_and(|epoch| epoch > hello.epoch) {
-            Some("a forwarder of this name is here")
+            Err(SessionRejection::OlderEpoch)
         } else {
-            None
+            Ok(())
         }
     }
 
--- a/control-plane/src/planner/host_table.rs
+++ b/control-plane/src/planner/host_table.rs
@@ -1,4 +1,4 @@
-//! The hosts as forwarders are told of them. This module owns the host records and the order of their changes,
+//! The hosts as they are sent to forwarders. This module owns the host records and the order of their changes,
 //! by which each session knows what it has not been sent yet.
 
 use crate::messages::{HostEntry, WireHostState};
--- a/control-plane/src/planner/inbound.rs
+++ b/control-plane/src/planner/inbound.rs
@@ -5,7 +5,7 @@
 use super::zone::QueuedRequest;
 use super::{Planner, PlannerAction, RecordKey};
 use crate::conversions::is_valid_load;
-use crate::error::LinkError;
+use crate::error::{LinkError, ProtocolViolation};
 use crate::messages::{ForwarderMessage, PlacementRequest, PlannerMessage, PriorAttempts};
 use reedferry::{AttemptOutcome, Event, HostId, IncomingRequest, Nanos, SECOND};
 
@@ -71,7 +71,7 @@
             ForwarderMessage::LoadMeasured { id, load } => {
                 if let Some(record) = self.record_key(key, id) {
                     if !is_valid_load(load) {
-                        return Err(LinkError::Unexpected("a load that is no figure"));
+                        return Err(ProtocolViolation::InvalidLoad.into());
                     }
                     let id = record.request_id();
                     self.notify_core(now, zone, Event::LoadMeasured { id, load }, out);
@@ -190,7 +190,7 @@
         let Some(host) = record.host.take() else {
             return;
         };
-        let (id, zone) = (key.request_id(), record.zone);
+        let (id, zone) = (key.request_id(), record.zone());
         let event = Event::AttemptEnded {
             id,
             attempt: 0,
@@ -218,7 +218,7 @@
         if record.host.is_none() {
             self.remove_request(now, key, AttemptOutcome::NeverSent, out);
         } else {
-            let (id, zone) = (key.request_id(), record.zone);
+            let (id, zone) = (key.request_id(), record.zone());
             self.notify_core(now, zone, Event::ClientLeft { id }, out);
         }
     }
@@ -237,24 +237,21 @@
     ) -> Result<Option<RecordKey>, LinkError> {
         let session = &mut self.sessions[key];
         if !session.follows {
-            return Err(LinkError::Unexpected(
-                "an attachment of one that does not follow",
-            ));
+            return Err(ProtocolViolation::NotFollowing.into());
         }
         if session.requests.contains_key(&id) {
-            return Err(LinkError::Unexpected("an attachment told twice"));
+            return Err(ProtocolViolation::DuplicateRequest.into());
         }
         if session.requests.len() >= self.config.max_requests_per_forwarder {
             return Ok(None);
         }
-        let record = self.requests.insert(RequestRecord {
-            session: Some(key),
-            zone: session.zone,
-            forwarder_id: id,
+        let record = self.requests.insert(RequestRecord::new(
+            key,
+            session.zone,
+            id,
             decision_sequence,
             host,
-            is_queued: false,
-        });
+        ));
         session.requests.insert(id, record);
         Ok(Some(record))
     }
@@ -266,7 +263,7 @@
         request: &PlacementRequest,
     ) -> Result<IncomingRequest, LinkError> {
         if usize::from(request.class) >= self.config.balancer_settings.classes.len() {
-            return Err(LinkError::Unexpected("an unknown offering"));
+            return Err(ProtocolViolation::UnknownClass.into());
         }
         Ok(request.to_incoming(record.request_id()))
     }
--- a/control-plane/src/planner/mod.rs
+++ b/control-plane/src/planner/mod.rs
@@ -1,7 +1,7 @@
 //! The planner's end of the link. It owns the sessions of forwarders, a record of each request that they
 //! reported, and the decision core of each zone, which alone chooses hosts and answers. It must never decide
 //! by messages read later than the endpoint list it knows, so its caller reads forwarders first and discovery
-//! after them; never tell a forwarder of a request for which that one no longer follows it; and never keep
+//! after them; never send a forwarder decisions on requests for which that one no longer follows it; and never keep
 //! more for a forwarder than its bounds.
 
 mod action;
@@ -208,7 +208,7 @@
         }
     }
 
-    /// The planner is asked to stop: forwarders are told to follow another.
+    /// Begins the graceful shutdown: forwarders are asked to follow another planner.
     pub fn shut_down(&mut self, out: &mut Vec<PlannerAction>) {
         self.shutting_down = true;
         out.push(PlannerAction::Log(format!(
--- a/control-plane/src/planner/placement.rs
+++ b/control-plane/src/planner/placement.rs
@@ -76,7 +76,7 @@
             Action::Migrate { id } => {
                 if let Some(record) = self.requests.get(RecordKey::from_request_id(id)) {
                     let id = record.forwarder_id;
-                    self.send_to(record.session, &PlannerMessage::Migrate { id });
+                    self.send_to(record.session(), &PlannerMessage::Migrate { id });
                 }
             }
             // A forwarder cancels by itself when the client leaves, whoever it follows; a planner hears all that its
@@ -133,7 +133,7 @@
             return;
         };
         record.host = Some(host);
-        let session = record.session;
+        let session = record.session();
         let message = PlannerMessage::StartAttempt {
             id: record.forwarder_id,
             decision_sequence: record.decision_sequence,
@@ -178,8 +178,8 @@
             return;
         };
         let message = message(record.forwarder_id, record.decision_sequence);
-        self.send_to(record.session, &message);
-        self.forget_in_session(record.session, record.forwarder_id);
+        self.send_to(record.session(), &message);
+        self.forget_in_session(record.session(), record.forwarder_id);
     }
 }
 
--- a/control-plane/src/planner/request_table.rs
+++ b/control-plane/src/planner/request_table.rs
@@ -26,19 +26,54 @@
     }
 }
 
-/// A request that a forwarder reported.
+/// A request that a forwarder reported. There is one for each open connection, so it is kept small.
 pub struct RequestRecord {
-    /// The session that holds it; none for an orphan that the decision core still has.
-    pub session: Option<usize>,
-    pub zone: usize,
-    /// The forwarder's id for it.
-    pub forwarder_id: u64,
+    /// None for an orphan, which the decision core still has.
+    session: Option<u32>,
+    zone: u16,
+    /// It waits in its zone's queue, and the decision core does not know it yet.
+    pub is_queued: bool,
     /// What an answer is to bear.
     pub decision_sequence: u32,
+    /// The forwarder's id for it.
+    pub forwarder_id: u64,
     /// The host of its attempt or its connection.
     pub host: Option<HostId>,
-    /// It waits in its zone's queue, and the decision core does not know it yet.
-    pub is_queued: bool,
+}
+
+impl RequestRecord {
+    /// A record that a session holds.
+    pub fn new(
+        session: usize,
+        zone: usize,
+        forwarder_id: u64,
+        decision_sequence: u32,
+        host: Option<HostId>,
+    ) -> Self {
+        RequestRecord {
+            session: Some(session as u32),
+            zone: zone as u16,
+            is_queued: false,
+            decision_sequence,
+            forwarder_id,
+            host,
+        }
+    }
+
+    /// The session that holds it; none for an orphan.
+    pub fn session(&self) -> Option<usize> {
+        self.session.map(|session| session as usize)
+    }
+
+    /// The zone it is of.
+    pub fn zone(&self) -> usize {
+        self.zone.into()
+    }
+
+    /// No session holds it any more.
+    pub fn orphan(&mut self) {
+        self.session = None;
+    }
 }
 
 /// All records.
--- a/control-plane/src/planner/session.rs
+++ b/control-plane/src/planner/session.rs
@@ -5,7 +5,7 @@
 use super::request_table::RecordKey;
 use super::zone::Zone;
 use crate::codec::{self, FrameReader, FrameWriter, SequenceCheck};
-use crate::error::LinkError;
+use crate::error::{LinkError, ProtocolViolation};
 use crate::messages::{ForwarderMessage, PlannerMessage, MAX_TRIED_HOSTS};
 use reedferry::{Nanos, SECOND};
 use rustc_hash::FxHashMap;
@@ -91,13 +91,13 @@
         let (header, mut messages) = codec::decode_frame(body)?;
         self.sequence_check.accept(&header, number)?;
         if header.heartbeat < self.received_heartbeat {
-            return Err(LinkError::Unexpected("a beat that runs backwards"));
+            return Err(ProtocolViolation::HeartbeatBackwards.into());
         }
         self.received_heartbeat = header.heartbeat;
         while let Some(message) = messages.next_message()? {
             if let ForwarderMessage::RequestPlacement { prior_attempts, .. } = &message {
                 if prior_attempts.tried_hosts.len() > MAX_TRIED_HOSTS {
-                    return Err(LinkError::Unexpected("a history without end"));
+                    return Err(ProtocolViolation::TooManyTriedHosts.into());
                 }
             }
             self.inbox.push(message);
--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -266,7 +266,7 @@
         }
     }
 
-    /// A host as forwarders are told of it.
+    /// A host as it is sent to forwarders.
     fn host_entry(&self, endpoint: &Endpoint) -> Option<HostEntry> {
         let hosts = &self.context.hosts;
         let record = hosts.record(hosts.index(endpoint.id)?);
--- a/testkit/src/scripted_forwarder.rs
+++ b/testkit/src/scripted_forwarder.rs
@@ -149,7 +149,7 @@
             let Some(number) = *session else {
                 match codec::decode_greeting(body)? {
                     Welcome::Session(number) => *session = Some(number),
-                    Welcome::Refused(why) => return Err(LinkError::Refused(why)),
+                    Welcome::Refused(why) => return Err(LinkError::RejectedByPeer(why)),
                 }
                 return Ok(());
             };
