--- a/node/src/roles/forward.rs
+++ b/node/src/roles/forward.rs
@@ -292,15 +292,15 @@
         // Without the checks, a file that is half written or wrong would lead a forwarder astray.
         let config = match OperatorConfig::read(&self.config_path) {
             Ok(config) => config,
-            Err(why) => return warn!(log, "config not reloaded"; "why" => why),
+            Err(why) => return warn!(log, "configuration not reloaded"; "why" => why),
         };
         if config.role != Role::Forward(self.role_config.clone()) {
             warn!(log, "kept until the next start"; "parts" => config.role.word());
         }
         if config.planners.is_empty() {
-            return warn!(log, "config not reloaded"; "why" => "no planner is named");
+            return warn!(log, "configuration not reloaded"; "why" => "no planner is named");
         }
-        info!(log, "config reloaded"; "planners" => config.planners.len());
+        info!(log, "configuration reloaded"; "planners" => config.planners.len());
         if config.planners != self.planners {
             self.planners = config.planners.clone();
             self.forwarder
--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -314,14 +314,14 @@
         let log = self.context.log.clone();
         let config = match OperatorConfig::read(&self.config_path) {
             Ok(config) => config,
-            Err(why) => return warn!(log, "config not reloaded"; "why" => why),
+            Err(why) => return warn!(log, "configuration not reloaded"; "why" => why),
         };
         let is_same_role = config.role == Role::Plan(self.role_config.clone());
         if !is_same_role || config.planners.len() != self.planner_count {
             warn!(log, "kept until the next start"; "parts" => "plan planners");
         }
         let address = config.node_config.discovery;
-        info!(log, "config reloaded"; "discovery" => %address);
+        info!(log, "configuration reloaded"; "discovery" => %address);
         if address != self.discovery_address {
             self.discovery_address = address;
             self.discovery.go_over(&mut self.context, address);
--- a/node/tests/two_tier.rs
+++ b/node/tests/two_tier.rs
@@ -215,7 +215,7 @@
     let mut clients = new_clients(&cluster, 8);
     clients.load(100.0, ms(300), &[0], Duration::from_secs(20));
     cluster.forwarders[0].reread(&before[..second]);
-    cluster.forwarders[0].logs("config reloaded");
+    cluster.forwarders[0].logs("configuration reloaded");
     // The second planner may stop now: nobody follows it any more, whoever was followed before.
     eventually("p0 alone is followed", || {
         cluster.planners[1].as_mut().unwrap().stop();
