--- a/control-plane/src/forwarder/connections.rs
+++ b/control-plane/src/forwarder/connections.rs
@@ -1,13 +1,10 @@
-//! The connections to all planners: connecting with backoff, the greeting, frames and timeouts.
+//! The connections to all planners: connecting with backoff, timeouts, and how a connection ends.
 
 use super::{ConnectionState, Forwarder, ForwarderAction, PlannerAddress, PlannerSession};
-use crate::codec;
-use crate::error::{LinkError, ProtocolViolation};
-use crate::fallback_plan::FallbackPlan;
-use crate::messages::{Hello, HostEntry, PlannerMessage, Welcome, WireHostState, MAX_NAME_BYTES};
+use crate::messages::Hello;
 use crate::planner_session::sort_by_preference;
 use rand::Rng;
-use reedferry::{HostId, Nanos, MILLI, SECOND};
+use reedferry::{Nanos, MILLI, SECOND};
 
 /// Unsent bytes for a planner from which on its connection is closed.
 const MAX_BACKLOG_BYTES: usize = 4 << 20;
@@ -150,118 +147,6 @@
         }
     }
 
-    fn handle_frame(
-        &mut self,
-        now: Nanos,
-        index: usize,
-        body: &[u8],
-        out: &mut Vec<ForwarderAction>,
-    ) -> Result<(), LinkError> {
-        let session = &mut self.sessions[index];
-        let number = match session.state {
-            ConnectionState::Established(number) => number,
-            ConnectionState::Connecting { .. } => return handle_welcome(session, body, now),
-            ConnectionState::Disconnected { .. } => {
-                return Err(ProtocolViolation::UnsolicitedBytes.into());
-            }
-        };
-        let (header, mut messages) = codec::decode_frame(body)?;
-        session.sequence_check.accept(&header, number)?;
-        let valid_until = session
-            .renew_lease(&header, now, self.config.lease)
-            .ok_or(ProtocolViolation::UnknownHeartbeat)?;
-        if self.followed == Some(index) {
-            self.plan_valid_until = self.plan_valid_until.max(session.lease_until);
-        }
-        while let Some(message) = messages.next_message()? {
-            self.handle_message(now, index, valid_until, message, out)?;
-        }
-        Ok(())
-    }
-
-    /// Handles a planner's message, whose decisions hold until `valid_until`.
-    fn handle_message(
-        &mut self,
-        now: Nanos,
-        index: usize,
-        valid_until: Nanos,
-        message: PlannerMessage,
-        out: &mut Vec<ForwarderAction>,
-    ) -> Result<(), LinkError> {
-        match message {
-            PlannerMessage::Host(entry) => return self.handle_host(now, index, entry, out),
-            PlannerMessage::HostsComplete { .. } => self.handle_hosts_complete(index, out),
-            PlannerMessage::ShuttingDown => self.sessions[index].shutting_down = true,
-            // A planner that is not followed decides nothing.
-            _ if self.followed != Some(index) => {}
-            PlannerMessage::StartAttempt {
-                id,
-                decision_sequence,
-                host,
-                time_limit,
-            } => {
-                let decision = super::decisions::AttemptDecision {
-                    id,
-                    decision_sequence,
-                    host: HostId(host),
-                    time_limit,
-                    valid_until,
-                };
-                self.handle_start_attempt(now, &decision, out);
-            }
-            PlannerMessage::Reject {
-                id,
-                decision_sequence,
-                retry_after,
-            } => self.handle_final_answer(id, decision_sequence, Some(retry_after), out),
-            PlannerMessage::Fail {
-                id,
-                decision_sequence,
-            } => self.handle_final_answer(id, decision_sequence, None, out),
-            PlannerMessage::Migrate { id } => self.handle_migrate(now, id, valid_until, out),
-            PlannerMessage::Plan { hosts, allowance } => {
-                self.fallback_plan = FallbackPlan::new(&hosts, allowance);
-            }
-        }
-        Ok(())
-    }
-
-    fn handle_host(
-        &mut self,
-        now: Nanos,
-        index: usize,
-        entry: HostEntry,
-        out: &mut Vec<ForwarderAction>,
-    ) -> Result<(), LinkError> {
-        self.hosts.check(&entry)?;
-        if let Some(hosts) = self.sessions[index].hosts_in_sync.as_mut() {
-            hosts.insert(HostId(entry.id));
-        }
-        if self.hosts.update(now, &entry)? {
-            out.push(ForwarderAction::HostLearned(entry));
-        }
-        Ok(())
-    }
-
-    /// A planner has sent all its hosts: those that the planner that is followed lacks are gone.
-    fn handle_hosts_complete(&mut self, index: usize, out: &mut Vec<ForwarderAction>) {
-        let Some(listed) = self.sessions[index].hosts_in_sync.take() else {
-            return;
-        };
-        if self.followed.is_some_and(|followed| followed != index) {
-            return;
-        }
-        for host in self.hosts.remove_unlisted(&listed) {
-            out.push(ForwarderAction::HostLearned(HostEntry {
-                id: host.0,
-                name: String::new(),
-                address: None,
-                state: WireHostState::Gone,
-                list_version: 0,
-            }));
-        }
-    }
-
     /// Connects where the backoff is over, and closes connections that are silent or do not keep up.
     pub(super) fn maintain_connections(&mut self, now: Nanos, out: &mut Vec<ForwarderAction>) {
         for index in 0..self.sessions.len() {
@@ -295,15 +180,3 @@
         }
     }
 }
-
-fn handle_welcome(session: &mut PlannerSession, body: &[u8], now: Nanos) -> Result<(), LinkError> {
-    match codec::decode_greeting(body)? {
-        Welcome::Session(number) => {
-            session.establish(number, now);
-            Ok(())
-        }
-        Welcome::Refused(why) => Err(LinkError::RejectedByPeer(
-            why.chars().take(MAX_NAME_BYTES).collect(),
-        )),
-    }
-}
--- /dev/null
+++ b/control-plane/src/forwarder/inbound.rs
@@ -0,0 +1,135 @@
+//! What planners send: the greeting, hosts, and decisions, which count only from the planner that is followed.
+
+use super::decisions::AttemptDecision;
+use super::{ConnectionState, Forwarder, ForwarderAction, PlannerSession};
+use crate::codec;
+use crate::error::{LinkError, ProtocolViolation};
+use crate::fallback_plan::FallbackPlan;
+use crate::messages::{HostEntry, PlannerMessage, Welcome, WireHostState, MAX_NAME_BYTES};
+use reedferry::{HostId, Nanos};
+
+impl Forwarder {
+    pub(super) fn handle_frame(
+        &mut self,
+        now: Nanos,
+        index: usize,
+        body: &[u8],
+        out: &mut Vec<ForwarderAction>,
+    ) -> Result<(), LinkError> {
+        let session = &mut self.sessions[index];
+        let number = match session.state {
+            ConnectionState::Established(number) => number,
+            ConnectionState::Connecting { .. } => return handle_welcome(session, body, now),
+            ConnectionState::Disconnected { .. } => {
+                return Err(ProtocolViolation::UnsolicitedBytes.into());
+            }
+        };
+        let (header, mut messages) = codec::decode_frame(body)?;
+        session.sequence_check.accept(&header, number)?;
+        let valid_until = session
+            .renew_lease(&header, now, self.config.lease)
+            .ok_or(ProtocolViolation::UnknownHeartbeat)?;
+        if self.followed == Some(index) {
+            self.plan_valid_until = self.plan_valid_until.max(session.lease_until);
+        }
+        while let Some(message) = messages.next_message()? {
+            self.handle_message(now, index, valid_until, message, out)?;
+        }
+        Ok(())
+    }
+
+    /// Handles a planner's message, whose decisions hold until `valid_until`.
+    fn handle_message(
+        &mut self,
+        now: Nanos,
+        index: usize,
+        valid_until: Nanos,
+        message: PlannerMessage,
+        out: &mut Vec<ForwarderAction>,
+    ) -> Result<(), LinkError> {
+        match message {
+            PlannerMessage::Host(entry) => return self.handle_host(now, index, entry, out),
+            PlannerMessage::HostsComplete { .. } => self.handle_hosts_complete(index, out),
+            PlannerMessage::ShuttingDown => self.sessions[index].shutting_down = true,
+            // A planner that is not followed decides nothing.
+            _ if self.followed != Some(index) => {}
+            PlannerMessage::StartAttempt {
+                id,
+                decision_sequence,
+                host,
+                time_limit,
+            } => {
+                let decision = AttemptDecision {
+                    id,
+                    decision_sequence,
+                    host: HostId(host),
+                    time_limit,
+                    valid_until,
+                };
+                self.handle_start_attempt(now, &decision, out);
+            }
+            PlannerMessage::Reject {
+                id,
+                decision_sequence,
+                retry_after,
+            } => self.handle_final_answer(id, decision_sequence, Some(retry_after), out),
+            PlannerMessage::Fail {
+                id,
+                decision_sequence,
+            } => self.handle_final_answer(id, decision_sequence, None, out),
+            PlannerMessage::Migrate { id } => self.handle_migrate(now, id, valid_until, out),
+            PlannerMessage::Plan { hosts, allowance } => {
+                self.fallback_plan = FallbackPlan::new(&hosts, allowance);
+            }
+        }
+        Ok(())
+    }
+
+    fn handle_host(
+        &mut self,
+        now: Nanos,
+        index: usize,
+        entry: HostEntry,
+        out: &mut Vec<ForwarderAction>,
+    ) -> Result<(), LinkError> {
+        self.hosts.check(&entry)?;
+        if let Some(hosts) = self.sessions[index].hosts_in_sync.as_mut() {
+            hosts.insert(HostId(entry.id));
+        }
+        if self.hosts.update(now, &entry)? {
+            out.push(ForwarderAction::HostLearned(entry));
+        }
+        Ok(())
+    }
+
+    /// A planner has sent all its hosts: those that the planner that is followed lacks are gone.
+    fn handle_hosts_complete(&mut self, index: usize, out: &mut Vec<ForwarderAction>) {
+        let Some(listed) = self.sessions[index].hosts_in_sync.take() else {
+            return;
+        };
+        if self.followed.is_some_and(|followed| followed != index) {
+            return;
+        }
+        for host in self.hosts.remove_unlisted(&listed) {
+            out.push(ForwarderAction::HostLearned(HostEntry {
+                id: host.0,
+                name: String::new(),
+                address: None,
+                state: WireHostState::Gone,
+                list_version: 0,
+            }));
+        }
+    }
+}
+
+fn handle_welcome(session: &mut PlannerSession, body: &[u8], now: Nanos) -> Result<(), LinkError> {
+    match codec::decode_greeting(body)? {
+        Welcome::Session(number) => {
+            session.establish(number, now);
+            Ok(())
+        }
+        Welcome::Refused(why) => Err(LinkError::RejectedByPeer(
+            why.chars().take(MAX_NAME_BYTES).collect(),
+        )),
+    }
+}
--- a/control-plane/src/forwarder/mod.rs
+++ b/control-plane/src/forwarder/mod.rs
@@ -10,6 +10,7 @@
 mod decisions;
 mod events;
 mod host_table;
+mod inbound;
 mod planner_selection;
 mod request_table;
 mod shutdown;
