--- a/control-plane/tests/link/simulation/mod.rs
+++ b/control-plane/tests/link/simulation/mod.rs
@@ -1,6 +1,7 @@
 //! Simulated forwarders, planners, hosts, clients and the connections between them.
 
 mod actions;
+mod clients;
 mod invariants;
 mod turns;
 
@@ -409,86 +410,6 @@
         }
     }
 
-    /// A client comes to a forwarder. Returns its id.
-    pub fn add_client(&mut self, forwarder: usize, class: usize) -> u64 {
-        self.last_client += 1;
-        let id = self.last_client;
-        let client = Client {
-            deadline: self.now + REQUEST_TIMEOUT,
-            class,
-            arrived_at: self.now,
-            ..Client::default()
-        };
-        let incoming = IncomingRequest {
-            id: RequestId(id),
-            class,
-            key: Some(id),
-            time_left: REQUEST_TIMEOUT,
-            ..IncomingRequest::default()
-        };
-        let forwarder = &mut self.forwarders[forwarder];
-        forwarder.clients.insert(id, client);
-        forwarder.events.push(Event::RequestArrived(incoming));
-        id
-    }
-
-    pub fn client(&mut self, id: u64) -> &mut Client {
-        self.forwarders
-            .iter_mut()
-            .find_map(|forwarder| forwarder.clients.get_mut(&id))
-            .unwrap()
-    }
-
-    /// Whether the client's connection is open.
-    pub fn is_open(&mut self, id: u64) -> bool {
-        self.client(id).open
-    }
-
-    /// The client's first answer.
-    pub fn answer(&mut self, id: u64) -> Option<Answer> {
-        self.client(id).answers.first().map(|(_, answer)| *answer)
-    }
-
-    /// Whether every one of these clients got a connection.
-    pub fn all_established(&mut self, ids: &[u64]) -> bool {
-        ids.iter()
-            .all(|id| self.answer(*id) == Some(Answer::Established))
-    }
-
-    /// How many of these clients got this answer.
-    pub fn count_answers(&mut self, ids: &[u64], answer: Answer) -> usize {
-        ids.iter()
-            .filter(|id| self.answer(**id) == Some(answer))
-            .count()
-    }
-
-    /// Ends an open connection.
-    pub fn close_client(&mut self, forwarder: usize, id: u64) {
-        self.forwarders[forwarder].events.push(attempt_ended(
-            id,
-            0,
-            0,
-            true,
-            AttemptOutcome::Completed,
-        ));
-        self.client(id).open = false;
-    }
-
-    /// The longest time from a client's arrival to its first attempt or its answer.
-    pub fn max_decision_time(&self, ids: &[u64]) -> Nanos {
-        let first = |client: &Client| {
-            let attempt = client.attempts.first().map(|attempt| attempt.at);
-            attempt.or(client.answers.first().map(|(at, _)| *at))
-        };
-        self.forwarders
-            .iter()
-            .flat_map(|forwarder| &forwarder.clients)
-            .filter(|(id, _)| ids.contains(id))
-            .map(|(_, client)| first(client).map_or(Nanos::MAX, |t| t - client.arrived_at))
-            .max()
-            .unwrap()
-    }
-
     /// The planner that a forwarder follows, by its index.
     pub fn followed_planner(&self, forwarder: usize) -> usize {
         self.forwarders[forwarder]
