--- a/testkit/src/two_tier/mod.rs
+++ b/testkit/src/two_tier/mod.rs
@@ -38,12 +38,12 @@
 
 /// Collects figures, and the promises that were broken.
 #[derive(Default)]
-struct Report {
+struct ReportBuilder {
     figures: Map<String, Value>,
     broken: Vec<String>,
 }
 
-impl Report {
+impl ReportBuilder {
     /// Adds a figure, rounded to thousandths.
     fn figure(&mut self, name: &str, value: f64) {
         let rounded = (value * 1000.0).round() / 1000.0;
@@ -150,7 +150,7 @@
 /// # Errors
 /// If something could not be measured at all.
 pub fn measure(size: Size, seed: u64) -> Result<Found, String> {
-    let mut report = Report::default();
+    let mut report = ReportBuilder::default();
     let nodes = load::measure_single_nodes(size, seed);
     let tiers = load::measure_two_tiers(size, seed);
     report.load("nodes", &nodes);
@@ -159,6 +159,6 @@
     report.failover(&load::measure_failover(size, seed));
     let planner = planner::measure(size.hosts, seed).map_err(|error| error.to_string())?;
     report.planner(&planner);
-    let Report { figures, broken } = report;
+    let ReportBuilder { figures, broken } = report;
     Ok(Found { figures, broken })
 }
