--- a/node/src/roles/alone.rs
+++ b/node/src/roles/alone.rs
@@ -17,7 +17,7 @@
 use crate::peers::wards::Wards;
 use crate::peers::words::{Correspondence, Peers};
 use crate::ready::Ready;
-use crate::roles::succession::{Knowledge, Succession};
+use crate::roles::hot_restart::{HotRestart, TransferredState};
 use crate::{AtStart, BEYOND_EXPIRY, SWEEP};
 use reedferry::{Action, Balancer, BalancerSettings, Event, Idempotency};
 use reedferry_membership::State;
@@ -67,7 +67,7 @@
     fleet: Option<Fleet>,
     wards: Option<Wards>,
     correspondence: Option<Correspondence>,
-    succession: Succession,
+    hot_restart: HotRestart,
     /// What the module is told where nobody goes on with the clients of a node that stops.
     parting: Option<Event>,
     ops: Option<Ops>,
@@ -87,22 +87,22 @@
         files::read_at_start(START_WITHIN, || told.node_config())?;
     let clock = Clock::start();
     let (mut context, backlog) = Context::open(&node_config, &clock, &start)?;
-    let mut succession = Succession::open(&mut context, &node_config)?;
-    let mut knowledge = succession.begin(&mut context, &clock);
-    if let Some(knowledge) = &mut knowledge {
+    let mut hot_restart = HotRestart::open(&mut context, &node_config)?;
+    let mut inherited = hot_restart.take_over(&mut context, &clock);
+    if let Some(inherited) = &mut inherited {
         renewal::keep(
             (
                 &mut node_config.balancer_settings,
                 &mut node_config.node_settings,
             ),
-            std::mem::take(&mut knowledge.held),
+            std::mem::take(&mut inherited.referenced_classes),
         );
         (context.node_settings, context.classes) = (
             node_config.node_settings.clone(),
             node_config.balancer_settings.classes.clone(),
         );
     }
-    let knowledge = knowledge.map(|e| e.in_terms_of(&node_config.node_settings.classes));
+    let inherited = inherited.map(|state| state.with_classes(&node_config.node_settings.classes));
     let ops = node_config
         .ops
         .map(|at| Ops::open(&mut context, &at))
@@ -139,13 +139,13 @@
         &mut actions,
     );
     let mut revision = context.known(&node_config)?;
-    if let Some(Knowledge {
+    if let Some(TransferredState {
         discovery,
         revision: reached,
         members,
-        legacy,
+        inherited,
         ..
-    }) = knowledge
+    }) = inherited
     {
         // What another process was told last is newer than what this one was started with.
         let roll = List {
@@ -158,12 +158,12 @@
             .told(context.now, roll, Source::Kept, &context.log);
         context
             .events
-            .extend([event, Event::StateInherited(Box::new(legacy))]);
+            .extend([event, Event::StateInherited(Box::new(inherited))]);
         revision = reached.filter(|_| discovery == node_config.discovery);
     }
     let hosts = context.hosts.count();
     // The system deals out the port where none is named.
-    let listen = succession
+    let listen = hot_restart
         .listener()
         .and_then(Socket::address)
         .unwrap_or(node_config.listen);
@@ -187,7 +187,7 @@
         fleet,
         wards,
         correspondence,
-        succession,
+        hot_restart,
         parting: None,
         ops,
         stop,
@@ -208,7 +208,7 @@
         node.decide();
         node.guard();
         backlog.drain();
-        let late = |t| node.context.now >= t || node.succession.over();
+        let late = |t| node.context.now >= t || node.hot_restart.is_over();
         if node.context.leaving.is_some_and(late) && node.connections.count() == 0 {
             let Node { fleet, context, .. } = &mut node;
             fleet.iter_mut().for_each(|fleet| fleet.ends(context));
@@ -247,7 +247,9 @@
         while let Some(one) = self.ready.next(self.context.now, clock) {
             let context = &mut self.context;
             match one.mark.part {
-                context::LISTENER => self.connections.accept(context, self.succession.listener()),
+                context::LISTENER => self
+                    .connections
+                    .accept(context, self.hot_restart.listener()),
                 context::STOP => self.part(),
                 context::REREAD => self.read_again(),
                 context::DISCOVERY => self.discovery.ready(context, one),
@@ -255,7 +257,7 @@
                 context::OPS_LISTENER => self.ops.iter_mut().for_each(|ops| ops.accept(context)),
                 context::OPS => self.ops.iter_mut().for_each(|ops| ops.ready(context, one)),
                 context::SUCCESSOR_LISTENER | context::SUCCESSOR | context::PREDECESSOR => {
-                    self.succession.ready(context, &mut self.connections, one);
+                    self.hot_restart.ready(context, &mut self.connections, one);
                 }
                 context::PEERS => {
                     self.peers.iter_mut().for_each(|peers| peers.ready(context));
@@ -272,7 +274,7 @@
         }
         if self.connections.busy() {
             self.connections
-                .resume(&mut self.context, self.succession.listener());
+                .resume(&mut self.context, self.hot_restart.listener());
         }
         while let Some((mark, word)) = self.context.poller.due(self.context.now) {
             let context = &mut self.context;
@@ -281,7 +283,7 @@
                 context::HOST => self.connections.due(context, mark, word),
                 context::PROBE => self.probes.due(context, mark),
                 context::RETRY => self.connections.retry(context),
-                context::CHANNEL_RETRY => self.succession.retry(context, &mut self.connections),
+                context::CHANNEL_RETRY => self.hot_restart.retry(context, &mut self.connections),
                 context::WARDS => self.wards.iter_mut().for_each(|wards| wards.due(context)),
                 context::FLEET => self.fleet.iter_mut().for_each(|fleet| fleet.due(context)),
                 _ => self.sweep(),
@@ -298,23 +300,23 @@
     /// sends the clients away.
     fn pass_on(&mut self) {
         let context = &mut self.context;
-        if self.succession.wanted() {
-            let knowledge = Knowledge {
+        if self.hot_restart.take_state_request() {
+            let state = TransferredState {
                 discovery: self.node_config.discovery,
                 clock_ahead: context.clock.ahead(),
                 revision: self.discovery.revision(),
                 members: context.hosts.members(),
                 classes: context.node_settings.classes.clone(),
-                held: self.connections.held(context),
-                legacy: self.module.leave(),
+                referenced_classes: self.connections.held(context),
+                inherited: self.module.leave(),
             };
-            self.succession
-                .leave(context, &mut self.connections, &knowledge);
+            self.hot_restart
+                .send_state(context, &mut self.connections, &state);
         }
         if context.leaving.is_some() {
-            self.succession.pass_on(context, &mut self.connections);
+            self.hot_restart.hand_over(context, &mut self.connections);
         }
-        if !self.succession.has_successor() {
+        if !self.hot_restart.has_successor() {
             context.events.extend(self.parting.take());
         }
     }
@@ -391,10 +393,11 @@
         self.read_again();
         let context = &mut self.context;
         self.ops.iter_mut().for_each(|ops| ops.sweep(context));
-        self.connections.accept(context, self.succession.listener());
+        self.connections
+            .accept(context, self.hot_restart.listener());
         self.connections.sweep(context);
         context.spare();
-        self.succession.sweep(context, &mut self.connections);
+        self.hot_restart.sweep(context, &mut self.connections);
         self.discovery.sweep(context);
         let (shares, looks) = (
             self.module.shares_turns(context.now),
@@ -468,7 +471,7 @@
         if !self.stop.came() || self.context.leaving.is_some() {
             return;
         }
-        self.succession.part(&self.context);
+        self.hot_restart.stop_accepting(&self.context);
         self.parting = Some(self.context.leave(BEYOND_EXPIRY, self.connections.count()));
         self.stands(State::Leaving);
     }
--- a/node/src/roles/succession_bytes_tests.rs
+++ b/node/src/roles/hot_restart/messages_bytes_tests.rs
@@ -1,4 +1,4 @@
-//! The exact bytes of what passes between a process and the next one in its place, but for its connections.
+//! The exact bytes of the messages of a hot restart, except for the handed-over connections.
 
 use super::*;
 use reedferry::{ClientStatistics, HostId, HostSnapshot, HostState, Idempotency, IdempotencyGroup};
@@ -11,7 +11,7 @@
         .collect()
 }
 
-fn regard() -> HostSnapshot {
+fn host_snapshot() -> HostSnapshot {
     HostSnapshot {
         id: HostId(0x0a01_0012_1388),
         newcomer: true,
@@ -30,7 +30,7 @@
     }
 }
 
-fn legacy() -> InheritedState {
+fn inherited_state() -> InheritedState {
     InheritedState {
         clients: vec![(
             11,
@@ -47,7 +47,7 @@
         mean_load: Some(0.0625),
         load_samples: 13,
         mean_setup_time: 14.0,
-        hosts: vec![regard()],
+        hosts: vec![host_snapshot()],
         setup_failure_rate: 0.375,
         late_message_rate: 0.875,
     }
@@ -79,18 +79,18 @@
 }
 
 #[test]
-fn greetings_and_pieces_keep_their_bytes() {
+fn greetings_and_state_chunks_keep_their_bytes() {
     assert_eq!(hex(&FromSuccessor::Hello(VERSION)), "0003");
-    assert_eq!(hex(&FromSuccessor::Has(true)), "0101");
+    assert_eq!(hex(&FromSuccessor::Adopted(true)), "0101");
     assert_eq!(
-        hex(&FromPredecessor::Piece(vec![1, 2, 3], true)),
+        hex(&FromPredecessor::StateChunk(vec![1, 2, 3], true)),
         "000301020301"
     );
 }
 
 #[test]
-fn what_a_predecessor_knows_keeps_its_bytes() {
-    let held = vec![
+fn transferred_state_keeps_its_bytes() {
+    let referenced_classes = vec![
         (
             "chat".to_string(),
             class(Idempotency::Idempotent, IdempotencyGroup::All),
@@ -104,14 +104,14 @@
             class(Idempotency::NonIdempotent, IdempotencyGroup::Cell),
         ),
     ];
-    let knowledge = Knowledge {
+    let state = TransferredState {
         discovery: "127.0.0.1:8500".parse().unwrap(),
         clock_ahead: 8,
         revision: Some(41),
         members: vec![member()],
         classes: vec!["chat".into(), "pay".into()],
-        held,
-        legacy: legacy(),
+        referenced_classes,
+        inherited: inherited_state(),
     };
-    assert_eq!(hex(&knowledge), "007f000001b4420801290103732d3101000a010012882701610301000000000000f83f010f010002046368617403706179030463686174000014000000000000f83f1e280003706179010114000000000000f83f1e2800046f6e6365020214000000000000f83f1e2800010b010000000000000840000c01000000000000f43f00000000000000400000000000000840020001000000000000c03f01000000000000b03f0d0000000000002c400188a7c88090c002010101020304000000000000e03f0501000000000000f83f000000000000044006000000000000d03f000000000000e83f07000000000000d83f000000000000ec3f");
+    assert_eq!(hex(&state), "007f000001b4420801290103732d3101000a010012882701610301000000000000f83f010f010002046368617403706179030463686174000014000000000000f83f1e280003706179010114000000000000f83f1e2800046f6e6365020214000000000000f83f1e2800010b010000000000000840000c01000000000000f43f00000000000000400000000000000840020001000000000000c03f01000000000000b03f0d0000000000002c400188a7c88090c002010101020304000000000000e03f0501000000000000f83f000000000000044006000000000000d03f000000000000e83f07000000000000d83f000000000000ec3f");
 }
--- /dev/null
+++ b/node/src/roles/hot_restart/predecessor.rs
@@ -0,0 +1,184 @@
+//! The channel to the predecessor, in the process that replaces it. It must never trust what it receives, nor go on with a
+//! connection before the predecessor can learn that it does.
+
+use super::messages::{encode, FromPredecessor, FromSuccessor, TransferredState, VERSION};
+use super::ChannelError;
+use crate::connections::Connections;
+use crate::context::{Context, PREDECESSOR};
+use reedferry::{Nanos, RequestId, MILLI};
+use reedferry_runtime::errors::{on_connection, patiently, Trouble};
+use reedferry_runtime::{channel, Clock, Mark, Socket};
+use slog::{info, warn};
+use std::time::Duration;
+
+/// How long this process tries to send its greeting.
+const HELLO_TIMEOUT: Duration = Duration::from_millis(200);
+/// How long this process waits for the state.
+const STATE_TIMEOUT: Nanos = 1500 * MILLI;
+/// The longest encoded state.
+const MAX_STATE_BYTES: usize = 4 << 20;
+/// Connections adopted in one turn.
+const MAX_ADOPTED_PER_TURN: usize = 64;
+
+/// How the wait for the state ended.
+enum StateTransfer {
+    Complete(Box<TransferredState>),
+    TimedOut,
+    /// The predecessor ended, or speaks another version.
+    Failed,
+}
+
+/// What became of the connection that came last, where the predecessor has not been told yet.
+#[derive(Clone, Copy)]
+struct PendingReply {
+    /// The connection's id in this process, where it was adopted.
+    adopted: Option<RequestId>,
+}
+
+/// The process that this one replaces.
+pub(super) struct Predecessor {
+    channel: Socket,
+    stamp: u32,
+    pending_reply: Option<PendingReply>,
+}
+
+impl Predecessor {
+    /// Asks the process at the other end for its state, and waits for it for a bounded time.
+    pub fn greet(
+        context: &mut Context,
+        clock: &Clock,
+        channel: Socket,
+    ) -> Option<(Predecessor, Option<TransferredState>)> {
+        patiently(HELLO_TIMEOUT, || {
+            channel.send_with(&encode(&FromSuccessor::Hello(VERSION)), &[])
+        })
+        .ok()?;
+        let state = match receive_state(context, clock, &channel) {
+            StateTransfer::Complete(state) => Some(*state),
+            StateTransfer::TimedOut => {
+                warn!(context.log, "no state from the predecessor in time");
+                None
+            }
+            StateTransfer::Failed => return None,
+        };
+        let predecessor = Predecessor {
+            channel,
+            stamp: context.stamp(),
+            pending_reply: None,
+        };
+        let watched = context
+            .poller
+            .watch(&predecessor.channel, predecessor.mark());
+        if watched.is_err() {
+            // The sweep reads from it.
+            context.machine_trouble("epoll_ctl");
+        }
+        info!(context.log, "predecessor connected"; "state" => state.is_some());
+        Some((predecessor, state))
+    }
+
+    fn mark(&self) -> Mark {
+        Mark {
+            part: PREDECESSOR,
+            slot: 0,
+            stamp: self.stamp,
+        }
+    }
+
+    /// Whether the poller's mark is for this channel.
+    pub fn is_marked(&self, mark: Mark) -> bool {
+        self.stamp == mark.stamp
+    }
+
+    /// Adopts the connections that have come, up to a number per turn.
+    pub fn adopt_connections(
+        &mut self,
+        context: &mut Context,
+        connections: &mut Connections,
+    ) -> Result<(), ChannelError> {
+        let mut buffer = vec![0; channel::LONGEST];
+        for _ in 0..MAX_ADOPTED_PER_TURN {
+            self.reply(context, connections)?;
+            let (length, sockets) = match context.budget.receive_with(&self.channel, &mut buffer) {
+                Ok((length @ 1.., sockets)) => (length, sockets),
+                Err(error) if on_connection(error) != Trouble::Connection => {
+                    return Err(ChannelError::of(error, "recvmsg"));
+                }
+                _ => {
+                    info!(context.log, "predecessor disconnected"; "connections" => connections.count());
+                    return Err(ChannelError::Closed);
+                }
+            };
+            let adopted = match postcard::from_bytes(&buffer[..length]) {
+                // The state comes too late.
+                Ok(FromPredecessor::StateChunk(..)) => continue,
+                Ok(FromPredecessor::Connection(handed_over)) => {
+                    connections.adopt(context, *handed_over, sockets)
+                }
+                Err(_) => None,
+            };
+            self.pending_reply = Some(PendingReply { adopted });
+        }
+        self.reply(context, connections)?;
+        _ = context.poller.rewatch(&self.channel, self.mark());
+        Ok(())
+    }
+
+    /// Tells the predecessor what became of the connection that came last.
+    fn reply(
+        &mut self,
+        context: &mut Context,
+        connections: &mut Connections,
+    ) -> Result<(), ChannelError> {
+        let Some(PendingReply { adopted }) = self.pending_reply else {
+            return Ok(());
+        };
+        let message = encode(&FromSuccessor::Adopted(adopted.is_some()));
+        let sent = self
+            .channel
+            .send_with(&message, &[])
+            .map_err(|error| ChannelError::of(error, "sendmsg"));
+        match (&sent, adopted) {
+            (Ok(()), Some(id)) => connections.keep(context, id),
+            // The predecessor keeps what it was not told of; without this, two processes would serve one connection.
+            (Err(ChannelError::Closed), Some(id)) => connections.abandon(context, id),
+            _ => {}
+        }
+        if !matches!(sent, Err(ChannelError::Transient { .. })) {
+            self.pending_reply = None;
+        }
+        sent
+    }
+}
+
+/// Waits for the whole state.
+fn receive_state(context: &mut Context, clock: &Clock, channel: &Socket) -> StateTransfer {
+    let deadline = clock.read() + STATE_TIMEOUT;
+    let mut buffer = vec![0; channel::LONGEST];
+    let mut state = Vec::new();
+    loop {
+        let left = deadline.saturating_sub(clock.read());
+        if left == 0 || !channel.readable_within(left) {
+            return StateTransfer::TimedOut;
+        }
+        let length = match context.budget.receive_with(channel, &mut buffer) {
+            Err(error) if on_connection(error) != Trouble::Connection => continue,
+            Ok((0, _)) | Err(_) => return StateTransfer::Failed,
+            Ok((length, _)) => length,
+        };
+        let Ok(FromPredecessor::StateChunk(chunk, last)) = postcard::from_bytes(&buffer[..length])
+        else {
+            return StateTransfer::Failed;
+        };
+        state.extend(chunk);
+        if state.len() > MAX_STATE_BYTES {
+            return StateTransfer::Failed;
+        }
+        if last {
+            return match postcard::from_bytes(&state) {
+                Ok(state) => StateTransfer::Complete(Box::new(state)),
+                Err(_) => StateTransfer::Failed,
+            };
+        }
+    }
+}
--- a/node/src/roles/mod.rs
+++ b/node/src/roles/mod.rs
@@ -3,5 +3,5 @@
 
 pub mod alone;
 pub mod forward;
+pub mod hot_restart;
 pub mod plan;
-pub mod succession;
--- a/node/tests/succession.rs
+++ b/node/tests/succession.rs
@@ -141,7 +141,7 @@
     for _ in 0..2 {
         let mut successor = site.start();
         successor.kill();
-        predecessor.logs("the process that came is gone");
+        predecessor.logs("successor disconnected");
         speaks(&mut open.0, &mut open.2);
         assert_eq!(predecessor.call("GET /status").0, 200);
         predecessor.served(&site.hosts);
@@ -356,9 +356,9 @@
     ended(&mut predecessor);
     let mut places = Vec::new();
     for _ in 0..open.len() {
-        let line = successor.logs("event PassedOn");
+        let line = successor.logs("event ConnectionHandedOver");
         let place = line
-            .split("offering: ")
+            .split(" class: ")
             .nth(1)
             .and_then(|rest| rest.split(',').next()?.parse::<usize>().ok());
         places.push(place.unwrap());
