--- a/node/src/context.rs
+++ b/node/src/context.rs
@@ -3,6 +3,7 @@
 
 use crate::discovery::hosts::{Hosts, Source};
 use crate::discovery::list::Reader;
+use crate::error::FatalError;
 use crate::operators::counts::Count;
 use crate::operators::node_config::NodeConfig;
 use crate::operators::tally::Tally;
@@ -120,12 +121,13 @@
         node_config: &NodeConfig,
         clock: &Clock,
         start: &AtStart,
-    ) -> Result<(Context, Backlog), String> {
+    ) -> Result<(Context, Backlog), FatalError> {
         let (log, backlog) = log::logger(&node_config.name);
-        let wrong = |e| format!("cannot poll: {e}");
-        let poller = patiently(START_WITHIN, Poller::new).map_err(wrong)?;
-        patiently(START_WITHIN, || poller.watch(&start.stop, mark(STOP))).map_err(wrong)?;
-        patiently(START_WITHIN, || poller.watch(&start.reread, mark(REREAD))).map_err(wrong)?;
+        let poller = patiently(START_WITHIN, Poller::new).map_err(FatalError::Poll)?;
+        patiently(START_WITHIN, || poller.watch(&start.stop, mark(STOP)))
+            .map_err(FatalError::Poll)?;
+        patiently(START_WITHIN, || poller.watch(&start.reread, mark(REREAD)))
+            .map_err(FatalError::Poll)?;
         let now = clock.read();
         let mut tally = Tally::default();
         tally.offers(&node_config.node_settings.classes);
@@ -177,38 +179,44 @@
         before
     }
 
-    /// Listens, and watches who calls.
-    pub fn listen(&mut self, address: &SocketAddr, part: u8) -> Result<Socket, String> {
-        let listener = patiently(START_WITHIN, || self.budget.listen(address))
-            .map_err(|e| format!("cannot listen on {address}: {e}"))?;
+    /// Listens on an address, and has the poller report connections to it as this part's.
+    pub fn listen(&mut self, address: &SocketAddr, part: u8) -> Result<Socket, FatalError> {
+        let listener =
+            patiently(START_WITHIN, || self.budget.listen(address)).map_err(|error| {
+                FatalError::Listen {
+                    address: *address,
+                    error,
+                }
+            })?;
         patiently(START_WITHIN, || self.poller.watch(&listener, mark(part)))
-            .map_err(|e| format!("cannot poll: {e}"))?;
+            .map_err(FatalError::Poll)?;
         Ok(listener)
     }
 
-    /// Takes in those who call at a listener that the platform holds open.
-    pub fn inherit(&mut self, number: i32) -> Result<Socket, String> {
-        let wrong = |e: Errno| format!("GW_ACCEPT_FD {number} is no listener: {e}");
-        let listener = patiently(START_WITHIN, || self.budget.inherit(number)).map_err(wrong)?;
+    /// Accepts clients at a listener that the platform holds open.
+    pub fn inherit(&mut self, descriptor: i32) -> Result<Socket, FatalError> {
+        let no_listener = |error| FatalError::NoListener { descriptor, error };
+        let listener =
+            patiently(START_WITHIN, || self.budget.inherit(descriptor)).map_err(no_listener)?;
         patiently(START_WITHIN, || {
             self.poller.watch(&listener, mark(LISTENER))
         })
-        .map_err(wrong)?;
+        .map_err(no_listener)?;
         Ok(listener)
     }
 
-    /// Takes in the roll as last known, and gives its revision.
-    pub fn known(&mut self, node_config: &NodeConfig) -> Result<Option<u64>, String> {
+    /// Takes up the endpoint list that the configuration holds, and returns its revision.
+    pub fn known(&mut self, node_config: &NodeConfig) -> Result<Option<u64>, FatalError> {
         if node_config.known.is_empty() {
             return Ok(None);
         }
         let mut reader = Reader::default();
-        let known = reader
+        let list = reader
             .feed(&node_config.known)
-            .and_then(|()| reader.finish());
-        let known = known.map_err(|e| format!("known: {e}"))?;
-        let revision = known.revision;
-        let event = self.hosts.told(self.now, known, Source::Kept, &self.log);
+            .and_then(|()| reader.finish())
+            .map_err(|error| FatalError::KnownEndpoints(error.to_string()))?;
+        let revision = list.revision;
+        let event = self.hosts.told(self.now, list, Source::Kept, &self.log);
         self.events.push(event);
         Ok(Some(revision))
     }
--- /dev/null
+++ b/node/src/error.rs
@@ -0,0 +1,64 @@
+//! Why the program could not start or go on. Each error is one line for the user.
+
+use crate::operators::files::NotRead;
+use reedferry_runtime::Errno;
+use std::net::SocketAddr;
+
+/// An error that ends the program.
+#[derive(Debug, thiserror::Error)]
+pub enum FatalError {
+    /// The poller can't be made, extended or waited for.
+    #[error("cannot poll: {0}")]
+    Poll(#[source] Errno),
+    /// The address for clients, forwarders or planners can't be listened on.
+    #[error("cannot listen on {address}: {error}")]
+    Listen {
+        /// The configured address.
+        address: SocketAddr,
+        /// What the system said.
+        #[source]
+        error: Errno,
+    },
+    /// The address for operators can't be listened on.
+    #[error("cannot listen for operators on {address}: {error}")]
+    ListenForOperators {
+        /// The configured address.
+        address: SocketAddr,
+        /// What the system said.
+        #[source]
+        error: Errno,
+    },
+    /// The environment names a listener that is no number.
+    #[error("GW_ACCEPT_FD {0:?} is no descriptor")]
+    NoDescriptor(String),
+    /// The environment names a descriptor that can't be listened on.
+    #[error("GW_ACCEPT_FD {descriptor} is no listener: {error}")]
+    NoListener {
+        /// The number of the descriptor.
+        descriptor: i32,
+        /// What the system said.
+        #[source]
+        error: Errno,
+    },
+    /// The endpoint list of the configuration can't be read.
+    #[error("known: {0}")]
+    KnownEndpoints(String),
+    /// A configuration file can't be read or used.
+    #[error(transparent)]
+    Config(#[from] NotRead),
+    /// Another part of the program says why in one line.
+    #[error("{0}")]
+    Other(String),
+}
+
+impl From<String> for FatalError {
+    fn from(reason: String) -> Self {
+        FatalError::Other(reason)
+    }
+}
+
+impl From<FatalError> for String {
+    fn from(error: FatalError) -> Self {
+        error.to_string()
+    }
+}
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -5,6 +5,7 @@
 mod connections;
 mod context;
 mod discovery;
+mod error;
 mod operators;
 mod peers;
 mod ready;
@@ -13,9 +14,11 @@
 mod turn;
 
 use clap::{Args, Parser, Subcommand};
+use error::FatalError;
 use reedferry::{Nanos, MILLI};
 use reedferry_runtime::signals::{SIGHUP, SIGTERM};
 use reedferry_runtime::Signal;
+use roles::standalone::ConfigSource;
 use std::path::PathBuf;
 
 /// How often a role looks over its connections.
@@ -66,19 +69,19 @@
     }
 }
 
-fn run() -> Result<(), String> {
+fn run() -> Result<(), FatalError> {
     // First of all. Guards: a node ended by a call to read its papers that comes while it starts.
     let start = AtStart {
         stop: Signal::told(SIGTERM)?,
         reread: Signal::told(SIGHUP)?,
     };
     match Line::parse().command {
-        None => roles::alone::run(roles::alone::Told::Environment, start),
+        None => roles::standalone::run(ConfigSource::Environment, start),
         Some(Command::Node(file)) => {
-            roles::alone::run(roles::alone::Told::Operator(&file.config), start)
+            roles::standalone::run(ConfigSource::OperatorFile(&file.config), start)
         }
-        Some(Command::Forward(file)) => roles::forward::run(&file.config, start),
-        Some(Command::Plan(file)) => roles::plan::run(&file.config, start),
+        Some(Command::Forward(file)) => Ok(roles::forward::run(&file.config, start)?),
+        Some(Command::Plan(file)) => Ok(roles::plan::run(&file.config, start)?),
         Some(Command::Check { file }) => {
             let operator_config = operators::operator_config::OperatorConfig::read(&file)?;
             let (role, node_config) = (
--- a/node/src/operators/files.rs
+++ b/node/src/operators/files.rs
@@ -3,7 +3,6 @@
 
 use reedferry_runtime::errors::{for_a_moment, patiently};
 use reedferry_runtime::Errno;
-use std::fmt;
 use std::path::Path;
 use std::time::Duration;
 
@@ -11,11 +10,13 @@
 const READ_WITHIN: Duration = Duration::from_millis(20);
 
 /// Why there is no text, or none that can be used.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotRead {
     /// This machine was short of something: reading it again may do.
+    #[error("{0}")]
     Moment(String),
     /// The file is missing, or what it says can't be used.
+    #[error("{0}")]
     Wrong(String),
 }
 
@@ -32,13 +33,6 @@
     }
 }
 
-impl fmt::Display for NotRead {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (NotRead::Moment(why) | NotRead::Wrong(why)) = self;
-        f.write_str(why)
-    }
-}
-
 /// The whole file.
 ///
 /// # Errors
--- a/node/src/operators/ops.rs
+++ b/node/src/operators/ops.rs
@@ -4,9 +4,10 @@
 //! answered.
 
 use crate::context::{mark, Context, OPS, OPS_LISTENER, START_WITHIN};
+use crate::error::FatalError;
 use reedferry::{Nanos, SECOND};
 use reedferry_runtime::errors::{on_accept, on_connection, patiently, NotAccepted, Trouble};
-use reedferry_runtime::{Budget, Buffer, Errno, Mark, Pool, Readiness, Socket};
+use reedferry_runtime::{Budget, Buffer, Mark, Pool, Readiness, Socket};
 use slab::Slab;
 use slog::info;
 use std::net::SocketAddr;
@@ -176,8 +177,11 @@
 
 impl Ops {
     /// Listens for callers, with descriptors that clients can't use up, and no more.
-    pub fn open(context: &mut Context, address: &SocketAddr) -> Result<Ops, String> {
-        let wrong = |e: Errno| format!("cannot listen for operators on {address}: {e}");
+    pub fn open(context: &mut Context, address: &SocketAddr) -> Result<Ops, FatalError> {
+        let wrong = |error| FatalError::ListenForOperators {
+            address: *address,
+            error,
+        };
         let budget = context.budget.set_aside(CALLERS + 1);
         let listener = patiently(START_WITHIN, || budget.listen(address)).map_err(wrong)?;
         let watch = || context.poller.watch(&listener, mark(OPS_LISTENER));
--- a/node/src/roles/hot_restart/mod.rs
+++ b/node/src/roles/hot_restart/mod.rs
@@ -11,6 +11,7 @@
 
 use crate::connections::{Connections, RETRY_AFTER};
 use crate::context::{self, Context, PREDECESSOR, SUCCESSOR, SUCCESSOR_LISTENER};
+use crate::error::FatalError;
 use crate::operators::node_config::NodeConfig;
 use predecessor::Predecessor;
 use reedferry::{Event, Nanos, MILLI};
@@ -69,7 +70,7 @@
 
 impl HotRestart {
     /// Takes the listener that the platform holds, where it names one, and otherwise opens one of the node's own.
-    pub fn open(context: &mut Context, node_config: &NodeConfig) -> Result<HotRestart, String> {
+    pub fn open(context: &mut Context, node_config: &NodeConfig) -> Result<HotRestart, FatalError> {
         let Ok(named) = std::env::var("GW_ACCEPT_FD") else {
             let listener = context.listen(&node_config.listen, context::LISTENER)?;
             return Ok(HotRestart {
@@ -77,11 +78,9 @@
                 ..HotRestart::default()
             });
         };
-        let number = named
-            .parse()
-            .map_err(|_| format!("GW_ACCEPT_FD {named:?} is no descriptor"))?;
+        let descriptor = named.parse().map_err(|_| FatalError::NoDescriptor(named))?;
         Ok(HotRestart {
-            listener: Some(context.inherit(number)?),
+            listener: Some(context.inherit(descriptor)?),
             listener_is_shared: true,
             ..HotRestart::default()
         })
--- a/node/src/roles/mod.rs
+++ b/node/src/roles/mod.rs
@@ -1,7 +1,7 @@
-//! The roles of the program, each with its one loop, and how one process takes the place of another. It must never
-//! decide what the module, or a core, decides.
+//! The roles of the program, each with its event loop, and the hot restart that replaces one process by another. This module
+//! must never decide what a decision core decides.
 
-pub mod alone;
 pub mod forward;
 pub mod hot_restart;
 pub mod plan;
+pub mod standalone;
--- /dev/null
+++ b/node/src/roles/standalone/event_loop.rs
@@ -0,0 +1,267 @@
+//! One turn of a standalone node: events are gathered, the balancer decides, its actions are carried out.
+
+use super::Node;
+use crate::context::{self, mark};
+use crate::operators::ops::Ops;
+use crate::roles::hot_restart::TransferredState;
+use crate::{BEYOND_EXPIRY, SWEEP};
+use reedferry::{Action, Event, Idempotency, Nanos};
+use reedferry_membership::State;
+use reedferry_runtime::{Clock, Errno, Mark, Readiness};
+use slog::info;
+
+impl Node<'_> {
+    /// Gathers what has come since the last turn.
+    pub(super) fn gather(&mut self, clock: &Clock) -> Result<(), Errno> {
+        let previous_turn = self.poll(clock)?;
+        self.order_ready();
+        if self.context.now > previous_turn + 2 * SWEEP {
+            self.discovery.look(&mut self.context);
+        }
+        while let Some(ready) = self.ready.next(self.context.now, clock) {
+            self.handle_ready(ready);
+        }
+        self.answer_operators();
+        if self.connections.busy() {
+            self.connections
+                .resume(&mut self.context, self.hot_restart.listener());
+        }
+        while let Some((mark, word)) = self.context.poller.due(self.context.now) {
+            self.handle_timer(mark, word);
+        }
+        if let (Some(wards), Some(fleet)) = (&mut self.wards, &mut self.fleet) {
+            wards.turn(&mut self.context, fleet);
+        }
+        self.hand_over();
+        Ok(())
+    }
+
+    /// Waits for the poller, and returns when the turn before began.
+    fn poll(&mut self, clock: &Clock) -> Result<Nanos, Errno> {
+        let behind = self.ready.is_behind();
+        let at_once = behind || !self.context.events.is_empty() || self.connections.busy();
+        let mut ready = Vec::new();
+        let wait_began = clock.read();
+        self.context.poller.wait(wait_began, at_once, &mut ready)?;
+        let previous_turn = self.context.look_round(wait_began, clock.read(), behind);
+        self.ready.add(ready);
+        if let Some(fleet) = &mut self.fleet {
+            fleet.mind(&mut self.context);
+        }
+        Ok(previous_turn)
+    }
+
+    /// Puts discovery and operators first. Without this, an operator would wait behind a crowd of clients, and clients would be
+    /// sent to a draining host by an older endpoint list after the process stood still.
+    fn order_ready(&mut self) {
+        self.ready.order_by(|ready| match ready.mark.part {
+            context::DISCOVERY => 0,
+            context::OPS | context::OPS_LISTENER => 1,
+            _ => 2,
+        });
+    }
+
+    fn handle_ready(&mut self, ready: Readiness) {
+        let context = &mut self.context;
+        match ready.mark.part {
+            context::LISTENER => self
+                .connections
+                .accept(context, self.hot_restart.listener()),
+            context::STOP => self.stop_if_asked(),
+            context::REREAD => self.reload_if_asked(),
+            context::DISCOVERY => self.discovery.ready(context, ready),
+            context::PROBE => self.probes.ready(context, ready),
+            context::OPS_LISTENER => self.ops.iter_mut().for_each(|ops| ops.accept(context)),
+            context::OPS => self
+                .ops
+                .iter_mut()
+                .for_each(|ops| ops.ready(context, ready)),
+            context::SUCCESSOR_LISTENER | context::SUCCESSOR | context::PREDECESSOR => {
+                self.hot_restart
+                    .ready(context, &mut self.connections, ready);
+            }
+            context::PEERS => {
+                self.peers.iter_mut().for_each(|peers| peers.ready(context));
+                self.fleet.iter_mut().for_each(|fleet| fleet.ready(context));
+            }
+            _ => self.connections.ready(context, ready),
+        }
+    }
+
+    fn answer_operators(&mut self) {
+        while let Some((caller, call)) = self.ops.as_mut().and_then(Ops::next) {
+            let reply = self.answer(call);
+            if let Some(ops) = &mut self.ops {
+                ops.reply(&mut self.context, caller, &reply);
+            }
+        }
+    }
+
+    fn handle_timer(&mut self, mark: Mark, word: u64) {
+        let context = &mut self.context;
+        match mark.part {
+            context::MODULE => context.events.push(Event::TimerFired { timer: word }),
+            context::HOST => self.connections.due(context, mark, word),
+            context::PROBE => self.probes.due(context, mark),
+            context::RETRY => self.connections.retry(context),
+            context::CHANNEL_RETRY => self.hot_restart.retry(context, &mut self.connections),
+            context::WARDS => self.wards.iter_mut().for_each(|wards| wards.due(context)),
+            context::FLEET => self.fleet.iter_mut().for_each(|fleet| fleet.due(context)),
+            _ => self.sweep(),
+        }
+    }
+
+    /// Transfers the state to a successor, and the connections when this node stops; without a successor the balancer migrates
+    /// the clients.
+    fn hand_over(&mut self) {
+        let context = &mut self.context;
+        if self.hot_restart.take_state_request() {
+            let state = TransferredState {
+                discovery: self.node_config.discovery,
+                clock_ahead: context.clock.ahead(),
+                revision: self.discovery.revision(),
+                members: context.hosts.members(),
+                classes: context.node_settings.classes.clone(),
+                referenced_classes: self.connections.held(context),
+                inherited: self.balancer.leave(),
+            };
+            self.hot_restart
+                .send_state(context, &mut self.connections, &state);
+        }
+        if context.leaving.is_some() {
+            self.hot_restart.hand_over(context, &mut self.connections);
+        }
+        if !self.hot_restart.has_successor() {
+            context.events.extend(self.pending_shutdown.take());
+        }
+    }
+
+    /// Hands what was gathered to the balancer and carries out its actions.
+    pub(super) fn decide(&mut self) {
+        self.feed_events();
+        for action in std::mem::take(&mut self.actions) {
+            if self.trace {
+                info!(self.context.log, "action {:?}", action);
+            }
+            let action = match &mut self.wards {
+                Some(wards) => wards.ahead(&mut self.context, action),
+                None => Some(action),
+            };
+            if let Some(action) = action {
+                self.carry_out(action);
+            }
+        }
+    }
+
+    fn feed_events(&mut self) {
+        let idempotencies: Vec<Idempotency> = match &self.wards {
+            Some(_) => self
+                .node_config
+                .balancer_settings
+                .classes
+                .iter()
+                .map(|class| class.idempotency)
+                .collect(),
+            None => Vec::new(),
+        };
+        for event in std::mem::take(&mut self.context.events) {
+            let event = match &mut self.wards {
+                Some(wards) => wards.before(&mut self.context, &idempotencies, event),
+                None => Some(event),
+            };
+            let Some(event) = event else { continue };
+            if self.trace {
+                info!(self.context.log, "event {:?}", event);
+            }
+            self.balancer
+                .handle(self.context.now, event, &mut self.actions);
+        }
+    }
+
+    fn carry_out(&mut self, action: Action) {
+        let context = &mut self.context;
+        let Some(action) = self.connections.carry_out(context, action) else {
+            return;
+        };
+        match action {
+            Action::SetTimer { time, timer } => {
+                context.poller.remind(time, mark(context::MODULE), timer);
+            }
+            Action::PollEndpoints => self.discovery.ask(context),
+            Action::WatchEndpoints => self.discovery.follow(context),
+            Action::Probe { host } => self.probes.send(context, host),
+            Action::Gossip { message } => {
+                self.peers.iter().for_each(|peers| peers.tell(&message));
+                self.fleet.iter().for_each(|fleet| fleet.tell(&message));
+            }
+            Action::Log(text) => info!(context.log, "{}", text),
+            // The connections have carried out the rest.
+            _ => {}
+        }
+    }
+
+    /// Carries out the actions whose record is replicated now, and sends what the replication asks of others.
+    pub(super) fn replicate(&mut self) {
+        let (Some(wards), Some(fleet)) = (&mut self.wards, &mut self.fleet) else {
+            return;
+        };
+        wards.turn(&mut self.context, fleet);
+        for action in wards.ready() {
+            self.connections.carry_out(&mut self.context, action);
+        }
+    }
+
+    /// Looks after everything at a fixed interval, whatever the poller has reported of it.
+    fn sweep(&mut self) {
+        self.stop_if_asked();
+        self.reload_if_asked();
+        let context = &mut self.context;
+        self.ops.iter_mut().for_each(|ops| ops.sweep(context));
+        self.connections
+            .accept(context, self.hot_restart.listener());
+        self.connections.sweep(context);
+        context.spare();
+        self.hot_restart.sweep(context, &mut self.connections);
+        self.discovery.sweep(context);
+        let shares_turns = self.balancer.shares_turns(context.now);
+        let load_from_probes = self.node_config.balancer_settings.load_from_probes;
+        if let Some(fleet) = &mut self.fleet {
+            fleet.sweep(context);
+            fleet.serve(context, shares_turns, load_from_probes);
+        }
+        context.hosts.look(context.now, &mut context.events);
+        context
+            .poller
+            .remind(context.now + SWEEP, mark(context::SWEEP), 0);
+    }
+
+    fn stop_if_asked(&mut self) {
+        if !self.stop_signal.came() || self.context.leaving.is_some() {
+            return;
+        }
+        self.hot_restart.stop_accepting(&self.context);
+        let shutdown = self.context.leave(BEYOND_EXPIRY, self.connections.count());
+        self.pending_shutdown = Some(shutdown);
+        self.announce(State::Leaving);
+    }
+
+    /// Whether this node was asked to stop and serves nobody any more.
+    pub(super) fn has_stopped(&self) -> bool {
+        let may_end = |from: Nanos| self.context.now >= from || self.hot_restart.is_over();
+        self.context.leaving.is_some_and(may_end) && self.connections.count() == 0
+    }
+
+    /// Tells the fleet the state of this node.
+    pub(super) fn announce(&mut self, state: State) {
+        if let Some(fleet) = &mut self.fleet {
+            fleet.stands(&mut self.context, state);
+        }
+    }
+
+    /// Tells the fleet that this process ends.
+    pub(super) fn leave_fleet(&mut self) {
+        if let Some(fleet) = &mut self.fleet {
+            fleet.ends(&mut self.context);
+        }
+    }
+}
--- /dev/null
+++ b/node/src/roles/standalone/mod.rs
@@ -0,0 +1,121 @@
+//! The standalone role: a node that decides for itself. This module owns the node's state and the order in which a turn of its event
+//! loop goes: gather what is ready, hand it to the balancer in one go with one reading of the clock, carry out the balancer's
+//! actions. It must never decide anything that the balancer decides, nor wait for anything but the poller.
+
+mod event_loop;
+mod operator_calls;
+mod reload;
+mod startup;
+
+use crate::connections::probe::Probes;
+use crate::connections::Connections;
+use crate::context::{Context, START_WITHIN};
+use crate::discovery::client::Discovery;
+use crate::error::FatalError;
+use crate::operators::files::{self, NotRead};
+use crate::operators::node_config::NodeConfig;
+use crate::operators::operator_config::{self, OperatorConfig, Role};
+use crate::operators::ops::Ops;
+use crate::peers::fleet::Fleet;
+use crate::peers::wards::Wards;
+use crate::peers::words::{Correspondence, Peers};
+use crate::ready::Ready;
+use crate::roles::hot_restart::HotRestart;
+use crate::AtStart;
+use reedferry::{Action, Balancer, Event};
+use reedferry_runtime::{Clock, Signal};
+use slog::info;
+use std::path::Path;
+
+/// Where a node finds its configuration.
+pub enum ConfigSource<'a> {
+    /// In the file that the environment names, as the platform has it.
+    Environment,
+    /// In the file that an operator's file names.
+    OperatorFile(&'a Path),
+}
+
+/// A node's configuration, and the peers that it exchanges messages with.
+struct LoadedConfig {
+    node_config: NodeConfig,
+    correspondence: Option<Correspondence>,
+}
+
+impl ConfigSource<'_> {
+    fn load(&self) -> Result<LoadedConfig, NotRead> {
+        match self {
+            ConfigSource::Environment => {
+                let node_config = NodeConfig::read()?;
+                let correspondence =
+                    operator_config::reach(&node_config, None, &[]).map_err(|(_, why)| why)?;
+                Ok(LoadedConfig {
+                    node_config,
+                    correspondence,
+                })
+            }
+            ConfigSource::OperatorFile(path) => match OperatorConfig::read(path)? {
+                OperatorConfig {
+                    node_config,
+                    role: Role::Node(correspondence),
+                    ..
+                } => Ok(LoadedConfig {
+                    node_config,
+                    correspondence,
+                }),
+                OperatorConfig { role, .. } => {
+                    Err(format!("{} is for `reedferry {}`", path.display(), role.word()).into())
+                }
+            },
+        }
+    }
+}
+
+/// A standalone node while it runs.
+struct Node<'a> {
+    config_source: ConfigSource<'a>,
+    node_config: NodeConfig,
+    correspondence: Option<Correspondence>,
+    context: Context,
+    balancer: Balancer,
+    /// What the balancer has ordered and is not carried out yet.
+    actions: Vec<Action>,
+    /// Whether every event and action of the balancer is logged.
+    trace: bool,
+    connections: Connections,
+    discovery: Discovery,
+    probes: Probes,
+    peers: Option<Peers>,
+    fleet: Option<Fleet>,
+    wards: Option<Wards>,
+    hot_restart: HotRestart,
+    /// The event with which the balancer moves the clients of a node that stops, held back while a successor takes them.
+    pending_shutdown: Option<Event>,
+    ops: Option<Ops>,
+    stop_signal: Signal,
+    reload_signal: Signal,
+    /// The configuration could not be read for a moment when it was to be reloaded.
+    reload_pending: bool,
+    ready: Ready,
+}
+
+/// Runs a standalone node until it is asked to stop.
+///
+/// # Errors
+/// Why it could not start, or not go on.
+pub fn run(config_source: ConfigSource, signals: AtStart) -> Result<(), FatalError> {
+    let config = files::read_at_start(START_WITHIN, || config_source.load())?;
+    let clock = Clock::start();
+    let (mut node, backlog) = Node::start(config_source, config, signals, &clock)?;
+    loop {
+        node.decide();
+        node.replicate();
+        backlog.drain();
+        if node.has_stopped() {
+            node.leave_fleet();
+            info!(node.context.log, "stopped");
+            backlog.drain();
+            return Ok(());
+        }
+        node.gather(&clock).map_err(FatalError::Poll)?;
+    }
+}
--- /dev/null
+++ b/node/src/roles/standalone/operator_calls.rs
@@ -0,0 +1,76 @@
+//! What operators ask of a standalone node, and how it answers.
+
+use super::Node;
+use crate::operators::ops::{Call, Reply};
+use crate::operators::tally::Now;
+use crate::peers::wards::Wards;
+use reedferry_membership::State;
+
+impl Node<'_> {
+    /// Does what operators ask for, and returns the answer.
+    pub(super) fn answer(&mut self, call: Call) -> Reply {
+        let is_stopping = self.context.leaving.is_some();
+        match call {
+            Call::Figures => Reply::new(200, self.metrics_text()),
+            Call::Fleet => match &self.fleet {
+                Some(fleet) => {
+                    let replication = self.wards.as_ref().map(Wards::figures);
+                    Reply::new(200, fleet.text(self.context.now, replication))
+                }
+                None => Reply::new(404, "no fleet\n"),
+            },
+            Call::Status => self.status(),
+            Call::Active if is_stopping => Reply::new(409, "stopping\n"),
+            Call::Standby if is_stopping => Reply::new(200, "stopping\n"),
+            Call::Standby => {
+                self.enter_standby();
+                Reply::new(200, "standby\n")
+            }
+            Call::Active => {
+                self.leave_standby();
+                Reply::new(200, "active\n")
+            }
+        }
+    }
+
+    fn metrics_text(&self) -> String {
+        let (hosts_known, hosts_excluded) = self.balancer.regard(self.context.now);
+        self.context.tally.text(&Now {
+            in_flight: self.connections.in_flight(),
+            hosts_known,
+            hosts_excluded,
+        })
+    }
+
+    /// Whether this node takes new clients.
+    fn status(&self) -> Reply {
+        let (hosts_known, _) = self.balancer.regard(self.context.now);
+        if self.context.leaving.is_some() {
+            Reply::new(503, "stopping\n")
+        } else if self.context.standby.is_some() {
+            Reply::new(503, "standby\n")
+        } else if hosts_known == 0 {
+            Reply::new(503, "no hosts known\n")
+        } else {
+            Reply::new(200, "ready\n")
+        }
+    }
+
+    fn enter_standby(&mut self) {
+        if self.context.standby.is_some() {
+            return;
+        }
+        let event = self.context.stand_by(self.connections.count());
+        self.context.events.push(event);
+        self.announce(State::Standby);
+    }
+
+    fn leave_standby(&mut self) {
+        if self.context.standby.is_none() {
+            return;
+        }
+        let event = self.context.back_to_work();
+        self.context.events.push(event);
+        self.announce(State::Working);
+    }
+}
--- /dev/null
+++ b/node/src/roles/standalone/reload.rs
@@ -0,0 +1,136 @@
+//! The reload of a running node's configuration: discovery and settings may change, the rest holds until the next start.
+
+use super::{LoadedConfig, Node};
+use crate::discovery::hosts::Source;
+use crate::discovery::list::List;
+use crate::operators::files::NotRead;
+use crate::operators::node_config::NodeConfig;
+use crate::peers::words::Correspondence;
+use reedferry::Event;
+use reedferry_settings::renewal;
+use slog::{info, warn};
+
+impl Node<'_> {
+    /// Reloads the configuration where a signal asks for it, or where it could not be read for a moment before.
+    pub(super) fn reload_if_asked(&mut self) {
+        if !self.reload_signal.came() && !std::mem::take(&mut self.reload_pending) {
+            return;
+        }
+        let loaded = match self.config_source.load() {
+            // Without this, settings would never be taken up whose file could not be read for a moment.
+            Err(NotRead::Moment(why)) => return self.postpone_reload(&why),
+            other => other.map_err(String::from),
+        };
+        // Without the check, a node would be ended or led astray by a file that is half written or wrong.
+        let checked = loaded.and_then(|loaded| {
+            self.node_config.whole_in(&loaded.node_config)?;
+            Ok(loaded)
+        });
+        self.context.tally.reread(checked.is_ok());
+        match checked {
+            Ok(loaded) => self.apply(loaded),
+            Err(why) => warn!(self.context.log, "configuration not reloaded"; "why" => why),
+        }
+    }
+
+    fn postpone_reload(&mut self, why: &str) {
+        self.context.machine_trouble("open");
+        if self.context.request_lines.room(self.context.now) {
+            warn!(self.context.log, "configuration reload is retried soon"; "why" => why);
+        }
+        self.reload_pending = true;
+    }
+
+    /// Takes up a configuration that has been checked.
+    fn apply(&mut self, loaded: LoadedConfig) {
+        let LoadedConfig {
+            mut node_config,
+            correspondence,
+        } = loaded;
+        let mut kept = self.node_config.kept_from(&node_config);
+        if !self.takes_up_peers(correspondence.as_ref(), &node_config) {
+            kept.push("peers");
+            node_config.balancer_settings.gossip_enabled =
+                self.node_config.balancer_settings.gossip_enabled;
+        }
+        if !kept.is_empty() {
+            warn!(self.context.log, "kept until the next start"; "parts" => kept.join(" "));
+        }
+        info!(self.context.log, "configuration reloaded"; "discovery" => %node_config.discovery);
+        self.apply_settings(&mut node_config);
+        let discovery_moved = node_config.discovery != self.node_config.discovery;
+        self.node_config = node_config;
+        if discovery_moved {
+            self.discovery
+                .go_over(&mut self.context, self.node_config.discovery);
+        }
+    }
+
+    /// Takes up what may change of the peers, and returns whether that is all that has changed.
+    fn takes_up_peers(
+        &mut self,
+        correspondence: Option<&Correspondence>,
+        node_config: &NodeConfig,
+    ) -> bool {
+        let fleet_config = correspondence.and_then(|c| c.fleet.as_ref());
+        let (Some(fleet), Some(fleet_config)) = (&mut self.fleet, fleet_config) else {
+            return correspondence == self.correspondence.as_ref();
+        };
+        let settings = &node_config.balancer_settings;
+        fleet.renew(
+            &mut self.context,
+            fleet_config,
+            (settings.node_index, settings.node_count),
+        )
+    }
+
+    /// Takes up other settings. What is under way keeps its request class.
+    fn apply_settings(&mut self, fresh: &mut NodeConfig) {
+        let NodeConfig {
+            balancer_settings,
+            node_settings,
+            ..
+        } = &mut self.node_config;
+        let zones_changed = node_settings.zones != fresh.node_settings.zones;
+        let changed_classes = renewal::renew(
+            (balancer_settings, node_settings),
+            (fresh.balancer_settings.clone(), fresh.node_settings.clone()),
+            |class| self.connections.holds(class),
+        );
+        fresh.balancer_settings = balancer_settings.clone();
+        fresh.node_settings = node_settings.clone();
+        let context = &mut self.context;
+        context.node_settings = node_settings.clone();
+        context.classes = balancer_settings.classes.clone();
+        context.tally.offers(&node_settings.classes);
+        context.hosts.renew(
+            node_settings.zones.clone(),
+            balancer_settings.shortest_message_latency_objective(),
+        );
+        self.discovery
+            .retune(balancer_settings, node_settings.drain_grace);
+        context.events.push(Event::SettingsChanged(
+            Box::new(balancer_settings.clone()),
+            changed_classes,
+        ));
+        if zones_changed {
+            self.list_hosts_again();
+        }
+    }
+
+    /// Lists all hosts by the new order of zones, those that are gone too while anything may refer to them. Without the latter, a
+    /// retry would be matched against the zone that now has the index of the one in which the request may have run.
+    fn list_hosts_again(&mut self) {
+        let context = &mut self.context;
+        let members = [context.hosts.members(), context.hosts.former()].concat();
+        let list = List {
+            revision: self.discovery.revision().unwrap_or(0),
+            complete: true,
+            members,
+        };
+        let event = context
+            .hosts
+            .told(context.now, list, Source::Kept, &context.log);
+        context.events.push(event);
+    }
+}
--- /dev/null
+++ b/node/src/roles/standalone/startup.rs
@@ -0,0 +1,199 @@
+//! The start of a standalone node: what is opened, in which order, and what it takes over from a predecessor.
+
+use super::{ConfigSource, LoadedConfig, Node};
+use crate::connections::probe::Probes;
+use crate::connections::Connections;
+use crate::context::{self, mark, Context};
+use crate::discovery::client::Discovery;
+use crate::discovery::hosts::Source;
+use crate::discovery::list::List;
+use crate::error::FatalError;
+use crate::operators::node_config::NodeConfig;
+use crate::operators::ops::Ops;
+use crate::peers::fleet::Fleet;
+use crate::peers::wards::Wards;
+use crate::peers::words::{Correspondence, Peers};
+use crate::ready::Ready;
+use crate::roles::hot_restart::{HotRestart, TransferredState};
+use crate::{AtStart, SWEEP};
+use reedferry::{Balancer, BalancerSettings, Event};
+use reedferry_runtime::log::Backlog;
+use reedferry_runtime::{Clock, Socket};
+use reedferry_settings::renewal;
+use slog::info;
+
+/// The sockets to other nodes, and what is kept by their means.
+struct PeerLinks {
+    peers: Option<Peers>,
+    fleet: Option<Fleet>,
+    wards: Option<Wards>,
+}
+
+impl<'a> Node<'a> {
+    /// Opens everything and takes over from a predecessor.
+    pub(super) fn start(
+        config_source: ConfigSource<'a>,
+        config: LoadedConfig,
+        signals: AtStart,
+        clock: &Clock,
+    ) -> Result<(Self, Backlog), FatalError> {
+        let LoadedConfig {
+            mut node_config,
+            correspondence,
+        } = config;
+        let (mut context, backlog) = Context::open(&node_config, clock, &signals)?;
+        let mut hot_restart = HotRestart::open(&mut context, &node_config)?;
+        let inherited = hot_restart.take_over(&mut context, clock);
+        let inherited =
+            inherited.map(|state| keep_referenced_classes(&mut context, &mut node_config, state));
+        let ops = node_config
+            .ops
+            .map(|address| Ops::open(&mut context, &address))
+            .transpose()?;
+        let links = PeerLinks::open(&mut context, correspondence.as_ref(), &node_config)?;
+        let mut actions = Vec::new();
+        let balancer = Balancer::new(
+            node_config.balancer_settings.clone(),
+            node_config.seed,
+            context.now,
+            &mut actions,
+        );
+        let mut revision = context.known(&node_config)?;
+        if let Some(state) = inherited {
+            revision = inherit(&mut context, &node_config, state);
+        }
+        log_start(&context, &node_config, &hot_restart, revision);
+        let discovery = Discovery::new(
+            node_config.discovery,
+            revision,
+            &node_config.balancer_settings,
+            node_config.node_settings.drain_grace,
+            context.now,
+        );
+        let mut node = Node {
+            config_source,
+            node_config,
+            correspondence,
+            context,
+            balancer,
+            actions,
+            trace: std::env::var_os("REEDFERRY_TRACE").is_some(),
+            connections: Connections::default(),
+            discovery,
+            probes: Probes::default(),
+            peers: links.peers,
+            fleet: links.fleet,
+            wards: links.wards,
+            hot_restart,
+            pending_shutdown: None,
+            ops,
+            stop_signal: signals.stop,
+            reload_signal: signals.reread,
+            reload_pending: false,
+            ready: Ready::default(),
+        };
+        node.begin();
+        Ok((node, backlog))
+    }
+
+    /// Requests the endpoint list and sets the timer of the first sweep.
+    fn begin(&mut self) {
+        // What a pushed list says counts as told from the start of the process. Without this, clients would be sent to draining
+        // hosts by a process that requests the list only at its first sweep.
+        self.discovery.sweep(&mut self.context);
+        let context = &mut self.context;
+        context
+            .poller
+            .remind(context.now + SWEEP, mark(context::SWEEP), 0);
+    }
+}
+
+impl PeerLinks {
+    fn open(
+        context: &mut Context,
+        correspondence: Option<&Correspondence>,
+        node_config: &NodeConfig,
+    ) -> Result<PeerLinks, FatalError> {
+        let fleet_config = correspondence.and_then(|c| c.fleet.as_ref());
+        let fleet = fleet_config
+            .map(|fleet_config| Fleet::open(context, fleet_config, node_config))
+            .transpose()?;
+        let replication_config = fleet_config.and_then(|config| config.wards.as_ref());
+        let wards = fleet
+            .as_ref()
+            .zip(replication_config)
+            .map(|(fleet, config)| {
+                let BalancerSettings {
+                    node_index,
+                    node_count,
+                    ..
+                } = node_config.balancer_settings;
+                Wards::new(context, config, node_index, node_count, fleet.life())
+            });
+        let peers = correspondence
+            .filter(|correspondence| correspondence.fleet.is_none())
+            .map(|correspondence| Peers::open(context, correspondence))
+            .transpose()?;
+        Ok(PeerLinks {
+            peers,
+            fleet,
+            wards,
+        })
+    }
+}
+
+/// Adds the request classes that the predecessor's connections refer to, and maps the state to the order of classes here.
+fn keep_referenced_classes(
+    context: &mut Context,
+    node_config: &mut NodeConfig,
+    mut state: TransferredState,
+) -> TransferredState {
+    renewal::keep(
+        (
+            &mut node_config.balancer_settings,
+            &mut node_config.node_settings,
+        ),
+        std::mem::take(&mut state.referenced_classes),
+    );
+    context.node_settings = node_config.node_settings.clone();
+    context.classes = node_config.balancer_settings.classes.clone();
+    state.with_classes(&node_config.node_settings.classes)
+}
+
+/// Takes over the predecessor's hosts and statistics, and returns the revision from which the endpoint list is watched.
+fn inherit(
+    context: &mut Context,
+    node_config: &NodeConfig,
+    state: TransferredState,
+) -> Option<u64> {
+    // What the predecessor was told last is newer than what this process was started with.
+    let list = List {
+        revision: state.revision.unwrap_or(0),
+        complete: true,
+        members: state.members,
+    };
+    let event = context
+        .hosts
+        .told(context.now, list, Source::Kept, &context.log);
+    let inherited = Event::StateInherited(Box::new(state.inherited));
+    context.events.extend([event, inherited]);
+    state
+        .revision
+        .filter(|_| state.discovery == node_config.discovery)
+}
+
+fn log_start(
+    context: &Context,
+    node_config: &NodeConfig,
+    hot_restart: &HotRestart,
+    revision: Option<u64>,
+) {
+    // The system assigns the port where none is configured.
+    let listen = hot_restart
+        .listener()
+        .and_then(Socket::address)
+        .unwrap_or(node_config.listen);
+    info!(context.log, "started"; "listen" => %listen, "hosts" => context.hosts.count(),
+        "revision" => revision, "sockets" => node_config.sockets,
+        "memory_mb" => node_config.memory >> 20);
+}
--- a/node/tests/sockets.rs
+++ b/node/tests/sockets.rs
@@ -512,7 +512,7 @@
     let mut node_config = node_config(&hosts, old.address);
     for bad in ["", "{\"name\": \"n0\", \"lis", "[]"] {
         node.reread(bad);
-        node.logs("papers not taken up");
+        node.logs("configuration not reloaded");
     }
     old.change(member(8, "127.0.0.1:9", "active"));
     node.logs("name: s-8");
@@ -665,7 +665,7 @@
             "{said}"
         );
         node.reread(&node_config.to_string());
-        assert!(node.logs("papers not taken up").contains(key));
+        assert!(node.logs("configuration not reloaded").contains(key));
     }
     node.served(&hosts);
     // `check` says the same without starting.
--- a/node/tests/stopping.rs
+++ b/node/tests/stopping.rs
@@ -199,7 +199,7 @@
     let mut fresh = node_config(&hosts, discovery.address);
     fresh["settings"]["offerings"][0]["payoff"] = json!(2.0);
     node.reread(&fresh.to_string());
-    node.logs("papers read again");
+    node.logs("configuration reloaded");
     node.stop();
     host.write("7aa\r\n");
     waiting.hears("UP 77aa");
