--- a/node/src/error.rs
+++ b/node/src/error.rs
@@ -1,6 +1,7 @@
 //! Why the program could not start or go on. Each error is one line for the user.
 
-use crate::operators::files::NotRead;
+use crate::operators::operator_config::OperatorConfigError;
+use crate::roles::standalone::LoadError;
 use reedferry_runtime::Errno;
 use std::net::SocketAddr;
 
@@ -43,9 +44,12 @@
     /// The endpoint list of the configuration can't be read.
     #[error("known: {0}")]
     KnownEndpoints(String),
-    /// A configuration file can't be read or used.
+    /// A node's configuration can't be read or used.
     #[error(transparent)]
-    Config(#[from] NotRead),
+    Load(#[from] LoadError),
+    /// An operator's file can't be read or used.
+    #[error(transparent)]
+    OperatorConfig(#[from] OperatorConfigError),
     /// Another part of the program says why in one line.
     #[error("{0}")]
     Other(String),
--- a/node/src/operators/node_config.rs
+++ b/node/src/operators/node_config.rs
@@ -1,42 +1,34 @@
-//! The node's papers: what it is told by the file that `GW_CONFIG` names, at its start and again whenever
-//! it is asked to read them afresh. Whatever is missing or malformed is one plain line: no node starts
-//! with it, and one that runs keeps what it has.
+//! The node configuration: the file that `GW_CONFIG` or an operator's file names, read at the start and at each reload.
+//! Whatever is missing or malformed is one plain line: no node starts with it, and one that runs keeps what it has.
 
-use crate::operators::files::{self, NotRead};
+use crate::operators::config_files::{self, MayBeTransient, ReadError};
 use reedferry::BalancerSettings;
 use reedferry_settings::NodeSettings;
 use serde::Deserialize;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
+const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
+
+/// The file as it is written.
 #[derive(Deserialize)]
-struct Sheet {
-    #[serde(rename = "name")]
+struct NodeConfigDocument {
     name: String,
-    #[serde(rename = "listen")]
     listen: String,
-    #[serde(rename = "discovery")]
     discovery: String,
     #[serde(default)]
-    #[serde(rename = "ops")]
     ops: Option<String>,
     #[serde(default)]
-    #[serde(rename = "seed")]
     seed: Seed,
-    #[serde(rename = "limits")]
     limits: Limits,
     #[serde(default)]
-    #[serde(rename = "known")]
     known: serde_json::Value,
-    #[serde(rename = "settings")]
     settings: serde_json::Value,
 }
 
 #[derive(Deserialize)]
 struct Limits {
-    #[serde(rename = "memory_mb")]
     memory_mb: f64,
-    #[serde(rename = "sockets")]
     sockets: usize,
 }
 
@@ -54,99 +46,179 @@
     }
 }
 
+/// Why there is no node configuration.
+#[derive(Debug, thiserror::Error)]
+pub enum NodeConfigError {
+    /// The environment names no file.
+    #[error("GW_CONFIG is not set")]
+    NotSet,
+    /// The environment's address for operators can't be parsed.
+    #[error("GW_OPS {0:?} is no address with a port")]
+    OpsAddress(String),
+    /// The file can't be read.
+    #[error(transparent)]
+    Read(#[from] ReadError),
+    /// The file says something that can't be used.
+    #[error("{}: {problem}", path.display())]
+    Invalid {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong in it.
+        problem: NodeConfigProblem,
+    },
+}
+
+impl MayBeTransient for NodeConfigError {
+    fn is_transient(&self) -> bool {
+        matches!(self, NodeConfigError::Read(error) if error.is_transient())
+    }
+}
+
+/// What a node configuration says that can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum NodeConfigProblem {
+    /// It is no JSON, or a key is missing or of another type.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// An address can't be parsed.
+    #[error("{key} {text:?} is no address with a port")]
+    NoAddress {
+        /// The key in the file.
+        key: &'static str,
+        /// What stands there.
+        text: String,
+    },
+    /// The memory limit is out of range.
+    #[error("limits: memory_mb is {0}")]
+    Memory(f64),
+    /// The settings can't be used.
+    #[error("{0}")]
+    Settings(String),
+}
+
+/// A key of the configuration in force is missing in the one that is to replace it.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0} is missing, which the papers in force have")]
+pub struct MissingKey(String);
+
+/// What a node is configured with.
 pub struct NodeConfig {
+    /// The node's name.
     pub name: String,
+    /// Where clients connect.
     pub listen: SocketAddr,
+    /// The discovery service.
     pub discovery: SocketAddr,
-    /// Where operators call, if they do.
+    /// Where operators connect, if they do.
     pub ops: Option<SocketAddr>,
+    /// The seed of random draws.
     pub seed: u64,
+    /// The memory limit in bytes.
     pub memory: usize,
+    /// The limit of descriptors.
     pub sockets: usize,
-    /// The roll as last known, in discovery's own form.
+    /// The endpoint list as last known, in discovery's own form.
     pub known: Vec<u8>,
+    /// The settings of the decision core.
     pub balancer_settings: BalancerSettings,
+    /// The settings of the rest of the node.
     pub node_settings: NodeSettings,
-    /// All of it as it was written, but for the roll.
-    whole: serde_json::Value,
+    /// The whole document, except for the endpoint list.
+    document: serde_json::Value,
 }
 
 impl NodeConfig {
-    pub fn read() -> Result<NodeConfig, NotRead> {
-        let path = std::env::var("GW_CONFIG").map_err(|_| "GW_CONFIG is not set".to_string())?;
+    /// Reads the file that the environment names.
+    ///
+    /// # Errors
+    /// One line that says why there is none, or what is wrong in it.
+    pub fn read() -> Result<NodeConfig, NodeConfigError> {
+        let path = std::env::var("GW_CONFIG").map_err(|_| NodeConfigError::NotSet)?;
         let mut node_config = NodeConfig::read_at(Path::new(&path))?;
         if let (None, Ok(ops)) = (node_config.ops, std::env::var("GW_OPS")) {
-            let wrong = |_| format!("GW_OPS {ops:?} is no address with a port");
-            node_config.ops = Some(ops.parse().map_err(wrong)?);
+            let address = ops.parse().map_err(|_| NodeConfigError::OpsAddress(ops))?;
+            node_config.ops = Some(address);
         }
         Ok(node_config)
     }
 
-    pub fn read_at(path: &Path) -> Result<NodeConfig, NotRead> {
-        let text = files::read(path)?;
-        Ok(NodeConfig::decode(&text).map_err(|e| format!("{}: {e}", path.display()))?)
+    /// Reads a file.
+    ///
+    /// # Errors
+    /// One line that names the file and what is wrong in it.
+    pub fn read_at(path: &Path) -> Result<NodeConfig, NodeConfigError> {
+        let text = config_files::read(path)?;
+        NodeConfig::decode(&text).map_err(|problem| NodeConfigError::Invalid {
+            path: path.to_path_buf(),
+            problem,
+        })
     }
 
-    /// Of the lists whose places stand for names on the link.
+    /// A hash of the lists whose indices stand for names between forwarders and planners.
     pub fn fingerprint(&self) -> u64 {
         reedferry_control_plane::fingerprint(self.node_settings.names())
     }
 
-    pub fn decode(text: &[u8]) -> Result<NodeConfig, String> {
-        let mut whole: serde_json::Value =
-            serde_json::from_slice(text).map_err(|e| e.to_string())?;
-        let sheet = Sheet::deserialize(&whole).map_err(|e| e.to_string())?;
-        reedferry_settings::sound(&whole["settings"])?;
-        whole
-            .as_object_mut()
-            .and_then(|all| all.insert("known".into(), serde_json::Value::Null));
-        let address = |what: &str, text: &str| {
-            text.parse::<SocketAddr>()
-                .map_err(|_| format!("{what} {text:?} is no address with a port"))
-        };
-        if !(1.0..1e9).contains(&sheet.limits.memory_mb) {
-            return Err(format!("limits: memory_mb is {}", sheet.limits.memory_mb));
+    fn decode(text: &[u8]) -> Result<NodeConfig, NodeConfigProblem> {
+        let mut whole: serde_json::Value = serde_json::from_slice(text)?;
+        let document = NodeConfigDocument::deserialize(&whole)?;
+        reedferry_settings::sound(&whole["settings"]).map_err(NodeConfigProblem::Settings)?;
+        if let Some(keys) = whole.as_object_mut() {
+            keys.insert("known".into(), serde_json::Value::Null);
+        }
+        let memory_mb = document.limits.memory_mb;
+        if !(1.0..1e9).contains(&memory_mb) {
+            return Err(NodeConfigProblem::Memory(memory_mb));
         }
-        let (balancer_settings, node_settings) = reedferry_settings::from_value(sheet.settings)?;
+        let (balancer_settings, node_settings) = reedferry_settings::from_value(document.settings)
+            .map_err(NodeConfigProblem::Settings)?;
         Ok(NodeConfig {
-            listen: address("listen", &sheet.listen)?,
-            discovery: address("discovery", &sheet.discovery)?,
-            ops: sheet.ops.map(|ops| address("ops", &ops)).transpose()?,
-            name: sheet.name,
-            seed: match sheet.seed {
+            listen: parse_address("listen", document.listen)?,
+            discovery: parse_address("discovery", document.discovery)?,
+            ops: document
+                .ops
+                .map(|ops| parse_address("ops", ops))
+                .transpose()?,
+            name: document.name,
+            seed: match document.seed {
                 Seed::Number(seed) => seed,
                 Seed::Text(text) => crate::connections::lines::word(&text).unwrap_or(0),
             },
-            memory: (sheet.limits.memory_mb * 1024.0 * 1024.0) as usize,
-            sockets: sheet.limits.sockets,
-            known: match sheet.known {
+            memory: (memory_mb * BYTES_PER_MB) as usize,
+            sockets: document.limits.sockets,
+            known: match document.known {
                 serde_json::Value::Null => Vec::new(),
                 known => known.to_string().into_bytes(),
             },
             balancer_settings,
             node_settings,
-            whole,
+            document: whole,
         })
     }
 
-    /// The parts that those papers change and that a node which runs does not take up.
-    pub fn kept_from(&self, other: &NodeConfig) -> Vec<&'static str> {
-        let differ = |name: &&str| self.whole[*name] != other.whole[*name];
+    /// The parts that differ in a newer configuration and that a running node does not take up.
+    pub fn kept_from(&self, newer: &NodeConfig) -> Vec<&'static str> {
+        let differs = |key: &&str| self.document[*key] != newer.document[*key];
         ["name", "listen", "ops", "limits"]
             .into_iter()
-            .filter(differ)
+            .filter(differs)
             .collect()
     }
 
-    /// Whether those papers have every key that these have. Guards: half a file taken up where what is missing
-    /// would do without.
+    /// Checks that a newer configuration has every key that this one has. Without this, half a file could be taken up, as a node
+    /// would do without what is missing.
     ///
     /// # Errors
-    /// One line that names the key.
-    pub fn whole_in(&self, other: &NodeConfig) -> Result<(), String> {
-        match reedferry_settings::renewal::missing(&self.whole, &other.whole) {
-            Some(key) => Err(format!("{key} is missing, which the papers in force have")),
+    /// The key that is missing.
+    pub fn whole_in(&self, newer: &NodeConfig) -> Result<(), MissingKey> {
+        match reedferry_settings::renewal::missing(&self.document, &newer.document) {
+            Some(key) => Err(MissingKey(key)),
             None => Ok(()),
         }
     }
 }
+
+fn parse_address(key: &'static str, text: String) -> Result<SocketAddr, NodeConfigProblem> {
+    text.parse()
+        .map_err(|_| NodeConfigProblem::NoAddress { key, text })
+}
--- /dev/null
+++ b/node/src/operators/operator_config/control_plane.rs
@@ -0,0 +1,124 @@
+//! The sections of forwarders and planners.
+
+use super::error::{OperatorConfigError, Problem};
+use super::sections::{ForwardSection, PlanSection, PlannerSection};
+use super::source::{Source, Span};
+use super::{Forwards, Plans};
+use reedferry::{Nanos, MILLI, SECOND};
+use reedferry_control_plane::PlannerAddress;
+use std::collections::HashSet;
+use toml::Spanned;
+
+/// How much shorter than the drain grace a lease is, where the file does not say.
+const DEFAULT_LEASE_MARGIN: Nanos = 50 * MILLI;
+const MIN_LEASE: Nanos = 40 * MILLI;
+const MAX_LEASE: Nanos = 2 * SECOND;
+
+/// All planners of the installation.
+pub(super) fn planners(
+    source: &Source,
+    sections: &[Spanned<PlannerSection>],
+) -> Result<Vec<PlannerAddress>, OperatorConfigError> {
+    let (mut names, mut addresses) = (HashSet::new(), HashSet::new());
+    let mut planners = Vec::new();
+    for section in sections {
+        let span = section.span();
+        let PlannerSection { name, address } = section.get_ref();
+        let address = source.address("address", address)?;
+        if name.is_empty() || name.len() > reedferry_control_plane::frames::LONGEST_NAME {
+            return Err(source.error(&span, Problem::PlannerNameLength));
+        }
+        if !names.insert(name) || !addresses.insert(address) {
+            return Err(source.error(&span, Problem::DuplicatePlanner(name.clone())));
+        }
+        planners.push(PlannerAddress {
+            name: name.clone(),
+            address,
+        });
+    }
+    Ok(planners)
+}
+
+/// The options of a forwarder.
+pub(super) fn forwarder_options(
+    source: &Source,
+    span: &Span,
+    section: &ForwardSection,
+    drain_grace: Nanos,
+) -> Result<Forwards, OperatorConfigError> {
+    // A lease as long as the drain grace or longer would let new work reach a draining host.
+    let max_lease = drain_grace.saturating_sub(MILLI).min(MAX_LEASE);
+    let default_lease = drain_grace
+        .saturating_sub(DEFAULT_LEASE_MARGIN)
+        .min(MAX_LEASE);
+    if default_lease < MIN_LEASE {
+        return Err(source.error(span, Problem::DrainGraceTooShort { drain_grace }));
+    }
+    let lease = source.duration(
+        "lease",
+        section.lease.as_ref(),
+        default_lease,
+        MIN_LEASE..=max_lease,
+    )?;
+    let min_decision_timeout = lease + lease / 4;
+    Ok(Forwards {
+        lease,
+        decide_within: source.duration(
+            "decide_within",
+            section.decision_timeout.as_ref(),
+            min_decision_timeout + lease / 4,
+            min_decision_timeout..=30 * SECOND,
+        )?,
+        settle: source.duration(
+            "settle",
+            section.failback_delay.as_ref(),
+            2 * SECOND,
+            0..=600 * SECOND,
+        )?,
+        most_asked: source.count(
+            "most_asked",
+            section.max_awaiting_decision.as_ref(),
+            1024,
+            1 << 20,
+        )?,
+    })
+}
+
+/// The options of a planner, which is one of those listed.
+pub(super) fn planner_options(
+    source: &Source,
+    section: &PlanSection,
+    planners: &[PlannerAddress],
+) -> Result<Plans, OperatorConfigError> {
+    let name = section.name.get_ref();
+    let Some(index) = planners.iter().position(|planner| planner.name == *name) else {
+        return Err(source.error(&section.name.span(), Problem::UnknownPlanner(name.clone())));
+    };
+    let listen = match &section.listen {
+        Some(listen) => source.address("listen", listen)?,
+        None => planners[index].address,
+    };
+    Ok(Plans {
+        name: name.clone(),
+        place: index as u32,
+        listen,
+        silent: source.duration(
+            "silent",
+            section.silence_timeout.as_ref(),
+            SECOND,
+            100 * MILLI..=60 * SECOND,
+        )?,
+        settle: source.duration(
+            "settle",
+            section.settle_time.as_ref(),
+            50 * MILLI,
+            0..=5 * SECOND,
+        )?,
+        most_held: source.count(
+            "most_held",
+            section.max_requests_per_forwarder.as_ref(),
+            1 << 16,
+            1 << 24,
+        )?,
+    })
+}
--- /dev/null
+++ b/node/src/operators/operator_config/fleet.rs
@@ -0,0 +1,101 @@
+//! The section of a fleet: where its members reach this node, and how they keep records for each other.
+
+use super::error::{OperatorConfigError, Problem};
+use super::sections::{FleetSection, ReplicationSection};
+use super::source::Source;
+use crate::operators::node_config::NodeConfig;
+use crate::peers::fleet::FleetConfig;
+use crate::peers::wards::ReplicationConfig;
+use reedferry::{MILLI, SECOND};
+use std::net::SocketAddr;
+use toml::Spanned;
+
+/// The configuration of the fleet that a node takes part in.
+pub(super) fn fleet_config(
+    source: &Source,
+    section: &Spanned<FleetSection>,
+    node_config: &NodeConfig,
+) -> Result<FleetConfig, OperatorConfigError> {
+    let (span, section) = (section.span(), section.get_ref());
+    if !node_config.balancer_settings.gossip_enabled {
+        return Err(source.error(&span, Problem::FleetWithoutLeave));
+    }
+    let address = source.address("address", &section.address)?;
+    let listen = match &section.listen {
+        Some(listen) => source.address("listen", listen)?,
+        None => address,
+    };
+    if !is_reachable(address) || listen.is_ipv4() != address.is_ipv4() {
+        return Err(source.error(
+            &section.address.span(),
+            Problem::UnreachableAddress(address),
+        ));
+    }
+    let seeds = seeds(source, section, address)?;
+    let name = section.name.clone().unwrap_or_default();
+    let max_length = reedferry_membership::LONGEST_NAME;
+    if name.len() > max_length || node_config.name.len() > max_length || node_config.name.is_empty()
+    {
+        return Err(source.error(&span, Problem::NameLength));
+    }
+    Ok(FleetConfig {
+        address,
+        listen,
+        name,
+        seeds,
+        period: source.duration(
+            "period",
+            section.period.as_ref(),
+            SECOND,
+            50 * MILLI..=60 * SECOND,
+        )?,
+        most: source.count("most", section.max_members.as_ref(), 1024, 1 << 16)?,
+        wards: section
+            .replication
+            .as_ref()
+            .map(|section| replication_config(source, section))
+            .transpose()?,
+    })
+}
+
+fn is_reachable(address: SocketAddr) -> bool {
+    address.port() != 0 && !address.ip().is_unspecified()
+}
+
+fn seeds(
+    source: &Source,
+    section: &FleetSection,
+    own: SocketAddr,
+) -> Result<Vec<SocketAddr>, OperatorConfigError> {
+    let mut seeds = Vec::new();
+    for seed in &section.seeds {
+        let address = source.address("seed", seed)?;
+        if !is_reachable(address) || address.is_ipv4() != own.is_ipv4() || seeds.contains(&address)
+        {
+            return Err(source.error(&seed.span(), Problem::BadSeed(address)));
+        }
+        seeds.push(address);
+    }
+    Ok(seeds)
+}
+
+fn replication_config(
+    source: &Source,
+    section: &ReplicationSection,
+) -> Result<ReplicationConfig, OperatorConfigError> {
+    Ok(ReplicationConfig {
+        life: source.duration(
+            "life",
+            section.record_lifetime.as_ref(),
+            60 * SECOND,
+            SECOND..=3600 * SECOND,
+        )?,
+        within: source.duration(
+            "within",
+            section.quorum_timeout.as_ref(),
+            50 * MILLI,
+            5 * MILLI..=SECOND,
+        )?,
+        most: source.count("most", section.max_records.as_ref(), 1 << 16, 1 << 22)?,
+    })
+}
--- a/node/src/operators/operator_config_keys_tests.rs
+++ b/node/src/operators/operator_config/keys_tests.rs
@@ -1,11 +1,13 @@
 //! The keys of the operator's file, each with a value of its own: a file of today is read tomorrow.
 
 use super::*;
+use crate::peers::wards::ReplicationConfig;
+use reedferry::MILLI;
 
 const PLANNERS: &str = "[[planner]]\nname = \"p0\"\naddress = \"127.0.0.1:7000\"\n\
     [[planner]]\nname = \"p1\"\naddress = \"127.0.0.1:7001\"\n";
 
-fn read(peers: bool, text: &str) -> Result<OperatorConfig, String> {
+fn read(peers: bool, text: &str) -> Result<OperatorConfig, OperatorConfigError> {
     let number = NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     let folder =
         std::env::temp_dir().join(format!("reedferry-keys-{}-{number}", std::process::id()));
--- /dev/null
+++ b/node/src/operators/operator_config/mod.rs
@@ -0,0 +1,253 @@
+//! The operator's file: in which role the program runs, and the options of that role. This module owns the form of the file, its
+//! units, and what contradicts what. It must never let a program start, or go on with, a file that is not valid throughout:
+//! whatever is wrong is one line that names the place and what would be right.
+
+mod control_plane;
+mod error;
+mod fleet;
+mod peers;
+mod sections;
+mod source;
+
+pub use error::{OperatorConfigError, PeersError};
+pub use peers::gossip_peers;
+
+use crate::operators::config_files;
+use crate::operators::node_config::NodeConfig;
+use crate::peers::words::Correspondence;
+use error::Problem;
+use reedferry::Nanos;
+use reedferry_control_plane::PlannerAddress;
+use sections::FileSections;
+use source::{Source, Span};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use toml::Spanned;
+
+/// The options of a forwarder.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Forwards {
+    /// How long a planner's decisions hold. Shorter than the drain grace.
+    pub lease: Nanos,
+    /// How long a planner may take to decide.
+    pub decide_within: Nanos,
+    /// The most requests that await a planner's decision.
+    pub most_asked: usize,
+    /// How long a preferred planner must have been healthy before it is followed again.
+    pub settle: Nanos,
+}
+
+/// The options of a planner.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Plans {
+    /// Its name among the planners.
+    pub name: String,
+    /// Its index among the planners.
+    pub place: u32,
+    /// Where forwarders connect.
+    pub listen: SocketAddr,
+    /// How long a forwarder may be silent.
+    pub silent: Nanos,
+    /// How long a zone without followers waits for others to report their connections.
+    pub settle: Nanos,
+    /// The most requests of one forwarder.
+    pub most_held: usize,
+}
+
+/// The role that the program runs in.
+#[derive(Debug, PartialEq)]
+pub enum Role {
+    /// A standalone node, with the peers that it exchanges messages with.
+    Node(Option<Correspondence>),
+    /// A forwarder.
+    Forward(Forwards),
+    /// A planner.
+    Plan(Plans),
+}
+
+impl Role {
+    /// The command that starts it.
+    pub fn word(&self) -> &'static str {
+        match self {
+            Role::Node(_) => "node",
+            Role::Forward(_) => "forward",
+            Role::Plan(_) => "plan",
+        }
+    }
+}
+
+/// An operator's file that is valid throughout.
+pub struct OperatorConfig {
+    /// The node configuration that it names.
+    pub node_config: NodeConfig,
+    /// Where that stands.
+    pub node_config_path: PathBuf,
+    /// The role that the file is for.
+    pub role: Role,
+    /// All planners of the installation.
+    pub planners: Vec<PlannerAddress>,
+}
+
+impl OperatorConfig {
+    /// Reads a file and the node configuration that it names.
+    ///
+    /// # Errors
+    /// One line with the file, the line and what would be right there.
+    pub fn read(path: &Path) -> Result<OperatorConfig, OperatorConfigError> {
+        let text = String::from_utf8(config_files::read(path)?)
+            .map_err(|_| OperatorConfigError::NoText(path.to_path_buf()))?;
+        OperatorConfig::decode(path, &text)
+    }
+
+    fn decode(path: &Path, text: &str) -> Result<OperatorConfig, OperatorConfigError> {
+        let source = Source { path, text };
+        let sections = parse(&source)?;
+        let node_config_path = path
+            .parent()
+            .unwrap_or(Path::new("."))
+            .join(sections.node_config.get_ref());
+        let node_config = NodeConfig::read_at(&node_config_path)
+            .map_err(|error| source.error(&sections.node_config.span(), error))?;
+        let planners = control_plane::planners(&source, &sections.planners)?;
+        check_single_role(&source, &sections)?;
+        let role = role(&source, &sections, &node_config, &planners)?;
+        Ok(OperatorConfig {
+            node_config,
+            node_config_path,
+            role,
+            planners,
+        })
+    }
+}
+
+fn parse(source: &Source) -> Result<FileSections, OperatorConfigError> {
+    toml::from_str(source.text).map_err(|error| {
+        let first_line = error.message().lines().next().unwrap_or("cannot be read");
+        source.error(
+            &error.span().unwrap_or(0..0),
+            Problem::Syntax(first_line.to_string()),
+        )
+    })
+}
+
+fn check_single_role(source: &Source, sections: &FileSections) -> Result<(), OperatorConfigError> {
+    let mut spans: Vec<Span> = [
+        sections.node.as_ref().map(Spanned::span),
+        sections.forward.as_ref().map(Spanned::span),
+        sections.plan.as_ref().map(Spanned::span),
+    ]
+    .into_iter()
+    .flatten()
+    .collect();
+    spans.sort_by_key(|span| span.start);
+    match &spans[..] {
+        [_, second, ..] => Err(source.error(second, Problem::SecondRole)),
+        _ => Ok(()),
+    }
+}
+
+/// The role of the file, with its options.
+fn role(
+    source: &Source,
+    sections: &FileSections,
+    node_config: &NodeConfig,
+    planners: &[PlannerAddress],
+) -> Result<Role, OperatorConfigError> {
+    let correspondence = correspondence(source, sections, node_config)?;
+    if let Some(section) = &sections.forward {
+        let span = section.span();
+        if planners.is_empty() {
+            return Err(source.error(&span, Problem::NoPlanner));
+        }
+        let drain_grace = node_config.node_settings.drain_grace;
+        let options =
+            control_plane::forwarder_options(source, &span, section.get_ref(), drain_grace)?;
+        return Ok(Role::Forward(options));
+    }
+    if let Some(section) = &sections.plan {
+        let options = control_plane::planner_options(source, section.get_ref(), planners)?;
+        return Ok(Role::Plan(options));
+    }
+    Ok(Role::Node(correspondence))
+}
+
+/// The peers of a node, which no other role has.
+fn correspondence(
+    source: &Source,
+    sections: &FileSections,
+    node_config: &NodeConfig,
+) -> Result<Option<Correspondence>, OperatorConfigError> {
+    let gossip_address = sections
+        .node
+        .as_ref()
+        .and_then(|section| section.get_ref().gossip_address.as_ref())
+        .map(|address| source.address("messages", address))
+        .transpose()?;
+    let peers: Vec<SocketAddr> = sections
+        .peers
+        .iter()
+        .map(|peer| source.address("address", &peer.get_ref().address))
+        .collect::<Result<_, _>>()?;
+    let is_node = sections.forward.is_none() && sections.plan.is_none();
+    let fleet = sections
+        .fleet
+        .as_ref()
+        .map(|section| fleet::fleet_config(source, section, node_config))
+        .transpose()?;
+    if let Some(section) = &sections.fleet {
+        if !is_node || gossip_address.is_some() || !peers.is_empty() {
+            return Err(source.error(&section.span(), Problem::FleetBesideOthers));
+        }
+    }
+    if !is_node {
+        check_no_gossip(source, sections, node_config)?;
+        return Ok(None);
+    }
+    if let Some(planner) = sections.planners.first() {
+        return Err(source.error(&planner.span(), Problem::PlannerOfNode));
+    }
+    if let Some(fleet) = fleet {
+        return Ok(Some(Correspondence {
+            at: fleet.listen,
+            peers,
+            fleet: Some(fleet),
+        }));
+    }
+    gossip_peers(node_config, gossip_address, &peers)
+        .map_err(|error| source.error(&peers_span(sections, &error), error))
+}
+
+/// Forwarders and planners exchange no messages with peers.
+fn check_no_gossip(
+    source: &Source,
+    sections: &FileSections,
+    node_config: &NodeConfig,
+) -> Result<(), OperatorConfigError> {
+    if let Some(peer) = sections.peers.first() {
+        return Err(source.error(&peer.span(), Problem::PeerOfOtherRole));
+    }
+    if node_config.balancer_settings.gossip_enabled {
+        return Err(source.error(&sections.node_config.span(), Problem::GossipOfOtherRole));
+    }
+    Ok(())
+}
+
+/// Where an error about peers is reported: at the peer, or else at the first peer, the node's section or the node configuration.
+fn peers_span(sections: &FileSections, error: &PeersError) -> Span {
+    let index = match error {
+        PeersError::Peer { index, .. } => *index,
+        _ => 0,
+    };
+    if let Some(peer) = sections.peers.get(index) {
+        return peer.span();
+    }
+    match &sections.node {
+        Some(section) => section.span(),
+        None => sections.node_config.span(),
+    }
+}
+
+#[cfg(test)]
+mod keys_tests;
+#[cfg(test)]
+mod tests;
--- a/node/src/roles/standalone/mod.rs
+++ b/node/src/roles/standalone/mod.rs
@@ -2,19 +2,21 @@
 //! loop goes: gather what is ready, hand it to the balancer in one go with one reading of the clock, carry out the balancer's
 //! actions. It must never decide anything that the balancer decides, nor wait for anything but the poller.
 
+mod config_source;
 mod event_loop;
 mod operator_calls;
 mod reload;
 mod startup;
 
+pub use config_source::{ConfigSource, LoadError};
+
 use crate::connections::probe::Probes;
 use crate::connections::Connections;
 use crate::context::{Context, START_WITHIN};
 use crate::discovery::client::Discovery;
 use crate::error::FatalError;
-use crate::operators::files::{self, NotRead};
+use crate::operators::config_files;
 use crate::operators::node_config::NodeConfig;
-use crate::operators::operator_config::{self, OperatorConfig, Role};
 use crate::operators::ops::Ops;
 use crate::peers::fleet::Fleet;
 use crate::peers::wards::Wards;
@@ -22,53 +24,10 @@
 use crate::ready::Ready;
 use crate::roles::hot_restart::HotRestart;
 use crate::AtStart;
+use config_source::LoadedConfig;
 use reedferry::{Action, Balancer, Event};
 use reedferry_runtime::{Clock, Signal};
 use slog::info;
-use std::path::Path;
-
-/// Where a node finds its configuration.
-pub enum ConfigSource<'a> {
-    /// In the file that the environment names, as the platform has it.
-    Environment,
-    /// In the file that an operator's file names.
-    OperatorFile(&'a Path),
-}
-
-/// A node's configuration, and the peers that it exchanges messages with.
-struct LoadedConfig {
-    node_config: NodeConfig,
-    correspondence: Option<Correspondence>,
-}
-
-impl ConfigSource<'_> {
-    fn load(&self) -> Result<LoadedConfig, NotRead> {
-        match self {
-            ConfigSource::Environment => {
-                let node_config = NodeConfig::read()?;
-                let correspondence =
-                    operator_config::reach(&node_config, None, &[]).map_err(|(_, why)| why)?;
-                Ok(LoadedConfig {
-                    node_config,
-                    correspondence,
-                })
-            }
-            ConfigSource::OperatorFile(path) => match OperatorConfig::read(path)? {
-                OperatorConfig {
-                    node_config,
-                    role: Role::Node(correspondence),
-                    ..
-                } => Ok(LoadedConfig {
-                    node_config,
-                    correspondence,
-                }),
-                OperatorConfig { role, .. } => {
-                    Err(format!("{} is for `reedferry {}`", path.display(), role.word()).into())
-                }
-            },
-        }
-    }
-}
 
 /// A standalone node while it runs.
 struct Node<'a> {
@@ -103,7 +62,7 @@
 /// # Errors
 /// Why it could not start, or not go on.
 pub fn run(config_source: ConfigSource, signals: AtStart) -> Result<(), FatalError> {
-    let config = files::read_at_start(START_WITHIN, || config_source.load())?;
+    let config = config_files::retry_at_start(START_WITHIN, || config_source.load())?;
     let clock = Clock::start();
     let (mut node, backlog) = Node::start(config_source, config, signals, &clock)?;
     loop {
--- a/node/src/roles/standalone/reload.rs
+++ b/node/src/roles/standalone/reload.rs
@@ -1,15 +1,27 @@
 //! The reload of a running node's configuration: discovery and settings may change, the rest holds until the next start.
 
-use super::{LoadedConfig, Node};
+use super::config_source::{LoadError, LoadedConfig};
+use super::Node;
 use crate::discovery::hosts::Source;
 use crate::discovery::list::List;
-use crate::operators::files::NotRead;
-use crate::operators::node_config::NodeConfig;
+use crate::operators::config_files::MayBeTransient;
+use crate::operators::node_config::{MissingKey, NodeConfig};
 use crate::peers::words::Correspondence;
 use reedferry::Event;
 use reedferry_settings::renewal;
 use slog::{info, warn};
 
+/// Why a configuration is not taken up.
+#[derive(Debug, thiserror::Error)]
+enum ReloadError {
+    /// It can't be read or used.
+    #[error(transparent)]
+    Load(#[from] LoadError),
+    /// It is incomplete.
+    #[error(transparent)]
+    MissingKey(#[from] MissingKey),
+}
+
 impl Node<'_> {
     /// Reloads the configuration where a signal asks for it, or where it could not be read for a moment before.
     pub(super) fn reload_if_asked(&mut self) {
@@ -18,8 +30,8 @@
         }
         let loaded = match self.config_source.load() {
             // Without this, settings would never be taken up whose file could not be read for a moment.
-            Err(NotRead::Moment(why)) => return self.postpone_reload(&why),
-            other => other.map_err(String::from),
+            Err(error) if error.is_transient() => return self.postpone_reload(&error),
+            other => other.map_err(ReloadError::from),
         };
         // Without the check, a node would be ended or led astray by a file that is half written or wrong.
         let checked = loaded.and_then(|loaded| {
@@ -29,14 +41,16 @@
         self.context.tally.reread(checked.is_ok());
         match checked {
             Ok(loaded) => self.apply(loaded),
-            Err(why) => warn!(self.context.log, "configuration not reloaded"; "why" => why),
+            Err(error) => {
+                warn!(self.context.log, "configuration not reloaded"; "why" => %error);
+            }
         }
     }
 
-    fn postpone_reload(&mut self, why: &str) {
+    fn postpone_reload(&mut self, error: &LoadError) {
         self.context.machine_trouble("open");
         if self.context.request_lines.room(self.context.now) {
-            warn!(self.context.log, "configuration reload is retried soon"; "why" => why);
+            warn!(self.context.log, "configuration reload is retried soon"; "why" => %error);
         }
         self.reload_pending = true;
     }
--- a/node/src/roles/standalone/startup.rs
+++ b/node/src/roles/standalone/startup.rs
@@ -1,6 +1,7 @@
 //! The start of a standalone node: what is opened, in which order, and what it takes over from a predecessor.
 
-use super::{ConfigSource, LoadedConfig, Node};
+use super::config_source::{ConfigSource, LoadedConfig};
+use super::Node;
 use crate::connections::probe::Probes;
 use crate::connections::Connections;
 use crate::context::{self, mark, Context};
