--- /dev/null
+++ b/node/src/operators/api/mod.rs
@@ -0,0 +1,357 @@
+//! The operators' API: HTTP/1.1, one request to a connection. This module owns the listener for operators, its few connections with
+//! descriptors and buffers of their own, and their timeouts. It must never decide anything, wait for a caller, or look into the
+//! decision core: a whole request is given to the event loop, which has it answered.
+
+mod request;
+mod response;
+
+pub use request::ApiRequest;
+pub use response::ApiResponse;
+
+use crate::context::{mark, Context, OPS, OPS_LISTENER, START_WITHIN};
+use crate::error::FatalError;
+use reedferry::{Nanos, SECOND};
+use reedferry_runtime::errors::{on_accept, on_connection, patiently, NotAccepted, Trouble};
+use reedferry_runtime::{Budget, Buffer, Mark, Pool, Readiness, Socket};
+use request::{parse, Parsed};
+use slab::Slab;
+use slog::info;
+use std::net::SocketAddr;
+
+/// Connections at a time.
+const MAX_CONNECTIONS: usize = 16;
+/// Connections accepted at once.
+const MAX_ACCEPTED_PER_TURN: usize = 64;
+/// How long a request may take to come whole, and how long the caller may take to read the response.
+const CALL_TIMEOUT: Nanos = 2 * SECOND;
+/// How long a caller has after its response to end the connection.
+const LINGER_TIMEOUT: Nanos = SECOND;
+/// How much of what comes after the head is read at a time.
+const DISCARD_BYTES: usize = 4096;
+
+/// The connection that a request came on, until its response.
+#[derive(Clone, Copy, Debug)]
+pub struct Caller {
+    slot: usize,
+    stamp: u32,
+}
+
+/// How far a call has gone.
+enum Stage {
+    /// The head is incomplete.
+    ReadingHead(Buffer),
+    /// So much of the body is still to come.
+    ReadingBody { request: ApiRequest, left: u64 },
+    /// The request is whole, and its response is still to be given.
+    AwaitingResponse,
+    /// So much of the response has been written.
+    Writing { response: Vec<u8>, written: usize },
+    /// All of the response has been written; the caller's end is waited for.
+    Lingering,
+}
+
+struct Connection {
+    socket: Socket,
+    stamp: u32,
+    /// When its stage began.
+    since: Nanos,
+    stage: Stage,
+    /// The poller reports it.
+    is_watched: bool,
+}
+
+impl Connection {
+    fn respond(&mut self, response: Vec<u8>, now: Nanos) {
+        self.stage = Stage::Writing {
+            response,
+            written: 0,
+        };
+        self.since = now;
+    }
+}
+
+/// What a read or write leaves of a connection.
+#[derive(PartialEq)]
+enum Progress {
+    /// It goes on when the poller reports it, or at the next sweep.
+    Waiting,
+    /// It is to be read on.
+    Continues,
+    /// It is over.
+    Ended,
+}
+
+/// The server of the operators' API.
+pub struct OperatorApi {
+    listener: Socket,
+    budget: Budget,
+    pool: Pool,
+    connections: Slab<Connection>,
+    /// Whole requests, in the order in which they came.
+    requests: Vec<(Caller, ApiRequest)>,
+}
+
+impl OperatorApi {
+    /// Listens for operators, with descriptors that clients can't use up.
+    pub fn open(context: &mut Context, address: &SocketAddr) -> Result<OperatorApi, FatalError> {
+        let cannot_listen = |error| FatalError::ListenForOperators {
+            address: *address,
+            error,
+        };
+        let budget = context.budget.set_aside(MAX_CONNECTIONS + 1);
+        let listener = patiently(START_WITHIN, || budget.listen(address)).map_err(cannot_listen)?;
+        let watch = || context.poller.watch(&listener, mark(OPS_LISTENER));
+        patiently(START_WITHIN, watch).map_err(cannot_listen)?;
+        let at = listener.address().unwrap_or(*address);
+        info!(context.log, "operators"; "at" => %at);
+        Ok(OperatorApi {
+            listener,
+            budget,
+            pool: Pool::new(MAX_CONNECTIONS),
+            connections: Slab::new(),
+            requests: Vec::new(),
+        })
+    }
+
+    /// Accepts the connections that wait at the listener.
+    pub fn accept(&mut self, context: &mut Context) {
+        for _ in 0..MAX_ACCEPTED_PER_TURN {
+            if self.connections.len() >= MAX_CONNECTIONS {
+                self.evict();
+            }
+            let socket = match self.budget.accept(&self.listener) {
+                Ok(socket) => socket,
+                Err(error) => match on_accept(error) {
+                    NotAccepted::NoneWaiting => return,
+                    NotAccepted::ThisOne => continue,
+                    // The next sweep accepts again.
+                    NotAccepted::Machine => return context.machine_trouble("accept"),
+                },
+            };
+            let Some(head) = self.pool.take() else {
+                continue;
+            };
+            let slot = self.connections.insert(Connection {
+                socket,
+                stamp: context.stamp(),
+                since: context.now,
+                stage: Stage::ReadingHead(head),
+                is_watched: false,
+            });
+            self.watch(context, slot);
+            // What has come with it is read at once. Without this, it could be evicted unread by those behind it.
+            self.read(context, slot);
+        }
+        // More may wait.
+        _ = context.poller.rewatch(&self.listener, mark(OPS_LISTENER));
+    }
+
+    /// Has the poller report a connection, from now or from the next sweep on.
+    fn watch(&mut self, context: &mut Context, slot: usize) {
+        let connection = &mut self.connections[slot];
+        let mark = Mark {
+            part: OPS,
+            slot: slot as u32,
+            stamp: connection.stamp,
+        };
+        connection.is_watched = context.poller.watch(&connection.socket, mark).is_ok();
+        if !connection.is_watched {
+            context.machine_trouble("epoll_ctl");
+        }
+    }
+
+    /// Goes on with connections that the poller may not report: they are not watched, or a read or write failed for a moment.
+    fn serve_all(&mut self, context: &mut Context) {
+        let slots: Vec<usize> = self.connections.iter().map(|(slot, _)| slot).collect();
+        for slot in slots {
+            if !self.connections[slot].is_watched {
+                self.watch(context, slot);
+            }
+            self.write(context, slot);
+            self.read(context, slot);
+        }
+    }
+
+    /// Drops the connection that has its response, or else the one that has taken longest over its request.
+    fn evict(&mut self) {
+        let has_response = |connection: &Connection| matches!(connection.stage, Stage::Lingering);
+        // Of those accepted in one turn the stamp tells the first. Without it, the last would go, where its slot is the lowest.
+        let first = self
+            .connections
+            .iter()
+            .min_by_key(|(_, c)| (!has_response(c), c.since, c.stamp));
+        if let Some(slot) = first.map(|(slot, _)| slot) {
+            self.connections.remove(slot);
+        }
+    }
+
+    /// Handles what the poller reports of a connection.
+    pub fn ready(&mut self, context: &mut Context, ready: Readiness) {
+        let slot = ready.mark.slot as usize;
+        let connection = self.connections.get(slot);
+        if connection.is_none_or(|connection| connection.stamp != ready.mark.stamp) {
+            return;
+        }
+        if ready.write {
+            self.write(context, slot);
+        }
+        if ready.read {
+            self.read(context, slot);
+        }
+    }
+
+    /// The next whole request.
+    pub fn next(&mut self) -> Option<(Caller, ApiRequest)> {
+        (!self.requests.is_empty()).then(|| self.requests.remove(0))
+    }
+
+    /// Gives a request its response.
+    pub fn respond(&mut self, context: &mut Context, to: Caller, response: &ApiResponse) {
+        let Some(connection) = self.connections.get_mut(to.slot) else {
+            return;
+        };
+        if connection.stamp == to.stamp && matches!(connection.stage, Stage::AwaitingResponse) {
+            connection.respond(response.to_bytes(""), context.now);
+            self.write(context, to.slot);
+        }
+    }
+
+    /// Reads all that has come on a connection.
+    fn read(&mut self, context: &mut Context, slot: usize) {
+        while let Some(connection) = self.connections.get_mut(slot) {
+            let progress = connection.receive();
+            if progress == Progress::Ended {
+                self.connections.remove(slot);
+                return;
+            }
+            if progress == Progress::Waiting {
+                return;
+            }
+            if connection.parse_head(context.now) {
+                self.write(context, slot);
+                continue;
+            }
+            if let Stage::ReadingBody { request, left: 0 } = connection.stage {
+                let caller = Caller {
+                    slot,
+                    stamp: connection.stamp,
+                };
+                connection.stage = Stage::AwaitingResponse;
+                self.requests.push((caller, request));
+            }
+        }
+    }
+
+    /// Writes as much of a response as the connection takes.
+    fn write(&mut self, context: &mut Context, slot: usize) {
+        if let Some(connection) = self.connections.get_mut(slot) {
+            if connection.send(context.now) == Progress::Ended {
+                self.connections.remove(slot);
+            }
+        }
+    }
+
+    /// Goes on with all connections and ends what has taken too long.
+    pub fn sweep(&mut self, context: &mut Context) {
+        let now = context.now;
+        self.serve_all(context);
+        let overdue: Vec<usize> = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| now >= connection.since + CALL_TIMEOUT)
+            .map(|(slot, _)| slot)
+            .collect();
+        for slot in overdue {
+            let connection = &mut self.connections[slot];
+            let is_reading = matches!(
+                connection.stage,
+                Stage::ReadingHead(_) | Stage::ReadingBody { .. }
+            );
+            if is_reading {
+                let response = ApiResponse::new(408, "no whole call in time\n");
+                connection.respond(response.to_bytes(""), now);
+                self.write(context, slot);
+            } else {
+                self.connections.remove(slot);
+            }
+        }
+        self.connections.retain(|_, connection| {
+            !matches!(connection.stage, Stage::Lingering) || now < connection.since + LINGER_TIMEOUT
+        });
+        self.accept(context);
+    }
+}
+
+impl Connection {
+    /// Receives once, into the head's buffer, or counts what comes of the body and discards it.
+    fn receive(&mut self) -> Progress {
+        let mut discarded = [0; DISCARD_BYTES];
+        let space = match &mut self.stage {
+            Stage::ReadingHead(head) => head.spare(),
+            _ => &mut discarded,
+        };
+        let count = match self.socket.receive(space) {
+            // The caller may have ended its sending alone: then it still reads its response.
+            Ok(0) => {
+                return match &self.stage {
+                    Stage::Writing { .. } | Stage::AwaitingResponse => Progress::Waiting,
+                    _ => Progress::Ended,
+                }
+            }
+            Ok(count) => count,
+            // The next sweep goes on where the poller does not.
+            Err(error) if on_connection(error) != Trouble::Connection => return Progress::Waiting,
+            Err(_) => return Progress::Ended,
+        };
+        match &mut self.stage {
+            Stage::ReadingHead(head) => head.filled(count),
+            Stage::ReadingBody { left, .. } => *left = left.saturating_sub(count as u64),
+            // The rest is read too: closing over unread input would reset the connection, and the response would be lost.
+            _ => {}
+        }
+        Progress::Continues
+    }
+
+    /// Parses the head, if it is being read, and returns whether the response is to be written now.
+    fn parse_head(&mut self, now: Nanos) -> bool {
+        let Stage::ReadingHead(head) = &mut self.stage else {
+            return false;
+        };
+        let full = head.spare().is_empty();
+        match parse(head.waiting(), full) {
+            Parsed::Incomplete => false,
+            Parsed::Head { request, body_left } => {
+                self.stage = Stage::ReadingBody {
+                    request,
+                    left: body_left,
+                };
+                false
+            }
+            Parsed::Invalid(rejection) => {
+                let response = rejection.response.to_bytes(rejection.headers);
+                self.respond(response, now);
+                true
+            }
+        }
+    }
+
+    /// Sends what is left of the response, if there is one.
+    fn send(&mut self, now: Nanos) -> Progress {
+        let Stage::Writing { response, written } = &mut self.stage else {
+            return Progress::Waiting;
+        };
+        while *written < response.len() {
+            match self.socket.send(&response[*written..]) {
+                Ok(count) => *written += count,
+                Err(error) if on_connection(error) != Trouble::Connection => {
+                    return Progress::Waiting;
+                }
+                Err(_) => return Progress::Ended,
+            }
+        }
+        self.socket.end_sending();
+        self.stage = Stage::Lingering;
+        self.since = now;
+        Progress::Waiting
+    }
+}
--- a/node/src/roles/standalone/event_loop.rs
+++ b/node/src/roles/standalone/event_loop.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use crate::context::{self, mark};
-use crate::operators::ops::Ops;
+use crate::operators::api::OperatorApi;
 use crate::roles::hot_restart::TransferredState;
 use crate::{BEYOND_EXPIRY, SWEEP};
 use reedferry::{Action, Event, Idempotency, Nanos};
@@ -71,11 +71,14 @@
             context::REREAD => self.reload_if_asked(),
             context::DISCOVERY => self.discovery.ready(context, ready),
             context::PROBE => self.probes.ready(context, ready),
-            context::OPS_LISTENER => self.ops.iter_mut().for_each(|ops| ops.accept(context)),
+            context::OPS_LISTENER => self
+                .operator_api
+                .iter_mut()
+                .for_each(|api| api.accept(context)),
             context::OPS => self
-                .ops
+                .operator_api
                 .iter_mut()
-                .for_each(|ops| ops.ready(context, ready)),
+                .for_each(|api| api.ready(context, ready)),
             context::SUCCESSOR_LISTENER | context::SUCCESSOR | context::PREDECESSOR => {
                 self.hot_restart
                     .ready(context, &mut self.connections, ready);
@@ -89,10 +92,10 @@
     }
 
     fn answer_operators(&mut self) {
-        while let Some((caller, call)) = self.ops.as_mut().and_then(Ops::next) {
-            let reply = self.answer(call);
-            if let Some(ops) = &mut self.ops {
-                ops.reply(&mut self.context, caller, &reply);
+        while let Some((caller, request)) = self.operator_api.as_mut().and_then(OperatorApi::next) {
+            let response = self.answer(request);
+            if let Some(api) = &mut self.operator_api {
+                api.respond(&mut self.context, caller, &response);
             }
         }
     }
@@ -216,7 +219,9 @@
         self.stop_if_asked();
         self.reload_if_asked();
         let context = &mut self.context;
-        self.ops.iter_mut().for_each(|ops| ops.sweep(context));
+        self.operator_api
+            .iter_mut()
+            .for_each(|api| api.sweep(context));
         self.connections
             .accept(context, self.hot_restart.listener());
         self.connections.sweep(context);
--- a/node/src/roles/standalone/mod.rs
+++ b/node/src/roles/standalone/mod.rs
@@ -15,9 +15,9 @@
 use crate::context::{Context, START_WITHIN};
 use crate::discovery::client::Discovery;
 use crate::error::FatalError;
+use crate::operators::api::OperatorApi;
 use crate::operators::config_files;
 use crate::operators::node_config::NodeConfig;
-use crate::operators::ops::Ops;
 use crate::peers::fleet::Fleet;
 use crate::peers::wards::Wards;
 use crate::peers::words::{Correspondence, Peers};
@@ -49,7 +49,7 @@
     hot_restart: HotRestart,
     /// The event with which the balancer moves the clients of a node that stops, held back while a successor takes them.
     pending_shutdown: Option<Event>,
-    ops: Option<Ops>,
+    operator_api: Option<OperatorApi>,
     stop_signal: Signal,
     reload_signal: Signal,
     /// The configuration could not be read for a moment when it was to be reloaded.
--- a/node/src/roles/standalone/operator_calls.rs
+++ b/node/src/roles/standalone/operator_calls.rs
@@ -1,34 +1,34 @@
 //! What operators ask of a standalone node, and how it answers.
 
 use super::Node;
-use crate::operators::ops::{Call, Reply};
+use crate::operators::api::{ApiRequest, ApiResponse};
 use crate::operators::tally::Now;
 use crate::peers::wards::Wards;
 use reedferry_membership::State;
 
 impl Node<'_> {
-    /// Does what operators ask for, and returns the answer.
-    pub(super) fn answer(&mut self, call: Call) -> Reply {
+    /// Does what operators ask for, and returns the response.
+    pub(super) fn answer(&mut self, request: ApiRequest) -> ApiResponse {
         let is_stopping = self.context.leaving.is_some();
-        match call {
-            Call::Figures => Reply::new(200, self.metrics_text()),
-            Call::Fleet => match &self.fleet {
+        match request {
+            ApiRequest::Metrics => ApiResponse::new(200, self.metrics_text()),
+            ApiRequest::Fleet => match &self.fleet {
                 Some(fleet) => {
                     let replication = self.wards.as_ref().map(Wards::figures);
-                    Reply::new(200, fleet.text(self.context.now, replication))
+                    ApiResponse::new(200, fleet.text(self.context.now, replication))
                 }
-                None => Reply::new(404, "no fleet\n"),
+                None => ApiResponse::new(404, "no fleet\n"),
             },
-            Call::Status => self.status(),
-            Call::Active if is_stopping => Reply::new(409, "stopping\n"),
-            Call::Standby if is_stopping => Reply::new(200, "stopping\n"),
-            Call::Standby => {
+            ApiRequest::Status => self.status(),
+            ApiRequest::Active if is_stopping => ApiResponse::new(409, "stopping\n"),
+            ApiRequest::Standby if is_stopping => ApiResponse::new(200, "stopping\n"),
+            ApiRequest::Standby => {
                 self.enter_standby();
-                Reply::new(200, "standby\n")
+                ApiResponse::new(200, "standby\n")
             }
-            Call::Active => {
+            ApiRequest::Active => {
                 self.leave_standby();
-                Reply::new(200, "active\n")
+                ApiResponse::new(200, "active\n")
             }
         }
     }
@@ -43,16 +43,16 @@
     }
 
     /// Whether this node takes new clients.
-    fn status(&self) -> Reply {
+    fn status(&self) -> ApiResponse {
         let (hosts_known, _) = self.balancer.regard(self.context.now);
         if self.context.leaving.is_some() {
-            Reply::new(503, "stopping\n")
+            ApiResponse::new(503, "stopping\n")
         } else if self.context.standby.is_some() {
-            Reply::new(503, "standby\n")
+            ApiResponse::new(503, "standby\n")
         } else if hosts_known == 0 {
-            Reply::new(503, "no hosts known\n")
+            ApiResponse::new(503, "no hosts known\n")
         } else {
-            Reply::new(200, "ready\n")
+            ApiResponse::new(200, "ready\n")
         }
     }
 
--- a/node/src/roles/standalone/startup.rs
+++ b/node/src/roles/standalone/startup.rs
@@ -9,8 +9,8 @@
 use crate::discovery::hosts::Source;
 use crate::discovery::list::List;
 use crate::error::FatalError;
+use crate::operators::api::OperatorApi;
 use crate::operators::node_config::NodeConfig;
-use crate::operators::ops::Ops;
 use crate::peers::fleet::Fleet;
 use crate::peers::wards::Wards;
 use crate::peers::words::{Correspondence, Peers};
@@ -47,9 +47,9 @@
         let inherited = hot_restart.take_over(&mut context, clock);
         let inherited =
             inherited.map(|state| keep_referenced_classes(&mut context, &mut node_config, state));
-        let ops = node_config
+        let operator_api = node_config
             .ops
-            .map(|address| Ops::open(&mut context, &address))
+            .map(|address| OperatorApi::open(&mut context, &address))
             .transpose()?;
         let links = PeerLinks::open(&mut context, correspondence.as_ref(), &node_config)?;
         let mut actions = Vec::new();
@@ -87,7 +87,7 @@
             wards: links.wards,
             hot_restart,
             pending_shutdown: None,
-            ops,
+            operator_api,
             stop_signal: signals.stop,
             reload_signal: signals.reread,
             reload_pending: false,
