--- a/node/src/operators/counts.rs
+++ b/node/src/operators/counts.rs
@@ -1,32 +1,33 @@
-//! Counters by kind: why attempts did not begin and how they ended, why connections were closed, which rules were
-//! broken, and which system calls failed for a trouble of this machine. It owns the kinds and their names in figures
-//! and log lines. It must never count what its caller has not seen happen.
+//! Counters by kind: why attempts were not started and how they ended, why connections were closed, which invariants were
+//! violated, and which system calls failed as this machine was short of something. This module owns the kinds and their names in
+//! metrics and log lines. It must never count what its caller has not seen happen.
 
 use reedferry::permission::Refusal;
 use reedferry::AttemptOutcome;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// A rule that was broken in spite of all that is to keep it: each is a fault of the program.
+/// An invariant that was violated. Each is a fault of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// A connection was closed though its request was owed an answer.
+    /// A connection was closed though its request was not answered yet.
     Unanswered,
-    /// A final answer went out after the request's expiry.
+    /// A final answer went out after the request's deadline.
     AnsweredLate,
-    /// An attempt was written after the request's expiry.
+    /// An attempt was written after the request's deadline.
     AttemptedLate,
-    /// A repeat was written after the window in which it would be dropped.
+    /// A retry was written after the window in which the host would drop a duplicate.
     RepeatedLate,
-    /// An irreversible request was attempted again though it may have run.
+    /// A request that is not idempotent was retried though it may have run.
     RanTwice,
-    /// An irreversible request was dismissed though it may have run.
+    /// A request that is not idempotent was rejected though it may have run.
     DismissedAfterRun,
-    /// An attempt was written to a host beyond the grace after its drain.
+    /// An attempt was written to a draining host after its drain grace.
     SentToLeavingHost,
 }
 
 impl Violation {
+    /// All of them.
     pub const ALL: [Violation; 7] = [
         Violation::Unanswered,
         Violation::AnsweredLate,
@@ -37,6 +38,7 @@
         Violation::SentToLeavingHost,
     ];
 
+    /// The name in metrics and log lines.
     pub fn name(self) -> &'static str {
         match self {
             Violation::Unanswered => "unanswered",
@@ -53,25 +55,26 @@
 /// Why a client's connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Close {
-    /// It has its last line, and has ended or lingered long enough.
+    /// The client has its last line, and has ended or lingered long enough.
     Answered,
-    /// The client ended it before it asked, or while it waited.
+    /// The client ended it before its request, or while it waited.
     ClientEnded,
     /// The client's connection broke.
     ClientBroke,
     /// Its host ended or broke the open connection.
     HostBroke,
-    /// Its host stopped in the middle of a line, and the client has to go.
+    /// Its host stopped in the middle of a line, and the client had to be migrated.
     HostStalled,
-    /// It sent a line that is too long.
+    /// The client sent a line that is too long.
     Malformed,
-    /// It held no request, and another needed its descriptor.
+    /// It had no request, and another connection needed its descriptor.
     MadeRoom,
-    /// Another process goes on with it.
+    /// It was handed over to another process.
     PassedOn,
 }
 
 impl Close {
+    /// The name in metrics and log lines.
     pub fn name(self) -> &'static str {
         match self {
             Close::Answered => "answered",
@@ -94,22 +97,27 @@
     }
 }
 
-/// One thing that is counted.
+/// A counter.
 #[derive(Clone, Copy, Debug)]
 pub enum Count {
+    /// An attempt was not started.
     NotBegun(Refusal),
+    /// An attempt ended.
     AttemptEnded(AttemptOutcome),
+    /// A client's connection was closed.
     Closed(Close),
+    /// An invariant was violated.
     Violated(Violation),
-    /// A system call failed for a moment's trouble of this machine, and is made again.
+    /// A system call failed as this machine was short of something, and is retried.
     MachineTrouble(&'static str),
 }
 
 impl Count {
+    /// Its group and its name in that group.
     fn key(self) -> (&'static str, &'static str) {
         match self {
-            Count::NotBegun(refusal) => ("attempts_not_begun", refusal.name()),
-            Count::AttemptEnded(ending) => ("attempts_ended", ending.word()),
+            Count::NotBegun(reason) => ("attempts_not_begun", reason.name()),
+            Count::AttemptEnded(outcome) => ("attempts_ended", outcome.word()),
             Count::Closed(close) => ("closed", close.name()),
             Count::Violated(violation) => ("violations", violation.name()),
             Count::MachineTrouble(call) => ("machine_trouble", call),
@@ -117,12 +125,12 @@
     }
 }
 
-/// How often each was counted.
+/// The values of all counters.
 #[derive(Clone, Debug)]
 pub struct Counts(BTreeMap<(&'static str, &'static str), u64>);
 
 impl Default for Counts {
-    /// Violations have their lines from the start, so that whoever watches them need not wait for the first.
+    /// Violations have their lines from the start, so that an alert on them need not wait for the first.
     fn default() -> Self {
         Counts(
             Violation::ALL
@@ -134,11 +142,12 @@
 }
 
 impl Counts {
+    /// Adds one to a counter.
     pub fn add(&mut self, count: Count) {
         *self.0.entry(count.key()).or_default() += 1;
     }
 
-    /// A line for each, in the form of the operators' figures.
+    /// A line for each, in the form of the metrics.
     pub fn text(&self) -> String {
         let mut text = String::new();
         for ((group, name), count) in &self.0 {
@@ -149,36 +158,8 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn violations_have_lines_from_the_start_and_the_rest_once_counted() {
-        let mut counts = Counts::default();
-        assert_eq!(counts.text().lines().count(), Violation::ALL.len());
-        assert!(counts.text().contains("app.violations.unanswered:0|c\n"));
-        for _ in 0..2 {
-            counts.add(Count::Violated(Violation::Unanswered));
-        }
-        counts.add(Count::AttemptEnded(AttemptOutcome::NeverSent));
-        counts.add(Count::NotBegun(Refusal::ListNotHeard));
-        let text = counts.text();
-        for line in [
-            "app.violations.unanswered:2|c",
-            "app.attempts_ended.never_sent:1|c",
-            "app.attempts_not_begun.list_not_heard:1|c",
-        ] {
-            assert!(text.lines().any(|l| l == line), "{line} in {text}");
-        }
-    }
-
-    #[test]
-    fn each_kind_has_a_name_of_its_own() {
-        let names: std::collections::BTreeSet<_> =
-            Violation::ALL.iter().map(|v| v.name()).collect();
-        assert_eq!(names.len(), Violation::ALL.len());
-    }
-}
+#[path = "counts_tests.rs"]
+mod tests;
 
 #[cfg(test)]
 #[path = "counts_text_tests.rs"]
--- a/node/src/operators/counts_text_tests.rs
+++ b/node/src/operators/counts_text_tests.rs
@@ -1,7 +1,44 @@
-//! The exact lines of all figures by kind, as those who watch them know them.
+//! The exact lines of all counters by kind, on which dashboards and alerts stand.
 
 use super::*;
 
+const LINES: [&str; 34] = [
+    "app.attempts_ended.broken:1|c",
+    "app.attempts_ended.called_off:1|c",
+    "app.attempts_ended.done:1|c",
+    "app.attempts_ended.error:1|c",
+    "app.attempts_ended.never_sent:1|c",
+    "app.attempts_ended.passed_on:1|c",
+    "app.attempts_ended.refused:1|c",
+    "app.attempts_ended.silent:1|c",
+    "app.attempts_ended.unconnected:1|c",
+    "app.attempts_ended.unroutable:1|c",
+    "app.attempts_not_begun.client_gone:1|c",
+    "app.attempts_not_begun.expired:1|c",
+    "app.attempts_not_begun.host_leaving:1|c",
+    "app.attempts_not_begun.host_moved:1|c",
+    "app.attempts_not_begun.list_not_heard:1|c",
+    "app.attempts_not_begun.may_have_run:1|c",
+    "app.attempts_not_begun.outside_group:1|c",
+    "app.attempts_not_begun.outside_window:1|c",
+    "app.closed.answered:1|c",
+    "app.closed.client_broke:1|c",
+    "app.closed.client_ended:1|c",
+    "app.closed.host_broke:1|c",
+    "app.closed.host_stalled:1|c",
+    "app.closed.made_room:1|c",
+    "app.closed.malformed:1|c",
+    "app.closed.passed_on:1|c",
+    "app.machine_trouble.epoll_ctl:1|c",
+    "app.violations.answered_late:0|c",
+    "app.violations.attempted_late:0|c",
+    "app.violations.dismissed_after_run:0|c",
+    "app.violations.ran_twice:0|c",
+    "app.violations.repeated_late:0|c",
+    "app.violations.sent_to_leaving_host:0|c",
+    "app.violations.unanswered:0|c",
+];
+
 #[test]
 fn each_kind_keeps_its_line() {
     let refusals = [
@@ -47,41 +84,5 @@
         .into_iter()
         .for_each(|close| counts.add(Count::Closed(close)));
     counts.add(Count::MachineTrouble("epoll_ctl"));
-    let wanted = [
-        "app.attempts_ended.broken:1|c",
-        "app.attempts_ended.called_off:1|c",
-        "app.attempts_ended.done:1|c",
-        "app.attempts_ended.error:1|c",
-        "app.attempts_ended.never_sent:1|c",
-        "app.attempts_ended.passed_on:1|c",
-        "app.attempts_ended.refused:1|c",
-        "app.attempts_ended.silent:1|c",
-        "app.attempts_ended.unconnected:1|c",
-        "app.attempts_ended.unroutable:1|c",
-        "app.attempts_not_begun.client_gone:1|c",
-        "app.attempts_not_begun.expired:1|c",
-        "app.attempts_not_begun.host_leaving:1|c",
-        "app.attempts_not_begun.host_moved:1|c",
-        "app.attempts_not_begun.list_not_heard:1|c",
-        "app.attempts_not_begun.may_have_run:1|c",
-        "app.attempts_not_begun.outside_group:1|c",
-        "app.attempts_not_begun.outside_window:1|c",
-        "app.closed.answered:1|c",
-        "app.closed.client_broke:1|c",
-        "app.closed.client_ended:1|c",
-        "app.closed.host_broke:1|c",
-        "app.closed.host_stalled:1|c",
-        "app.closed.made_room:1|c",
-        "app.closed.malformed:1|c",
-        "app.closed.passed_on:1|c",
-        "app.machine_trouble.epoll_ctl:1|c",
-        "app.violations.answered_late:0|c",
-        "app.violations.attempted_late:0|c",
-        "app.violations.dismissed_after_run:0|c",
-        "app.violations.ran_twice:0|c",
-        "app.violations.repeated_late:0|c",
-        "app.violations.sent_to_leaving_host:0|c",
-        "app.violations.unanswered:0|c",
-    ];
-    assert_eq!(counts.text().lines().collect::<Vec<_>>(), wanted);
+    assert_eq!(counts.text().lines().collect::<Vec<_>>(), LINES);
 }
--- /dev/null
+++ b/settings/src/renewal_tests.rs
@@ -0,0 +1,111 @@
+//! Which class keeps which index over a reload.
+
+use super::*;
+use crate::from_value;
+use serde_json::json;
+
+fn told(classes: &[(&str, &str)], attempts: u32) -> (BalancerSettings, NodeSettings) {
+    let class = |(name, idempotency): &(&str, &str)| json!({"name": name, "contract_time": 500, "expiry": 2000, "effect": idempotency, "payoff": 1});
+    let classes: Vec<Value> = classes.iter().map(class).collect();
+    from_value(json!({"balancers": 1, "index": 0, "offerings": classes,
+        "contract": {"cold": 10000, "cold_from": 0.2, "tip_after": 1000, "tip_multiple": 3},
+        "policy_limits": {"most_hand_offs": attempts}}))
+    .unwrap()
+}
+
+/// Guards: an attachment under way that is taken for one of another offering, or under stricter or more
+/// lenient terms than it came by.
+#[test]
+fn an_index_keeps_its_meaning_while_it_is_held() {
+    let (mut balancer_settings, mut node_settings) = told(&[("a", "free"), ("b", "free")], 5);
+    let renewed = |balancer_settings: &mut BalancerSettings,
+                   node_settings: &mut NodeSettings,
+                   to: &[(&str, &str)],
+                   held: &[usize]| {
+        renew((balancer_settings, node_settings), told(to, 2), |n| {
+            held.contains(&n)
+        })
+    };
+    // `a` vanishes while it is held, `b` becomes stricter, `c` is new.
+    let to = [("b", "single_shot"), ("c", "free")];
+    assert_eq!(
+        renewed(&mut balancer_settings, &mut node_settings, &to, &[0, 1]),
+        [2, 3]
+    );
+    assert_eq!(node_settings.classes, ["a", "b", "b", "c"]);
+    assert_eq!(
+        (
+            node_settings.class("a"),
+            node_settings.class("b"),
+            node_settings.class("c")
+        ),
+        (None, Some(2), Some(3))
+    );
+    assert_eq!(
+        balancer_settings.classes[1].idempotency,
+        reedferry::Idempotency::Idempotent
+    );
+    assert_eq!(
+        balancer_settings.classes[2].idempotency,
+        reedferry::Idempotency::NonIdempotent
+    );
+    assert_eq!(balancer_settings.max_attempts, 2);
+    // `a` comes again while one of its first time is held: the same terms, the same index.
+    assert_eq!(
+        renewed(
+            &mut balancer_settings,
+            &mut node_settings,
+            &[("a", "free"), ("c", "free")],
+            &[0]
+        ),
+        [0; 0]
+    );
+    assert_eq!(
+        (
+            node_settings.class("a"),
+            node_settings.class("b"),
+            node_settings.class("c")
+        ),
+        (Some(0), None, Some(3))
+    );
+    // What nobody holds is used again, so that the table stays short.
+    for n in 0..1000 {
+        let names = [format!("x{n}"), format!("y{n}")];
+        renewed(
+            &mut balancer_settings,
+            &mut node_settings,
+            &[(&names[0], "free"), (&names[1], "guarded")],
+            &[],
+        );
+        assert_eq!(balancer_settings.classes.len(), 4);
+        assert_eq!(
+            balancer_settings
+                .classes
+                .iter()
+                .filter(|o| o.active)
+                .count(),
+            2
+        );
+    }
+}
+
+#[test]
+fn a_key_that_is_gone_is_named_with_its_place() {
+    let before = json!({"a": {"b": 1, "c": [{"d": 1, "e": 2}]}, "f": []});
+    for (after, gone) in [
+        (
+            json!({"a": {"b": 2, "c": [{"d": 1, "e": 2, "g": 3}, {"d": 4, "e": 5}]}, "f": [7]}),
+            None,
+        ),
+        (json!({"a": {"b": 2, "c": []}, "f": [], "h": 1}), None),
+        (json!({"a": {"b": 2, "c": []}}), Some("f")),
+        (json!({"a": {"c": []}, "f": []}), Some("a.b")),
+        (json!({"a": {"b": null, "c": []}, "f": []}), Some("a.b")),
+        (
+            json!({"a": {"b": 2, "c": [{"d": 1, "e": 2}, {"d": 1}]}, "f": []}),
+            Some("a.c.1.e"),
+        ),
+    ] {
+        assert_eq!(missing(&before, &after).as_deref(), gone);
+    }
+}
