--- a/node/src/operators/node_config.rs
+++ b/node/src/operators/node_config.rs
@@ -3,15 +3,16 @@
 
 use crate::operators::config_files::{self, MayBeTransient, ReadError};
 use reedferry::BalancerSettings;
-use reedferry_settings::NodeSettings;
+use reedferry_settings::{NodeSettings, Settings, SettingsError};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
-/// The file as it is written.
+/// The file as it is written. The text of a type error, which users see, is fixed by `expecting`.
 #[derive(Deserialize)]
+#[serde(expecting = "struct Sheet")]
 struct NodeConfigDocument {
     name: String,
     listen: String,
@@ -92,8 +93,8 @@
     #[error("limits: memory_mb is {0}")]
     Memory(f64),
     /// The settings can't be used.
-    #[error("{0}")]
-    Settings(String),
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
 }
 
 /// A key of the configuration in force is missing in the one that is to replace it.
@@ -162,7 +163,7 @@
     fn decode(text: &[u8]) -> Result<NodeConfig, NodeConfigProblem> {
         let mut whole: serde_json::Value = serde_json::from_slice(text)?;
         let document = NodeConfigDocument::deserialize(&whole)?;
-        reedferry_settings::sound(&whole["settings"]).map_err(NodeConfigProblem::Settings)?;
+        reedferry_settings::validate(&whole["settings"])?;
         if let Some(keys) = whole.as_object_mut() {
             keys.insert("known".into(), serde_json::Value::Null);
         }
@@ -170,8 +171,7 @@
         if !(1.0..1e9).contains(&memory_mb) {
             return Err(NodeConfigProblem::Memory(memory_mb));
         }
-        let (balancer_settings, node_settings) = reedferry_settings::from_value(document.settings)
-            .map_err(NodeConfigProblem::Settings)?;
+        let settings = Settings::from_value(document.settings)?;
         Ok(NodeConfig {
             listen: parse_address("listen", document.listen)?,
             discovery: parse_address("discovery", document.discovery)?,
@@ -190,8 +190,8 @@
                 serde_json::Value::Null => Vec::new(),
                 known => known.to_string().into_bytes(),
             },
-            balancer_settings,
-            node_settings,
+            balancer_settings: settings.balancer,
+            node_settings: settings.node,
             document: whole,
         })
     }
@@ -211,7 +211,7 @@
     /// # Errors
     /// The key that is missing.
     pub fn whole_in(&self, newer: &NodeConfig) -> Result<(), MissingKey> {
-        match reedferry_settings::renewal::missing(&self.document, &newer.document) {
+        match reedferry_settings::reload::missing_key(&self.document, &newer.document) {
             Some(key) => Err(MissingKey(key)),
             None => Ok(()),
         }
--- a/node/src/operators/operator_config/sections.rs
+++ b/node/src/operators/operator_config/sections.rs
@@ -1,4 +1,5 @@
-//! The sections and keys of an operator's file, as they are written.
+//! The sections and keys of an operator's file, as they are written. The texts of type
+//! errors, which users see, are fixed by `expecting`.
 
 use serde::Deserialize;
 use std::path::PathBuf;
@@ -7,6 +8,7 @@
 /// The whole file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
+#[serde(expecting = "struct Sheet")]
 pub(super) struct FileSections {
     #[serde(rename = "papers")]
     pub node_config: Spanned<PathBuf>,
@@ -23,6 +25,7 @@
 /// `[node]`
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
+#[serde(expecting = "struct NodeSheet")]
 pub(super) struct NodeSection {
     #[serde(rename = "messages")]
     pub gossip_address: Option<Spanned<String>>,
@@ -31,6 +34,7 @@
 /// `[[peer]]`
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
+#[serde(expecting = "struct PeerSheet")]
 pub(super) struct PeerSection {
     pub address: Spanned<String>,
 }
@@ -38,6 +42,7 @@
 /// `[fleet]`
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
+#[serde(expecting = "struct FleetSheet")]
 pub(super) struct FleetSection {
     pub address: Spanned<String>,
     pub listen: Option<Spanned<String>>,
@@ -53,6 +58,7 @@
 /// `[fleet.wards]`
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
+#[serde(expecting = "struct WardSheet")]
 pub(super) struct ReplicationSection {
     #[serde(rename = "life")]
     pub record_lifetime: Option<Spanned<String>>,
@@ -65,6 +71,7 @@
 /// `[forward]`
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
+#[serde(expecting = "struct ForwardSheet")]
 pub(super) struct ForwardSection {
     pub lease: Option<Spanned<String>>,
     #[serde(rename = "decide_within")]
@@ -78,6 +85,7 @@
 /// `[plan]`
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
+#[serde(expecting = "struct PlanSheet")]
 pub(super) struct PlanSection {
     pub name: Spanned<String>,
     pub listen: Option<Spanned<String>>,
@@ -92,6 +100,7 @@
 /// `[[planner]]`
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
+#[serde(expecting = "struct PlannerSheet")]
 pub(super) struct PlannerSection {
     pub name: String,
     pub address: Spanned<String>,
--- a/node/src/roles/standalone/reload.rs
+++ b/node/src/roles/standalone/reload.rs
@@ -8,7 +8,7 @@
 use crate::operators::node_config::{MissingKey, NodeConfig};
 use crate::peers::words::Correspondence;
 use reedferry::Event;
-use reedferry_settings::renewal;
+use reedferry_settings::{reload, Settings};
 use slog::{info, warn};
 
 /// Why a configuration is not taken up.
@@ -106,9 +106,13 @@
             ..
         } = &mut self.node_config;
         let zones_changed = node_settings.zones != fresh.node_settings.zones;
-        let changed_classes = renewal::renew(
-            (balancer_settings, node_settings),
-            (fresh.balancer_settings.clone(), fresh.node_settings.clone()),
+        let changed_classes = reload::apply(
+            balancer_settings,
+            node_settings,
+            Settings {
+                balancer: fresh.balancer_settings.clone(),
+                node: fresh.node_settings.clone(),
+            },
             |class| self.connections.holds(class),
         );
         fresh.balancer_settings = balancer_settings.clone();
--- a/node/src/roles/standalone/startup.rs
+++ b/node/src/roles/standalone/startup.rs
@@ -20,7 +20,7 @@
 use reedferry::{Balancer, BalancerSettings, Event};
 use reedferry_runtime::log::Backlog;
 use reedferry_runtime::{Clock, Socket};
-use reedferry_settings::renewal;
+use reedferry_settings::reload;
 use slog::info;
 
 /// The sockets to other nodes, and what is kept by their means.
@@ -149,11 +149,9 @@
     node_config: &mut NodeConfig,
     mut state: TransferredState,
 ) -> TransferredState {
-    renewal::keep(
-        (
-            &mut node_config.balancer_settings,
-            &mut node_config.node_settings,
-        ),
+    reload::keep_classes(
+        &mut node_config.balancer_settings,
+        &mut node_config.node_settings,
         std::mem::take(&mut state.referenced_classes),
     );
     context.node_settings = node_config.node_settings.clone();
--- a/settings/src/lib_tests.rs
+++ b/settings/src/convert_tests.rs
@@ -3,39 +3,42 @@
 use super::*;
 use serde_json::json;
 
-/// Settings of the kept shape, with these put over them.
-fn told(over: &[(&str, serde_json::Value)]) -> Result<(BalancerSettings, NodeSettings), String> {
+/// Settings with these values put over their own.
+fn decode_with(over: &[(&str, serde_json::Value)]) -> Result<Settings, SettingsError> {
     let mut settings = json!({"balancers": 3, "index": 1, "registry_mode": "on_request",
         "offerings": [{"contract_time": 500, "expiry": 2000, "effect": "free", "group": "all", "payoff": 1}],
         "contract": {"cold": 10000, "cold_from": 0.2, "tip_after": 1000, "tip_multiple": 3},
         "reporting": {"fields": [], "via": "silent"}, "extra": {"mode": "proxy"},
         "policy_limits": {"may_probe": true, "most_hand_offs": 3, "peers": false}});
-    for (place, value) in over {
-        *settings.pointer_mut(place).expect(place) = value.clone();
+    for (pointer, value) in over {
+        *settings.pointer_mut(pointer).expect(pointer) = value.clone();
     }
-    from_value(settings)
+    Settings::from_value(settings)
 }
 
 #[test]
-fn the_settings_alone_say_which_shape_is_in_force() {
-    let (old, _) = told(&[]).unwrap();
-    assert!(!old.gossip_enabled && !old.load_from_probes && old.load_metrics.is_empty());
+fn the_settings_alone_say_which_features_are_enabled() {
+    let without = decode_with(&[]).unwrap().balancer;
+    assert!(
+        !without.gossip_enabled && !without.load_from_probes && without.load_metrics.is_empty()
+    );
     let reporting = json!({"fields": ["qps", "util", "x0"], "via": "pull"});
-    let (new, _) = told(&[
+    let with = decode_with(&[
         ("/reporting", reporting),
         ("/policy_limits/peers", json!(true)),
     ])
-    .unwrap();
-    assert!(new.gossip_enabled && new.load_from_probes);
+    .unwrap()
+    .balancer;
+    assert!(with.gossip_enabled && with.load_from_probes);
     assert_eq!(
-        new.load_metrics,
+        with.load_metrics,
         [LoadMetric::Other, LoadMetric::Utilization, LoadMetric::Load]
     );
 }
 
-/// Guards: a node that starts with half of one shape and half of another, and serves badly in silence.
+/// Prevents a node that starts with half of one shape and half of another, and serves badly in silence.
 #[test]
-fn a_mix_is_refused_and_the_key_named() {
+fn a_mix_is_rejected_and_the_key_named() {
     let pull = |fields: serde_json::Value| json!({"fields": fields, "via": "pull"});
     for (over, key) in [
         (
@@ -68,12 +71,13 @@
             "offerings.group",
         ),
     ] {
-        let why = told(&over)
+        let error = decode_with(&over)
             .err()
-            .unwrap_or_else(|| panic!("taken: {over:?}"));
+            .unwrap_or_else(|| panic!("accepted: {over:?}"))
+            .to_string();
         assert!(
-            why.starts_with(&format!("settings: {key}: ")) && !why.contains('\n'),
-            "{why}"
+            error.starts_with(&format!("settings: {key}: ")) && !error.contains('\n'),
+            "{error}"
         );
     }
 }
--- a/settings/src/renewal_tests.rs
+++ b/settings/src/reload_tests.rs
@@ -1,35 +1,36 @@
 //! Which class keeps which index over a reload.
 
 use super::*;
-use crate::from_value;
 use serde_json::json;
 
-fn told(classes: &[(&str, &str)], attempts: u32) -> (BalancerSettings, NodeSettings) {
+fn settings(classes: &[(&str, &str)], attempts: u32) -> Settings {
     let class = |(name, idempotency): &(&str, &str)| json!({"name": name, "contract_time": 500, "expiry": 2000, "effect": idempotency, "payoff": 1});
     let classes: Vec<Value> = classes.iter().map(class).collect();
-    from_value(json!({"balancers": 1, "index": 0, "offerings": classes,
+    Settings::from_value(json!({"balancers": 1, "index": 0, "offerings": classes,
         "contract": {"cold": 10000, "cold_from": 0.2, "tip_after": 1000, "tip_multiple": 3},
         "policy_limits": {"most_hand_offs": attempts}}))
     .unwrap()
 }
 
-/// Guards: an attachment under way that is taken for one of another offering, or under stricter or more
-/// lenient terms than it came by.
+/// Prevents a request under way that is taken for one of another class, or under stricter or more lenient terms than it came by.
 #[test]
-fn an_index_keeps_its_meaning_while_it_is_held() {
-    let (mut balancer_settings, mut node_settings) = told(&[("a", "free"), ("b", "free")], 5);
-    let renewed = |balancer_settings: &mut BalancerSettings,
-                   node_settings: &mut NodeSettings,
-                   to: &[(&str, &str)],
-                   held: &[usize]| {
-        renew((balancer_settings, node_settings), told(to, 2), |n| {
-            held.contains(&n)
+fn an_index_keeps_its_meaning_while_it_is_referenced() {
+    let Settings {
+        balancer: mut balancer_settings,
+        node: mut node_settings,
+    } = settings(&[("a", "free"), ("b", "free")], 5);
+    let reload = |balancer_settings: &mut BalancerSettings,
+                  node_settings: &mut NodeSettings,
+                  to: &[(&str, &str)],
+                  referenced: &[usize]| {
+        apply(balancer_settings, node_settings, settings(to, 2), |index| {
+            referenced.contains(&index)
         })
     };
-    // `a` vanishes while it is held, `b` becomes stricter, `c` is new.
+    // `a` vanishes while it is referenced, `b` becomes stricter, `c` is new.
     let to = [("b", "single_shot"), ("c", "free")];
     assert_eq!(
-        renewed(&mut balancer_settings, &mut node_settings, &to, &[0, 1]),
+        reload(&mut balancer_settings, &mut node_settings, &to, &[0, 1]),
         [2, 3]
     );
     assert_eq!(node_settings.classes, ["a", "b", "b", "c"]);
@@ -50,9 +51,9 @@
         reedferry::Idempotency::NonIdempotent
     );
     assert_eq!(balancer_settings.max_attempts, 2);
-    // `a` comes again while one of its first time is held: the same terms, the same index.
+    // `a` comes again while one of its first time is referenced: the same terms, the same index.
     assert_eq!(
-        renewed(
+        reload(
             &mut balancer_settings,
             &mut node_settings,
             &[("a", "free"), ("c", "free")],
@@ -68,10 +69,10 @@
         ),
         (Some(0), None, Some(3))
     );
-    // What nobody holds is used again, so that the table stays short.
+    // What nobody refers to is reused, so that the table stays short.
     for n in 0..1000 {
         let names = [format!("x{n}"), format!("y{n}")];
-        renewed(
+        reload(
             &mut balancer_settings,
             &mut node_settings,
             &[(&names[0], "free"), (&names[1], "guarded")],
@@ -82,7 +83,7 @@
             balancer_settings
                 .classes
                 .iter()
-                .filter(|o| o.active)
+                .filter(|class| class.active)
                 .count(),
             2
         );
@@ -106,6 +107,6 @@
             Some("a.c.1.e"),
         ),
     ] {
-        assert_eq!(missing(&before, &after).as_deref(), gone);
+        assert_eq!(missing_key(&before, &after).as_deref(), gone);
     }
 }
--- a/settings/tests/keys.rs
+++ b/settings/tests/keys.rs
@@ -1,6 +1,7 @@
 //! The keys of the settings, each with a value of its own: settings of today are read tomorrow.
 
 use reedferry::{Idempotency, IdempotencyGroup, LoadMetric, MILLI};
+use reedferry_settings::Settings;
 use serde_json::json;
 
 #[test]
@@ -20,7 +21,10 @@
         "registry_mode": "on_request", "reporting": {"fields": ["x0", "util", "x1", "qps"], "via": "pull"},
         "extra": {"groups": true, "message_aim": [100, null, 120], "mode": "pass"},
         "tenants": [{"name": "acme"}]});
-    let (balancer_settings, node_settings) = reedferry_settings::from_value(settings).unwrap();
+    let Settings {
+        balancer: balancer_settings,
+        node: node_settings,
+    } = Settings::from_value(settings).unwrap();
     assert_eq!(
         (
             balancer_settings.node_index,
@@ -100,7 +104,7 @@
     let idempotencies: Vec<_> = balancer_settings
         .classes
         .iter()
-        .map(|o| (o.idempotency, o.idempotency_group))
+        .map(|class| (class.idempotency, class.idempotency_group))
         .collect();
     assert_eq!(
         idempotencies,
@@ -110,12 +114,12 @@
             (Idempotency::NonIdempotent, IdempotencyGroup::Cell)
         ]
     );
-    let aims: Vec<_> = balancer_settings
+    let message_objectives: Vec<_> = balancer_settings
         .classes
         .iter()
-        .map(|o| o.message_latency_objective / MILLI)
+        .map(|class| class.message_latency_objective / MILLI)
         .collect();
-    assert_eq!(aims, [100, 500, 120]);
+    assert_eq!(message_objectives, [100, 500, 120]);
     let first = &balancer_settings.classes[0];
     assert_eq!(
         (first.idempotency_window, first.priority_weight),
--- a/testkit/src/two_tier.rs
+++ b/testkit/src/two_tier.rs
@@ -161,7 +161,7 @@
     settings: &Value,
     seed: u64,
 ) -> Result<f64, String> {
-    let (balancer_settings, _) = reedferry_settings::from_value(settings.clone())?;
+    let balancer_settings = reedferry_settings::Settings::from_value(settings.clone())?.balancer;
     let start = 1_000 * SECOND;
     let mut out = Vec::new();
     let mut module = Balancer::new(balancer_settings, seed, start, &mut out);
@@ -249,8 +249,8 @@
         "papers = \"PAPERS\"\n[plan]\nname = \"p0\"\nlisten = \"127.0.0.1:0\"\nsettle = \"0s\"\n\
         [[planner]]\nname = \"p0\"\naddress = \"127.0.0.1:1\"\n";
     let node = Node::start_as("plan", text, &node_config);
-    let (_, terms) = reedferry_settings::from_value(node_config["settings"].clone())?;
-    let fingerprint = reedferry_control_plane::fingerprint(terms.names());
+    let settings = reedferry_settings::Settings::from_value(node_config["settings"].clone())?;
+    let fingerprint = reedferry_control_plane::fingerprint(settings.node.names());
     // Several at once, so that none of them is what is measured.
     let speak = |n: u64| -> Result<u64, String> {
         let mut speaker = Speaker::follow(node.address, "p0", &format!("s{n}"), fingerprint)?;
