--- a/node/tests/clocks.rs
+++ b/node/tests/clocks.rs
@@ -47,8 +47,8 @@
         + 1000 * off
 }
 
-/// Guards: a host that has just started taken for a warm one, and pushed over, or a warm one taken for cold for an hour:
-/// its machine's wall clock or the node's was stepped since the other read it.
+/// Prevents that a host which has just started is taken for a warm one, and overloaded, or a warm one for one in its slow start for
+/// an hour, as its machine's wall clock or the node's was stepped since the other read it.
 #[test]
 fn a_host_that_starts_is_cold_for_its_warm_up_whatever_the_wall_clocks_say() {
     for some in OFF.chunks(AT_ONCE) {
@@ -61,6 +61,10 @@
 }
 
 /// One node whose clock is off by so many seconds, and a host that starts with one that is off by so many.
+#[expect(
+    clippy::too_many_lines,
+    reason = "one trial: its start, its load and what was measured"
+)]
 fn warms_up(node_off: i64, host_off: i64) {
     let (service, referee, spoiler) = (Discovery::start(), Referee::default(), Spoiler::default());
     let hosts = Hosts::start(3, &referee);
@@ -132,9 +136,13 @@
     standing.end();
 }
 
-/// Guards: a silent client kept, or an open connection sent away, by a process that counts what passed before it by
-/// another wall clock.
+/// Prevents that a silent client is kept, or an open connection migrated, by a process that counts what passed before it by another
+/// wall clock.
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one story, of which each step needs the one before"
+)]
 fn the_next_process_goes_on_with_real_spans_of_time_though_the_wall_clock_was_stepped() {
     for off in [-3600, 3600, -5, 5] {
         let (hosts, service) = (reedferry_testkit::Hosts::start(1), Discovery::start());
--- a/node/tests/closing.rs
+++ b/node/tests/closing.rs
@@ -29,8 +29,8 @@
     all
 }
 
-/// Guards: a client ended to make room for another that had just sent its request: lost in the reset that closing over
-/// unread bytes brings.
+/// Prevents that a client which has just sent its request is closed to free a descriptor: the request would be lost in the reset
+/// that closing over unread bytes brings.
 #[test]
 fn a_client_that_has_just_asked_is_not_ended_to_make_room() {
     let hosts = Hosts::start(2);
@@ -76,8 +76,8 @@
     }
 }
 
-/// Guards: a node that can't follow the list service, since clients that rest have filled its descriptors while that was
-/// down; it is back with a host that drains.
+/// Prevents that a node can't watch the discovery service, as idle clients took all descriptors while the service was down; it is
+/// back with a draining host.
 #[test]
 fn the_list_service_is_heard_though_resting_clients_hold_all_descriptors() {
     for mode in ["on_request", "pushed"] {
@@ -130,7 +130,7 @@
     }
 }
 
-/// Guards: an answer lost in a reset, as its client goes on sending while it is closed.
+/// Prevents that an answer is lost in a reset, as its client goes on sending while it is closed.
 #[test]
 fn answers_are_read_by_clients_that_go_on_sending() {
     for n in 0..8 {
@@ -154,7 +154,7 @@
     }
 }
 
-/// Guards: the last line of a host, in pieces right before its end, lost or cut short on its way to a client that sends.
+/// Prevents that the last line of a host, in pieces right before its end, is lost or cut short on its way to a client that sends.
 #[test]
 fn a_hosts_last_words_arrive_over_its_end_and_the_clients_own_lines() {
     let hosts = Hosts::start(1);
@@ -180,8 +180,8 @@
     }
 }
 
-/// Guards: a request that lies unread in the socket of a client that rested, refused as it is ended for resting; and one that
-/// crosses that end, told that it failed though it may come again.
+/// Prevents that a request which lies unread in the socket of an idle client is rejected as the client is closed for being idle; and
+/// that one which crosses that end is told that it failed, though it may be retried.
 #[test]
 fn a_client_that_asks_in_the_moment_in_which_it_is_ended_for_resting_is_served() {
     let hosts = Hosts::start(1);
@@ -218,7 +218,7 @@
     assert!(hosts.accept_soon().is_none(), "sent on after its end");
 }
 
-/// Guards: a host taken for silent, and its client moved, though its answer lies unread behind more than one turn takes in.
+/// Prevents that a host is taken for silent, and its client migrated, though its answer lies unread behind more than one turn serves.
 #[test]
 fn a_host_whose_answer_lies_unread_is_not_taken_for_silent() {
     let hosts = Hosts::start(1);
@@ -245,7 +245,7 @@
     );
 }
 
-/// Guards: the rest of an answer to a ping, of which a client took a part, lost as it is ended for resting.
+/// Prevents that the rest of an answer to a ping, of which a client took a part, is lost as the client is closed for being idle.
 #[test]
 fn the_rest_of_a_pings_answer_goes_out_before_the_end() {
     use reedferry_testkit::syscalls::{Call, Fault, Outcome, Spoiler};
--- a/node/tests/cold.rs
+++ b/node/tests/cold.rs
@@ -1,5 +1,5 @@
-//! Twenty processes of the program before one cold host: it is sent no more than its budget and chance by the sum of all,
-//! with some of them killed and started again meanwhile.
+//! Twenty processes and one host in its slow start: the sum of all sends it no more than its quota and chance, with some of them
+//! killed and started again meanwhile.
 
 use reedferry_testkit::acting::{Clients, Hosts, Referee};
 use reedferry_testkit::program::node_config_of;
@@ -27,8 +27,12 @@
     node_config
 }
 
-/// Guards: a cold host pushed over by the sum of twenty processes, each of which keeps to its own part.
+/// Prevents that a host in its slow start is overloaded by the sum of twenty processes, each of which keeps to its own share.
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one trial: its start, its load and what was measured"
+)]
 fn twenty_processes_keep_to_the_budget_of_one_cold_host() {
     let (service, referee) = (Discovery::start(), Referee::default());
     let hosts = Hosts::start(WARM + 1, &referee);
--- a/node/tests/gone.rs
+++ b/node/tests/gone.rs
@@ -1,5 +1,5 @@
-//! Clients that go: before they were taken in, while they wait, while their host's connection comes up, between two
-//! attempts, behind much else. No attempt begins for them after that, as the hosts saw it.
+//! Clients that leave: before they are accepted, while they wait, while the connection to their host is established, between two
+//! attempts, behind much else. No attempt begins for them after that, by what the hosts see.
 
 use reedferry_testkit::program::node_config_of;
 use reedferry_testkit::*;
@@ -57,7 +57,7 @@
     other.hears("PONG");
 }
 
-/// Guards: a line sent to a host whose connection came up after the client had gone, where settings allow no cancel.
+/// Prevents an attempt at a host whose connection is established after the client has left, where settings allow no cancellation.
 #[test]
 fn a_client_that_goes_while_its_hosts_connection_comes_up_is_not_sent_on() {
     for (cancel, way) in [true, false]
@@ -99,7 +99,7 @@
     }
 }
 
-/// Guards: a further attempt for a client that went while the one before was out.
+/// Prevents a retry for a client that left during the attempt before.
 #[test]
 fn a_client_that_goes_between_two_attempts_is_not_sent_on() {
     for (cancel, way) in [true, false]
@@ -125,8 +125,8 @@
     }
 }
 
-/// Guards: clients that had gone before the node took them in, or read their line, sent on one after the other by a process
-/// that stood still; those among them that stay served.
+/// Prevents attempts by a process that stood still for clients that left before it accepted them or read their line; the one that
+/// stayed is served.
 #[test]
 fn clients_that_went_while_the_process_stood_still_are_not_sent_on() {
     let hosts = Hosts::start(2);
@@ -154,7 +154,7 @@
     assert!(hosts.accept_soon().is_none(), "one that had gone");
 }
 
-/// Guards: an end that is never seen behind a first line as long as lines may be.
+/// Prevents that the end of a client is never seen behind a first line of the greatest length.
 #[test]
 fn the_end_of_a_client_with_the_longest_line_is_seen() {
     let hosts = Hosts::start(2);
@@ -173,7 +173,7 @@
     assert!(hosts.accept_soon().is_none());
 }
 
-/// Guards: a further attempt for a client that had gone, and whose end waited behind more than one turn takes in.
+/// Prevents a retry for a client that has left, and whose end waits behind more than one turn serves.
 #[test]
 fn a_client_whose_end_waits_behind_hundreds_of_others_is_not_sent_on() {
     for (cancel, way) in [true, false]
--- a/node/tests/handover.rs
+++ b/node/tests/handover.rs
@@ -1,5 +1,5 @@
-//! A connection that passes from one process to the next has one owner at each moment, also where a word between both can't be
-//! sent or read for a while, or the next process stands still.
+//! A connection that is handed over to a successor has one owner at each moment, also where a message between both can't be sent or
+//! read for a while, or the successor stands still.
 
 use reedferry_testkit::syscalls::{Call, Fault, Outcome, Spoiler};
 use reedferry_testkit::*;
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longer than a process waits for the next one to say that it has a connection.
+/// Longer than a process waits for its successor to acknowledge a connection.
 const LONGER_THAN_A_WORD_MAY_TAKE: Duration = Duration::from_millis(1900);
 const CONNECTIONS: usize = 20;
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// A node with open connections, at a listener that the test holds, and how its calls are spoilt.
+/// A node with open connections, at a listener that the test holds.
 struct Site {
     hosts: Hosts,
     _discovery: Discovery,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Guards: connections that both processes go on with, as the one before gives up waiting for words that lie unread.
+/// Prevents that both processes go on with a connection, as the predecessor gives up waiting for messages that lie unread.
 #[test]
 fn what_the_next_process_has_taken_stays_with_it_though_its_word_is_read_late() {
     let site = Site::new();
@@ -83,7 +83,7 @@
     }
 }
 
-/// Guards: bytes of a connection that the next process takes before it has said that it goes on with it.
+/// Prevents that the successor reads bytes of a connection before it has acknowledged it.
 #[test]
 fn the_next_process_touches_nothing_before_it_has_said_that_it_goes_on_with_it() {
     let site = Site::new();
@@ -122,7 +122,7 @@
     assert!(predecessor.wait().success());
 }
 
-/// Guards: clients of a process that ends, held for a next one that stands still until it is ended from outside.
+/// Prevents that clients of a process that ends are held for a successor that stands still, until the process is killed.
 #[test]
 fn clients_are_moved_in_time_where_the_next_process_stands_still_and_the_longest_expiry_is_short() {
     let mut site = Site::new();
--- a/node/tests/machine.rs
+++ b/node/tests/machine.rs
@@ -1,5 +1,5 @@
-//! Trouble of the own machine: system calls that fail for want of memory, descriptors, ports or a route, are interrupted,
-//! fall short or are held up. No request loses its answer by it, no host its good name, and no signal or settings are missed.
+//! Faults of the own machine: system calls that fail for want of memory, descriptors, ports or a route, are interrupted, fall short
+//! or are delayed. No request loses its answer by them, no host is ejected, and no signal or settings are missed.
 
 use reedferry_testkit::syscalls::{Call, Fault, Outcome, Spoiler};
 use reedferry_testkit::*;
@@ -19,7 +19,7 @@
     }
 }
 
-/// A host that takes whoever comes at once, and sends back each line.
+/// A host that accepts each request at once, and sends back each line.
 fn echo(mut host: Peer) {
     thread::spawn(move || {
         if !host.hear().starts_with("OPEN") {
@@ -48,7 +48,7 @@
     stream
 }
 
-/// A node before three hosts that take whoever comes.
+/// A node with three hosts that accept each request.
 struct Site {
     node: Node,
     spoiler: Spoiler,
@@ -84,7 +84,7 @@
     }
 }
 
-/// Guards: connections closed without an answer, and all hosts left out, for a moment's trouble of the own machine.
+/// Prevents that connections are closed without an answer, and all hosts ejected, for a transient fault of the own machine.
 #[test]
 fn trouble_of_the_own_machine_costs_no_request_its_answer() {
     // The least share that is served: what never came to a host may be refused.
@@ -141,7 +141,7 @@
     }
 }
 
-/// Guards: open connections cut off, as a line could not be read or sent at once.
+/// Prevents that open connections are cut off, as a line can't be read or sent at once.
 #[test]
 fn open_connections_outlast_trouble_of_the_own_machine() {
     for (call, errno) in [
@@ -162,7 +162,7 @@
     }
 }
 
-/// Guards: a process that ends at its start, or that never hears a signal or takes its settings up, for a moment's trouble.
+/// Prevents that a process ends at its start, or never handles a signal or takes up its settings, for a transient fault.
 #[test]
 fn a_start_signals_and_settings_outlast_trouble_of_the_own_machine() {
     for fault in [
@@ -208,8 +208,8 @@
     }
 }
 
-/// Guards: connections that two processes go on with, or that are sent away, as a word between both could not be sent or
-/// read at once.
+/// Prevents that two processes go on with a connection, or that it is migrated, as a message between both can't be sent or read at
+/// once.
 #[test]
 fn a_replacement_outlasts_trouble_of_the_own_machine() {
     for call in [Call::SendMessage, Call::ReceiveMessage] {
@@ -241,7 +241,7 @@
     }
 }
 
-/// Guards: a line that begins in the last moment of a drain's grace, by a process that is held up before it writes it.
+/// Prevents a line after the drain grace by a process that is delayed before it writes it.
 #[test]
 fn a_process_that_is_held_up_before_it_writes_keeps_to_the_grace_of_a_drain() {
     let (listener, first) = jammed();
@@ -282,7 +282,7 @@
     assert!(client.hear().starts_with("BUSY"));
 }
 
-/// Guards: an attempt that begins after its expiry, as the process stood still while the host's connection came up.
+/// Prevents an attempt after the request's deadline, as the process stood still while the connection to the host was established.
 #[test]
 fn nothing_begins_after_the_expiry_where_the_process_stood_still() {
     let (listener, first) = jammed();
@@ -320,7 +320,7 @@
     assert!(client.hear().starts_with("BUSY"));
 }
 
-/// Guards: a client that stopped within its line, and whose time is up as the process stands still, left without its error.
+/// Prevents that a client which stopped within its line, and whose time is up as the process stands still, gets no error.
 #[test]
 fn clients_that_stop_within_a_line_have_their_error_though_the_process_stands_still_meanwhile() {
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
@@ -355,7 +355,7 @@
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Guards: operators' calls closed without an answer, for a moment's trouble of the own machine.
+/// Prevents that operators' requests get no response, for a transient fault of the own machine.
 #[test]
 fn operators_calls_outlast_trouble_of_the_own_machine() {
     for fault in [
@@ -392,8 +392,8 @@
     }
 }
 
-/// Guards: an answer that comes in part or not at all where it takes more than one call to send, to a client that has ended its
-/// sending or one that rests while descriptors are short.
+/// Prevents that an answer which takes more than one call to send comes in part or not at all, to a client that has ended its sending
+/// or one that is idle while descriptors are short.
 #[test]
 fn answers_are_whole_though_they_take_several_calls_to_send() {
     let short = Fault {
@@ -424,8 +424,8 @@
     }
 }
 
-/// Guards: final answers that are late by more than sockets are allowed, as a process that is woken a little late had left
-/// itself next to no time before the expiry.
+/// Prevents final answers that are later than allowed on sockets, as a process that is woken a little late has left itself next to
+/// no time before the deadline.
 #[test]
 fn final_answers_are_in_time_though_the_process_is_woken_late() {
     let (hosts, discovery, spoiler) = (Hosts::start(1), Discovery::start(), Spoiler::default());
--- a/node/tests/ops.rs
+++ b/node/tests/ops.rs
@@ -1,4 +1,4 @@
-//! The node as its staff run it day by day: their calls, its figures, standby.
+//! The operators' API: status, metrics, standby.
 
 use reedferry_testkit::*;
 use serde_json::{json, Value};
@@ -93,7 +93,7 @@
     eventually("taken up", || node.figure("reloads_ok") == 1);
 }
 
-/// Guards: calls that are malformed, endless or for something else, answered with an error of their own kind.
+/// Prevents that requests which are malformed, endless or for something else are answered with another error than that of their kind.
 #[test]
 fn bad_calls_are_told_what_is_wrong_and_end_alone() {
     let hosts = Hosts::start(1);
@@ -138,7 +138,7 @@
     assert_eq!(ask(at, &with_body), (200, "active\n".into()));
 }
 
-/// Guards: operators shut out by callers that never finish, and a call that is lost where it comes in pieces.
+/// Prevents that operators are shut out by callers that never finish, and that a request is lost where it comes in pieces.
 #[test]
 fn a_call_is_answered_within_its_second_whatever_other_callers_do() {
     let hosts = Hosts::start(1);
@@ -220,8 +220,8 @@
     node.served(&hosts);
 }
 
-/// Guards: clients of a node that was called back, moved by what was begun before; a stop that an operator
-/// undoes, and one that waits for a standby to end.
+/// Prevents that clients of a node that has left standby are migrated by what was begun before, that an operator undoes a shutdown,
+/// and that a shutdown waits for a standby to end.
 #[test]
 fn active_stops_an_emptying_and_a_stop_wins_over_both() {
     let hosts = Hosts::start(2);
--- a/node/tests/pause.rs
+++ b/node/tests/pause.rs
@@ -1,5 +1,5 @@
-//! A process that stands still for a while, or is held up again and again, as its machine is, blames no host for what it did
-//! not see meanwhile.
+//! A process that stands still for a while, or is delayed again and again, as its machine is, blames no host for what it did not
+//! see meanwhile.
 
 use reedferry_testkit::syscalls::{Call, Fault, Outcome, Spoiler};
 use reedferry_testkit::*;
@@ -97,7 +97,8 @@
     }
 }
 
-/// Guards: hosts taken for slow, and every client refused for long, as answers lay unread while the process stood still.
+/// Prevents that hosts are taken for slow, and every client is rejected for long, as answers lay unread while the process stood
+/// still.
 #[test]
 fn clients_are_served_right_after_the_process_stood_still() {
     let site = Site::start();
@@ -110,7 +111,7 @@
     talking.end();
 }
 
-/// Guards: the same where each turn of the process takes long.
+/// Prevents the same where each turn of the process takes long.
 #[test]
 fn clients_are_served_right_after_the_process_was_held_up_again_and_again() {
     let site = Site::start();
@@ -137,7 +138,7 @@
     talking.end();
 }
 
-/// Guards: an answer that is due while a turn goes on with hundreds of others, each of which may hold it up.
+/// Prevents that an answer which is due is late, as a turn goes on with hundreds of others, each of which may delay it.
 #[test]
 fn what_is_due_is_answered_in_time_though_each_turn_has_much_to_do() {
     const TALKING: usize = 60;
@@ -190,7 +191,7 @@
     spoiler.clear();
 }
 
-/// Guards: a host taken for one that can't be reached, as the connection to it came up while the process stood still.
+/// Prevents that a host is taken for unreachable, as the connection to it was established while the process stood still.
 #[test]
 fn a_connection_that_came_up_while_the_process_stood_still_is_used() {
     let (listener, first) = jammed();
@@ -223,7 +224,7 @@
     client.hears("UP 1");
 }
 
-/// Guards: a host taken for silent, and full, as its answer to a probe lies unread in a process that stood still.
+/// Prevents that a host is taken for silent, and full, as its answer to a probe lies unread in a process that stood still.
 #[test]
 fn a_probe_that_was_answered_while_the_process_stood_still_counts_as_answered() {
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
--- a/node/tests/ready.rs
+++ b/node/tests/ready.rs
@@ -1,5 +1,5 @@
-//! Restarts: nine in ten processes serve within ten seconds of their start, in turn and together, under load, beside a list
-//! service that is slow.
+//! Restarts: nine in ten processes serve within ten seconds of their start, in turn and together, under load, beside a slow
+//! discovery service.
 
 use reedferry_testkit::acting::{Hosts, Referee};
 use reedferry_testkit::program::node_config_of;
@@ -45,8 +45,8 @@
     None
 }
 
-/// Guards: processes that wait for their turn at the list service, or again after it was too busy, for as long as settings
-/// allow, and are of no use meanwhile.
+/// Prevents that processes wait for their turn at the discovery service, or again after it was too busy, for as long as settings
+/// allow, and serve nobody meanwhile.
 #[test]
 fn nine_in_ten_that_know_nothing_serve_within_ten_seconds_beside_a_slow_service() {
     for together in [true, false] {
--- a/node/tests/retune.rs
+++ b/node/tests/retune.rs
@@ -1,4 +1,4 @@
-//! New settings at a node that runs: whole or not at all, and what is under way keeps what it came by.
+//! The reload of a running node's settings: whole or not at all, and what is under way keeps the class that it came by.
 
 use reedferry_testkit::*;
 use serde_json::{json, Value};
@@ -14,7 +14,7 @@
     json!({"name": name, "contract_time": 500.0, "expiry": 2000.0, "effect": idempotency, "group": "all", "payoff": 1.0})
 }
 
-/// Has it read this, and waits until that is counted.
+/// Has the node reload this, and waits until that is counted.
 fn reread(node: &Node, text: &str, taken: bool) {
     let name = if taken {
         "reloads_ok"
@@ -32,7 +32,7 @@
     OPEN.replace("chat", name)
 }
 
-/// What is asked for is served at the first host that is asked.
+/// A request of this class is served at the first host that is tried.
 fn serves(node: &Node, hosts: &Hosts, name: &str) {
     let mut client = node.open(&asks(name));
     let (_, mut host) = hosts.accept();
@@ -41,76 +41,78 @@
     client.hears("UP 1");
 }
 
-/// Guards: half of a file in force, or a node that goes on without what the file no longer says.
-#[test]
-fn a_broken_file_changes_nothing() {
-    let hosts = Hosts::start(2);
-    let (node, node_config, _discovery) = start(&hosts);
-    // Each would show by another discovery and another offering, were any of it taken up.
+/// Files that are cut short, lack a key or have a wrong value. Each would show by another discovery and another class, were any of it
+/// taken up.
+fn broken_files(node_config: &Value) -> Vec<String> {
     let mut other = node_config.clone();
     other["discovery"] = json!(nowhere().to_string());
     other["settings"]["offerings"] = json!([class("talk", "free")]);
     let whole = other.to_string();
-    let mut broken: Vec<String> = (0..whole.len())
+    let cut_short = (0..whole.len())
         .step_by(67)
-        .map(|cut| whole[..cut].to_string())
-        .collect();
-    for key in node_config
-        .as_object()
-        .unwrap()
-        .keys()
-        .filter(|key| *key != "known")
-    {
-        let mut short = other.clone();
-        short.as_object_mut().unwrap().remove(key);
-        broken.push(short.to_string());
-    }
-    for part in ["", "/contract", "/policy_limits", "/offerings/0"] {
-        let place = format!("/settings{part}");
-        for key in node_config
-            .pointer(&place)
-            .unwrap()
-            .as_object()
-            .unwrap()
-            .keys()
-        {
+        .map(|cut| whole[..cut].to_string());
+    cut_short
+        .chain(files_without_a_key(node_config, &other))
+        .chain(files_with_a_wrong_value(&other))
+        .collect()
+}
+
+/// Each key of these parts is missing once.
+fn files_without_a_key(node_config: &Value, other: &Value) -> Vec<String> {
+    let parts = [
+        "",
+        "/settings",
+        "/settings/contract",
+        "/settings/policy_limits",
+        "/settings/offerings/0",
+    ];
+    let mut files = Vec::new();
+    for part in parts {
+        let keys = node_config.pointer(part).unwrap().as_object().unwrap();
+        for key in keys.keys().filter(|key| *key != "known") {
             let mut short = other.clone();
-            short
-                .pointer_mut(&place)
-                .unwrap()
-                .as_object_mut()
-                .unwrap()
-                .remove(key);
-            broken.push(short.to_string());
+            let object = short.pointer_mut(part).unwrap().as_object_mut().unwrap();
+            object.remove(key);
+            files.push(short.to_string());
         }
     }
+    files
+}
+
+fn files_with_a_wrong_value(other: &Value) -> Vec<String> {
+    let mut files = Vec::new();
+    let mut set = |place: &str, value: Value| {
+        let mut wrong = other.clone();
+        *wrong.pointer_mut(&format!("/settings/{place}")).unwrap() = value;
+        files.push(wrong.to_string());
+    };
     for place in [
         "offerings/0/expiry",
         "offerings/0/contract_time",
         "policy_limits/most_hand_offs",
     ] {
-        for wild in [
-            json!(0),
-            json!(-5),
-            json!("soon"),
-            json!(null),
-            json!([]),
-            json!(true),
-        ] {
-            let mut wrong = other.clone();
-            *wrong.pointer_mut(&format!("/settings/{place}")).unwrap() = wild;
-            broken.push(wrong.to_string());
-        }
+        set(place, json!(0));
+        set(place, json!(-5));
+        set(place, json!("soon"));
+        set(place, json!(null));
+        set(place, json!([]));
+        set(place, json!(true));
     }
-    for classes in [
-        json!([]),
+    set("offerings", json!([]));
+    set(
+        "offerings",
         json!([class("talk", "free"), class("talk", "free")]),
-        json!(7),
-    ] {
-        let mut wrong = other.clone();
-        wrong["settings"]["offerings"] = classes;
-        broken.push(wrong.to_string());
-    }
+    );
+    set("offerings", json!(7));
+    files
+}
+
+/// Prevents that half of a file is in force, or that a node goes on without what the file no longer says.
+#[test]
+fn a_broken_file_changes_nothing() {
+    let hosts = Hosts::start(2);
+    let (node, node_config, _discovery) = start(&hosts);
+    let broken = broken_files(&node_config);
     for text in &broken {
         reread(&node, text, false);
     }
@@ -201,7 +203,7 @@
     assert!(hosts.accept_soon().is_none());
 }
 
-/// Guards: hosts taken for those of another zone where the names of zones change their places.
+/// Prevents that hosts are taken for those of another zone where the names of zones change their indices.
 #[test]
 fn zones_may_change_their_places() {
     let hosts = Hosts::start(2);
@@ -218,9 +220,13 @@
     node.open(&OPEN.replace("c=chat,t=acme", &format!("c={name},t={tenant}")))
 }
 
-/// Guards: one customer's connection that goes by another's terms, or is cut, where classes are renamed, reordered, added and
-/// taken away by SIGHUP, and tenants too, while connections are held and open.
+/// Prevents that one customer's connection goes by another's terms, or is cut, where classes are renamed, reordered, added and
+/// removed by SIGHUP, and tenants too, while requests are pending and connections open.
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one story, of which each step needs the one before"
+)]
 fn what_is_held_and_open_goes_by_its_own_terms_over_other_classes_and_tenants() {
     let hosts = Hosts::start(12);
     let discovery = Discovery::start();
--- a/node/tests/stopping.rs
+++ b/node/tests/stopping.rs
@@ -1,5 +1,5 @@
-//! A program that is asked to stop at each point of a connection's life: everyone has one answer that can be read, nothing
-//! is sent after it, and nobody is held any more when the program may be ended from outside.
+//! A process that is asked to stop at each point of a connection's life: everyone has one answer that can be read, nothing is sent
+//! after it, and nobody is held any more when the process may be killed.
 
 use reedferry_testkit::program::node_config_of;
 use reedferry_testkit::*;
@@ -18,7 +18,7 @@
     (Node::start(&node_config), discovery)
 }
 
-/// When a program with this longest expiry may be ended from outside at the earliest.
+/// When a process with this longest deadline may be killed at the earliest.
 fn ended_outside(deadline: u64) -> Duration {
     ms(deadline.min(3000) + 700)
 }
@@ -35,8 +35,8 @@
     other.hears("PONG");
 }
 
-/// Guards: connections whose host has stopped within a line, held until the program was ended from outside as their turn to
-/// be moved came late: each was lost.
+/// Prevents that connections whose host has stopped within a line are held until the process is killed, as their turn to be
+/// migrated comes late: each would be lost.
 #[test]
 fn connections_whose_host_stopped_within_a_line_are_ended_before_the_program_is() {
     let hosts = Hosts::start(1);
@@ -60,7 +60,7 @@
     assert!(node.wait().success());
 }
 
-/// Guards: the same where clients stopped within a line of theirs: these can be moved still.
+/// Prevents the same where clients stopped within a line of theirs: these can still be migrated.
 #[test]
 fn clients_that_stopped_within_a_line_are_moved_before_the_program_ends() {
     let hosts = Hosts::start(1);
@@ -83,8 +83,8 @@
     assert!(node.wait().success());
 }
 
-/// Guards: an answer that comes only after the program was ended from outside, where clients may wait for longer than
-/// that leaves; one that may have run dismissed as though it had not.
+/// Prevents that an answer comes only after the process was killed, where clients may wait for longer than that leaves, and that a
+/// request which may have run is rejected as though it had not.
 #[test]
 fn what_hosts_do_not_answer_is_answered_before_the_program_ends_however_long_it_may_wait() {
     for (idempotency, answer) in [("free", "BUSY"), ("single_shot", "ERR")] {
@@ -115,7 +115,7 @@
     }
 }
 
-/// Guards: clients that rest or have sent half of their line, and are held when the program ends.
+/// Prevents that idle clients and those that have sent half of their line are held when the process ends.
 #[test]
 fn clients_that_have_not_asked_are_sent_away_before_the_program_ends() {
     let hosts = Hosts::start(1);
@@ -155,7 +155,8 @@
     (listener, first, members)
 }
 
-/// Guards: an attachment lost, or sent on after its answer, where the signal comes while its host's connection comes up.
+/// Prevents that a request is lost, or sent to a host after its answer, where the signal comes while the connection to its host is
+/// established.
 #[test]
 fn a_stop_while_the_connection_to_the_host_comes_up() {
     let (listener, first, members) = slow_host();
@@ -182,8 +183,8 @@
     }
 }
 
-/// Guards: an answer on its way from the host dropped by a stop, a second signal or new papers in the middle that
-/// cut what is under way, and answers lost in a reset as clients go on sending.
+/// Prevents that an answer on its way from the host is dropped by a shutdown, that a second signal or a reload in the middle cuts what
+/// is under way, and that answers are lost in a reset as clients go on sending.
 #[test]
 fn an_answer_on_its_way_is_passed_on_over_two_signals_and_new_papers() {
     let hosts = Hosts::start(1);
@@ -222,8 +223,8 @@
     assert!(node.wait().success());
 }
 
-/// Guards: an answer that lies unread, behind more than one turn takes in, as the last moment comes by which anybody is held:
-/// what may have run failed though it had been taken.
+/// Prevents that a request which may have run fails though it was accepted, as its answer lies unread, behind more than one turn
+/// serves, at the last moment by which anybody is held.
 #[test]
 fn an_answer_that_lies_unread_at_the_last_moment_of_a_stop_is_passed_on() {
     let hosts = Hosts::start(1);
--- a/node/tests/succession.rs
+++ b/node/tests/succession.rs
@@ -1,4 +1,4 @@
-//! One process in place of another: both started and spoken to over sockets, at a listener that the test holds.
+//! Hot restart: one process replaces another, both started and spoken to over sockets, at a listener that the test holds.
 
 use reedferry_runtime::Budget;
 use reedferry_testkit::acting::{self, Clients, Referee, Way};
@@ -56,7 +56,7 @@
     assert!(node.wait().success());
 }
 
-/// Guards: clients moved, or their lines lost or doubled, where one process takes the place of another.
+/// Prevents that clients are migrated, or their lines lost or doubled, in a hot restart.
 #[test]
 fn open_connections_go_on_in_the_next_process_with_what_was_on_its_way() {
     let site = Site::new(3);
@@ -132,7 +132,7 @@
     assert_eq!(successor.figure("in_flight"), 2);
 }
 
-/// Guards: clients given to a process that is gone; a node that stops serving since one was to follow it.
+/// Prevents that clients are handed over to a process that is gone, and that a node stops serving since one was to replace it.
 #[test]
 fn a_next_process_that_dies_leaves_the_one_before_as_it_was() {
     let site = Site::new(2);
@@ -205,7 +205,7 @@
     }
 }
 
-/// Guards: a node led astray by whoever else calls where the next process would.
+/// Prevents that a node is led astray by whoever else connects where the successor would.
 #[test]
 fn a_stranger_on_the_channel_is_dropped_and_nothing_is_given_away() {
     let site = Site::new(1);
@@ -226,7 +226,7 @@
     speaks(&mut open.0, &mut open.2);
 }
 
-/// Guards: a node that starts beside the one that holds its listener, or without any.
+/// Prevents that a node starts beside the one that holds its listener, or without any.
 #[test]
 fn a_descriptor_that_is_no_listener_is_one_plain_line_and_no_start() {
     let site = Site::new(1);
@@ -269,7 +269,7 @@
     assert!(number == good || masked.elapsed() > Duration::from_secs(2));
 }
 
-/// The rules over both processes, by what hosts and clients saw, among hosts in trouble.
+/// The invariants over both processes, by what hosts and clients saw, among faulty hosts.
 #[test]
 fn under_load_every_client_has_one_answer_and_none_is_lost_at_the_door() {
     let referee = Referee::default();
@@ -317,8 +317,8 @@
         "repeat_window": 900.0})
 }
 
-/// Guards: one customer's connection that goes by another's terms, or is cut, where one process takes the place of another
-/// whose settings name the classes in another order, without one of them, with one that means something else and with a new one.
+/// Prevents that one customer's connection goes by another's terms, or is cut, in a hot restart where the successor's settings name
+/// the classes in another order, without one of them, with one that means something else and with a new one.
 #[test]
 fn connections_keep_their_own_terms_in_a_next_process_with_other_settings() {
     let mut site = Site::new(2);
@@ -385,7 +385,7 @@
     ended(&mut successor);
 }
 
-/// A process that comes as the next one, and speaks to the predecessor by its own words.
+/// A test's own successor, which speaks the protocol of a hot restart.
 struct Stranger {
     budget: Budget,
     line: reedferry_runtime::Socket,
@@ -398,7 +398,7 @@
         // It says hello in this version.
         line.send_with(&[0, 3], &[]).unwrap();
         let one = Stranger { budget, line };
-        // The pieces of what the predecessor knows, to the last.
+        // The chunks of the predecessor's state, to the last.
         while one.hear().last() != Some(&1) {}
         one
     }
@@ -418,15 +418,15 @@
         }
     }
 
-    /// Is given a connection, and would not have it.
+    /// Receives a connection, and rejects it.
     fn turns_down(&self) {
         assert!(!self.hear().is_empty(), "none is given");
         self.line.send_with(&[1, 0], &[]).unwrap();
     }
 }
 
-/// Guards: a connection that the next process would not have, given to it again and again or held until the program is
-/// ended from outside, as it is neither passed on nor moved.
+/// Prevents that a connection which the successor rejects is handed over again and again, or held until the process is killed, as it
+/// is neither handed over nor migrated.
 #[test]
 fn a_connection_that_is_turned_down_is_moved_by_the_process_that_has_it() {
     let site = Site::new(1);
