--- a/node/src/operators/operator_config/error.rs
+++ b/node/src/operators/operator_config/error.rs
@@ -117,7 +117,7 @@
     GossipOfOtherRole,
     /// Gossip and peers contradict each other.
     #[error(transparent)]
-    Peers(#[from] PeersError),
+    Peers(#[from] PeerListError),
     /// A forwarder without planners.
     #[error("a forwarder needs a [[planner]] or more")]
     NoPlanner,
@@ -143,7 +143,7 @@
 
 /// How gossip and peers contradict each other.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum PeersError {
+pub enum PeerListError {
     /// Peers though gossip is disabled.
     #[error("peers without leave: policy_limits.peers in the papers is false")]
     NotAllowed,
--- a/node/src/operators/operator_config/mod.rs
+++ b/node/src/operators/operator_config/mod.rs
@@ -9,7 +9,7 @@
 mod sections;
 mod source;
 
-pub use error::{OperatorConfigError, PeersError};
+pub use error::{OperatorConfigError, PeerListError};
 pub use peers::gossip_peers;
 
 use crate::operators::config_files;
@@ -233,9 +233,9 @@
 }
 
 /// Where an error about peers is reported: at the peer, or else at the first peer, the node's section or the node configuration.
-fn peers_span(sections: &FileSections, error: &PeersError) -> Span {
+fn peers_span(sections: &FileSections, error: &PeerListError) -> Span {
     let index = match error {
-        PeersError::Peer { index, .. } => *index,
+        PeerListError::Peer { index, .. } => *index,
         _ => 0,
     };
     if let Some(peer) = sections.peers.get(index) {
--- a/node/src/operators/operator_config/peers.rs
+++ b/node/src/operators/operator_config/peers.rs
@@ -1,7 +1,7 @@
 //! Which peers a node exchanges gossip messages with. Gossip without peers, or peers without gossip, is a mix of two shapes of
 //! deployment, and is refused.
 
-use super::error::{PeerRejection, PeersError};
+use super::error::{PeerListError, PeerRejection};
 use crate::operators::node_config::NodeConfig;
 use crate::peers::words::Correspondence;
 use std::net::SocketAddr;
@@ -14,21 +14,21 @@
     node_config: &NodeConfig,
     address: Option<SocketAddr>,
     peers: &[SocketAddr],
-) -> Result<Option<Correspondence>, PeersError> {
+) -> Result<Option<Correspondence>, PeerListError> {
     if !node_config.balancer_settings.gossip_enabled {
         return match (address, peers) {
             (None, []) => Ok(None),
-            _ => Err(PeersError::NotAllowed),
+            _ => Err(PeerListError::NotAllowed),
         };
     }
-    let address = address.ok_or(PeersError::NoAddress)?;
+    let address = address.ok_or(PeerListError::NoAddress)?;
     if peers.is_empty() {
-        return Err(PeersError::NoPeers);
+        return Err(PeerListError::NoPeers);
     }
     let node_count = node_config.balancer_settings.node_count as usize;
     for (index, peer) in peers.iter().enumerate() {
         if let Some(reason) = rejection(address, peers, index, node_count) {
-            return Err(PeersError::Peer {
+            return Err(PeerListError::Peer {
                 index,
                 address: *peer,
                 reason,
--- a/node/src/roles/standalone/config_source.rs
+++ b/node/src/roles/standalone/config_source.rs
@@ -3,7 +3,7 @@
 use crate::operators::config_files::MayBeTransient;
 use crate::operators::node_config::{NodeConfig, NodeConfigError};
 use crate::operators::operator_config::{
-    gossip_peers, OperatorConfig, OperatorConfigError, PeersError, Role,
+    gossip_peers, OperatorConfig, OperatorConfigError, PeerListError, Role,
 };
 use crate::peers::words::Correspondence;
 use std::path::{Path, PathBuf};
@@ -30,7 +30,7 @@
     NodeConfig(#[from] NodeConfigError),
     /// That file needs peers, which only an operator's file can name.
     #[error(transparent)]
-    Peers(#[from] PeersError),
+    Peers(#[from] PeerListError),
     /// The operator's file can't be read or used.
     #[error(transparent)]
     OperatorConfig(#[from] OperatorConfigError),
