--- a/node/src/roles/standalone/event_loop.rs
+++ b/node/src/roles/standalone/event_loop.rs
@@ -71,21 +71,27 @@
             context::REREAD => self.reload_if_asked(),
             context::DISCOVERY => self.discovery.ready(context, ready),
             context::PROBE => self.probes.ready(context, ready),
-            context::OPS_LISTENER => self
-                .operator_api
-                .iter_mut()
-                .for_each(|api| api.accept(context)),
-            context::OPS => self
-                .operator_api
-                .iter_mut()
-                .for_each(|api| api.ready(context, ready)),
+            context::OPS_LISTENER => {
+                if let Some(api) = &mut self.operator_api {
+                    api.accept(context);
+                }
+            }
+            context::OPS => {
+                if let Some(api) = &mut self.operator_api {
+                    api.ready(context, ready);
+                }
+            }
             context::SUCCESSOR_LISTENER | context::SUCCESSOR | context::PREDECESSOR => {
                 self.hot_restart
                     .ready(context, &mut self.connections, ready);
             }
             context::PEERS => {
-                self.peers.iter_mut().for_each(|peers| peers.ready(context));
-                self.fleet.iter_mut().for_each(|fleet| fleet.ready(context));
+                if let Some(peers) = &mut self.peers {
+                    peers.ready(context);
+                }
+                if let Some(fleet) = &mut self.fleet {
+                    fleet.ready(context);
+                }
             }
             _ => self.connections.ready(context, ready),
         }
@@ -108,8 +114,16 @@
             context::PROBE => self.probes.due(context, mark),
             context::RETRY => self.connections.retry(context),
             context::CHANNEL_RETRY => self.hot_restart.retry(context, &mut self.connections),
-            context::WARDS => self.wards.iter_mut().for_each(|wards| wards.due(context)),
-            context::FLEET => self.fleet.iter_mut().for_each(|fleet| fleet.due(context)),
+            context::WARDS => {
+                if let Some(wards) = &mut self.wards {
+                    wards.due(context);
+                }
+            }
+            context::FLEET => {
+                if let Some(fleet) = &mut self.fleet {
+                    fleet.due(context);
+                }
+            }
             _ => self.sweep(),
         }
     }
@@ -194,8 +208,12 @@
             Action::WatchEndpoints => self.discovery.follow(context),
             Action::Probe { host } => self.probes.send(context, host),
             Action::Gossip { message } => {
-                self.peers.iter().for_each(|peers| peers.tell(&message));
-                self.fleet.iter().for_each(|fleet| fleet.tell(&message));
+                if let Some(peers) = &self.peers {
+                    peers.tell(&message);
+                }
+                if let Some(fleet) = &self.fleet {
+                    fleet.tell(&message);
+                }
             }
             Action::Log(text) => info!(context.log, "{}", text),
             // The connections have carried out the rest.
@@ -219,9 +237,9 @@
         self.stop_if_asked();
         self.reload_if_asked();
         let context = &mut self.context;
-        self.operator_api
-            .iter_mut()
-            .for_each(|api| api.sweep(context));
+        if let Some(api) = &mut self.operator_api {
+            api.sweep(context);
+        }
         self.connections
             .accept(context, self.hot_restart.listener());
         self.connections.sweep(context);
