--- a/node/src/operators/mod.rs
+++ b/node/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! Configuration, metrics and the operators' API: what operators and the platform tell the program, and what it tells them. This
+//! The configuration, the metrics and the operators' API: how operators and the platform direct the program, and what it reports. This
 //! module must never act on that by itself.
 
 pub mod api;
--- a/node/src/operators/node_config.rs
+++ b/node/src/operators/node_config.rs
@@ -197,7 +197,7 @@
     }
 
     /// The parts that differ in a newer configuration and that a running node does not take up.
-    pub fn kept_from(&self, newer: &NodeConfig) -> Vec<&'static str> {
+    pub fn parts_kept_until_restart(&self, newer: &NodeConfig) -> Vec<&'static str> {
         let differs = |key: &&str| self.document[*key] != newer.document[*key];
         ["name", "listen", "ops", "limits"]
             .into_iter()
@@ -210,7 +210,7 @@
     ///
     /// # Errors
     /// The key that is missing.
-    pub fn whole_in(&self, newer: &NodeConfig) -> Result<(), MissingKey> {
+    pub fn check_complete(&self, newer: &NodeConfig) -> Result<(), MissingKey> {
         match reedferry_settings::reload::missing_key(&self.document, &newer.document) {
             Some(key) => Err(MissingKey(key)),
             None => Ok(()),
--- a/node/src/operators/operator_config/error.rs
+++ b/node/src/operators/operator_config/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with an operator's file. Each error is one line that names the place and what would be right.
+//! What can be wrong with an operator's file. Each error is one line that names the line and what would be right.
 
 use crate::operators::config_files::ReadError;
 use crate::operators::node_config::NodeConfigError;
@@ -42,7 +42,7 @@
     }
 }
 
-/// What is wrong at a place of the file.
+/// What is wrong at a line of the file.
 #[derive(Debug, thiserror::Error)]
 pub enum Problem {
     /// It is no TOML, or not of this form.
--- a/node/src/operators/operator_config/mod.rs
+++ b/node/src/operators/operator_config/mod.rs
@@ -1,6 +1,6 @@
 //! The operator's file: in which role the program runs, and the options of that role. This module owns the form of the file, its
 //! units, and what contradicts what. It must never let a program start, or go on with, a file that is not valid throughout:
-//! whatever is wrong is one line that names the place and what would be right.
+//! whatever is wrong is one line that names the line and what would be right.
 
 mod control_plane;
 mod error;
--- a/node/src/operators/tally.rs
+++ b/node/src/operators/tally.rs
@@ -14,7 +14,7 @@
     failed: u64,
 }
 
-/// How a request ended its wait, as the client was told.
+/// How a request ended its wait, by what the client heard.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
     /// It was connected to a host.
--- a/node/src/roles/standalone/event_loop.rs
+++ b/node/src/roles/standalone/event_loop.rs
@@ -26,8 +26,8 @@
             self.connections
                 .resume(&mut self.context, self.hot_restart.listener());
         }
-        while let Some((mark, word)) = self.context.poller.due(self.context.now) {
-            self.handle_timer(mark, word);
+        while let Some((mark, timer)) = self.context.poller.due(self.context.now) {
+            self.handle_timer(mark, timer);
         }
         if let (Some(wards), Some(fleet)) = (&mut self.wards, &mut self.fleet) {
             wards.turn(&mut self.context, fleet);
@@ -106,11 +106,11 @@
         }
     }
 
-    fn handle_timer(&mut self, mark: Mark, word: u64) {
+    fn handle_timer(&mut self, mark: Mark, timer: u64) {
         let context = &mut self.context;
         match mark.part {
-            context::MODULE => context.events.push(Event::TimerFired { timer: word }),
-            context::HOST => self.connections.due(context, mark, word),
+            context::MODULE => context.events.push(Event::TimerFired { timer }),
+            context::HOST => self.connections.due(context, mark, timer),
             context::PROBE => self.probes.due(context, mark),
             context::RETRY => self.connections.retry(context),
             context::CHANNEL_RETRY => self.hot_restart.retry(context, &mut self.connections),
--- a/node/src/roles/standalone/reload.rs
+++ b/node/src/roles/standalone/reload.rs
@@ -35,7 +35,7 @@
         };
         // Without the check, a node would be ended or led astray by a file that is half written or wrong.
         let checked = loaded.and_then(|loaded| {
-            self.node_config.whole_in(&loaded.node_config)?;
+            self.node_config.check_complete(&loaded.node_config)?;
             Ok(loaded)
         });
         self.context.tally.reread(checked.is_ok());
@@ -61,7 +61,7 @@
             mut node_config,
             correspondence,
         } = loaded;
-        let mut kept = self.node_config.kept_from(&node_config);
+        let mut kept = self.node_config.parts_kept_until_restart(&node_config);
         if !self.takes_up_peers(correspondence.as_ref(), &node_config) {
             kept.push("peers");
             node_config.balancer_settings.gossip_enabled =
