--- a/node/src/operators/api/mod.rs
+++ b/node/src/operators/api/mod.rs
@@ -175,7 +175,8 @@
     /// Drops the connection that has its response, or else the one that has taken longest over its request.
     fn evict(&mut self) {
         let has_response = |connection: &Connection| matches!(connection.stage, Stage::Lingering);
-        // Of those accepted in one turn the stamp tells which came first. Without it, the last would go where its slot is the lowest.
+        // Of those accepted in one turn the stamp tells which came first. Without it, the last would go where its slot is the
+        // lowest.
         let first = self
             .connections
             .iter()
--- a/node/src/operators/mod.rs
+++ b/node/src/operators/mod.rs
@@ -1,5 +1,5 @@
-//! The configuration, the metrics and the operators' API: how operators and the platform direct the program, and what it reports. This
-//! module must never act on that by itself.
+//! The configuration, the metrics and the operators' API: how operators and the platform direct the program, and what it
+//! reports. This module must never act on that by itself.
 
 pub mod api;
 pub mod config_files;
--- a/node/src/roles/standalone/mod.rs
+++ b/node/src/roles/standalone/mod.rs
@@ -1,6 +1,6 @@
-//! The standalone role: a node that decides for itself. This module owns the node's state and the order in which a turn of its event
-//! loop goes: gather what is ready, hand it to the balancer in one go with one reading of the clock, carry out the balancer's
-//! actions. It must never decide anything that the balancer decides, nor wait for anything but the poller.
+//! The standalone role: a node that decides for itself. This module owns the node's state and the order in which a turn of
+//! its event loop goes: gather what is ready, hand it to the balancer in one go with one reading of the clock, carry out
+//! the balancer's actions. It must never decide anything that the balancer decides, nor wait for anything but the poller.
 
 mod config_source;
 mod event_loop;
