--- a/node/src/operators/api/mod.rs
+++ b/node/src/operators/api/mod.rs
@@ -187,7 +187,7 @@
     }
 
     /// Handles what the poller reports of a connection.
-    pub fn ready(&mut self, context: &mut Context, ready: Readiness) {
+    pub fn on_ready(&mut self, context: &mut Context, ready: Readiness) {
         let slot = ready.mark.slot as usize;
         let connection = self.connections.get(slot);
         if connection.is_none_or(|connection| connection.stamp != ready.mark.stamp) {
@@ -202,7 +202,7 @@
     }
 
     /// The next whole request.
-    pub fn next(&mut self) -> Option<(Caller, ApiRequest)> {
+    pub fn next_request(&mut self) -> Option<(Caller, ApiRequest)> {
         (!self.requests.is_empty()).then(|| self.requests.remove(0))
     }
 
--- a/node/src/roles/hot_restart/mod.rs
+++ b/node/src/roles/hot_restart/mod.rs
@@ -173,7 +173,7 @@
     }
 
     /// Handles what the poller reports of the channels and their listener.
-    pub fn ready(
+    pub fn on_ready(
         &mut self,
         context: &mut Context,
         connections: &mut Connections,
--- a/node/src/roles/standalone/event_loop.rs
+++ b/node/src/roles/standalone/event_loop.rs
@@ -78,12 +78,12 @@
             }
             context::OPS => {
                 if let Some(api) = &mut self.operator_api {
-                    api.ready(context, ready);
+                    api.on_ready(context, ready);
                 }
             }
             context::SUCCESSOR_LISTENER | context::SUCCESSOR | context::PREDECESSOR => {
                 self.hot_restart
-                    .ready(context, &mut self.connections, ready);
+                    .on_ready(context, &mut self.connections, ready);
             }
             context::PEERS => {
                 if let Some(peers) = &mut self.peers {
@@ -98,7 +98,11 @@
     }
 
     fn answer_operators(&mut self) {
-        while let Some((caller, request)) = self.operator_api.as_mut().and_then(OperatorApi::next) {
+        while let Some((caller, request)) = self
+            .operator_api
+            .as_mut()
+            .and_then(OperatorApi::next_request)
+        {
             let response = self.answer(request);
             if let Some(api) = &mut self.operator_api {
                 api.respond(&mut self.context, caller, &response);
