--- a/node/src/operators/api/mod.rs
+++ b/node/src/operators/api/mod.rs
@@ -2,6 +2,7 @@
 //! descriptors and buffers of their own, and their timeouts. It must never decide anything, wait for a caller, or look into the
 //! decision core: a whole request is given to the event loop, which has it answered.
 
+mod connection;
 mod request;
 mod response;
 
@@ -10,10 +11,10 @@
 
 use crate::context::{mark, Context, OPS, OPS_LISTENER, START_WITHIN};
 use crate::error::FatalError;
+use connection::{Connection, Progress, Stage};
 use reedferry::{Nanos, SECOND};
-use reedferry_runtime::errors::{on_accept, on_connection, patiently, NotAccepted, Trouble};
-use reedferry_runtime::{Budget, Buffer, Mark, Pool, Readiness, Socket};
-use request::{parse, Parsed};
+use reedferry_runtime::errors::{on_accept, patiently, NotAccepted};
+use reedferry_runtime::{Budget, Mark, Pool, Readiness, Socket};
 use slab::Slab;
 use slog::info;
 use std::net::SocketAddr;
@@ -26,8 +27,6 @@
 const CALL_TIMEOUT: Nanos = 2 * SECOND;
 /// How long a caller has after its response to end the connection.
 const LINGER_TIMEOUT: Nanos = SECOND;
-/// How much of what comes after the head is read at a time.
-const DISCARD_BYTES: usize = 4096;
 
 /// The connection that a request came on, until its response.
 #[derive(Clone, Copy, Debug)]
@@ -36,51 +35,6 @@
     stamp: u32,
 }
 
-/// How far a call has gone.
-enum Stage {
-    /// The head is incomplete.
-    ReadingHead(Buffer),
-    /// So much of the body is still to come.
-    ReadingBody { request: ApiRequest, left: u64 },
-    /// The request is whole, and its response is still to be given.
-    AwaitingResponse,
-    /// So much of the response has been written.
-    Writing { response: Vec<u8>, written: usize },
-    /// All of the response has been written; the caller's end is waited for.
-    Lingering,
-}
-
-struct Connection {
-    socket: Socket,
-    stamp: u32,
-    /// When its stage began.
-    since: Nanos,
-    stage: Stage,
-    /// The poller reports it.
-    is_watched: bool,
-}
-
-impl Connection {
-    fn respond(&mut self, response: Vec<u8>, now: Nanos) {
-        self.stage = Stage::Writing {
-            response,
-            written: 0,
-        };
-        self.since = now;
-    }
-}
-
-/// What a read or write leaves of a connection.
-#[derive(PartialEq)]
-enum Progress {
-    /// It goes on when the poller reports it, or at the next sweep.
-    Waiting,
-    /// It is to be read on.
-    Continues,
-    /// It is over.
-    Ended,
-}
-
 /// The server of the operators' API.
 pub struct OperatorApi {
     listener: Socket,
@@ -282,77 +236,3 @@
         self.accept(context);
     }
 }
-
-impl Connection {
-    /// Receives once, into the head's buffer, or counts what comes of the body and discards it.
-    fn receive(&mut self) -> Progress {
-        let mut discarded = [0; DISCARD_BYTES];
-        let space = match &mut self.stage {
-            Stage::ReadingHead(head) => head.spare(),
-            _ => &mut discarded,
-        };
-        let count = match self.socket.receive(space) {
-            // The caller may have ended its sending alone: then it still reads its response.
-            Ok(0) => {
-                return match &self.stage {
-                    Stage::Writing { .. } | Stage::AwaitingResponse => Progress::Waiting,
-                    _ => Progress::Ended,
-                }
-            }
-            Ok(count) => count,
-            // The next sweep goes on where the poller does not.
-            Err(error) if on_connection(error) != Trouble::Connection => return Progress::Waiting,
-            Err(_) => return Progress::Ended,
-        };
-        match &mut self.stage {
-            Stage::ReadingHead(head) => head.filled(count),
-            Stage::ReadingBody { left, .. } => *left = left.saturating_sub(count as u64),
-            // The rest is read too: closing over unread input would reset the connection, and the response would be lost.
-            _ => {}
-        }
-        Progress::Continues
-    }
-
-    /// Parses the head, if it is being read, and returns whether the response is to be written now.
-    fn parse_head(&mut self, now: Nanos) -> bool {
-        let Stage::ReadingHead(head) = &mut self.stage else {
-            return false;
-        };
-        let full = head.spare().is_empty();
-        match parse(head.waiting(), full) {
-            Parsed::Incomplete => false,
-            Parsed::Head { request, body_left } => {
-                self.stage = Stage::ReadingBody {
-                    request,
-                    left: body_left,
-                };
-                false
-            }
-            Parsed::Invalid(rejection) => {
-                let response = rejection.response.to_bytes(rejection.headers);
-                self.respond(response, now);
-                true
-            }
-        }
-    }
-
-    /// Sends what is left of the response, if there is one.
-    fn send(&mut self, now: Nanos) -> Progress {
-        let Stage::Writing { response, written } = &mut self.stage else {
-            return Progress::Waiting;
-        };
-        while *written < response.len() {
-            match self.socket.send(&response[*written..]) {
-                Ok(count) => *written += count,
-                Err(error) if on_connection(error) != Trouble::Connection => {
-                    return Progress::Waiting;
-                }
-                Err(_) => return Progress::Ended,
-            }
-        }
-        self.socket.end_sending();
-        self.stage = Stage::Lingering;
-        self.since = now;
-        Progress::Waiting
-    }
-}
