--- a/control-plane/src/pending_request.rs
+++ b/control-plane/src/pending_request.rs
@@ -126,7 +126,7 @@
 
     /// Whether it may be rejected: a retry by the client does no harm.
     pub fn may_reject(&self, class: &RequestClass) -> bool {
-        permission::may_dismiss(class, self.may_have_run.is_some())
+        permission::may_reject(class, self.may_have_run.is_some())
     }
 
     /// What a planner is asked for.
--- a/node/src/connections/audit.rs
+++ b/node/src/connections/audit.rs
@@ -5,7 +5,7 @@
 use super::{Connection, Connections, Stage};
 use crate::context::Context;
 use crate::operators::counts::{Close, Count, Violation};
-use reedferry::permission::{may_dismiss, may_go_on, may_repeat};
+use reedferry::permission::{may_continue, may_reject, may_repeat};
 use reedferry::{Idempotency, Nanos, RequestClass, MILLI};
 use slog::{error, info};
 
@@ -51,7 +51,7 @@
         if now > deadline + SLACK {
             self.violated(context, slot, Violation::AttemptedLate, now - deadline);
         }
-        if may_go_on(now, landing.by.saturating_add(SLACK)).is_err() {
+        if may_continue(now, landing.by.saturating_add(SLACK)).is_err() {
             self.violated(context, slot, Violation::RepeatedLate, now - landing.by);
         }
         let left = context.hosts.record(landing.host).left_since;
@@ -87,7 +87,7 @@
         let first_run = connection.may_have_run;
         let harmless = self
             .class(context, slot)
-            .is_none_or(|o| may_dismiss(o, first_run.is_some()));
+            .is_none_or(|o| may_reject(o, first_run.is_some()));
         if dismissed && !harmless {
             self.violated(
                 context,
--- a/node/src/connections/landing.rs
+++ b/node/src/connections/landing.rs
@@ -9,7 +9,7 @@
 use crate::discovery::hosts::Hosts;
 use crate::operators::counts::{Close, Count};
 use crate::operators::tally::Outcome;
-use reedferry::permission::{may_begin, may_go_on, Beginning, Refusal};
+use reedferry::permission::{may_continue, may_start, AttemptStart, Refusal};
 use reedferry::{AttemptOutcome, Event, HostId, Nanos, RequestId, MILLI, SECOND};
 use reedferry_runtime::errors::{on_connect, NoConnection};
 use reedferry_runtime::{Buffer, Mark};
@@ -373,7 +373,7 @@
         }
         let (not_after, host, chosen) = (landing.by, landing.host, landing.since);
         if connection.up.buffer.is_some() {
-            return may_go_on(context.clock.read(), not_after);
+            return may_continue(context.clock.read(), not_after);
         }
         let deadline = (landing.since + connection.given).min(connection.deadline());
         let repeats = connection.may_have_run.is_some();
@@ -382,15 +382,15 @@
         let client_waits = self.waits(context, slot);
         let record = context.hosts.record(host);
         let since_then = |changed: Option<Nanos>| changed.is_some_and(|at| at > chosen);
-        may_begin(&Beginning {
+        may_start(&AttemptStart {
             now,
             deadline,
             not_after,
             client_waits,
-            leaving_since: record.left_since,
+            draining_since: record.left_since,
             drain_grace: context.node_settings.drain_grace,
-            list_unheard: context.deaf.contains(&now),
-            host_moved: since_then(record.readdressed),
+            endpoints_stale: context.deaf.contains(&now),
+            host_address_changed: since_then(record.readdressed),
             group_changed: repeats && since_then(record.regrouped),
         })
     }
@@ -402,7 +402,7 @@
             // What is left of it has been seen to already.
             Refusal::ClientGone => {}
             // Its connection came up too late, or it is leaving.
-            Refusal::HostLeaving | Refusal::OutsideWindow => {
+            Refusal::HostDraining | Refusal::OutsideWindow => {
                 self.fell_through(context, slot, AttemptOutcome::ConnectFailed);
             }
             // Not the host's doing.
--- a/node/src/operators/counts.rs
+++ b/node/src/operators/counts.rs
@@ -117,7 +117,7 @@
     fn key(self) -> (&'static str, &'static str) {
         match self {
             Count::NotBegun(reason) => ("attempts_not_begun", reason.name()),
-            Count::AttemptEnded(outcome) => ("attempts_ended", outcome.word()),
+            Count::AttemptEnded(outcome) => ("attempts_ended", outcome.as_str()),
             Count::Closed(close) => ("closed", close.name()),
             Count::Violated(violation) => ("violations", violation.name()),
             Count::MachineTrouble(call) => ("machine_trouble", call),
--- a/node/src/operators/counts_tests.rs
+++ b/node/src/operators/counts_tests.rs
@@ -11,7 +11,7 @@
         counts.add(Count::Violated(Violation::Unanswered));
     }
     counts.add(Count::AttemptEnded(AttemptOutcome::NeverSent));
-    counts.add(Count::NotBegun(Refusal::ListNotHeard));
+    counts.add(Count::NotBegun(Refusal::EndpointsStale));
     let text = counts.text();
     for line in [
         "app.violations.unanswered:2|c",
--- a/node/src/operators/counts_text_tests.rs
+++ b/node/src/operators/counts_text_tests.rs
@@ -47,9 +47,9 @@
         Refusal::MayHaveRun,
         Refusal::OutsideWindow,
         Refusal::OutsideGroup,
-        Refusal::HostLeaving,
-        Refusal::HostMoved,
-        Refusal::ListNotHeard,
+        Refusal::HostDraining,
+        Refusal::HostAddressChanged,
+        Refusal::EndpointsStale,
     ];
     let endings = [
         AttemptOutcome::Completed,
--- a/node/src/operators/operator_config/control_plane.rs
+++ b/node/src/operators/operator_config/control_plane.rs
@@ -25,7 +25,7 @@
         let span = section.span();
         let PlannerSection { name, address } = section.get_ref();
         let address = source.address("address", address)?;
-        if name.is_empty() || name.len() > reedferry_control_plane::frames::LONGEST_NAME {
+        if name.is_empty() || name.len() > reedferry_control_plane::messages::MAX_NAME_BYTES {
             return Err(source.error(&span, Problem::PlannerNameLength));
         }
         if !names.insert(name) || !addresses.insert(address) {
--- a/node/src/peers/fleet.rs
+++ b/node/src/peers/fleet.rs
@@ -258,9 +258,9 @@
     }
 
     /// Whether any turns are shared now, and which hosts are to be looked at by this node.
-    pub fn serve(&mut self, context: &mut Context, shares_turns: bool, looks: bool) {
-        if std::mem::replace(&mut self.lending, shares_turns) != shares_turns {
-            self.handle(context, members::Event::Lending(shares_turns));
+    pub fn serve(&mut self, context: &mut Context, uses_slow_start_slots: bool, looks: bool) {
+        if std::mem::replace(&mut self.lending, uses_slow_start_slots) != uses_slow_start_slots {
+            self.handle(context, members::Event::Lending(uses_slow_start_slots));
         }
         let by = Some((self.core.digest(), context.hosts.lists))
             .filter(|_| !self.core.holds_off(context.now));
--- a/node/src/roles/standalone/event_loop.rs
+++ b/node/src/roles/standalone/event_loop.rs
@@ -144,7 +144,7 @@
                 members: context.hosts.members(),
                 classes: context.node_settings.classes.clone(),
                 referenced_classes: self.connections.held(context),
-                inherited: self.balancer.leave(),
+                inherited: self.balancer.export_state(),
             };
             self.hot_restart
                 .send_state(context, &mut self.connections, &state);
@@ -250,11 +250,11 @@
         context.spare();
         self.hot_restart.sweep(context, &mut self.connections);
         self.discovery.sweep(context);
-        let shares_turns = self.balancer.shares_turns(context.now);
+        let uses_slow_start_slots = self.balancer.uses_slow_start_slots(context.now);
         let load_from_probes = self.node_config.balancer_settings.load_from_probes;
         if let Some(fleet) = &mut self.fleet {
             fleet.sweep(context);
-            fleet.serve(context, shares_turns, load_from_probes);
+            fleet.serve(context, uses_slow_start_slots, load_from_probes);
         }
         context.hosts.look(context.now, &mut context.events);
         context
--- a/node/src/roles/standalone/operator_calls.rs
+++ b/node/src/roles/standalone/operator_calls.rs
@@ -34,17 +34,17 @@
     }
 
     fn metrics_text(&self) -> String {
-        let (hosts_known, hosts_excluded) = self.balancer.regard(self.context.now);
+        let counts = self.balancer.host_counts(self.context.now);
         self.context.tally.text(&Now {
             in_flight: self.connections.in_flight(),
-            hosts_known,
-            hosts_excluded,
+            hosts_known: counts.listed,
+            hosts_excluded: counts.avoided,
         })
     }
 
     /// Whether this node takes new clients.
     fn status(&self) -> ApiResponse {
-        let (hosts_known, _) = self.balancer.regard(self.context.now);
+        let hosts_known = self.balancer.host_counts(self.context.now).listed;
         if self.context.leaving.is_some() {
             ApiResponse::new(503, "stopping\n")
         } else if self.context.standby.is_some() {
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -6,7 +6,7 @@
 use crate::hashing::hash_to_unit_interval;
 use crate::host::is_large_fleet;
 use crate::messages::HostMessage;
-use crate::permission::{answer_by, may_dismiss, repeat_deadline};
+use crate::permission::{answer_by, may_reject, repeat_deadline};
 use crate::request_table::Request;
 use crate::settings::{Idempotency, RequestClass};
 use crate::time::{Nanos, SECOND};
@@ -144,7 +144,7 @@
             return;
         };
         let class = &self.settings.classes[request.incoming.class];
-        let harmless = may_dismiss(class, request.first_run.is_some());
+        let harmless = may_reject(class, request.first_run.is_some());
         let id = request.id;
         // Spread, so that the clients do not come back in step.
         let wait = self.settings.max_retry_after as f64 * self.rng.random_range(0.25..1.0);
--- a/src/permission.rs
+++ b/src/permission.rs
@@ -32,11 +32,11 @@
     /// It has an idempotency key, and the host is not in the group that drops its repeats.
     OutsideGroup,
     /// The host is draining or gone, and the grace is over.
-    HostLeaving,
+    HostDraining,
     /// The host has been listed at another address since it was chosen.
-    HostMoved,
+    HostAddressChanged,
     /// The endpoint list may be stale: a host may be draining without this node knowing it.
-    ListNotHeard,
+    EndpointsStale,
 }
 
 impl Refusal {
@@ -48,16 +48,16 @@
             Refusal::MayHaveRun => "may_have_run",
             Refusal::OutsideWindow => "outside_window",
             Refusal::OutsideGroup => "outside_group",
-            Refusal::HostLeaving => "host_leaving",
-            Refusal::HostMoved => "host_moved",
-            Refusal::ListNotHeard => "list_not_heard",
+            Refusal::HostDraining => "host_leaving",
+            Refusal::HostAddressChanged => "host_moved",
+            Refusal::EndpointsStale => "list_not_heard",
         }
     }
 }
 
 /// What the socket layer knows at the moment in which an attempt would begin.
 #[derive(Clone, Copy, Debug)]
-pub struct Beginning {
+pub struct AttemptStart {
     /// The time.
     pub now: Nanos,
     /// By when the request has to be answered, as far as this attempt goes.
@@ -67,14 +67,14 @@
     /// Whether the client still waits.
     pub client_waits: bool,
     /// Since when the host is listed as draining or gone.
-    pub leaving_since: Option<Nanos>,
+    pub draining_since: Option<Nanos>,
     /// The grace for draining hosts, as the settings give it.
     pub drain_grace: Nanos,
     /// Whether the endpoint list may be stale, so that a drain may be in force that this node does
     /// not know of.
-    pub list_unheard: bool,
+    pub endpoints_stale: bool,
     /// Whether its host has been listed at another address since it was chosen.
-    pub host_moved: bool,
+    pub host_address_changed: bool,
     /// Whether it may repeat one that ran, and its host has been listed in another group since it
     /// was chosen.
     pub group_changed: bool,
@@ -90,30 +90,30 @@
 ///
 /// # Errors
 /// The first reason that forbids it.
-pub fn may_begin(at: &Beginning) -> Result<(), Refusal> {
+pub fn may_start(at: &AttemptStart) -> Result<(), Refusal> {
     if !at.client_waits {
         return Err(Refusal::ClientGone);
     }
     if at.now >= at.deadline {
         return Err(Refusal::Expired);
     }
-    if at.list_unheard {
-        return Err(Refusal::ListNotHeard);
+    if at.endpoints_stale {
+        return Err(Refusal::EndpointsStale);
     }
-    if at.host_moved {
-        return Err(Refusal::HostMoved);
+    if at.host_address_changed {
+        return Err(Refusal::HostAddressChanged);
     }
     if at.group_changed {
         return Err(Refusal::OutsideGroup);
     }
     let grace = usable_grace(at.drain_grace);
     if at
-        .leaving_since
+        .draining_since
         .is_some_and(|since| at.now > since.saturating_add(grace))
     {
-        return Err(Refusal::HostLeaving);
+        return Err(Refusal::HostDraining);
     }
-    may_go_on(at.now, at.not_after)
+    may_continue(at.now, at.not_after)
 }
 
 /// When a request that has had no success gets its final answer at the latest: early enough before
@@ -129,7 +129,7 @@
 ///
 /// # Errors
 /// [`Refusal::OutsideWindow`] once it may not.
-pub fn may_go_on(now: Nanos, not_after: Nanos) -> Result<(), Refusal> {
+pub fn may_continue(now: Nanos, not_after: Nanos) -> Result<(), Refusal> {
     if now > not_after {
         return Err(Refusal::OutsideWindow);
     }
@@ -190,7 +190,7 @@
 }
 
 /// Whether the request may be rejected: a retry by the client does no harm.
-pub fn may_dismiss(class: &RequestClass, may_have_run: bool) -> bool {
+pub fn may_reject(class: &RequestClass, may_have_run: bool) -> bool {
     match class.idempotency {
         Idempotency::Idempotent => true,
         Idempotency::WithKey => !may_have_run || class.idempotency_group == IdempotencyGroup::All,
--- a/src/permission_tests.rs
+++ b/src/permission_tests.rs
@@ -12,53 +12,53 @@
     }
 }
 
-fn allowed() -> Beginning {
-    Beginning {
+fn allowed() -> AttemptStart {
+    AttemptStart {
         now: 1000 * MILLI,
         deadline: 2000 * MILLI,
         not_after: Nanos::MAX,
         client_waits: true,
-        leaving_since: None,
+        draining_since: None,
         drain_grace: 300 * MILLI,
-        list_unheard: false,
-        host_moved: false,
+        endpoints_stale: false,
+        host_address_changed: false,
         group_changed: false,
     }
 }
 
 /// Conditions that forbid an attempt, and why.
-fn forbidden() -> [(Beginning, Refusal); 7] {
+fn forbidden() -> [(AttemptStart, Refusal); 7] {
     let now = allowed().now;
     let mut cases = [
         (allowed(), Refusal::ClientGone),
         (allowed(), Refusal::Expired),
-        (allowed(), Refusal::ListNotHeard),
-        (allowed(), Refusal::HostMoved),
+        (allowed(), Refusal::EndpointsStale),
+        (allowed(), Refusal::HostAddressChanged),
         (allowed(), Refusal::OutsideGroup),
         (allowed(), Refusal::OutsideWindow),
-        (allowed(), Refusal::HostLeaving),
+        (allowed(), Refusal::HostDraining),
     ];
     cases[0].0.client_waits = false;
     cases[1].0.deadline = now;
-    cases[2].0.list_unheard = true;
-    cases[3].0.host_moved = true;
+    cases[2].0.endpoints_stale = true;
+    cases[3].0.host_address_changed = true;
     cases[4].0.group_changed = true;
     cases[5].0.not_after = now - 1;
-    cases[6].0.leaving_since = Some(now - 151 * MILLI);
+    cases[6].0.draining_since = Some(now - 151 * MILLI);
     cases
 }
 
 #[test]
 fn an_attempt_begins_only_while_every_condition_holds() {
-    assert_eq!(may_begin(&allowed()), Ok(()));
+    assert_eq!(may_start(&allowed()), Ok(()));
     for (beginning, refusal) in forbidden() {
-        assert_eq!(may_begin(&beginning), Err(refusal));
+        assert_eq!(may_start(&beginning), Err(refusal));
     }
-    let last_moment = Beginning {
+    let last_moment = AttemptStart {
         not_after: allowed().now,
         ..allowed()
     };
-    assert_eq!(may_begin(&last_moment), Ok(()));
+    assert_eq!(may_start(&last_moment), Ok(()));
 }
 
 /// Prevents a request from being written after the grace, by a process that stalls after it was
@@ -74,11 +74,11 @@
         );
     }
     let now = allowed().now;
-    let last = Beginning {
-        leaving_since: Some(now - 150 * MILLI),
+    let last = AttemptStart {
+        draining_since: Some(now - 150 * MILLI),
         ..allowed()
     };
-    assert_eq!(may_begin(&last), Ok(()), "within what is left of the grace");
+    assert_eq!(may_start(&last), Ok(()), "within what is left of the grace");
 }
 
 #[test]
@@ -95,7 +95,7 @@
         );
         for class in [&idempotent, &with_key, &non_idempotent] {
             assert_eq!(may_repeat(class, None, 5000), Ok(()));
-            assert!(may_dismiss(class, false));
+            assert!(may_reject(class, false));
         }
         assert_eq!(may_repeat(&idempotent, Some(10), 5000), Ok(()));
         assert_eq!(may_repeat(&with_key, Some(10), 109), Ok(()));
@@ -107,9 +107,9 @@
             may_repeat(&non_idempotent, Some(10), 11),
             Err(Refusal::MayHaveRun)
         );
-        assert!(may_dismiss(&idempotent, true) && !may_dismiss(&non_idempotent, true));
+        assert!(may_reject(&idempotent, true) && !may_reject(&non_idempotent, true));
         assert_eq!(
-            may_dismiss(&with_key, true),
+            may_reject(&with_key, true),
             idempotency_group == IdempotencyGroup::All
         );
     }
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -11,11 +11,11 @@
 pub mod program;
 pub mod relay;
 pub mod schedule;
-pub mod soak;
 pub mod scripted_forwarder;
+pub mod soak;
 pub mod syscalls;
-pub mod two_tier_cluster;
 pub mod two_tier;
+pub mod two_tier_cluster;
 pub mod view;
 pub mod ways;
 
--- a/testkit/src/two_tier/planner.rs
+++ b/testkit/src/two_tier/planner.rs
@@ -219,9 +219,11 @@
         "papers = \"PAPERS\"\n[plan]\nname = \"p0\"\nlisten = \"127.0.0.1:0\"\nsettle = \"0s\"\n\
         [[planner]]\nname = \"p0\"\naddress = \"127.0.0.1:1\"\n";
     let node = Node::start_as("plan", operator_config, &node_config);
-    let (balancer_settings, node_settings) =
-        reedferry_settings::from_value(node_config["settings"].clone())
-            .map_err(|why| MeasureError::Settings(why.to_string()))?;
+    let reedferry_settings::Settings {
+        balancer: balancer_settings,
+        node: node_settings,
+    } = reedferry_settings::Settings::from_value(node_config["settings"].clone())
+        .map_err(|why| MeasureError::Settings(why.to_string()))?;
     let planner = PlannerLink {
         address: node.address,
         fingerprint: reedferry_control_plane::fingerprint(node_settings.names()),
--- a/tests/random_events/rules.rs
+++ b/tests/random_events/rules.rs
@@ -1,7 +1,7 @@
 //! The rules, to which each action of the module is held.
 
 use crate::world::{Request, World};
-use reedferry::permission::{may_dismiss, may_repeat_at};
+use reedferry::permission::{may_reject, may_repeat_at};
 use reedferry::*;
 
 impl World {
@@ -45,7 +45,7 @@
         let seed = self.seed;
         let request = self.take_answer(id);
         assert!(
-            may_dismiss(&request.class, request.first_run.is_some()),
+            may_reject(&request.class, request.first_run.is_some()),
             "{seed}: {id} rejected"
         );
         assert!(
