--- a/node/src/operators/operator_config.rs
+++ b/node/src/operators/operator_config.rs
@@ -5,9 +5,7 @@
 
 use crate::operators::files;
 use crate::operators::node_config::NodeConfig;
-use crate::peers::fleet::FleetConfig;
-use crate::peers::wards::ReplicationConfig;
-use crate::peers::words::Correspondence;
+use crate::peers::{FleetConfig, GossipConfig, ReplicationConfig};
 use reedferry::{Nanos, MILLI, SECOND};
 use reedferry_control_plane::PlannerAddress;
 use serde::Deserialize;
@@ -145,7 +143,7 @@
 
 #[derive(Debug, PartialEq)]
 pub enum Role {
-    Node(Option<Correspondence>),
+    Node(Option<GossipConfig>),
     Forward(Forwards),
     Plan(Plans),
 }
@@ -251,7 +249,7 @@
     node_config: &NodeConfig,
     at: Option<SocketAddr>,
     peers: &[SocketAddr],
-) -> Result<Option<Correspondence>, (Option<usize>, String)> {
+) -> Result<Option<GossipConfig>, (Option<usize>, String)> {
     if !node_config.balancer_settings.gossip_enabled {
         return match (at, peers) {
             (None, []) => Ok(None),
@@ -288,8 +286,8 @@
             return wrong("is one too many: settings.balancers counts this node and all its peers");
         }
     }
-    Ok(Some(Correspondence {
-        at,
+    Ok(Some(GossipConfig {
+        listen: at,
         peers: peers.to_vec(),
         fleet: None,
     }))
@@ -400,8 +398,8 @@
                         .unwrap_or(at.clone())
                 };
                 let correspondence = match fleet {
-                    Some(fleet) => Some(Correspondence {
-                        at: fleet.listen,
+                    Some(fleet) => Some(GossipConfig {
+                        listen: fleet.listen,
                         peers,
                         fleet: Some(fleet),
                     }),
@@ -458,7 +456,7 @@
         let name = part.name.unwrap_or_default();
         if [&name, &node_config.name]
             .into_iter()
-            .any(|n| n.len() > reedferry_membership::LONGEST_NAME)
+            .any(|n| n.len() > reedferry_membership::MAX_NAME_BYTES)
             || node_config.name.is_empty()
         {
             return Err(text.wrong(
@@ -472,7 +470,11 @@
             let life = text.span("life", part.life, 60 * SECOND, (SECOND, 3600 * SECOND))?;
             let within = text.span("within", part.within, 50 * MILLI, (5 * MILLI, SECOND))?;
             let most = text.count("most", part.most, 1 << 16, 1 << 22)?;
-            Ok::<_, String>(ReplicationConfig { life, within, most })
+            Ok::<_, String>(ReplicationConfig {
+                retention: life,
+                majority_timeout: within,
+                max_records: most,
+            })
         });
         let wards = wards.transpose()?;
         Ok(FleetConfig {
@@ -481,8 +483,8 @@
             name,
             seeds,
             period,
-            most,
-            wards,
+            max_members: most,
+            replication: wards,
         })
     }
 
@@ -660,7 +662,7 @@
             panic!("no correspondence")
         };
         assert_eq!(
-            (correspondence.at.port(), correspondence.peers.len()),
+            (correspondence.listen.port(), correspondence.peers.len()),
             (7100, 2)
         );
         assert_eq!(
@@ -768,7 +770,7 @@
             format!("[fleet]\naddress = \"127.0.0.1:7400\"\nseeds = [\"127.0.0.1:7401\"]\n{more}")
         };
         let good = among("fleet", true, &fleet("period = \"200ms\"\n")).unwrap();
-        let Role::Node(Some(Correspondence {
+        let Role::Node(Some(GossipConfig {
             fleet: Some(node_settings),
             ..
         })) = good.role
@@ -779,7 +781,7 @@
             (
                 node_settings.listen,
                 node_settings.period,
-                node_settings.most
+                node_settings.max_members
             ),
             (node_settings.address, 200 * MILLI, 1024)
         );
--- a/node/src/operators/operator_config_keys_tests.rs
+++ b/node/src/operators/operator_config_keys_tests.rs
@@ -79,7 +79,7 @@
         panic!("no messages")
     };
     assert_eq!(
-        (correspondence.at.port(), correspondence.peers[0].port()),
+        (correspondence.listen.port(), correspondence.peers[0].port()),
         (7100, 7101)
     );
 }
@@ -89,16 +89,16 @@
     let text = "[fleet]\naddress = \"127.0.0.1:7400\"\nlisten = \"127.0.0.1:7402\"\nname = \"f\"\n\
         seeds = [\"127.0.0.1:7401\"]\nperiod = \"200ms\"\nmost = 7\n\
         [fleet.wards]\nlife = \"30s\"\nwithin = \"40ms\"\nmost = 8\n";
-    let Role::Node(Some(Correspondence {
+    let Role::Node(Some(GossipConfig {
         fleet: Some(fleet), ..
     })) = read(true, text).unwrap().role
     else {
         panic!("no fleet")
     };
     let wards = ReplicationConfig {
-        life: ms(30_000),
-        within: ms(40),
-        most: 8,
+        retention: ms(30_000),
+        majority_timeout: ms(40),
+        max_records: 8,
     };
     assert_eq!(
         (
@@ -109,8 +109,8 @@
         (7400, 7402, "f")
     );
     assert_eq!(
-        (fleet.seeds[0].port(), fleet.period, fleet.most),
+        (fleet.seeds[0].port(), fleet.period, fleet.max_members),
         (7401, ms(200), 7)
     );
-    assert_eq!(fleet.wards, Some(wards));
+    assert_eq!(fleet.replication, Some(wards));
 }
--- /dev/null
+++ b/node/src/peers/membership.rs
@@ -0,0 +1,355 @@
+//! Membership of the fleet, on a socket: the messages of `reedferry_membership` come and go here, and so do gossip on
+//! loads and messages about replicated records. It owns that socket and the log lines on members, bounded when hundreds
+//! change at once. It must never decide who is alive, nor take in more of a flood than a turn's worth.
+
+use crate::context::{mark, Context, FLEET, PEERS, START_WITHIN};
+use crate::operators::node_config::NodeConfig;
+use crate::peers::assignments::Assignments;
+use crate::peers::{FleetConfig, PeersError};
+use reedferry::{Event, Nanos, SECOND};
+use reedferry_membership::{
+    self as membership, checksum, Action, MemberInfo, MemberState, Membership, MembershipConfig,
+    MessageError, Role, MAX_MESSAGE_BYTES,
+};
+use reedferry_runtime::errors::patiently;
+use reedferry_runtime::log::LineLimit;
+use reedferry_runtime::{Errno, Socket};
+use slog::{info, warn};
+use std::collections::BTreeMap;
+use std::fmt;
+use std::net::SocketAddr;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+/// Datagrams read in one turn.
+const MAX_DATAGRAMS_PER_TURN: usize = 256;
+/// Messages about replicated records taken in in one turn.
+const MAX_REPLICATION_MESSAGES_PER_TURN: usize = 1024;
+/// Lines on members in a second; the rest is counted.
+const MAX_LINES_PER_SECOND: u32 = 32;
+/// How often each kind of dropped message is logged.
+const DROP_LOG_INTERVAL: Nanos = 60 * SECOND;
+/// The first byte of gossip on loads, which no membership message begins with.
+const GOSSIP_TAG: u8 = 0xff;
+/// The same for messages about replicated records; a checksum of the rest follows.
+const REPLICATION_TAG: u8 = 0xfe;
+
+/// A message about replicated records.
+pub struct ReplicationDatagram {
+    /// The sender's index.
+    pub from: u32,
+    /// The message.
+    pub bytes: Vec<u8>,
+}
+
+/// Why a datagram is dropped.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum DropReason {
+    Membership(MessageError),
+    GossipOfStranger,
+    Replication,
+}
+
+impl fmt::Display for DropReason {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            DropReason::Membership(error) => error.fmt(f),
+            DropReason::GossipOfStranger => f.write_str("gossip of no member"),
+            DropReason::Replication => {
+                f.write_str("a replication message of no member, or garbled")
+            }
+        }
+    }
+}
+
+/// Dropped messages of one kind.
+#[derive(Default)]
+struct DropLog {
+    logged_at: Option<Nanos>,
+    /// How many there were since.
+    count: u32,
+}
+
+/// The fleet that this node takes part in.
+pub struct Fleet {
+    pub(super) membership: Membership,
+    config: FleetConfig,
+    /// None while a process before this one still has it.
+    socket: Option<Socket>,
+    /// The earliest timer that the poller has.
+    timer_at: Option<Nanos>,
+    pub(super) lines: LineLimit,
+    dropped: BTreeMap<DropReason, DropLog>,
+    pub(super) assignments: Assignments,
+    replication_inbox: Vec<ReplicationDatagram>,
+}
+
+impl Fleet {
+    /// Listens for other members, or will as soon as the process before this one has left the address.
+    ///
+    /// # Errors
+    /// The address cannot be listened on.
+    pub fn open(
+        context: &mut Context,
+        config: &FleetConfig,
+        node_config: &NodeConfig,
+    ) -> Result<Fleet, PeersError> {
+        let unix_ms = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |t| t.as_millis() as u64);
+        let membership_config = MembershipConfig {
+            period: config.period,
+            seeds: config.seeds.clone(),
+            max_members: config.max_members,
+            fleet_id: crate::connections::lines::hash(&config.name) as u32,
+        };
+        let membership = Membership::new(
+            member_info(config, node_config),
+            membership_config,
+            context.now,
+            unix_ms,
+            node_config.seed ^ unix_ms,
+        );
+        let mut fleet = Fleet {
+            membership,
+            config: config.clone(),
+            socket: None,
+            timer_at: None,
+            lines: LineLimit::new(MAX_LINES_PER_SECOND),
+            dropped: BTreeMap::new(),
+            assignments: Assignments::default(),
+            replication_inbox: Vec::new(),
+        };
+        match fleet.bind(context, START_WITHIN) {
+            Ok(()) | Err(Errno::ADDRINUSE) => Ok(fleet),
+            Err(e) => Err(PeersError::Membership(config.listen, e)),
+        }
+    }
+
+    fn bind(&mut self, context: &mut Context, timeout: Duration) -> Result<(), Errno> {
+        let socket = patiently(timeout, || context.budget.datagrams(&self.config.listen))?;
+        patiently(timeout, || context.poller.watch(&socket, mark(PEERS)))?;
+        let (seeds, period_ms) = (self.config.seeds.len(), self.config.period / 1_000_000);
+        info!(context.log, "fleet"; "address" => %self.config.address, "seeds" => seeds, "period_ms" => period_ms);
+        self.socket = Some(socket);
+        self.handle(context, membership::Event::TimerFired);
+        Ok(())
+    }
+
+    pub(super) fn handle(&mut self, context: &mut Context, event: membership::Event) {
+        let mut actions = Vec::new();
+        self.membership.handle(context.now, event, &mut actions);
+        for action in actions {
+            self.carry_out(context, action);
+        }
+        let due = self.membership.next_wakeup();
+        if due != Nanos::MAX && self.timer_at.is_none_or(|at| due < at) {
+            self.timer_at = Some(due);
+            context.poller.remind(due, mark(FLEET), 0);
+        }
+    }
+
+    fn carry_out(&mut self, context: &mut Context, action: Action) {
+        match action {
+            Action::Send { to, bytes } => self.send(&to, &bytes),
+            Action::MemberChanged {
+                name,
+                address,
+                previous,
+                state,
+            } if self.lines.room(context.now) => {
+                let before = previous.map_or("unknown", MemberState::label);
+                info!(context.log, "member {}", state.label(); "name" => name, "address" => %address, "before" => before);
+            }
+            Action::MemberMoved { name, from, to } if self.lines.room(context.now) => {
+                info!(context.log, "member moved"; "name" => name, "from" => %from, "to" => %to);
+            }
+            // Counted by the limit.
+            Action::MemberChanged { .. } | Action::MemberMoved { .. } => {}
+            Action::DeclaredDead => warn!(context.log, "others held this node gone"),
+            Action::Stalled(span) => {
+                warn!(context.log, "stood still"; "ms" => span / 1_000_000);
+                self.assign_probe_targets(context, Vec::new());
+            }
+            Action::Superseded { by } => {
+                warn!(context.log, "another process has this node's name and started later; out of the fleet"; "at" => %by);
+            }
+            Action::MessageDropped { reason, from } => {
+                self.on_dropped(context, DropReason::Membership(reason), from);
+            }
+        }
+    }
+
+    /// A member that cannot be reached is found out by its silence.
+    fn send(&self, to: &SocketAddr, bytes: &[u8]) {
+        if let Some(socket) = &self.socket {
+            _ = socket.send_to(bytes, to);
+        }
+    }
+
+    fn on_dropped(&mut self, context: &Context, reason: DropReason, from: SocketAddr) {
+        let dropped = self.dropped.entry(reason).or_default();
+        dropped.count += 1;
+        let is_due = |at: Nanos| context.now >= at + DROP_LOG_INTERVAL;
+        if dropped.logged_at.is_none_or(is_due) {
+            let why = reason.to_string();
+            warn!(context.log, "membership message dropped"; "why" => why, "from" => %from, "count" => dropped.count);
+            dropped.logged_at = Some(context.now);
+            dropped.count = 0;
+        }
+    }
+
+    /// Reads what has arrived.
+    pub fn on_readable(&mut self, context: &mut Context) {
+        let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
+            let Some(socket) = &self.socket else { return };
+            match socket.receive_from(&mut buffer) {
+                Ok((length, Some(from))) => self.on_datagram(context, from, &buffer[..length]),
+                Err(Errno::AGAIN) => return,
+                // What a member that is away has the system say of an earlier message.
+                Ok((_, None)) | Err(_) => {}
+            }
+        }
+        // Without this, the rest of a flood is left lying, as the poller reports each arrival once.
+        if let Some(socket) = &self.socket {
+            _ = context.poller.rewatch(socket, mark(PEERS));
+        }
+    }
+
+    fn on_datagram(&mut self, context: &mut Context, from: SocketAddr, bytes: &[u8]) {
+        match bytes {
+            [GOSSIP_TAG, message @ ..] => self.on_gossip(context, from, message),
+            [REPLICATION_TAG, rest @ ..] => self.on_replication_message(context, from, rest),
+            bytes => self.handle(context, membership::Event::MessageReceived { from, bytes }),
+        }
+    }
+
+    fn on_gossip(&mut self, context: &mut Context, from: SocketAddr, message: &[u8]) {
+        let is_member = self
+            .membership
+            .others()
+            .any(|member| member.info.address == from && member.state != MemberState::Dead);
+        if is_member && message.len() <= reedferry::word::LONGEST {
+            context.events.push(Event::GossipReceived {
+                message: message.to_vec(),
+            });
+        } else {
+            self.on_dropped(context, DropReason::GossipOfStranger, from);
+        }
+    }
+
+    fn on_replication_message(&mut self, context: &mut Context, from: SocketAddr, rest: &[u8]) {
+        let message = rest
+            .split_first_chunk()
+            .filter(|(sent, message)| **sent == checksum(message));
+        let sender = self.membership.member_index_at(from);
+        let (Some((_, message)), Some(from)) = (message, sender) else {
+            return self.on_dropped(context, DropReason::Replication, from);
+        };
+        if self.replication_inbox.len() < MAX_REPLICATION_MESSAGES_PER_TURN {
+            self.replication_inbox.push(ReplicationDatagram {
+                from,
+                bytes: message.to_vec(),
+            });
+        }
+    }
+
+    /// The time that the membership asked for, or an earlier one, has come.
+    pub fn on_timer(&mut self, context: &mut Context) {
+        self.timer_at = None;
+        self.handle(context, membership::Event::TimerFired);
+    }
+
+    /// Sends gossip to all members that are active.
+    pub fn broadcast_gossip(&self, message: &[u8]) {
+        let datagram = [&[GOSSIP_TAG], message].concat();
+        let is_active =
+            |state: MemberState| matches!(state, MemberState::Active | MemberState::Suspect);
+        for member in self.membership.others().filter(|m| is_active(m.state)) {
+            self.send(&member.info.address, &datagram);
+        }
+    }
+
+    /// What others sent about replicated records.
+    pub fn take_replication_messages(&mut self) -> Vec<ReplicationDatagram> {
+        std::mem::take(&mut self.replication_inbox)
+    }
+
+    /// Sends a message about replicated records to the member of an index, if there is one.
+    pub fn send_replication_message(&self, to: u32, bytes: &[u8]) {
+        if let Some(address) = self.membership.address_of(to) {
+            let datagram = [&[REPLICATION_TAG], &checksum(bytes)[..], bytes].concat();
+            self.send(&address, &datagram);
+        }
+    }
+
+    /// Whether all known members go by this cluster size.
+    pub fn agrees_on_cluster_size(&self, cluster_size: u32) -> bool {
+        self.membership.info().cluster_size == cluster_size
+            && self.membership.agrees_on_cluster_size()
+    }
+
+    /// The run of this process.
+    pub fn incarnation(&self) -> u64 {
+        self.membership.version().incarnation
+    }
+
+    /// Announces this node's state to the fleet.
+    pub fn announce(&mut self, context: &mut Context, state: MemberState) {
+        self.handle(context, membership::Event::StateChanged(state));
+    }
+
+    /// Leaves the fleet, as the process ends.
+    pub fn leave(&mut self, context: &mut Context) {
+        self.handle(context, membership::Event::Shutdown);
+    }
+
+    /// Takes up other seeds and another place; the rest stays until the next start. Gives whether the whole
+    /// configuration is in effect.
+    pub fn reload(
+        &mut self,
+        context: &mut Context,
+        config: &FleetConfig,
+        member_index: u32,
+        cluster_size: u32,
+    ) -> bool {
+        self.handle(
+            context,
+            membership::Event::SeedsChanged(config.seeds.clone()),
+        );
+        self.handle(
+            context,
+            membership::Event::PlacementChanged {
+                member_index,
+                cluster_size,
+            },
+        );
+        self.config.seeds.clone_from(&config.seeds);
+        self.config == *config
+    }
+
+    /// What is done from time to time.
+    pub fn sweep(&mut self, context: &mut Context) {
+        if self.socket.is_none() {
+            _ = self.bind(context, Duration::ZERO);
+        }
+        if let Some(count) = self.lines.left_out(context.now) {
+            info!(context.log, "members changed beside"; "count" => count);
+        }
+    }
+}
+
+fn member_info(config: &FleetConfig, node_config: &NodeConfig) -> MemberInfo {
+    let balancer_settings = &node_config.balancer_settings;
+    let zone = usize::from(balancer_settings.zone);
+    let zones = &node_config.node_settings.zones;
+    MemberInfo {
+        name: node_config.name.clone(),
+        address: config.address,
+        role: Role::Node,
+        zone: zones.get(zone).cloned().unwrap_or_default(),
+        build: env!("CARGO_PKG_VERSION").to_string(),
+        member_index: balancer_settings.node_index,
+        cluster_size: balancer_settings.node_count,
+    }
+}
--- /dev/null
+++ b/node/src/peers/replication.rs
@@ -0,0 +1,403 @@
+//! Replication of requests in flight, around the state machines of `reedferry_replication`. A request that is not
+//! idempotent waits here for its lease before the balancer hears of it, and each of its attempts for its record before
+//! a byte of it leaves. It owns what waits. It must never hold up idempotent requests, nor decide what becomes of a
+//! request whose lease it has.
+
+use crate::context::{mark, Context, WARDS};
+use crate::peers::attempt_history::{AttemptHistory, AttemptTracker};
+use crate::peers::membership::ReplicationDatagram;
+use crate::peers::{Fleet, ReplicationConfig};
+use reedferry::{
+    Action, AttemptOutcome, Event, HostId, Idempotency, IncomingRequest, Nanos, PriorAttempts,
+    RequestId, SECOND,
+};
+use reedferry_replication::{
+    replicas_of, Coordinator, LeaseHolder, Outcome, Replica, ReplicaRequest, ReplicaResponse,
+    RequestRecord,
+};
+use serde::{Deserialize, Serialize};
+use serde_json::json;
+use slog::warn;
+use std::collections::{HashMap, HashSet};
+
+/// When a client that can't be served now may come back.
+const RETRY_AFTER: Nanos = SECOND;
+
+/// What nodes send each other. The order of the variants is the wire format.
+#[derive(Serialize, Deserialize)]
+enum ReplicationMessage {
+    Request(ReplicaRequest),
+    Response(ReplicaResponse),
+}
+
+/// A request that this node owns or wants to own.
+struct ReplicatedRequest {
+    id: RequestId,
+    incoming: IncomingRequest,
+    arrived_at: Nanos,
+    attempts: AttemptTracker,
+    uncommitted: Option<UncommittedAttempt>,
+}
+
+/// An attempt that waits for its record.
+struct UncommittedAttempt {
+    action: Action,
+    since: Nanos,
+}
+
+/// Counts since the start.
+#[derive(Default)]
+struct Counters {
+    committed: u64,
+    taken_over: u64,
+    rejected: u64,
+}
+
+/// The requests that this node replicates, and the records that it holds for others.
+pub struct RequestReplication {
+    config: ReplicationConfig,
+    coordinator: Coordinator,
+    replica: Replica,
+    member_index: u32,
+    cluster_size: u32,
+    requests: HashMap<u64, ReplicatedRequest>,
+    keys: HashMap<RequestId, u64>,
+    /// Answered here, and not to be attempted by what the balancer orders in the same turn.
+    refused: HashSet<RequestId>,
+    outbox: Vec<(u32, ReplicationMessage)>,
+    released: Vec<Action>,
+    counters: Counters,
+    /// Whether a majority was missing last.
+    majority_missing: bool,
+}
+
+impl RequestReplication {
+    /// Starts without any records.
+    pub fn new(
+        context: &Context,
+        config: &ReplicationConfig,
+        member_index: u32,
+        cluster_size: u32,
+        incarnation: u64,
+    ) -> RequestReplication {
+        let me = LeaseHolder {
+            member_index,
+            incarnation,
+        };
+        RequestReplication {
+            config: config.clone(),
+            coordinator: Coordinator::new(me, cluster_size, config.majority_timeout),
+            replica: Replica::new(context.now, config.retention, config.max_records),
+            member_index,
+            cluster_size,
+            requests: HashMap::new(),
+            keys: HashMap::new(),
+            refused: HashSet::new(),
+            outbox: Vec::new(),
+            released: Vec::new(),
+            counters: Counters::default(),
+            majority_missing: false,
+        }
+    }
+
+    /// What operators see.
+    pub fn status(&self) -> serde_json::Value {
+        json!({"kept_for_others": self.replica.count(), "held": self.requests.len(),
+            "written_ahead": self.counters.committed, "taken_over": self.counters.taken_over,
+            "turned_away": self.counters.rejected})
+    }
+
+    fn broadcast(&mut self, context: &mut Context, key: u64, request: &ReplicaRequest) {
+        for replica in replicas_of(key, self.cluster_size) {
+            self.outbox
+                .push((replica, ReplicationMessage::Request(request.clone())));
+        }
+        let deadline = context.now + self.config.majority_timeout;
+        context.poller.remind(deadline, mark(WARDS), 0);
+    }
+
+    /// An event on its way to the balancer; none where the request waits for its lease first.
+    pub fn intercept_event(
+        &mut self,
+        context: &mut Context,
+        idempotencies: &[Idempotency],
+        event: Event,
+    ) -> Option<Event> {
+        match &event {
+            Event::RequestArrived(incoming)
+                if idempotencies.get(incoming.class) != Some(&Idempotency::Idempotent) =>
+            {
+                return self.acquire(context, *incoming).then_some(event);
+            }
+            Event::ConnectionEstablished { id, .. } => self.finish(context, *id),
+            Event::ClientLeft { id } => {
+                // Its record stays with the replicas: it may come again.
+                if let Some(key) = self.keys.remove(id) {
+                    self.requests.remove(&key);
+                    self.coordinator.release(key);
+                }
+            }
+            Event::AttemptEnded {
+                id, host, ending, ..
+            } if ending.never_ran() => {
+                let key = self.keys.get(id);
+                if let Some(request) = key.and_then(|key| self.requests.get_mut(key)) {
+                    request.attempts.on_attempt_never_ran(host.0);
+                }
+            }
+            _ => {}
+        }
+        Some(event)
+    }
+
+    /// Wants to own a request that has arrived. Gives whether it may go on to the balancer at once: without a key no
+    /// client can bring it again, and one whose lease has come is known here by its id.
+    fn acquire(&mut self, context: &mut Context, incoming: IncomingRequest) -> bool {
+        let id = incoming.id;
+        let Some(client_key) = incoming.key.filter(|_| !self.keys.contains_key(&id)) else {
+            return true;
+        };
+        let key = record_key(client_key, incoming.class);
+        if self.requests.contains_key(&key) {
+            self.reject(id);
+            return false;
+        }
+        let request = ReplicatedRequest {
+            id,
+            incoming,
+            arrived_at: context.now,
+            attempts: AttemptTracker::new(context.now),
+            uncommitted: None,
+        };
+        self.requests.insert(key, request);
+        self.keys.insert(id, key);
+        let prepare = self.coordinator.prepare(context.now, key);
+        self.broadcast(context, key, &prepare);
+        false
+    }
+
+    /// An action on its way out; none where an attempt waits for its record first.
+    pub fn intercept_action(&mut self, context: &mut Context, action: Action) -> Option<Action> {
+        match &action {
+            Action::StartAttempt { id, .. } if self.refused.contains(id) => return None,
+            Action::StartAttempt { id, host, .. } => {
+                let Some(&key) = self.keys.get(id) else {
+                    return Some(action);
+                };
+                let host = host.0;
+                self.commit_attempt(context, key, host, action);
+                return None;
+            }
+            Action::Reject { id, .. } | Action::Fail { id } => self.finish(context, *id),
+            _ => {}
+        }
+        Some(action)
+    }
+
+    fn commit_attempt(&mut self, context: &mut Context, key: u64, host: u64, action: Action) {
+        let Some(request) = self.requests.get_mut(&key) else {
+            return;
+        };
+        request.attempts.on_attempt_started(context.now, host);
+        let record = RequestRecord {
+            history: postcard::to_allocvec(&request.attempts.history).unwrap_or_default(),
+            finished: false,
+        };
+        request.uncommitted = Some(UncommittedAttempt {
+            action,
+            since: context.now,
+        });
+        match self.coordinator.commit(context.now, key, record) {
+            Some(accept) => self.broadcast(context, key, &accept),
+            None => self.abandon(context, key),
+        }
+    }
+
+    /// It has had its final answer: what comes under its key from here on is another request.
+    fn finish(&mut self, context: &mut Context, id: RequestId) {
+        let Some(key) = self.keys.remove(&id) else {
+            return;
+        };
+        self.requests.remove(&key);
+        let record = RequestRecord {
+            history: Vec::new(),
+            finished: true,
+        };
+        if let Some(accept) = self.coordinator.commit(context.now, key, record) {
+            self.broadcast(context, key, &accept);
+        }
+    }
+
+    /// Answers a request that the balancer knows nothing of.
+    fn reject(&mut self, id: RequestId) {
+        self.counters.rejected += 1;
+        self.released.push(Action::Reject {
+            id,
+            retry_after: RETRY_AFTER,
+        });
+    }
+
+    /// This node cannot own the request, so no attempt follows: one that has not run is rejected, any other fails.
+    fn abandon(&mut self, context: &mut Context, key: u64) {
+        let Some(request) = self.requests.remove(&key) else {
+            return;
+        };
+        self.keys.remove(&request.id);
+        self.coordinator.release(key);
+        let history = &request.attempts.history;
+        let uncommitted = request.uncommitted.map(|attempt| attempt.action);
+        if let Some(Action::StartAttempt { id, host, .. }) = uncommitted {
+            context.events.push(Event::AttemptEnded {
+                id,
+                attempt: history.attempts,
+                host,
+                request_over: true,
+                ending: AttemptOutcome::NeverSent,
+                load_metrics: Vec::new(),
+            });
+            context.events.push(Event::ClientLeft { id });
+            self.refused.insert(id);
+        }
+        // The attempt that waits for its record has not run; one before it may have.
+        if history.attempts > 1 && history.may_have_run.is_some() {
+            self.released.push(Action::Fail { id: request.id });
+        } else {
+            self.reject(request.id);
+        }
+    }
+
+    fn on_outcome(&mut self, context: &mut Context, outcome: Outcome) {
+        match outcome {
+            Outcome::Acquired { key, record, age } => self.on_acquired(context, key, &record, age),
+            Outcome::Committed { key } => self.on_committed(context, key),
+            Outcome::Retry { key, request } => self.broadcast(context, key, &request),
+            Outcome::Lost { key } => self.abandon(context, key),
+            Outcome::NoMajority { key } => {
+                let was_missing = std::mem::replace(&mut self.majority_missing, true);
+                if !was_missing && self.requests.contains_key(&key) {
+                    warn!(
+                        context.log,
+                        "no majority of replicas; requests that are not idempotent are rejected"
+                    );
+                }
+                self.abandon(context, key);
+            }
+        }
+    }
+
+    /// This node owns a request: the balancer hears of it, with the attempts that others made.
+    fn on_acquired(&mut self, context: &mut Context, key: u64, record: &RequestRecord, age: Nanos) {
+        let Some(request) = self.requests.get_mut(&key) else {
+            return;
+        };
+        let waited = context.now.saturating_sub(request.arrived_at);
+        let incoming = IncomingRequest {
+            time_left: request.incoming.time_left.saturating_sub(waited),
+            ..request.incoming
+        };
+        let known = (!record.finished)
+            .then(|| postcard::from_bytes::<AttemptHistory>(&record.history).ok())
+            .flatten();
+        request.attempts.history = known.unwrap_or_default();
+        let history = &request.attempts.history;
+        if history.attempts == 0 {
+            return context.events.push(Event::RequestArrived(incoming));
+        }
+        self.counters.taken_over += 1;
+        // No two clocks are compared: its age when it was written, since then at the replica, and on the way here.
+        let age_then = history.may_have_run.map_or(0, |run| run.age);
+        let run_age = age_then + age + self.config.majority_timeout;
+        let run_at = context.now.saturating_sub(run_age);
+        request.attempts.possible_run_at = run_at;
+        let prior = PriorAttempts {
+            attempts: history.attempts,
+            may_have_run: history.may_have_run.map(|run| (HostId(run.host), run_at)),
+            tried_hosts: history.tried_hosts.iter().copied().map(HostId).collect(),
+        };
+        context
+            .events
+            .push(Event::RequestTakenOver(incoming, prior));
+    }
+
+    fn on_committed(&mut self, context: &mut Context, key: u64) {
+        let Some(request) = self.requests.get_mut(&key) else {
+            return self.coordinator.release(key);
+        };
+        let Some(attempt) = request.uncommitted.take() else {
+            return;
+        };
+        // Without this, a node that stood still attempts what another has taken over.
+        if context.now >= attempt.since + self.config.majority_timeout {
+            request.uncommitted = Some(attempt);
+            return self.abandon(context, key);
+        }
+        self.counters.committed += 1;
+        self.majority_missing = false;
+        self.released.push(attempt.action);
+    }
+
+    /// Handles what other nodes sent, and what this node sends to itself; sends what is to go.
+    pub fn exchange_messages(&mut self, context: &mut Context, fleet: &mut Fleet) {
+        for ReplicationDatagram { from, bytes } in fleet.take_replication_messages() {
+            match postcard::from_bytes(&bytes) {
+                Ok(ReplicationMessage::Request(request)) => {
+                    let response = self.replica.handle(context.now, &request);
+                    self.outbox
+                        .push((from, ReplicationMessage::Response(response)));
+                }
+                Ok(ReplicationMessage::Response(response)) => {
+                    self.on_response(context, from, response);
+                }
+                // The checksum was right: another version.
+                Err(_) => {}
+            }
+        }
+        // Without this, the replicas by two cluster sizes each make a majority.
+        if !fleet.agrees_on_cluster_size(self.cluster_size) {
+            return self.outbox.clear();
+        }
+        while !self.outbox.is_empty() {
+            for (to, message) in std::mem::take(&mut self.outbox) {
+                match message {
+                    ReplicationMessage::Request(request) if to == self.member_index => {
+                        let response = self.replica.handle(context.now, &request);
+                        self.on_response(context, to, response);
+                    }
+                    message => {
+                        let bytes = postcard::to_allocvec(&message).unwrap_or_default();
+                        fleet.send_replication_message(to, &bytes);
+                    }
+                }
+            }
+        }
+    }
+
+    fn on_response(&mut self, context: &mut Context, from: u32, response: ReplicaResponse) {
+        if let Some(outcome) = self.coordinator.handle(context.now, from, response) {
+            self.on_outcome(context, outcome);
+        }
+    }
+
+    /// A deadline may have passed.
+    pub fn on_timer(&mut self, context: &mut Context) {
+        for outcome in self.coordinator.expire(context.now) {
+            self.on_outcome(context, outcome);
+        }
+        self.replica.sweep(context.now);
+    }
+
+    /// What is to be carried out now, past the balancer.
+    pub fn take_released_actions(&mut self) -> Vec<Action> {
+        self.refused.clear();
+        std::mem::take(&mut self.released)
+    }
+}
+
+/// A request's key among the replicas: two classes may use one idempotency key.
+fn record_key(client_key: u64, class: usize) -> u64 {
+    client_key.rotate_left(17) ^ (class as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
+}
+
+#[cfg(test)]
+#[path = "replication_bytes_tests.rs"]
+mod bytes_tests;
--- /dev/null
+++ b/node/src/peers/replication_bytes_tests.rs
@@ -0,0 +1,46 @@
+//! The exact bytes of what passes between nodes about records, and of a history as it is replicated.
+
+use super::*;
+use crate::peers::attempt_history::PossibleRun;
+use reedferry_replication::Ballot;
+
+fn hex(value: &impl Serialize) -> String {
+    postcard::to_allocvec(value)
+        .unwrap()
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect()
+}
+
+#[test]
+fn requests_and_responses_keep_their_bytes() {
+    let ballot = Ballot {
+        number: 3,
+        holder: LeaseHolder {
+            member_index: 2,
+            incarnation: 1_700_000_000_000,
+        },
+    };
+    let request = ReplicationMessage::Request(ReplicaRequest::Prepare { key: 5, ballot });
+    assert_eq!(hex(&request), "000005030280d095ffbc31");
+    let response = ReplicationMessage::Response(ReplicaResponse::Accepted {
+        key: 5,
+        ballot,
+        sequence: 1,
+    });
+    assert_eq!(hex(&response), "010105030280d095ffbc3101");
+}
+
+#[test]
+fn a_history_keeps_its_bytes() {
+    let history = AttemptHistory {
+        attempts: 3,
+        may_have_run: Some(PossibleRun {
+            host: 0x0102_0304_0506_0708,
+            age: 2 * SECOND,
+        }),
+        tried_hosts: vec![8, 9],
+    };
+    assert_eq!(hex(&history), "0301888e98a8c0e080810180a8d6b907020809");
+    assert_eq!(hex(&AttemptHistory::default()), "000000");
+}
--- a/node/src/roles/alone.rs
+++ b/node/src/roles/alone.rs
@@ -13,14 +13,12 @@
 use crate::operators::operator_config::{self, OperatorConfig, Role};
 use crate::operators::ops::{Call, Ops, Reply};
 use crate::operators::tally::Now;
-use crate::peers::fleet::Fleet;
-use crate::peers::wards::Wards;
-use crate::peers::words::{Correspondence, Peers};
+use crate::peers::{Fleet, GossipConfig, RequestReplication, StaticPeers};
 use crate::ready::Ready;
 use crate::roles::succession::{Knowledge, Succession};
 use crate::{AtStart, BEYOND_EXPIRY, SWEEP};
 use reedferry::{Action, Balancer, BalancerSettings, Event, Idempotency};
-use reedferry_membership::State;
+use reedferry_membership::MemberState;
 use reedferry_runtime::{Clock, Errno, Signal, Socket};
 use reedferry_settings::renewal;
 use slog::{info, warn};
@@ -35,7 +33,7 @@
 }
 
 impl Told<'_> {
-    fn node_config(&self) -> Result<(NodeConfig, Option<Correspondence>), NotRead> {
+    fn node_config(&self) -> Result<(NodeConfig, Option<GossipConfig>), NotRead> {
         match self {
             Told::Environment => {
                 let node_config = NodeConfig::read()?;
@@ -63,10 +61,10 @@
     connections: Connections,
     discovery: Discovery,
     probes: Probes,
-    peers: Option<Peers>,
+    peers: Option<StaticPeers>,
     fleet: Option<Fleet>,
-    wards: Option<Wards>,
-    correspondence: Option<Correspondence>,
+    replication: Option<RequestReplication>,
+    correspondence: Option<GossipConfig>,
     succession: Succession,
     /// What the module is told where nobody goes on with the clients of a node that stops.
     parting: Option<Event>,
@@ -113,24 +111,29 @@
     let fleet = fleet
         .map(|node_settings| Fleet::open(&mut context, node_settings, &node_config))
         .transpose()?;
-    let wards = fleet.as_ref().and_then(|fleet| {
-        let node_settings = correspondence.as_ref()?.fleet.as_ref()?.wards.as_ref()?;
+    let replication = fleet.as_ref().and_then(|fleet| {
+        let node_settings = correspondence
+            .as_ref()?
+            .fleet
+            .as_ref()?
+            .replication
+            .as_ref()?;
         let BalancerSettings {
             node_index: node,
             node_count: nodes,
             ..
         } = node_config.balancer_settings;
-        Some(Wards::new(
+        Some(RequestReplication::new(
             &context,
             node_settings,
             node,
             nodes,
-            fleet.life(),
+            fleet.incarnation(),
         ))
     });
     let peers = correspondence.as_ref().filter(|c| c.fleet.is_none());
     let peers = peers
-        .map(|correspondence| Peers::open(&mut context, correspondence))
+        .map(|correspondence| StaticPeers::open(&mut context, correspondence))
         .transpose()?;
     let module = Balancer::new(
         node_config.balancer_settings.clone(),
@@ -185,7 +188,7 @@
         probes: Probes::default(),
         peers,
         fleet,
-        wards,
+        replication,
         correspondence,
         succession,
         parting: None,
@@ -211,7 +214,7 @@
         let late = |t| node.context.now >= t || node.succession.over();
         if node.context.leaving.is_some_and(late) && node.connections.count() == 0 {
             let Node { fleet, context, .. } = &mut node;
-            fleet.iter_mut().for_each(|fleet| fleet.ends(context));
+            fleet.iter_mut().for_each(|fleet| fleet.leave(context));
             info!(log, "stopped");
             backlog.drain();
             return Ok(());
@@ -233,7 +236,7 @@
         self.ready.add(ready);
         self.fleet
             .iter_mut()
-            .for_each(|fleet| fleet.mind(&mut self.context));
+            .for_each(|fleet| fleet.refresh_quota(&mut self.context));
         // Guards: an operator who waits behind a crowd of clients; clients handed to a host that drains, by the word
         // of a list that came before them, while the process stood still.
         self.ready.order_by(|one| match one.mark.part {
@@ -258,8 +261,12 @@
                     self.succession.ready(context, &mut self.connections, one);
                 }
                 context::PEERS => {
-                    self.peers.iter_mut().for_each(|peers| peers.ready(context));
-                    self.fleet.iter_mut().for_each(|fleet| fleet.ready(context));
+                    self.peers
+                        .iter_mut()
+                        .for_each(|peers| peers.on_readable(context));
+                    self.fleet
+                        .iter_mut()
+                        .for_each(|fleet| fleet.on_readable(context));
                 }
                 _ => self.connections.ready(context, one),
             }
@@ -282,13 +289,19 @@
                 context::PROBE => self.probes.due(context, mark),
                 context::RETRY => self.connections.retry(context),
                 context::CHANNEL_RETRY => self.succession.retry(context, &mut self.connections),
-                context::WARDS => self.wards.iter_mut().for_each(|wards| wards.due(context)),
-                context::FLEET => self.fleet.iter_mut().for_each(|fleet| fleet.due(context)),
+                context::WARDS => self
+                    .replication
+                    .iter_mut()
+                    .for_each(|replication| replication.on_timer(context)),
+                context::FLEET => self
+                    .fleet
+                    .iter_mut()
+                    .for_each(|fleet| fleet.on_timer(context)),
                 _ => self.sweep(),
             }
         }
-        if let (Some(wards), Some(fleet)) = (&mut self.wards, &mut self.fleet) {
-            wards.turn(&mut self.context, fleet);
+        if let (Some(replication), Some(fleet)) = (&mut self.replication, &mut self.fleet) {
+            replication.exchange_messages(&mut self.context, fleet);
         }
         self.pass_on();
         Ok(())
@@ -321,7 +334,7 @@
 
     /// Hands what was gathered to the module and carries out what it orders.
     fn decide(&mut self) {
-        let idempotencies: Vec<Idempotency> = match &self.wards {
+        let idempotencies: Vec<Idempotency> = match &self.replication {
             Some(_) => self
                 .node_config
                 .balancer_settings
@@ -332,8 +345,10 @@
             None => Vec::new(),
         };
         for event in std::mem::take(&mut self.context.events) {
-            let event = match &mut self.wards {
-                Some(wards) => wards.before(&mut self.context, &idempotencies, event),
+            let event = match &mut self.replication {
+                Some(replication) => {
+                    replication.intercept_event(&mut self.context, &idempotencies, event)
+                }
                 None => Some(event),
             };
             let Some(event) = event else { continue };
@@ -348,8 +363,8 @@
             if self.trace {
                 info!(context.log, "action {:?}", action);
             }
-            let action = match &mut self.wards {
-                Some(wards) => wards.ahead(context, action),
+            let action = match &mut self.replication {
+                Some(replication) => replication.intercept_action(context, action),
                 None => Some(action),
             };
             let Some(action) = action else { continue };
@@ -364,8 +379,12 @@
                 Action::WatchEndpoints => self.discovery.follow(context),
                 Action::Probe { host } => self.probes.send(context, host),
                 Action::Gossip { message } => {
-                    self.peers.iter().for_each(|peers| peers.tell(&message));
-                    self.fleet.iter().for_each(|fleet| fleet.tell(&message));
+                    self.peers
+                        .iter()
+                        .for_each(|peers| peers.broadcast_gossip(&message));
+                    self.fleet
+                        .iter()
+                        .for_each(|fleet| fleet.broadcast_gossip(&message));
                 }
                 Action::Log(text) => info!(context.log, "{}", text),
                 // The connection has carried out the rest.
@@ -376,11 +395,11 @@
 
     /// What wards let go ahead, and what they ask of others.
     fn guard(&mut self) {
-        let (Some(wards), Some(fleet)) = (&mut self.wards, &mut self.fleet) else {
+        let (Some(replication), Some(fleet)) = (&mut self.replication, &mut self.fleet) else {
             return;
         };
-        wards.turn(&mut self.context, fleet);
-        for action in wards.ready() {
+        replication.exchange_messages(&mut self.context, fleet);
+        for action in replication.take_released_actions() {
             self.connections.carry_out(&mut self.context, action);
         }
     }
@@ -402,7 +421,7 @@
         );
         if let Some(fleet) = &mut self.fleet {
             fleet.sweep(context);
-            fleet.serve(context, shares, looks);
+            fleet.update_assignments(context, shares, looks);
         }
         context.hosts.look(context.now, &mut context.events);
         context
@@ -433,7 +452,10 @@
             Call::Fleet => match &self.fleet {
                 Some(fleet) => Reply::new(
                     200,
-                    fleet.text(self.context.now, self.wards.as_ref().map(Wards::figures)),
+                    fleet.status(
+                        self.context.now,
+                        self.replication.as_ref().map(RequestReplication::status),
+                    ),
                 ),
                 None => Reply::new(404, "no fleet\n"),
             },
@@ -449,7 +471,7 @@
                 if !stands_by {
                     let event = self.context.stand_by(held);
                     self.context.events.push(event);
-                    self.stands(State::Standby);
+                    self.stands(MemberState::Standby);
                 }
                 Reply::new(200, "standby\n")
             }
@@ -457,7 +479,7 @@
                 if stands_by {
                     let event = self.context.back_to_work();
                     self.context.events.push(event);
-                    self.stands(State::Working);
+                    self.stands(MemberState::Active);
                 }
                 Reply::new(200, "active\n")
             }
@@ -470,15 +492,15 @@
         }
         self.succession.part(&self.context);
         self.parting = Some(self.context.leave(BEYOND_EXPIRY, self.connections.count()));
-        self.stands(State::Leaving);
+        self.stands(MemberState::Leaving);
     }
 
     /// Tells the fleet how this node stands.
-    fn stands(&mut self, state: State) {
+    fn stands(&mut self, state: MemberState) {
         let Node { fleet, context, .. } = self;
         fleet
             .iter_mut()
-            .for_each(|fleet| fleet.stands(context, state));
+            .for_each(|fleet| fleet.announce(context, state));
     }
 
     /// Takes the papers up afresh: discovery and settings may change in a node that runs.
@@ -513,7 +535,7 @@
                     fresh.balancer_settings.node_index,
                     fresh.balancer_settings.node_count,
                 );
-                fleet.renew(&mut self.context, node_settings, place)
+                fleet.reload(&mut self.context, node_settings, place.0, place.1)
             }
             _ => correspondence == self.correspondence,
         };
--- a/node/tests/members.rs
+++ b/node/tests/membership.rs
@@ -159,7 +159,7 @@
     let lines = fleet.nodes[3].as_ref().unwrap().logged();
     let dropped = lines
         .iter()
-        .filter(|line| line.contains("letter dropped"))
+        .filter(|line| line.contains("membership message dropped"))
         .count();
     assert!((1..=5).contains(&dropped), "{dropped} lines on strangers");
     assert!(lines.iter().all(|line| !line.contains("member gone")));
--- a/node/tests/wards.rs
+++ b/node/tests/replication.rs
@@ -1,5 +1,5 @@
-//! Processes of the program that keep records of each other's work in hand, some of which are killed or stand still: what
-//! is irreversible reaches hosts once, as the hosts saw it.
+//! Processes of the program that replicate records of their requests, some of which are killed or stall: a request that is
+//! not idempotent reaches hosts once, as the hosts saw it.
 
 use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, REPEATS};
 use reedferry_testkit::view::View;
@@ -14,8 +14,8 @@
 use std::time::Duration;
 
 const PERIOD: Duration = Duration::from_millis(100);
-const LIFE: Duration = Duration::from_secs(2);
-const TERMS: FleetOptions = FleetOptions {
+const RETENTION: Duration = Duration::from_secs(2);
+const OPTIONS: FleetOptions = FleetOptions {
     full: 1e6,
     ..FleetOptions::TRIAL
 };
@@ -31,7 +31,7 @@
 }
 
 impl Site {
-    fn new(nodes: usize, idempotency: &'static str, wards: Option<Duration>) -> Site {
+    fn new(nodes: usize, idempotency: &'static str, retention: Option<Duration>) -> Site {
         let turn = alone();
         let host = TcpListener::bind("127.0.0.1:0").unwrap();
         let member = json!({"id": "s-0", "host_port": host.local_addr().unwrap().to_string(), "locality": "a",
@@ -63,13 +63,13 @@
             period: PERIOD,
             seeds: vec![0, 1, 2],
         };
-        let mut fleet = Fleet::new(nodes, service.address, TERMS)
+        let mut fleet = Fleet::new(nodes, service.address, OPTIONS)
             .with_view(view)
-            .class(idempotency, wards);
+            .class(idempotency, retention);
         fleet.start(&(0..nodes).collect::<Vec<_>>(), &[member], 1);
         assert!(fleet.agrees_within(PERIOD * 60).is_some());
-        // Guardians that have just started have no voice.
-        thread::sleep(wards.map_or(Duration::ZERO, |life| life + PERIOD));
+        // Replicas that have just started do not vote.
+        thread::sleep(retention.map_or(Duration::ZERO, |retention| retention + PERIOD));
         Site {
             _service: service,
             fleet,
@@ -78,11 +78,11 @@
         }
     }
 
-    fn asks(&self, node: usize, key: usize, again: bool) -> Peer {
+    fn open(&self, node: usize, key: usize, is_retry: bool) -> Peer {
         let mut client = Peer::connect(self.fleet.nodes[node].as_ref().unwrap().address);
-        let again = if again { ",again=1" } else { "" };
+        let retry = if is_retry { ",again=1" } else { "" };
         client.say(&format!(
-            "OPEN {:x} {:x} c=chat,t=acme,d=2000{again}",
+            "OPEN {:x} {:x} c=chat,t=acme,d=2000{retry}",
             0x1000 + key,
             0xa000 + key
         ));
@@ -98,7 +98,7 @@
             .unwrap_or(0)
     }
 
-    fn figure(&self, node: usize, name: &str) -> u64 {
+    fn counter(&self, node: usize, name: &str) -> u64 {
         self.fleet
             .status(node)
             .and_then(|status| status["wards"][name].as_u64())
@@ -107,92 +107,94 @@
 }
 
 /// Clients of two nodes that are killed while a host says nothing come again to others; gives how often each key's
-/// line reached the host, and what they were told.
-fn killed(site: &mut Site) -> (Vec<usize>, Vec<String>) {
+/// line reached the host, and what they were answered.
+fn kill_two_nodes(site: &mut Site) -> (Vec<usize>, Vec<String>) {
     let keys = 0..40;
     let clients: Vec<Peer> = keys
         .clone()
-        .map(|key| site.asks(key % 2, key, false))
+        .map(|key| site.open(key % 2, key, false))
         .collect();
     eventually("all stand at the host", || {
         keys.clone().all(|key| site.at_host(key) == 1)
     });
     site.fleet.kill(0, Duration::ZERO);
     site.fleet.kill(1, Duration::ZERO);
-    let mut again: Vec<Peer> = keys
+    let mut retries: Vec<Peer> = keys
         .clone()
-        .map(|key| site.asks(2 + key % 3, key, true))
+        .map(|key| site.open(2 + key % 3, key, true))
         .collect();
-    let told = again.iter_mut().map(Peer::hear).collect();
+    let answers = retries.iter_mut().map(Peer::hear).collect();
     drop(clients);
-    (keys.map(|key| site.at_host(key)).collect(), told)
+    (keys.map(|key| site.at_host(key)).collect(), answers)
 }
 
-/// Guards: an effect that is had twice when the node that took an attachment dies.
+/// Prevents an effect that is had twice when the node that took a request dies.
 #[test]
-fn what_is_irreversible_is_not_sent_again_when_its_node_is_killed() {
-    let mut site = Site::new(5, "single_shot", Some(LIFE));
-    let (times, told) = killed(&mut site);
+fn what_is_not_idempotent_is_not_retried_when_its_node_is_killed() {
+    let mut site = Site::new(5, "single_shot", Some(RETENTION));
+    let (times, answers) = kill_two_nodes(&mut site);
     assert!(times.iter().all(|times| *times == 1), "{times:?}");
-    // Those of which two guardians died with their nodes are sent away until these have a voice again.
-    let given_up: Vec<usize> = (0..40)
-        .filter(|key| told[*key].starts_with("ERR"))
+    // Those of which two replicas died with their nodes are rejected until these vote again.
+    let failed: Vec<usize> = (0..40)
+        .filter(|key| answers[*key].starts_with("ERR"))
         .collect();
     assert!(
-        given_up.len() >= 15
-            && told
+        failed.len() >= 15
+            && answers
                 .iter()
                 .all(|l| l.starts_with("ERR") || l.starts_with("BUSY")),
-        "{told:?}"
+        "{answers:?}"
     );
     assert_eq!(
         (2..5)
-            .map(|node| site.figure(node, "taken_over"))
+            .map(|node| site.counter(node, "taken_over"))
             .sum::<u64>(),
-        given_up.len() as u64
+        failed.len() as u64
     );
-    // It has had its answer: what its client brings next is another one.
-    let key = given_up[0];
-    let _next = site.asks(3, key, true);
+    // It has had its answer: what its client brings next is another request.
+    let key = failed[0];
+    let _next = site.open(3, key, true);
     eventually("another one under the same key is served", || {
         site.at_host(key) == 2
     });
 }
 
-/// Guards: labelled work sent again when its hosts have forgotten the first, or not at all though they drop repeats.
+/// Prevents a request with an idempotency key retried when its hosts have forgotten the first attempt, or not at all though they drop
+/// duplicates.
 #[test]
-fn what_is_labelled_goes_on_at_the_next_node_within_its_window_alone() {
-    let mut site = Site::new(5, "guarded", Some(LIFE));
-    let clients: Vec<Peer> = (0..40).map(|key| site.asks(0, key, false)).collect();
+fn a_request_with_an_idempotency_key_goes_on_at_the_next_node_within_its_window_alone() {
+    let mut site = Site::new(5, "guarded", Some(RETENTION));
+    let clients: Vec<Peer> = (0..40).map(|key| site.open(0, key, false)).collect();
     eventually("all stand at the host", || {
         (0..40).all(|key| site.at_host(key) == 1)
     });
     site.fleet.kill(0, Duration::ZERO);
     let soon: Vec<Peer> = (0..20)
-        .map(|key| site.asks(1 + key % 4, key, true))
+        .map(|key| site.open(1 + key % 4, key, true))
         .collect();
-    eventually("those that come soon are sent again", || {
+    eventually("those that come soon are retried", || {
         (0..20).all(|key| site.at_host(key) == 2)
     });
     thread::sleep(REPEATS);
     let mut late: Vec<Peer> = (20..40)
-        .map(|key| site.asks(1 + key % 4, key, true))
+        .map(|key| site.open(1 + key % 4, key, true))
         .collect();
-    let told: Vec<String> = late.iter_mut().map(Peer::hear).collect();
-    // Its circle is all hosts: it may be dismissed as well.
+    let answers: Vec<String> = late.iter_mut().map(Peer::hear).collect();
+    // Its idempotency group is all hosts: it may be rejected as well.
     assert!(
-        told.iter()
+        answers
+            .iter()
             .all(|line| line.starts_with("ERR") || line.starts_with("BUSY")),
-        "{told:?}"
+        "{answers:?}"
     );
     assert!((20..40).all(|key| site.at_host(key) == 1));
     drop((clients, soon));
 }
 
-/// Guards: two majorities, of guardians by two rosters.
+/// Prevents two majorities, of replicas by two cluster sizes.
 #[test]
-fn while_rosters_differ_nothing_starts() {
-    let mut site = Site::new(5, "single_shot", Some(LIFE));
+fn while_cluster_sizes_differ_nothing_starts() {
+    let mut site = Site::new(5, "single_shot", Some(RETENTION));
     site.fleet.tells_of_places(0..1, 6, &[], 1);
     eventually("all know of it", || {
         let other = |node| {
@@ -202,54 +204,57 @@
         };
         (1..5).all(other)
     });
-    let mut clients: Vec<Peer> = (0..10).map(|key| site.asks(key % 5, key, false)).collect();
-    let told: Vec<String> = clients.iter_mut().map(Peer::hear).collect();
-    assert!(told.iter().all(|line| line.starts_with("BUSY")), "{told:?}");
+    let mut clients: Vec<Peer> = (0..10).map(|key| site.open(key % 5, key, false)).collect();
+    let answers: Vec<String> = clients.iter_mut().map(Peer::hear).collect();
+    assert!(
+        answers.iter().all(|line| line.starts_with("BUSY")),
+        "{answers:?}"
+    );
     assert!((0..10).all(|key| site.at_host(key) == 0));
 }
 
-/// Guards: a trial so tame that nothing is doubled whatever guards it.
+/// Prevents a test so tame that nothing is duplicated whatever prevents it.
 #[test]
-fn without_records_it_is_sent_again() {
+fn without_replication_it_is_retried() {
     let mut site = Site::new(5, "single_shot", None);
-    let (times, _) = killed(&mut site);
+    let (times, _) = kill_two_nodes(&mut site);
     assert!(
         times.iter().filter(|times| **times > 1).count() >= 20,
         "{times:?}"
     );
 }
 
-/// Guards: work that starts in a part that has lost the majority, and clients left to wait there.
+/// Prevents requests that start in a partition that has lost the majority, and clients left to wait there.
 #[test]
-fn without_a_majority_it_is_sent_away_at_once_and_nothing_starts() {
-    let mut site = Site::new(5, "single_shot", Some(LIFE));
+fn without_a_majority_it_is_rejected_at_once_and_nothing_starts() {
+    let mut site = Site::new(5, "single_shot", Some(RETENTION));
     (0..4).for_each(|node| site.fleet.kill(node, Duration::ZERO));
-    let mut clients: Vec<Peer> = (0..20).map(|key| site.asks(4, key, false)).collect();
-    let told: Vec<String> = clients.iter_mut().map(Peer::hear).collect();
+    let mut clients: Vec<Peer> = (0..20).map(|key| site.open(4, key, false)).collect();
+    let answers: Vec<String> = clients.iter_mut().map(Peer::hear).collect();
     assert!(
-        told.iter().all(|line| line.starts_with("BUSY 1000")),
-        "{told:?}"
+        answers.iter().all(|line| line.starts_with("BUSY 1000")),
+        "{answers:?}"
     );
-    assert!((0..20).all(|key| site.at_host(key) == 0) && site.figure(4, "turned_away") == 20);
+    assert!((0..20).all(|key| site.at_host(key) == 0) && site.counter(4, "turned_away") == 20);
 }
 
-/// Guards: a node that stood still and goes on with what another has taken up; and one key brought to two at once.
+/// Prevents a node that stalled and goes on with what another has taken over; and one key brought to two at once.
 #[test]
-fn one_that_stood_still_sends_nothing_and_of_two_at_once_one_does() {
-    let mut site = Site::new(5, "single_shot", Some(LIFE));
+fn a_node_that_stalled_sends_nothing_and_of_two_at_once_one_does() {
+    let mut site = Site::new(5, "single_shot", Some(RETENTION));
     site.fleet.stand_still(0);
-    let old: Vec<Peer> = (0..20).map(|key| site.asks(0, key, false)).collect();
+    let old: Vec<Peer> = (0..20).map(|key| site.open(0, key, false)).collect();
     let new: Vec<Peer> = (0..20)
-        .map(|key| site.asks(1 + key % 4, key, true))
+        .map(|key| site.open(1 + key % 4, key, true))
         .collect();
     eventually("all stand at the host", || {
         (0..20).all(|key| site.at_host(key) == 1)
     });
     site.fleet.go_on(0);
     let both: Vec<(Peer, Peer)> = (20..60)
-        .map(|key| (site.asks(1, key, false), site.asks(2, key, false)))
+        .map(|key| (site.open(1, key, false), site.open(2, key, false)))
         .collect();
-    // Each of both is told something, or stands at the host, which gets no answer from there: the expiry ends it.
+    // Each of both is answered, or stands at the host, which gets no answer from there: the expiry ends it.
     thread::sleep(Duration::from_millis(2300));
     assert!(
         (0..60).all(|key| site.at_host(key) <= 1),
--- a/replication/tests/bytes.rs
+++ b/replication/tests/bytes.rs
@@ -1,15 +1,18 @@
 //! The exact bytes of questions and answers about records: an older and a newer process keep records for each other.
 
-use reedferry_replication::{guardians, Answer, Holder, Question, Record, Term};
+use reedferry_replication::{
+    replicas_of, AcceptedRecord, Ballot, LeaseHolder, ReplicaRequest, ReplicaResponse,
+    RequestRecord,
+};
 
 const KEY: u64 = 0x0123_4567_89ab_cdef;
 
-fn term(number: u64, place: u32) -> Term {
-    Term {
+fn ballot(number: u64, member_index: u32) -> Ballot {
+    Ballot {
         number,
-        holder: Holder {
-            place,
-            life: 1_700_000_000_000,
+        holder: LeaseHolder {
+            member_index,
+            incarnation: 1_700_000_000_000,
         },
     }
 }
@@ -24,22 +27,22 @@
 
 #[test]
 fn questions_keep_their_bytes() {
-    let record = Record {
+    let record = RequestRecord {
         history: vec![1, 2, 255],
-        over: true,
+        finished: true,
     };
     assert_eq!(
-        hex(&Question::Claim {
+        hex(&ReplicaRequest::Prepare {
             key: KEY,
-            term: term(3, 2)
+            ballot: ballot(3, 2)
         }),
         "00ef9bafcdf8acd19101030280d095ffbc31"
     );
     assert_eq!(
-        hex(&Question::Keep {
+        hex(&ReplicaRequest::Accept {
             key: KEY,
-            term: term(300, 0),
-            seq: 9,
+            ballot: ballot(300, 0),
+            sequence: 9,
             record
         }),
         "01ef9bafcdf8acd19101ac020080d095ffbc3109030102ff01"
@@ -48,48 +51,52 @@
 
 #[test]
 fn answers_keep_their_bytes() {
-    let record = Record {
+    let record = RequestRecord {
         history: vec![7; 3],
-        over: false,
+        finished: false,
     };
-    let granted = Answer::Granted {
+    let granted = ReplicaResponse::Promised {
         key: KEY,
-        term: term(3, 2),
-        kept: Some((term(2, 1), record, 1_000_000_007)),
+        ballot: ballot(3, 2),
+        accepted: Some(AcceptedRecord {
+            ballot: ballot(2, 1),
+            record,
+            age: 1_000_000_007,
+        }),
     };
     assert_eq!(
         hex(&granted),
         "00ef9bafcdf8acd19101030280d095ffbc3101020180d095ffbc3103070707008794ebdc03"
     );
     assert_eq!(
-        hex(&Answer::Granted {
+        hex(&ReplicaResponse::Promised {
             key: KEY,
-            term: term(3, 2),
-            kept: None
+            ballot: ballot(3, 2),
+            accepted: None
         }),
         "00ef9bafcdf8acd19101030280d095ffbc3100"
     );
     assert_eq!(
-        hex(&Answer::Kept {
+        hex(&ReplicaResponse::Accepted {
             key: KEY,
-            term: term(3, 2),
-            seq: 70_000
+            ballot: ballot(3, 2),
+            sequence: 70_000
         }),
         "01ef9bafcdf8acd19101030280d095ffbc31f0a204"
     );
     assert_eq!(
-        hex(&Answer::Refused {
+        hex(&ReplicaResponse::Rejected {
             key: KEY,
-            term: term(3, 2),
-            by: Some(term(4, 1))
+            ballot: ballot(3, 2),
+            promised: Some(ballot(4, 1))
         }),
         "02ef9bafcdf8acd19101030280d095ffbc3101040180d095ffbc31"
     );
     assert_eq!(
-        hex(&Answer::Refused {
+        hex(&ReplicaResponse::Rejected {
             key: KEY,
-            term: term(3, 2),
-            by: None
+            ballot: ballot(3, 2),
+            promised: None
         }),
         "02ef9bafcdf8acd19101030280d095ffbc3100"
     );
@@ -98,7 +105,7 @@
 /// Who keeps a record follows from its key alone: two builds that choose otherwise would share no majority.
 #[test]
 fn the_members_that_keep_a_record_stay_the_same() {
-    let chosen = |key, roster| guardians(key, roster);
+    let chosen = |key, cluster_size| replicas_of(key, cluster_size);
     assert_eq!(chosen(KEY, 0), [0; 0]);
     assert_eq!(chosen(KEY, 2), [1, 0]);
     assert_eq!(chosen(KEY, 5), [3, 2, 4]);
