--- a/node/tests/fleet_recovery.rs
+++ b/node/tests/fleet_recovery.rs
@@ -1,5 +1,5 @@
-//! Many processes of the program beside one list service and hosts that warm up, with faults put in between them.
-//! Judged by what hosts, clients and the list service saw.
+//! Fleets that start, restart and recover beside one discovery service and hosts that warm up, with faults put in between
+//! them; checked by what hosts, clients and the service saw.
 
 use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, Guests, WarmingHosts};
 use reedferry_testkit::{eventually, Discovery, Node};
@@ -13,7 +13,7 @@
     Duration::from_millis(n)
 }
 
-/// A list service, hosts and a fleet. One at a time: each starts dozens of processes and judges by time.
+/// A discovery service, hosts and a fleet. One at a time: each starts dozens of processes and checks times.
 struct Site {
     service: Discovery,
     hosts: WarmingHosts,
@@ -24,7 +24,7 @@
 }
 
 impl Site {
-    /// The service works off so many calls a second.
+    /// The service answers so many calls a second.
     fn new(nodes: usize, rate: f64) -> Self {
         let turn = alone();
         let (service, hosts) = (Discovery::start(), WarmingHosts::new(FleetOptions::TRIAL));
@@ -91,7 +91,7 @@
         self.service.seen().0.len()
     }
 
-    fn judged(&self, mut guests: Guests) {
+    fn assert_nothing_broken(&self, mut guests: Guests) {
         guests.end();
         let mut broken = self.hosts.broken(ms(300));
         broken.extend(self.fleet.broken(&guests));
@@ -99,7 +99,7 @@
     }
 }
 
-/// Guards: a list service that all nodes of a site call in the same second when it is started again.
+/// Prevents a discovery service that all nodes of a site call in the same second when it is restarted.
 #[test]
 fn forty_nodes_that_know_nothing_call_a_service_no_faster_than_it_answers() {
     let mut site = Site::new(40, 24.0);
@@ -110,7 +110,7 @@
     let took = site.from.elapsed();
     site.at(6500);
     let (called, turned_away) = site.service.seen();
-    site.judged(guests);
+    site.assert_nothing_broken(guests);
     assert!(
         turned_away.len() <= 4,
         "{} of {} calls turned away",
@@ -121,7 +121,7 @@
     assert!(took <= ms(3500), "the last node served after {took:?}");
 }
 
-/// Guards: a node alone that waits for a turn.
+/// Prevents a node alone that waits for a slot.
 #[test]
 fn a_single_node_that_knows_nothing_serves_at_once() {
     let mut site = Site::new(1, 40.0);
@@ -131,13 +131,13 @@
     eventually("it serves", || guests.standing() == 1);
     let took = site.from.elapsed();
     assert!(took <= ms(1500), "it served after {took:?}");
-    site.judged(guests);
+    site.assert_nothing_broken(guests);
 }
 
-/// Guards: nodes that wait in a circle, or call faster and faster, where nobody knows anything and the service is
-/// down and then turns most calls away.
+/// Prevents nodes that wait for each other, or call faster and faster, where nobody knows anything and the service is
+/// down and then rejects most calls.
 #[test]
-fn nobody_knows_anything_and_the_service_is_down_and_then_turns_nine_of_ten_away() {
+fn nobody_knows_anything_and_the_service_is_down_and_then_rejects_nine_of_ten_calls() {
     let mut site = Site::new(20, 40.0);
     site.service.go_down();
     site.hosts(4, false);
@@ -165,11 +165,11 @@
         took <= ms(2500),
         "the last node served {took:?} after the service was well"
     );
-    site.judged(guests);
+    site.assert_nothing_broken(guests);
 }
 
-/// Guards: hosts that are all new pushed over by nodes that are all new, and clients sent away for longer than the
-/// hosts take to warm up.
+/// Prevents hosts that are all new overloaded by nodes that are all new, and clients rejected for longer than the hosts
+/// take to warm up.
 #[test]
 fn all_nodes_and_all_hosts_are_cold_together() {
     let mut site = Site::new(20, 40.0);
@@ -177,13 +177,13 @@
     site.start(0..20, false);
     let guests = site.guests(90, 6);
     let took = site.from.elapsed();
-    site.judged(guests);
+    site.assert_nothing_broken(guests);
     assert!(took <= ms(8000), "the last client stood after {took:?}");
 }
 
-/// Guards: a list that takes nodes so long to read, or the service to write, that they ask again and again.
+/// Prevents a list that takes nodes so long to read, or the service to write, that they poll again and again.
 #[test]
-fn a_list_of_five_thousand_hosts_is_asked_for_by_many_nodes() {
+fn a_list_of_five_thousand_hosts_is_polled_by_many_nodes() {
     let mut site = Site::new(14, 1e6);
     site.hosts(4, false);
     let named = |n: usize| {
@@ -199,12 +199,12 @@
     eventually("each node serves", || guests.standing() == 14);
     site.at(6500);
     let calls = site.calls();
-    site.judged(guests);
+    site.assert_nothing_broken(guests);
     assert!(calls <= 31, "{calls} calls of 14 nodes");
 }
 
-/// Guards: new hosts left nearly empty in a release, as nodes that are restarted meanwhile count them as hosts like
-/// the rest, of which they use few; and cold hosts pushed over, drains not heeded, clients left without an answer,
+/// Prevents new hosts left nearly empty in a release, as nodes that are restarted meanwhile count them as hosts like
+/// the rest, of which they use few; and cold hosts overloaded, drains not heeded, clients left without an answer,
 /// or nodes that stay with a service that has moved.
 #[test]
 fn all_nodes_are_restarted_in_turn_while_half_of_the_hosts_are_replaced_and_the_service_moves() {
@@ -241,15 +241,15 @@
         site.hosts.standing(new.clone()),
         site.hosts.standing(0..new.end),
     );
-    site.judged(guests);
+    site.assert_nothing_broken(guests);
     // They are twelve of the twenty hosts that stay.
     assert!(2 * there >= all, "{there} of {all} at the new hosts");
 }
 
-/// Guards: new work for hosts that drain, by a list service that starts anew with an older list, half as long and the
+/// Prevents new work for hosts that drain, by a discovery service that restarts with an older list, half as long and the
 /// rest in pieces, where all watches end at one moment; and nodes that all call it again in step.
 #[test]
-fn the_list_service_starts_anew_with_an_older_list_of_half_of_the_hosts() {
+fn the_discovery_service_restarts_with_an_older_list_of_half_of_the_hosts() {
     let mut site = Site::new(16, 1e6);
     site.hosts(6, false);
     site.start(0..16, true);
@@ -294,11 +294,11 @@
     eventually("hosts that the pieces named are used again", || {
         site.hosts.arrived(4).len() > pieces
     });
-    site.judged(guests);
+    site.assert_nothing_broken(guests);
 }
 
-/// Guards: cold hosts pushed over, and clients lost, when most of a fleet dies and all its clients come to nodes
-/// that know nothing of any host, some of which stand still meanwhile.
+/// Prevents cold hosts overloaded, and clients lost, when most of a fleet dies and all its clients come to nodes
+/// that know nothing of any host, some of which stall meanwhile.
 #[test]
 fn seven_of_ten_nodes_are_killed_and_started_again_while_their_clients_come_back() {
     let mut site = Site::new(20, 40.0);
@@ -321,6 +321,6 @@
     eventually("all stand again", || guests.standing() == 160);
     let took = from.elapsed();
     thread::sleep((from + ms(6000)).saturating_duration_since(Instant::now()));
-    site.judged(guests);
+    site.assert_nothing_broken(guests);
     assert!(took <= ms(12_000), "all stood again after {took:?}");
 }
--- a/node/tests/membership.rs
+++ b/node/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Processes of the program that keep a view of their fleet, with faults put between them: how soon the view settles,
-//! who is put out and who is not. What clients and hosts saw is judged beside it where there is load.
+//! Processes of the program that are members of a fleet, with faults put between them: how soon their member tables
+//! converge, who is declared dead and who is not. What clients and hosts saw is checked too where there is load.
 
 use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, Guests, WarmingHosts};
 use reedferry_testkit::schedule::{play, Schedule};
@@ -11,22 +11,22 @@
 use std::time::{Duration, Instant};
 
 const PERIOD: Duration = Duration::from_millis(100);
-/// What a busy machine takes longer than the periods that measurements promise.
+/// A busy machine may take so many times the periods that are promised.
 const SLACK: u32 = 3;
 
-fn agreed(nodes: usize, seed: u64) -> (Discovery, Fleet) {
+fn converged_fleet(nodes: usize, seed: u64) -> (Discovery, Fleet) {
     let (service, fleet) = started(nodes, PERIOD, seed);
-    agree(&fleet, 20, "at the start");
+    assert_converges(&fleet, 20, "at the start");
     (service, fleet)
 }
 
-fn agree(fleet: &Fleet, periods: u32, when: &str) {
+fn assert_converges(fleet: &Fleet, periods: u32, when: &str) {
     let took = fleet.agrees_within(PERIOD * periods * SLACK);
-    assert!(took.is_some(), "views differ {when}: {:?}", fleet.held());
+    assert!(took.is_some(), "tables differ {when}: {:?}", fleet.held());
 }
 
-/// Those who were held gone though they run, by whom.
-fn wronged(fleet: &Fleet, but: &[usize]) -> Vec<String> {
+/// Log lines on members that were declared dead though they run.
+fn false_deaths(fleet: &Fleet, but: &[usize]) -> Vec<String> {
     let of = |line: &String, node: &usize| format!("{line},").contains(&format!("name: n{node},"));
     fleet
         .put_out()
@@ -35,43 +35,49 @@
         .collect()
 }
 
-/// Guards: deaths that some never hear of, and others taken for dead beside them.
+fn stall(fleet: &mut Fleet, node: usize, time: Duration) {
+    fleet.stand_still(node);
+    thread::sleep(time);
+    fleet.go_on(node);
+}
+
+/// Prevents deaths that some never hear of, and others declared dead beside them.
 #[test]
 fn one_of_twenty_dies_then_half_then_all_but_one_and_they_come_back() {
     let _turn = alone();
-    let (_service, mut fleet) = agreed(20, 1);
+    let (_service, mut fleet) = converged_fleet(20, 1);
     fleet.kill(7, Duration::ZERO);
-    agree(&fleet, 11, "after one death");
-    assert_eq!(wronged(&fleet, &[7]), [""; 0]);
+    assert_converges(&fleet, 11, "after one death");
+    assert_eq!(false_deaths(&fleet, &[7]), [""; 0]);
     let half: Vec<usize> = (0..20).step_by(2).collect();
     half.iter()
         .for_each(|&node| fleet.kill(node, Duration::ZERO));
-    agree(&fleet, 30, "after half died");
-    assert_eq!(wronged(&fleet, &[&half[..], &[7]].concat()), [""; 0]);
+    assert_converges(&fleet, 30, "after half died");
+    assert_eq!(false_deaths(&fleet, &[&half[..], &[7]].concat()), [""; 0]);
     (1..19)
         .step_by(2)
         .filter(|&node| node != 7)
         .for_each(|node| fleet.kill(node, Duration::ZERO));
-    agree(&fleet, 40, "after all but one died");
+    assert_converges(&fleet, 40, "after all but one died");
     fleet.start(&(0..19).collect::<Vec<_>>(), &[], 0);
-    agree(&fleet, 20, "after they came back");
+    assert_converges(&fleet, 20, "after they came back");
 }
 
-/// Guards: parts that stay apart, and members that are put out over one way that is cut.
+/// Prevents partitions that stay apart, and members that are declared dead over one link that is cut.
 #[test]
-fn parts_find_together_after_a_cut_and_a_pair_that_is_cut_puts_nobody_out() {
+fn partitions_merge_and_a_pair_that_is_cut_declares_nobody_dead() {
     let _turn = alone();
-    let (_service, fleet) = agreed(20, 2);
+    let (_service, fleet) = converged_fleet(20, 2);
     for (periods, parts) in [(20, 2), (30, 3)] {
         fleet.view().ways.split(|node| node % parts);
         thread::sleep(PERIOD * periods);
         fleet.view().ways.heal();
-        agree(&fleet, 10, "after a cut");
+        assert_converges(&fleet, 10, "after a cut");
     }
     fleet.view().ways.split(|node| usize::from(node == 19));
     thread::sleep(PERIOD * 30);
     fleet.view().ways.heal();
-    agree(&fleet, 10, "after one was cut off");
+    assert_converges(&fleet, 10, "after one was cut off");
     fleet.put_out();
     let cut = |from, to| (from, to) == (3, 4) || (from, to) == (4, 3) || (from, to) == (7, 8);
     fleet.view().ways.set(|from, to| Spoil {
@@ -79,15 +85,15 @@
         ..Spoil::default()
     });
     thread::sleep(PERIOD * 40);
-    assert_eq!(wronged(&fleet, &[]), [""; 0]);
+    assert_eq!(false_deaths(&fleet, &[]), [""; 0]);
 }
 
-/// Guards: members put out by loss, by a short stop or by one that is slow; one that is back after a long stop and
-/// not by a new word; one that starts again taken for its own death.
+/// Prevents members declared dead by loss, by a short stall or by one that is slow; one that is back after a long
+/// stall and not under a new version; a restart taken for a death.
 #[test]
-fn loss_a_stop_a_slow_one_and_a_restart_put_nobody_out_that_runs() {
+fn loss_stalls_and_a_restart_declare_nobody_dead_that_runs() {
     let _turn = alone();
-    let (_service, mut fleet) = agreed(12, 3);
+    let (_service, mut fleet) = converged_fleet(12, 3);
     let delay = PERIOD / 10;
     fleet.view().ways.set(|_, _| Spoil {
         loss: 0.2,
@@ -97,28 +103,26 @@
     });
     thread::sleep(PERIOD * 60);
     fleet.view().ways.heal();
-    agree(&fleet, 10, "after the loss");
-    fleet.stand_still(5);
-    thread::sleep(PERIOD * 2);
-    fleet.go_on(5);
+    assert_converges(&fleet, 10, "after the loss");
+    stall(&mut fleet, 5, PERIOD * 2);
     for _ in 0..30 {
         fleet.pause(6);
         thread::sleep(PERIOD * 9 / 10);
         fleet.resume(6);
         thread::sleep(PERIOD / 10);
     }
-    agree(&fleet, 10, "after a stop and a slow one");
-    assert_eq!(wronged(&fleet, &[6]), [""; 0]);
+    assert_converges(&fleet, 10, "after a stop and a slow one");
+    assert_eq!(false_deaths(&fleet, &[6]), [""; 0]);
     fleet.kill(8, Duration::ZERO);
     fleet.start(&[8], &[], 0);
-    agree(&fleet, 10, "after a restart");
+    assert_converges(&fleet, 10, "after a restart");
     thread::sleep(PERIOD * 10);
-    assert_eq!(wronged(&fleet, &[]), [""; 0]);
+    assert_eq!(false_deaths(&fleet, &[]), [""; 0]);
     fleet.stand_still(9);
     thread::sleep(PERIOD * 40);
     let word = |fleet: &Fleet| fleet.status(9).and_then(|status| status["word"].as_u64());
     fleet.go_on(9);
-    agree(&fleet, 10, "after a long stop");
+    assert_converges(&fleet, 10, "after a long stop");
     assert!(word(&fleet) > Some(0));
     assert!(fleet.nodes[9]
         .as_ref()
@@ -127,9 +131,9 @@
         .contains("gone"));
 }
 
-/// Guards: strangers that are taken in, that put somebody out, or fill the log; and a second process of one name.
+/// Prevents strangers that are taken in, that have a member declared dead, or fill the log; and a second process of one name.
 #[test]
-fn strangers_are_a_line_and_of_two_under_one_name_the_later_counts() {
+fn strangers_are_logged_at_most_and_of_two_processes_under_one_name_the_later_one_counts() {
     let _turn = alone();
     let service = Discovery::start();
     let view = View {
@@ -146,16 +150,16 @@
         .with_view(view);
     // Two of three seeds are dead.
     fleet.start(&[0, 3, 4, 5], &[], 0);
-    agree(&fleet, 20, "with two dead seeds");
+    assert_converges(&fleet, 20, "with two dead seeds");
     fleet.start(&[1, 2], &[], 0);
-    agree(&fleet, 20, "with all");
+    assert_converges(&fleet, 20, "with all");
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     let at = fleet.view().ways.behind[3];
     for n in 0..2000u32 {
         _ = stranger.send_to(&n.to_le_bytes().repeat((n % 300) as usize), at);
     }
     thread::sleep(PERIOD * 5);
-    agree(&fleet, 5, "after a flood");
+    assert_converges(&fleet, 5, "after a flood");
     let lines = fleet.nodes[3].as_ref().unwrap().logged();
     let dropped = lines
         .iter()
@@ -163,12 +167,17 @@
         .count();
     assert!((1..=5).contains(&dropped), "{dropped} lines on strangers");
     assert!(lines.iter().all(|line| !line.contains("member gone")));
-    // What was said while one was taken for dead and came back, said again later; and the same by another version.
+    assert_replays_change_nothing(&mut fleet);
+    assert_later_twin_counts(&mut fleet);
+}
+
+/// Replays what was sent while one member was dead and came back, and then the same in another version.
+fn assert_replays_change_nothing(fleet: &mut Fleet) {
     fleet.view().ways.take_down();
     fleet.kill(5, Duration::ZERO);
-    agree(&fleet, 20, "after a death");
+    assert_converges(fleet, 20, "after a death");
     fleet.start(&[5], &[], 0);
-    agree(&fleet, 20, "after it came back");
+    assert_converges(fleet, 20, "after it came back");
     fleet
         .nodes
         .iter()
@@ -176,14 +185,18 @@
         .for_each(|node| drop(node.logged()));
     assert!(fleet.view().ways.replay(|_| ()) > 100);
     thread::sleep(PERIOD * 10);
-    agree(&fleet, 5, "after a replay");
-    assert_eq!(wronged(&fleet, &[]), [""; 0]);
+    assert_converges(fleet, 5, "after a replay");
+    assert_eq!(false_deaths(fleet, &[]), [""; 0]);
     fleet
         .view()
         .ways
         .replay(|bytes| bytes.iter_mut().take(1).for_each(|version| *version += 1));
     fleet.nodes[0].as_ref().unwrap().logs("another version");
-    agree(&fleet, 5, "after letters of another version");
+    assert_converges(fleet, 5, "after messages of another version");
+}
+
+/// Starts a second process under a member's name.
+fn assert_later_twin_counts(fleet: &mut Fleet) {
     fleet.start_twin(4, &[], 0);
     fleet.nodes[4]
         .as_ref()
@@ -199,7 +212,7 @@
     });
 }
 
-/// Guards: seeds that are dead and hold hundreds up, and logs that hundreds of changes at once fill.
+/// Prevents seeds that are dead and hold hundreds up, and logs that hundreds of changes at once fill.
 #[test]
 fn two_hundred_start_with_two_of_three_seeds_dead_and_many_die_at_once() {
     let _turn = alone();
@@ -213,7 +226,7 @@
     let mut fleet = Fleet::new(200, service.address, FleetOptions::TRIAL).with_view(view);
     let living: Vec<usize> = (0..200).filter(|node| *node != 1 && *node != 2).collect();
     fleet.start(&living, &[], 0);
-    agree(&fleet, 60, "after the start");
+    assert_converges(&fleet, 60, "after the start");
     let lines = |fleet: &Fleet| -> Vec<usize> {
         let of = |node: &reedferry_testkit::Node| {
             let lines = node
@@ -233,7 +246,7 @@
     };
     lines(&fleet);
     (100..200).for_each(|node| fleet.kill(node, Duration::ZERO));
-    agree(&fleet, 100, "after half died");
+    assert_converges(&fleet, 100, "after half died");
     // Two seconds may meet in what is less than one.
     let most = lines(&fleet).into_iter().max().unwrap();
     assert!(
@@ -242,9 +255,9 @@
     );
 }
 
-/// Guards: nodes that stop taken for dead, or clients left without an answer, while all are restarted in turn.
+/// Prevents nodes that shut down taken for dead, or clients left without an answer, while all are restarted in turn.
 #[test]
-fn all_are_restarted_in_turn_under_load_and_say_that_they_leave() {
+fn all_are_restarted_in_turn_under_load_and_announce_that_they_leave() {
     let _turn = alone();
     let (service, hosts) = (Discovery::start(), WarmingHosts::new(FleetOptions::TRIAL));
     let list = hosts.members(hosts.start(6, false));
@@ -259,7 +272,7 @@
     fleet.start(&(0..10).collect::<Vec<_>>(), &list, 6);
     let mut guests = Guests::come(60, &fleet.front, Duration::from_millis(500), None, 5);
     eventually("all stand", || guests.standing() == 60);
-    agree(&fleet, 20, "at the start");
+    assert_converges(&fleet, 20, "at the start");
     let from = Instant::now();
     for node in 0..10 {
         let mut stopped = fleet.stop(node, Duration::from_millis(100)).unwrap();
@@ -270,7 +283,7 @@
         stopped.wait();
         fleet.start(&[node], &list, 6);
     }
-    agree(&fleet, 10, "after all were restarted");
+    assert_converges(&fleet, 10, "after all were restarted");
     assert!(from.elapsed() < Duration::from_secs(60));
     eventually("all stand again", || guests.standing() == 60);
     guests.end();
@@ -289,10 +302,52 @@
     );
 }
 
-/// Guards: hosts that several nodes probe in one round, or none after a death; and a node that goes on after a stop
-/// with duties that others have taken up.
+const PROBE_ROUND: Duration = Duration::from_secs(2);
+
+/// How often hosts were probed.
+struct ProbeCounts {
+    /// The fewest of any host in all rounds.
+    min: usize,
+    /// The most of any host in one round.
+    max_per_round: usize,
+}
+
+/// Waits for so many rounds from a moment on.
+fn count_probes(hosts: &WarmingHosts, from: Instant, rounds: u32) -> ProbeCounts {
+    thread::sleep((from + PROBE_ROUND * rounds).saturating_duration_since(Instant::now()));
+    let probes_of = |host: usize| -> Vec<Instant> {
+        let probes = hosts.probed(host).into_iter();
+        probes.filter(|at| *at >= from).collect()
+    };
+    let in_round = |probes: &[Instant], start: Instant| {
+        probes
+            .iter()
+            .filter(|at| **at >= start && **at < start + PROBE_ROUND * 9 / 10)
+            .count()
+    };
+    let all: Vec<Vec<Instant>> = (0..8).map(probes_of).collect();
+    let max_per_round = all
+        .iter()
+        .flat_map(|probes| probes.iter().map(|at| in_round(probes, *at)))
+        .max();
+    ProbeCounts {
+        min: all.iter().map(Vec::len).min().unwrap_or(0),
+        max_per_round: max_per_round.unwrap_or(0),
+    }
+}
+
+fn assert_probed(counts: &ProbeCounts, when: &str) {
+    let ProbeCounts { min, max_per_round } = counts;
+    assert!(
+        *min >= 2 && *max_per_round <= 2,
+        "{min} in {when}, {max_per_round} in one round"
+    );
+}
+
+/// Prevents hosts that several nodes probe in one round, or none after a death; and a node that goes on after a stall
+/// with shards that others have taken over.
 #[test]
-fn each_host_is_probed_once_a_round_whoever_dies_or_stands_still() {
+fn each_host_is_probed_once_a_round_whoever_dies_or_stalls() {
     let _turn = alone();
     let (service, hosts) = (Discovery::start(), WarmingHosts::new(FleetOptions::TRIAL));
     let list = hosts.members(hosts.start(8, false));
@@ -307,62 +362,44 @@
         .with_view(view)
         .probing();
     fleet.start(&(0..6).collect::<Vec<_>>(), &list, 8);
-    agree(&fleet, 20, "at the start");
-    let round = Duration::from_secs(2);
-    // Fewest of any host within so many rounds, and most within one.
-    let probed = |from: Instant, rounds: u32| {
-        thread::sleep((from + round * rounds).saturating_duration_since(Instant::now()));
-        let of = |host: usize| {
-            hosts
-                .probed(host)
-                .into_iter()
-                .filter(|t| *t >= from)
-                .collect::<Vec<_>>()
-        };
-        let within = |all: &[Instant], at: Instant| {
-            all.iter()
-                .filter(|t| **t >= at && **t < at + round * 9 / 10)
-                .count()
-        };
-        let all: Vec<Vec<Instant>> = (0..8).map(of).collect();
-        let most = all
-            .iter()
-            .flat_map(|a| a.iter().map(|at| within(a, *at)))
-            .max()
-            .unwrap_or(0);
-        (all.iter().map(Vec::len).min().unwrap_or(0), most)
-    };
+    assert_converges(&fleet, 20, "at the start");
     // Those who knew nobody yet went by their numbers.
-    thread::sleep(round);
-    let (fewest, most) = probed(Instant::now(), 3);
-    assert!(
-        fewest >= 2 && most <= 2,
-        "{fewest} in three rounds, {most} in one"
-    );
+    thread::sleep(PROBE_ROUND);
+    assert_probed(&count_probes(&hosts, Instant::now(), 3), "three rounds");
     (0..3).for_each(|node| fleet.kill(node, Duration::ZERO));
-    agree(&fleet, 30, "after three died");
-    let (fewest, most) = probed(Instant::now(), 3);
-    assert!(
-        fewest >= 2 && most <= 2,
-        "{fewest} in three rounds after deaths, {most} in one"
+    assert_converges(&fleet, 30, "after three died");
+    assert_probed(
+        &count_probes(&hosts, Instant::now(), 3),
+        "three rounds after deaths",
     );
     fleet.stand_still(4);
     let from = Instant::now();
     thread::sleep(Duration::from_secs(3));
     fleet.go_on(4);
     let looks = fleet.status(4).and_then(|status| status["looks"].as_u64());
-    assert_eq!(looks, Some(0), "it goes on with what others have taken up");
-    let (fewest, most) = probed(from, 4);
-    assert!(
-        fewest >= 2 && most <= 2,
-        "{fewest} in four rounds with a stop, {most} in one"
+    assert_eq!(
+        looks,
+        Some(0),
+        "it goes on with what others have taken over"
     );
+    assert_probed(&count_probes(&hosts, from, 4), "four rounds with a stall");
+}
+
+/// How much quota the nodes use together, in whole shares.
+fn used_quota(fleet: &Fleet) -> f64 {
+    let used_by = |node: usize| {
+        fleet.status(node).map_or(0.0, |status| {
+            let shares = status["turns"].as_array().cloned().unwrap_or_default();
+            shares.iter().filter_map(|share| share[1].as_f64()).sum()
+        })
+    };
+    (0..6).map(used_by).sum()
 }
 
-/// Guards: turns of dead nodes that stay unused, more than the whole used by any parts of a fleet, and cold hosts
+/// Prevents quota of dead nodes that stays unused, more than the whole used by any partitions of a fleet, and cold hosts
 /// pushed over meanwhile.
 #[test]
-fn turns_of_the_dead_are_lent_under_a_majority_and_never_used_twice() {
+fn quota_of_the_dead_is_lent_under_a_majority_and_never_used_twice() {
     let _turn = alone();
     let (service, hosts) = (Discovery::start(), WarmingHosts::new(FleetOptions::TRIAL));
     let mut list = hosts.members(hosts.start(4, false));
@@ -375,8 +412,8 @@
     };
     let mut fleet = Fleet::new(6, service.address, FleetOptions::TRIAL).with_view(view);
     fleet.start(&(0..6).collect::<Vec<_>>(), &list, 4);
-    let guests = Guests::come(60, &fleet.front, Duration::from_millis(300), None, 7);
-    agree(&fleet, 20, "at the start");
+    let mut guests = Guests::come(60, &fleet.front, Duration::from_millis(300), None, 7);
+    assert_converges(&fleet, 20, "at the start");
     let mut cold = |count: usize| {
         for member in hosts.members(hosts.start(count, true)) {
             service.change(member.clone());
@@ -384,44 +421,33 @@
         }
         list.clone()
     };
-    let used = |fleet: &Fleet| -> f64 {
-        let of = |node: usize| {
-            fleet.status(node).map_or(0.0, |status| {
-                let turns = status["turns"].as_array().cloned().unwrap_or_default();
-                turns.iter().filter_map(|turn| turn[1].as_f64()).sum()
-            })
-        };
-        (0..6).map(of).sum()
-    };
-    let mut most: f64 = 0.0;
-    let mut comes = |fleet: &Fleet, wanted: f64, what: &str| {
+    let mut max_used: f64 = 0.0;
+    let mut expect = |fleet: &Fleet, expected: f64, what: &str| {
         eventually(what, || {
-            let now = used(fleet);
-            most = most.max(now);
-            (now - wanted).abs() < 1e-6
+            let used = used_quota(fleet);
+            max_used = max_used.max(used);
+            (used - expected).abs() < 1e-6
         });
     };
     cold(2);
-    comes(&fleet, 6.0, "all is used");
+    expect(&fleet, 6.0, "all is used");
     fleet.kill(5, Duration::from_millis(200));
-    comes(&fleet, 5.5, "the half of the dead one that is lent is used");
+    expect(&fleet, 5.5, "the half of the dead one that is lent is used");
     fleet.view().ways.split(|node| node % 2);
     // Three of six are no majority, and neither are two.
-    comes(
+    expect(
         &fleet,
         2.5,
         "without a majority each uses its own half alone",
     );
     fleet.view().ways.heal();
     let known = cold(1);
-    comes(&fleet, 5.5, "after the cut");
-    fleet.stand_still(4);
-    thread::sleep(Duration::from_secs(2));
-    fleet.go_on(4);
-    // The places shrink behind a cut, for one part of the fleet, and grow again.
+    expect(&fleet, 5.5, "after the cut");
+    stall(&mut fleet, 4, Duration::from_secs(2));
+    // The cluster shrinks in one partition, and grows again.
     fleet.view().ways.split(|node| usize::from(node < 2));
     fleet.tells_of_places(0..2, 4, &known, 7);
-    comes(
+    expect(
         &fleet,
         0.5 * 4.0 / 6.0 * 2.0 + 1.5,
         "those who shrank use no more than they did, the others their own",
@@ -429,19 +455,18 @@
     fleet.tells_of_places(0..2, 6, &known, 7);
     fleet.view().ways.heal();
     fleet.start(&[5], &known, 7);
-    comes(&fleet, 6.0, "with all again");
-    assert!(most <= 6.0 + 1e-6, "{most} of 6 were used");
+    expect(&fleet, 6.0, "with all again");
+    assert!(max_used <= 6.0 + 1e-6, "{max_used} of 6 were used");
     eventually("all stand", || guests.standing() == 60);
-    let mut guests = guests;
     guests.end();
     assert_eq!(hosts.broken(Duration::from_millis(300)), [""; 0]);
     assert_eq!(fleet.broken(&guests), [""; 0]);
 }
 
-/// Guards: a rule broken, clients lost or views that differ for ever where two faults overlap. Seed 31 flipped bits in
-/// letters, which members then held for true.
+/// Prevents an invariant broken, clients lost or tables that differ for ever where two faults overlap. Seed 31 flips bits
+/// in messages, which members then believed.
 #[test]
-fn drawn_schedules_of_two_overlapping_faults_break_no_rule() {
+fn drawn_schedules_of_two_overlapping_faults_break_no_invariant() {
     let _turn = alone();
     for seed in [31, 2, 5] {
         let schedule = Schedule::draw(seed, 8, 2);
@@ -450,11 +475,11 @@
     }
 }
 
-/// The keys of the view that operators see: whoever watches them knows them by these names.
+/// The keys of `/status/fleet`: whoever watches them knows them by these names.
 #[test]
-fn the_view_that_operators_see_keeps_its_keys() {
+fn the_status_that_operators_see_keeps_its_keys() {
     let _turn = alone();
-    let (_service, fleet) = agreed(2, 9);
+    let (_service, fleet) = converged_fleet(2, 9);
     let status = fleet.status(0).unwrap();
     let keys = |value: &serde_json::Value| {
         value
