--- a/membership/src/failure_detector.rs
+++ b/membership/src/failure_detector.rs
@@ -112,7 +112,7 @@
     }
 
     /// The indexes of the probes that were not answered in time.
-    fn take_late_probes(&mut self, now: Nanos, period: Nanos) -> Vec<usize> {
+    fn late_probes(&self, now: Nanos, period: Nanos) -> Vec<usize> {
         let timeout = self.ping_timeout(period);
         let is_late =
             |probe: &Probe| !probe.answered && !probe.is_indirect && now >= probe.sent_at + timeout;
@@ -155,7 +155,7 @@
 impl Membership {
     /// Has others ping those that have not answered in time.
     pub(crate) fn request_indirect_probes(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        for index in self.detector.take_late_probes(now, self.period) {
+        for index in self.detector.late_probes(now, self.period) {
             let (target, sequence) = {
                 let probe = &self.detector.probes[index];
                 (probe.target, probe.sequence)
--- a/membership/src/model_tests.rs
+++ b/membership/src/model_tests.rs
@@ -4,7 +4,7 @@
 use crate::message::{self, MessageWriter};
 use crate::simulation::*;
 use crate::*;
-use reedferry_model_checker::{fingerprint, walk, Bounds, World};
+use reedferry_model_checker::{fingerprint, walk, Bounds, InFlight, World};
 use xxhash_rust::xxh3::Xxh3;
 
 const MEMBERS: usize = 3;
@@ -26,20 +26,13 @@
     NeverDeclaresDead,
 }
 
-#[derive(Clone, Hash)]
-struct InFlight {
-    from: usize,
-    to: usize,
-    bytes: Vec<u8>,
-}
-
 /// Three members, what is under way between them, and how many faults may still happen.
 #[derive(Clone)]
 struct Fleet {
     now: Nanos,
     planted: PlantedBreak,
     nodes: Vec<Option<Membership>>,
-    in_flight: Vec<InFlight>,
+    in_flight: Vec<InFlight<Vec<u8>>>,
     losses: u32,
     duplicates: u32,
     restarts: u32,
@@ -100,7 +93,7 @@
                 self.in_flight.push(InFlight {
                     from: node,
                     to: node_at(to),
-                    bytes,
+                    message: bytes,
                 });
             }
         }
@@ -121,10 +114,10 @@
     }
 
     fn deliver(&mut self, index: usize) {
-        let InFlight { from, to, bytes } = self.in_flight.remove(index);
+        let InFlight { from, to, message } = self.in_flight.remove(index);
         let bytes = match self.planted {
-            PlantedBreak::NeverRefutes => without_claims_on(to, &bytes),
-            _ => bytes,
+            PlantedBreak::NeverRefutes => without_claims_on(to, &message),
+            _ => message,
         };
         let event = Event::MessageReceived {
             from: address(from),
--- a/membership/src/quota_leases_model_tests.rs
+++ b/membership/src/quota_leases_model_tests.rs
@@ -2,7 +2,7 @@
 //! that arrive late, are lost or arrive twice, and a restart.
 
 use super::*;
-use reedferry_model_checker::{fingerprint, walk, Bounds, World};
+use reedferry_model_checker::{fingerprint, walk, Bounds, InFlight, World};
 use xxhash_rust::xxh3::Xxh3;
 
 const CLUSTER_SIZE: u32 = 3;
@@ -30,21 +30,13 @@
     Grant { sequence: u32, shares: Vec<u32> },
 }
 
-#[derive(Clone, Debug, Hash)]
-struct InFlight {
-    from: usize,
-    to: usize,
-    message: Message,
-}
-
 /// Three members, with what is under way between them and a clock that steps.
 #[derive(Clone)]
 struct Cluster {
     now: Nanos,
     planted: PlantedBreak,
     members: Vec<QuotaLeases>,
-    /// One that stays here is lost.
-    in_flight: Vec<InFlight>,
+    in_flight: Vec<InFlight<Message>>,
     restarts: u32,
     duplicates: u32,
 }
@@ -101,7 +93,7 @@
         }
     }
 
-    fn deliver(&mut self, message: InFlight) {
+    fn deliver(&mut self, message: InFlight<Message>) {
         let InFlight { from, to, message } = message;
         let member = &mut self.members[to];
         match message {
--- a/model-checker/src/lib.rs
+++ b/model-checker/src/lib.rs
@@ -53,6 +53,17 @@
     pub violation: String,
 }
 
+/// A message under way between two members of a world; one that is never delivered is lost.
+#[derive(Clone, Debug, Hash)]
+pub struct InFlight<M> {
+    /// The index of the sender.
+    pub from: usize,
+    /// The index of the receiver.
+    pub to: usize,
+    /// What is sent.
+    pub message: M,
+}
+
 /// The hash of a state, for [`World::fingerprint`].
 pub fn fingerprint<H: Hasher + Default>(state: &impl Hash) -> u64 {
     let mut hasher = H::default();
--- a/replication/src/coordinator.rs
+++ b/replication/src/coordinator.rs
@@ -1,8 +1,6 @@
 //! The coordinator's side (the proposer of Paxos): the requests that this member owns or wants to own.
 
-use crate::messages::{
-    AcceptedRecord, Ballot, ReplicaRequest, ReplicaResponse, RequestRecord,
-};
+use crate::messages::{AcceptedRecord, Ballot, ReplicaRequest, ReplicaResponse, RequestRecord};
 use crate::placement::replicas_of;
 use reedferry_membership::{LeaseHolder, Nanos};
 use std::collections::BTreeMap;
--- a/replication/src/model_tests.rs
+++ b/replication/src/model_tests.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use reedferry_membership::Nanos;
-use reedferry_model_checker::{fingerprint, walk, Bounds, World};
+use reedferry_model_checker::{fingerprint, walk, Bounds, InFlight, World};
 use xxhash_rust::xxh3::Xxh3;
 
 const KEY: u64 = 5;
@@ -41,13 +41,6 @@
     Coordinator::new(me, CLUSTER_SIZE, MAJORITY_TIMEOUT)
 }
 
-#[derive(Clone, Hash)]
-struct InFlight {
-    from: usize,
-    to: usize,
-    request: ReplicaRequest,
-}
-
 /// How many faults may still happen.
 #[derive(Clone, Copy, Debug, Hash)]
 struct Faults {
@@ -67,8 +60,7 @@
     now: Nanos,
     planted: PlantedBreak,
     members: Vec<Member>,
-    /// One that stays here is lost.
-    in_flight: Vec<InFlight>,
+    in_flight: Vec<InFlight<ReplicaRequest>>,
     /// How often the client may still bring the request, by member.
     arrivals: [u32; 2],
     faults: Faults,
@@ -113,7 +105,7 @@
             self.in_flight.push(InFlight {
                 from,
                 to: to as usize,
-                request: request.clone(),
+                message: request.clone(),
             });
         }
     }
@@ -140,15 +132,15 @@
         }
     }
 
-    fn handle_at_replica(&mut self, message: &InFlight) -> ReplicaResponse {
+    fn handle_at_replica(&mut self, message: &InFlight<ReplicaRequest>) -> ReplicaResponse {
         let replica = &mut self.members[message.to].replica;
         if self.planted == PlantedBreak::ForgetsPromises {
             replica.forget_promises();
         }
-        replica.handle(self.now, &message.request)
+        replica.handle(self.now, &message.message)
     }
 
-    fn deliver_response(&mut self, message: &InFlight, response: &ReplicaResponse) {
+    fn deliver_response(&mut self, message: &InFlight<ReplicaRequest>, response: &ReplicaResponse) {
         let responders = match self.planted {
             PlantedBreak::NeedsNoMajority => 0..CLUSTER_SIZE,
             _ => message.to as u32..message.to as u32 + 1,
@@ -282,7 +274,7 @@
     let run = |cluster: &mut Cluster, member: usize, reachable: &[usize]| {
         cluster.arrivals = [1, 1];
         cluster.take(&Step::Arrive(member));
-        let arrives = |message: &InFlight| {
+        let arrives = |message: &InFlight<ReplicaRequest>| {
             reachable
                 .iter()
                 .any(|n| replicas[*n] as usize == message.to)
