--- a/membership/src/gossip.rs
+++ b/membership/src/gossip.rs
@@ -94,7 +94,7 @@
             Err(reason) => return out.push(Action::MessageDropped { reason, from }),
         };
         let outcome = self.merge(now, &header.sender, out);
-        if self.superseded {
+        if self.is_inactive {
             return;
         }
         self.detector.last_heard = now;
@@ -102,7 +102,7 @@
         for claim in claims {
             self.merge_received(now, claim, is_page, out);
         }
-        if self.superseded {
+        if self.is_inactive {
             return;
         }
         let sender = member_id(&header.sender.info.name);
@@ -265,7 +265,7 @@
                 };
             });
         } else if (incarnation, address) > (mine, me.info.address) && !is_dead {
-            self.superseded = true;
+            self.is_inactive = true;
             out.push(Action::Superseded { by: address });
         }
     }
--- a/membership/src/gossip_queue.rs
+++ b/membership/src/gossip_queue.rs
@@ -49,3 +49,7 @@
         self.by_times_sent.insert((times_sent, member));
     }
 }
+
+#[cfg(test)]
+#[path = "gossip_queue_tests.rs"]
+mod tests;
--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -40,7 +40,8 @@
     lag: u32,
     /// Until when it owns no shards.
     hold_off_until: Nanos,
-    pub(crate) superseded: bool,
+    /// It takes no part any more: it has left, or another process took its name.
+    pub(crate) is_inactive: bool,
     /// The latest of its versions that others took for dead.
     pub(crate) declared_dead: Option<MemberVersion>,
     next_suspicion_expiry: Nanos,
@@ -82,7 +83,7 @@
             gossip_rounds: 0,
             lag: 0,
             hold_off_until: now,
-            superseded: false,
+            is_inactive: false,
             declared_dead: None,
             next_suspicion_expiry: Nanos::MAX,
             next_wakeup: first_round,
@@ -129,9 +130,9 @@
         self.detector.local_health
     }
 
-    /// Whether another process took its name.
+    /// Whether it takes no part any more, as another process took its name; also once it has left.
     pub fn superseded(&self) -> bool {
-        self.superseded
+        self.is_inactive
     }
 
     /// Whether it owns no shards for now, as it has stalled.
@@ -141,7 +142,7 @@
 
     /// Handles an event; what is to be done is added to `out`.
     pub fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
-        if self.superseded {
+        if self.is_inactive {
             return;
         }
         self.detect_stall(now, out);
@@ -161,7 +162,7 @@
             Event::QuotaLendingChanged(lending) => self.quota.lending = lending,
             Event::Shutdown => self.leave(now, out),
         }
-        if !self.superseded {
+        if !self.is_inactive {
             self.run_timers(now, out);
         }
         self.next_suspicion_expiry = self
@@ -195,7 +196,7 @@
         for id in self.random_members(LEAVE_FANOUT, None) {
             self.send(id, MessageBody::Gossip, None, out);
         }
-        self.superseded = true;
+        self.is_inactive = true;
     }
 
     /// This process may not have run for a while. Without this, it accuses others of not answering while it did not
@@ -228,7 +229,7 @@
     }
 
     fn earliest_timer(&self) -> Nanos {
-        if self.superseded {
+        if self.is_inactive {
             return Nanos::MAX;
         }
         let timers = [
--- a/membership/src/quota.rs
+++ b/membership/src/quota.rs
@@ -113,7 +113,7 @@
     /// Which members' quota this member may use now.
     pub fn quota_shares(&self, now: Nanos) -> Vec<QuotaShare> {
         let me = &self.table.me.info;
-        if self.superseded {
+        if self.is_inactive {
             return Vec::new();
         }
         let mut shares: Vec<QuotaShare> = self
--- a/membership/src/sharding.rs
+++ b/membership/src/sharding.rs
@@ -10,7 +10,7 @@
     /// The ids of the members that may own shards, this one among them.
     pub(crate) fn shard_owners(&self) -> Vec<u64> {
         let me = Some(self.table.my_id)
-            .filter(|_| self.table.me.state == MemberState::Active && !self.superseded);
+            .filter(|_| self.table.me.state == MemberState::Active && !self.is_inactive);
         self.table
             .members
             .iter()
--- a/membership/src/suspicion.rs
+++ b/membership/src/suspicion.rs
@@ -108,3 +108,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "suspicion_tests.rs"]
+mod tests;
--- a/membership/src/table_digest.rs
+++ b/membership/src/table_digest.rs
@@ -51,3 +51,7 @@
         hasher.finish()
     }
 }
+
+#[cfg(test)]
+#[path = "table_digest_tests.rs"]
+mod tests;
