--- a/node/src/peers/assignments.rs
+++ b/node/src/peers/assignments.rs
@@ -42,7 +42,7 @@
             return;
         }
         if self.lines.room(context.now) {
-            info!(context.log, "turns"; "of" => format!("{quota:?}"));
+            info!(context.log, "slow-start quota"; "of" => format!("{quota:?}"));
         }
         context
             .events
--- a/node/src/peers/membership.rs
+++ b/node/src/peers/membership.rs
@@ -165,9 +165,9 @@
             }
             // Counted by the limit.
             Action::MemberChanged { .. } | Action::MemberMoved { .. } => {}
-            Action::DeclaredDead => warn!(context.log, "others held this node gone"),
+            Action::DeclaredDead => warn!(context.log, "other members declared this node dead"),
             Action::Stalled(span) => {
-                warn!(context.log, "stood still"; "ms" => span / 1_000_000);
+                warn!(context.log, "stalled"; "ms" => span / 1_000_000);
                 self.assign_probe_targets(context, Vec::new());
             }
             Action::Superseded { by } => {
@@ -334,7 +334,7 @@
             _ = self.bind(context, Duration::ZERO);
         }
         if let Some(count) = self.lines.left_out(context.now) {
-            info!(context.log, "members changed beside"; "count" => count);
+            info!(context.log, "more members changed"; "count" => count);
         }
     }
 }
--- a/node/tests/membership.rs
+++ b/node/tests/membership.rs
@@ -127,8 +127,8 @@
     assert!(fleet.nodes[9]
         .as_ref()
         .unwrap()
-        .logs("others held")
-        .contains("gone"));
+        .logs("other members declared this node")
+        .contains("dead"));
 }
 
 /// Prevents strangers that are taken in, that have a member declared dead, or fill the log; and a second process of one name.
