--- a/node/src/error.rs
+++ b/node/src/error.rs
@@ -50,6 +50,9 @@
     /// An operator's file can't be read or used.
     #[error(transparent)]
     OperatorConfig(#[from] OperatorConfigError),
+    /// The sockets to other nodes can't be opened.
+    #[error(transparent)]
+    Peers(#[from] crate::peers::PeersError),
     /// Another part of the program says why in one line.
     #[error("{0}")]
     Other(String),
--- a/node/src/operators/operator_config/fleet.rs
+++ b/node/src/operators/operator_config/fleet.rs
@@ -4,8 +4,8 @@
 use super::sections::{FleetSection, ReplicationSection};
 use super::source::Source;
 use crate::operators::node_config::NodeConfig;
-use crate::peers::fleet::FleetConfig;
-use crate::peers::wards::ReplicationConfig;
+use crate::peers::FleetConfig;
+use crate::peers::ReplicationConfig;
 use reedferry::{MILLI, SECOND};
 use std::net::SocketAddr;
 use toml::Spanned;
@@ -33,7 +33,7 @@
     }
     let seeds = seeds(source, section, address)?;
     let name = section.name.clone().unwrap_or_default();
-    let max_length = reedferry_membership::LONGEST_NAME;
+    let max_length = reedferry_membership::MAX_NAME_BYTES;
     if name.len() > max_length || node_config.name.len() > max_length || node_config.name.is_empty()
     {
         return Err(source.error(&span, Problem::NameLength));
@@ -49,8 +49,8 @@
             SECOND,
             50 * MILLI..=60 * SECOND,
         )?,
-        most: source.count("most", section.max_members.as_ref(), 1024, 1 << 16)?,
-        wards: section
+        max_members: source.count("most", section.max_members.as_ref(), 1024, 1 << 16)?,
+        replication: section
             .replication
             .as_ref()
             .map(|section| replication_config(source, section))
@@ -84,18 +84,18 @@
     section: &ReplicationSection,
 ) -> Result<ReplicationConfig, OperatorConfigError> {
     Ok(ReplicationConfig {
-        life: source.duration(
+        retention: source.duration(
             "life",
             section.record_lifetime.as_ref(),
             60 * SECOND,
             SECOND..=3600 * SECOND,
         )?,
-        within: source.duration(
+        majority_timeout: source.duration(
             "within",
             section.quorum_timeout.as_ref(),
             50 * MILLI,
             5 * MILLI..=SECOND,
         )?,
-        most: source.count("most", section.max_records.as_ref(), 1 << 16, 1 << 22)?,
+        max_records: source.count("most", section.max_records.as_ref(), 1 << 16, 1 << 22)?,
     })
 }
--- a/node/src/operators/operator_config/keys_tests.rs
+++ b/node/src/operators/operator_config/keys_tests.rs
@@ -1,7 +1,7 @@
 //! The keys of the operator's file, each with a value of its own: a file of today is read tomorrow.
 
 use super::*;
-use crate::peers::wards::ReplicationConfig;
+use crate::peers::ReplicationConfig;
 use reedferry::MILLI;
 
 const PLANNERS: &str = "[[planner]]\nname = \"p0\"\naddress = \"127.0.0.1:7000\"\n\
@@ -77,11 +77,11 @@
     let text = "[node]\nmessages = \"127.0.0.1:7100\"\n[[peer]]\naddress = \"127.0.0.1:7101\"\n";
     let file = read(true, text).unwrap();
     assert_eq!(file.role.word(), "node");
-    let Role::Node(Some(correspondence)) = file.role else {
+    let Role::Node(Some(gossip_config)) = file.role else {
         panic!("no messages")
     };
     assert_eq!(
-        (correspondence.listen.port(), correspondence.peers[0].port()),
+        (gossip_config.listen.port(), gossip_config.peers[0].port()),
         (7100, 7101)
     );
 }
@@ -97,7 +97,7 @@
     else {
         panic!("no fleet")
     };
-    let wards = ReplicationConfig {
+    let replication = ReplicationConfig {
         retention: ms(30_000),
         majority_timeout: ms(40),
         max_records: 8,
@@ -114,5 +114,5 @@
         (fleet.seeds[0].port(), fleet.period, fleet.max_members),
         (7401, ms(200), 7)
     );
-    assert_eq!(fleet.replication, Some(wards));
+    assert_eq!(fleet.replication, Some(replication));
 }
--- a/node/src/operators/operator_config/mod.rs
+++ b/node/src/operators/operator_config/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::operators::config_files;
 use crate::operators::node_config::NodeConfig;
-use crate::peers::words::Correspondence;
+use crate::peers::GossipConfig;
 use error::Problem;
 use reedferry::Nanos;
 use reedferry_control_plane::PlannerAddress;
@@ -58,7 +58,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Role {
     /// A standalone node, with the peers that it exchanges messages with.
-    Node(Option<Correspondence>),
+    Node(Option<GossipConfig>),
     /// A forwarder.
     Forward(Forwards),
     /// A planner.
@@ -153,7 +153,7 @@
     node_config: &NodeConfig,
     planners: &[PlannerAddress],
 ) -> Result<Role, OperatorConfigError> {
-    let correspondence = correspondence(source, sections, node_config)?;
+    let gossip_config = gossip_config(source, sections, node_config)?;
     if let Some(section) = &sections.forward {
         let span = section.span();
         if planners.is_empty() {
@@ -168,15 +168,15 @@
         let options = control_plane::planner_options(source, section.get_ref(), planners)?;
         return Ok(Role::Plan(options));
     }
-    Ok(Role::Node(correspondence))
+    Ok(Role::Node(gossip_config))
 }
 
 /// The peers of a node, which no other role has.
-fn correspondence(
+fn gossip_config(
     source: &Source,
     sections: &FileSections,
     node_config: &NodeConfig,
-) -> Result<Option<Correspondence>, OperatorConfigError> {
+) -> Result<Option<GossipConfig>, OperatorConfigError> {
     let gossip_address = sections
         .node
         .as_ref()
@@ -207,8 +207,8 @@
         return Err(source.error(&planner.span(), Problem::PlannerOfNode));
     }
     if let Some(fleet) = fleet {
-        return Ok(Some(Correspondence {
-            at: fleet.listen,
+        return Ok(Some(GossipConfig {
+            listen: fleet.listen,
             peers,
             fleet: Some(fleet),
         }));
--- a/node/src/operators/operator_config/peers.rs
+++ b/node/src/operators/operator_config/peers.rs
@@ -3,7 +3,7 @@
 
 use super::error::{PeerListError, PeerRejection};
 use crate::operators::node_config::NodeConfig;
-use crate::peers::words::Correspondence;
+use crate::peers::GossipConfig;
 use std::net::SocketAddr;
 
 /// The peers of a node, with the address at which its own messages come and go.
@@ -14,7 +14,7 @@
     node_config: &NodeConfig,
     address: Option<SocketAddr>,
     peers: &[SocketAddr],
-) -> Result<Option<Correspondence>, PeerListError> {
+) -> Result<Option<GossipConfig>, PeerListError> {
     if !node_config.balancer_settings.gossip_enabled {
         return match (address, peers) {
             (None, []) => Ok(None),
@@ -35,8 +35,8 @@
             });
         }
     }
-    Ok(Some(Correspondence {
-        at: address,
+    Ok(Some(GossipConfig {
+        listen: address,
         peers: peers.to_vec(),
         fleet: None,
     }))
--- a/node/src/operators/operator_config/tests.rs
+++ b/node/src/operators/operator_config/tests.rs
@@ -100,11 +100,11 @@
     let peer = |at: &str| format!("[[peer]]\naddress = \"{at}\"\n");
     let (one, two) = (peer("127.0.0.1:7101"), peer("127.0.0.1:7102"));
     let good = node_file("good", true, &format!("{node}{one}{two}")).unwrap();
-    let Role::Node(Some(correspondence)) = good.role else {
-        panic!("no correspondence")
+    let Role::Node(Some(gossip_config)) = good.role else {
+        panic!("no gossip_config")
     };
     assert_eq!(
-        (correspondence.at.port(), correspondence.peers.len()),
+        (gossip_config.listen.port(), gossip_config.peers.len()),
         (7100, 2)
     );
     assert_eq!(
@@ -168,7 +168,7 @@
         format!("[fleet]\naddress = \"127.0.0.1:7400\"\nseeds = [\"127.0.0.1:7401\"]\n{more}")
     };
     let good = node_file("fleet", true, &fleet("period = \"200ms\"\n")).unwrap();
-    let Role::Node(Some(Correspondence {
+    let Role::Node(Some(GossipConfig {
         fleet: Some(fleet_config),
         ..
     })) = good.role
@@ -176,7 +176,11 @@
         panic!("no fleet")
     };
     assert_eq!(
-        (fleet_config.listen, fleet_config.period, fleet_config.most),
+        (
+            fleet_config.listen,
+            fleet_config.period,
+            fleet_config.max_members
+        ),
         (fleet_config.address, 200 * MILLI, 1024)
     );
     let peer = "[[peer]]\naddress = \"127.0.0.1:7101\"\n";
--- a/node/src/peers/membership.rs
+++ b/node/src/peers/membership.rs
@@ -229,7 +229,7 @@
             .membership
             .others()
             .any(|member| member.info.address == from && member.state != MemberState::Dead);
-        if is_member && message.len() <= reedferry::word::LONGEST {
+        if is_member && message.len() <= reedferry::gossip::MAX_MESSAGE_BYTES {
             context.events.push(Event::GossipReceived {
                 message: message.to_vec(),
             });
--- a/node/src/peers/static_peers.rs
+++ b/node/src/peers/static_peers.rs
@@ -4,7 +4,7 @@
 
 use crate::context::{mark, Context, PEERS, START_WITHIN};
 use crate::peers::{GossipConfig, PeersError};
-use reedferry::word::LONGEST;
+use reedferry::gossip::MAX_MESSAGE_BYTES;
 use reedferry::Event;
 use reedferry_runtime::errors::patiently;
 use reedferry_runtime::{Errno, Socket};
@@ -43,14 +43,18 @@
 
     /// Sends gossip to all of them; one that cannot be reached does without.
     pub fn broadcast_gossip(&self, message: &[u8]) {
-        for peer in self.peers.iter().filter(|_| message.len() <= LONGEST) {
+        for peer in self
+            .peers
+            .iter()
+            .filter(|_| message.len() <= MAX_MESSAGE_BYTES)
+        {
             _ = self.socket.send_to(message, peer);
         }
     }
 
     /// Reads what has arrived.
     pub fn on_readable(&mut self, context: &mut Context) {
-        let mut buffer = [0; LONGEST];
+        let mut buffer = [0; MAX_MESSAGE_BYTES];
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
             let (length, from) = match self.socket.receive_from(&mut buffer) {
                 Ok(datagram) => datagram,
@@ -59,7 +63,7 @@
                 Err(_) => continue,
             };
             let known = from.is_some_and(|from| self.peers.contains(&from));
-            if known && length <= LONGEST {
+            if known && length <= MAX_MESSAGE_BYTES {
                 context.events.push(Event::GossipReceived {
                     message: buffer[..length].to_vec(),
                 });
--- a/node/src/roles/standalone/config_source.rs
+++ b/node/src/roles/standalone/config_source.rs
@@ -5,7 +5,7 @@
 use crate::operators::operator_config::{
     gossip_peers, OperatorConfig, OperatorConfigError, PeerListError, Role,
 };
-use crate::peers::words::Correspondence;
+use crate::peers::GossipConfig;
 use std::path::{Path, PathBuf};
 
 /// Where a node finds its configuration.
@@ -19,7 +19,7 @@
 /// A node's configuration, and the peers that it exchanges messages with.
 pub(super) struct LoadedConfig {
     pub node_config: NodeConfig,
-    pub correspondence: Option<Correspondence>,
+    pub gossip_config: Option<GossipConfig>,
 }
 
 /// Why a node's configuration can't be used.
@@ -57,20 +57,20 @@
         match self {
             ConfigSource::Environment => {
                 let node_config = NodeConfig::read()?;
-                let correspondence = gossip_peers(&node_config, None, &[])?;
+                let gossip_config = gossip_peers(&node_config, None, &[])?;
                 Ok(LoadedConfig {
                     node_config,
-                    correspondence,
+                    gossip_config,
                 })
             }
             ConfigSource::OperatorFile(path) => match OperatorConfig::read(path)? {
                 OperatorConfig {
                     node_config,
-                    role: Role::Node(correspondence),
+                    role: Role::Node(gossip_config),
                     ..
                 } => Ok(LoadedConfig {
                     node_config,
-                    correspondence,
+                    gossip_config,
                 }),
                 OperatorConfig { role, .. } => Err(LoadError::WrongRole {
                     path: path.to_path_buf(),
--- a/node/src/roles/standalone/event_loop.rs
+++ b/node/src/roles/standalone/event_loop.rs
@@ -6,7 +6,7 @@
 use crate::roles::hot_restart::TransferredState;
 use crate::{BEYOND_EXPIRY, SWEEP};
 use reedferry::{Action, Event, Idempotency, Nanos};
-use reedferry_membership::State;
+use reedferry_membership::MemberState;
 use reedferry_runtime::{Clock, Errno, Mark, Readiness};
 use slog::info;
 
@@ -29,8 +29,8 @@
         while let Some((mark, timer)) = self.context.poller.due(self.context.now) {
             self.handle_timer(mark, timer);
         }
-        if let (Some(wards), Some(fleet)) = (&mut self.wards, &mut self.fleet) {
-            wards.turn(&mut self.context, fleet);
+        if let (Some(replication), Some(fleet)) = (&mut self.replication, &mut self.fleet) {
+            replication.exchange_messages(&mut self.context, fleet);
         }
         self.hand_over();
         Ok(())
@@ -46,7 +46,7 @@
         let previous_turn = self.context.look_round(wait_began, clock.read(), behind);
         self.ready.add(ready);
         if let Some(fleet) = &mut self.fleet {
-            fleet.mind(&mut self.context);
+            fleet.refresh_quota(&mut self.context);
         }
         Ok(previous_turn)
     }
@@ -87,10 +87,10 @@
             }
             context::PEERS => {
                 if let Some(peers) = &mut self.peers {
-                    peers.ready(context);
+                    peers.on_readable(context);
                 }
                 if let Some(fleet) = &mut self.fleet {
-                    fleet.ready(context);
+                    fleet.on_readable(context);
                 }
             }
             _ => self.connections.ready(context, ready),
@@ -119,13 +119,13 @@
             context::RETRY => self.connections.retry(context),
             context::CHANNEL_RETRY => self.hot_restart.retry(context, &mut self.connections),
             context::WARDS => {
-                if let Some(wards) = &mut self.wards {
-                    wards.due(context);
+                if let Some(replication) = &mut self.replication {
+                    replication.on_timer(context);
                 }
             }
             context::FLEET => {
                 if let Some(fleet) = &mut self.fleet {
-                    fleet.due(context);
+                    fleet.on_timer(context);
                 }
             }
             _ => self.sweep(),
@@ -164,8 +164,8 @@
             if self.trace {
                 info!(self.context.log, "action {:?}", action);
             }
-            let action = match &mut self.wards {
-                Some(wards) => wards.ahead(&mut self.context, action),
+            let action = match &mut self.replication {
+                Some(replication) => replication.intercept_action(&mut self.context, action),
                 None => Some(action),
             };
             if let Some(action) = action {
@@ -175,7 +175,7 @@
     }
 
     fn feed_events(&mut self) {
-        let idempotencies: Vec<Idempotency> = match &self.wards {
+        let idempotencies: Vec<Idempotency> = match &self.replication {
             Some(_) => self
                 .node_config
                 .balancer_settings
@@ -186,8 +186,10 @@
             None => Vec::new(),
         };
         for event in std::mem::take(&mut self.context.events) {
-            let event = match &mut self.wards {
-                Some(wards) => wards.before(&mut self.context, &idempotencies, event),
+            let event = match &mut self.replication {
+                Some(replication) => {
+                    replication.intercept_event(&mut self.context, &idempotencies, event)
+                }
                 None => Some(event),
             };
             let Some(event) = event else { continue };
@@ -213,10 +215,10 @@
             Action::Probe { host } => self.probes.send(context, host),
             Action::Gossip { message } => {
                 if let Some(peers) = &self.peers {
-                    peers.tell(&message);
+                    peers.broadcast_gossip(&message);
                 }
                 if let Some(fleet) = &self.fleet {
-                    fleet.tell(&message);
+                    fleet.broadcast_gossip(&message);
                 }
             }
             Action::Log(text) => info!(context.log, "{}", text),
@@ -227,11 +229,11 @@
 
     /// Carries out the actions whose record is replicated now, and sends what the replication asks of others.
     pub(super) fn replicate(&mut self) {
-        let (Some(wards), Some(fleet)) = (&mut self.wards, &mut self.fleet) else {
+        let (Some(replication), Some(fleet)) = (&mut self.replication, &mut self.fleet) else {
             return;
         };
-        wards.turn(&mut self.context, fleet);
-        for action in wards.ready() {
+        replication.exchange_messages(&mut self.context, fleet);
+        for action in replication.take_released_actions() {
             self.connections.carry_out(&mut self.context, action);
         }
     }
@@ -254,7 +256,7 @@
         let load_from_probes = self.node_config.balancer_settings.load_from_probes;
         if let Some(fleet) = &mut self.fleet {
             fleet.sweep(context);
-            fleet.serve(context, uses_slow_start_slots, load_from_probes);
+            fleet.update_assignments(context, uses_slow_start_slots, load_from_probes);
         }
         context.hosts.look(context.now, &mut context.events);
         context
@@ -269,7 +271,7 @@
         self.hot_restart.stop_accepting(&self.context);
         let shutdown = self.context.leave(BEYOND_EXPIRY, self.connections.count());
         self.pending_shutdown = Some(shutdown);
-        self.announce(State::Leaving);
+        self.announce(MemberState::Leaving);
     }
 
     /// Whether this node was asked to stop and serves nobody any more.
@@ -279,16 +281,16 @@
     }
 
     /// Tells the fleet the state of this node.
-    pub(super) fn announce(&mut self, state: State) {
+    pub(super) fn announce(&mut self, state: MemberState) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.stands(&mut self.context, state);
+            fleet.announce(&mut self.context, state);
         }
     }
 
     /// Tells the fleet that this process ends.
     pub(super) fn leave_fleet(&mut self) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.ends(&mut self.context);
+            fleet.leave(&mut self.context);
         }
     }
 }
--- a/node/src/roles/standalone/mod.rs
+++ b/node/src/roles/standalone/mod.rs
@@ -18,9 +18,9 @@
 use crate::operators::api::OperatorApi;
 use crate::operators::config_files;
 use crate::operators::node_config::NodeConfig;
-use crate::peers::fleet::Fleet;
-use crate::peers::wards::Wards;
-use crate::peers::words::{Correspondence, Peers};
+use crate::peers::Fleet;
+use crate::peers::RequestReplication;
+use crate::peers::{GossipConfig, StaticPeers};
 use crate::ready::Ready;
 use crate::roles::hot_restart::HotRestart;
 use crate::AtStart;
@@ -32,7 +32,7 @@
 struct Node<'a> {
     config_source: ConfigSource<'a>,
     node_config: NodeConfig,
-    correspondence: Option<Correspondence>,
+    gossip_config: Option<GossipConfig>,
     context: Context,
     balancer: Balancer,
     /// What the balancer has ordered and is not carried out yet.
@@ -42,9 +42,9 @@
     connections: Connections,
     discovery: Discovery,
     probes: Probes,
-    peers: Option<Peers>,
+    peers: Option<StaticPeers>,
     fleet: Option<Fleet>,
-    wards: Option<Wards>,
+    replication: Option<RequestReplication>,
     hot_restart: HotRestart,
     /// The event with which the balancer moves the clients of a node that stops, held back while a successor takes them.
     pending_shutdown: Option<Event>,
--- a/node/src/roles/standalone/operator_calls.rs
+++ b/node/src/roles/standalone/operator_calls.rs
@@ -3,8 +3,8 @@
 use super::Node;
 use crate::operators::api::{ApiRequest, ApiResponse};
 use crate::operators::tally::Now;
-use crate::peers::wards::Wards;
-use reedferry_membership::State;
+use crate::peers::RequestReplication;
+use reedferry_membership::MemberState;
 
 impl Node<'_> {
     /// Does what operators ask for, and returns the response.
@@ -14,8 +14,8 @@
             ApiRequest::Metrics => ApiResponse::new(200, self.metrics_text()),
             ApiRequest::Fleet => match &self.fleet {
                 Some(fleet) => {
-                    let replication = self.wards.as_ref().map(Wards::figures);
-                    ApiResponse::new(200, fleet.text(self.context.now, replication))
+                    let replication = self.replication.as_ref().map(RequestReplication::status);
+                    ApiResponse::new(200, fleet.status(self.context.now, replication))
                 }
                 None => ApiResponse::new(404, "no fleet\n"),
             },
@@ -62,7 +62,7 @@
         }
         let event = self.context.stand_by(self.connections.count());
         self.context.events.push(event);
-        self.announce(State::Standby);
+        self.announce(MemberState::Standby);
     }
 
     fn leave_standby(&mut self) {
@@ -71,6 +71,6 @@
         }
         let event = self.context.back_to_work();
         self.context.events.push(event);
-        self.announce(State::Working);
+        self.announce(MemberState::Active);
     }
 }
--- a/node/src/roles/standalone/reload.rs
+++ b/node/src/roles/standalone/reload.rs
@@ -6,7 +6,7 @@
 use crate::discovery::list::List;
 use crate::operators::config_files::MayBeTransient;
 use crate::operators::node_config::{MissingKey, NodeConfig};
-use crate::peers::words::Correspondence;
+use crate::peers::GossipConfig;
 use reedferry::Event;
 use reedferry_settings::{reload, Settings};
 use slog::{info, warn};
@@ -59,10 +59,10 @@
     fn apply(&mut self, loaded: LoadedConfig) {
         let LoadedConfig {
             mut node_config,
-            correspondence,
+            gossip_config,
         } = loaded;
         let mut kept = self.node_config.parts_kept_until_restart(&node_config);
-        if !self.takes_up_peers(correspondence.as_ref(), &node_config) {
+        if !self.takes_up_peers(gossip_config.as_ref(), &node_config) {
             kept.push("peers");
             node_config.balancer_settings.gossip_enabled =
                 self.node_config.balancer_settings.gossip_enabled;
@@ -83,18 +83,19 @@
     /// Takes up what may change of the peers, and returns whether that is all that has changed.
     fn takes_up_peers(
         &mut self,
-        correspondence: Option<&Correspondence>,
+        gossip_config: Option<&GossipConfig>,
         node_config: &NodeConfig,
     ) -> bool {
-        let fleet_config = correspondence.and_then(|c| c.fleet.as_ref());
+        let fleet_config = gossip_config.and_then(|c| c.fleet.as_ref());
         let (Some(fleet), Some(fleet_config)) = (&mut self.fleet, fleet_config) else {
-            return correspondence == self.correspondence.as_ref();
+            return gossip_config == self.gossip_config.as_ref();
         };
         let settings = &node_config.balancer_settings;
-        fleet.renew(
+        fleet.reload(
             &mut self.context,
             fleet_config,
-            (settings.node_index, settings.node_count),
+            settings.node_index,
+            settings.node_count,
         )
     }
 
--- a/node/src/roles/standalone/startup.rs
+++ b/node/src/roles/standalone/startup.rs
@@ -11,9 +11,9 @@
 use crate::error::FatalError;
 use crate::operators::api::OperatorApi;
 use crate::operators::node_config::NodeConfig;
-use crate::peers::fleet::Fleet;
-use crate::peers::wards::Wards;
-use crate::peers::words::{Correspondence, Peers};
+use crate::peers::Fleet;
+use crate::peers::RequestReplication;
+use crate::peers::{GossipConfig, StaticPeers};
 use crate::ready::Ready;
 use crate::roles::hot_restart::{HotRestart, TransferredState};
 use crate::{AtStart, SWEEP};
@@ -25,9 +25,9 @@
 
 /// The sockets to other nodes, and what is kept by their means.
 struct PeerLinks {
-    peers: Option<Peers>,
+    peers: Option<StaticPeers>,
     fleet: Option<Fleet>,
-    wards: Option<Wards>,
+    replication: Option<RequestReplication>,
 }
 
 impl<'a> Node<'a> {
@@ -40,7 +40,7 @@
     ) -> Result<(Self, Backlog), FatalError> {
         let LoadedConfig {
             mut node_config,
-            correspondence,
+            gossip_config,
         } = config;
         let (mut context, backlog) = Context::open(&node_config, clock, &signals)?;
         let mut hot_restart = HotRestart::open(&mut context, &node_config)?;
@@ -51,7 +51,7 @@
             .ops
             .map(|address| OperatorApi::open(&mut context, &address))
             .transpose()?;
-        let links = PeerLinks::open(&mut context, correspondence.as_ref(), &node_config)?;
+        let links = PeerLinks::open(&mut context, gossip_config.as_ref(), &node_config)?;
         let mut actions = Vec::new();
         let balancer = Balancer::new(
             node_config.balancer_settings.clone(),
@@ -74,7 +74,7 @@
         let mut node = Node {
             config_source,
             node_config,
-            correspondence,
+            gossip_config,
             context,
             balancer,
             actions,
@@ -84,7 +84,7 @@
             probes: Probes::default(),
             peers: links.peers,
             fleet: links.fleet,
-            wards: links.wards,
+            replication: links.replication,
             hot_restart,
             pending_shutdown: None,
             operator_api,
@@ -112,15 +112,15 @@
 impl PeerLinks {
     fn open(
         context: &mut Context,
-        correspondence: Option<&Correspondence>,
+        gossip_config: Option<&GossipConfig>,
         node_config: &NodeConfig,
     ) -> Result<PeerLinks, FatalError> {
-        let fleet_config = correspondence.and_then(|c| c.fleet.as_ref());
+        let fleet_config = gossip_config.and_then(|c| c.fleet.as_ref());
         let fleet = fleet_config
             .map(|fleet_config| Fleet::open(context, fleet_config, node_config))
             .transpose()?;
-        let replication_config = fleet_config.and_then(|config| config.wards.as_ref());
-        let wards = fleet
+        let replication_config = fleet_config.and_then(|config| config.replication.as_ref());
+        let replication = fleet
             .as_ref()
             .zip(replication_config)
             .map(|(fleet, config)| {
@@ -129,16 +129,22 @@
                     node_count,
                     ..
                 } = node_config.balancer_settings;
-                Wards::new(context, config, node_index, node_count, fleet.life())
+                RequestReplication::new(
+                    context,
+                    config,
+                    node_index,
+                    node_count,
+                    fleet.incarnation(),
+                )
             });
-        let peers = correspondence
-            .filter(|correspondence| correspondence.fleet.is_none())
-            .map(|correspondence| Peers::open(context, correspondence))
+        let peers = gossip_config
+            .filter(|gossip_config| gossip_config.fleet.is_none())
+            .map(|gossip_config| StaticPeers::open(context, gossip_config))
             .transpose()?;
         Ok(PeerLinks {
             peers,
             fleet,
-            wards,
+            replication,
         })
     }
 }
