--- a/node/src/connections/audit.rs
+++ b/node/src/connections/audit.rs
@@ -111,7 +111,7 @@
             );
         }
         let ordinary = matches!(why, Close::Answered | Close::ClientEnded | Close::PassedOn);
-        if !ordinary && context.request_lines.room(context.now) {
+        if !ordinary && context.request_lines.allow(context.now) {
             info!(context.log, "closed"; "id" => connection.id(), "why" => why.name());
         }
     }
--- a/node/src/connections/endings.rs
+++ b/node/src/connections/endings.rs
@@ -8,7 +8,7 @@
 use crate::operators::counts::Close;
 use crate::operators::tally::Outcome;
 use reedferry::{AttemptOutcome, Nanos, RequestId, MILLI};
-use reedferry_runtime::errors::{on_connection, Trouble};
+use reedferry_runtime::errors::{classify_io, IoFailure};
 
 /// How long the other side of an ended connection is waited for, and one that still sends, since it came.
 pub(super) const LINGER: Nanos = 900 * MILLI;
@@ -77,8 +77,8 @@
             .buffer
             .take()
             .filter(|_| connection.stage == Stage::Unasked);
-        let mut buffer = unsent.unwrap_or_else(|| context.pool.take_for_answer());
-        buffer.put(line);
+        let mut buffer = unsent.unwrap_or_else(|| context.pool.take_beyond_limit());
+        buffer.append(line);
         connection.down = Lane {
             buffer: Some(buffer),
             ..Lane::default()
@@ -106,7 +106,7 @@
         };
         if !connection.down.ended {
             match connection.down.flush(client) {
-                Flow::Ended => client.socket.end_sending(),
+                Flow::Ended => client.socket.shutdown_write(),
                 Flow::Idle => return,
                 Flow::Starved => {
                     context.machine_trouble("send");
@@ -122,7 +122,7 @@
             return;
         };
         while client.readable && connection.wasted < WASTE && self.waste > 0 {
-            match client.socket.discard(space.spare()) {
+            match client.socket.discard(space.free_space()) {
                 Ok(0) => return self.remove(context, slot, Close::Answered),
                 Ok(count) => {
                     connection.wasted += count;
@@ -130,14 +130,14 @@
                     let by = (context.now + LINGER).min(connection.came + LONGEST_LINGER);
                     connection.stage = Stage::Closing(by);
                 }
-                Err(e) => match on_connection(e) {
-                    Trouble::NotReady => client.readable = false,
-                    Trouble::Machine => return self.retry_soon(context, slot),
-                    Trouble::Connection => return self.remove(context, slot, Close::Answered),
+                Err(e) => match classify_io(e) {
+                    IoFailure::WouldBlock => client.readable = false,
+                    IoFailure::LocalResources => return self.retry_soon(context, slot),
+                    IoFailure::Disconnected => return self.remove(context, slot, Close::Answered),
                 },
             }
         }
-        if context.budget.tight() {
+        if context.budget.nearly_exhausted() {
             self.remove(context, slot, Close::Answered);
         }
     }
--- a/node/src/connections/landing.rs
+++ b/node/src/connections/landing.rs
@@ -11,8 +11,8 @@
 use crate::operators::tally::Outcome;
 use reedferry::permission::{may_begin, may_go_on, Beginning, Refusal};
 use reedferry::{AttemptOutcome, Event, HostId, Nanos, RequestId, MILLI, SECOND};
-use reedferry_runtime::errors::{on_connect, NoConnection};
-use reedferry_runtime::{Buffer, Mark};
+use reedferry_runtime::errors::{classify_connect, ConnectFailure};
+use reedferry_runtime::{Buffer, PollToken};
 use slog::{info, warn};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -173,13 +173,13 @@
             .address
             .ok_or(AttemptOutcome::ConnectFailed)?;
         // Who has asked goes before whoever has not.
-        while !context.budget.room(1) && self.make_room(context, 0) {}
+        while !context.budget.has_capacity(1) && self.make_room(context, 0) {}
         let connection = &mut self.slab[slot];
         // Guards: new work that eats up what the machine's accepted clients are to be answered from.
-        if !context.budget.room(1) || context.pool.left() < 16 {
+        if !context.budget.has_capacity(1) || context.pool.available() < 16 {
             if !context.scarce {
                 context.scarce = true;
-                let (taken, buffers) = (context.budget.taken(), context.pool.left());
+                let (taken, buffers) = (context.budget.in_use(), context.pool.available());
                 warn!(context.log, "out of descriptors or buffers"; "taken" => taken, "buffers" => buffers);
             }
             return Err(AttemptOutcome::NeverSent);
@@ -187,13 +187,13 @@
         let (socket, connected) = match context.budget.connect(&address) {
             Ok(opened) => opened,
             Err(e) => {
-                return Err(match on_connect(e) {
-                    NoConnection::Machine => {
+                return Err(match classify_connect(e) {
+                    ConnectFailure::LocalResources => {
                         context.machine_trouble("connect");
                         AttemptOutcome::NeverSent
                     }
-                    NoConnection::Route => AttemptOutcome::NoRoute,
-                    NoConnection::Peer => AttemptOutcome::ConnectFailed,
+                    ConnectFailure::Route => AttemptOutcome::NoRoute,
+                    ConnectFailure::Peer => AttemptOutcome::ConnectFailed,
                 })
             }
         };
@@ -203,7 +203,7 @@
         })?;
         let side = Side {
             socket,
-            stamp: mark.stamp,
+            stamp: mark.generation,
             readable: false,
             writable: connected,
         };
@@ -224,9 +224,9 @@
         connection.given = until.saturating_sub(context.now);
         let stands = by.min(context.now + context.node_settings.connect_within);
         if stands < until {
-            context.poller.remind(stands, mark, CONNECT);
+            context.poller.set_timer(stands, mark, CONNECT);
         }
-        context.poller.remind(until, mark, UNTIL);
+        context.poller.set_timer(until, mark, UNTIL);
         if connected {
             self.more.push(slot);
         }
@@ -234,7 +234,7 @@
     }
 
     /// A time that was set for a hand-off has come.
-    pub fn due(&mut self, context: &mut Context, mark: Mark, word: u64) {
+    pub fn due(&mut self, context: &mut Context, mark: PollToken, word: u64) {
         let slot = mark.slot as usize;
         let Some(connection) = self.slab.get(slot) else {
             return;
@@ -242,7 +242,7 @@
         let Some(landing) = connection
             .landing
             .as_ref()
-            .filter(|l| l.side.stamp == mark.stamp)
+            .filter(|l| l.side.stamp == mark.generation)
         else {
             return;
         };
@@ -251,14 +251,14 @@
         }
         // Guards: a host taken for one that can't be reached, as its connection came up while this process stood still or had
         // much to do.
-        if !landing.connected && landing.side.socket.stands() {
+        if !landing.connected && landing.side.socket.is_connected() {
             self.slab[slot]
                 .landing
                 .iter_mut()
                 .for_each(|landing| landing.side.writable = true);
             self.land_on(context, slot);
         }
-        let out = |landing: &&Landing| landing.side.stamp == mark.stamp;
+        let out = |landing: &&Landing| landing.side.stamp == mark.generation;
         let landing = self
             .slab
             .get(slot)
@@ -339,7 +339,7 @@
             connection.may_have_run.get_or_insert(landing.written_at);
         }
         context.tally.add(Count::AttemptEnded(ending));
-        if context.request_lines.room(context.now) {
+        if context.request_lines.allow(context.now) {
             let took = context.now.saturating_sub(landing.since) / MILLI;
             info!(context.log, "attempt ended"; "id" => connection.id(), "attempt" => landing.number,
                 "host" => &context.hosts.record(landing.host).name, "why" => ending.word(), "ms" => took);
@@ -436,7 +436,7 @@
         if !landing.side.writable {
             return false;
         }
-        if landing.side.socket.connected().is_err() {
+        if landing.side.socket.connect_result().is_err() {
             self.fell_through(context, slot, AttemptOutcome::ConnectFailed);
             return false;
         }
@@ -463,10 +463,10 @@
             };
             let wait = (landing.since + connection.given).saturating_sub(context.now);
             let mut digits = String::new();
-            let line = &letter.waiting()[..connection.letter_length];
+            let line = &letter.unsent()[..connection.letter_length];
             lines::onward(line, wait, &mut digits)
                 .iter()
-                .for_each(|piece| _ = out.put(piece));
+                .for_each(|piece| _ = out.append(piece));
             connection.up.buffer = Some(out);
         }
         match connection.up.flush(&mut landing.side) {
--- a/node/src/connections/lane.rs
+++ b/node/src/connections/lane.rs
@@ -3,8 +3,8 @@
 //! receiver holds up its sender alone, nor keep a buffer while nothing flows.
 
 use crate::connections::lines::{Scanner, Word};
-use reedferry_runtime::errors::{on_connection, Trouble};
-use reedferry_runtime::{Buffer, Pool, Socket};
+use reedferry_runtime::errors::{classify_io, IoFailure};
+use reedferry_runtime::{Buffer, BufferPool, Socket};
 
 /// Buffers moved for one connection before the others have their turn.
 const TURN: usize = 8;
@@ -46,7 +46,7 @@
 impl Lane {
     pub fn run(
         &mut self,
-        pool: &Pool,
+        pool: &BufferPool,
         from: &mut Side,
         to: &mut Side,
         mut heard: impl FnMut(Word),
@@ -76,12 +76,12 @@
             if !to.writable {
                 return Flow::Idle;
             }
-            match to.socket.send(buffer.waiting()) {
-                Ok(count) => buffer.sent(count),
-                Err(e) => match on_connection(e) {
-                    Trouble::NotReady => to.writable = false,
-                    Trouble::Machine => return Flow::Starved,
-                    Trouble::Connection => return Flow::Refused,
+            match to.socket.send(buffer.unsent()) {
+                Ok(count) => buffer.consume(count),
+                Err(e) => match classify_io(e) {
+                    IoFailure::WouldBlock => to.writable = false,
+                    IoFailure::LocalResources => return Flow::Starved,
+                    IoFailure::Disconnected => return Flow::Refused,
                 },
             }
         }
@@ -91,21 +91,26 @@
     }
 
     /// Reads once; `Idle` where that went as it should.
-    pub fn fill(&mut self, pool: &Pool, from: &mut Side, heard: &mut impl FnMut(Word)) -> Flow {
+    pub fn fill(
+        &mut self,
+        pool: &BufferPool,
+        from: &mut Side,
+        heard: &mut impl FnMut(Word),
+    ) -> Flow {
         if self.buffer.is_none() {
             self.buffer = pool.take();
         }
         let Some(buffer) = self.buffer.as_mut() else {
             return Flow::Starved;
         };
-        let had = buffer.waiting().len();
-        match from.socket.receive(buffer.spare()) {
+        let had = buffer.unsent().len();
+        match from.socket.receive(buffer.free_space()) {
             Ok(0) => self.ended = true,
             Ok(count) => {
-                buffer.filled(count);
+                buffer.commit(count);
                 let mut at = had;
-                while at < buffer.waiting().len() {
-                    match self.scanner.step(&buffer.waiting()[at..]) {
+                while at < buffer.unsent().len() {
+                    match self.scanner.step(&buffer.unsent()[at..]) {
                         Ok((took, said)) => {
                             at += took;
                             said.into_iter().for_each(&mut *heard);
@@ -114,10 +119,10 @@
                     }
                 }
             }
-            Err(e) => match on_connection(e) {
-                Trouble::NotReady => from.readable = false,
-                Trouble::Machine => return Flow::Starved,
-                Trouble::Connection => return Flow::Broken,
+            Err(e) => match classify_io(e) {
+                IoFailure::WouldBlock => from.readable = false,
+                IoFailure::LocalResources => return Flow::Starved,
+                IoFailure::Disconnected => return Flow::Broken,
             },
         }
         Flow::Idle
--- a/node/src/connections/listener.rs
+++ b/node/src/connections/listener.rs
@@ -9,8 +9,8 @@
 use crate::context::{Context, CLIENT};
 use crate::operators::counts::Close;
 use reedferry::{AttemptOutcome, Event, HostId, IncomingRequest, Nanos, RequestId, MILLI, SECOND};
-use reedferry_runtime::errors::{on_accept, on_connection, NotAccepted, Trouble};
-use reedferry_runtime::{Mark, Socket};
+use reedferry_runtime::errors::{classify_accept, classify_io, AcceptFailure, IoFailure};
+use reedferry_runtime::{PollToken, Socket};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::rc::Rc;
 
@@ -49,7 +49,7 @@
     match client.socket.send(line) {
         Ok(count) if count >= line.len() => Sent::Whole,
         Ok(count) => Sent::Part(count),
-        Err(e) if on_connection(e) == Trouble::Connection => Sent::Broke,
+        Err(e) if classify_io(e) == IoFailure::Disconnected => Sent::Broke,
         Err(_) => Sent::Part(0),
     }
 }
@@ -93,36 +93,36 @@
         for _ in 0..ACCEPTS {
             // Guards: usual clients kept out by hundreds that connect and say nothing. Where all have just
             // come, those behind them wait at the listener until the next sweep.
-            if !context.budget.room(1)
+            if !context.budget.has_capacity(1)
                 && !self.make_room(context, FLEETING)
-                && context.budget.tight()
+                && context.budget.nearly_exhausted()
             {
                 return;
             }
             let socket = match context.budget.accept(listener) {
                 Ok(socket) => socket,
-                Err(e) => match on_accept(e) {
-                    NotAccepted::NoneWaiting => return,
+                Err(e) => match classify_accept(e) {
+                    AcceptFailure::NoneWaiting => return,
                     // What failed before it was taken is no client any more.
-                    NotAccepted::ThisOne => continue,
+                    AcceptFailure::AbortedConnection => continue,
                     // The next sweep asks again.
-                    NotAccepted::Machine => return context.machine_trouble("accept"),
+                    AcceptFailure::LocalResources => return context.machine_trouble("accept"),
                 },
             };
             let slot = self.slab.vacant_key();
-            let mark = Mark {
-                part: CLIENT,
+            let mark = PollToken {
+                component: CLIENT,
                 slot: slot as u32,
-                stamp: context.stamp(),
+                generation: context.stamp(),
             };
             self.watch(context, &socket, mark);
             let client = Side {
                 socket,
-                stamp: mark.stamp,
+                stamp: mark.generation,
                 readable: false,
                 writable: true,
             };
-            self.listener.idle.push_back((slot, mark.stamp));
+            self.listener.idle.push_back((slot, mark.generation));
             self.slab.insert(Connection::new(client, slot, context.now));
         }
         self.listener.open = true;
@@ -187,7 +187,7 @@
             return Farewell::NotNow;
         }
         match send_once(client, COME_AGAIN) {
-            Sent::Whole | Sent::Broke => client.socket.end_sending(),
+            Sent::Whole | Sent::Broke => client.socket.shutdown_write(),
             Sent::Part(0) => return Farewell::NotNow,
             Sent::Part(count) => {
                 *self.listener.turned.entry(NO_DESCRIPTORS).or_default() += 1;
@@ -260,25 +260,25 @@
                 return self.retry_soon(context, slot);
             };
             let mut ended = false;
-            while client.readable && !ended && !letter.spare().is_empty() {
-                match client.socket.receive(letter.spare()) {
+            while client.readable && !ended && !letter.free_space().is_empty() {
+                match client.socket.receive(letter.free_space()) {
                     Ok(0) => ended = true,
-                    Ok(count) => letter.filled(count),
-                    Err(e) => match on_connection(e) {
-                        Trouble::NotReady => client.readable = false,
-                        Trouble::Machine => {
+                    Ok(count) => letter.commit(count),
+                    Err(e) => match classify_io(e) {
+                        IoFailure::WouldBlock => client.readable = false,
+                        IoFailure::LocalResources => {
                             context.machine_trouble("receive");
                             return self.retry_soon(context, slot);
                         }
-                        Trouble::Connection => {
+                        IoFailure::Disconnected => {
                             return self.remove(context, slot, Close::ClientBroke)
                         }
                     },
                 }
             }
             // Guards: a flood of pings that holds up the loop, or that fills a connection nobody reads.
-            while letter.waiting().starts_with(b"PING\r\n") && connection.pings < MOST_PINGS {
-                letter.sent(6);
+            while letter.unsent().starts_with(b"PING\r\n") && connection.pings < MOST_PINGS {
+                letter.consume(6);
                 connection.pings += 1;
                 let pong = if context.standby.is_some() {
                     b"BUSY\r\n"
@@ -286,8 +286,8 @@
                     b"PONG\r\n"
                 };
                 let out = &mut connection.down.buffer;
-                out.get_or_insert_with(|| context.pool.take_for_answer())
-                    .put(pong);
+                out.get_or_insert_with(|| context.pool.take_beyond_limit())
+                    .append(pong);
             }
             // What follows waits until the client has those.
             match connection.down.flush(client) {
@@ -299,11 +299,11 @@
                 }
                 _ => return self.remove(context, slot, Close::ClientBroke),
             }
-            match lines::first(letter.waiting()) {
+            match lines::first(letter.unsent()) {
                 Ok(None) if ended => return self.remove(context, slot, Close::ClientEnded),
                 Ok(None) if client.readable => continue,
                 Ok(None) => {}
-                Ok(Some((_, length))) if ended || letter.waiting().len() > length => {
+                Ok(Some((_, length))) if ended || letter.unsent().len() > length => {
                     return self.turn_away(context, slot, "more than one line before its answer");
                 }
                 Ok(Some((line, length))) => {
@@ -408,12 +408,12 @@
         };
         // Guards: an end that is never seen behind a first line which fills its buffer.
         let left = match client.socket.receive(&mut [0; 64]) {
-            Err(e) if on_connection(e) == Trouble::NotReady => {
+            Err(e) if classify_io(e) == IoFailure::WouldBlock => {
                 client.readable = false;
                 return;
             }
             // Whether it has gone can't be told now.
-            Err(e) if on_connection(e) == Trouble::Machine => {
+            Err(e) if classify_io(e) == IoFailure::LocalResources => {
                 context.machine_trouble("receive");
                 return self.retry_soon(context, slot);
             }
@@ -464,13 +464,13 @@
     /// A record of its own for a client that has left its attachment.
     fn parted(&mut self, context: &mut Context, mut client: Side, came: Nanos) -> usize {
         let slot = self.slab.vacant_key();
-        let mark = Mark {
-            part: CLIENT,
+        let mark = PollToken {
+            component: CLIENT,
             slot: slot as u32,
-            stamp: context.stamp(),
+            generation: context.stamp(),
         };
         self.watch(context, &client.socket, mark);
-        client.stamp = mark.stamp;
+        client.stamp = mark.generation;
         self.slab.insert(Connection {
             came,
             ..Connection::new(client, slot, context.now)
--- a/node/src/connections/mod.rs
+++ b/node/src/connections/mod.rs
@@ -26,7 +26,7 @@
 use reedferry::{
     Action, AttemptOutcome, HostId, IncomingRequest, Nanos, RequestClass, RequestId, MILLI, SECOND,
 };
-use reedferry_runtime::{Buffer, Mark, Readiness, Socket};
+use reedferry_runtime::{Buffer, PollToken, Readiness, Socket};
 use slab::Slab;
 use slog::info;
 use std::collections::VecDeque;
@@ -144,7 +144,7 @@
     starved: Vec<usize>,
     retries: bool,
     /// Sides that could not be watched: whose, and under which mark.
-    unwatched: Vec<Mark>,
+    unwatched: Vec<PollToken>,
 }
 
 impl Connections {
@@ -197,19 +197,19 @@
     }
 
     pub fn ready(&mut self, context: &mut Context, ready: Readiness) {
-        let (slot, stamp) = (ready.mark.slot as usize, ready.mark.stamp);
+        let (slot, stamp) = (ready.token.slot as usize, ready.token.generation);
         let Some(connection) = self.slab.get_mut(slot) else {
             return;
         };
-        let side = match ready.mark.part {
+        let side = match ready.token.component {
             CLIENT => connection.client.as_mut(),
             _ => connection.landing.as_mut().map(|l| &mut l.side),
         };
         let Some(side) = side.filter(|s| s.stamp == stamp) else {
             return;
         };
-        side.readable |= ready.read;
-        side.writable |= ready.write;
+        side.readable |= ready.readable;
+        side.writable |= ready.writable;
         self.go(context, slot);
     }
 
@@ -233,13 +233,13 @@
         if !std::mem::replace(&mut self.retries, true) {
             context
                 .poller
-                .remind(context.now + RETRY_AFTER, context::mark(context::RETRY), 0);
+                .set_timer(context.now + RETRY_AFTER, context::mark(context::RETRY), 0);
         }
     }
 
     /// Has a side watched under this mark, now or as soon as the machine lets it be.
-    pub(super) fn watch(&mut self, context: &mut Context, socket: &Socket, mark: Mark) {
-        if context.poller.watch_anyway(socket, mark).is_err() {
+    pub(super) fn watch(&mut self, context: &mut Context, socket: &Socket, mark: PollToken) {
+        if context.poller.register_or_update(socket, mark).is_err() {
             context.machine_trouble("epoll_ctl");
             self.unwatched.push(mark);
             self.time_retry(context);
@@ -260,10 +260,14 @@
                 .as_mut()
                 .into_iter()
                 .chain(connection.landing.as_mut().map(|l| &mut l.side));
-            let Some(side) = sides.into_iter().find(|side| side.stamp == mark.stamp) else {
+            let Some(side) = sides.into_iter().find(|side| side.stamp == mark.generation) else {
                 continue;
             };
-            if context.poller.watch_anyway(&side.socket, mark).is_err() {
+            if context
+                .poller
+                .register_or_update(&side.socket, mark)
+                .is_err()
+            {
                 context.machine_trouble("epoll_ctl");
                 self.unwatched.push(mark);
             }
--- a/node/src/connections/passage.rs
+++ b/node/src/connections/passage.rs
@@ -89,7 +89,7 @@
                 return self.client_broke(context, slot);
             }
             (_, Flow::Ended) => {
-                landing.side.socket.end_sending();
+                landing.side.socket.shutdown_write();
                 connection.client_ended = Some(now);
             }
             // The host takes no more: what it still says, or its end, comes down.
--- a/node/src/connections/passing.rs
+++ b/node/src/connections/passing.rs
@@ -9,7 +9,7 @@
 use crate::context::{Context, CLIENT, HOST};
 use crate::operators::counts::Close;
 use reedferry::{AttemptOutcome, Event, Nanos, RequestClass, RequestId};
-use reedferry_runtime::{Mark, Socket};
+use reedferry_runtime::{PollToken, Socket};
 use reedferry_settings::renewal;
 use serde::{Deserialize, Serialize};
 use std::os::fd::{AsFd, BorrowedFd};
@@ -78,7 +78,7 @@
         let waiting = lane
             .buffer
             .as_ref()
-            .map_or(Vec::new(), |b| b.waiting().to_vec());
+            .map_or(Vec::new(), |b| b.unsent().to_vec());
         Flowing {
             waiting,
             scanner: lane.scanner,
@@ -91,7 +91,7 @@
         let mut buffer = None;
         if !self.waiting.is_empty() {
             let mut fresh = context.pool.take()?;
-            fresh.put(&self.waiting).then_some(())?;
+            fresh.append(&self.waiting).then_some(())?;
             buffer = Some(fresh);
         }
         Some(Lane {
@@ -127,7 +127,7 @@
             .client
             .iter()
             .chain(connection.landing.as_ref().map(|l| &l.side));
-        sides.for_each(|side| _ = context.poller.unwatch(&side.socket));
+        sides.for_each(|side| _ = context.poller.deregister(&side.socket));
         let landing = connection.landing.as_ref().filter(|_| open);
         let open = landing.map(|landing| Open {
             host: context.hosts.record(landing.host).name.clone(),
@@ -149,14 +149,14 @@
             Some((name?.clone(), means?.clone()))
         });
         let handed_over = HandedOver {
-            clock_ahead: context.clock.ahead(),
+            clock_ahead: context.clock.offset(),
             came: connection.came,
             since: connection.since,
             pings: connection.pings,
             letter: connection
                 .letter
                 .as_ref()
-                .map_or(Vec::new(), |l| l.waiting().to_vec()),
+                .map_or(Vec::new(), |l| l.unsent().to_vec()),
             name: connection.name.as_deref().map(str::to_string),
             class,
             key: incoming.key,
@@ -215,13 +215,17 @@
         ];
         for (part, side) in sides {
             let Some(side) = side else { continue };
-            let mark = Mark {
-                part,
+            let mark = PollToken {
+                component: part,
                 slot: slot as u32,
-                stamp: context.stamp(),
+                generation: context.stamp(),
             };
-            side.stamp = mark.stamp;
-            if context.poller.watch_anyway(&side.socket, mark).is_err() {
+            side.stamp = mark.generation;
+            if context
+                .poller
+                .register_or_update(&side.socket, mark)
+                .is_err()
+            {
                 context.machine_trouble("epoll_ctl");
                 self.unwatched.push(mark);
             }
@@ -273,7 +277,7 @@
         handed_over: HandedOver,
         sockets: Vec<Socket>,
     ) -> Option<RequestId> {
-        let handed_over = handed_over.timed_by(context.clock.ahead());
+        let handed_over = handed_over.timed_by(context.clock.offset());
         // Guards: one customer's connection that goes by another's terms, as its own are offered no more.
         let goes_by = handed_over.class.as_ref().and_then(|(name, means)| {
             renewal::place(
@@ -346,7 +350,7 @@
                 connection.stage = Stage::Passing(false);
                 if !handed_over.letter.is_empty() {
                     let mut letter = context.pool.take()?;
-                    letter.put(&handed_over.letter);
+                    letter.append(&handed_over.letter);
                     connection.letter = Some(letter);
                 }
             }
--- a/node/src/connections/probe.rs
+++ b/node/src/connections/probe.rs
@@ -4,7 +4,7 @@
 use crate::connections::lines::{self, Scanner, Word};
 use crate::context::{Context, PROBE};
 use reedferry::{AttemptOutcome, Event, HostId, Nanos};
-use reedferry_runtime::{Buffer, Errno, Mark, Readiness, Socket};
+use reedferry_runtime::{Buffer, Errno, PollToken, Readiness, Socket};
 use slab::Slab;
 
 struct Probe {
@@ -27,7 +27,9 @@
             .index(host)
             .and_then(|h| context.hosts.record(h).address);
         let opened = match address {
-            Some(address) if context.budget.room(1) => context.budget.connect(&address).ok(),
+            Some(address) if context.budget.has_capacity(1) => {
+                context.budget.connect(&address).ok()
+            }
             _ => None,
         };
         let Some((socket, _)) = opened else {
@@ -40,12 +42,12 @@
         entry.insert(Probe {
             host,
             socket,
-            stamp: mark.stamp,
+            stamp: mark.generation,
             asked: false,
             heard: None,
         });
         let until: Nanos = context.now + 2 * context.node_settings.connect_within;
-        context.poller.remind(until, mark, 0);
+        context.poller.set_timer(until, mark, 0);
     }
 
     fn tell(context: &mut Context, host: HostId, ending: AttemptOutcome, load_metrics: Vec<f64>) {
@@ -69,7 +71,7 @@
 
     /// A probe has had its time. Guards: a host taken for silent, and full, as its answer lies unread in a process that stood
     /// still.
-    pub fn due(&mut self, context: &mut Context, mark: Mark) {
+    pub fn due(&mut self, context: &mut Context, mark: PollToken) {
         let slot = mark.slot as usize;
         if self.out(mark).is_some_and(|probe| probe.asked) {
             self.read(context, slot);
@@ -85,33 +87,33 @@
     }
 
     /// The probe of this mark, while it is out.
-    fn out(&self, mark: Mark) -> Option<&Probe> {
+    fn out(&self, mark: PollToken) -> Option<&Probe> {
         self.slab
             .get(mark.slot as usize)
-            .filter(|probe| probe.stamp == mark.stamp)
+            .filter(|probe| probe.stamp == mark.generation)
     }
 
     pub fn ready(&mut self, context: &mut Context, ready: Readiness) {
-        let slot = ready.mark.slot as usize;
+        let slot = ready.token.slot as usize;
         let Some(probe) = self
             .slab
             .get_mut(slot)
-            .filter(|p| p.stamp == ready.mark.stamp)
+            .filter(|p| p.stamp == ready.token.generation)
         else {
             return;
         };
-        if ready.write && !probe.asked {
+        if ready.writable && !probe.asked {
             let line: &[u8] = if context.node_settings.load_metrics.is_empty() {
                 b"PING\r\n"
             } else {
                 b"STATS\r\n"
             };
-            if probe.socket.connected().is_err() || probe.socket.send(line) != Ok(line.len()) {
+            if probe.socket.connect_result().is_err() || probe.socket.send(line) != Ok(line.len()) {
                 return self.end(context, slot, AttemptOutcome::ConnectFailed, Vec::new());
             }
             probe.asked = true;
         }
-        if ready.read && probe.asked {
+        if ready.readable && probe.asked {
             self.read(context, slot);
         }
     }
@@ -123,25 +125,25 @@
             return self.end(context, slot, AttemptOutcome::NeverSent, Vec::new());
         };
         loop {
-            if heard.spare().is_empty() {
+            if heard.free_space().is_empty() {
                 return self.end(context, slot, AttemptOutcome::Error, Vec::new());
             }
-            match probe.socket.receive(heard.spare()) {
+            match probe.socket.receive(heard.free_space()) {
                 Ok(0) => {
                     return self.end(context, slot, AttemptOutcome::ConnectionLost, Vec::new())
                 }
-                Ok(count) => heard.filled(count),
+                Ok(count) => heard.commit(count),
                 Err(Errno::AGAIN) => break,
                 Err(_) => {
                     return self.end(context, slot, AttemptOutcome::ConnectionLost, Vec::new())
                 }
             }
         }
-        match lines::first(heard.waiting()) {
+        match lines::first(heard.unsent()) {
             Ok(None) => probe.heard = Some(heard),
             Ok(Some((line, length))) => {
                 let said = Scanner::default()
-                    .step(&heard.waiting()[..length])
+                    .step(&heard.unsent()[..length])
                     .ok()
                     .and_then(|(_, said)| said);
                 let ending = if said == Some(Word::Pong) {
--- a/node/src/connections/wire.rs
+++ b/node/src/connections/wire.rs
@@ -1,7 +1,7 @@
 //! Wires: the connections of the link on their sockets, at either end. They own the sockets and what was
 //! last heard of their readiness. It must never read more in a turn than its share, nor know what passes.
 
-use reedferry_runtime::errors::{on_connection, Trouble};
+use reedferry_runtime::errors::{classify_io, IoFailure};
 use reedferry_runtime::{Errno, Readiness, Socket};
 use std::collections::BTreeMap;
 
@@ -31,8 +31,8 @@
     }
 
     pub fn ready(&mut self, ready: Readiness) {
-        self.readable |= ready.read;
-        self.writable |= ready.write;
+        self.readable |= ready.readable;
+        self.writable |= ready.writable;
     }
 
     /// Whether a connection that was called for has come up with the last word of its readiness.
@@ -43,7 +43,7 @@
         if self.stands || !self.writable {
             return Ok(false);
         }
-        self.socket.connected()?;
+        self.socket.connect_result()?;
         self.stands = true;
         Ok(true)
     }
@@ -69,10 +69,10 @@
                     left -= count;
                     each(&space[..count]);
                 }
-                Err(e) => match on_connection(e) {
-                    Trouble::NotReady => self.readable = false,
-                    Trouble::Machine => return Ok(true),
-                    Trouble::Connection => return Err("broken"),
+                Err(e) => match classify_io(e) {
+                    IoFailure::WouldBlock => self.readable = false,
+                    IoFailure::LocalResources => return Ok(true),
+                    IoFailure::Disconnected => return Err("broken"),
                 },
             }
         }
@@ -88,11 +88,11 @@
         while self.writable && self.stands && sent < bytes.len() {
             match self.socket.send(&bytes[sent..]) {
                 Ok(count) => sent += count,
-                Err(e) => match on_connection(e) {
-                    Trouble::NotReady => self.writable = false,
+                Err(e) => match classify_io(e) {
+                    IoFailure::WouldBlock => self.writable = false,
                     // The next turn goes on.
-                    Trouble::Machine => return Ok(sent),
-                    Trouble::Connection => return Err("broken"),
+                    IoFailure::LocalResources => return Ok(sent),
+                    IoFailure::Disconnected => return Err("broken"),
                 },
             }
         }
--- a/node/src/context.rs
+++ b/node/src/context.rs
@@ -9,9 +9,11 @@
 use crate::turn::Turn;
 use crate::AtStart;
 use reedferry::{Event, Nanos, RequestClass, MILLI, SECOND};
-use reedferry_runtime::errors::patiently;
-use reedferry_runtime::log::{Backlog, LineLimit};
-use reedferry_runtime::{log, pool, Budget, Clock, Errno, Mark, Poller, Pool, Socket};
+use reedferry_runtime::errors::retry_for;
+use reedferry_runtime::log::{LogBacklog, LogRateLimit};
+use reedferry_runtime::{
+    log, pool, BufferPool, Clock, DescriptorBudget, Errno, PollToken, Poller, Socket,
+};
 use reedferry_settings::NodeSettings;
 use slog::{info, warn, Logger};
 use std::net::SocketAddr;
@@ -69,11 +71,11 @@
 /// How long after operators ask for it a node that stands by holds no client any more.
 const EMPTY_WITHIN: Nanos = 4 * SECOND;
 
-pub fn mark(part: u8) -> Mark {
-    Mark {
-        part,
+pub fn mark(part: u8) -> PollToken {
+    PollToken {
+        component: part,
         slot: 0,
-        stamp: 0,
+        generation: 0,
     }
 }
 
@@ -88,8 +90,8 @@
     /// How the current turn began.
     pub turn: Turn,
     pub poller: Poller,
-    pub budget: Budget,
-    pub pool: Pool,
+    pub budget: DescriptorBudget,
+    pub pool: BufferPool,
     pub hosts: Hosts,
     pub node_settings: NodeSettings,
     /// What the names of the offerings mean, in their order.
@@ -105,9 +107,9 @@
     pub stopped_by: Option<Nanos>,
     pub tally: Tally,
     /// Log lines on turns that began late are bounded.
-    late_turn_lines: LineLimit,
+    late_turn_lines: LogRateLimit,
     /// Log lines on single requests are bounded.
-    pub request_lines: LineLimit,
+    pub request_lines: LogRateLimit,
     /// Whether new work was last held off for want of descriptors or buffers.
     pub scarce: bool,
     /// From when to when nothing new may go to hosts, unless the list service is heard before.
@@ -120,12 +122,15 @@
         node_config: &NodeConfig,
         clock: &Clock,
         start: &AtStart,
-    ) -> Result<(Context, Backlog), String> {
+    ) -> Result<(Context, LogBacklog), String> {
         let (log, backlog) = log::logger(&node_config.name);
         let wrong = |e| format!("cannot poll: {e}");
-        let poller = patiently(START_WITHIN, Poller::new).map_err(wrong)?;
-        patiently(START_WITHIN, || poller.watch(&start.stop, mark(STOP))).map_err(wrong)?;
-        patiently(START_WITHIN, || poller.watch(&start.reread, mark(REREAD))).map_err(wrong)?;
+        let poller = retry_for(START_WITHIN, Poller::new).map_err(wrong)?;
+        retry_for(START_WITHIN, || poller.register(&start.stop, mark(STOP))).map_err(wrong)?;
+        retry_for(START_WITHIN, || {
+            poller.register(&start.reread, mark(REREAD))
+        })
+        .map_err(wrong)?;
         let now = clock.read();
         let mut tally = Tally::default();
         tally.offers(&node_config.node_settings.classes);
@@ -136,9 +141,9 @@
             caught_up: now,
             turn: Turn::default(),
             poller,
-            budget: Budget::new(node_config.sockets),
+            budget: DescriptorBudget::new(node_config.sockets),
             // A quarter of the memory; the rest is the program's own and a reserve.
-            pool: Pool::new((node_config.memory / 4 / pool::SIZE).max(64)),
+            pool: BufferPool::new((node_config.memory / 4 / pool::BUFFER_BYTES).max(64)),
             hosts: Hosts::new(
                 node_config.node_settings.zones.clone(),
                 node_config
@@ -154,8 +159,8 @@
             standby: None,
             stopped_by: None,
             tally,
-            late_turn_lines: LineLimit::new(1),
-            request_lines: LineLimit::new(MOST_REQUEST_LINES),
+            late_turn_lines: LogRateLimit::new(1),
+            request_lines: LogRateLimit::new(MOST_REQUEST_LINES),
             scarce: false,
             deaf: Nanos::MAX..Nanos::MAX,
         };
@@ -170,8 +175,8 @@
             self.caught_up = before;
         }
         self.hosts.stalls.looked(self.caught_up, waited, now);
-        self.turn.begin(self.poller.next_due(), waited, now);
-        if self.turn.lateness() > LATE_TURN && self.late_turn_lines.room(now) {
+        self.turn.begin(self.poller.next_deadline(), waited, now);
+        if self.turn.lateness() > LATE_TURN && self.late_turn_lines.allow(now) {
             info!(self.log, "woken late"; self.turn.account(now));
         }
         before
@@ -179,9 +184,9 @@
 
     /// Listens, and watches who calls.
     pub fn listen(&mut self, address: &SocketAddr, part: u8) -> Result<Socket, String> {
-        let listener = patiently(START_WITHIN, || self.budget.listen(address))
+        let listener = retry_for(START_WITHIN, || self.budget.listen(address))
             .map_err(|e| format!("cannot listen on {address}: {e}"))?;
-        patiently(START_WITHIN, || self.poller.watch(&listener, mark(part)))
+        retry_for(START_WITHIN, || self.poller.register(&listener, mark(part)))
             .map_err(|e| format!("cannot poll: {e}"))?;
         Ok(listener)
     }
@@ -189,9 +194,10 @@
     /// Takes in those who call at a listener that the platform holds open.
     pub fn inherit(&mut self, number: i32) -> Result<Socket, String> {
         let wrong = |e: Errno| format!("GW_ACCEPT_FD {number} is no listener: {e}");
-        let listener = patiently(START_WITHIN, || self.budget.inherit(number)).map_err(wrong)?;
-        patiently(START_WITHIN, || {
-            self.poller.watch(&listener, mark(LISTENER))
+        let listener =
+            retry_for(START_WITHIN, || self.budget.inherit_listener(number)).map_err(wrong)?;
+        retry_for(START_WITHIN, || {
+            self.poller.register(&listener, mark(LISTENER))
         })
         .map_err(wrong)?;
         Ok(listener)
@@ -215,16 +221,16 @@
 
     /// Says how many lines on single requests were left out.
     pub fn say_left_out(&mut self) {
-        if let Some(count) = self.request_lines.left_out(self.now) {
+        if let Some(count) = self.request_lines.take_suppressed(self.now) {
             info!(self.log, "request lines left out"; "count" => count);
         }
     }
 
     /// Says so when there are descriptors to spare again.
     pub fn spare(&mut self) {
-        if self.scarce && self.budget.room(8) {
+        if self.scarce && self.budget.has_capacity(8) {
             self.scarce = false;
-            info!(self.log, "descriptors to spare again"; "taken" => self.budget.taken());
+            info!(self.log, "descriptors to spare again"; "taken" => self.budget.in_use());
         }
     }
 
@@ -238,7 +244,7 @@
         // Guards: clients still held when the program is ended from outside, at hosts that stopped within a line, or
         // whose turn to be moved came so late that its own wait went beyond that.
         self.stopped_by = Some(now + (deadline + beyond).saturating_sub(LAST_ENDS));
-        warn!(self.log, "asked to stop"; "connections" => connections, "descriptors" => self.budget.taken());
+        warn!(self.log, "asked to stop"; "connections" => connections, "descriptors" => self.budget.in_use());
         // Guards: clients sent away while the node that stopped before this one is not back yet, and who
         // find nobody; a client is served here as well as anywhere until it has to go.
         let span = (deadline + beyond).saturating_sub(LAST_MOVES);
@@ -288,13 +294,13 @@
     }
 
     /// Watches a socket under a fresh stamp.
-    pub fn watch(&mut self, socket: &Socket, part: u8, slot: usize) -> Result<Mark, Errno> {
-        let mark = Mark {
-            part,
+    pub fn watch(&mut self, socket: &Socket, part: u8, slot: usize) -> Result<PollToken, Errno> {
+        let mark = PollToken {
+            component: part,
             slot: slot as u32,
-            stamp: self.stamp(),
+            generation: self.stamp(),
         };
-        self.poller.watch(socket, mark)?;
+        self.poller.register(socket, mark)?;
         Ok(mark)
     }
 }
--- a/node/src/discovery/client.rs
+++ b/node/src/discovery/client.rs
@@ -12,8 +12,8 @@
 use crate::discovery::versions::{Versions, Worth};
 use reedferry::permission::usable_grace;
 use reedferry::{BalancerSettings, EndpointUpdate, Event, Nanos, MILLI, SECOND};
-use reedferry_runtime::errors::{on_connect, on_connection, NoConnection, Trouble};
-use reedferry_runtime::{Errno, Mark, Readiness, Socket};
+use reedferry_runtime::errors::{classify_connect, classify_io, ConnectFailure, IoFailure};
+use reedferry_runtime::{Errno, PollToken, Readiness, Socket};
 use slog::{info, warn};
 use std::net::SocketAddr;
 
@@ -177,12 +177,12 @@
                 .connect(&self.address)
                 .and_then(|(socket, _)| {
                     let mark = context.watch(&socket, DISCOVERY, which)?;
-                    Ok((socket, mark.stamp))
+                    Ok((socket, mark.generation))
                 });
             match opened {
                 Ok(line) => call.line = Some(line),
                 // What this machine is short of says nothing of the service.
-                Err(e) if on_connect(e) != NoConnection::Peer => {
+                Err(e) if classify_connect(e) != ConnectFailure::Peer => {
                     self.ended(context, which, Failure::Refused, &format!("connect: {e}"));
                 }
                 Err(e) => self.fail(context, which, Failure::Broken, &format!("connect: {e}")),
@@ -193,26 +193,26 @@
     }
 
     pub fn ready(&mut self, context: &mut Context, ready: Readiness) {
-        let which = ready.mark.slot as usize;
+        let which = ready.token.slot as usize;
         let Some(call) = self.calls.get(which) else {
             return;
         };
         if call
             .line
             .as_ref()
-            .is_none_or(|(_, stamp)| *stamp != ready.mark.stamp)
+            .is_none_or(|(_, stamp)| *stamp != ready.token.generation)
         {
             return;
         }
-        if ready.write {
+        if ready.writable {
             self.write(context, which);
         }
         // Writing may have failed and closed it.
-        if ready.read
+        if ready.readable
             && self.calls[which]
                 .line
                 .as_ref()
-                .is_some_and(|(_, s)| *s == ready.mark.stamp)
+                .is_some_and(|(_, s)| *s == ready.token.generation)
         {
             self.read(context, which);
         }
@@ -228,7 +228,7 @@
                 Ok(count) => call.written += count,
                 Err(Errno::NOTCONN) => return,
                 // The next sweep goes on where the poller does not.
-                Err(e) if on_connection(e) != Trouble::Connection => return,
+                Err(e) if classify_io(e) != IoFailure::Disconnected => return,
                 Err(e) => return self.broken(context, which, &format!("send: {e}")),
             }
         }
@@ -245,7 +245,7 @@
                 return;
             };
             buffer.clear();
-            let count = match socket.receive(buffer.spare()) {
+            let count = match socket.receive(buffer.free_space()) {
                 Ok(0) => {
                     if call.out && call.answer.ended() {
                         return self.answered(context, which);
@@ -253,10 +253,10 @@
                     return self.broken(context, which, "ended");
                 }
                 Ok(count) => count,
-                Err(e) if on_connection(e) != Trouble::Connection => return,
+                Err(e) if classify_io(e) != IoFailure::Disconnected => return,
                 Err(e) => return self.broken(context, which, &e.to_string()),
             };
-            buffer.filled(count);
+            buffer.commit(count);
             if !call.out {
                 return self.broken(context, which, "bytes that nobody asked for");
             }
@@ -265,7 +265,7 @@
                 call.until = call.until.min(self.hearing.stopped_at(context.now));
             }
             let (answer, reader, body) = (&mut call.answer, &mut call.reader, &mut call.body);
-            let took = answer.feed(buffer.waiting(), |piece| {
+            let took = answer.feed(buffer.unsent(), |piece| {
                 *body += piece.len();
                 if *body > MOST_BODY {
                     return Err("a list that is too long");
@@ -460,13 +460,13 @@
     fn fell_silent(&mut self, context: &mut Context) {
         let mut silent = std::mem::take(&mut self.calls[WATCH]);
         if let Some((socket, stamp)) = &mut silent.line {
-            let mark = Mark {
-                part: DISCOVERY,
+            let mark = PollToken {
+                component: DISCOVERY,
                 slot: SILENT as u32,
-                stamp: context.stamp(),
+                generation: context.stamp(),
             };
-            if context.poller.rewatch(socket, mark).is_ok() {
-                *stamp = mark.stamp;
+            if context.poller.update_registration(socket, mark).is_ok() {
+                *stamp = mark.generation;
                 silent.until = Nanos::MAX;
                 self.calls[SILENT] = silent;
             }
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -69,8 +69,8 @@
 fn run() -> Result<(), String> {
     // First of all. Guards: a node ended by a call to read its papers that comes while it starts.
     let start = AtStart {
-        stop: Signal::told(SIGTERM)?,
-        reread: Signal::told(SIGHUP)?,
+        stop: Signal::register(SIGTERM)?,
+        reread: Signal::register(SIGHUP)?,
     };
     match Line::parse().command {
         None => roles::alone::run(roles::alone::Told::Environment, start),
--- a/node/src/operators/files.rs
+++ b/node/src/operators/files.rs
@@ -1,7 +1,7 @@
 //! Reading the files that the program is told by. It owns the difference between a file that could not be read for a
 //! moment and one that is missing or wrong. It must never know what a file says.
 
-use reedferry_runtime::errors::{for_a_moment, patiently};
+use reedferry_runtime::errors::{is_transient, retry_for};
 use reedferry_runtime::Errno;
 use std::fmt;
 use std::path::Path;
@@ -45,13 +45,13 @@
 /// Why it can't be read, and whether that may pass.
 pub fn read(path: &Path) -> Result<Vec<u8>, NotRead> {
     let once = || std::fs::read(path).map_err(|e| Errno::from_io_error(&e).unwrap_or(Errno::IO));
-    patiently(READ_WITHIN, once).map_err(|error| {
+    retry_for(READ_WITHIN, once).map_err(|error| {
         let why = format!(
             "cannot read {}: {}",
             path.display(),
             std::io::Error::from(error)
         );
-        if for_a_moment(error) || error == Errno::IO {
+        if is_transient(error) || error == Errno::IO {
             NotRead::Moment(why)
         } else {
             NotRead::Wrong(why)
@@ -68,7 +68,7 @@
     mut what: impl FnMut() -> Result<T, NotRead>,
 ) -> Result<T, NotRead> {
     let mut last = None;
-    let read = patiently(within, || {
+    let read = retry_for(within, || {
         what().map_err(|not_read| {
             let moment = matches!(not_read, NotRead::Moment(_));
             last = Some(not_read);
--- a/node/src/operators/ops.rs
+++ b/node/src/operators/ops.rs
@@ -5,8 +5,12 @@
 
 use crate::context::{mark, Context, OPS, OPS_LISTENER, START_WITHIN};
 use reedferry::{Nanos, SECOND};
-use reedferry_runtime::errors::{on_accept, on_connection, patiently, NotAccepted, Trouble};
-use reedferry_runtime::{Budget, Buffer, Errno, Mark, Pool, Readiness, Socket};
+use reedferry_runtime::errors::{
+    classify_accept, classify_io, retry_for, AcceptFailure, IoFailure,
+};
+use reedferry_runtime::{
+    Buffer, BufferPool, DescriptorBudget, Errno, PollToken, Readiness, Socket,
+};
 use slab::Slab;
 use slog::info;
 use std::net::SocketAddr;
@@ -167,8 +171,8 @@
 
 pub struct Ops {
     listener: Socket,
-    budget: Budget,
-    pool: Pool,
+    budget: DescriptorBudget,
+    pool: BufferPool,
     lines: Slab<Line>,
     /// Whole calls, in the order in which they came.
     calls: Vec<(Caller, Call)>,
@@ -178,16 +182,16 @@
     /// Listens for callers, with descriptors that clients can't use up, and no more.
     pub fn open(context: &mut Context, address: &SocketAddr) -> Result<Ops, String> {
         let wrong = |e: Errno| format!("cannot listen for operators on {address}: {e}");
-        let budget = context.budget.set_aside(CALLERS + 1);
-        let listener = patiently(START_WITHIN, || budget.listen(address)).map_err(wrong)?;
-        let watch = || context.poller.watch(&listener, mark(OPS_LISTENER));
-        patiently(START_WITHIN, watch).map_err(wrong)?;
-        let at = listener.address().unwrap_or(*address);
+        let budget = context.budget.split_off(CALLERS + 1);
+        let listener = retry_for(START_WITHIN, || budget.listen(address)).map_err(wrong)?;
+        let watch = || context.poller.register(&listener, mark(OPS_LISTENER));
+        retry_for(START_WITHIN, watch).map_err(wrong)?;
+        let at = listener.local_address().unwrap_or(*address);
         info!(context.log, "operators"; "at" => %at);
         Ok(Ops {
             listener,
             budget,
-            pool: Pool::new(CALLERS),
+            pool: BufferPool::new(CALLERS),
             lines: Slab::new(),
             calls: Vec::new(),
         })
@@ -201,11 +205,11 @@
             }
             let socket = match self.budget.accept(&self.listener) {
                 Ok(socket) => socket,
-                Err(e) => match on_accept(e) {
-                    NotAccepted::NoneWaiting => return,
-                    NotAccepted::ThisOne => continue,
+                Err(e) => match classify_accept(e) {
+                    AcceptFailure::NoneWaiting => return,
+                    AcceptFailure::AbortedConnection => continue,
                     // The next sweep asks again.
-                    NotAccepted::Machine => return context.machine_trouble("accept"),
+                    AcceptFailure::LocalResources => return context.machine_trouble("accept"),
                 },
             };
             let (Some(head), slot) = (self.pool.take(), self.lines.vacant_key()) else {
@@ -224,18 +228,20 @@
             self.read(context, slot);
         }
         // More may wait.
-        _ = context.poller.rewatch(&self.listener, mark(OPS_LISTENER));
+        _ = context
+            .poller
+            .update_registration(&self.listener, mark(OPS_LISTENER));
     }
 
     /// Has one watched, now or at the next sweep.
     fn watch(&mut self, context: &mut Context, slot: usize) {
         let line = &mut self.lines[slot];
-        let mark = Mark {
-            part: OPS,
+        let mark = PollToken {
+            component: OPS,
             slot: slot as u32,
-            stamp: line.stamp,
+            generation: line.stamp,
         };
-        line.watched = context.poller.watch(&line.socket, mark).is_ok();
+        line.watched = context.poller.register(&line.socket, mark).is_ok();
         if !line.watched {
             context.machine_trouble("epoll_ctl");
         }
@@ -268,18 +274,18 @@
     }
 
     pub fn ready(&mut self, context: &mut Context, ready: Readiness) {
-        let slot = ready.mark.slot as usize;
+        let slot = ready.token.slot as usize;
         if self
             .lines
             .get(slot)
-            .is_none_or(|line| line.stamp != ready.mark.stamp)
+            .is_none_or(|line| line.stamp != ready.token.generation)
         {
             return;
         }
-        if ready.write {
+        if ready.writable {
             self.write(context, slot);
         }
-        if ready.read {
+        if ready.readable {
             self.read(context, slot);
         }
     }
@@ -305,7 +311,7 @@
                 return;
             };
             let space = match &mut line.stage {
-                Stage::Head(head) => head.spare(),
+                Stage::Head(head) => head.free_space(),
                 _ => &mut waste,
             };
             let count = match line.socket.receive(space) {
@@ -319,7 +325,7 @@
                 },
                 Ok(count) => count,
                 // The next sweep goes on where the poller does not.
-                Err(e) if on_connection(e) != Trouble::Connection => return,
+                Err(e) if classify_io(e) != IoFailure::Disconnected => return,
                 Err(_) => {
                     self.lines.remove(slot);
                     return;
@@ -327,9 +333,9 @@
             };
             match &mut line.stage {
                 Stage::Head(head) => {
-                    head.filled(count);
-                    let full = head.spare().is_empty();
-                    match read(head.waiting(), full) {
+                    head.commit(count);
+                    let full = head.free_space().is_empty();
+                    match read(head.unsent(), full) {
                         Heard::Part => {}
                         Heard::Head(call, left) => line.stage = Stage::Body(call, left),
                         Heard::Wrong(reply, head) => {
@@ -367,14 +373,14 @@
         while *written < answer.len() {
             match line.socket.send(&answer[*written..]) {
                 Ok(count) => *written += count,
-                Err(e) if on_connection(e) != Trouble::Connection => return,
+                Err(e) if classify_io(e) != IoFailure::Disconnected => return,
                 Err(_) => {
                     self.lines.remove(slot);
                     return;
                 }
             }
         }
-        line.socket.end_sending();
+        line.socket.shutdown_write();
         (line.stage, line.since) = (Stage::AttemptOutcome, context.now);
     }
 
--- a/node/src/peers/fleet.rs
+++ b/node/src/peers/fleet.rs
@@ -7,8 +7,8 @@
 use crate::peers::wards::ReplicationConfig;
 use reedferry::{Event, HostId, Nanos, SECOND};
 use reedferry_membership::{self as members, Action, Members, Role, State, Who, LONGEST_LETTER};
-use reedferry_runtime::errors::patiently;
-use reedferry_runtime::log::LineLimit;
+use reedferry_runtime::errors::retry_for;
+use reedferry_runtime::log::LogRateLimit;
 use reedferry_runtime::{Errno, Socket};
 use serde_json::json;
 use slog::{info, warn};
@@ -49,7 +49,7 @@
     /// The moment at which the core is woken next.
     reminded: Option<Nanos>,
     /// Lines in this second, and what was left out.
-    lines: LineLimit,
+    lines: LogRateLimit,
     /// How often what odd thing came since it was last said.
     odd: BTreeMap<&'static str, (Nanos, u32)>,
     /// What the module was told last: whose turns are its own, and which hosts it looks at, by which view and list.
@@ -98,7 +98,7 @@
             fleet,
         };
         let core = Members::new(who, core_terms, context.now, unix, node_config.seed ^ unix);
-        let (lines, odd) = (LineLimit::new(MOST_LINES), BTreeMap::new());
+        let (lines, odd) = (LogRateLimit::new(MOST_LINES), BTreeMap::new());
         let (shares, looks) = (Vec::new(), Vec::new());
         let mut fleet = Fleet {
             core,
@@ -124,10 +124,10 @@
 
     /// Takes letters, or tries to for so long.
     fn bind(&mut self, context: &mut Context, within: Duration) -> Result<(), Errno> {
-        let socket = patiently(within, || {
-            context.budget.datagrams(&self.node_settings.listen)
+        let socket = retry_for(within, || {
+            context.budget.bind_datagram(&self.node_settings.listen)
         })?;
-        patiently(within, || context.poller.watch(&socket, mark(PEERS)))?;
+        retry_for(within, || context.poller.register(&socket, mark(PEERS)))?;
         let (seeds, period) = (
             self.node_settings.seeds.len(),
             self.node_settings.period / 1_000_000,
@@ -154,11 +154,11 @@
                     address,
                     before,
                     state,
-                } if self.lines.room(context.now) => {
+                } if self.lines.allow(context.now) => {
                     let before = before.map_or("unknown", State::word);
                     info!(context.log, "member {}", state.word(); "name" => name, "address" => %address, "before" => before);
                 }
-                Action::Moved { name, from, to } if self.lines.room(context.now) => {
+                Action::Moved { name, from, to } if self.lines.allow(context.now) => {
                     info!(context.log, "member moved"; "name" => name, "from" => %from, "to" => %to);
                 }
                 // Counted by the limit.
@@ -177,7 +177,7 @@
         let due = self.core.next();
         if due != Nanos::MAX && self.reminded.is_none_or(|at| due < at) {
             self.reminded = Some(due);
-            context.poller.remind(due, mark(FLEET), 0);
+            context.poller.set_timer(due, mark(FLEET), 0);
         }
     }
 
@@ -229,7 +229,7 @@
         }
         // Guards: the rest of a flood left lying, as the poller tells of each arrival once.
         if let Some(socket) = &self.socket {
-            _ = context.poller.rewatch(socket, mark(PEERS));
+            _ = context.poller.update_registration(socket, mark(PEERS));
         }
     }
 
@@ -247,7 +247,7 @@
         }
         let shares = self.core.shares(context.now);
         if shares != self.shares {
-            if self.lines.room(context.now) {
+            if self.lines.allow(context.now) {
                 info!(context.log, "turns"; "of" => format!("{shares:?}"));
             }
             context
@@ -354,7 +354,7 @@
         if self.socket.is_none() {
             _ = self.bind(context, Duration::ZERO);
         }
-        if let Some(count) = self.lines.left_out(context.now) {
+        if let Some(count) = self.lines.take_suppressed(context.now) {
             info!(context.log, "members changed beside"; "count" => count);
         }
     }
--- a/node/src/peers/wards.rs
+++ b/node/src/peers/wards.rs
@@ -154,7 +154,7 @@
         }
         context
             .poller
-            .remind(context.now + self.node_settings.within, mark(WARDS), 0);
+            .set_timer(context.now + self.node_settings.within, mark(WARDS), 0);
     }
 
     /// An event on its way to the module: one that waits for a ward does not get there yet.
--- a/node/src/peers/words.rs
+++ b/node/src/peers/words.rs
@@ -6,7 +6,7 @@
 use crate::peers::fleet::FleetConfig;
 use reedferry::word::LONGEST;
 use reedferry::Event;
-use reedferry_runtime::errors::patiently;
+use reedferry_runtime::errors::retry_for;
 use reedferry_runtime::{Errno, Socket};
 use slog::{info, warn};
 use std::net::SocketAddr;
@@ -33,12 +33,15 @@
 impl Peers {
     pub fn open(context: &mut Context, correspondence: &Correspondence) -> Result<Peers, String> {
         let wrong = |e: Errno| format!("cannot take messages on {}: {e}", correspondence.at);
-        let socket = patiently(START_WITHIN, || {
-            context.budget.datagrams(&correspondence.at)
+        let socket = retry_for(START_WITHIN, || {
+            context.budget.bind_datagram(&correspondence.at)
         })
         .map_err(wrong)?;
-        patiently(START_WITHIN, || context.poller.watch(&socket, mark(PEERS))).map_err(wrong)?;
-        let at = socket.address().unwrap_or(correspondence.at);
+        retry_for(START_WITHIN, || {
+            context.poller.register(&socket, mark(PEERS))
+        })
+        .map_err(wrong)?;
+        let at = socket.local_address().unwrap_or(correspondence.at);
         info!(context.log, "messages"; "at" => %at, "peers" => correspondence.peers.len());
         Ok(Peers {
             socket,
@@ -74,6 +77,8 @@
             }
         }
         // Guards: the rest of a flood left lying, as the poller tells of each arrival once.
-        _ = context.poller.rewatch(&self.socket, mark(PEERS));
+        _ = context
+            .poller
+            .update_registration(&self.socket, mark(PEERS));
     }
 }
--- a/node/src/ready.rs
+++ b/node/src/ready.rs
@@ -2,7 +2,7 @@
 //! It must never know whose a mark is.
 
 use reedferry::{Nanos, MILLI};
-use reedferry_runtime::{merged, Clock, Readiness};
+use reedferry_runtime::{merge_readiness, Clock, Readiness};
 use std::collections::VecDeque;
 
 /// How long one turn goes on with what is ready. Guards: an answer that is due, and waits for hundreds of writes each of which
@@ -22,7 +22,7 @@
     /// Puts what is ready now behind what was left.
     pub fn add(&mut self, now: Vec<Readiness>) {
         let left = std::mem::take(&mut self.0);
-        self.0 = merged(left.into(), now).into();
+        self.0 = merge_readiness(left.into(), now).into();
     }
 
     /// Those of a lower rank go first.
@@ -42,24 +42,24 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use reedferry_runtime::Mark;
+    use reedferry_runtime::PollToken;
 
     #[test]
     fn what_a_turn_had_no_time_for_goes_first_in_the_next() {
         let one = |slot| Readiness {
-            mark: Mark {
-                part: 4,
+            token: PollToken {
+                component: 4,
                 slot,
-                stamp: 1,
+                generation: 1,
             },
-            read: true,
-            write: false,
+            readable: true,
+            writable: false,
         };
         let clock = Clock::start();
         let mut ready = Ready::default();
         ready.add(vec![one(1), one(2), one(3)]);
         assert_eq!(
-            ready.next(clock.read(), &clock).map(|r| r.mark.slot),
+            ready.next(clock.read(), &clock).map(|r| r.token.slot),
             Some(1)
         );
         // A turn that began long ago.
@@ -68,10 +68,10 @@
             .is_none());
         assert!(ready.is_behind());
         ready.add(vec![one(4), one(2)]);
-        ready.order_by(|one| u8::from(one.mark.slot != 4));
+        ready.order_by(|one| u8::from(one.token.slot != 4));
         let now = clock.read();
         let rest: Vec<u32> = std::iter::from_fn(|| ready.next(now, &clock))
-            .map(|r| r.mark.slot)
+            .map(|r| r.token.slot)
             .collect();
         assert_eq!(rest, [4, 2, 3]);
         assert!(!ready.is_behind());
--- a/node/src/roles/alone.rs
+++ b/node/src/roles/alone.rs
@@ -165,7 +165,7 @@
     // The system deals out the port where none is named.
     let listen = succession
         .listener()
-        .and_then(Socket::address)
+        .and_then(Socket::local_address)
         .unwrap_or(node_config.listen);
     info!(log, "started"; "listen" => %listen, "hosts" => hosts, "revision" => revision,
         "sockets" => node_config.sockets, "memory_mb" => node_config.memory >> 20);
@@ -203,7 +203,7 @@
     node.discovery.sweep(&mut node.context);
     node.context
         .poller
-        .remind(now + SWEEP, mark(context::SWEEP), 0);
+        .set_timer(now + SWEEP, mark(context::SWEEP), 0);
     loop {
         node.decide();
         node.guard();
@@ -236,7 +236,7 @@
             .for_each(|fleet| fleet.mind(&mut self.context));
         // Guards: an operator who waits behind a crowd of clients; clients handed to a host that drains, by the word
         // of a list that came before them, while the process stood still.
-        self.ready.order_by(|one| match one.mark.part {
+        self.ready.order_by(|one| match one.token.component {
             context::DISCOVERY => 0,
             context::OPS | context::OPS_LISTENER => 1,
             _ => 2,
@@ -246,7 +246,7 @@
         }
         while let Some(one) = self.ready.next(self.context.now, clock) {
             let context = &mut self.context;
-            match one.mark.part {
+            match one.token.component {
                 context::LISTENER => self.connections.accept(context, self.succession.listener()),
                 context::STOP => self.part(),
                 context::REREAD => self.read_again(),
@@ -274,9 +274,9 @@
             self.connections
                 .resume(&mut self.context, self.succession.listener());
         }
-        while let Some((mark, word)) = self.context.poller.due(self.context.now) {
+        while let Some((mark, word)) = self.context.poller.pop_expired(self.context.now) {
             let context = &mut self.context;
-            match mark.part {
+            match mark.component {
                 context::MODULE => context.events.push(Event::TimerFired { timer: word }),
                 context::HOST => self.connections.due(context, mark, word),
                 context::PROBE => self.probes.due(context, mark),
@@ -301,7 +301,7 @@
         if self.succession.wanted() {
             let knowledge = Knowledge {
                 discovery: self.node_config.discovery,
-                clock_ahead: context.clock.ahead(),
+                clock_ahead: context.clock.offset(),
                 revision: self.discovery.revision(),
                 members: context.hosts.members(),
                 classes: context.node_settings.classes.clone(),
@@ -358,7 +358,7 @@
             };
             match action {
                 Action::SetTimer { time, timer: word } => {
-                    context.poller.remind(time, mark(context::MODULE), word);
+                    context.poller.set_timer(time, mark(context::MODULE), word);
                 }
                 Action::PollEndpoints => self.discovery.ask(context),
                 Action::WatchEndpoints => self.discovery.follow(context),
@@ -407,7 +407,7 @@
         context.hosts.look(context.now, &mut context.events);
         context
             .poller
-            .remind(context.now + SWEEP, mark(context::SWEEP), 0);
+            .set_timer(context.now + SWEEP, mark(context::SWEEP), 0);
     }
 
     /// Does what operators ask for, and says how it stands.
@@ -465,7 +465,7 @@
     }
 
     fn part(&mut self) {
-        if !self.stop.came() || self.context.leaving.is_some() {
+        if !self.stop.take() || self.context.leaving.is_some() {
             return;
         }
         self.succession.part(&self.context);
@@ -483,14 +483,14 @@
 
     /// Takes the papers up afresh: discovery and settings may change in a node that runs.
     fn read_again(&mut self) {
-        if !self.reread.came() && !std::mem::take(&mut self.unread) {
+        if !self.reread.take() && !std::mem::take(&mut self.unread) {
             return;
         }
         let fresh = match self.told.node_config() {
             // Guards: settings that are never taken up, as their file could not be read for a moment.
             Err(NotRead::Moment(why)) => {
                 self.context.machine_trouble("open");
-                if self.context.request_lines.room(self.context.now) {
+                if self.context.request_lines.allow(self.context.now) {
                     warn!(self.context.log, "papers are read again soon"; "why" => why);
                 }
                 self.unread = true;
--- a/node/src/roles/forward.rs
+++ b/node/src/roles/forward.rs
@@ -11,7 +11,7 @@
 use crate::{AtStart, BEYOND_EXPIRY, SWEEP};
 use reedferry::Nanos;
 use reedferry_control_plane::{Forwarder, ForwarderAction, ForwarderConfig, PlannerAddress};
-use reedferry_runtime::{Clock, Errno, Mark, Readiness, Signal, Socket};
+use reedferry_runtime::{Clock, Errno, PollToken, Readiness, Signal, Socket};
 use slog::{info, warn};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -51,7 +51,7 @@
     let clock = Clock::start();
     let (mut context, backlog) = Context::open(&node_config, &clock, &start)?;
     let listener = context.listen(&node_config.listen, context::LISTENER)?;
-    let listen = listener.address().unwrap_or(node_config.listen);
+    let listen = listener.local_address().unwrap_or(node_config.listen);
     let keeps = ForwarderConfig {
         name: node_config.name.clone(),
         fingerprint: node_config.fingerprint(),
@@ -68,7 +68,7 @@
         "sockets" => node_config.sockets, "memory_mb" => node_config.memory >> 20);
     context
         .poller
-        .remind(context.now + SWEEP, mark(context::SWEEP), 0);
+        .set_timer(context.now + SWEEP, mark(context::SWEEP), 0);
     let AtStart { stop, reread } = start;
     let mut forward = Forward {
         context,
@@ -109,7 +109,7 @@
         let next = self.core.next();
         if next < self.armed || self.armed <= self.context.now {
             self.armed = next;
-            self.context.poller.remind(next, mark(TICK), 0);
+            self.context.poller.set_timer(next, mark(TICK), 0);
         }
         let mut ready = Vec::new();
         let behind = self.ready.is_behind();
@@ -121,7 +121,7 @@
         self.ready.add(ready);
         while let Some(one) = self.ready.next(self.context.now, clock) {
             let context = &mut self.context;
-            match one.mark.part {
+            match one.token.component {
                 context::LISTENER => self.connections.accept(context, Some(&self.listener)),
                 STOP => self.part(),
                 context::REREAD => self.read_again(),
@@ -133,8 +133,8 @@
             self.connections
                 .resume(&mut self.context, Some(&self.listener));
         }
-        while let Some((mark, word)) = self.context.poller.due(self.context.now) {
-            match mark.part {
+        while let Some((mark, word)) = self.context.poller.pop_expired(self.context.now) {
+            match mark.component {
                 context::HOST => self.connections.due(&mut self.context, mark, word),
                 context::SWEEP => self.sweep(),
                 context::RETRY => self.connections.retry(&mut self.context),
@@ -155,16 +155,16 @@
         context.hosts.look(context.now, &mut context.events);
         context
             .poller
-            .remind(context.now + SWEEP, mark(context::SWEEP), 0);
+            .set_timer(context.now + SWEEP, mark(context::SWEEP), 0);
     }
 
     fn ready(&mut self, ready: Readiness) {
-        let line = ready.mark.slot;
+        let line = ready.token.slot;
         let Some(wire) = self
             .wires
             .all
             .get_mut(&line)
-            .filter(|w| w.stamp == ready.mark.stamp)
+            .filter(|w| w.stamp == ready.token.generation)
         else {
             return;
         };
@@ -233,13 +233,13 @@
         let context = &mut self.context;
         let opened = context.budget.connect(&address).and_then(|(socket, _)| {
             // Whether it stands is told by the poller in either case.
-            let mark = Mark {
-                part: LINK,
+            let mark = PollToken {
+                component: LINK,
                 slot: line,
-                stamp: context.stamp(),
+                generation: context.stamp(),
             };
-            context.poller.watch(&socket, mark)?;
-            Ok(Wire::new(socket, mark.stamp, false))
+            context.poller.register(&socket, mark)?;
+            Ok(Wire::new(socket, mark.generation, false))
         });
         match opened {
             Ok(wire) => _ = self.wires.all.insert(line, wire),
@@ -248,7 +248,7 @@
     }
 
     fn part(&mut self) {
-        if self.stop.came() && self.context.leaving.is_none() {
+        if self.stop.take() && self.context.leaving.is_none() {
             let event = self.context.leave(BEYOND_EXPIRY, self.connections.count());
             self.context.events.push(event);
         }
@@ -256,7 +256,7 @@
 
     /// Takes the operator's file up afresh: the planners alone may change in a forwarder that runs.
     fn read_again(&mut self) {
-        if !self.reread.came() {
+        if !self.reread.take() {
             return;
         }
         let log = self.context.log.clone();
--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -12,7 +12,7 @@
 use crate::{AtStart, SWEEP};
 use reedferry::{Endpoint, Event, Nanos, MILLI};
 use reedferry_control_plane::{HostEntry, Planner, PlannerAction, PlannerConfig};
-use reedferry_runtime::{Clock, Errno, Mark, Readiness, Signal, Socket};
+use reedferry_runtime::{Clock, Errno, PollToken, Readiness, Signal, Socket};
 use slog::{info, warn};
 use std::path::{Path, PathBuf};
 
@@ -55,7 +55,7 @@
     let clock = Clock::start();
     let (mut context, backlog) = Context::open(&node_config, &clock, &start)?;
     let listener = context.listen(&plans.listen, context::LINK_LISTENER)?;
-    let listen = listener.address().unwrap_or(plans.listen);
+    let listen = listener.local_address().unwrap_or(plans.listen);
     let remit = PlannerConfig {
         name: plans.name.clone(),
         zones: node_config.node_settings.zones.len().max(1) as u16,
@@ -76,7 +76,7 @@
         "revision" => revision);
     context
         .poller
-        .remind(context.now + SWEEP, mark(context::SWEEP), 0);
+        .set_timer(context.now + SWEEP, mark(context::SWEEP), 0);
     let AtStart { stop, reread } = start;
     let NodeConfig {
         balancer_settings,
@@ -126,7 +126,7 @@
 impl Plan {
     fn gather(&mut self, clock: &Clock) -> Result<(), Errno> {
         let next = self.core.next(self.context.now);
-        self.context.poller.remind(next, mark(context::TICK), 0);
+        self.context.poller.set_timer(next, mark(context::TICK), 0);
         let mut ready = Vec::new();
         let at_once = !self.context.events.is_empty() || self.wires.more;
         self.context
@@ -134,7 +134,7 @@
             .wait(clock.read(), at_once, &mut ready)?;
         self.context.now = clock.read();
         for one in ready {
-            match one.mark.part {
+            match one.token.component {
                 context::LINK_LISTENER => self.accept(),
                 STOP => self.part(),
                 context::REREAD => self.read_again(),
@@ -149,7 +149,7 @@
     fn accept(&mut self) {
         for _ in 0..ACCEPTS {
             let context = &mut self.context;
-            if !context.budget.room(1) {
+            if !context.budget.has_capacity(1) {
                 return;
             }
             let Ok(socket) = context.budget.accept(&self.listener) else {
@@ -158,12 +158,12 @@
             let stamp = context.stamp();
             if context
                 .poller
-                .watch(
+                .register(
                     &socket,
-                    Mark {
-                        part: LINK,
+                    PollToken {
+                        component: LINK,
                         slot: 0,
-                        stamp,
+                        generation: stamp,
                     },
                 )
                 .is_err()
@@ -178,7 +178,7 @@
     }
 
     fn ready(&mut self, ready: Readiness) {
-        if let Some(wire) = self.wires.all.get_mut(&ready.mark.stamp) {
+        if let Some(wire) = self.wires.all.get_mut(&ready.token.generation) {
             wire.ready(ready);
         }
     }
@@ -201,8 +201,8 @@
         for event in std::mem::take(&mut self.context.events) {
             self.told(event);
         }
-        while let Some((mark, word)) = self.context.poller.due(now) {
-            match mark.part {
+        while let Some((mark, word)) = self.context.poller.pop_expired(now) {
+            match mark.component {
                 context::MODULE => self
                     .core
                     .timer(now, mark.slot as u16, word, &mut self.orders),
@@ -210,7 +210,7 @@
                 context::SWEEP => {
                     self.discovery.sweep(&mut self.context);
                     self.context.spare();
-                    self.context.poller.remind(
+                    self.context.poller.set_timer(
                         now + SWEEP,
                         crate::context::mark(context::SWEEP),
                         0,
@@ -275,12 +275,12 @@
         let context = &mut self.context;
         match order {
             PlannerAction::SetTimer { time, zone, mark } => {
-                let at = Mark {
-                    part: context::MODULE,
+                let at = PollToken {
+                    component: context::MODULE,
                     slot: zone.into(),
-                    stamp: 0,
+                    generation: 0,
                 };
-                context.poller.remind(time, at, mark);
+                context.poller.set_timer(time, at, mark);
             }
             PlannerAction::PollEndpoints => self.discovery.ask(context),
             PlannerAction::WatchEndpoints => self.discovery.follow(context),
@@ -291,7 +291,7 @@
     }
 
     fn part(&mut self) {
-        if self.stop.came() && self.context.leaving.is_none() {
+        if self.stop.take() && self.context.leaving.is_none() {
             warn!(self.context.log, "asked to stop"; "forwarders" => self.core.followers());
             self.context.leaving = Some(self.context.now + LONGEST_STAY);
             self.core.leave(&mut self.orders);
@@ -300,7 +300,7 @@
 
     /// Takes the papers up afresh: discovery alone may change in a planner that runs.
     fn read_again(&mut self) {
-        if !self.reread.came() {
+        if !self.reread.take() {
             return;
         }
         let log = self.context.log.clone();
--- a/node/src/roles/succession.rs
+++ b/node/src/roles/succession.rs
@@ -8,8 +8,8 @@
 use crate::discovery::list::Member;
 use crate::operators::node_config::NodeConfig;
 use reedferry::{Event, InheritedState, Nanos, RequestClass, RequestId, MILLI};
-use reedferry_runtime::errors::{on_connection, patiently, Trouble};
-use reedferry_runtime::{channel, Clock, Errno, Mark, Readiness, Socket};
+use reedferry_runtime::errors::{classify_io, retry_for, IoFailure};
+use reedferry_runtime::{channel, Clock, Errno, PollToken, Readiness, Socket};
 use serde::{Deserialize, Serialize};
 use slog::{info, warn};
 use std::collections::VecDeque;
@@ -145,13 +145,13 @@
     /// Asks the process before this one for what it knows, if there is one, and is there for the next.
     pub fn begin(&mut self, context: &mut Context, clock: &Clock) -> Option<Knowledge> {
         self.path = PathBuf::from(std::env::var_os("TMPDIR").filter(|_| self.shared)?).join(FILE);
-        let knowledge = match context.budget.call_at(&self.path) {
+        let knowledge = match context.budget.connect_unix(&self.path) {
             Ok(line) => self.ask(context, clock, line),
             Err(_) => None,
         };
         if let Some(knowledge) = &knowledge {
             // Guards: times that pass between both, where the wall clock was stepped in between.
-            clock.go_by(knowledge.clock_ahead);
+            clock.set_offset(knowledge.clock_ahead);
             (context.now, context.start) = (clock.read(), clock.read());
         }
         self.expect(context);
@@ -192,12 +192,12 @@
 
     /// Has what failed so tried again soon.
     fn retry_soon(&mut self, context: &mut Context, error: Errno, call: &'static str) {
-        if on_connection(error) != Trouble::Machine {
+        if classify_io(error) != IoFailure::LocalResources {
             return;
         }
         context.machine_trouble(call);
         if !std::mem::replace(&mut self.retries, true) {
-            context.poller.remind(
+            context.poller.set_timer(
                 context.now + RETRY_AFTER,
                 context::mark(context::CHANNEL_RETRY),
                 0,
@@ -207,11 +207,11 @@
 
     /// Is there for the next process, in place of whoever was.
     fn expect(&mut self, context: &Context) {
-        match context.budget.listen_at(&self.path) {
+        match context.budget.listen_unix(&self.path) {
             Ok(successor_listener)
                 if context
                     .poller
-                    .watch(&successor_listener, context::mark(SUCCESSOR_LISTENER))
+                    .register(&successor_listener, context::mark(SUCCESSOR_LISTENER))
                     .is_ok() =>
             {
                 self.successor_listener = Some(successor_listener);
@@ -225,21 +225,21 @@
     }
 
     fn ask(&mut self, context: &mut Context, clock: &Clock, line: Socket) -> Option<Knowledge> {
-        patiently(HELLO_WITHIN, || {
-            line.send_with(&message(&FromSuccessor::Hello(VERSION)), &[])
+        retry_for(HELLO_WITHIN, || {
+            line.send_with_descriptors(&message(&FromSuccessor::Hello(VERSION)), &[])
         })
         .ok()?;
         let until = clock.read() + KNOWLEDGE_WITHIN;
-        let (mut space, mut bytes) = (vec![0; channel::LONGEST], Vec::new());
+        let (mut space, mut bytes) = (vec![0; channel::MAX_MESSAGE_BYTES], Vec::new());
         let mut knowledge = None;
         while knowledge.is_none() {
             let left = until.saturating_sub(clock.read());
-            if left == 0 || !line.readable_within(left) {
+            if left == 0 || !line.wait_readable(left) {
                 warn!(context.log, "no word from the process before in time");
                 break;
             }
-            let length = match context.budget.receive_with(&line, &mut space) {
-                Err(e) if on_connection(e) != Trouble::Connection => continue,
+            let length = match context.budget.receive_with_descriptors(&line, &mut space) {
+                Err(e) if classify_io(e) != IoFailure::Disconnected => continue,
                 // It ends, or speaks another version.
                 Ok((0, _)) | Err(_) => return None,
                 Ok((length, _)) => length,
@@ -257,16 +257,16 @@
             }
         }
         // What is still to come is read from here on.
-        let mark = Mark {
-            part: PREDECESSOR,
+        let mark = PollToken {
+            component: PREDECESSOR,
             slot: 0,
-            stamp: context.stamp(),
+            generation: context.stamp(),
         };
-        if context.poller.watch(&line, mark).is_err() {
+        if context.poller.register(&line, mark).is_err() {
             // The sweep looks at it.
             context.machine_trouble("epoll_ctl");
         }
-        self.predecessor = Some((line, mark.stamp));
+        self.predecessor = Some((line, mark.generation));
         info!(context.log, "in the place of another process"; "knows" => knowledge.is_some());
         knowledge
     }
@@ -275,7 +275,7 @@
     pub fn part(&mut self, context: &Context) {
         if self.shared {
             if let Some(listener) = self.listener.take() {
-                _ = context.poller.unwatch(&listener);
+                _ = context.poller.deregister(&listener);
             }
         }
     }
@@ -322,9 +322,9 @@
             let Some(next) = successor.out.front() else {
                 return;
             };
-            match successor.line.send_with(next, &[]) {
+            match successor.line.send_with_descriptors(next, &[]) {
                 Ok(()) => _ = successor.out.pop_front(),
-                Err(e) if on_connection(e) != Trouble::Connection => {
+                Err(e) if classify_io(e) != IoFailure::Disconnected => {
                     return self.retry_soon(context, e, "sendmsg");
                 }
                 Err(_) => return self.give_up(context, connections),
@@ -338,13 +338,13 @@
         connections: &mut Connections,
         ready: Readiness,
     ) {
-        match ready.mark.part {
+        match ready.token.component {
             SUCCESSOR_LISTENER => self.called(context, connections),
             SUCCESSOR
                 if self
                     .successor
                     .as_ref()
-                    .is_some_and(|h| h.stamp == ready.mark.stamp) =>
+                    .is_some_and(|h| h.stamp == ready.token.generation) =>
             {
                 self.write(context, connections);
                 self.hear(context, connections);
@@ -353,7 +353,7 @@
                 if self
                     .predecessor
                     .as_ref()
-                    .is_some_and(|e| e.1 == ready.mark.stamp) =>
+                    .is_some_and(|e| e.1 == ready.token.generation) =>
             {
                 self.take(context, connections);
             }
@@ -366,7 +366,7 @@
         while let Some(Ok(line)) = self
             .successor_listener
             .as_ref()
-            .map(|successor_listener| context.budget.called(successor_listener))
+            .map(|successor_listener| context.budget.accept_unix(successor_listener))
         {
             self.give_up(context, connections);
             if self.successor.is_some() {
@@ -376,18 +376,18 @@
                 );
                 continue;
             }
-            let mark = Mark {
-                part: SUCCESSOR,
+            let mark = PollToken {
+                component: SUCCESSOR,
                 slot: 0,
-                stamp: context.stamp(),
+                generation: context.stamp(),
             };
-            if context.poller.watch(&line, mark).is_err() {
+            if context.poller.register(&line, mark).is_err() {
                 // The sweep looks at it.
                 context.machine_trouble("epoll_ctl");
             }
             self.successor = Some(Successor {
                 line,
-                stamp: mark.stamp,
+                stamp: mark.generation,
                 out: VecDeque::new(),
                 going: VecDeque::new(),
                 given_up: false,
@@ -398,9 +398,12 @@
     fn hear(&mut self, context: &mut Context, connections: &mut Connections) {
         let (mut space, mut broke) = ([0; 64], false);
         while let Some(successor) = self.successor.as_mut() {
-            let length = match context.budget.receive_with(&successor.line, &mut space) {
+            let length = match context
+                .budget
+                .receive_with_descriptors(&successor.line, &mut space)
+            {
                 Ok((length @ 1.., _)) => length,
-                Err(e) if on_connection(e) != Trouble::Connection => {
+                Err(e) if classify_io(e) != IoFailure::Disconnected => {
                     return self.retry_soon(context, e, "recvmsg");
                 }
                 // Guards: words that lie behind the error which tells that it is gone.
@@ -434,7 +437,7 @@
         };
         successor.given_up = true;
         successor.out.clear();
-        successor.line.end_receiving();
+        successor.line.shutdown_read();
         self.hear(context, connections);
     }
 
@@ -474,7 +477,7 @@
             let bytes = message(&FromPredecessor::HandedOver(Box::new(handed_over)));
             match successor
                 .line
-                .send_with(&bytes, &connections.descriptors(slot))
+                .send_with_descriptors(&bytes, &connections.descriptors(slot))
             {
                 Ok(()) => successor.going.push_back((id, context.now)),
                 // The line is full, and tells when it is not; or broken, and tells that.
@@ -500,7 +503,7 @@
 
     /// Goes on with what the predecessor has let go of.
     fn take(&mut self, context: &mut Context, connections: &mut Connections) {
-        let mut space = vec![0; channel::LONGEST];
+        let mut space = vec![0; channel::MAX_MESSAGE_BYTES];
         for _ in 0..A_TURN {
             if !self.answer_predecessor(context, connections) {
                 return;
@@ -508,9 +511,10 @@
             let Some((line, _)) = &self.predecessor else {
                 return;
             };
-            let (length, sockets) = match context.budget.receive_with(line, &mut space) {
+            let (length, sockets) = match context.budget.receive_with_descriptors(line, &mut space)
+            {
                 Ok((length @ 1.., sockets)) => (length, sockets),
-                Err(e) if on_connection(e) != Trouble::Connection => {
+                Err(e) if classify_io(e) != IoFailure::Disconnected => {
                     return self.retry_soon(context, e, "recvmsg");
                 }
                 _ => {
@@ -534,12 +538,12 @@
         let Some((line, stamp)) = &self.predecessor else {
             return;
         };
-        let mark = Mark {
-            part: PREDECESSOR,
+        let mark = PollToken {
+            component: PREDECESSOR,
             slot: 0,
-            stamp: *stamp,
+            generation: *stamp,
         };
-        _ = context.poller.rewatch(line, mark);
+        _ = context.poller.update_registration(line, mark);
     }
 
     /// Tells the predecessor what has become of the connection that came last; false where that has to wait, or it is gone.
@@ -547,7 +551,7 @@
         let (Some((line, _)), Some(adopted)) = (&self.predecessor, self.owed) else {
             return true;
         };
-        match line.send_with(&message(&FromSuccessor::Has(adopted.is_some())), &[]) {
+        match line.send_with_descriptors(&message(&FromSuccessor::Has(adopted.is_some())), &[]) {
             Ok(()) => {
                 self.owed = None;
                 adopted
@@ -555,7 +559,7 @@
                     .for_each(|id| connections.keep(context, id));
                 true
             }
-            Err(e) if on_connection(e) != Trouble::Connection => {
+            Err(e) if classify_io(e) != IoFailure::Disconnected => {
                 self.retry_soon(context, e, "sendmsg");
                 false
             }
--- a/node/tests/succession.rs
+++ b/node/tests/succession.rs
@@ -1,6 +1,6 @@
 //! One process in place of another: both started and spoken to over sockets, at a listener that the test holds.
 
-use reedferry_runtime::Budget;
+use reedferry_runtime::DescriptorBudget;
 use reedferry_testkit::acting::{self, Clients, Referee, Way};
 use reedferry_testkit::*;
 use serde_json::{json, Value};
@@ -181,8 +181,8 @@
     let garbled = |at: &Path| std::fs::write(at.join("reedferry.next"), "garbled").unwrap();
     let stale = |at: &Path| {
         drop(
-            Budget::new(64)
-                .listen_at(&at.join("reedferry.next"))
+            DescriptorBudget::new(64)
+                .listen_unix(&at.join("reedferry.next"))
                 .unwrap(),
         );
     };
@@ -212,13 +212,13 @@
     let predecessor = site.start();
     let mut open = predecessor.served(&site.hosts);
     let path = site.folder.join("reedferry.next");
-    let budget = Budget::new(64);
+    let budget = DescriptorBudget::new(64);
     for said in [&b"what"[..], &[0, 99], &[0, 1], &[7; 40_000]] {
-        let line = budget.call_at(&path).unwrap();
-        _ = line.send_with(said, &[]);
+        let line = budget.connect_unix(&path).unwrap();
+        _ = line.send_with_descriptors(said, &[]);
         speaks(&mut open.0, &mut open.2);
     }
-    let _silent = budget.call_at(&path).unwrap();
+    let _silent = budget.connect_unix(&path).unwrap();
     let mut predecessor = predecessor;
     let _heir = site.start();
     predecessor.stop();
@@ -387,16 +387,16 @@
 
 /// A process that comes as the next one, and speaks to the predecessor by its own words.
 struct Stranger {
-    budget: Budget,
+    budget: DescriptorBudget,
     line: reedferry_runtime::Socket,
 }
 
 impl Stranger {
     fn come(path: &Path) -> Self {
-        let budget = Budget::new(64);
-        let line = budget.call_at(path).unwrap();
+        let budget = DescriptorBudget::new(64);
+        let line = budget.connect_unix(path).unwrap();
         // It says hello in this version.
-        line.send_with(&[0, 3], &[]).unwrap();
+        line.send_with_descriptors(&[0, 3], &[]).unwrap();
         let one = Stranger { budget, line };
         // The pieces of what the predecessor knows, to the last.
         while one.hear().last() != Some(&1) {}
@@ -407,7 +407,7 @@
     fn hear(&self) -> Vec<u8> {
         let (mut space, until) = (vec![0; 48 << 10], Instant::now() + Duration::from_secs(20));
         loop {
-            match self.budget.receive_with(&self.line, &mut space) {
+            match self.budget.receive_with_descriptors(&self.line, &mut space) {
                 Ok((length, _given)) => return space[..length].to_vec(),
                 Err(e) if e.raw_os_error() == 11 => {
                     assert!(Instant::now() < until, "nothing comes");
@@ -421,7 +421,7 @@
     /// Is given a connection, and would not have it.
     fn turns_down(&self) {
         assert!(!self.hear().is_empty(), "none is given");
-        self.line.send_with(&[1, 0], &[]).unwrap();
+        self.line.send_with_descriptors(&[1, 0], &[]).unwrap();
     }
 }
 
--- a/runtime/src/channel.rs
+++ b/runtime/src/channel.rs
@@ -2,7 +2,7 @@
 //! both are sent and received. It must never take in what another user's process sends, nor leave a
 //! descriptor that came uncounted.
 
-use crate::sockets::{Budget, Socket};
+use crate::sockets::{DescriptorBudget, Socket};
 use rustix::io::Errno;
 use rustix::net::{
     self, sockopt, AddressFamily, RecvFlags, SendFlags, SocketAddrUnix, SocketFlags, SocketType,
@@ -16,15 +16,15 @@
 use std::path::Path;
 
 /// The longest message.
-pub const LONGEST: usize = 48 << 10;
+pub const MAX_MESSAGE_BYTES: usize = 48 << 10;
 /// Descriptors with one message.
-const MOST: usize = 4;
-const WAITING: i32 = 4;
+const MAX_DESCRIPTORS_PER_MESSAGE: usize = 4;
+const LISTEN_BACKLOG: i32 = 4;
 
-impl Budget {
-    fn local(&self) -> Result<Socket, Errno> {
+impl DescriptorBudget {
+    fn unix_socket(&self) -> Result<Socket, Errno> {
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
-        Ok(self.own(net::socket_with(
+        Ok(self.track(net::socket_with(
             AddressFamily::UNIX,
             SocketType::SEQPACKET,
             flags,
@@ -33,29 +33,29 @@
     }
 
     /// Listens at this path, in place of whoever did.
-    pub fn listen_at(&self, path: &Path) -> Result<Socket, Errno> {
-        let socket = self.local()?;
+    pub fn listen_unix(&self, path: &Path) -> Result<Socket, Errno> {
+        let socket = self.unix_socket()?;
         let beside = path.with_extension(std::process::id().to_string());
         // One that a process of the same number has left.
         _ = std::fs::remove_file(&beside);
         net::bind(&socket, &SocketAddrUnix::new(&beside)?)?;
-        net::listen(&socket, WAITING)?;
+        net::listen(&socket, LISTEN_BACKLOG)?;
         std::fs::rename(&beside, path)
             .map_err(|e| Errno::from_io_error(&e).unwrap_or(Errno::IO))?;
         Ok(socket)
     }
 
     /// A channel to whoever listens at this path.
-    pub fn call_at(&self, path: &Path) -> Result<Socket, Errno> {
-        let socket = self.local()?;
+    pub fn connect_unix(&self, path: &Path) -> Result<Socket, Errno> {
+        let socket = self.unix_socket()?;
         net::connect(&socket, &SocketAddrUnix::new(path)?)?;
         Ok(socket)
     }
 
     /// The next who has called, if it is a process of the same user.
-    pub fn called(&self, listener: &Socket) -> Result<Socket, Errno> {
+    pub fn accept_unix(&self, listener: &Socket) -> Result<Socket, Errno> {
         let fd = net::accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC)?;
-        let socket = self.own(fd);
+        let socket = self.track(fd);
         match sockopt::socket_peercred(&socket)?.uid == rustix::process::geteuid() {
             true => Ok(socket),
             false => Err(Errno::PERM),
@@ -64,12 +64,13 @@
 
     /// The next message, put where there is room for the longest: its length, and what descriptors came
     /// with it. A length of 0 is the end.
-    pub fn receive_with(
+    pub fn receive_with_descriptors(
         &self,
         from: &Socket,
         into: &mut [u8],
     ) -> Result<(usize, Vec<Socket>), Errno> {
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST))];
+        let mut space =
+            [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_MESSAGE))];
         let mut beside = RecvAncillaryBuffer::new(&mut space);
         let message = loop {
             let mut pieces = [IoSliceMut::new(&mut *into)];
@@ -81,7 +82,7 @@
         let mut came = Vec::new();
         for one in beside.drain() {
             if let RecvAncillaryMessage::ScmRights(descriptors) = one {
-                came.extend(descriptors.map(|fd| self.own(fd)));
+                came.extend(descriptors.map(|fd| self.track(fd)));
             }
         }
         Ok((message.bytes, came))
@@ -90,8 +91,13 @@
 
 impl Socket {
     /// Sends a whole message, and these descriptors with it, or nothing.
-    pub fn send_with(&self, message: &[u8], descriptors: &[BorrowedFd<'_>]) -> Result<(), Errno> {
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST))];
+    pub fn send_with_descriptors(
+        &self,
+        message: &[u8],
+        descriptors: &[BorrowedFd<'_>],
+    ) -> Result<(), Errno> {
+        let mut space =
+            [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_MESSAGE))];
         let mut beside = SendAncillaryBuffer::new(&mut space);
         if !descriptors.is_empty() && !beside.push(SendAncillaryMessage::ScmRights(descriptors)) {
             return Err(Errno::INVAL);
@@ -114,35 +120,41 @@
     fn messages_and_descriptors_come_through_whole_and_a_left_path_is_taken_over() {
         let path = std::env::temp_dir().join(format!("reedferry-channel-{}", std::process::id()));
         std::fs::write(&path, "something else").unwrap();
-        let budget = Budget::new(64);
-        let before = budget.taken();
-        assert!(budget.call_at(&path).is_err());
-        let listener = budget.listen_at(&path).unwrap();
-        let successor = budget.call_at(&path).unwrap();
-        let predecessor = budget.called(&listener).unwrap();
+        let budget = DescriptorBudget::new(64);
+        let before = budget.in_use();
+        assert!(budget.connect_unix(&path).is_err());
+        let listener = budget.listen_unix(&path).unwrap();
+        let successor = budget.connect_unix(&path).unwrap();
+        let predecessor = budget.accept_unix(&listener).unwrap();
         let door = budget.listen(&"127.0.0.1:0".parse().unwrap()).unwrap();
-        predecessor.send_with(b"one", &[]).unwrap();
-        predecessor.send_with(b"two", &[door.as_fd()]).unwrap();
+        predecessor.send_with_descriptors(b"one", &[]).unwrap();
+        predecessor
+            .send_with_descriptors(b"two", &[door.as_fd()])
+            .unwrap();
         let mut space = [0; 16];
         assert!(
-            matches!(budget.receive_with(&successor, &mut space), Ok((3, none)) if none.is_empty())
+            matches!(budget.receive_with_descriptors(&successor, &mut space), Ok((3, none)) if none.is_empty())
         );
-        let (length, came) = budget.receive_with(&successor, &mut space).unwrap();
+        let (length, came) = budget
+            .receive_with_descriptors(&successor, &mut space)
+            .unwrap();
         assert_eq!(
-            (&space[..length], came[0].address()),
-            (&b"two"[..], door.address())
+            (&space[..length], came[0].local_address()),
+            (&b"two"[..], door.local_address())
         );
         assert_eq!(
-            budget.receive_with(&successor, &mut space).err(),
+            budget
+                .receive_with_descriptors(&successor, &mut space)
+                .err(),
             Some(Errno::AGAIN)
         );
         drop((predecessor, came));
         assert!(matches!(
-            budget.receive_with(&successor, &mut space),
+            budget.receive_with_descriptors(&successor, &mut space),
             Ok((0, _))
         ));
         drop((listener, successor, door));
-        assert_eq!(budget.taken(), before);
+        assert_eq!(budget.in_use(), before);
         std::fs::remove_file(&path).unwrap();
     }
 }
--- a/runtime/src/clock.rs
+++ b/runtime/src/clock.rs
@@ -11,7 +11,7 @@
 /// Clones are one clock.
 #[derive(Clone, Debug)]
 pub struct Clock {
-    ahead: Rc<Cell<Nanos>>,
+    offset: Rc<Cell<Nanos>>,
 }
 
 /// The machine's steady clock, which is one for all its processes.
@@ -32,25 +32,25 @@
             .duration_since(UNIX_EPOCH)
             .map_or(0, |d| d.as_nanos() as Nanos);
         Clock {
-            ahead: Rc::new(Cell::new(unix.saturating_sub(steady()))),
+            offset: Rc::new(Cell::new(unix.saturating_sub(steady()))),
         }
     }
 
     /// Nanoseconds since 1970.
     pub fn read(&self) -> Nanos {
-        self.ahead.get() + steady()
+        self.offset.get() + steady()
     }
 
     /// How far it is ahead of the machine's steady clock.
-    pub fn ahead(&self) -> Nanos {
-        self.ahead.get()
+    pub fn offset(&self) -> Nanos {
+        self.offset.get()
     }
 
     /// Goes by the clock of another process of this machine, which is so far ahead of the steady one. Guards: times that
     /// pass between two processes, read by the one's wall clock and compared with the other's after a step. To be called
     /// before anything was timed by it.
-    pub fn go_by(&self, ahead: Nanos) {
-        self.ahead.set(ahead);
+    pub fn set_offset(&self, ahead: Nanos) {
+        self.offset.set(ahead);
     }
 }
 
@@ -68,7 +68,7 @@
         assert!(clock.read().abs_diff(unix) < 1_000_000_000);
         let (other, hour) = (clock.clone(), 3600 * 1_000_000_000);
         let before = clock.read();
-        other.go_by(clock.ahead() - hour);
+        other.set_offset(clock.offset() - hour);
         let after = clock.read();
         assert!((before - hour..before).contains(&after), "{before} {after}");
         assert!(other.read() >= after);
--- a/runtime/src/lib.rs
+++ b/runtime/src/lib.rs
@@ -12,11 +12,11 @@
 pub mod sockets;
 
 pub use clock::Clock;
-pub use poller::{merged, Mark, Poller, Readiness};
-pub use pool::{Buffer, Pool};
+pub use poller::{merge_readiness, PollToken, Poller, Readiness};
+pub use pool::{Buffer, BufferPool};
 pub use rustix::io::Errno;
 pub use signals::Signal;
-pub use sockets::{Budget, Socket};
+pub use sockets::{DescriptorBudget, Socket};
 
 /// Whole nanoseconds.
 pub type Nanos = u64;
--- a/runtime/src/log.rs
+++ b/runtime/src/log.rs
@@ -16,20 +16,20 @@
 
 #[derive(Default)]
 struct Lines {
-    waiting: VecDeque<u8>,
-    dropped: u64,
+    pending: VecDeque<u8>,
+    dropped_lines: u64,
 }
 
 #[derive(Clone, Default)]
-pub struct Backlog(Arc<Mutex<Lines>>);
+pub struct LogBacklog(Arc<Mutex<Lines>>);
 
-impl Write for Backlog {
+impl Write for LogBacklog {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         if let Ok(mut lines) = self.0.lock() {
-            if lines.waiting.len() + bytes.len() > MOST {
-                lines.dropped += 1;
+            if lines.pending.len() + bytes.len() > MOST {
+                lines.dropped_lines += 1;
             } else {
-                lines.waiting.extend(bytes);
+                lines.pending.extend(bytes);
             }
         }
         Ok(bytes.len())
@@ -40,12 +40,12 @@
     }
 }
 
-impl Backlog {
+impl LogBacklog {
     /// Writes what standard error takes without waiting.
     pub fn drain(&self) {
         let Ok(mut lines) = self.0.lock() else { return };
         let stderr = io::stderr();
-        while !lines.waiting.is_empty() {
+        while !lines.pending.is_empty() {
             let mut polled = [PollFd::new(&stderr, PollFlags::OUT)];
             let now = Timespec {
                 tv_sec: 0,
@@ -55,16 +55,16 @@
             if !ready || !polled[0].revents().contains(PollFlags::OUT) {
                 return;
             }
-            let (front, _) = lines.waiting.as_slices();
+            let (front, _) = lines.pending.as_slices();
             let piece = &front[..front.len().min(PIECE)];
             let Ok(count) = stderr.lock().write(piece) else {
                 return;
             };
-            lines.waiting.drain(..count);
-            if lines.waiting.is_empty() && lines.dropped > 0 {
-                let text = format!("log lines dropped count={}\n", lines.dropped);
-                lines.dropped = 0;
-                lines.waiting.extend(text.as_bytes());
+            lines.pending.drain(..count);
+            if lines.pending.is_empty() && lines.dropped_lines > 0 {
+                let text = format!("log lines dropped count={}\n", lines.dropped_lines);
+                lines.dropped_lines = 0;
+                lines.pending.extend(text.as_bytes());
             }
         }
     }
@@ -72,44 +72,44 @@
 
 /// A limit on log lines of one kind, so that what happens thousands of times a second does not fill the log.
 #[derive(Debug)]
-pub struct LineLimit {
-    most_a_second: u32,
-    second: Nanos,
+pub struct LogRateLimit {
+    max_lines_per_second: u32,
+    second_start: Nanos,
     lines: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
-impl LineLimit {
+impl LogRateLimit {
     pub fn new(most_a_second: u32) -> Self {
-        LineLimit {
-            most_a_second,
-            second: 0,
+        LogRateLimit {
+            max_lines_per_second: most_a_second,
+            second_start: 0,
             lines: 0,
-            left_out: 0,
+            suppressed: 0,
         }
     }
 
     /// Whether one more line may be written in this second; one that may not is counted.
-    pub fn room(&mut self, now: Nanos) -> bool {
-        if now >= self.second + SECOND {
-            (self.second, self.lines) = (now, 0);
+    pub fn allow(&mut self, now: Nanos) -> bool {
+        if now >= self.second_start + SECOND {
+            (self.second_start, self.lines) = (now, 0);
         }
         self.lines += 1;
-        let room = self.lines <= self.most_a_second;
-        self.left_out += u64::from(!room);
+        let room = self.lines <= self.max_lines_per_second;
+        self.suppressed += u64::from(!room);
         room
     }
 
     /// How many lines were left out, once their second is over.
-    pub fn left_out(&mut self, now: Nanos) -> Option<u64> {
-        let over = self.left_out > 0 && now >= self.second + SECOND;
-        over.then(|| std::mem::take(&mut self.left_out))
+    pub fn take_suppressed(&mut self, now: Nanos) -> Option<u64> {
+        let over = self.suppressed > 0 && now >= self.second_start + SECOND;
+        over.then(|| std::mem::take(&mut self.suppressed))
     }
 }
 
 /// The node's logger, and the backlog that the loop drains once a turn.
-pub fn logger(node: &str) -> (Logger, Backlog) {
-    let backlog = Backlog::default();
+pub fn logger(node: &str) -> (Logger, LogBacklog) {
+    let backlog = LogBacklog::default();
     let plain = slog_term::PlainDecorator::new(backlog.clone());
     let format = slog_term::FullFormat::new(plain)
         .use_utc_timestamp()
@@ -125,23 +125,26 @@
 
     #[test]
     fn a_limit_lets_so_many_lines_a_second_through_and_counts_the_rest() {
-        let mut limit = LineLimit::new(2);
-        let through = |limit: &mut LineLimit, now| (0..5).filter(|_| limit.room(now)).count();
+        let mut limit = LogRateLimit::new(2);
+        let through = |limit: &mut LogRateLimit, now| (0..5).filter(|_| limit.allow(now)).count();
         assert_eq!(
-            (through(&mut limit, SECOND), limit.left_out(SECOND)),
+            (through(&mut limit, SECOND), limit.take_suppressed(SECOND)),
             (2, None)
         );
         assert_eq!(
             (
                 through(&mut limit, 2 * SECOND - 1),
-                limit.left_out(2 * SECOND)
+                limit.take_suppressed(2 * SECOND)
             ),
             (0, Some(8))
         );
         assert_eq!(
-            (through(&mut limit, 2 * SECOND), limit.left_out(3 * SECOND)),
+            (
+                through(&mut limit, 2 * SECOND),
+                limit.take_suppressed(3 * SECOND)
+            ),
             (2, Some(3))
         );
-        assert_eq!(limit.left_out(9 * SECOND), None);
+        assert_eq!(limit.take_suppressed(9 * SECOND), None);
     }
 }
--- a/runtime/src/poller.rs
+++ b/runtime/src/poller.rs
@@ -1,5 +1,5 @@
 //! The poller and the timers. It owns the epoll instance and the heap of what falls due. It must never
-//! know what a [`Mark`] stands for: it carries marks and gives them back. Sockets are watched by edges,
+//! know what a [`PollToken`] stands for: it carries marks and gives them back. Sockets are watched by edges,
 //! so who is told of one reads or writes until the kernel has no more.
 
 use crate::Nanos;
@@ -13,28 +13,28 @@
 /// Whose socket it is: a part of the program, a slot of that part, and a stamp that no later holder of the
 /// slot bears. Guards: an event of a closed socket that meets the next one in its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Mark {
-    pub part: u8,
+pub struct PollToken {
+    pub component: u8,
     pub slot: u32,
-    pub stamp: u32,
+    pub generation: u32,
 }
 
-const EDGES: EventFlags = EventFlags::IN
+const EDGE_TRIGGERED: EventFlags = EventFlags::IN
     .union(EventFlags::OUT)
     .union(EventFlags::RDHUP)
     .union(EventFlags::ET);
 const SLOT_BITS: u32 = 24;
 
-impl Mark {
-    fn packed(self) -> u64 {
-        u64::from(self.part) << 56 | u64::from(self.slot) << 32 | u64::from(self.stamp)
+impl PollToken {
+    fn to_bits(self) -> u64 {
+        u64::from(self.component) << 56 | u64::from(self.slot) << 32 | u64::from(self.generation)
     }
 
-    fn unpacked(word: u64) -> Self {
-        Mark {
-            part: (word >> 56) as u8,
+    fn from_bits(word: u64) -> Self {
+        PollToken {
+            component: (word >> 56) as u8,
             slot: (word >> 32) as u32 & ((1 << SLOT_BITS) - 1),
-            stamp: word as u32,
+            generation: word as u32,
         }
     }
 }
@@ -42,24 +42,27 @@
 /// What has become possible on a socket.
 #[derive(Clone, Copy, Debug)]
 pub struct Readiness {
-    pub mark: Mark,
-    pub read: bool,
-    pub write: bool,
+    pub token: PollToken,
+    pub readable: bool,
+    pub writable: bool,
 }
 
 /// Puts what is ready now behind what was left from before, each socket once, in the order in which it was first told of.
 /// Guards: a list of those left that grows with each turn of a program which is behind.
-pub fn merged(left: Vec<Readiness>, now: Vec<Readiness>) -> Vec<Readiness> {
+pub fn merge_readiness(left: Vec<Readiness>, now: Vec<Readiness>) -> Vec<Readiness> {
     if left.is_empty() {
         return now;
     }
-    let mut places: HashMap<Mark, usize> = HashMap::new();
+    let mut places: HashMap<PollToken, usize> = HashMap::new();
     let mut merged: Vec<Readiness> = Vec::with_capacity(left.len() + now.len());
     for one in left.into_iter().chain(now) {
-        let place = *places.entry(one.mark).or_insert(merged.len());
+        let place = *places.entry(one.token).or_insert(merged.len());
         match merged.get_mut(place) {
             Some(known) => {
-                (known.read, known.write) = (known.read || one.read, known.write || one.write);
+                (known.readable, known.writable) = (
+                    known.readable || one.readable,
+                    known.writable || one.writable,
+                );
             }
             None => merged.push(one),
         }
@@ -70,7 +73,7 @@
 pub struct Poller {
     epoll: OwnedFd,
     events: Vec<epoll::Event>,
-    due: BinaryHeap<Reverse<(Nanos, u64, Mark, u64)>>,
+    due: BinaryHeap<Reverse<(Nanos, u64, PollToken, u64)>>,
     set: u64,
 }
 
@@ -86,52 +89,52 @@
     }
 
     /// Watches a socket until it is closed.
-    pub fn watch(&self, socket: &impl AsFd, mark: Mark) -> Result<(), Errno> {
+    pub fn register(&self, socket: &impl AsFd, mark: PollToken) -> Result<(), Errno> {
         epoll::add(
             &self.epoll,
             socket,
-            EventData::new_u64(mark.packed()),
-            EDGES,
+            EventData::new_u64(mark.to_bits()),
+            EDGE_TRIGGERED,
         )
     }
 
     /// Watches a socket under this mark, whether or not it was watched before.
-    pub fn watch_anyway(&self, socket: &impl AsFd, mark: Mark) -> Result<(), Errno> {
-        match self.watch(socket, mark) {
-            Err(Errno::EXIST) => self.rewatch(socket, mark),
+    pub fn register_or_update(&self, socket: &impl AsFd, mark: PollToken) -> Result<(), Errno> {
+        match self.register(socket, mark) {
+            Err(Errno::EXIST) => self.update_registration(socket, mark),
             other => other,
         }
     }
 
     /// Watches it under another mark from now on, and tells afresh what it is ready for.
-    pub fn rewatch(&self, socket: &impl AsFd, mark: Mark) -> Result<(), Errno> {
+    pub fn update_registration(&self, socket: &impl AsFd, mark: PollToken) -> Result<(), Errno> {
         epoll::modify(
             &self.epoll,
             socket,
-            EventData::new_u64(mark.packed()),
-            EDGES,
+            EventData::new_u64(mark.to_bits()),
+            EDGE_TRIGGERED,
         )
     }
 
     /// Watches it no longer. Guards: a listener that another process has open too, told of for ever after it
     /// was closed here.
-    pub fn unwatch(&self, socket: &impl AsFd) -> Result<(), Errno> {
+    pub fn deregister(&self, socket: &impl AsFd) -> Result<(), Errno> {
         epoll::delete(&self.epoll, socket)
     }
 
     /// Has `mark` come back with `word` at `time`. Timers that fall due together come back as set.
-    pub fn remind(&mut self, time: Nanos, mark: Mark, word: u64) {
+    pub fn set_timer(&mut self, time: Nanos, mark: PollToken, word: u64) {
         self.set += 1;
         self.due.push(Reverse((time, self.set, mark, word)));
     }
 
     /// When the first timer falls due.
-    pub fn next_due(&self) -> Option<Nanos> {
+    pub fn next_deadline(&self) -> Option<Nanos> {
         self.due.peek().map(|Reverse((time, ..))| *time)
     }
 
     /// The next timer due at `now`.
-    pub fn due(&mut self, now: Nanos) -> Option<(Mark, u64)> {
+    pub fn pop_expired(&mut self, now: Nanos) -> Option<(PollToken, u64)> {
         let Reverse((time, ..)) = self.due.peek()?;
         if *time > now {
             return None;
@@ -148,7 +151,7 @@
         at_once: bool,
         into: &mut Vec<Readiness>,
     ) -> Result<(), Errno> {
-        let next = self.next_due().map(|time| time.saturating_sub(now));
+        let next = self.next_deadline().map(|time| time.saturating_sub(now));
         let span = if at_once { Some(0) } else { next };
         let span = span.map(|n| Timespec {
             tv_sec: (n / 1_000_000_000) as i64,
@@ -167,9 +170,9 @@
             let flags = event.flags;
             let broken = flags.intersects(EventFlags::ERR | EventFlags::HUP);
             into.push(Readiness {
-                mark: Mark::unpacked(event.data.u64()),
-                read: broken || flags.intersects(EventFlags::IN | EventFlags::RDHUP),
-                write: broken || flags.contains(EventFlags::OUT),
+                token: PollToken::from_bits(event.data.u64()),
+                readable: broken || flags.intersects(EventFlags::IN | EventFlags::RDHUP),
+                writable: broken || flags.contains(EventFlags::OUT),
             });
         }
         Ok(())
@@ -183,42 +186,42 @@
     #[test]
     fn what_was_left_goes_first_and_each_socket_stands_once() {
         let one = |slot, read, write| Readiness {
-            mark: Mark {
-                part: 4,
+            token: PollToken {
+                component: 4,
                 slot,
-                stamp: 9,
+                generation: 9,
             },
-            read,
-            write,
+            readable: read,
+            writable: write,
         };
         let left = vec![one(7, true, false), one(2, false, true)];
-        let merged = merged(
+        let merged = merge_readiness(
             left,
             vec![one(2, true, false), one(5, true, false), one(7, true, true)],
         );
         let all: Vec<(u32, bool, bool)> = merged
             .iter()
-            .map(|r| (r.mark.slot, r.read, r.write))
+            .map(|r| (r.token.slot, r.readable, r.writable))
             .collect();
         assert_eq!(all, [(7, true, true), (2, true, true), (5, true, false)]);
     }
 
     #[test]
     fn marks_come_back_whole_and_timers_in_order() {
-        let mark = Mark {
-            part: 3,
+        let mark = PollToken {
+            component: 3,
             slot: 0xab_cdef,
-            stamp: u32::MAX,
+            generation: u32::MAX,
         };
-        assert_eq!(Mark::unpacked(mark.packed()), mark);
+        assert_eq!(PollToken::from_bits(mark.to_bits()), mark);
         let mut poller = Poller::new().unwrap();
         for (time, word) in [(20, 1), (10, 2), (20, 3)] {
-            poller.remind(time, mark, word);
+            poller.set_timer(time, mark, word);
         }
-        let all: Vec<u64> = std::iter::from_fn(|| poller.due(20))
+        let all: Vec<u64> = std::iter::from_fn(|| poller.pop_expired(20))
             .map(|(_, word)| word)
             .collect();
         assert_eq!(all, [2, 1, 3]);
-        assert!(poller.due(u64::MAX).is_none());
+        assert!(poller.pop_expired(u64::MAX).is_none());
     }
 }
--- a/runtime/src/pool.rs
+++ b/runtime/src/pool.rs
@@ -6,105 +6,105 @@
 use std::rc::Rc;
 
 /// Twice the longest line, so that a whole line always fits beside the rest of another.
-pub const SIZE: usize = 8192;
+pub const BUFFER_BYTES: usize = 8192;
 
-struct Shelf {
-    spare: Vec<Box<[u8]>>,
+struct FreeList {
+    free: Vec<Box<[u8]>>,
     /// How many more may be made.
-    unmade: usize,
+    allocatable: usize,
 }
 
 #[derive(Clone)]
-pub struct Pool(Rc<RefCell<Shelf>>);
+pub struct BufferPool(Rc<RefCell<FreeList>>);
 
-impl Pool {
+impl BufferPool {
     pub fn new(most: usize) -> Self {
-        Pool(Rc::new(RefCell::new(Shelf {
-            spare: Vec::new(),
-            unmade: most,
+        BufferPool(Rc::new(RefCell::new(FreeList {
+            free: Vec::new(),
+            allocatable: most,
         })))
     }
 
     /// A buffer, unless all are in use.
     pub fn take(&self) -> Option<Buffer> {
-        let mut shelf = self.0.borrow_mut();
-        let bytes = match shelf.spare.pop() {
+        let mut free_list = self.0.borrow_mut();
+        let bytes = match free_list.free.pop() {
             Some(bytes) => bytes,
             None => {
-                shelf.unmade = shelf.unmade.checked_sub(1)?;
-                vec![0; SIZE].into_boxed_slice()
+                free_list.allocatable = free_list.allocatable.checked_sub(1)?;
+                vec![0; BUFFER_BYTES].into_boxed_slice()
             }
         };
         Some(Buffer {
             bytes,
-            from: 0,
-            to: 0,
-            home: self.clone(),
+            start: 0,
+            end: 0,
+            pool: self.clone(),
         })
     }
 
     /// A buffer for a final answer, beyond the bound where that is reached: there are no more of these than connections.
-    pub fn take_for_answer(&self) -> Buffer {
+    pub fn take_beyond_limit(&self) -> Buffer {
         self.take().unwrap_or_else(|| {
-            let bytes = vec![0; SIZE].into_boxed_slice();
+            let bytes = vec![0; BUFFER_BYTES].into_boxed_slice();
             Buffer {
                 bytes,
-                from: 0,
-                to: 0,
-                home: self.clone(),
+                start: 0,
+                end: 0,
+                pool: self.clone(),
             }
         })
     }
 
     /// How many may still be taken.
-    pub fn left(&self) -> usize {
-        let shelf = self.0.borrow();
-        shelf.spare.len() + shelf.unmade
+    pub fn available(&self) -> usize {
+        let free_list = self.0.borrow();
+        free_list.free.len() + free_list.allocatable
     }
 }
 
 /// Bytes on their way: filled at one end, emptied at the other.
 pub struct Buffer {
     bytes: Box<[u8]>,
-    from: usize,
-    to: usize,
-    home: Pool,
+    start: usize,
+    end: usize,
+    pool: BufferPool,
 }
 
 impl Buffer {
-    pub fn waiting(&self) -> &[u8] {
-        &self.bytes[self.from..self.to]
+    pub fn unsent(&self) -> &[u8] {
+        &self.bytes[self.start..self.end]
     }
 
     pub fn is_empty(&self) -> bool {
-        self.from == self.to
+        self.start == self.end
     }
 
-    pub fn spare(&mut self) -> &mut [u8] {
+    pub fn free_space(&mut self) -> &mut [u8] {
         if self.is_empty() {
-            (self.from, self.to) = (0, 0);
+            (self.start, self.end) = (0, 0);
         }
-        &mut self.bytes[self.to..]
+        &mut self.bytes[self.end..]
     }
 
-    pub fn filled(&mut self, count: usize) {
-        self.to = (self.to + count).min(SIZE);
+    pub fn commit(&mut self, count: usize) {
+        self.end = (self.end + count).min(BUFFER_BYTES);
     }
 
-    pub fn sent(&mut self, count: usize) {
-        self.from = (self.from + count).min(self.to);
+    pub fn consume(&mut self, count: usize) {
+        self.start = (self.start + count).min(self.end);
     }
 
     pub fn clear(&mut self) {
-        (self.from, self.to) = (0, 0);
+        (self.start, self.end) = (0, 0);
     }
 
     /// Puts `bytes` behind what waits; false, and nothing put, where they do not fit.
-    pub fn put(&mut self, bytes: &[u8]) -> bool {
-        let fits = self.spare().len() >= bytes.len();
+    pub fn append(&mut self, bytes: &[u8]) -> bool {
+        let fits = self.free_space().len() >= bytes.len();
         if fits {
-            self.spare()[..bytes.len()].copy_from_slice(bytes);
-            self.filled(bytes.len());
+            self.free_space()[..bytes.len()].copy_from_slice(bytes);
+            self.commit(bytes.len());
         }
         fits
     }
@@ -112,10 +112,10 @@
 
 impl Drop for Buffer {
     fn drop(&mut self) {
-        self.home
+        self.pool
             .0
             .borrow_mut()
-            .spare
+            .free
             .push(std::mem::take(&mut self.bytes));
     }
 }
@@ -126,17 +126,17 @@
 
     #[test]
     fn a_dropped_buffer_is_used_again_and_no_more_are_made_than_allowed() {
-        let pool = Pool::new(1);
+        let pool = BufferPool::new(1);
         let mut buffer = pool.take().unwrap();
-        assert!(buffer.put(b"ab") && buffer.waiting() == b"ab" && pool.take().is_none());
-        assert!(!buffer.put(&[0; SIZE]) && buffer.waiting() == b"ab");
-        buffer.sent(1);
-        assert_eq!(buffer.waiting(), b"b");
+        assert!(buffer.append(b"ab") && buffer.unsent() == b"ab" && pool.take().is_none());
+        assert!(!buffer.append(&[0; BUFFER_BYTES]) && buffer.unsent() == b"ab");
+        buffer.consume(1);
+        assert_eq!(buffer.unsent(), b"b");
         drop(buffer);
-        assert!(pool.take().unwrap().is_empty() && pool.left() == 1);
+        assert!(pool.take().unwrap().is_empty() && pool.available() == 1);
         let _all = pool.take().unwrap();
         assert!(
-            pool.take_for_answer().put(b"ERR") && pool.left() == 1,
+            pool.take_beyond_limit().append(b"ERR") && pool.available() == 1,
             "kept once it was made"
         );
     }
--- a/runtime/src/signals.rs
+++ b/runtime/src/signals.rs
@@ -1,7 +1,7 @@
 //! Signals as something to poll for. It owns a flag for each signal, and the pair of sockets that wakes the poller. It
 //! must never do anything where the signal meets the program but raise the flag and write one byte.
 
-use crate::errors::patiently;
+use crate::errors::retry_for;
 use rustix::io::Errno;
 use std::io::Read;
 use std::os::fd::{AsFd, BorrowedFd};
@@ -18,15 +18,15 @@
 /// Where a signal is told from now on.
 pub struct Signal {
     raised: Arc<AtomicBool>,
-    told: UnixStream,
+    wake_receiver: UnixStream,
 }
 
 impl Signal {
     /// # Errors
     /// One line where the system lets the program have no pair of sockets or no handler.
-    pub fn told(which: i32) -> Result<Signal, String> {
+    pub fn register(which: i32) -> Result<Signal, String> {
         let pair = || UnixStream::pair().map_err(|e| Errno::from_io_error(&e).unwrap_or(Errno::IO));
-        let (told, teller) = patiently(START_WITHIN, pair)
+        let (told, teller) = retry_for(START_WITHIN, pair)
             .map_err(|e| format!("cannot make a pair of sockets: {e}"))?;
         told.set_nonblocking(true)
             .map_err(|e| format!("cannot set up signals: {e}"))?;
@@ -36,16 +36,19 @@
             .map_err(|e| format!("cannot set up signals: {e}"))?;
         signal_hook::low_level::pipe::register(which, teller)
             .map_err(|e| format!("cannot set up signals: {e}"))?;
-        Ok(Signal { raised, told })
+        Ok(Signal {
+            raised,
+            wake_receiver: told,
+        })
     }
 
     /// Whether it came since this was last asked. It may be asked at any time, whatever the poller says. Guards: a signal
     /// that is never heard, as the byte that tells of it could not be written or read.
-    pub fn came(&self) -> bool {
+    pub fn take(&self) -> bool {
         if !self.raised.swap(false, Ordering::SeqCst) {
             return false;
         }
-        let (mut bytes, mut pair) = ([0; 16], &self.told);
+        let (mut bytes, mut pair) = ([0; 16], &self.wake_receiver);
         while matches!(pair.read(&mut bytes), Ok(1..)) {}
         true
     }
@@ -53,6 +56,6 @@
 
 impl AsFd for Signal {
     fn as_fd(&self) -> BorrowedFd<'_> {
-        self.told.as_fd()
+        self.wake_receiver.as_fd()
     }
 }
--- a/runtime/src/sockets.rs
+++ b/runtime/src/sockets.rs
@@ -19,9 +19,9 @@
 const OWN: usize = 12;
 const BACKLOG: i32 = 4096;
 
-pub struct Budget {
-    taken: Rc<Cell<usize>>,
-    most: usize,
+pub struct DescriptorBudget {
+    in_use: Rc<Cell<usize>>,
+    limit: usize,
     reserve: usize,
 }
 
@@ -41,50 +41,50 @@
         .map_or(limit, |now| (now as usize).min(limit))
 }
 
-impl Budget {
+impl DescriptorBudget {
     pub fn new(limit: usize) -> Self {
         let limit = granted(limit);
-        Budget {
-            taken: Rc::new(Cell::new(OWN)),
-            most: limit.max(2 * OWN),
+        DescriptorBudget {
+            in_use: Rc::new(Cell::new(OWN)),
+            limit: limit.max(2 * OWN),
             reserve: (limit / 8).clamp(16, 128).min(limit / 2),
         }
     }
 
     /// Sets so many descriptors aside for one part alone: the others can't use them up, nor it theirs.
-    pub fn set_aside(&self, count: usize) -> Budget {
-        self.taken.set(self.taken.get() + count);
-        Budget {
-            taken: Rc::new(Cell::new(0)),
-            most: count,
+    pub fn split_off(&self, count: usize) -> DescriptorBudget {
+        self.in_use.set(self.in_use.get() + count);
+        DescriptorBudget {
+            in_use: Rc::new(Cell::new(0)),
+            limit: count,
             reserve: 0,
         }
     }
 
     /// Whether so many more may be opened for new work.
-    pub fn room(&self, count: usize) -> bool {
-        self.taken.get() + count + self.reserve <= self.most
+    pub fn has_capacity(&self, count: usize) -> bool {
+        self.in_use.get() + count + self.reserve <= self.limit
     }
 
     /// Whether the reserve itself runs out.
-    pub fn tight(&self) -> bool {
-        self.taken.get() + self.reserve / 2 > self.most
+    pub fn nearly_exhausted(&self) -> bool {
+        self.in_use.get() + self.reserve / 2 > self.limit
     }
 
-    pub fn taken(&self) -> usize {
-        self.taken.get()
+    pub fn in_use(&self) -> usize {
+        self.in_use.get()
     }
 
-    pub(crate) fn own(&self, fd: OwnedFd) -> Socket {
-        self.taken.set(self.taken.get() + 1);
+    pub(crate) fn track(&self, fd: OwnedFd) -> Socket {
+        self.in_use.set(self.in_use.get() + 1);
         Socket {
             fd,
-            taken: self.taken.clone(),
+            in_use: self.in_use.clone(),
         }
     }
 
     fn socket(&self, address: &SocketAddr, kind: SocketType) -> Result<Socket, Errno> {
-        if self.taken.get() >= self.most {
+        if self.in_use.get() >= self.limit {
             return Err(Errno::MFILE);
         }
         let family = if address.is_ipv4() {
@@ -93,11 +93,11 @@
             AddressFamily::INET6
         };
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
-        Ok(self.own(net::socket_with(family, kind, flags, None)?))
+        Ok(self.track(net::socket_with(family, kind, flags, None)?))
     }
 
     /// A socket for datagrams that come to this address and leave from it.
-    pub fn datagrams(&self, address: &SocketAddr) -> Result<Socket, Errno> {
+    pub fn bind_datagram(&self, address: &SocketAddr) -> Result<Socket, Errno> {
         let socket = self.socket(address, SocketType::DGRAM)?;
         net::bind(&socket, address)?;
         Ok(socket)
@@ -113,9 +113,9 @@
 
     /// A listener that whoever started the program holds open, as this descriptor. It is never shut down
     /// here: it is one open file for all processes that have it, its waiting connections theirs together.
-    pub fn inherit(&self, number: i32) -> Result<Socket, Errno> {
+    pub fn inherit_listener(&self, number: i32) -> Result<Socket, Errno> {
         // No descriptor that the program has opened itself may be meant: a listener is none of those.
-        if self.taken.get() >= self.most || number < 0 {
+        if self.in_use.get() >= self.limit || number < 0 {
             return Err(Errno::BADF);
         }
         // SAFETY: the borrow ends in this function, in which nothing closes a descriptor; what is not open
@@ -126,24 +126,24 @@
             return Err(Errno::INVAL);
         }
         rustix::io::ioctl_fionbio(&fd, true)?;
-        Ok(self.own(fd))
+        Ok(self.track(fd))
     }
 
     /// The next connection that waits to be taken.
     pub fn accept(&self, listener: &Socket) -> Result<Socket, Errno> {
-        if self.taken.get() >= self.most {
+        if self.in_use.get() >= self.limit {
             return Err(Errno::MFILE);
         }
         let fd = net::accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC)?;
-        let socket = self.own(fd);
-        socket.tune();
+        let socket = self.track(fd);
+        socket.set_options();
         Ok(socket)
     }
 
     /// A connection on its way up; `up` tells whether it stands already.
     pub fn connect(&self, address: &SocketAddr) -> Result<(Socket, bool), Errno> {
         let socket = self.socket(address, SocketType::STREAM)?;
-        socket.tune();
+        socket.set_options();
         match net::connect(&socket, address) {
             Ok(()) => Ok((socket, true)),
             Err(Errno::INPROGRESS | Errno::INTR) => Ok((socket, false)),
@@ -154,17 +154,17 @@
 
 pub struct Socket {
     fd: OwnedFd,
-    taken: Rc<Cell<usize>>,
+    in_use: Rc<Cell<usize>>,
 }
 
 impl Socket {
-    fn tune(&self) {
+    fn set_options(&self) {
         // Neither matters enough to refuse a connection over it.
         let _ = sockopt::set_tcp_nodelay(self, true);
         let _ = sockopt::set_socket_keepalive(self, true);
     }
 
-    pub fn address(&self) -> Option<SocketAddr> {
+    pub fn local_address(&self) -> Option<SocketAddr> {
         net::getsockname(self).ok().and_then(|a| a.try_into().ok())
     }
 
@@ -215,7 +215,7 @@
     }
 
     /// Waits until something can be read from it, for a process that has nothing else to do yet.
-    pub fn readable_within(&self, span: crate::Nanos) -> bool {
+    pub fn wait_readable(&self, span: crate::Nanos) -> bool {
         let span = Timespec {
             tv_sec: (span / 1_000_000_000) as i64,
             tv_nsec: (span % 1_000_000_000) as _,
@@ -225,22 +225,22 @@
     }
 
     /// Whether the connection stands, whatever the poller has said so far.
-    pub fn stands(&self) -> bool {
+    pub fn is_connected(&self) -> bool {
         net::getpeername(self).is_ok_and(|peer| peer.is_some())
     }
 
     /// How the connect went.
-    pub fn connected(&self) -> Result<(), Errno> {
+    pub fn connect_result(&self) -> Result<(), Errno> {
         sockopt::socket_error(self)?
     }
 
-    pub fn end_sending(&self) {
+    pub fn shutdown_write(&self) {
         let _ = net::shutdown(self, Shutdown::Write);
     }
 
     /// Takes in nothing that is sent from now on: on a channel of this machine each later message fails at its sender, and what
     /// came before can still be read.
-    pub fn end_receiving(&self) {
+    pub fn shutdown_read(&self) {
         let _ = net::shutdown(self, Shutdown::Read);
     }
 
@@ -258,6 +258,6 @@
 
 impl Drop for Socket {
     fn drop(&mut self) {
-        self.taken.set(self.taken.get() - 1);
+        self.in_use.set(self.in_use.get() - 1);
     }
 }
