--- a/node/src/connections/passing.rs
+++ b/node/src/connections/handover.rs
@@ -1,11 +1,11 @@
 //! An attachment that goes on in another process: what that one must know of it, and how it is given and taken.
-//! It owns the form of a [`HandedOver`]. It must never read or write on a connection that is being passed, nor
+//! It owns the form of a [`ConnectionHandover`]. It must never read or write on a connection that is being passed, nor
 //! have two processes do so: who gives lets go first, and who takes says so before its first byte.
 
-use super::landing::{Landing, Said};
+use super::attempts::{HostConnection, HostStatements};
 use super::{Connection, Connections, Stage};
-use crate::connections::lane::{Lane, Side};
-use crate::connections::lines::Scanner;
+use crate::connections::protocol::LineScanner;
+use crate::connections::relay::{PeerSocket, Relay};
 use crate::context::{Context, CLIENT, HOST};
 use crate::operators::counts::Close;
 use reedferry::{AttemptOutcome, Event, Nanos, RequestClass, RequestId};
@@ -15,131 +15,140 @@
 use std::os::fd::{AsFd, BorrowedFd};
 
 /// Lines without an answer from which a connection is not passed on but moved: there is no room for more.
-const MOST_ASKED: usize = 1024;
+const MAX_UNANSWERED_LINES: usize = 1024;
 
 /// What flows one way, as it was left.
 #[derive(Debug, Serialize, Deserialize)]
-struct Flowing {
-    waiting: Vec<u8>,
-    scanner: Scanner,
-    ended: bool,
+struct RelaySnapshot {
+    unsent: Vec<u8>,
+    scanner: LineScanner,
+    finished: bool,
 }
 
 /// A connection between its client and its host.
 #[derive(Debug, Serialize, Deserialize)]
-struct Open {
+struct OpenSnapshot {
     host: String,
     load: Option<f64>,
-    up: Flowing,
-    down: Flowing,
-    asked: Vec<Nanos>,
-    moving: Option<Nanos>,
-    broken: bool,
-    client_ended: Option<Nanos>,
+    to_host: RelaySnapshot,
+    to_client: RelaySnapshot,
+    unanswered_lines: Vec<Nanos>,
+    migrate_by: Option<Nanos>,
+    host_faulty: bool,
+    client_finished_at: Option<Nanos>,
     bye: bool,
-    moved: bool,
+    migrating: bool,
 }
 
 /// A client with its attachment, or before it has sent one.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct HandedOver {
+pub struct ConnectionHandover {
     /// How far the clock of these times is ahead of the machine's steady one.
-    clock_ahead: Nanos,
-    came: Nanos,
-    since: Nanos,
+    clock_offset: Nanos,
+    accepted_at: Nanos,
+    started_at: Nanos,
     pings: u32,
-    letter: Vec<u8>,
-    name: Option<String>,
+    request_line: Vec<u8>,
+    wire_id: Option<String>,
     /// What it goes by, and what that means.
     class: Option<(String, RequestClass)>,
     key: Option<u64>,
     group: Option<u64>,
     usual_load: Option<f64>,
-    open: Option<Open>,
+    open: Option<OpenSnapshot>,
 }
 
-impl HandedOver {
+impl ConnectionHandover {
     /// The same, with its times as a clock has them that is so far ahead of the machine's steady one.
-    fn timed_by(mut self, ahead: Nanos) -> HandedOver {
-        let before = std::mem::replace(&mut self.clock_ahead, ahead);
+    fn with_clock_offset(mut self, ahead: Nanos) -> ConnectionHandover {
+        let before = std::mem::replace(&mut self.clock_offset, ahead);
         let timed = |time: Nanos| time.saturating_sub(before).saturating_add(ahead);
-        (self.came, self.since) = (timed(self.came), timed(self.since));
+        (self.accepted_at, self.started_at) = (timed(self.accepted_at), timed(self.started_at));
         if let Some(open) = &mut self.open {
-            open.asked.iter_mut().for_each(|time| *time = timed(*time));
-            open.moving = open.moving.map(timed);
-            open.client_ended = open.client_ended.map(timed);
+            open.unanswered_lines
+                .iter_mut()
+                .for_each(|time| *time = timed(*time));
+            open.migrate_by = open.migrate_by.map(timed);
+            open.client_finished_at = open.client_finished_at.map(timed);
         }
         self
     }
 }
 
-impl Flowing {
-    fn of(lane: &Lane) -> Self {
+impl RelaySnapshot {
+    fn capture(lane: &Relay) -> Self {
         let waiting = lane
             .buffer
             .as_ref()
             .map_or(Vec::new(), |b| b.unsent().to_vec());
-        Flowing {
-            waiting,
+        RelaySnapshot {
+            unsent: waiting,
             scanner: lane.scanner,
-            ended: lane.ended,
+            finished: lane.finished,
         }
     }
 
     /// None where it holds more than there are buffers for.
-    fn lane(&self, context: &Context) -> Option<Lane> {
+    fn restore(&self, context: &Context) -> Option<Relay> {
         let mut buffer = None;
-        if !self.waiting.is_empty() {
+        if !self.unsent.is_empty() {
             let mut fresh = context.pool.take()?;
-            fresh.append(&self.waiting).then_some(())?;
+            fresh.append(&self.unsent).then_some(())?;
             buffer = Some(fresh);
         }
-        Some(Lane {
+        Some(Relay {
             buffer,
             scanner: self.scanner,
-            ended: self.ended,
+            finished: self.finished,
         })
     }
 }
 
 impl Connections {
     /// Those that another process can go on with: open, or still without a whole first line.
-    pub fn passable(&self) -> Vec<usize> {
+    pub fn handover_candidates(&self) -> Vec<usize> {
         let fits = |connection: &Connection| match connection.stage {
-            Stage::Open => connection.landing.is_some() && connection.asked.len() <= MOST_ASKED,
-            Stage::Unasked => true,
+            Stage::Open => {
+                connection.host_connection.is_some()
+                    && connection.unanswered_lines.len() <= MAX_UNANSWERED_LINES
+            }
+            Stage::AwaitingRequest => true,
             _ => false,
         };
         let fits = |connection: &Connection| {
-            connection.client.is_some() && !connection.turned_down && fits(connection)
+            connection.client.is_some() && !connection.handover_rejected && fits(connection)
         };
         let all = self.slab.iter().filter(|(_, connection)| fits(connection));
         all.map(|(slot, _)| slot).collect()
     }
 
     /// Lets go of one that is passable, and says what the next process must know of it.
-    pub fn release(&mut self, context: &mut Context, slot: usize) -> (HandedOver, RequestId) {
+    pub fn begin_handover(
+        &mut self,
+        context: &mut Context,
+        slot: usize,
+    ) -> (ConnectionHandover, RequestId) {
         let connection = &mut self.slab[slot];
         let open = connection.stage == Stage::Open;
-        connection.stage = Stage::Passing(open);
+        connection.stage = Stage::HandingOver(open);
         let incoming = connection.incoming;
         let sides = connection
             .client
             .iter()
-            .chain(connection.landing.as_ref().map(|l| &l.side));
+            .chain(connection.host_connection.as_ref().map(|l| &l.peer));
         sides.for_each(|side| _ = context.poller.deregister(&side.socket));
-        let landing = connection.landing.as_ref().filter(|_| open);
-        let open = landing.map(|landing| Open {
+        let landing = connection.host_connection.as_ref().filter(|_| open);
+        let open = landing.map(|landing| OpenSnapshot {
             host: context.hosts.record(landing.host).name.clone(),
-            load: landing.said.load,
-            up: Flowing::of(&connection.up),
-            down: Flowing::of(&connection.down),
-            asked: connection.asked.iter().copied().collect(),
-            moving: connection.moving,
-            broken: connection.ending == AttemptOutcome::ConnectionLost,
-            client_ended: connection.client_ended,
-            bye: landing.said.bye,
-            moved: landing.said.moved,
+            load: landing.statements.last_load,
+            to_host: RelaySnapshot::capture(&connection.to_host),
+            to_client: RelaySnapshot::capture(&connection.to_client),
+            unanswered_lines: connection.unanswered_lines.iter().copied().collect(),
+            migrate_by: connection.migrate_by,
+            host_faulty: connection.migration_outcome == AttemptOutcome::ConnectionLost,
+            client_finished_at: connection.client_finished_at,
+            bye: landing.statements.bye,
+            migrating: landing.statements.migrating,
         });
         let class = open.as_ref().and_then(|_| {
             let (name, means) = (
@@ -148,26 +157,26 @@
             );
             Some((name?.clone(), means?.clone()))
         });
-        let handed_over = HandedOver {
-            clock_ahead: context.clock.offset(),
-            came: connection.came,
-            since: connection.since,
+        let handed_over = ConnectionHandover {
+            clock_offset: context.clock.offset(),
+            accepted_at: connection.accepted_at,
+            started_at: connection.started_at,
             pings: connection.pings,
-            letter: connection
-                .letter
+            request_line: connection
+                .request_line
                 .as_ref()
                 .map_or(Vec::new(), |l| l.unsent().to_vec()),
-            name: connection.name.as_deref().map(str::to_string),
+            wire_id: connection.wire_id.as_deref().map(str::to_string),
             class,
             key: incoming.key,
             group: incoming.group,
             usual_load: incoming.usual_load,
             open,
         };
-        if let Some(landing) = &connection.landing {
+        if let Some(landing) = &connection.host_connection {
             context.events.push(Event::AttemptEnded {
                 id: incoming.id,
-                attempt: landing.number,
+                attempt: landing.attempt,
                 host: context.hosts.record(landing.host).id,
                 request_over: true,
                 ending: AttemptOutcome::HandedOver,
@@ -183,35 +192,40 @@
         let sides = connection
             .client
             .iter()
-            .chain(connection.landing.as_ref().map(|l| &l.side));
+            .chain(connection.host_connection.as_ref().map(|l| &l.peer));
         sides.map(|side| side.socket.as_fd()).collect()
     }
 
-    fn passing(&self, id: RequestId) -> Option<usize> {
-        self.find(id)
-            .filter(|&slot| matches!(self.slab[slot].stage, Stage::Passing(_)))
+    fn slot_in_handover(&self, id: RequestId) -> Option<usize> {
+        self.slot_of(id)
+            .filter(|&slot| matches!(self.slab[slot].stage, Stage::HandingOver(_)))
     }
 
     /// The next process has it.
-    pub fn passed(&mut self, context: &mut Context, id: RequestId) {
-        if let Some(slot) = self.passing(id) {
+    pub fn complete_handover(&mut self, context: &mut Context, id: RequestId) {
+        if let Some(slot) = self.slot_in_handover(id) {
             self.remove(context, slot, Close::PassedOn);
         }
     }
 
     /// This process goes on with one that was being passed: the next one never had it, or it has come from the one before,
     /// which was told so.
-    pub fn keep(&mut self, context: &mut Context, id: RequestId) {
-        let Some(slot) = self.passing(id) else { return };
+    pub fn resume(&mut self, context: &mut Context, id: RequestId) {
+        let Some(slot) = self.slot_in_handover(id) else {
+            return;
+        };
         let connection = &mut self.slab[slot];
-        connection.stage = if connection.stage == Stage::Passing(true) {
+        connection.stage = if connection.stage == Stage::HandingOver(true) {
             Stage::Open
         } else {
-            Stage::Unasked
+            Stage::AwaitingRequest
         };
         let sides = [
             (CLIENT, connection.client.as_mut()),
-            (HOST, connection.landing.as_mut().map(|l| &mut l.side)),
+            (
+                HOST,
+                connection.host_connection.as_mut().map(|l| &mut l.peer),
+            ),
         ];
         for (part, side) in sides {
             let Some(side) = side else { continue };
@@ -220,50 +234,50 @@
                 slot: slot as u32,
                 generation: context.stamp(),
             };
-            side.stamp = mark.generation;
+            side.generation = mark.generation;
             if context
                 .poller
                 .register_or_update(&side.socket, mark)
                 .is_err()
             {
                 context.machine_trouble("epoll_ctl");
-                self.unwatched.push(mark);
+                self.unregistered.push(mark);
             }
         }
-        if let Some(landing) = &connection.landing {
+        if let Some(landing) = &connection.host_connection {
             let host = context.hosts.record(landing.host).id;
-            let (incoming, load) = (connection.incoming, landing.said.load);
+            let (incoming, load) = (connection.incoming, landing.statements.last_load);
             context.events.push(Event::ConnectionHandedOver(
                 incoming,
                 host,
-                connection.since,
+                connection.started_at,
             ));
             context.events.extend(load.map(|load| Event::LoadMeasured {
                 id: incoming.id,
                 load,
             }));
         } else if let Some(client) = &connection.client {
-            self.listener.idle.push_back((slot, client.stamp));
+            self.listener.idle.push_back((slot, client.generation));
         }
-        self.more.push(slot);
-        if !self.unwatched.is_empty() {
-            self.time_retry(context);
+        self.runnable.push(slot);
+        if !self.unregistered.is_empty() {
+            self.schedule_retry(context);
         }
     }
 
     /// The next process would not have it: this one goes on with it, and has it moved. Guards: one that is given and turned down
     /// again and again until the program is ended.
-    pub fn turned_down(&mut self, context: &mut Context, id: RequestId) {
-        self.keep(context, id);
-        if let Some(slot) = self.find(id) {
-            self.slab[slot].turned_down = true;
-            self.move_on(context, id);
+    pub fn resume_after_rejection(&mut self, context: &mut Context, id: RequestId) {
+        self.resume(context, id);
+        if let Some(slot) = self.slot_of(id) {
+            self.slab[slot].handover_rejected = true;
+            self.migrate(context, id);
         }
     }
 
     /// Lets one be that was adopted, with nothing said on it: the process before goes on with it after all.
-    pub fn abandon(&mut self, context: &mut Context, id: RequestId) {
-        if let Some(slot) = self.passing(id) {
+    pub fn abandon_adopted(&mut self, context: &mut Context, id: RequestId) {
+        if let Some(slot) = self.slot_in_handover(id) {
             self.remove(context, slot, Close::PassedOn);
         }
     }
@@ -274,10 +288,10 @@
     pub fn adopt(
         &mut self,
         context: &mut Context,
-        handed_over: HandedOver,
+        handed_over: ConnectionHandover,
         sockets: Vec<Socket>,
     ) -> Option<RequestId> {
-        let handed_over = handed_over.timed_by(context.clock.offset());
+        let handed_over = handed_over.with_clock_offset(context.clock.offset());
         // Guards: one customer's connection that goes by another's terms, as its own are offered no more.
         let goes_by = handed_over.class.as_ref().and_then(|(name, means)| {
             renewal::place(
@@ -292,66 +306,75 @@
         let slot = self.slab.vacant_key();
         let mut sockets = sockets.into_iter();
         let client = sockets.next()?;
-        let client = Side {
+        let client = PeerSocket {
             socket: client,
-            stamp: context.stamp(),
+            generation: context.stamp(),
             readable: false,
             writable: true,
         };
-        let mut connection = Connection::new(client, slot, handed_over.came);
-        (connection.since, connection.pings) = (handed_over.since, handed_over.pings);
+        let mut connection = Connection::new(client, slot, handed_over.accepted_at);
+        (connection.started_at, connection.pings) = (handed_over.started_at, handed_over.pings);
         match handed_over.open {
             Some(open) => {
                 let host = sockets.next()?;
-                let (Some(up), Some(down)) = (open.up.lane(context), open.down.lane(context))
-                else {
+                let (Some(up), Some(down)) = (
+                    open.to_host.restore(context),
+                    open.to_client.restore(context),
+                ) else {
                     return None;
                 };
-                let side = Side {
+                let side = PeerSocket {
                     socket: host,
-                    stamp: context.stamp(),
+                    generation: context.stamp(),
                     readable: false,
                     writable: true,
                 };
                 let index = context.hosts.adopt(context.now, &open.host);
                 let record = context.hosts.record(index);
-                let said = Said {
+                let said = HostStatements {
                     bye: open.bye,
-                    moved: open.moved,
-                    load: open.load,
+                    migrating: open.migrating,
+                    last_load: open.load,
                 };
-                connection.landing = Some(Landing::stood(
+                connection.host_connection = Some(HostConnection::resumed(
                     side,
                     index,
                     record.lease.clone(),
-                    handed_over.since,
+                    handed_over.started_at,
                     said,
                 ));
-                (connection.up, connection.down) = (up, down);
-                (connection.asked, connection.moving, connection.client_ended) =
-                    (open.asked.into(), open.moving, open.client_ended);
-                connection.ending = if open.broken {
+                (connection.to_host, connection.to_client) = (up, down);
+                (
+                    connection.unanswered_lines,
+                    connection.migrate_by,
+                    connection.client_finished_at,
+                ) = (
+                    open.unanswered_lines.into(),
+                    open.migrate_by,
+                    open.client_finished_at,
+                );
+                connection.migration_outcome = if open.host_faulty {
                     AttemptOutcome::ConnectionLost
                 } else {
                     AttemptOutcome::Cancelled
                 };
-                connection.stage = Stage::Passing(true);
+                connection.stage = Stage::HandingOver(true);
                 connection.incoming.class = goes_by.unwrap_or_default();
                 (connection.incoming.key, connection.incoming.group) =
                     (handed_over.key, handed_over.group);
                 connection.incoming.usual_load = handed_over.usual_load;
-                if let Some(name) = handed_over.name {
+                if let Some(name) = handed_over.wire_id {
                     let name = std::rc::Rc::from(name);
-                    self.listener.names.insert(std::rc::Rc::clone(&name));
-                    connection.name = Some(name);
+                    self.listener.open_ids.insert(std::rc::Rc::clone(&name));
+                    connection.wire_id = Some(name);
                 }
             }
             None => {
-                connection.stage = Stage::Passing(false);
-                if !handed_over.letter.is_empty() {
+                connection.stage = Stage::HandingOver(false);
+                if !handed_over.request_line.is_empty() {
                     let mut letter = context.pool.take()?;
-                    letter.append(&handed_over.letter);
-                    connection.letter = Some(letter);
+                    letter.append(&handed_over.request_line);
+                    connection.request_line = Some(letter);
                 }
             }
         }
@@ -362,5 +385,5 @@
 }
 
 #[cfg(test)]
-#[path = "passing_bytes_tests.rs"]
+#[path = "handover_bytes_tests.rs"]
 mod bytes_tests;
--- a/node/src/connections/passing_bytes_tests.rs
+++ b/node/src/connections/handover_bytes_tests.rs
@@ -11,13 +11,13 @@
         .collect()
 }
 
-fn flowing(waiting: &[u8], unfinished: &[u8]) -> Flowing {
-    let mut scanner = Scanner::default();
+fn flowing(waiting: &[u8], unfinished: &[u8]) -> RelaySnapshot {
+    let mut scanner = LineScanner::default();
     scanner.step(unfinished).unwrap();
-    Flowing {
-        waiting: waiting.to_vec(),
+    RelaySnapshot {
+        unsent: waiting.to_vec(),
         scanner,
-        ended: true,
+        finished: true,
     }
 }
 
@@ -35,25 +35,25 @@
 
 #[test]
 fn an_open_connection_keeps_its_bytes() {
-    let open = Open {
+    let open = OpenSnapshot {
         host: "s-1".into(),
         load: Some(0.5),
-        up: flowing(b"he", b"he"),
-        down: flowing(b"", b"LOAD 2"),
-        asked: vec![1, 2],
-        moving: Some(3),
-        broken: true,
-        client_ended: Some(4),
+        to_host: flowing(b"he", b"he"),
+        to_client: flowing(b"", b"LOAD 2"),
+        unanswered_lines: vec![1, 2],
+        migrate_by: Some(3),
+        host_faulty: true,
+        client_finished_at: Some(4),
         bye: true,
-        moved: false,
+        migrating: false,
     };
-    let handed_over = HandedOver {
-        clock_ahead: 5,
-        came: 6,
-        since: 7,
+    let handed_over = ConnectionHandover {
+        clock_offset: 5,
+        accepted_at: 6,
+        started_at: 7,
         pings: 8,
-        letter: Vec::new(),
-        name: Some("9b1f".into()),
+        request_line: Vec::new(),
+        wire_id: Some("9b1f".into()),
         class: Some(("chat".into(), class())),
         key: Some(9),
         group: Some(10),
@@ -65,13 +65,13 @@
 
 #[test]
 fn a_client_without_a_whole_first_line_keeps_its_bytes() {
-    let handed_over = HandedOver {
-        clock_ahead: 5,
-        came: 6,
-        since: 7,
+    let handed_over = ConnectionHandover {
+        clock_offset: 5,
+        accepted_at: 6,
+        started_at: 7,
         pings: 0,
-        letter: b"OPEN 9b".to_vec(),
-        name: None,
+        request_line: b"OPEN 9b".to_vec(),
+        wire_id: None,
         class: None,
         key: None,
         group: None,
--- a/node/src/connections/wire.rs
+++ b/node/src/connections/link.rs
@@ -6,25 +6,25 @@
 use std::collections::BTreeMap;
 
 /// What is read of one connection in a turn, so that a planner's forwarders take turns.
-const TURN: usize = 128 << 10;
+const MAX_BYTES_PER_TURN: usize = 128 << 10;
 /// What is read at once.
-const PIECE: usize = 32 << 10;
+const READ_BUFFER_BYTES: usize = 32 << 10;
 
-pub struct Wire {
+pub struct LinkConnection {
     pub socket: Socket,
-    pub stamp: u32,
+    pub generation: u32,
     /// Whether it stands; one that was called for may not yet.
-    pub stands: bool,
+    pub connected: bool,
     readable: bool,
     writable: bool,
 }
 
-impl Wire {
+impl LinkConnection {
     pub fn new(socket: Socket, stamp: u32, stands: bool) -> Self {
-        Wire {
+        LinkConnection {
             socket,
-            stamp,
-            stands,
+            generation: stamp,
+            connected: stands,
             readable: false,
             writable: stands,
         }
@@ -39,12 +39,12 @@
     ///
     /// # Errors
     /// Where it never will.
-    pub fn came_up(&mut self) -> Result<bool, Errno> {
-        if self.stands || !self.writable {
+    pub fn check_established(&mut self) -> Result<bool, Errno> {
+        if self.connected || !self.writable {
             return Ok(false);
         }
         self.socket.connect_result()?;
-        self.stands = true;
+        self.connected = true;
         Ok(true)
     }
 
@@ -57,8 +57,8 @@
         space: &mut [u8],
         mut each: impl FnMut(&[u8]),
     ) -> Result<bool, &'static str> {
-        let mut left = TURN;
-        while self.readable && self.stands {
+        let mut left = MAX_BYTES_PER_TURN;
+        while self.readable && self.connected {
             if left == 0 {
                 return Ok(true);
             }
@@ -85,7 +85,7 @@
     /// How the connection ended, in a word.
     pub fn write(&mut self, bytes: &[u8]) -> Result<usize, &'static str> {
         let mut sent = 0;
-        while self.writable && self.stands && sent < bytes.len() {
+        while self.writable && self.connected && sent < bytes.len() {
             match self.socket.send(&bytes[sent..]) {
                 Ok(count) => sent += count,
                 Err(e) => match classify_io(e) {
@@ -101,34 +101,34 @@
 }
 
 /// All connections of a role, by its core's name for each.
-pub struct Wires {
-    pub all: BTreeMap<u32, Wire>,
+pub struct LinkConnections {
+    pub by_line: BTreeMap<u32, LinkConnection>,
     /// Some have more to read than a turn's share.
-    pub more: bool,
-    space: Vec<u8>,
+    pub more_to_read: bool,
+    read_buffer: Vec<u8>,
 }
 
 /// A connection that has ended, and how.
-pub type Ended = Vec<(u32, &'static str)>;
+pub type ClosedConnections = Vec<(u32, &'static str)>;
 
-impl Default for Wires {
+impl Default for LinkConnections {
     fn default() -> Self {
-        Wires {
-            all: BTreeMap::new(),
-            more: false,
-            space: vec![0; PIECE],
+        LinkConnections {
+            by_line: BTreeMap::new(),
+            more_to_read: false,
+            read_buffer: vec![0; READ_BUFFER_BYTES],
         }
     }
 }
 
-impl Wires {
+impl LinkConnections {
     /// Reads of each its share of a turn.
-    pub fn read(&mut self, mut each: impl FnMut(u32, &[u8])) -> Ended {
-        self.more = false;
+    pub fn read(&mut self, mut each: impl FnMut(u32, &[u8])) -> ClosedConnections {
+        self.more_to_read = false;
         let mut ended = Vec::new();
-        for (&line, wire) in &mut self.all {
-            match wire.read(&mut self.space, |bytes| each(line, bytes)) {
-                Ok(more) => self.more |= more,
+        for (&line, wire) in &mut self.by_line {
+            match wire.read(&mut self.read_buffer, |bytes| each(line, bytes)) {
+                Ok(more) => self.more_to_read |= more,
                 Err(why) => ended.push((line, why)),
             }
         }
@@ -138,9 +138,11 @@
     /// Has `each` write what waits for a connection; it is told as much of it as was taken.
     pub fn write(
         &mut self,
-        mut each: impl FnMut(u32, &mut Wire) -> Result<(), &'static str>,
-    ) -> Ended {
-        let one = |(&line, wire): (&u32, &mut Wire)| each(line, wire).err().map(|why| (line, why));
-        self.all.iter_mut().filter_map(one).collect()
+        mut each: impl FnMut(u32, &mut LinkConnection) -> Result<(), &'static str>,
+    ) -> ClosedConnections {
+        let one = |(&line, wire): (&u32, &mut LinkConnection)| {
+            each(line, wire).err().map(|why| (line, why))
+        };
+        self.by_line.iter_mut().filter_map(one).collect()
     }
 }
--- a/node/src/connections/listener.rs
+++ b/node/src/connections/listener.rs
@@ -2,10 +2,10 @@
 //! more, which ids are open, and who was turned away for what. It must never let an attachment in that
 //! hosts could not tell from another, nor leave a client that says nothing a descriptor others need.
 
-use super::landing::STANDING_WITHIN;
+use super::attempts::RECONNECT_TIMEOUT;
 use super::{Connection, Connections, Stage};
-use crate::connections::lane::{Flow, Side};
-use crate::connections::lines::{self, Opening, Request};
+use crate::connections::protocol::{self, ClientMessage, OpenRequest};
+use crate::connections::relay::{PeerSocket, RelayStatus};
 use crate::context::{Context, CLIENT};
 use crate::operators::counts::Close;
 use reedferry::{AttemptOutcome, Event, HostId, IncomingRequest, Nanos, RequestId, MILLI, SECOND};
@@ -16,59 +16,59 @@
 
 /// How long a connection may stay without a first line; with what it may linger behind its answer, under
 /// the three seconds within which every client is to have one.
-pub(super) const SILENT_CLIENT: Nanos = 2 * SECOND;
+pub(super) const FIRST_LINE_TIMEOUT: Nanos = 2 * SECOND;
 /// How long after it came a connection that holds no attachment is safe from being ended for another.
-const FLEETING: Nanos = 50 * MILLI;
+const MIN_IDLE_AGE: Nanos = 50 * MILLI;
 /// How many pings a connection may send.
-const MOST_PINGS: u32 = 16;
+const MAX_PINGS: u32 = 16;
 /// Waits over the longest expiry from which one is wild.
-const WILD: u64 = 10;
+const MAX_TIMEOUT_FACTOR: u64 = 10;
 /// How many ids are remembered that hosts would not have, and how many hosts have to say so.
-const STRUCK: usize = 1024;
-const STRIKES: u32 = 2;
-const ACCEPTS: usize = 256;
+const MAX_REJECTED_IDS: usize = 1024;
+const HOST_ERRORS_TO_REJECT_ID: u32 = 2;
+const MAX_ACCEPTS_PER_TURN: usize = 256;
 /// Reads of what crosses the end of a connection that is closed for another.
-const MOST_CROSSING: usize = 16;
+const MAX_CROSSING_READS: usize = 16;
 
 /// Why a client that rests is sent away before its time.
-const NO_DESCRIPTORS: &str = "no descriptors for the silent";
+const REASON_NO_DESCRIPTORS: &str = "no descriptors for the silent";
 /// The final answers of this node's own.
-const COME_AGAIN: &[u8] = b"BUSY\r\n";
-const FAILED: &[u8] = b"ERR\r\n";
+const BUSY_LINE: &[u8] = b"BUSY\r\n";
+const ERROR_LINE: &[u8] = b"ERR\r\n";
 
 /// What one call has sent of a line.
-enum Sent {
+enum SendResult {
     Whole,
     /// So many bytes: the rest has to wait.
-    Part(usize),
+    Partial(usize),
     /// Nothing more can be sent.
-    Broke,
+    Disconnected,
 }
 
-fn send_once(client: &Side, line: &[u8]) -> Sent {
+fn send_once(client: &PeerSocket, line: &[u8]) -> SendResult {
     match client.socket.send(line) {
-        Ok(count) if count >= line.len() => Sent::Whole,
-        Ok(count) => Sent::Part(count),
-        Err(e) if classify_io(e) == IoFailure::Disconnected => Sent::Broke,
-        Err(_) => Sent::Part(0),
+        Ok(count) if count >= line.len() => SendResult::Whole,
+        Ok(count) => SendResult::Partial(count),
+        Err(e) if classify_io(e) == IoFailure::Disconnected => SendResult::Disconnected,
+        Err(_) => SendResult::Partial(0),
     }
 }
 
 /// How far a resting client has been told that it may come again.
-enum Farewell {
-    Said,
+enum IdleRejection {
+    Sent,
     /// A part of it is sent; its record ends behind the rest.
-    UnderWay,
-    NotNow,
+    Partial,
+    Blocked,
 }
 
 /// How a client has left its attachment.
-enum Left {
+enum ClientDeparture {
     Gone,
     /// It sends more than its first line.
-    Talking,
+    SentMore,
     /// It has ended its sending, and still hears the rest of its answer.
-    Hears(&'static [u8]),
+    HalfClosed(&'static [u8]),
 }
 
 #[derive(Default)]
@@ -76,25 +76,25 @@
     /// Those that hold no attachment, by slot and stamp, in the order in which they came to that.
     pub idle: VecDeque<(usize, u32)>,
     /// The ids that are open, and those that hosts would not have, the oldest first.
-    pub names: HashSet<Rc<str>>,
-    struck: VecDeque<Rc<str>>,
+    pub open_ids: HashSet<Rc<str>>,
+    rejected_ids: VecDeque<Rc<str>>,
     /// How many were turned away for what since that was last logged.
-    pub turned: BTreeMap<&'static str, u32>,
-    pub told: Nanos,
+    pub rejections: BTreeMap<&'static str, u32>,
+    pub rejections_logged_at: Nanos,
     /// Whether more may wait outside.
-    pub open: bool,
+    pub may_have_pending: bool,
 }
 
 impl Connections {
     /// Takes in the clients that wait at the listener.
     pub fn accept(&mut self, context: &mut Context, listener: Option<&Socket>) {
-        self.listener.open = false;
+        self.listener.may_have_pending = false;
         let Some(listener) = listener else { return };
-        for _ in 0..ACCEPTS {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             // Guards: usual clients kept out by hundreds that connect and say nothing. Where all have just
             // come, those behind them wait at the listener until the next sweep.
             if !context.budget.has_capacity(1)
-                && !self.make_room(context, FLEETING)
+                && !self.evict_idle(context, MIN_IDLE_AGE)
                 && context.budget.nearly_exhausted()
             {
                 return;
@@ -115,56 +115,57 @@
                 slot: slot as u32,
                 generation: context.stamp(),
             };
-            self.watch(context, &socket, mark);
-            let client = Side {
+            self.register(context, &socket, mark);
+            let client = PeerSocket {
                 socket,
-                stamp: mark.generation,
+                generation: mark.generation,
                 readable: false,
                 writable: true,
             };
             self.listener.idle.push_back((slot, mark.generation));
             self.slab.insert(Connection::new(client, slot, context.now));
         }
-        self.listener.open = true;
+        self.listener.may_have_pending = true;
     }
 
     /// Whether the connection that has held a descriptor longest without an attachment gave it up; one that
     /// has just come is not asked to, nor one whose attachment has come meanwhile.
-    pub(super) fn make_room(&mut self, context: &mut Context, safe: Nanos) -> bool {
+    pub(super) fn evict_idle(&mut self, context: &mut Context, safe: Nanos) -> bool {
         while let Some(&(slot, stamp)) = self.listener.idle.front() {
-            let same =
-                |f: &&Connection| f.idles() && f.client.as_ref().is_some_and(|c| c.stamp == stamp);
+            let same = |f: &&Connection| {
+                f.is_idle() && f.client.as_ref().is_some_and(|c| c.generation == stamp)
+            };
             let Some(connection) = self.slab.get(slot).filter(same) else {
                 self.listener.idle.pop_front();
                 continue;
             };
-            if context.now < connection.since + safe {
+            if context.now < connection.started_at + safe {
                 return false;
             }
             // Guards: a request that lies unread in its socket, lost in the reset that closing over it brings.
-            if connection.stage == Stage::Unasked {
-                self.read_again(context, slot);
+            if connection.stage == Stage::AwaitingRequest {
+                self.read_pending_input(context, slot);
                 let Some(connection) = self.slab.get(slot).filter(same) else {
                     // Its attachment has come, or it was gone.
                     if self
                         .slab
                         .get(slot)
-                        .is_none_or(|f| f.client.as_ref().is_none_or(|c| c.stamp != stamp))
+                        .is_none_or(|f| f.client.as_ref().is_none_or(|c| c.generation != stamp))
                     {
                         return true;
                     }
                     continue;
                 };
-                if connection.stage != Stage::Unasked {
+                if connection.stage != Stage::AwaitingRequest {
                     // It is turned away, and heard out as long as others are.
                     self.listener.idle.pop_front();
                     continue;
                 }
             }
-            match self.ends_at_once(context, slot) {
-                Farewell::Said => self.remove(context, slot, Close::MadeRoom),
-                Farewell::UnderWay => return !self.slab.contains(slot),
-                Farewell::NotNow => {
+            match self.reject_idle(context, slot) {
+                IdleRejection::Sent => self.remove(context, slot, Close::MadeRoom),
+                IdleRejection::Partial => return !self.slab.contains(slot),
+                IdleRejection::Blocked => {
                     // Whoever came after it may be told.
                     self.listener.idle.rotate_left(1);
                     return false;
@@ -177,86 +178,98 @@
 
     /// Tells one that has not asked that it may come again, and reads what crosses that. Guards: its answer lost in the
     /// reset that closing over unread bytes brings.
-    fn ends_at_once(&mut self, context: &mut Context, slot: usize) -> Farewell {
+    fn reject_idle(&mut self, context: &mut Context, slot: usize) -> IdleRejection {
         let connection = &mut self.slab[slot];
-        let (Stage::Unasked, Some(client)) = (connection.stage, &connection.client) else {
-            return Farewell::Said;
+        let (Stage::AwaitingRequest, Some(client)) = (connection.stage, &connection.client) else {
+            return IdleRejection::Sent;
         };
-        if connection.down.buffer.is_some() {
+        if connection.to_client.buffer.is_some() {
             // It has a part of an answer to a ping.
-            return Farewell::NotNow;
+            return IdleRejection::Blocked;
         }
-        match send_once(client, COME_AGAIN) {
-            Sent::Whole | Sent::Broke => client.socket.shutdown_write(),
-            Sent::Part(0) => return Farewell::NotNow,
-            Sent::Part(count) => {
-                *self.listener.turned.entry(NO_DESCRIPTORS).or_default() += 1;
-                self.answer(context, slot, &COME_AGAIN[count..]);
-                return Farewell::UnderWay;
+        match send_once(client, BUSY_LINE) {
+            SendResult::Whole | SendResult::Disconnected => client.socket.shutdown_write(),
+            SendResult::Partial(0) => return IdleRejection::Blocked,
+            SendResult::Partial(count) => {
+                *self
+                    .listener
+                    .rejections
+                    .entry(REASON_NO_DESCRIPTORS)
+                    .or_default() += 1;
+                self.send_final_answer(context, slot, &BUSY_LINE[count..]);
+                return IdleRejection::Partial;
             }
         }
         let mut space = [0; 512];
-        for _ in 0..MOST_CROSSING {
+        for _ in 0..MAX_CROSSING_READS {
             if !matches!(client.socket.discard(&mut space), Ok(1..)) {
                 break;
             }
         }
-        *self.listener.turned.entry(NO_DESCRIPTORS).or_default() += 1;
-        Farewell::Said
+        *self
+            .listener
+            .rejections
+            .entry(REASON_NO_DESCRIPTORS)
+            .or_default() += 1;
+        IdleRejection::Sent
     }
 
     /// Reads what one that has not asked has sent by now, whatever the poller has said so far.
-    fn read_again(&mut self, context: &mut Context, slot: usize) {
+    fn read_pending_input(&mut self, context: &mut Context, slot: usize) {
         self.slab[slot]
             .client
             .iter_mut()
             .for_each(|client| client.readable = true);
-        self.read_opening(context, slot);
+        self.read_request(context, slot);
     }
 
     /// Ends a connection on which no whole line has come in time. Guards: a request that lies unread in the socket of one
     /// that rested, refused unread; and one that crosses its end, told that it failed where it may come again.
-    pub(super) fn rests(&mut self, context: &mut Context, slot: usize) {
-        let stamp = |f: &Connection| f.client.as_ref().map(|client| client.stamp);
+    pub(super) fn on_first_line_timeout(&mut self, context: &mut Context, slot: usize) {
+        let stamp = |f: &Connection| f.client.as_ref().map(|client| client.generation);
         let before = stamp(&self.slab[slot]);
-        self.read_again(context, slot);
-        let still = |f: &&Connection| f.stage == Stage::Unasked && stamp(f) == before;
+        self.read_pending_input(context, slot);
+        let still = |f: &&Connection| f.stage == Stage::AwaitingRequest && stamp(f) == before;
         let Some(connection) = self.slab.get(slot).filter(still) else {
             return;
         };
         if connection
-            .letter
+            .request_line
             .as_ref()
             .is_some_and(|letter| !letter.is_empty())
         {
-            return self.turn_away(context, slot, "no whole line in time");
+            return self.reject_client(context, slot, "no whole line in time");
         }
-        *self.listener.turned.entry("nothing in time").or_default() += 1;
-        self.send_away(context, slot);
+        *self
+            .listener
+            .rejections
+            .entry("nothing in time")
+            .or_default() += 1;
+        self.send_busy(context, slot);
     }
 
     /// Sends a client away that has not asked.
-    pub(super) fn send_away(&mut self, context: &mut Context, slot: usize) {
-        self.answer(context, slot, COME_AGAIN);
+    pub(super) fn send_busy(&mut self, context: &mut Context, slot: usize) {
+        self.send_final_answer(context, slot, BUSY_LINE);
     }
 
     /// Turns a client away that is not to be served.
-    pub(super) fn turn_away(&mut self, context: &mut Context, slot: usize, why: &'static str) {
-        *self.listener.turned.entry(why).or_default() += 1;
-        self.answer(context, slot, FAILED);
+    pub(super) fn reject_client(&mut self, context: &mut Context, slot: usize, why: &'static str) {
+        *self.listener.rejections.entry(why).or_default() += 1;
+        self.send_final_answer(context, slot, ERROR_LINE);
     }
 
     /// Reads the client's first line.
-    pub(super) fn read_opening(&mut self, context: &mut Context, slot: usize) {
+    pub(super) fn read_request(&mut self, context: &mut Context, slot: usize) {
         let connection = &mut self.slab[slot];
         let Some(client) = connection.client.as_mut() else {
             return;
         };
         loop {
-            if connection.letter.is_none() {
-                connection.letter = context.pool.take();
+            if connection.request_line.is_none() {
+                connection.request_line = context.pool.take();
             }
-            let Some(letter) = connection.letter.as_mut() else {
+            let Some(letter) = connection.request_line.as_mut() else {
                 return self.retry_soon(context, slot);
             };
             let mut ended = false;
@@ -277,7 +290,7 @@
                 }
             }
             // Guards: a flood of pings that holds up the loop, or that fills a connection nobody reads.
-            while letter.unsent().starts_with(b"PING\r\n") && connection.pings < MOST_PINGS {
+            while letter.unsent().starts_with(b"PING\r\n") && connection.pings < MAX_PINGS {
                 letter.consume(6);
                 connection.pings += 1;
                 let pong = if context.standby.is_some() {
@@ -285,77 +298,93 @@
                 } else {
                     b"PONG\r\n"
                 };
-                let out = &mut connection.down.buffer;
+                let out = &mut connection.to_client.buffer;
                 out.get_or_insert_with(|| context.pool.take_beyond_limit())
                     .append(pong);
             }
             // What follows waits until the client has those.
-            match connection.down.flush(client) {
-                Flow::Ended => {}
-                Flow::Idle => return,
-                Flow::Starved => {
+            match connection.to_client.write_to(client) {
+                RelayStatus::Finished => {}
+                RelayStatus::Idle => return,
+                RelayStatus::LocalResources => {
                     context.machine_trouble("send");
                     return self.retry_soon(context, slot);
                 }
                 _ => return self.remove(context, slot, Close::ClientBroke),
             }
-            match lines::first(letter.unsent()) {
+            match protocol::first(letter.unsent()) {
                 Ok(None) if ended => return self.remove(context, slot, Close::ClientEnded),
                 Ok(None) if client.readable => continue,
                 Ok(None) => {}
                 Ok(Some((_, length))) if ended || letter.unsent().len() > length => {
-                    return self.turn_away(context, slot, "more than one line before its answer");
+                    return self.reject_client(
+                        context,
+                        slot,
+                        "more than one line before its answer",
+                    );
                 }
                 Ok(Some((line, length))) => {
-                    let said = lines::opening(line).and_then(|said| match said {
-                        Opening::Ping => Err("too many pings"),
-                        Opening::Open(request) => {
-                            let incoming =
-                                Self::incoming(context, connection.incoming.id, &request)?;
-                            let open = self.listener.names.contains(request.id);
+                    let said = protocol::opening(line).and_then(|said| match said {
+                        ClientMessage::Ping => Err("too many pings"),
+                        ClientMessage::Request(request) => {
+                            let incoming = Self::admit(context, connection.incoming.id, &request)?;
+                            let open = self.listener.open_ids.contains(request.id);
                             // Guards: one that uses the id of another's open request, which hosts would
                             // tell from a good one only by an error; the same again and again.
-                            if open || self.listener.struck.iter().any(|n| **n == *request.id) {
+                            if open
+                                || self
+                                    .listener
+                                    .rejected_ids
+                                    .iter()
+                                    .any(|n| **n == *request.id)
+                            {
                                 return Err("an id that is in use");
                             }
-                            Ok((incoming, Rc::from(request.id), request.at.map(lines::hash)))
+                            Ok((
+                                incoming,
+                                Rc::from(request.id),
+                                request.previous_host.map(protocol::fnv1a),
+                            ))
                         }
                     });
                     let (incoming, name, home): (IncomingRequest, Rc<str>, Option<u64>) = match said
                     {
                         Ok(good) => good,
-                        Err(why) => return self.turn_away(context, slot, why),
+                        Err(why) => return self.reject_client(context, slot, why),
                     };
-                    (connection.since, connection.waits, connection.incoming) =
-                        (context.now, incoming.time_left, incoming);
-                    connection.letter_length = length - 2;
-                    self.listener.names.insert(name.clone());
-                    connection.name = Some(name);
+                    (
+                        connection.started_at,
+                        connection.timeout,
+                        connection.incoming,
+                    ) = (context.now, incoming.time_left, incoming);
+                    connection.request_line_length = length - 2;
+                    self.listener.open_ids.insert(name.clone());
+                    connection.wire_id = Some(name);
                     if let Some(home) = home {
-                        connection.home = Some(HostId(home));
-                        connection.stage = Stage::Returning(context.now);
-                        return self.go_back(context, slot);
+                        connection.previous_host = Some(HostId(home));
+                        connection.stage = Stage::Reconnecting(context.now);
+                        return self.reconnect(context, slot);
                     }
-                    connection.stage = Stage::Held;
+                    connection.stage = Stage::Pending;
                     context
                         .events
                         .push(Event::RequestArrived(connection.incoming));
                     return;
                 }
-                Err(why) => return self.turn_away(context, slot, why),
+                Err(why) => return self.reject_client(context, slot, why),
             }
             if letter.is_empty() {
-                connection.letter = None;
+                connection.request_line = None;
             }
             return;
         }
     }
 
     /// What the module is told of a request, or why it is none that this node serves.
-    fn incoming(
+    fn admit(
         context: &Context,
         id: RequestId,
-        request: &Request,
+        request: &OpenRequest,
     ) -> Result<IncomingRequest, &'static str> {
         let node_settings = &context.node_settings;
         let class = node_settings
@@ -367,23 +396,23 @@
             return Err("an unknown tenant");
         }
         // Guards: a client that says it stood somewhere, and would be kept for as long as it likes.
-        if request.at.is_some() && context.now > context.start + 2 * STANDING_WITHIN {
+        if request.previous_host.is_some() && context.now > context.start + 2 * RECONNECT_TIMEOUT {
             return Err("a standing connection long after the start");
         }
         let longest = if node_settings.max_request_timeout > 0 {
             node_settings.max_request_timeout
         } else {
-            Nanos::MAX / WILD
+            Nanos::MAX / MAX_TIMEOUT_FACTOR
         };
-        if request.at.is_none() && request.wait > WILD * longest {
+        if request.previous_host.is_none() && request.timeout > MAX_TIMEOUT_FACTOR * longest {
             return Err("a wild wait");
         }
-        let time_left = if request.at.is_some() {
-            request.wait
+        let time_left = if request.previous_host.is_some() {
+            request.timeout
         } else {
-            request.wait.min(longest)
+            request.timeout.min(longest)
         };
-        let Request {
+        let OpenRequest {
             key,
             group,
             usual_load,
@@ -401,7 +430,7 @@
     }
 
     /// Notices a client that leaves while it waits, or that goes on talking.
-    pub(super) fn listen(&mut self, context: &mut Context, slot: usize) {
+    pub(super) fn check_client(&mut self, context: &mut Context, slot: usize) {
         let connection = &mut self.slab[slot];
         let Some(client) = connection.client.as_mut().filter(|client| client.readable) else {
             return;
@@ -417,91 +446,97 @@
                 context.machine_trouble("receive");
                 return self.retry_soon(context, slot);
             }
-            Ok(1..) => Left::Talking,
+            Ok(1..) => ClientDeparture::SentMore,
             // It may have ended its sending alone: then it still hears its answer.
-            Ok(0) => match send_once(client, FAILED) {
-                Sent::Part(count) => Left::Hears(&FAILED[count..]),
-                Sent::Whole | Sent::Broke => Left::Gone,
+            Ok(0) => match send_once(client, ERROR_LINE) {
+                SendResult::Partial(count) => ClientDeparture::HalfClosed(&ERROR_LINE[count..]),
+                SendResult::Whole | SendResult::Disconnected => ClientDeparture::Gone,
             },
-            Err(_) => Left::Gone,
+            Err(_) => ClientDeparture::Gone,
         };
         // The hand-off that is out ends when the module calls it off or it ends by itself.
-        let (client, came) = (connection.client.take(), connection.came);
-        connection.letter = None;
-        let held = connection.stage == Stage::Held;
+        let (client, came) = (connection.client.take(), connection.accepted_at);
+        connection.request_line = None;
+        let held = connection.stage == Stage::Pending;
         if held {
             context.events.push(Event::ClientLeft {
                 id: connection.incoming.id,
             });
         }
-        if !held || connection.landing.is_none() {
+        if !held || connection.host_connection.is_none() {
             self.remove(context, slot, Close::ClientEnded);
         } else if connection
-            .landing
+            .host_connection
             .as_ref()
-            .is_some_and(|landing| !landing.written)
+            .is_some_and(|landing| !landing.request_written)
         {
             // Guards: a line that begins for a client which had gone while its host's connection came up, where the
             // settings allow none to be called off: this one has not begun, or never ends.
-            self.fell_through(context, slot, AttemptOutcome::NeverSent);
+            self.end_attempt(context, slot, AttemptOutcome::NeverSent);
         }
         let Some(client) = client else { return };
         // Guards: a client that sends hundreds of lines at once, served by its first one, and an answer that comes in part: it
         // is parted from its attachment, and answered by itself.
         match left {
-            Left::Gone => {}
-            Left::Talking => {
-                let slot = self.parted(context, client, came);
-                self.turn_away(context, slot, "more than one line before its answer");
+            ClientDeparture::Gone => {}
+            ClientDeparture::SentMore => {
+                let slot = self.detach_client(context, client, came);
+                self.reject_client(context, slot, "more than one line before its answer");
             }
-            Left::Hears(rest) => {
-                let slot = self.parted(context, client, came);
-                self.answer(context, slot, rest);
+            ClientDeparture::HalfClosed(rest) => {
+                let slot = self.detach_client(context, client, came);
+                self.send_final_answer(context, slot, rest);
             }
         }
     }
 
     /// A record of its own for a client that has left its attachment.
-    fn parted(&mut self, context: &mut Context, mut client: Side, came: Nanos) -> usize {
+    fn detach_client(
+        &mut self,
+        context: &mut Context,
+        mut client: PeerSocket,
+        came: Nanos,
+    ) -> usize {
         let slot = self.slab.vacant_key();
         let mark = PollToken {
             component: CLIENT,
             slot: slot as u32,
             generation: context.stamp(),
         };
-        self.watch(context, &client.socket, mark);
-        client.stamp = mark.generation;
+        self.register(context, &client.socket, mark);
+        client.generation = mark.generation;
         self.slab.insert(Connection {
-            came,
+            accepted_at: came,
             ..Connection::new(client, slot, context.now)
         })
     }
 
     /// Whether the client still waits, as its socket has it now, whatever the poller has said so far. Guards: an attempt
     /// that begins for one which has gone, and whose end waits behind many events or a process that stood still.
-    pub(super) fn waits(&mut self, context: &mut Context, slot: usize) -> bool {
+    pub(super) fn client_still_waits(&mut self, context: &mut Context, slot: usize) -> bool {
         let id = self.slab[slot].incoming.id;
         self.slab[slot]
             .client
             .iter_mut()
             .for_each(|client| client.readable = true);
-        self.listen(context, slot);
+        self.check_client(context, slot);
         self.slab
             .get(slot)
             .is_some_and(|connection| connection.incoming.id == id && connection.client.is_some())
     }
 
     /// The id of what is answered or gone is no longer in use, unless hosts would not have it.
-    pub(super) fn free_name(&mut self, slot: usize) {
+    pub(super) fn release_id(&mut self, slot: usize) {
         let connection = &mut self.slab[slot];
-        let Some(name) = connection.name.take() else {
+        let Some(name) = connection.wire_id.take() else {
             return;
         };
-        self.listener.names.remove(&name);
-        if connection.errors >= STRIKES && connection.stage == Stage::Held {
-            self.listener.struck.push_back(name);
-            if self.listener.struck.len() > STRUCK {
-                self.listener.struck.pop_front();
+        self.listener.open_ids.remove(&name);
+        if connection.host_errors >= HOST_ERRORS_TO_REJECT_ID && connection.stage == Stage::Pending
+        {
+            self.listener.rejected_ids.push_back(name);
+            if self.listener.rejected_ids.len() > MAX_REJECTED_IDS {
+                self.listener.rejected_ids.pop_front();
             }
         }
     }
--- a/node/src/connections/probe.rs
+++ b/node/src/connections/probe.rs
@@ -1,23 +1,23 @@
 //! Probes of hosts. It owns the connections of probes that are out, one a probe. It must never send a
 //! probe that the module did not ask for, nor let one outlast its time.
 
-use crate::connections::lines::{self, Scanner, Word};
+use crate::connections::protocol::{self, HostMessage, LineScanner};
 use crate::context::{Context, PROBE};
 use reedferry::{AttemptOutcome, Event, HostId, Nanos};
 use reedferry_runtime::{Buffer, Errno, PollToken, Readiness, Socket};
 use slab::Slab;
 
-struct Probe {
+struct PendingProbe {
     host: HostId,
     socket: Socket,
-    stamp: u32,
-    asked: bool,
-    heard: Option<Buffer>,
+    generation: u32,
+    request_sent: bool,
+    received: Option<Buffer>,
 }
 
 #[derive(Default)]
 pub struct Probes {
-    slab: Slab<Probe>,
+    slab: Slab<PendingProbe>,
 }
 
 impl Probes {
@@ -33,24 +33,24 @@
             _ => None,
         };
         let Some((socket, _)) = opened else {
-            return Self::tell(context, host, AttemptOutcome::ConnectFailed, Vec::new());
+            return Self::report(context, host, AttemptOutcome::ConnectFailed, Vec::new());
         };
         let entry = self.slab.vacant_entry();
         let Ok(mark) = context.watch(&socket, PROBE, entry.key()) else {
-            return Self::tell(context, host, AttemptOutcome::ConnectFailed, Vec::new());
+            return Self::report(context, host, AttemptOutcome::ConnectFailed, Vec::new());
         };
-        entry.insert(Probe {
+        entry.insert(PendingProbe {
             host,
             socket,
-            stamp: mark.generation,
-            asked: false,
-            heard: None,
+            generation: mark.generation,
+            request_sent: false,
+            received: None,
         });
         let until: Nanos = context.now + 2 * context.node_settings.connect_within;
         context.poller.set_timer(until, mark, 0);
     }
 
-    fn tell(context: &mut Context, host: HostId, ending: AttemptOutcome, load_metrics: Vec<f64>) {
+    fn report(context: &mut Context, host: HostId, ending: AttemptOutcome, load_metrics: Vec<f64>) {
         context.events.push(Event::ProbeEnded {
             host,
             ending,
@@ -58,7 +58,7 @@
         });
     }
 
-    fn end(
+    fn finish(
         &mut self,
         context: &mut Context,
         slot: usize,
@@ -66,95 +66,95 @@
         load_metrics: Vec<f64>,
     ) {
         let probe = self.slab.remove(slot);
-        Self::tell(context, probe.host, ending, load_metrics);
+        Self::report(context, probe.host, ending, load_metrics);
     }
 
     /// A probe has had its time. Guards: a host taken for silent, and full, as its answer lies unread in a process that stood
     /// still.
-    pub fn due(&mut self, context: &mut Context, mark: PollToken) {
+    pub fn on_timeout(&mut self, context: &mut Context, mark: PollToken) {
         let slot = mark.slot as usize;
-        if self.out(mark).is_some_and(|probe| probe.asked) {
-            self.read(context, slot);
+        if self.pending(mark).is_some_and(|probe| probe.request_sent) {
+            self.read_answer(context, slot);
         }
-        if let Some(probe) = self.out(mark) {
-            let ending = if probe.asked {
+        if let Some(probe) = self.pending(mark) {
+            let ending = if probe.request_sent {
                 AttemptOutcome::TimedOut
             } else {
                 AttemptOutcome::ConnectFailed
             };
-            self.end(context, slot, ending, Vec::new());
+            self.finish(context, slot, ending, Vec::new());
         }
     }
 
     /// The probe of this mark, while it is out.
-    fn out(&self, mark: PollToken) -> Option<&Probe> {
+    fn pending(&self, mark: PollToken) -> Option<&PendingProbe> {
         self.slab
             .get(mark.slot as usize)
-            .filter(|probe| probe.stamp == mark.generation)
+            .filter(|probe| probe.generation == mark.generation)
     }
 
-    pub fn ready(&mut self, context: &mut Context, ready: Readiness) {
+    pub fn on_ready(&mut self, context: &mut Context, ready: Readiness) {
         let slot = ready.token.slot as usize;
         let Some(probe) = self
             .slab
             .get_mut(slot)
-            .filter(|p| p.stamp == ready.token.generation)
+            .filter(|p| p.generation == ready.token.generation)
         else {
             return;
         };
-        if ready.writable && !probe.asked {
+        if ready.writable && !probe.request_sent {
             let line: &[u8] = if context.node_settings.load_metrics.is_empty() {
                 b"PING\r\n"
             } else {
                 b"STATS\r\n"
             };
             if probe.socket.connect_result().is_err() || probe.socket.send(line) != Ok(line.len()) {
-                return self.end(context, slot, AttemptOutcome::ConnectFailed, Vec::new());
+                return self.finish(context, slot, AttemptOutcome::ConnectFailed, Vec::new());
             }
-            probe.asked = true;
+            probe.request_sent = true;
         }
-        if ready.readable && probe.asked {
-            self.read(context, slot);
+        if ready.readable && probe.request_sent {
+            self.read_answer(context, slot);
         }
     }
 
     /// Reads what its host has said by now.
-    fn read(&mut self, context: &mut Context, slot: usize) {
+    fn read_answer(&mut self, context: &mut Context, slot: usize) {
         let probe = &mut self.slab[slot];
-        let Some(mut heard) = probe.heard.take().or_else(|| context.pool.take()) else {
-            return self.end(context, slot, AttemptOutcome::NeverSent, Vec::new());
+        let Some(mut heard) = probe.received.take().or_else(|| context.pool.take()) else {
+            return self.finish(context, slot, AttemptOutcome::NeverSent, Vec::new());
         };
         loop {
             if heard.free_space().is_empty() {
-                return self.end(context, slot, AttemptOutcome::Error, Vec::new());
+                return self.finish(context, slot, AttemptOutcome::Error, Vec::new());
             }
             match probe.socket.receive(heard.free_space()) {
                 Ok(0) => {
-                    return self.end(context, slot, AttemptOutcome::ConnectionLost, Vec::new())
+                    return self.finish(context, slot, AttemptOutcome::ConnectionLost, Vec::new())
                 }
                 Ok(count) => heard.commit(count),
                 Err(Errno::AGAIN) => break,
                 Err(_) => {
-                    return self.end(context, slot, AttemptOutcome::ConnectionLost, Vec::new())
+                    return self.finish(context, slot, AttemptOutcome::ConnectionLost, Vec::new())
                 }
             }
         }
-        match lines::first(heard.unsent()) {
-            Ok(None) => probe.heard = Some(heard),
+        match protocol::first(heard.unsent()) {
+            Ok(None) => probe.received = Some(heard),
             Ok(Some((line, length))) => {
-                let said = Scanner::default()
+                let said = LineScanner::default()
                     .step(&heard.unsent()[..length])
                     .ok()
                     .and_then(|(_, said)| said);
-                let ending = if said == Some(Word::Pong) {
+                let ending = if said == Some(HostMessage::Pong) {
                     AttemptOutcome::Completed
                 } else {
                     AttemptOutcome::Error
                 };
-                let load_metrics = lines::report(line, &context.node_settings.load_metrics);
-                self.end(context, slot, ending, load_metrics);
+                let load_metrics = protocol::report(line, &context.node_settings.load_metrics);
+                self.finish(context, slot, ending, load_metrics);
             }
-            Err(_) => self.end(context, slot, AttemptOutcome::Error, Vec::new()),
+            Err(_) => self.finish(context, slot, AttemptOutcome::Error, Vec::new()),
         }
     }
 }
--- a/node/src/connections/lines.rs
+++ b/node/src/connections/protocol.rs
@@ -6,44 +6,44 @@
 use serde::{Deserialize, Serialize};
 
 /// The longest line, its end included.
-pub const LONGEST: usize = 4096;
+pub const MAX_LINE_BYTES: usize = 4096;
 /// The longest id of an attachment.
-const LONGEST_NAME: usize = 128;
+const MAX_ID_BYTES: usize = 128;
 
 /// What a client's first line asks for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Opening<'a> {
+pub enum ClientMessage<'a> {
     Ping,
-    Open(Request<'a>),
+    Request(OpenRequest<'a>),
 }
 
 /// The figures of a line that opens an attachment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Request<'a> {
+pub struct OpenRequest<'a> {
     pub id: &'a str,
     pub key: Option<u64>,
     pub class: &'a str,
     pub tenant: &'a str,
-    pub wait: Nanos,
+    pub timeout: Nanos,
     pub group: Option<u64>,
     /// The host that holds it already.
-    pub at: Option<&'a str>,
+    pub previous_host: Option<&'a str>,
     pub usual_load: Option<f64>,
 }
 
 /// The first line among `bytes`, without its end, and how many bytes it took. `Err` where there will
 /// never be one: too long, or not ended as lines are.
 pub fn first(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, &'static str> {
-    match bytes.iter().take(LONGEST).position(|&b| b == b'\n') {
+    match bytes.iter().take(MAX_LINE_BYTES).position(|&b| b == b'\n') {
         Some(end) if end > 0 && bytes[end - 1] == b'\r' => Ok(Some((&bytes[..end - 1], end + 1))),
         Some(_) => Err("a line that does not end in CRLF"),
-        None if bytes.len() >= LONGEST => Err("a line that is too long"),
+        None if bytes.len() >= MAX_LINE_BYTES => Err("a line that is too long"),
         None => Ok(None),
     }
 }
 
 /// One word for a key or group, whatever its spelling; hexadecimal as it stands.
-pub fn word(text: &str) -> Option<u64> {
+pub fn key_from_text(text: &str) -> Option<u64> {
     if text.is_empty() || text == "-" {
         return None;
     }
@@ -51,13 +51,13 @@
     let value = if hex {
         u64::from_str_radix(text, 16).unwrap_or(0)
     } else {
-        hash(text)
+        fnv1a(text)
     };
     (value != 0).then_some(value)
 }
 
 /// FNV-1a; the same at every node, so that nodes agree on homes without talking.
-pub fn hash(text: &str) -> u64 {
+pub fn fnv1a(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
         (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
     })
@@ -70,10 +70,10 @@
     text.parse().ok().filter(|_| plain)
 }
 
-pub fn opening(line: &[u8]) -> Result<Opening<'_>, &'static str> {
+pub fn opening(line: &[u8]) -> Result<ClientMessage<'_>, &'static str> {
     let text = std::str::from_utf8(line).map_err(|_| "a line that is no text")?;
     if text == "PING" {
-        return Ok(Opening::Ping);
+        return Ok(ClientMessage::Ping);
     }
     if text.bytes().any(|b| b.is_ascii_control()) {
         return Err("a control character");
@@ -87,16 +87,16 @@
     else {
         return Err("not three words after OPEN");
     };
-    if id.is_empty() || id == "-" || id.len() > LONGEST_NAME {
+    if id.is_empty() || id == "-" || id.len() > MAX_ID_BYTES {
         return Err("no id, or one that is too long");
     }
     if key.is_empty() {
         return Err("no key");
     }
-    let mut request = Request {
+    let mut request = OpenRequest {
         id,
-        key: word(key),
-        ..Request::default()
+        key: key_from_text(key),
+        ..OpenRequest::default()
     };
     let mut told = false;
     for (n, pair) in list.split(',').enumerate() {
@@ -113,10 +113,10 @@
             "t" => request.tenant = value,
             "d" => {
                 let ms = figure(value).filter(|d| *d < 1e9).ok_or("a wild wait")?;
-                (request.wait, told) = ((ms * MILLI as f64) as Nanos, true);
+                (request.timeout, told) = ((ms * MILLI as f64) as Nanos, true);
             }
-            "g" => request.group = word(value),
-            "at" => request.at = Some(value),
+            "g" => request.group = key_from_text(value),
+            "at" => request.previous_host = Some(value),
             // Counted in milliseconds of work a second, as a share of a core.
             "h" => {
                 let load = figure(value).filter(|h| *h < 1e9).ok_or("a wild load")?;
@@ -128,7 +128,7 @@
     if !told {
         return Err("no wait");
     }
-    Ok(Opening::Open(request))
+    Ok(ClientMessage::Request(request))
 }
 
 /// The line of an attachment as a host is to read it: unchanged, but for the wait that is left.
@@ -154,36 +154,36 @@
 
 /// What a line from a host says.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Word {
-    Up,
+pub enum HostMessage {
+    Accepted,
     Busy,
     Err,
     Bye,
-    Move,
+    Migrate,
     /// Its load now, as a share of a core.
     Load(f64),
     Pong,
     Other,
 }
 
-fn meaning(line: &[u8]) -> Word {
+fn meaning(line: &[u8]) -> HostMessage {
     let mut words = line.split(|&b| b == b' ');
     let first = words.next().unwrap_or(b"");
     match first {
-        b"UP" => Word::Up,
-        b"BUSY" => Word::Busy,
-        b"ERR" => Word::Err,
-        b"BYE" => Word::Bye,
-        b"MOVE" => Word::Move,
-        b"PONG" => Word::Pong,
+        b"UP" => HostMessage::Accepted,
+        b"BUSY" => HostMessage::Busy,
+        b"ERR" => HostMessage::Err,
+        b"BYE" => HostMessage::Bye,
+        b"MOVE" => HostMessage::Migrate,
+        b"PONG" => HostMessage::Pong,
         b"LOAD" => words
             .next()
             .and_then(|w| std::str::from_utf8(w).ok())
             .and_then(|w| w.parse::<f64>().ok())
             // Told in microseconds of work a second.
             .filter(|x| (0.0..1e12).contains(x))
-            .map_or(Word::Other, |x| Word::Load(x / 1e6)),
-        _ => Word::Other,
+            .map_or(HostMessage::Other, |x| HostMessage::Load(x / 1e6)),
+        _ => HostMessage::Other,
     }
 }
 
@@ -214,39 +214,39 @@
         .unwrap_or_default()
 }
 
-const HEAD: usize = 32;
+const HEAD_BYTES: usize = 32;
 
 /// Finds the ends of lines in what passes, however it is split, and keeps no more than a line's head.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
-pub struct Scanner {
-    head: [u8; HEAD],
+pub struct LineScanner {
+    head: [u8; HEAD_BYTES],
     length: u16,
 }
 
-impl Scanner {
+impl LineScanner {
     /// Whether nothing of an unfinished line has passed.
     pub fn between_lines(&self) -> bool {
         self.length == 0
     }
 
     /// Reads to the end of a line or of `bytes`: how many bytes that took, and what the line said.
-    pub fn step(&mut self, bytes: &[u8]) -> Result<(usize, Option<Word>), &'static str> {
+    pub fn step(&mut self, bytes: &[u8]) -> Result<(usize, Option<HostMessage>), &'static str> {
         let end = bytes.iter().position(|&b| b == b'\n');
         let piece = &bytes[..end.unwrap_or(bytes.len())];
         let had = usize::from(self.length);
         let length = had + piece.len();
-        if length >= LONGEST {
+        if length >= MAX_LINE_BYTES {
             return Err("a line that is too long");
         }
-        if had < HEAD {
-            let more = piece.len().min(HEAD - had);
+        if had < HEAD_BYTES {
+            let more = piece.len().min(HEAD_BYTES - had);
             self.head[had..had + more].copy_from_slice(&piece[..more]);
         }
         self.length = length as u16;
         let Some(end) = end else {
             return Ok((bytes.len(), None));
         };
-        let head = &self.head[..length.min(HEAD)];
+        let head = &self.head[..length.min(HEAD_BYTES)];
         let said = meaning(head.strip_suffix(b"\r").unwrap_or(head));
         self.length = 0;
         Ok((end + 1, Some(said)))
@@ -262,14 +262,17 @@
 
     #[test]
     fn reads_a_whole_opening_and_rewrites_only_its_wait() {
-        let Ok(Opening::Open(request)) = opening(LINE) else {
+        let Ok(ClientMessage::Request(request)) = opening(LINE) else {
             panic!()
         };
         assert_eq!(
-            (request.class, request.tenant, request.at),
+            (request.class, request.tenant, request.previous_host),
             ("chat", "acme", Some("s-1"))
         );
-        assert_eq!((request.wait, request.group), (2000 * MILLI, Some(0x5c0f)));
+        assert_eq!(
+            (request.timeout, request.group),
+            (2000 * MILLI, Some(0x5c0f))
+        );
         assert_eq!(
             (request.key, request.usual_load),
             (Some(0x7f3a_9c21_e0b4_d655), Some(0.0125))
@@ -281,7 +284,7 @@
             .replace("d=2000", "d=1234")
             + "\r\n";
         assert_eq!(String::from_utf8(sent).unwrap(), wanted);
-        assert_eq!(opening(b"PING"), Ok(Opening::Ping));
+        assert_eq!(opening(b"PING"), Ok(ClientMessage::Ping));
     }
 
     #[test]
@@ -311,7 +314,7 @@
         assert!(opening(b"OPEN a b d=1,c=\x01").is_err());
         assert_eq!(first(b"PING\r\nrest"), Ok(Some((&b"PING"[..], 6))));
         assert_eq!(first(b"PING\r"), Ok(None));
-        assert!(first(b"PING\n").is_err() && first(&[b'x'; LONGEST]).is_err());
+        assert!(first(b"PING\n").is_err() && first(&[b'x'; MAX_LINE_BYTES]).is_err());
     }
 
     #[test]
@@ -334,7 +337,7 @@
     fn finds_lines_however_they_are_split() {
         let text = b"UP 17\r\nLOAD 2500\r\nhello there\r\nBYE\r\nMO";
         for size in 1..text.len() {
-            let (mut scanner, mut heard) = (Scanner::default(), Vec::new());
+            let (mut scanner, mut heard) = (LineScanner::default(), Vec::new());
             for piece in text.chunks(size) {
                 let mut at = 0;
                 while at < piece.len() {
@@ -345,11 +348,18 @@
             }
             assert_eq!(
                 heard,
-                [Word::Up, Word::Load(0.0025), Word::Other, Word::Bye]
+                [
+                    HostMessage::Accepted,
+                    HostMessage::Load(0.0025),
+                    HostMessage::Other,
+                    HostMessage::Bye
+                ]
             );
             assert!(!scanner.between_lines());
         }
-        assert!(Scanner::default().step(&[b'x'; LONGEST]).is_err());
-        assert_eq!(meaning(b"LOAD x"), Word::Other);
+        assert!(LineScanner::default()
+            .step(&[b'x'; MAX_LINE_BYTES])
+            .is_err());
+        assert_eq!(meaning(b"LOAD x"), HostMessage::Other);
     }
 }
--- a/node/src/discovery/list.rs
+++ b/node/src/discovery/list.rs
@@ -1,7 +1,7 @@
 //! The roll of hosts as discovery writes it, in JSON, read as it arrives. It owns what has been read of
 //! one list. It must never take more than it has bounds for, nor believe a list before its last byte.
 
-use crate::connections::lines::hash;
+use crate::connections::protocol::fnv1a;
 use reedferry::{HostState, Nanos, MILLI};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -302,7 +302,7 @@
         if self.list.members.len() >= MOST_MEMBERS {
             return Err("too many members");
         }
-        member.cell = self.cell.take().unwrap_or_else(|| hash(&member.name));
+        member.cell = self.cell.take().unwrap_or_else(|| fnv1a(&member.name));
         self.list.members.push(member);
         Ok(())
     }
@@ -338,9 +338,9 @@
             ("locality", Value::Text(text) | Value::Bare(text)) => member.zone = text.to_string(),
             ("cell", Value::Bare("null")) => self.cell = None,
             ("cell", Value::Bare(text)) => {
-                self.cell = Some(text.parse().unwrap_or_else(|_| hash(text)));
+                self.cell = Some(text.parse().unwrap_or_else(|_| fnv1a(text)));
             }
-            ("cell", Value::Text(text)) => self.cell = Some(hash(text)),
+            ("cell", Value::Text(text)) => self.cell = Some(fnv1a(text)),
             ("phase", Value::Text(text)) => {
                 member.standing = match text {
                     "active" => HostState::Ready,
--- a/node/src/roles/alone.rs
+++ b/node/src/roles/alone.rs
@@ -226,7 +226,7 @@
     fn gather(&mut self, clock: &Clock) -> Result<(), Errno> {
         let behind = self.ready.is_behind();
         let mut ready = Vec::new();
-        let at_once = behind || !self.context.events.is_empty() || self.connections.busy();
+        let at_once = behind || !self.context.events.is_empty() || self.connections.has_runnable();
         let waited = clock.read();
         self.context.poller.wait(waited, at_once, &mut ready)?;
         let before = self.context.look_round(waited, clock.read(), behind);
@@ -251,7 +251,7 @@
                 context::STOP => self.part(),
                 context::REREAD => self.read_again(),
                 context::DISCOVERY => self.discovery.ready(context, one),
-                context::PROBE => self.probes.ready(context, one),
+                context::PROBE => self.probes.on_ready(context, one),
                 context::OPS_LISTENER => self.ops.iter_mut().for_each(|ops| ops.accept(context)),
                 context::OPS => self.ops.iter_mut().for_each(|ops| ops.ready(context, one)),
                 context::SUCCESSOR_LISTENER | context::SUCCESSOR | context::PREDECESSOR => {
@@ -261,7 +261,7 @@
                     self.peers.iter_mut().for_each(|peers| peers.ready(context));
                     self.fleet.iter_mut().for_each(|fleet| fleet.ready(context));
                 }
-                _ => self.connections.ready(context, one),
+                _ => self.connections.on_ready(context, one),
             }
         }
         while let Some((caller, call)) = self.ops.as_mut().and_then(Ops::next) {
@@ -270,16 +270,16 @@
                 .iter_mut()
                 .for_each(|ops| ops.reply(&mut self.context, caller, &reply));
         }
-        if self.connections.busy() {
+        if self.connections.has_runnable() {
             self.connections
-                .resume(&mut self.context, self.succession.listener());
+                .resume_runnable(&mut self.context, self.succession.listener());
         }
         while let Some((mark, word)) = self.context.poller.pop_expired(self.context.now) {
             let context = &mut self.context;
             match mark.component {
                 context::MODULE => context.events.push(Event::TimerFired { timer: word }),
-                context::HOST => self.connections.due(context, mark, word),
-                context::PROBE => self.probes.due(context, mark),
+                context::HOST => self.connections.on_timer(context, mark, word),
+                context::PROBE => self.probes.on_timeout(context, mark),
                 context::RETRY => self.connections.retry(context),
                 context::CHANNEL_RETRY => self.succession.retry(context, &mut self.connections),
                 context::WARDS => self.wards.iter_mut().for_each(|wards| wards.due(context)),
@@ -305,7 +305,7 @@
                 revision: self.discovery.revision(),
                 members: context.hosts.members(),
                 classes: context.node_settings.classes.clone(),
-                held: self.connections.held(context),
+                held: self.connections.classes_in_use(context),
                 legacy: self.module.leave(),
             };
             self.succession
@@ -353,7 +353,7 @@
                 None => Some(action),
             };
             let Some(action) = action else { continue };
-            let Some(action) = self.connections.carry_out(context, action) else {
+            let Some(action) = self.connections.perform(context, action) else {
                 continue;
             };
             match action {
@@ -381,7 +381,7 @@
         };
         wards.turn(&mut self.context, fleet);
         for action in wards.ready() {
-            self.connections.carry_out(&mut self.context, action);
+            self.connections.perform(&mut self.context, action);
         }
     }
 
@@ -545,7 +545,7 @@
         let told = (fresh.balancer_settings.clone(), fresh.node_settings.clone());
         let zones = node_settings.zones != told.1.zones;
         let others = renewal::renew((balancer_settings, node_settings), told, |n| {
-            self.connections.holds(n)
+            self.connections.uses_class(n)
         });
         (fresh.balancer_settings, fresh.node_settings) =
             (balancer_settings.clone(), node_settings.clone());
--- a/node/src/roles/forward.rs
+++ b/node/src/roles/forward.rs
@@ -3,7 +3,7 @@
 //! the forwarder's end of the link, carry out what came back, send what is to go. It must never decide
 //! anything, nor follow discovery: hosts are known as planners tell of them.
 
-use crate::connections::wire::{Wire, Wires};
+use crate::connections::link::{LinkConnection, LinkConnections};
 use crate::connections::Connections;
 use crate::context::{self, mark, Context, LINK, STOP, TICK};
 use crate::operators::operator_config::{Forwards, OperatorConfig, Role};
@@ -21,7 +21,7 @@
     core: Forwarder,
     connections: Connections,
     /// The connections to planners, by the core's name for each.
-    wires: Wires,
+    wires: LinkConnections,
     listener: Socket,
     stop: Signal,
     reread: Signal,
@@ -74,7 +74,7 @@
         context,
         core,
         connections: Connections::default(),
-        wires: Wires::default(),
+        wires: LinkConnections::default(),
         listener,
         stop,
         reread,
@@ -113,8 +113,10 @@
         }
         let mut ready = Vec::new();
         let behind = self.ready.is_behind();
-        let at_once =
-            behind || !self.context.events.is_empty() || self.connections.busy() || self.wires.more;
+        let at_once = behind
+            || !self.context.events.is_empty()
+            || self.connections.has_runnable()
+            || self.wires.more_to_read;
         let waited = clock.read();
         self.context.poller.wait(waited, at_once, &mut ready)?;
         self.context.look_round(waited, clock.read(), behind);
@@ -126,16 +128,16 @@
                 STOP => self.part(),
                 context::REREAD => self.read_again(),
                 LINK => self.ready(one),
-                _ => self.connections.ready(context, one),
+                _ => self.connections.on_ready(context, one),
             }
         }
-        if self.connections.busy() {
+        if self.connections.has_runnable() {
             self.connections
-                .resume(&mut self.context, Some(&self.listener));
+                .resume_runnable(&mut self.context, Some(&self.listener));
         }
         while let Some((mark, word)) = self.context.poller.pop_expired(self.context.now) {
             match mark.component {
-                context::HOST => self.connections.due(&mut self.context, mark, word),
+                context::HOST => self.connections.on_timer(&mut self.context, mark, word),
                 context::SWEEP => self.sweep(),
                 context::RETRY => self.connections.retry(&mut self.context),
                 _ => {}
@@ -162,14 +164,14 @@
         let line = ready.token.slot;
         let Some(wire) = self
             .wires
-            .all
+            .by_line
             .get_mut(&line)
-            .filter(|w| w.stamp == ready.token.generation)
+            .filter(|w| w.generation == ready.token.generation)
         else {
             return;
         };
         wire.ready(ready);
-        match wire.came_up() {
+        match wire.check_established() {
             Ok(true) => self.core.called(line),
             Ok(false) => {}
             Err(_) => self.lost(line, "unconnected"),
@@ -177,7 +179,7 @@
     }
 
     fn lost(&mut self, line: u32, why: &str) {
-        self.wires.all.remove(&line);
+        self.wires.by_line.remove(&line);
         self.core.lost(self.context.now, line, why, &mut self.deeds);
     }
 
@@ -212,15 +214,15 @@
     fn carry_out(&mut self, deed: ForwarderAction) {
         let context = &mut self.context;
         match deed {
-            ForwarderAction::Perform(action) => _ = self.connections.carry_out(context, action),
+            ForwarderAction::Perform(action) => _ = self.connections.perform(context, action),
             ForwarderAction::StartAttempt {
                 id,
                 host,
                 until,
                 by,
-            } => self.connections.attempt(context, id, host, until, by),
+            } => self.connections.start_attempt(context, id, host, until, by),
             ForwarderAction::ConnectPlanner { line, address } => self.call(line, address),
-            ForwarderAction::DisconnectPlanner { line } => _ = self.wires.all.remove(&line),
+            ForwarderAction::DisconnectPlanner { line } => _ = self.wires.by_line.remove(&line),
             ForwarderAction::HostLearned(line) => {
                 let log = context.log.clone();
                 context.hosts.heard(context.now, line, &log);
@@ -239,10 +241,10 @@
                 generation: context.stamp(),
             };
             context.poller.register(&socket, mark)?;
-            Ok(Wire::new(socket, mark.generation, false))
+            Ok(LinkConnection::new(socket, mark.generation, false))
         });
         match opened {
-            Ok(wire) => _ = self.wires.all.insert(line, wire),
+            Ok(wire) => _ = self.wires.by_line.insert(line, wire),
             Err(_) => self.lost(line, "unconnected"),
         }
     }
--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -3,8 +3,8 @@
 //! holds the drains: what a forwarder asked for before it could know of one is never decided under a roll
 //! that is older than the beat which the order answers. It must never take a client.
 
+use crate::connections::link::{LinkConnection, LinkConnections};
 use crate::connections::probe::Probes;
-use crate::connections::wire::{Wire, Wires};
 use crate::context::{self, mark, Context, LINK, STOP};
 use crate::discovery::client::Discovery;
 use crate::operators::node_config::NodeConfig;
@@ -27,7 +27,7 @@
     discovery: Discovery,
     probes: Probes,
     /// The connections of forwarders, by the core's name for each.
-    wires: Wires,
+    wires: LinkConnections,
     listener: Socket,
     stop: Signal,
     reread: Signal,
@@ -95,7 +95,7 @@
         core,
         discovery,
         probes: Probes::default(),
-        wires: Wires::default(),
+        wires: LinkConnections::default(),
         listener,
         stop,
         reread,
@@ -128,7 +128,7 @@
         let next = self.core.next(self.context.now);
         self.context.poller.set_timer(next, mark(context::TICK), 0);
         let mut ready = Vec::new();
-        let at_once = !self.context.events.is_empty() || self.wires.more;
+        let at_once = !self.context.events.is_empty() || self.wires.more_to_read;
         self.context
             .poller
             .wait(clock.read(), at_once, &mut ready)?;
@@ -139,7 +139,7 @@
                 STOP => self.part(),
                 context::REREAD => self.read_again(),
                 context::DISCOVERY => self.discovery.ready(&mut self.context, one),
-                context::PROBE => self.probes.ready(&mut self.context, one),
+                context::PROBE => self.probes.on_ready(&mut self.context, one),
                 _ => self.ready(one),
             }
         }
@@ -172,19 +172,21 @@
                 context.machine_trouble("epoll_ctl");
                 continue;
             }
-            self.wires.all.insert(stamp, Wire::new(socket, stamp, true));
+            self.wires
+                .by_line
+                .insert(stamp, LinkConnection::new(socket, stamp, true));
             self.core.accept(context.now, stamp, &mut self.orders);
         }
     }
 
     fn ready(&mut self, ready: Readiness) {
-        if let Some(wire) = self.wires.all.get_mut(&ready.token.generation) {
+        if let Some(wire) = self.wires.by_line.get_mut(&ready.token.generation) {
             wire.ready(ready);
         }
     }
 
     fn lost(&mut self, line: u32, why: &str) {
-        self.wires.all.remove(&line);
+        self.wires.by_line.remove(&line);
         self.core.lost(line, why, &mut self.orders);
     }
 
@@ -206,7 +208,7 @@
                 context::MODULE => self
                     .core
                     .timer(now, mark.slot as u16, word, &mut self.orders),
-                context::PROBE => self.probes.due(&mut self.context, mark),
+                context::PROBE => self.probes.on_timeout(&mut self.context, mark),
                 context::SWEEP => {
                     self.discovery.sweep(&mut self.context);
                     self.context.spare();
--- a/node/src/roles/succession.rs
+++ b/node/src/roles/succession.rs
@@ -3,7 +3,7 @@
 //! connections. It must never trust what it finds, nor wait long for it: without a predecessor a node starts as
 //! ever, and without a successor it moves its clients as ever.
 
-use crate::connections::{Connections, HandedOver, RETRY_AFTER};
+use crate::connections::{ConnectionHandover, Connections, RETRY_AFTER};
 use crate::context::{self, Context, PREDECESSOR, SUCCESSOR, SUCCESSOR_LISTENER};
 use crate::discovery::list::Member;
 use crate::operators::node_config::NodeConfig;
@@ -50,7 +50,7 @@
 enum FromPredecessor {
     /// Of its knowledge, in order; the last of it.
     Piece(Vec<u8>, bool),
-    HandedOver(Box<HandedOver>),
+    HandedOver(Box<ConnectionHandover>),
 }
 
 /// What a predecessor knows.
@@ -415,8 +415,8 @@
                 Ok(FromSuccessor::Has(goes_on)) => {
                     if let Some((id, _)) = successor.going.pop_front() {
                         match goes_on {
-                            true => connections.passed(context, id),
-                            false => connections.turned_down(context, id),
+                            true => connections.complete_handover(context, id),
+                            false => connections.resume_after_rejection(context, id),
                         }
                     }
                 }
@@ -450,7 +450,7 @@
         successor
             .going
             .into_iter()
-            .for_each(|(id, _)| connections.keep(context, id));
+            .for_each(|(id, _)| connections.resume(context, id));
         self.wanted = false;
         context.events.push(Event::SuccessorChanged(false));
         // Guards: a next try that calls where the one that died would have listened.
@@ -469,11 +469,11 @@
         let Some(successor) = self.successor.as_mut().filter(ready) else {
             return;
         };
-        for slot in connections.passable() {
+        for slot in connections.handover_candidates() {
             if successor.going.len() >= WINDOW {
                 return;
             }
-            let (handed_over, id) = connections.release(context, slot);
+            let (handed_over, id) = connections.begin_handover(context, slot);
             let bytes = message(&FromPredecessor::HandedOver(Box::new(handed_over)));
             match successor
                 .line
@@ -482,7 +482,7 @@
                 Ok(()) => successor.going.push_back((id, context.now)),
                 // The line is full, and tells when it is not; or broken, and tells that.
                 Err(e) => {
-                    connections.keep(context, id);
+                    connections.resume(context, id);
                     return self.retry_soon(context, e, "sendmsg");
                 }
             }
@@ -556,7 +556,7 @@
                 self.owed = None;
                 adopted
                     .into_iter()
-                    .for_each(|id| connections.keep(context, id));
+                    .for_each(|id| connections.resume(context, id));
                 true
             }
             Err(e) if classify_io(e) != IoFailure::Disconnected => {
@@ -568,7 +568,7 @@
                 (self.predecessor, self.owed) = (None, None);
                 adopted
                     .into_iter()
-                    .for_each(|id| connections.abandon(context, id));
+                    .for_each(|id| connections.abandon_adopted(context, id));
                 false
             }
         }
