--- /dev/null
+++ b/node/src/connections/attempt_progress.rs
@@ -0,0 +1,237 @@
+//! The progress of an attempt: the host's connection is established, the request line written, the host's
+//! answer read. Must never write a request line later than it may, nor begin one that is not permitted at
+//! that moment.
+
+use super::connection::Stage;
+use super::host_connection::MessageRecorder;
+use super::protocol::{self, HostMessage};
+use super::relay::RelayStatus;
+use super::Connections;
+use crate::context::Context;
+use crate::operators::counts::Count;
+use crate::operators::tally::Outcome;
+use reedferry::permission::{may_begin, may_go_on, Beginning, Refusal};
+use reedferry::{AttemptOutcome, Event, Nanos};
+use reedferry_runtime::Buffer;
+
+impl Connections {
+    /// Brings an attempt as far as its socket allows.
+    pub(super) fn advance_attempt(&mut self, context: &mut Context, slot: usize) {
+        if !self.check_connected(context, slot) {
+            return;
+        }
+        match self.check_write_permission(context, slot) {
+            Ok(()) if self.write_request(context, slot) => self.read_answer(context, slot),
+            Ok(()) => {}
+            Err(refusal) => self.abort_unwritten(context, slot, refusal),
+        }
+    }
+
+    /// Whether the connection to the host is established.
+    fn check_connected(&mut self, context: &mut Context, slot: usize) -> bool {
+        let Some(connection) = self.slab.get_mut(slot) else {
+            return false;
+        };
+        let Some(attempt) = connection.host_connection.as_mut() else {
+            return false;
+        };
+        if attempt.connected {
+            return true;
+        }
+        if !attempt.peer.writable {
+            return false;
+        }
+        if attempt.peer.socket.connect_result().is_err() {
+            self.end_attempt(context, slot, AttemptOutcome::ConnectFailed);
+            return false;
+        }
+        attempt.connected = true;
+        true
+    }
+
+    /// Whether more of the request line may be written now, by the clock of this moment: the turn's one
+    /// reading may be old, and the process may have been stalled since the host's connection was established.
+    fn check_write_permission(
+        &mut self,
+        context: &mut Context,
+        slot: usize,
+    ) -> Result<(), Refusal> {
+        let connection = &self.slab[slot];
+        let Some(attempt) = connection.host_connection.as_ref() else {
+            return Ok(());
+        };
+        if connection.stage != Stage::Pending || attempt.request_written {
+            return Ok(());
+        }
+        let (not_after, host, started_at) = (attempt.write_by, attempt.host, attempt.started_at);
+        if connection.to_host.buffer.is_some() {
+            return may_go_on(context.clock.read(), not_after);
+        }
+        let attempt_deadline = started_at + connection.attempt_timeout;
+        let deadline = attempt_deadline.min(connection.answer_deadline());
+        let repeats = connection.may_have_run_since.is_some();
+        // The client is checked last: the process may be stalled behind its reading of the clock, which the
+        // other limits allow for.
+        let now = context.clock.read();
+        let client_waits = self.client_still_waits(context, slot);
+        let record = context.hosts.record(host);
+        let changed_since = |at: Option<Nanos>| at.is_some_and(|at| at > started_at);
+        may_begin(&Beginning {
+            now,
+            deadline,
+            not_after,
+            client_waits,
+            leaving_since: record.left_since,
+            drain_grace: context.node_settings.drain_grace,
+            list_unheard: context.deaf.contains(&now),
+            host_moved: changed_since(record.readdressed),
+            group_changed: repeats && changed_since(record.regrouped),
+        })
+    }
+
+    /// Ends an attempt whose request line may not be written, or not to its end, and so never ran.
+    fn abort_unwritten(&mut self, context: &mut Context, slot: usize, refusal: Refusal) {
+        context.tally.add(Count::NotBegun(refusal));
+        match refusal {
+            // The attempt has ended already.
+            Refusal::ClientGone => {}
+            // Its connection was established too late, or the host is draining.
+            Refusal::HostLeaving | Refusal::OutsideWindow => {
+                self.end_attempt(context, slot, AttemptOutcome::ConnectFailed);
+            }
+            // The host is not to blame.
+            _ => self.end_attempt(context, slot, AttemptOutcome::NeverSent),
+        }
+    }
+
+    /// Writes what it can of the request line, and tells whether the host has all of it.
+    fn write_request(&mut self, context: &mut Context, slot: usize) -> bool {
+        let Some(connection) = self.slab.get_mut(slot) else {
+            return false;
+        };
+        let Some(attempt) = connection.host_connection.as_mut() else {
+            return false;
+        };
+        if attempt.request_written {
+            return true;
+        }
+        if connection.to_host.buffer.is_none() {
+            let (Some(request_line), Some(mut buffer)) =
+                (connection.request_line.as_ref(), context.pool.take())
+            else {
+                self.end_attempt(context, slot, AttemptOutcome::NeverSent);
+                return false;
+            };
+            let deadline = attempt.started_at + connection.attempt_timeout;
+            let time_left = deadline.saturating_sub(context.now);
+            let mut digits = String::new();
+            let line = &request_line.unsent()[..connection.request_line_length];
+            for piece in protocol::forwarded_line(line, time_left, &mut digits) {
+                buffer.append(piece);
+            }
+            connection.to_host.buffer = Some(buffer);
+        }
+        match connection.to_host.write_to(&mut attempt.peer) {
+            RelayStatus::Finished => {}
+            RelayStatus::Idle => return false,
+            RelayStatus::LocalResources => {
+                context.machine_trouble("send");
+                self.retry_soon(context, slot);
+                return false;
+            }
+            _ => {
+                self.end_attempt(context, slot, AttemptOutcome::ConnectFailed);
+                return false;
+            }
+        }
+        attempt.request_written = true;
+        attempt.request_written_at = context.now;
+        context.tally.attempted();
+        self.check_attempt(context, slot);
+        true
+    }
+
+    /// Reads the host's answer, its first line.
+    fn read_answer(&mut self, context: &mut Context, slot: usize) {
+        let Some(connection) = self.slab.get_mut(slot) else {
+            return;
+        };
+        let Some(attempt) = connection.host_connection.as_mut() else {
+            return;
+        };
+        let to_client = &mut connection.to_client;
+        let mut messages = Vec::new();
+        while attempt.peer.readable && messages.is_empty() {
+            let status = to_client.read_from(&context.pool, &mut attempt.peer, &mut |message| {
+                messages.push(message);
+            });
+            match status {
+                RelayStatus::Idle if to_client.finished && messages.is_empty() => {
+                    return self.end_attempt(context, slot, AttemptOutcome::ConnectionLost);
+                }
+                RelayStatus::Idle => {}
+                RelayStatus::LocalResources => return self.retry_soon(context, slot),
+                RelayStatus::Malformed => {
+                    return self.end_attempt(context, slot, AttemptOutcome::Error);
+                }
+                _ => return self.end_attempt(context, slot, AttemptOutcome::ConnectionLost),
+            }
+        }
+        let Some((answer, rest)) = messages.split_first() else {
+            if to_client.buffer.as_ref().is_some_and(Buffer::is_empty) {
+                to_client.buffer = None;
+            }
+            return;
+        };
+        let outcome = match answer {
+            HostMessage::Accepted => return self.open_connection(context, slot, rest),
+            HostMessage::Busy => AttemptOutcome::Rejected,
+            HostMessage::Migrate => AttemptOutcome::Cancelled,
+            _ => AttemptOutcome::Error,
+        };
+        self.end_attempt(context, slot, outcome);
+    }
+
+    /// The host has accepted the request: from here on lines are proxied both ways. `messages` came with the
+    /// answer; without them, a first load report in one piece with it would be lost.
+    fn open_connection(&mut self, context: &mut Context, slot: usize, messages: &[HostMessage]) {
+        let connection = &mut self.slab[slot];
+        let Some(host_connection) = connection.host_connection.as_mut() else {
+            return;
+        };
+        if connection.client.is_none() {
+            return self.end_attempt(context, slot, AttemptOutcome::Cancelled);
+        }
+        let id = connection.incoming.id;
+        let host = context.hosts.record(host_connection.host).id;
+        context.events.push(if connection.stage == Stage::Pending {
+            let stalls = &context.hosts.stalls;
+            let visible_since = stalls.moved_on(host_connection.started_at, context.now);
+            Event::ConnectionEstablished {
+                id,
+                took: context.now - visible_since,
+            }
+        } else {
+            Event::ConnectionFound(connection.incoming, host)
+        });
+        connection.stage = Stage::Open;
+        context.tally.came_to(
+            &context.node_settings.classes[connection.incoming.class],
+            Outcome::Served,
+        );
+        let mut recorder = MessageRecorder {
+            id,
+            host: host_connection.host,
+            now: context.now,
+            statements: &mut host_connection.statements,
+            unanswered_lines: &mut connection.unanswered_lines,
+            events: &mut context.events,
+            hosts: &mut context.hosts,
+        };
+        for message in messages {
+            recorder.record(*message);
+        }
+        connection.request_line = None;
+        self.relay_lines(context, slot);
+    }
+}
--- a/node/src/connections/closing.rs
+++ b/node/src/connections/closing.rs
@@ -1,77 +1,65 @@
-//! Endings: the final answer where no host gave one, and the end of a client's connection. It owns what is
-//! thrown away of those that go on sending. It must never answer twice, nor lose an answer in the reset
-//! that closing over unread input brings.
+//! Closing: the final answer where no host gave one, and the end of a client's connection. Owns what is
+//! discarded of clients that go on sending. Must never answer twice, nor lose an answer in the reset that
+//! closing over unread input brings.
 
-use super::{Connections, Stage};
-use crate::connections::relay::{Relay, RelayStatus};
+use super::connection::Stage;
+use super::protocol::{BUSY_LINE, ERROR_LINE};
+use super::relay::{Relay, RelayStatus};
+use super::Connections;
 use crate::context::Context;
 use crate::operators::counts::Close;
 use crate::operators::tally::Outcome;
-use reedferry::{AttemptOutcome, Nanos, RequestId, MILLI};
+use reedferry::{Nanos, RequestId, MILLI};
 use reedferry_runtime::errors::{classify_io, IoFailure};
 
-/// How long the other side of an ended connection is waited for, and one that still sends, since it came.
+/// For how long the client's end is waited for, after its connection began to close or it last sent.
 pub(super) const LINGER_TIMEOUT: Nanos = 900 * MILLI;
+/// For how long a client that goes on sending is waited for, since it connected.
 const MAX_LINGER: Nanos = 5500 * MILLI;
-/// What is thrown away of it between two sweeps: of one connection, and of all.
+/// What is discarded of one connection between two sweeps.
 const MAX_DISCARDED_PER_CONNECTION: usize = 2 << 20;
+/// What is discarded of all connections between two sweeps.
 pub(super) const MAX_DISCARDED_TOTAL: usize = 8 << 20;
 
 impl Connections {
-    /// The module's final answer, where no host gave one.
-    pub fn reject(&mut self, context: &mut Context, id: RequestId, wait: Nanos) {
+    /// Rejects a request, with the time after which it may be retried.
+    pub fn reject(&mut self, context: &mut Context, id: RequestId, retry_after: Nanos) {
         let Some(slot) = self.slot_of(id) else { return };
-        if wait >= MILLI {
-            self.send_final_answer(
-                context,
-                slot,
-                format!("BUSY {}\r\n", wait / MILLI).as_bytes(),
-            );
+        if retry_after >= MILLI {
+            let line = format!("BUSY {}\r\n", retry_after / MILLI);
+            self.send_final_answer(context, slot, line.as_bytes());
         } else {
-            self.send_final_answer(context, slot, b"BUSY\r\n");
+            self.send_final_answer(context, slot, BUSY_LINE);
         }
     }
 
+    /// Answers that a request failed.
     pub fn fail(&mut self, context: &mut Context, id: RequestId) {
         if let Some(slot) = self.slot_of(id) {
-            self.send_final_answer(context, slot, b"ERR\r\n");
+            self.send_final_answer(context, slot, ERROR_LINE);
         }
     }
 
-    pub fn cancel_attempt(&mut self, context: &mut Context, id: RequestId, attempt: u32) {
-        let Some(slot) = self.slot_of(id) else { return };
-        let connection = &self.slab[slot];
-        if connection.stage == Stage::Pending
-            && connection
-                .host_connection
-                .as_ref()
-                .is_some_and(|l| l.attempt == attempt)
-        {
-            self.end_attempt(context, slot, AttemptOutcome::Cancelled);
-        }
-    }
-
-    /// Writes a last line to the client and ends its connection.
+    /// Writes a last line to the client and closes its connection.
     pub(super) fn send_final_answer(&mut self, context: &mut Context, slot: usize, line: &[u8]) {
-        self.check_answer(context, slot, line.starts_with(b"BUSY"));
+        let rejected = line.starts_with(b"BUSY");
+        self.check_answer(context, slot, rejected);
         let connection = &mut self.slab[slot];
         if connection.awaits_answer() && connection.client.is_some() {
-            let outcome = if line.starts_with(b"BUSY") {
+            let outcome = if rejected {
                 Outcome::Refused
             } else {
                 Outcome::Failed
             };
-            context.tally.came_to(
-                &context.node_settings.classes[connection.incoming.class],
-                outcome,
-            );
+            let class = &context.node_settings.classes[connection.incoming.class];
+            context.tally.came_to(class, outcome);
         }
         connection.request_line = None;
         connection.host_connection = None;
         if connection.client.is_none() {
             return self.remove(context, slot, Close::ClientEnded);
         }
-        // Guards: an answer to a ping, of which a part is with the client, cut in the middle of its line.
+        // Without this, an answer to a ping that the client has a part of would be cut within its line.
         let unsent = connection
             .to_client
             .buffer
@@ -86,12 +74,12 @@
         self.begin_close(context, slot);
     }
 
-    /// Ends the client's connection in order, once all that waits is through.
+    /// Closes the client's connection in order, once all that waits is sent.
     pub(super) fn begin_close(&mut self, context: &mut Context, slot: usize) {
         self.release_id(slot);
         let connection = &mut self.slab[slot];
-        (connection.stage, connection.started_at) =
-            (Stage::Closing(context.now + LINGER_TIMEOUT), context.now);
+        connection.stage = Stage::Closing(context.now + LINGER_TIMEOUT);
+        connection.started_at = context.now;
         connection.to_host = Relay::default();
         connection.to_client.finished = false;
         if let Some(client) = &connection.client {
@@ -100,6 +88,9 @@
         self.linger(context, slot);
     }
 
+    /// Sends what waits for the client, and then discards what it sends until it ends. Without the
+    /// discarding, its answer would be lost in the reset that closing over unread input brings; the limits
+    /// keep a client that sends without end from taking up the loop.
     pub(super) fn linger(&mut self, context: &mut Context, slot: usize) {
         let connection = &mut self.slab[slot];
         let Some(client) = connection.client.as_mut() else {
@@ -117,25 +108,22 @@
             }
             connection.to_client.finished = true;
         }
-        // Guards: an answer lost in the reset that closing over unread input brings, and a loop or a share of
-        // the processor taken up by who sends without end: so much between two sweeps, and so long.
-        let Some(mut space) = context.pool.take() else {
+        let Some(mut buffer) = context.pool.take() else {
             return;
         };
         while client.readable
             && connection.discarded < MAX_DISCARDED_PER_CONNECTION
             && self.discard_allowance > 0
         {
-            match client.socket.discard(space.free_space()) {
+            match client.socket.discard(buffer.free_space()) {
                 Ok(0) => return self.remove(context, slot, Close::Answered),
                 Ok(count) => {
                     connection.discarded += count;
                     self.discard_allowance = self.discard_allowance.saturating_sub(count);
-                    let by =
-                        (context.now + LINGER_TIMEOUT).min(connection.accepted_at + MAX_LINGER);
-                    connection.stage = Stage::Closing(by);
+                    let longest = connection.accepted_at + MAX_LINGER;
+                    connection.stage = Stage::Closing((context.now + LINGER_TIMEOUT).min(longest));
                 }
-                Err(e) => match classify_io(e) {
+                Err(error) => match classify_io(error) {
                     IoFailure::WouldBlock => client.readable = false,
                     IoFailure::LocalResources => return self.retry_soon(context, slot),
                     IoFailure::Disconnected => return self.remove(context, slot, Close::Answered),
@@ -148,11 +136,11 @@
     }
 
     /// The one place where a connection's sockets and buffers are given back.
-    pub(super) fn remove(&mut self, context: &mut Context, slot: usize, why: Close) {
-        self.check_close(context, slot, why);
+    pub(super) fn remove(&mut self, context: &mut Context, slot: usize, reason: Close) {
+        self.check_close(context, slot, reason);
         self.release_id(slot);
         let connection = self.slab.remove(slot);
-        if let Some(client) = connection.client.filter(|_| why.resets()) {
+        if let Some(client) = connection.client.filter(|_| reason.resets()) {
             client.socket.reset();
         }
     }
--- a/node/src/connections/link.rs
+++ b/node/src/connections/link.rs
@@ -1,5 +1,6 @@
-//! Wires: the connections of the link on their sockets, at either end. They own the sockets and what was
-//! last heard of their readiness. It must never read more in a turn than its share, nor know what passes.
+//! The connections between forwarders and planners on their sockets, at either end. Owns the sockets and
+//! what the poller has last reported of them. Must never read more in a turn than a connection's share, nor
+//! know what passes on it.
 
 use reedferry_runtime::errors::{classify_io, IoFailure};
 use reedferry_runtime::{Errno, Readiness, Socket};
@@ -10,35 +11,40 @@
 /// What is read at once.
 const READ_BUFFER_BYTES: usize = 32 << 10;
 
+/// One connection.
 pub struct LinkConnection {
+    /// Its socket.
     pub socket: Socket,
+    /// Tells it from an earlier one.
     pub generation: u32,
-    /// Whether it stands; one that was called for may not yet.
+    /// Whether it is established; an outgoing one may not be yet.
     pub connected: bool,
     readable: bool,
     writable: bool,
 }
 
 impl LinkConnection {
-    pub fn new(socket: Socket, stamp: u32, stands: bool) -> Self {
+    /// One that has been accepted, or is on its way.
+    pub fn new(socket: Socket, generation: u32, connected: bool) -> Self {
         LinkConnection {
             socket,
-            generation: stamp,
-            connected: stands,
+            generation,
+            connected,
             readable: false,
-            writable: stands,
+            writable: connected,
         }
     }
 
-    pub fn ready(&mut self, ready: Readiness) {
+    /// The poller has reported its readiness.
+    pub fn on_ready(&mut self, ready: Readiness) {
         self.readable |= ready.readable;
         self.writable |= ready.writable;
     }
 
-    /// Whether a connection that was called for has come up with the last word of its readiness.
+    /// Whether an outgoing connection has just been established.
     ///
     /// # Errors
-    /// Where it never will.
+    /// Where it never will be.
     pub fn check_established(&mut self) -> Result<bool, Errno> {
         if self.connected || !self.writable {
             return Ok(false);
@@ -54,22 +60,22 @@
     /// How the connection ended, in a word.
     pub fn read(
         &mut self,
-        space: &mut [u8],
-        mut each: impl FnMut(&[u8]),
+        buffer: &mut [u8],
+        mut on_bytes: impl FnMut(&[u8]),
     ) -> Result<bool, &'static str> {
         let mut left = MAX_BYTES_PER_TURN;
         while self.readable && self.connected {
             if left == 0 {
                 return Ok(true);
             }
-            let most = space.len().min(left);
-            match self.socket.receive(&mut space[..most]) {
+            let limit = buffer.len().min(left);
+            match self.socket.receive(&mut buffer[..limit]) {
                 Ok(0) => return Err("ended"),
                 Ok(count) => {
                     left -= count;
-                    each(&space[..count]);
+                    on_bytes(&buffer[..count]);
                 }
-                Err(e) => match classify_io(e) {
+                Err(error) => match classify_io(error) {
                     IoFailure::WouldBlock => self.readable = false,
                     IoFailure::LocalResources => return Ok(true),
                     IoFailure::Disconnected => return Err("broken"),
@@ -88,7 +94,7 @@
         while self.writable && self.connected && sent < bytes.len() {
             match self.socket.send(&bytes[sent..]) {
                 Ok(count) => sent += count,
-                Err(e) => match classify_io(e) {
+                Err(error) => match classify_io(error) {
                     IoFailure::WouldBlock => self.writable = false,
                     // The next turn goes on.
                     IoFailure::LocalResources => return Ok(sent),
@@ -100,15 +106,16 @@
     }
 }
 
-/// All connections of a role, by its core's name for each.
+/// All connections of a role, by its core's number for each.
 pub struct LinkConnections {
+    /// The connections.
     pub by_line: BTreeMap<u32, LinkConnection>,
     /// Some have more to read than a turn's share.
     pub more_to_read: bool,
     read_buffer: Vec<u8>,
 }
 
-/// A connection that has ended, and how.
+/// The connections that have ended, and how.
 pub type ClosedConnections = Vec<(u32, &'static str)>;
 
 impl Default for LinkConnections {
@@ -123,26 +130,29 @@
 
 impl LinkConnections {
     /// Reads of each its share of a turn.
-    pub fn read(&mut self, mut each: impl FnMut(u32, &[u8])) -> ClosedConnections {
+    pub fn read(&mut self, mut on_bytes: impl FnMut(u32, &[u8])) -> ClosedConnections {
         self.more_to_read = false;
-        let mut ended = Vec::new();
-        for (&line, wire) in &mut self.by_line {
-            match wire.read(&mut self.read_buffer, |bytes| each(line, bytes)) {
+        let mut closed = Vec::new();
+        for (&line, connection) in &mut self.by_line {
+            match connection.read(&mut self.read_buffer, |bytes| on_bytes(line, bytes)) {
                 Ok(more) => self.more_to_read |= more,
-                Err(why) => ended.push((line, why)),
+                Err(reason) => closed.push((line, reason)),
             }
         }
-        ended
+        closed
     }
 
-    /// Has `each` write what waits for a connection; it is told as much of it as was taken.
+    /// Has `write_one` write what waits for each connection.
     pub fn write(
         &mut self,
-        mut each: impl FnMut(u32, &mut LinkConnection) -> Result<(), &'static str>,
+        mut write_one: impl FnMut(u32, &mut LinkConnection) -> Result<(), &'static str>,
     ) -> ClosedConnections {
-        let one = |(&line, wire): (&u32, &mut LinkConnection)| {
-            each(line, wire).err().map(|why| (line, why))
-        };
-        self.by_line.iter_mut().filter_map(one).collect()
+        let mut closed = Vec::new();
+        for (&line, connection) in &mut self.by_line {
+            if let Err(reason) = write_one(line, connection) {
+                closed.push((line, reason));
+            }
+        }
+        closed
     }
 }
--- a/node/src/connections/probe.rs
+++ b/node/src/connections/probe.rs
@@ -1,31 +1,53 @@
-//! Probes of hosts. It owns the connections of probes that are out, one a probe. It must never send a
-//! probe that the module did not ask for, nor let one outlast its time.
+//! Probes: health checks and load probes of hosts, each on a connection of its own. Must never send a probe
+//! that the decision module did not ask for, nor let one outlast its time.
 
-use crate::connections::protocol::{self, HostMessage, LineScanner};
+use super::protocol::{self, HostMessage, LineScanner};
 use crate::context::{Context, PROBE};
 use reedferry::{AttemptOutcome, Event, HostId, Nanos};
 use reedferry_runtime::{Buffer, Errno, PollToken, Readiness, Socket};
 use slab::Slab;
 
+/// Asks a host whether it is alive.
+const HEALTH_CHECK_LINE: &[u8] = b"PING\r\n";
+/// Asks a host for its load metrics.
+const LOAD_PROBE_LINE: &[u8] = b"STATS\r\n";
+
 struct PendingProbe {
     host: HostId,
     socket: Socket,
+    /// Tells it from an earlier one in the same slot.
     generation: u32,
     request_sent: bool,
+    /// What has arrived of the answer.
     received: Option<Buffer>,
 }
 
+/// How a probe ended.
+struct ProbeResult {
+    outcome: AttemptOutcome,
+    load_metrics: Vec<f64>,
+}
+
+impl From<AttemptOutcome> for ProbeResult {
+    fn from(outcome: AttemptOutcome) -> Self {
+        ProbeResult {
+            outcome,
+            load_metrics: Vec::new(),
+        }
+    }
+}
+
+/// The probes in flight.
 #[derive(Default)]
 pub struct Probes {
     slab: Slab<PendingProbe>,
 }
 
 impl Probes {
+    /// Sends a probe to a host.
     pub fn send(&mut self, context: &mut Context, host: HostId) {
-        let address = context
-            .hosts
-            .index(host)
-            .and_then(|h| context.hosts.record(h).address);
+        let index = context.hosts.index(host);
+        let address = index.and_then(|index| context.hosts.record(index).address);
         let opened = match address {
             Some(address) if context.budget.has_capacity(1) => {
                 context.budget.connect(&address).ok()
@@ -33,83 +55,54 @@
             _ => None,
         };
         let Some((socket, _)) = opened else {
-            return Self::report(context, host, AttemptOutcome::ConnectFailed, Vec::new());
+            return report(context, host, AttemptOutcome::ConnectFailed.into());
         };
         let entry = self.slab.vacant_entry();
-        let Ok(mark) = context.watch(&socket, PROBE, entry.key()) else {
-            return Self::report(context, host, AttemptOutcome::ConnectFailed, Vec::new());
+        let Ok(token) = context.watch(&socket, PROBE, entry.key()) else {
+            return report(context, host, AttemptOutcome::ConnectFailed.into());
         };
         entry.insert(PendingProbe {
             host,
             socket,
-            generation: mark.generation,
+            generation: token.generation,
             request_sent: false,
             received: None,
         });
-        let until: Nanos = context.now + 2 * context.node_settings.connect_within;
-        context.poller.set_timer(until, mark, 0);
+        let deadline: Nanos = context.now + 2 * context.node_settings.connect_within;
+        context.poller.set_timer(deadline, token, 0);
     }
 
-    fn report(context: &mut Context, host: HostId, ending: AttemptOutcome, load_metrics: Vec<f64>) {
-        context.events.push(Event::ProbeEnded {
-            host,
-            ending,
-            load_metrics,
-        });
-    }
-
-    fn finish(
-        &mut self,
-        context: &mut Context,
-        slot: usize,
-        ending: AttemptOutcome,
-        load_metrics: Vec<f64>,
-    ) {
-        let probe = self.slab.remove(slot);
-        Self::report(context, probe.host, ending, load_metrics);
-    }
-
-    /// A probe has had its time. Guards: a host taken for silent, and full, as its answer lies unread in a process that stood
-    /// still.
-    pub fn on_timeout(&mut self, context: &mut Context, mark: PollToken) {
-        let slot = mark.slot as usize;
-        if self.pending(mark).is_some_and(|probe| probe.request_sent) {
+    /// A probe has had its time. Reads once more before: without that, a host would be taken for silent, and
+    /// overloaded, while its answer lies unread in a process that was stalled.
+    pub fn on_timeout(&mut self, context: &mut Context, token: PollToken) {
+        let slot = token.slot as usize;
+        if self.pending(token).is_some_and(|probe| probe.request_sent) {
             self.read_answer(context, slot);
         }
-        if let Some(probe) = self.pending(mark) {
-            let ending = if probe.request_sent {
+        if let Some(probe) = self.pending(token) {
+            let outcome = if probe.request_sent {
                 AttemptOutcome::TimedOut
             } else {
                 AttemptOutcome::ConnectFailed
             };
-            self.finish(context, slot, ending, Vec::new());
+            self.finish(context, slot, outcome.into());
         }
     }
 
-    /// The probe of this mark, while it is out.
-    fn pending(&self, mark: PollToken) -> Option<&PendingProbe> {
-        self.slab
-            .get(mark.slot as usize)
-            .filter(|probe| probe.generation == mark.generation)
-    }
-
+    /// The socket of a probe is ready.
     pub fn on_ready(&mut self, context: &mut Context, ready: Readiness) {
         let slot = ready.token.slot as usize;
-        let Some(probe) = self
-            .slab
-            .get_mut(slot)
-            .filter(|p| p.generation == ready.token.generation)
-        else {
+        let Some(probe) = self.pending_mut(ready.token) else {
             return;
         };
         if ready.writable && !probe.request_sent {
-            let line: &[u8] = if context.node_settings.load_metrics.is_empty() {
-                b"PING\r\n"
+            let line = if context.node_settings.load_metrics.is_empty() {
+                HEALTH_CHECK_LINE
             } else {
-                b"STATS\r\n"
+                LOAD_PROBE_LINE
             };
             if probe.socket.connect_result().is_err() || probe.socket.send(line) != Ok(line.len()) {
-                return self.finish(context, slot, AttemptOutcome::ConnectFailed, Vec::new());
+                return self.finish(context, slot, AttemptOutcome::ConnectFailed.into());
             }
             probe.request_sent = true;
         }
@@ -118,43 +111,75 @@
         }
     }
 
-    /// Reads what its host has said by now.
+    /// The probe of this token, while it is in flight.
+    fn pending(&self, token: PollToken) -> Option<&PendingProbe> {
+        self.slab
+            .get(token.slot as usize)
+            .filter(|probe| probe.generation == token.generation)
+    }
+
+    fn pending_mut(&mut self, token: PollToken) -> Option<&mut PendingProbe> {
+        self.slab
+            .get_mut(token.slot as usize)
+            .filter(|probe| probe.generation == token.generation)
+    }
+
+    /// Reads what the host has answered by now.
     fn read_answer(&mut self, context: &mut Context, slot: usize) {
         let probe = &mut self.slab[slot];
-        let Some(mut heard) = probe.received.take().or_else(|| context.pool.take()) else {
-            return self.finish(context, slot, AttemptOutcome::NeverSent, Vec::new());
+        let Some(mut buffer) = probe.received.take().or_else(|| context.pool.take()) else {
+            return self.finish(context, slot, AttemptOutcome::NeverSent.into());
         };
-        loop {
-            if heard.free_space().is_empty() {
-                return self.finish(context, slot, AttemptOutcome::Error, Vec::new());
-            }
-            match probe.socket.receive(heard.free_space()) {
-                Ok(0) => {
-                    return self.finish(context, slot, AttemptOutcome::ConnectionLost, Vec::new())
-                }
-                Ok(count) => heard.commit(count),
-                Err(Errno::AGAIN) => break,
-                Err(_) => {
-                    return self.finish(context, slot, AttemptOutcome::ConnectionLost, Vec::new())
-                }
-            }
+        if let Err(outcome) = receive_all(&probe.socket, &mut buffer) {
+            return self.finish(context, slot, outcome.into());
         }
-        match protocol::first(heard.unsent()) {
-            Ok(None) => probe.received = Some(heard),
-            Ok(Some((line, length))) => {
-                let said = LineScanner::default()
-                    .step(&heard.unsent()[..length])
-                    .ok()
-                    .and_then(|(_, said)| said);
-                let ending = if said == Some(HostMessage::Pong) {
-                    AttemptOutcome::Completed
-                } else {
-                    AttemptOutcome::Error
+        match protocol::split_first_line(buffer.unsent()) {
+            Ok(None) => probe.received = Some(buffer),
+            Ok(Some(line)) => {
+                let names = &context.node_settings.load_metrics;
+                let result = ProbeResult {
+                    outcome: answer_outcome(&buffer.unsent()[..line.length]),
+                    load_metrics: protocol::parse_load_report(line.text, names),
                 };
-                let load_metrics = protocol::report(line, &context.node_settings.load_metrics);
-                self.finish(context, slot, ending, load_metrics);
+                self.finish(context, slot, result);
             }
-            Err(_) => self.finish(context, slot, AttemptOutcome::Error, Vec::new()),
+            Err(_) => self.finish(context, slot, AttemptOutcome::Error.into()),
         }
     }
+
+    fn finish(&mut self, context: &mut Context, slot: usize, result: ProbeResult) {
+        let probe = self.slab.remove(slot);
+        report(context, probe.host, result);
+    }
+}
+
+fn report(context: &mut Context, host: HostId, result: ProbeResult) {
+    context.events.push(Event::ProbeEnded {
+        host,
+        ending: result.outcome,
+        load_metrics: result.load_metrics,
+    });
+}
+
+/// Reads all that has arrived; an error is what the probe ends with.
+fn receive_all(socket: &Socket, buffer: &mut Buffer) -> Result<(), AttemptOutcome> {
+    loop {
+        if buffer.free_space().is_empty() {
+            return Err(AttemptOutcome::Error);
+        }
+        match socket.receive(buffer.free_space()) {
+            Ok(0) => return Err(AttemptOutcome::ConnectionLost),
+            Ok(count) => buffer.commit(count),
+            Err(Errno::AGAIN) => return Ok(()),
+            Err(_) => return Err(AttemptOutcome::ConnectionLost),
+        }
+    }
+}
+
+/// What an answer, a whole line, makes of the probe.
+fn answer_outcome(line: &[u8]) -> AttemptOutcome {
+    match LineScanner::default().step(line) {
+        Ok((_, Some(HostMessage::Pong))) => AttemptOutcome::Completed,
+        _ => AttemptOutcome::Error,
+    }
 }
--- /dev/null
+++ b/node/src/connections/protocol/protocol_tests.rs
@@ -0,0 +1,120 @@
+//! Tests of the line protocol.
+
+use super::*;
+use reedferry::MILLI;
+
+const LINE: &[u8] = b"OPEN 9b1f 7f3a9c21e0b4d655 c=chat,t=acme,d=2000,g=5c0f,at=s-1,h=12.5,zz=1";
+
+#[test]
+fn reads_a_whole_opening_and_rewrites_only_its_wait() {
+    let Ok(ClientMessage::Request(request)) = parse_client_line(LINE) else {
+        panic!()
+    };
+    assert_eq!(
+        (request.class, request.tenant, request.previous_host),
+        ("chat", "acme", Some("s-1"))
+    );
+    assert_eq!(
+        (request.timeout, request.group),
+        (2000 * MILLI, Some(0x5c0f))
+    );
+    assert_eq!(
+        (request.key, request.usual_load),
+        (Some(0x7f3a_9c21_e0b4_d655), Some(0.0125))
+    );
+    let mut digits = String::new();
+    let sent = forwarded_line(LINE, 1_234_900_000, &mut digits).concat();
+    let wanted = String::from_utf8(LINE.to_vec())
+        .unwrap()
+        .replace("d=2000", "d=1234")
+        + "\r\n";
+    assert_eq!(String::from_utf8(sent).unwrap(), wanted);
+    assert_eq!(parse_client_line(b"PING"), Ok(ClientMessage::Ping));
+}
+
+#[test]
+fn says_what_is_malformed() {
+    for line in [
+        "",
+        "OPEN",
+        "OPEN a b",
+        "OPEN a b c=x",
+        "OPEN a b c=x,d=-1",
+        "OPEN a b c=x,d=nan",
+        "OPEN a b c=x,d=1e3",
+        "OPEN a b c=x,d=+5",
+        "OPEN a b c=x,d=soon",
+        "OPEN a b c=x,d=",
+        "OPEN a b c=x,d=99999999999999999999999",
+        "OPEN a b c=x,d=5,d=6",
+        "OPEN a b c=x,d=5,h=inf",
+        "OPEN  b c=x,d=5",
+        "OPEN a  c=x,d=5",
+        "OPEN - b c=x,d=5",
+        "open a b d=1",
+    ] {
+        assert!(parse_client_line(line.as_bytes()).is_err(), "{line}");
+    }
+    assert!(
+        parse_client_line(b"OPEN a b d=1,c=\xff").is_err()
+            && parse_client_line(b"OPEN a b d=1 x").is_err()
+    );
+    assert!(parse_client_line(b"OPEN a b d=1,c=\x01").is_err());
+    assert_eq!(
+        split_first_line(b"PING\r\nrest"),
+        Ok(Some(Line {
+            text: b"PING",
+            length: 6
+        }))
+    );
+    assert_eq!(split_first_line(b"PING\r"), Ok(None));
+    assert!(
+        split_first_line(b"PING\n").is_err() && split_first_line(&[b'x'; MAX_LINE_BYTES]).is_err()
+    );
+}
+
+#[test]
+fn reads_a_load_report_by_name_or_in_order() {
+    let names = ["x0".to_string(), "x1".to_string()];
+    assert_eq!(parse_load_report(b"PONG x1=0.5,x0=2", &names), [2.0, 0.5]);
+    assert_eq!(parse_load_report(b"PONG 2 0.5", &names), [2.0, 0.5]);
+    for poor in [
+        &b"PONG"[..],
+        b"PONG x0=2",
+        b"PONG x0=nan,x1=1",
+        b"PONG \xff",
+        b"ERR no such thing",
+    ] {
+        assert!(parse_load_report(poor, &names).is_empty());
+    }
+}
+
+#[test]
+fn finds_lines_however_they_are_split() {
+    let text = b"UP 17\r\nLOAD 2500\r\nhello there\r\nBYE\r\nMO";
+    for size in 1..text.len() {
+        let (mut scanner, mut messages) = (LineScanner::default(), Vec::new());
+        for piece in text.chunks(size) {
+            let mut at = 0;
+            while at < piece.len() {
+                let (consumed, message) = scanner.step(&piece[at..]).unwrap();
+                at += consumed;
+                messages.extend(message);
+            }
+        }
+        assert_eq!(
+            messages,
+            [
+                HostMessage::Accepted,
+                HostMessage::Load(0.0025),
+                HostMessage::Other,
+                HostMessage::Bye
+            ]
+        );
+        assert!(!scanner.between_lines());
+    }
+    assert!(LineScanner::default()
+        .step(&[b'x'; MAX_LINE_BYTES])
+        .is_err());
+    assert_eq!(HostMessage::parse(b"LOAD x"), HostMessage::Other);
+}
--- a/node/src/discovery/hosts.rs
+++ b/node/src/discovery/hosts.rs
@@ -249,7 +249,7 @@
             .iter_mut()
             .filter(|m| m.standing == HostState::Ready)
         {
-            let host = self.index(HostId(protocol::fnv1a(&member.name)));
+            let host = self.index(HostId(protocol::keys::fnv1a(&member.name)));
             let said = host.and_then(|host| self.all[host].said.as_ref());
             if said
                 .is_some_and(|s| s.standing == HostState::Draining && s.started == member.started)
@@ -272,7 +272,7 @@
             let named: HashSet<HostId> = list
                 .members
                 .iter()
-                .map(|m| HostId(protocol::fnv1a(&m.name)))
+                .map(|m| HostId(protocol::keys::fnv1a(&m.name)))
                 .collect();
             for record in self.all.iter_mut().filter(|b| !named.contains(&b.id)) {
                 record.left_since.get_or_insert(source.counts_from(now));
@@ -300,7 +300,7 @@
         let id = HostId(line.id);
         if let Some(host) = self.index(id).filter(|_| line.name.is_empty()) {
             _ = self.all[host].left_since.get_or_insert(now);
-        } else if HostId(protocol::fnv1a(&line.name)) == id {
+        } else if HostId(protocol::keys::fnv1a(&line.name)) == id {
             let (name, address, standing) = (line.name, line.address, line.stands.into());
             let (zone, size) = (String::new(), 1.0);
             self.listed(
@@ -331,7 +331,7 @@
 
     /// The host of this name, listed or not, for a connection that stands there.
     pub fn adopt(&mut self, now: Nanos, name: &str) -> usize {
-        let id = HostId(protocol::fnv1a(name));
+        let id = HostId(protocol::keys::fnv1a(name));
         self.index(id).unwrap_or_else(|| {
             let record = HostRecord {
                 left_since: Some(now),
@@ -396,7 +396,7 @@
         progress: &mut Progress,
         log: &Logger,
     ) -> Endpoint {
-        let id = HostId(protocol::fnv1a(&member.name));
+        let id = HostId(protocol::keys::fnv1a(&member.name));
         let host = self.index(id).unwrap_or_else(|| {
             // The record of a host long gone serves again: a node runs for months.
             let old = |b: &HostRecord| {
--- a/node/src/discovery/list.rs
+++ b/node/src/discovery/list.rs
@@ -1,7 +1,7 @@
 //! The roll of hosts as discovery writes it, in JSON, read as it arrives. It owns what has been read of
 //! one list. It must never take more than it has bounds for, nor believe a list before its last byte.
 
-use crate::connections::protocol::fnv1a;
+use crate::connections::protocol::keys::fnv1a;
 use reedferry::{HostState, Nanos, MILLI};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
--- a/node/src/operators/node_config.rs
+++ b/node/src/operators/node_config.rs
@@ -115,7 +115,9 @@
             name: sheet.name,
             seed: match sheet.seed {
                 Seed::Number(seed) => seed,
-                Seed::Text(text) => crate::connections::protocol::key_from_text(&text).unwrap_or(0),
+                Seed::Text(text) => {
+                    crate::connections::protocol::keys::key_from_text(&text).unwrap_or(0)
+                }
             },
             memory: (sheet.limits.memory_mb * 1024.0 * 1024.0) as usize,
             sockets: sheet.limits.sockets,
--- a/node/src/peers/fleet.rs
+++ b/node/src/peers/fleet.rs
@@ -84,7 +84,7 @@
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |t| t.as_millis() as u64);
-        let fleet = crate::connections::protocol::fnv1a(&node_settings.name) as u32;
+        let fleet = crate::connections::protocol::keys::fnv1a(&node_settings.name) as u32;
         let FleetConfig {
             seeds,
             period,
--- a/node/src/roles/forward.rs
+++ b/node/src/roles/forward.rs
@@ -170,7 +170,7 @@
         else {
             return;
         };
-        wire.ready(ready);
+        wire.on_ready(ready);
         match wire.check_established() {
             Ok(true) => self.core.called(line),
             Ok(false) => {}
--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -181,7 +181,7 @@
 
     fn ready(&mut self, ready: Readiness) {
         if let Some(wire) = self.wires.by_line.get_mut(&ready.token.generation) {
-            wire.ready(ready);
+            wire.on_ready(ready);
         }
     }
 
