--- a/node/tests/succession.rs
+++ b/node/tests/succession.rs
@@ -356,9 +356,9 @@
     ended(&mut predecessor);
     let mut places = Vec::new();
     for _ in 0..open.len() {
-        let line = successor.logs("event PassedOn");
+        let line = successor.logs("event ConnectionHandedOver");
         let place = line
-            .split("offering: ")
+            .split(" class: ")
             .nth(1)
             .and_then(|rest| rest.split(',').next()?.parse::<usize>().ok());
         places.push(place.unwrap());
