--- a/node/src/connections/host_connection.rs
+++ b/node/src/connections/host_connection.rs
@@ -97,7 +97,7 @@
             HostMessage::Migrate => self.statements.migrating = true,
             _ => {
                 if let Some(asked_at) = self.unanswered_lines.pop_front() {
-                    self.hosts.answered(self.host, asked_at, self.now);
+                    self.hosts.record_answer(self.host, asked_at, self.now);
                 }
             }
         }
--- a/node/src/connections/proxying.rs
+++ b/node/src/connections/proxying.rs
@@ -193,14 +193,14 @@
             return;
         };
         let host = host_connection.host;
-        context.hosts.unanswered(host, sent_at, now);
+        context.hosts.record_unanswered(host, sent_at, now);
         if now < sent_at + HOST_SILENCE_TIMEOUT || connection.migrate_by.is_some() {
             return;
         }
         warn!(context.log, "host silent"; "host" => &context.hosts.record(host).name);
         connection.migrate_by = Some(now + LONGEST_MOVE);
         // Without this, a host that answers all others would be ejected for one connection.
-        connection.migration_outcome = if context.hosts.answers_since(host, sent_at) {
+        connection.migration_outcome = if context.hosts.has_answered_since(host, sent_at) {
             AttemptOutcome::Cancelled
         } else {
             AttemptOutcome::ConnectionLost
--- a/node/src/context.rs
+++ b/node/src/context.rs
@@ -1,8 +1,8 @@
 //! What the parts of the node share while they work: the clock's one reading for this turn, the poller,
 //! the budgets, the hosts, and the events gathered for who decides. It must never act by itself.
 
-use crate::discovery::hosts::{Hosts, Source};
-use crate::discovery::list::Reader;
+use crate::discovery::hosts::{Hosts, ListSource};
+use crate::discovery::list::ListReader;
 use crate::operators::counts::Count;
 use crate::operators::node_config::NodeConfig;
 use crate::operators::tally::Tally;
@@ -208,13 +208,15 @@
         if node_config.known.is_empty() {
             return Ok(None);
         }
-        let mut reader = Reader::default();
+        let mut reader = ListReader::default();
         let known = reader
             .feed(&node_config.known)
             .and_then(|()| reader.finish());
         let known = known.map_err(|e| format!("known: {e}"))?;
         let revision = known.revision;
-        let event = self.hosts.told(self.now, known, Source::Kept, &self.log);
+        let event = self
+            .hosts
+            .apply_list(self.now, known, ListSource::Cached, &self.log);
         self.events.push(event);
         Ok(Some(revision))
     }
--- a/node/src/discovery/client.rs
+++ b/node/src/discovery/client.rs
@@ -1,108 +1,99 @@
-//! Calls to discovery: the watch on the roll, and the whole roll where that is asked for. It owns the
-//! connections to discovery. It must never decide which list is believed, nor when to call: the module asks first, or where
-//! changes are to come unasked the watch is kept up by itself, and once a watch has failed `Hearing` says when. A
-//! call that fails ends alone.
+//! The client of the list service: the watch on the endpoint list, and the whole list where that is asked
+//! for. Owns the connections to the service. Must never decide which list is believed ([`versions`](super::versions)),
+//! nor when to call: the decision module asks first, or where changes are pushed the watch is kept up by
+//! itself, and once a watch has failed [`WatchStaleness`] tells when. A call that fails ends alone.
 
+use super::call::{CallConnection, CallError, DiscoveryCall, ReadOutcome};
+use super::hosts::ListSource;
+use super::list::EndpointList;
+use super::staleness::{CallFailure, WatchStaleness};
+use super::start_times::ClaimSource;
+use super::versions::{Freshness, ListVersions};
 use crate::context::{Context, DISCOVERY};
-use crate::discovery::hosts::Source;
-use crate::discovery::http::Answer;
-use crate::discovery::list::{List, Reader};
-use crate::discovery::staleness::{Failure, Hearing};
-use crate::discovery::starts::Learned;
-use crate::discovery::versions::{Versions, Worth};
 use reedferry::permission::usable_grace;
 use reedferry::{BalancerSettings, EndpointUpdate, Event, Nanos, MILLI, SECOND};
-use reedferry_runtime::errors::{classify_connect, classify_io, ConnectFailure, IoFailure};
-use reedferry_runtime::{Errno, PollToken, Readiness, Socket};
+use reedferry_runtime::errors::{classify_connect, ConnectFailure};
+use reedferry_runtime::{PollToken, Readiness};
 use slog::{info, warn};
 use std::net::SocketAddr;
 
-/// How soon a call over a connection that had served before may break for the other side to have closed it in between.
-const CLOSED_BETWEEN: Nanos = SECOND / 4;
-const MOST_BODY: usize = 32 << 20;
-/// How soon an answer comes that waits for nothing.
-const IN_TIME: Nanos = SECOND / 5;
+/// How soon a call over a connection that has served before may break for the other side to have closed it
+/// in between.
+const IDLE_CLOSE_WINDOW: Nanos = SECOND / 4;
+/// How soon a response comes that waits for nothing.
+const IMMEDIATE_ANSWER_TIME: Nanos = SECOND / 5;
 
+/// The call that waits for changes.
 const WATCH: usize = 0;
-const ASK: usize = 1;
-/// A watch that has been silent beyond its wait, until the call in its place has been answered. Guards: what it was
-/// about to say counts as told when it is written, or earlier once it is given up.
-const SILENT: usize = 2;
-const ALL: [usize; 3] = [WATCH, ASK, SILENT];
+/// The call for the whole list.
+const POLL: usize = 1;
+/// A watch that has been silent beyond its wait, until the call in its place has been answered. What it was
+/// about to tell counts as told when it is written, or earlier once it is given up.
+const SILENT_WATCH: usize = 2;
+const ALL: [usize; 3] = [WATCH, POLL, SILENT_WATCH];
 
-#[derive(Default)]
-struct Call {
-    line: Option<(Socket, u32)>,
-    /// Whether a request is out, and what of it is still to be written.
-    out: bool,
-    request: Vec<u8>,
-    written: usize,
-    answer: Answer,
-    reader: Reader,
-    body: usize,
-    /// Something of its answer has come.
-    came: bool,
-    /// The connection has served an earlier call.
-    used: bool,
-    since: Nanos,
-    hold: Nanos,
-    until: Nanos,
-}
-
-pub struct Discovery {
+/// The client of one list service.
+pub struct DiscoveryClient {
     address: SocketAddr,
-    versions: Versions,
-    calls: [Call; 3],
-    following: bool,
+    versions: ListVersions,
+    calls: [DiscoveryCall; 3],
+    /// Whether the last watch was answered.
+    watching: bool,
     /// When this service's last list came.
-    heard_at: Option<Nanos>,
-    hearing: Hearing,
-    /// When the watch is taken up again without being asked for.
-    next: Option<Nanos>,
-    /// It has been told that the node can't be sure to have heard in time.
-    shut: bool,
+    last_list_at: Option<Nanos>,
+    staleness: WatchStaleness,
+    /// When the watch goes out without being asked for.
+    next_watch_at: Option<Nanos>,
+    /// Whether it was logged that the list may be stale.
+    reported_stale: bool,
 }
 
-impl Discovery {
+impl DiscoveryClient {
+    /// A client that knows the list up to this revision.
     pub fn new(
         address: SocketAddr,
         revision: Option<u64>,
         balancer_settings: &BalancerSettings,
-        grace: Nanos,
+        drain_grace: Nanos,
         now: Nanos,
     ) -> Self {
-        Discovery {
+        let grace = usable_grace(drain_grace);
+        DiscoveryClient {
             address,
-            versions: Versions::new(revision),
+            versions: ListVersions::new(revision),
             calls: Default::default(),
-            following: false,
-            heard_at: None,
-            hearing: Hearing::new(balancer_settings, usable_grace(grace), now),
-            next: Some(0).filter(|_| !balancer_settings.endpoints_are_polled),
-            shut: false,
+            watching: false,
+            last_list_at: None,
+            staleness: WatchStaleness::new(balancer_settings, grace, now),
+            next_watch_at: Some(0).filter(|_| !balancer_settings.endpoints_are_polled),
+            reported_stale: false,
         }
     }
 
-    /// Goes over to the service at another address, at once and from its whole list on: versions are each
-    /// service's own. Guards: a node that follows a service which has been replaced, or that waits for
-    /// the new one to pass a version of the old.
-    pub fn go_over(&mut self, context: &mut Context, address: SocketAddr) {
-        let asked = self.calls[ASK].out;
+    /// Switches to the service at another address, at once and from its whole list on: versions are each
+    /// service's own. Without that, a node would follow a service which has been replaced, or wait for the
+    /// new one to pass a version of the old.
+    pub fn switch_service(&mut self, context: &mut Context, address: SocketAddr) {
+        let polled = self.calls[POLL].in_flight;
         self.calls = Default::default();
-        (self.address, self.following, self.next, self.heard_at) = (address, false, None, None);
-        self.versions = Versions::default();
-        self.hearing.moved(context.now);
-        self.call(context, WATCH, 0);
-        if asked {
-            self.call(context, ASK, 0);
+        self.address = address;
+        self.watching = false;
+        self.next_watch_at = None;
+        self.last_list_at = None;
+        self.versions = ListVersions::default();
+        self.staleness.record_service_switch(context.now);
+        self.send_call(context, WATCH, 0);
+        if polled {
+            self.send_call(context, POLL, 0);
         }
     }
 
     /// Goes by other settings from the next call on.
-    pub fn retune(&mut self, balancer_settings: &BalancerSettings, grace: Nanos) {
-        self.hearing.retune(balancer_settings, usable_grace(grace));
-        if self.hearing.unasked() && !self.calls[WATCH].out {
-            self.next.get_or_insert(0);
+    pub fn update_settings(&mut self, balancer_settings: &BalancerSettings, drain_grace: Nanos) {
+        self.staleness
+            .update_settings(balancer_settings, usable_grace(drain_grace));
+        if self.staleness.is_pushed() && !self.calls[WATCH].in_flight {
+            self.next_watch_at.get_or_insert(0);
         }
     }
 
@@ -111,57 +102,58 @@
         self.versions.known()
     }
 
-    /// Reads what has come, whether or not the poller has said so yet.
-    pub fn look(&mut self, context: &mut Context) {
+    /// Reads what has arrived, whether or not the poller has reported it yet.
+    pub fn read_all(&mut self, context: &mut Context) {
         for which in ALL {
-            if self.calls[which].line.is_some() {
-                self.read(context, which);
-            }
+            self.read(context, which);
         }
     }
 
-    /// The module wants the whole roll once.
-    pub fn ask(&mut self, context: &mut Context) {
-        if !self.calls[ASK].out {
-            self.call(context, ASK, 0);
+    /// The decision module wants the whole list once.
+    pub fn poll(&mut self, context: &mut Context) {
+        if !self.calls[POLL].in_flight {
+            self.send_call(context, POLL, 0);
         }
     }
 
-    /// The module wants to be told of changes from now on.
-    pub fn follow(&mut self, context: &mut Context) {
-        if !self.calls[WATCH].out && self.next.is_none_or(|at| context.now >= at) {
-            self.following = false;
-            // What was missed since a version that is known comes at once, by the call that then waits on, unless the
-            // node may have missed something: whoever waits is not heard.
-            let waits = self.versions.may_wait() && !self.hearing.pressed();
-            self.call(
-                context,
-                WATCH,
-                if waits { self.hearing.hold() } else { MILLI },
-            );
+    /// The decision module wants to be told of changes from now on.
+    pub fn watch(&mut self, context: &mut Context) {
+        if self.calls[WATCH].in_flight || self.next_watch_at.is_some_and(|at| context.now < at) {
+            return;
         }
+        self.watching = false;
+        // What was missed since a version that is known comes at once, by the call that then waits on, unless
+        // the node may have missed something: a call that waits does not show that the node hears.
+        let waits = self.versions.may_long_poll() && !self.staleness.may_have_missed();
+        let max_wait = if waits {
+            self.staleness.watch_wait()
+        } else {
+            MILLI
+        };
+        self.send_call(context, WATCH, max_wait);
     }
 
-    fn call(&mut self, context: &mut Context, which: usize, hold: Nanos) {
+    /// Sends a call, which the service may hold back for `max_wait`.
+    fn send_call(&mut self, context: &mut Context, which: usize, max_wait: Nanos) {
         // Without a version the whole list comes, which nothing waits for.
         let from = self.versions.known().filter(|_| which == WATCH);
-        let hold = if from.is_some() { hold } else { 0 };
+        let max_wait = if from.is_some() { max_wait } else { 0 };
         let path = match from {
-            Some(from) => format!("/v1/servers?from={from}&hold_ms={}", hold / MILLI),
+            Some(from) => format!("/v1/servers?from={from}&hold_ms={}", max_wait / MILLI),
             None => "/v1/servers".to_string(),
         };
+        let request = format!("GET {path} HTTP/1.1\r\nHost: {}\r\n\r\n", self.address);
         let call = &mut self.calls[which];
-        call.request =
-            format!("GET {path} HTTP/1.1\r\nHost: {}\r\n\r\n", self.address).into_bytes();
-        (call.out, call.since, call.hold) = (true, context.now, hold);
-        (call.until, call.used) = (
-            self.hearing.silent_at(context.now, hold),
-            call.line.is_some(),
-        );
+        call.request = request.into_bytes();
+        call.in_flight = true;
+        call.started_at = context.now;
+        call.max_wait = max_wait;
+        call.deadline = self.staleness.silence_deadline(context.now, max_wait);
+        call.reused = call.connection.is_some();
         if which == WATCH {
-            self.next = None;
-            self.hearing.out(context.now, hold);
-            context.deaf = self.hearing.deaf();
+            self.next_watch_at = None;
+            self.staleness.record_watch_start(context.now, max_wait);
+            context.deaf = self.staleness.stale_window();
         }
         self.start(context, which);
     }
@@ -169,286 +161,243 @@
     /// Sends the request from its first byte, over a new connection where none is open.
     fn start(&mut self, context: &mut Context, which: usize) {
         let call = &mut self.calls[which];
-        (call.written, call.body, call.came) = (0, 0, false);
-        (call.answer, call.reader) = (Answer::default(), Reader::default());
-        if call.line.is_none() {
-            let opened = context
-                .budget
-                .connect(&self.address)
-                .and_then(|(socket, _)| {
-                    let mark = context.watch(&socket, DISCOVERY, which)?;
-                    Ok((socket, mark.generation))
-                });
-            match opened {
-                Ok(line) => call.line = Some(line),
-                // What this machine is short of says nothing of the service.
-                Err(e) if classify_connect(e) != ConnectFailure::Peer => {
-                    self.ended(context, which, Failure::Refused, &format!("connect: {e}"));
-                }
-                Err(e) => self.fail(context, which, Failure::Broken, &format!("connect: {e}")),
+        call.restart();
+        if call.connection.is_some() {
+            return self.write(context, which);
+        }
+        let opened = context
+            .budget
+            .connect(&self.address)
+            .and_then(|(socket, _)| {
+                let token = context.watch(&socket, DISCOVERY, which)?;
+                Ok(CallConnection {
+                    socket,
+                    generation: token.generation,
+                })
+            });
+        match opened {
+            Ok(connection) => call.connection = Some(connection),
+            Err(error) if classify_connect(error) == ConnectFailure::Peer => {
+                self.on_failed(context, which, CallError::Connect(error));
+            }
+            // What this machine is short of says nothing of the service.
+            Err(error) => {
+                let error = CallError::Connect(error);
+                self.end_call(context, which, CallFailure::Rejected, error);
             }
-        } else {
-            self.write(context, which);
         }
     }
 
-    pub fn ready(&mut self, context: &mut Context, ready: Readiness) {
+    /// The socket of a call is ready.
+    pub fn on_ready(&mut self, context: &mut Context, ready: Readiness) {
         let which = ready.token.slot as usize;
-        let Some(call) = self.calls.get(which) else {
-            return;
+        let generation = ready.token.generation;
+        let is_current = |calls: &[DiscoveryCall; 3]| {
+            calls
+                .get(which)
+                .is_some_and(|call| call.has_connection(generation))
         };
-        if call
-            .line
-            .as_ref()
-            .is_none_or(|(_, stamp)| *stamp != ready.token.generation)
-        {
-            return;
-        }
-        if ready.writable {
+        if ready.writable && is_current(&self.calls) {
             self.write(context, which);
         }
         // Writing may have failed and closed it.
-        if ready.readable
-            && self.calls[which]
-                .line
-                .as_ref()
-                .is_some_and(|(_, s)| *s == ready.token.generation)
-        {
+        if ready.readable && is_current(&self.calls) {
             self.read(context, which);
         }
     }
 
     fn write(&mut self, context: &mut Context, which: usize) {
-        let call = &mut self.calls[which];
-        let Some((socket, _)) = &call.line else {
-            return;
-        };
-        while call.out && call.written < call.request.len() {
-            match socket.send(&call.request[call.written..]) {
-                Ok(count) => call.written += count,
-                Err(Errno::NOTCONN) => return,
-                // The next sweep goes on where the poller does not.
-                Err(e) if classify_io(e) != IoFailure::Disconnected => return,
-                Err(e) => return self.broken(context, which, &format!("send: {e}")),
-            }
+        if let Err(error) = self.calls[which].write() {
+            self.on_connection_lost(context, which, error);
         }
     }
 
+    /// Reads all that has arrived.
     fn read(&mut self, context: &mut Context, which: usize) {
-        // Guards: a list that is lost because clients hold all buffers; it is read when one is free.
+        if self.calls[which].connection.is_none() {
+            return;
+        }
+        // Where clients hold all buffers, the list is read when one is free.
         let Some(mut buffer) = context.pool.take() else {
             return;
         };
         loop {
-            let call = &mut self.calls[which];
-            let Some((socket, _)) = &call.line else {
-                return;
-            };
-            buffer.clear();
-            let count = match socket.receive(buffer.free_space()) {
-                Ok(0) => {
-                    if call.out && call.answer.ended() {
-                        return self.answered(context, which);
-                    }
-                    return self.broken(context, which, "ended");
+            let body_deadline = self.staleness.body_deadline(context.now);
+            match self.calls[which].read(&mut buffer, body_deadline) {
+                ReadOutcome::Blocked => return,
+                ReadOutcome::More => {}
+                // A call that began at once over the same connection reads on when there is more.
+                ReadOutcome::Complete => self.on_answer(context, which),
+                ReadOutcome::CompleteAtClose => return self.on_answer(context, which),
+                ReadOutcome::Rejected(status) => return self.on_rejected(context, which, status),
+                ReadOutcome::ConnectionLost(error) => {
+                    return self.on_connection_lost(context, which, error);
                 }
-                Ok(count) => count,
-                Err(e) if classify_io(e) != IoFailure::Disconnected => return,
-                Err(e) => return self.broken(context, which, &e.to_string()),
-            };
-            buffer.commit(count);
-            if !call.out {
-                return self.broken(context, which, "bytes that nobody asked for");
-            }
-            if !std::mem::replace(&mut call.came, true) {
-                // Guards: an answer that begins and never ends, waited for as long as a watch that is quiet.
-                call.until = call.until.min(self.hearing.stopped_at(context.now));
-            }
-            let (answer, reader, body) = (&mut call.answer, &mut call.reader, &mut call.body);
-            let took = answer.feed(buffer.unsent(), |piece| {
-                *body += piece.len();
-                if *body > MOST_BODY {
-                    return Err("a list that is too long");
-                }
-                reader.feed(piece)
-            });
-            match took {
-                Ok(took) if call.answer.done() && took < count => {
-                    return self.fail(
-                        context,
-                        which,
-                        Failure::Unread,
-                        "bytes that nobody asked for",
-                    );
-                }
-                Ok(_) if call.answer.done() => {
-                    self.answered(context, which);
-                    // A call that began at once over the same connection reads on when there is more.
-                }
-                Ok(_) if call.answer.begun() && call.answer.status >= 400 => {
-                    let status = call.answer.status;
-                    return self.refused(context, which, status);
-                }
-                Ok(_) => {}
-                Err(why) => return self.fail(context, which, Failure::Unread, why),
+                ReadOutcome::Malformed(error) => return self.on_failed(context, which, error),
             }
         }
     }
 
-    /// A whole answer has come.
-    fn answered(&mut self, context: &mut Context, which: usize) {
+    /// A response is complete.
+    fn on_answer(&mut self, context: &mut Context, which: usize) {
         let call = &mut self.calls[which];
-        if call.answer.last {
-            call.line = None;
+        if call.response.closes_connection {
+            call.connection = None;
         }
-        if call.answer.status != 200 {
-            let status = call.answer.status;
-            return self.refused(context, which, status);
+        if call.response.status != 200 {
+            let status = call.response.status;
+            return self.on_rejected(context, which, status);
         }
-        call.out = false;
+        call.in_flight = false;
         let list = match std::mem::take(&mut call.reader).finish() {
             Ok(list) => list,
-            Err(why) => return self.fail(context, which, Failure::Unread, why),
+            Err(error) => return self.on_failed(context, which, CallError::List(error)),
         };
-        let (since, hold, news) = (call.since, call.hold, !list.members.is_empty());
-        if !self.take(context, which, list) {
-            return self.fail(
-                context,
-                which,
-                Failure::Unread,
-                "a revision that runs backwards",
-            );
-        }
-        self.hearing.answered(context.now, since, hold);
+        let (started_at, max_wait) = (call.started_at, call.max_wait);
+        let has_news = !list.members.is_empty();
+        if !self.apply_list(context, which, list) {
+            return self.on_failed(context, which, CallError::BackwardsRevision);
+        }
+        self.staleness
+            .record_latency(context.now, started_at, max_wait);
         if which != WATCH {
-            self.hearing.heard_late(since);
-            self.wait_on(context);
-        } else {
-            if !self.following {
-                info!(context.log, "watch begun"; "at" => %self.address, "revision" => self.revision());
-            }
-            self.following = true;
-            self.calls[SILENT] = Call::default();
-            self.hearing.heard(context.now);
-            context.deaf = self.hearing.deaf();
-            let next = self.hearing.next(context.now, since, hold, news);
-            if next > context.now {
-                self.next = Some(next);
-                return;
-            }
-            self.call(context, WATCH, self.hearing.hold());
+            self.staleness.record_late_answer(started_at);
+            return self.extend_watch_deadline(context);
+        }
+        if !self.watching {
+            info!(context.log, "watch begun"; "at" => %self.address, "revision" => self.revision());
         }
+        self.watching = true;
+        self.calls[SILENT_WATCH] = DiscoveryCall::default();
+        self.staleness.record_answer(context.now);
+        context.deaf = self.staleness.stale_window();
+        let next = self
+            .staleness
+            .next_watch_at(context.now, started_at, max_wait, has_news);
+        if next > context.now {
+            self.next_watch_at = Some(next);
+            return;
+        }
+        self.send_call(context, WATCH, self.staleness.watch_wait());
     }
 
-    /// Goes by what another call's answer has just told of the service: how long the watch is waited for, and until when the
-    /// node may not have heard.
-    fn wait_on(&mut self, context: &mut Context) {
+    /// Goes by what the answer to another call has just shown of the service: how long the watch is waited
+    /// for, and from when on the list may be stale.
+    fn extend_watch_deadline(&mut self, context: &mut Context) {
         let watch = &mut self.calls[WATCH];
-        if watch.out && !watch.came {
-            watch.until = watch
-                .until
-                .max(self.hearing.silent_at(watch.since, watch.hold));
+        if watch.in_flight && !watch.response_begun {
+            let deadline = self
+                .staleness
+                .silence_deadline(watch.started_at, watch.max_wait);
+            watch.deadline = watch.deadline.max(deadline);
         }
-        context.deaf = self.hearing.deaf();
+        context.deaf = self.staleness.stale_window();
     }
 
-    /// What the answer to a call that has just come says of when its news is from.
-    fn learned(&self, which: usize, now: Nanos) -> Learned {
-        let waited = self.calls[which].hold > IN_TIME && now > self.calls[which].since + IN_TIME;
-        match self.heard_at {
-            None => Learned::WithWholeList,
+    /// What the answer to a call that has just come shows of the time its news is from.
+    fn claim_source(&self, which: usize, now: Nanos) -> ClaimSource {
+        let call = &self.calls[which];
+        let waited =
+            call.max_wait > IMMEDIATE_ANSWER_TIME && now > call.started_at + IMMEDIATE_ANSWER_TIME;
+        match self.last_list_at {
+            None => ClaimSource::FullList,
             // News comes at once to a call that waits for it.
-            Some(_) if waited => Learned::AsNews { heard_until: now },
-            Some(heard_until) => Learned::AsNews { heard_until },
+            Some(_) if waited => ClaimSource::Update { known_until: now },
+            Some(known_until) => ClaimSource::Update { known_until },
         }
     }
 
     /// Whether the list counts, if only as no news.
-    fn take(&mut self, context: &mut Context, which: usize, mut list: List) -> bool {
-        match self
+    fn apply_list(&mut self, context: &mut Context, which: usize, mut list: EndpointList) -> bool {
+        let freshness = self
             .versions
-            .told(which == WATCH, list.revision, list.complete)
-        {
-            // Guards: a host that drains and counts as ready again, by changes from before.
-            Worth::Backwards => return false,
-            Worth::Stale => {
+            .assess(which == WATCH, list.revision, list.complete);
+        match freshness {
+            // Without this, a draining host would count as ready again by changes from before.
+            Freshness::Backwards => return false,
+            Freshness::Stale => {
                 context.events.push(Event::EndpointsUpdated {
                     kind: EndpointUpdate::Delta,
                     endpoints: Vec::new(),
                 });
                 return true;
             }
-            // Guards: new work for hosts that drain, by a service that came back with an older list. What it says
-            // of them as a change from there on is news.
-            Worth::Older => {
+            // Without this, hosts that drain would get new work by a service that came back with an older
+            // list. What it says of them as a change from there on is news.
+            Freshness::Older => {
                 let kept = context.hosts.keep_drains(&mut list);
                 let hosts = list.members.len();
                 warn!(context.log, "an older list"; "revision" => list.revision, "hosts" => hosts, "drains kept" => kept);
             }
-            Worth::News => {}
+            Freshness::Current => {}
         }
         let now = context.now;
-        let source = Source::Told {
-            learned: self.learned(which, now),
-            counts_from: self.hearing.counts_from(now),
+        let source = ListSource::Service {
+            claims: self.claim_source(which, now),
+            effective_from: self.staleness.effective_from(now),
         };
-        self.heard_at = Some(now);
-        let event = context.hosts.told(now, list, source, &context.log);
+        self.last_list_at = Some(now);
+        let event = context.hosts.apply_list(now, list, source, &context.log);
         context.events.push(event);
         true
     }
 
-    /// The connection broke. Where it had served before and nothing has come of an answer to a call that has just gone
-    /// out, the other side closed it between two calls: the call goes out once more. One that broke while it waited
-    /// is told, as it may have ended for all nodes.
-    fn broken(&mut self, context: &mut Context, which: usize, why: &str) {
+    /// The connection broke. Where it had served before and nothing has come of a response to a call that has
+    /// just gone out, the other side closed it between two calls: the call goes out once more. One that
+    /// broke while it waited has failed, as it may have ended for all nodes.
+    fn on_connection_lost(&mut self, context: &mut Context, which: usize, error: CallError) {
         let call = &mut self.calls[which];
-        call.line = None;
-        if !call.out {
+        call.connection = None;
+        if !call.in_flight {
             return;
         }
-        if call.used && !call.answer.begun() && context.now < call.since + CLOSED_BETWEEN {
-            // Without a wait: whoever closed it may have started anew, and wait for a version long passed here.
-            return self.call(context, which, MILLI);
+        let just_sent = context.now < call.started_at + IDLE_CLOSE_WINDOW;
+        if call.reused && !call.response.has_begun() && just_sent {
+            // Without a wait: whoever closed it may have restarted, and would wait for a version long passed
+            // here.
+            return self.send_call(context, which, MILLI);
         }
-        self.fail(context, which, Failure::Broken, why);
+        self.on_failed(context, which, error);
     }
 
-    /// The service answered, but not with a list: it is the one that it was where it says that it is busy.
-    fn refused(&mut self, context: &mut Context, which: usize, status: u16) {
+    /// The service answered, but not with a list. It is the same one as before where it says that it is busy.
+    fn on_rejected(&mut self, context: &mut Context, which: usize, status: u16) {
         if !matches!(status, 429 | 503) {
-            self.versions.broke();
-        }
-        self.ended(
-            context,
-            which,
-            Failure::Refused,
-            &format!("status {status}"),
-        );
+            self.versions.record_failure();
+        }
+        let error = CallError::Status(status);
+        self.end_call(context, which, error.failure(), error);
     }
 
-    fn fail(&mut self, context: &mut Context, which: usize, how: Failure, why: &str) {
+    fn on_failed(&mut self, context: &mut Context, which: usize, error: CallError) {
         if which == WATCH {
-            self.versions.broke();
+            self.versions.record_failure();
         }
-        self.ended(context, which, how, why);
+        self.end_call(context, which, error.failure(), error);
     }
 
-    fn ended(&mut self, context: &mut Context, which: usize, how: Failure, why: &str) {
+    fn end_call(
+        &mut self,
+        context: &mut Context,
+        which: usize,
+        failure: CallFailure,
+        error: CallError,
+    ) {
         let call = &mut self.calls[which];
-        (call.line, call.out) = (None, false);
-        warn!(context.log, "discovery call failed"; "watch" => which == WATCH, "why" => why.to_string());
+        call.connection = None;
+        call.in_flight = false;
+        warn!(context.log, "discovery call failed"; "watch" => which == WATCH, "why" => error.to_string());
         if which == WATCH {
-            self.following = false;
-            let next = self.hearing.failed(context.now, how);
-            self.next = Some(next);
-            context.deaf = self.hearing.deaf();
+            self.watching = false;
+            let next = self.staleness.record_failure(context.now, failure);
+            self.next_watch_at = Some(next);
+            context.deaf = self.staleness.stale_window();
             if next <= context.now {
-                self.follow(context);
+                self.watch(context);
             }
         }
-        // Nobody else says when the watch is taken up again.
-        if which == ASK {
+        // Nothing else tells the decision module when to poll again.
+        if which == POLL {
             context.events.push(Event::EndpointsUpdated {
                 kind: EndpointUpdate::Failed,
                 endpoints: Vec::new(),
@@ -456,48 +405,49 @@
         }
     }
 
-    /// The watch has said nothing beyond its wait: it is kept until the call in its place is answered.
-    fn fell_silent(&mut self, context: &mut Context) {
-        let mut silent = std::mem::take(&mut self.calls[WATCH]);
-        if let Some((socket, stamp)) = &mut silent.line {
-            let mark = PollToken {
+    /// The watch has been silent beyond its wait: it is kept until the call in its place is answered.
+    fn on_watch_silent(&mut self, context: &mut Context) {
+        let mut watch = std::mem::take(&mut self.calls[WATCH]);
+        if let Some(connection) = &mut watch.connection {
+            let token = PollToken {
                 component: DISCOVERY,
-                slot: SILENT as u32,
+                slot: SILENT_WATCH as u32,
                 generation: context.stamp(),
             };
-            if context.poller.update_registration(socket, mark).is_ok() {
-                *stamp = mark.generation;
-                silent.until = Nanos::MAX;
-                self.calls[SILENT] = silent;
+            let socket = &connection.socket;
+            if context.poller.update_registration(socket, token).is_ok() {
+                connection.generation = token.generation;
+                watch.deadline = Nanos::MAX;
+                self.calls[SILENT_WATCH] = watch;
             }
         }
-        self.fail(context, WATCH, Failure::Silent, "no answer in time");
+        self.on_failed(context, WATCH, CallError::Timeout);
     }
 
-    /// Ends calls that nothing answers, and takes the watch up again where that is due.
+    /// Ends calls that nothing answers, and sends the watch where that is due.
     pub fn sweep(&mut self, context: &mut Context) {
         for which in ALL {
-            // What came, or was to go, while this machine was short of a buffer or of memory.
-            if self.calls[which].line.is_some() {
-                self.write(context, which);
-            }
-            if self.calls[which].line.is_some() {
-                self.read(context, which);
-            }
+            // What arrived, or was to go, while this machine was short of a buffer or of memory.
+            self.write(context, which);
+            self.read(context, which);
             let call = &self.calls[which];
-            match call.out && context.now >= call.until {
-                true if which == WATCH && !call.came => self.fell_silent(context),
-                true => self.fail(context, which, Failure::Silent, "no answer in time"),
-                false => {}
+            if !call.in_flight || context.now < call.deadline {
+                continue;
+            }
+            if which == WATCH && !call.response_begun {
+                self.on_watch_silent(context);
+            } else {
+                self.on_failed(context, which, CallError::Timeout);
             }
         }
-        self.hearing.runs(context.now);
-        if !self.calls[WATCH].out && self.next.is_some_and(|at| context.now >= at) {
-            self.follow(context);
+        self.staleness.record_awake(context.now);
+        let watch_due = self.next_watch_at.is_some_and(|at| context.now >= at);
+        if watch_due && !self.calls[WATCH].in_flight {
+            self.watch(context);
         }
-        let shut = context.deaf.contains(&context.now);
-        if shut != std::mem::replace(&mut self.shut, shut) {
-            warn!(context.log, "list not heard in time"; "nothing new to hosts" => shut);
+        let stale = context.deaf.contains(&context.now);
+        if stale != std::mem::replace(&mut self.reported_stale, stale) {
+            warn!(context.log, "list not heard in time"; "nothing new to hosts" => stale);
         }
     }
 }
--- a/node/src/discovery/hosts_tests.rs
+++ b/node/src/discovery/hosts_tests.rs
@@ -1,27 +1,29 @@
 //! Tests of the hosts as the node reaches them.
 
 use super::*;
+use crate::discovery::start_times::ClaimSource;
+use reedferry::{MILLI, SECOND};
 
 const T: Nanos = 1_000 * SECOND;
 
 fn one() -> Hosts {
     let mut hosts = Hosts::new(Vec::new(), 48 * MILLI);
     let text = br#"{"revision":1,"complete":true,"members":[{"id":"a","phase":"active"}]}"#;
-    let mut reader = crate::discovery::list::Reader::default();
+    let mut reader = crate::discovery::list::ListReader::default();
     reader.feed(text).unwrap();
-    hosts.told(
+    hosts.apply_list(
         T,
         reader.finish().unwrap(),
-        Source::Kept,
+        ListSource::Cached,
         &Logger::root(slog::Discard, slog::o!()),
     );
-    hosts.answered(0, T + 100 * MILLI, T + 102 * MILLI);
+    hosts.record_answer(0, T + 100 * MILLI, T + 102 * MILLI);
     hosts
 }
 
 fn look(hosts: &mut Hosts, now: Nanos) -> Option<Nanos> {
     let mut events = Vec::new();
-    hosts.look(now, &mut events);
+    hosts.report_latencies(now, &mut events);
     events.first().map(|e| match e {
         Event::MessageLatency { latency: time, .. } => *time / MILLI,
         other => panic!("{other:?}"),
@@ -32,24 +34,24 @@
 fn a_jam_is_told_at_once_and_at_its_size_to_be() {
     let mut hosts = one();
     // Sent 200 ms after the last good one and 200 ms late: one sent now is to take twice that.
-    hosts.answered(0, T + 300 * MILLI, T + 500 * MILLI);
+    hosts.record_answer(0, T + 300 * MILLI, T + 500 * MILLI);
     assert!((395..=400).contains(&look(&mut hosts, T + 500 * MILLI).unwrap()));
-    hosts.unanswered(0, T + 300 * MILLI, T + 10_000 * MILLI);
+    hosts.record_unanswered(0, T + 300 * MILLI, T + 10_000 * MILLI);
     assert_eq!(
         look(&mut hosts, T + 600 * MILLI),
         None,
         "told again within the second"
     );
-    hosts.unanswered(0, T + 300 * MILLI, T + 10_000 * MILLI);
-    hosts.unanswered(0, T + 320 * MILLI, T + 10_000 * MILLI);
+    hosts.record_unanswered(0, T + 300 * MILLI, T + 10_000 * MILLI);
+    hosts.record_unanswered(0, T + 320 * MILLI, T + 10_000 * MILLI);
     assert_eq!(look(&mut hosts, T + 1600 * MILLI), Some(1298));
-    hosts.answered(0, T + 1700 * MILLI, T + 1705 * MILLI);
+    hosts.record_answer(0, T + 1700 * MILLI, T + 1705 * MILLI);
     assert_eq!(
         look(&mut hosts, T + 2600 * MILLI),
         Some(3),
         "and once more when it is over"
     );
-    hosts.answered(0, T + 2700 * MILLI, T + 2705 * MILLI);
+    hosts.record_answer(0, T + 2700 * MILLI, T + 2705 * MILLI);
     assert_eq!(look(&mut hosts, T + 3600 * MILLI), None);
 }
 
@@ -62,21 +64,21 @@
         (760, None),
         (1660, Some(1998)),
     ] {
-        hosts.unanswered(0, T + 250 * MILLI, T + 10_000 * MILLI);
-        hosts.unanswered(0, T + 300 * MILLI, T + 10_000 * MILLI);
+        hosts.record_unanswered(0, T + 250 * MILLI, T + 10_000 * MILLI);
+        hosts.record_unanswered(0, T + 300 * MILLI, T + 10_000 * MILLI);
         assert_eq!(look(&mut hosts, T + now * MILLI), wanted, "at {now}");
     }
     // One line alone may be lost, and one older than what is answered is.
     let mut hosts = one();
-    hosts.unanswered(0, T + 250 * MILLI, T + 10_000 * MILLI);
+    hosts.record_unanswered(0, T + 250 * MILLI, T + 10_000 * MILLI);
     assert_eq!(look(&mut hosts, T + 660 * MILLI), None);
-    hosts.unanswered(0, T + 250 * MILLI, T + 10_000 * MILLI);
+    hosts.record_unanswered(0, T + 250 * MILLI, T + 10_000 * MILLI);
     assert!(look(&mut hosts, T + 2800 * MILLI).unwrap() > 2500);
     let mut hosts = one();
     for now in [700, 1700, 2700, 3700] {
-        hosts.answered(0, T + (now - 100) * MILLI, T + (now - 98) * MILLI);
-        hosts.unanswered(0, T + 250 * MILLI, T + 10_000 * MILLI);
-        hosts.unanswered(0, T + 300 * MILLI, T + 10_000 * MILLI);
+        hosts.record_answer(0, T + (now - 100) * MILLI, T + (now - 98) * MILLI);
+        hosts.record_unanswered(0, T + 250 * MILLI, T + 10_000 * MILLI);
+        hosts.record_unanswered(0, T + 300 * MILLI, T + 10_000 * MILLI);
         assert_eq!(look(&mut hosts, T + now * MILLI), None, "at {now}");
     }
 }
@@ -84,30 +86,30 @@
 #[test]
 fn a_pause_is_not_told_and_steady_lateness_is_once_a_second() {
     let mut hosts = one();
-    hosts.unanswered(0, T + 300 * MILLI, T + 10_000 * MILLI);
+    hosts.record_unanswered(0, T + 300 * MILLI, T + 10_000 * MILLI);
     assert_eq!(look(&mut hosts, T + 390 * MILLI), None);
     for n in 0..5 {
-        hosts.answered(0, T + 400 * MILLI, T + (440 + n) * MILLI);
+        hosts.record_answer(0, T + 400 * MILLI, T + (440 + n) * MILLI);
     }
     assert_eq!(look(&mut hosts, T + 900 * MILLI), None);
     assert_eq!(look(&mut hosts, T + 1000 * MILLI), Some(40));
     // An old slow answer among quick ones says nothing of now.
     for n in 0..5 {
-        hosts.answered(0, T + 1400 * MILLI, T + (1402 + n) * MILLI);
+        hosts.record_answer(0, T + 1400 * MILLI, T + (1402 + n) * MILLI);
     }
     assert_eq!(look(&mut hosts, T + 2000 * MILLI), Some(2));
 }
 
 /// What a list in these words says, taken in.
 fn told(hosts: &mut Hosts, text: &str) -> Vec<Endpoint> {
-    let mut reader = crate::discovery::list::Reader::default();
+    let mut reader = crate::discovery::list::ListReader::default();
     reader.feed(text.as_bytes()).unwrap();
-    match hosts.told(
+    match hosts.apply_list(
         T,
         reader.finish().unwrap(),
-        Source::Told {
-            learned: Learned::WithWholeList,
-            counts_from: T,
+        ListSource::Service {
+            claims: ClaimSource::FullList,
+            effective_from: T,
         },
         &Logger::root(slog::Discard, slog::o!()),
     ) {
@@ -150,7 +152,9 @@
     );
     // Thousands of names have places, and none of the settings' own.
     let mut hosts = Hosts::new(vec!["a".to_string()], 48 * MILLI);
-    let places: HashSet<u16> = (0..3000).map(|n| hosts.zone(&format!("z{n}"))).collect();
+    let places: HashSet<u16> = (0..3000)
+        .map(|n| hosts.zones.index(&format!("z{n}")))
+        .collect();
     assert!(places.len() == 3000 && !places.contains(&0));
 }
 
@@ -172,16 +176,16 @@
     // Another is missing from a whole list.
     told(&mut hosts, r#"{"revision":3,"complete":true,"members":[]}"#);
     assert!(hosts.members().is_empty() && hosts.ids().next().is_none());
-    hosts.renew(vec!["b".to_string()], 48 * MILLI);
-    let former = List {
+    hosts.update_settings(vec!["b".to_string()], 48 * MILLI);
+    let former = EndpointList {
         revision: 3,
         complete: true,
-        members: hosts.former(),
+        members: hosts.former_members(),
     };
-    let event = hosts.told(
+    let event = hosts.apply_list(
         T,
         former,
-        Source::Kept,
+        ListSource::Cached,
         &Logger::root(slog::Discard, slog::o!()),
     );
     let Event::EndpointsUpdated {
--- a/node/src/discovery/http.rs
+++ b/node/src/discovery/http.rs
@@ -1,237 +1,269 @@
-//! Answers of HTTP/1.1, read as they arrive. It owns how far an answer has been read. It must never keep
-//! more than one line of the head, nor any of the body: that goes on to the caller piece by piece.
+//! Responses of HTTP/1.1, read as they arrive. Owns how far a response has been read. Must never keep more
+//! than one line of the head, nor any of the body: that goes on to the caller piece by piece.
 
-/// The longest line of a head, and all lines together.
-const LONGEST_LINE: usize = 4096;
-const MOST_LINES: usize = 128;
+use std::fmt;
 
+/// The longest line of a head.
+const MAX_LINE_BYTES: usize = 4096;
+/// The most lines of a head.
+const MAX_HEAD_LINES: usize = 128;
+
+/// Why a response can't be read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HttpError {
+    /// A line of the head is longer than the bound.
+    LineTooLong,
+    /// The head has more lines than the bound.
+    TooManyLines,
+    /// A line of the head is not UTF-8.
+    LineNotText,
+    /// The first line is no status line.
+    NoStatusLine,
+    /// The status line has no status of three digits.
+    NoStatus,
+    /// A header has no colon.
+    HeaderWithoutColon,
+    /// The content length is no number.
+    InvalidLength,
+    /// Two content lengths differ.
+    ConflictingLengths,
+    /// The transfer encoding is not `chunked`.
+    UnknownTransferEncoding,
+    /// The size of a chunk is no hexadecimal number.
+    InvalidChunkSize,
+    /// A chunk does not end where its size says.
+    ChunkTooLong,
+}
+
+impl fmt::Display for HttpError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            HttpError::LineTooLong => "a head line that is too long",
+            HttpError::TooManyLines => "too many head lines",
+            HttpError::LineNotText => "a head line that is no text",
+            HttpError::NoStatusLine => "no status line",
+            HttpError::NoStatus => "no status",
+            HttpError::HeaderWithoutColon => "a header without a colon",
+            HttpError::InvalidLength => "a wild length",
+            HttpError::ConflictingLengths => "two lengths",
+            HttpError::UnknownTransferEncoding => "an unknown transfer encoding",
+            HttpError::InvalidChunkSize => "a wild piece size",
+            HttpError::ChunkTooLong => "a piece longer than it said",
+        })
+    }
+}
+
+impl std::error::Error for HttpError {}
+
+/// What comes next.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum At {
+enum ParseState {
     Status,
     Header,
-    /// So many bytes of the body, or of a piece of it, are left.
+    /// So many bytes of the body are left.
     Body(u64),
-    UntilEnd,
-    PieceSize,
-    Piece(u64),
-    PieceEnd,
+    /// The body lasts until the connection ends.
+    UntilClose,
+    ChunkSize,
+    /// So many bytes of the chunk are left.
+    Chunk(u64),
+    ChunkEnd,
     Trailer,
     Done,
 }
 
-pub struct Answer {
-    at: At,
+/// A response, as far as it has been read.
+pub struct HttpResponse {
+    state: ParseState,
+    /// The line of the head being read.
     line: Vec<u8>,
-    lines: usize,
+    head_lines: usize,
+    /// The status, once the first line is read.
     pub status: u16,
-    length: Option<u64>,
-    pieces: bool,
-    /// Whether the connection ends with this answer.
-    pub last: bool,
+    content_length: Option<u64>,
+    chunked: bool,
+    /// Whether the connection ends with this response.
+    pub closes_connection: bool,
 }
 
-impl Default for Answer {
+impl Default for HttpResponse {
     fn default() -> Self {
-        Answer {
-            at: At::Status,
+        HttpResponse {
+            state: ParseState::Status,
             line: Vec::new(),
-            lines: 0,
+            head_lines: 0,
             status: 0,
-            length: None,
-            pieces: false,
-            last: false,
+            content_length: None,
+            chunked: false,
+            closes_connection: false,
         }
     }
 }
 
-impl Answer {
-    pub fn done(&self) -> bool {
-        self.at == At::Done
+impl HttpResponse {
+    /// Whether all of it is read.
+    pub fn is_complete(&self) -> bool {
+        self.state == ParseState::Done
     }
 
-    /// Whether anything of it has come.
-    pub fn begun(&self) -> bool {
-        self.at != At::Status || !self.line.is_empty()
+    /// Whether any of it is read.
+    pub fn has_begun(&self) -> bool {
+        self.state != ParseState::Status || !self.line.is_empty()
     }
 
-    /// The other side has ended its sending: whether the answer is whole by that.
-    pub fn ended(&mut self) -> bool {
-        if self.at == At::UntilEnd {
-            (self.at, self.last) = (At::Done, true);
+    /// The other side has ended its sending: whether the response is complete by that.
+    pub fn on_close(&mut self) -> bool {
+        if self.state == ParseState::UntilClose {
+            self.state = ParseState::Done;
+            self.closes_connection = true;
         }
-        self.done()
+        self.is_complete()
     }
 
-    /// Reads on, gives pieces of the body to `body`, and says how many bytes were the answer's.
-    pub fn feed(
+    /// Reads on, gives pieces of the body to `on_body`, and tells how many bytes were the response's.
+    ///
+    /// # Errors
+    /// Why the response can't be read, or what `on_body` has to say of the body.
+    pub fn feed<E: From<HttpError>>(
         &mut self,
         bytes: &[u8],
-        mut body: impl FnMut(&[u8]) -> Result<(), &'static str>,
-    ) -> Result<usize, &'static str> {
+        mut on_body: impl FnMut(&[u8]) -> Result<(), E>,
+    ) -> Result<usize, E> {
         let mut at = 0;
-        while at < bytes.len() && self.at != At::Done {
-            match self.at {
-                At::Body(left) | At::Piece(left) => {
+        while at < bytes.len() && self.state != ParseState::Done {
+            match self.state {
+                ParseState::Body(left) | ParseState::Chunk(left) => {
                     let size = (bytes.len() - at).min(usize::try_from(left).unwrap_or(usize::MAX));
-                    body(&bytes[at..at + size])?;
+                    on_body(&bytes[at..at + size])?;
                     at += size;
                     let left = left - size as u64;
-                    self.at = match (self.at, left) {
-                        (At::Body(_), 0) => At::Done,
-                        (At::Body(_), _) => At::Body(left),
-                        (_, 0) => At::PieceEnd,
-                        _ => At::Piece(left),
+                    self.state = match (self.state, left) {
+                        (ParseState::Body(_), 0) => ParseState::Done,
+                        (ParseState::Body(_), _) => ParseState::Body(left),
+                        (_, 0) => ParseState::ChunkEnd,
+                        _ => ParseState::Chunk(left),
                     };
                 }
-                At::UntilEnd => {
-                    body(&bytes[at..])?;
+                ParseState::UntilClose => {
+                    on_body(&bytes[at..])?;
                     at = bytes.len();
                 }
                 _ => {
-                    let byte = bytes[at];
+                    self.read_head_byte(bytes[at])?;
                     at += 1;
-                    if byte != b'\n' {
-                        if self.line.len() >= LONGEST_LINE {
-                            return Err("a head line that is too long");
-                        }
-                        self.line.push(byte);
-                        continue;
-                    }
-                    let mut line = std::mem::take(&mut self.line);
-                    if line.last() == Some(&b'\r') {
-                        line.pop();
-                    }
-                    self.lines += usize::from(!matches!(self.at, At::PieceSize | At::PieceEnd));
-                    if self.lines > MOST_LINES {
-                        return Err("too many head lines");
-                    }
-                    self.line_read(&line)?;
                 }
             }
         }
         Ok(at)
     }
 
-    fn line_read(&mut self, line: &[u8]) -> Result<(), &'static str> {
-        let text = std::str::from_utf8(line).map_err(|_| "a head line that is no text")?;
-        self.at = match self.at {
-            At::Status => {
-                let mut words = text.split(' ');
-                let version = words
-                    .next()
-                    .filter(|v| v.starts_with("HTTP/1."))
-                    .ok_or("no status line")?;
-                self.last = version == "HTTP/1.0";
-                let status = words
-                    .next()
-                    .filter(|w| w.len() == 3)
-                    .and_then(|w| w.parse().ok());
-                self.status = status.ok_or("no status")?;
-                At::Header
+    fn read_head_byte(&mut self, byte: u8) -> Result<(), HttpError> {
+        if byte != b'\n' {
+            if self.line.len() >= MAX_LINE_BYTES {
+                return Err(HttpError::LineTooLong);
             }
-            At::Header if !text.is_empty() => {
-                let (name, value) = text.split_once(':').ok_or("a header without a colon")?;
-                let value = value.trim();
-                if name.eq_ignore_ascii_case("content-length") {
-                    let length = value.parse().map_err(|_| "a wild length")?;
-                    if self.length.replace(length).is_some_and(|old| old != length) {
-                        return Err("two lengths");
-                    }
-                } else if name.eq_ignore_ascii_case("transfer-encoding") {
-                    self.pieces = value.eq_ignore_ascii_case("chunked");
-                    if !self.pieces {
-                        return Err("an unknown transfer encoding");
-                    }
-                } else if name.eq_ignore_ascii_case("connection") {
-                    self.last = value.eq_ignore_ascii_case("close");
-                }
-                At::Header
+            self.line.push(byte);
+            return Ok(());
+        }
+        let mut line = std::mem::take(&mut self.line);
+        if line.last() == Some(&b'\r') {
+            line.pop();
+        }
+        let of_chunk = matches!(self.state, ParseState::ChunkSize | ParseState::ChunkEnd);
+        self.head_lines += usize::from(!of_chunk);
+        if self.head_lines > MAX_HEAD_LINES {
+            return Err(HttpError::TooManyLines);
+        }
+        let text = std::str::from_utf8(&line).map_err(|_| HttpError::LineNotText)?;
+        self.state = self.read_line(text)?;
+        Ok(())
+    }
+
+    /// Reads a line of the head or around a chunk, and tells what comes next.
+    fn read_line(&mut self, text: &str) -> Result<ParseState, HttpError> {
+        Ok(match self.state {
+            ParseState::Status => {
+                self.read_status(text)?;
+                ParseState::Header
             }
-            At::Header if self.status < 200 => {
-                // An interim answer; the final one follows.
-                self.length = None;
-                At::Status
+            ParseState::Header if !text.is_empty() => {
+                self.read_header(text)?;
+                ParseState::Header
             }
-            At::Header if matches!(self.status, 204 | 304) => At::Done,
-            At::Header if self.pieces => At::PieceSize,
-            At::Header => match self.length {
-                Some(0) => At::Done,
-                Some(length) => At::Body(length),
-                None => At::UntilEnd,
-            },
-            At::PieceSize => {
+            ParseState::Header => self.end_head(),
+            ParseState::ChunkSize => {
                 let size = text.split(';').next().unwrap_or("").trim();
                 if size.is_empty() || size.starts_with('+') {
-                    return Err("a wild piece size");
+                    return Err(HttpError::InvalidChunkSize);
                 }
-                match u64::from_str_radix(size, 16).map_err(|_| "a wild piece size")? {
-                    0 => At::Trailer,
-                    size => At::Piece(size),
+                match u64::from_str_radix(size, 16).map_err(|_| HttpError::InvalidChunkSize)? {
+                    0 => ParseState::Trailer,
+                    size => ParseState::Chunk(size),
                 }
             }
-            At::PieceEnd if text.is_empty() => At::PieceSize,
-            At::PieceEnd => return Err("a piece longer than it said"),
-            At::Trailer if text.is_empty() => At::Done,
+            ParseState::ChunkEnd if text.is_empty() => ParseState::ChunkSize,
+            ParseState::ChunkEnd => return Err(HttpError::ChunkTooLong),
+            ParseState::Trailer if text.is_empty() => ParseState::Done,
             other => other,
-        };
-        Ok(())
+        })
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn read(text: &[u8], size: usize) -> Result<(u16, Vec<u8>, bool, bool), &'static str> {
-        let (mut answer, mut body) = (Answer::default(), Vec::new());
-        for piece in text.chunks(size) {
-            answer.feed(piece, |bytes| {
-                body.extend(bytes);
-                Ok(())
-            })?;
-        }
-        Ok((answer.status, body, answer.done(), answer.last))
+    fn read_status(&mut self, text: &str) -> Result<(), HttpError> {
+        let mut words = text.split(' ');
+        let version = words
+            .next()
+            .filter(|version| version.starts_with("HTTP/1."))
+            .ok_or(HttpError::NoStatusLine)?;
+        self.closes_connection = version == "HTTP/1.0";
+        let status = words
+            .next()
+            .filter(|word| word.len() == 3)
+            .and_then(|word| word.parse().ok());
+        self.status = status.ok_or(HttpError::NoStatus)?;
+        Ok(())
     }
 
-    #[test]
-    fn reads_answers_however_they_are_split() {
-        for (text, wanted) in [
-            ("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", (200, "hello", true, false)),
-            (
-                "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nhel\r\n2;x=y\r\nlo\r\n0\r\nA: b\r\n\r\n",
-                (200, "hello", true, false),
-            ),
-            ("HTTP/1.1 503 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", (503, "", true, true)),
-            ("HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 204 None\r\n\r\n", (204, "", true, false)),
-            ("HTTP/1.0 200 OK\r\n\r\nhello", (200, "hello", false, true)),
-            ("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", (200, "hello", false, false)),
-        ] {
-            for size in 1..=text.len() {
-                let (status, body, done, last) = read(text.as_bytes(), size).unwrap();
-                assert_eq!((status, &*body, done, last), (wanted.0, wanted.1.as_bytes(), wanted.2, wanted.3));
+    fn read_header(&mut self, text: &str) -> Result<(), HttpError> {
+        let (name, value) = text.split_once(':').ok_or(HttpError::HeaderWithoutColon)?;
+        let value = value.trim();
+        if name.eq_ignore_ascii_case("content-length") {
+            let length = value.parse().map_err(|_| HttpError::InvalidLength)?;
+            let earlier = self.content_length.replace(length);
+            if earlier.is_some_and(|earlier| earlier != length) {
+                return Err(HttpError::ConflictingLengths);
+            }
+        } else if name.eq_ignore_ascii_case("transfer-encoding") {
+            self.chunked = value.eq_ignore_ascii_case("chunked");
+            if !self.chunked {
+                return Err(HttpError::UnknownTransferEncoding);
             }
+        } else if name.eq_ignore_ascii_case("connection") {
+            self.closes_connection = value.eq_ignore_ascii_case("close");
         }
-        let mut answer = Answer::default();
-        answer
-            .feed(b"HTTP/1.1 200 OK\r\n\r\nx", |_| Ok(()))
-            .unwrap();
-        assert!(!answer.done() && answer.ended());
+        Ok(())
     }
 
-    #[test]
-    fn says_what_is_malformed() {
-        for text in [
-            "SSH-2.0\r\n",
-            "HTTP/1.1 2x0 OK\r\n",
-            "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
-            "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
-            "HTTP/1.1 200 OK\r\nno colon\r\n",
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n",
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n",
-        ] {
-            assert!(read(text.as_bytes(), 3).is_err(), "{text}");
+    /// What follows the empty line behind the headers.
+    fn end_head(&mut self) -> ParseState {
+        if self.status < 200 {
+            // An interim response; the final one follows.
+            self.content_length = None;
+            return ParseState::Status;
+        }
+        if matches!(self.status, 204 | 304) {
+            return ParseState::Done;
+        }
+        if self.chunked {
+            return ParseState::ChunkSize;
+        }
+        match self.content_length {
+            Some(0) => ParseState::Done,
+            Some(length) => ParseState::Body(length),
+            None => ParseState::UntilClose,
         }
-        assert!(read(&[b'x'; 2 * LONGEST_LINE], 100).is_err());
     }
 }
+
+#[cfg(test)]
+#[path = "http_tests.rs"]
+mod tests;
--- /dev/null
+++ b/node/src/discovery/http_tests.rs
@@ -0,0 +1,61 @@
+//! Tests of the reading of HTTP responses.
+
+use super::*;
+
+fn read(text: &[u8], size: usize) -> Result<(u16, Vec<u8>, bool, bool), HttpError> {
+    let (mut answer, mut body) = (HttpResponse::default(), Vec::new());
+    for piece in text.chunks(size) {
+        answer.feed(piece, |bytes| {
+            body.extend(bytes);
+            Ok::<(), HttpError>(())
+        })?;
+    }
+    Ok((
+        answer.status,
+        body,
+        answer.is_complete(),
+        answer.closes_connection,
+    ))
+}
+
+#[test]
+fn reads_answers_however_they_are_split() {
+    for (text, wanted) in [
+        ("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", (200, "hello", true, false)),
+        (
+            "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nhel\r\n2;x=y\r\nlo\r\n0\r\nA: b\r\n\r\n",
+            (200, "hello", true, false),
+        ),
+        ("HTTP/1.1 503 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", (503, "", true, true)),
+        ("HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 204 None\r\n\r\n", (204, "", true, false)),
+        ("HTTP/1.0 200 OK\r\n\r\nhello", (200, "hello", false, true)),
+        ("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", (200, "hello", false, false)),
+    ] {
+        for size in 1..=text.len() {
+            let (status, body, done, last) = read(text.as_bytes(), size).unwrap();
+            assert_eq!((status, &*body, done, last), (wanted.0, wanted.1.as_bytes(), wanted.2, wanted.3));
+        }
+    }
+    let mut answer = HttpResponse::default();
+    answer
+        .feed(b"HTTP/1.1 200 OK\r\n\r\nx", |_| Ok::<(), HttpError>(()))
+        .unwrap();
+    assert!(!answer.is_complete() && answer.on_close());
+}
+
+#[test]
+fn says_what_is_malformed() {
+    for text in [
+        "SSH-2.0\r\n",
+        "HTTP/1.1 2x0 OK\r\n",
+        "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nno colon\r\n",
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n",
+    ] {
+        assert!(read(text.as_bytes(), 3).is_err(), "{text}");
+    }
+    assert!(read(&[b'x'; 2 * MAX_LINE_BYTES], 100).is_err());
+}
--- a/node/src/discovery/list.rs
+++ b/node/src/discovery/list.rs
@@ -1,358 +1,228 @@
-//! The roll of hosts as discovery writes it, in JSON, read as it arrives. It owns what has been read of
-//! one list. It must never take more than it has bounds for, nor believe a list before its last byte.
+//! The endpoint list as the list service writes it, in JSON, read as it arrives. Owns what has been read of
+//! one list, and the mapping of the service's keys. Must never take more members than its bound, nor believe
+//! a list before its last byte.
 
+use super::json::{Container, JsonError, JsonEvent, JsonLexer};
 use crate::connections::protocol::keys::fnv1a;
 use reedferry::{HostState, Nanos, MILLI};
 use serde::{Deserialize, Serialize};
+use std::fmt;
 use std::net::SocketAddr;
 
-const LONGEST_TOKEN: usize = 256;
-const DEEPEST: usize = 16;
-const MOST_MEMBERS: usize = 65_536;
+const MAX_MEMBERS: usize = 65_536;
 
-/// One line of the roll, by the names on the wire.
+/// One member of the list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Member {
+    /// The host's name (`id`).
     pub name: String,
+    /// Where it is reached (`host_port`).
     pub address: Option<SocketAddr>,
+    /// Its zone (`locality`).
     pub zone: String,
-    /// By its number, or by a hash of what it is called; a host of which none is told is in one of its own.
+    /// Its cell by number, or by a hash of what it is called; a host without one is in a cell of its own.
     pub cell: u64,
-    pub standing: HostState,
+    /// Whether it takes new connections (`phase`).
+    pub state: HostState,
+    /// Its capacity relative to others.
     pub size: f64,
-    /// Unix time, as the host's machine has it.
+    /// When it started, in Unix time by the host's machine (`up_since_ms`).
     pub started: Option<Nanos>,
-    /// What was made of that by the node, once it was judged.
-    pub believed: Option<Option<Nanos>>,
+    /// The start time that the node goes by, once it has judged that one.
+    pub accepted_start: Option<Option<Nanos>>,
 }
 
+impl Default for Member {
+    fn default() -> Self {
+        Member {
+            name: String::new(),
+            address: None,
+            zone: String::new(),
+            cell: 0,
+            state: HostState::Gone,
+            size: 1.0,
+            started: None,
+            accepted_start: None,
+        }
+    }
+}
+
+/// A list, or the changes to one.
 #[derive(Clone, Debug, Default)]
-pub struct List {
+pub struct EndpointList {
+    /// The version that it brings the reader to.
     pub revision: u64,
+    /// Whether it names all hosts, not only those that changed.
     pub complete: bool,
+    /// The members that it names.
     pub members: Vec<Member>,
 }
 
-#[derive(Clone, Copy, PartialEq)]
-enum Expect {
-    Value,
-    ValueOrEnd,
-    Key,
-    KeyOrEnd,
-    Colon,
-    CommaOrEnd,
-    Nothing,
+/// Why a list can't be read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListError {
+    /// It is no JSON.
+    Json(JsonError),
+    /// It ends before it is complete, or has no revision.
+    Incomplete,
+    /// A member has no name.
+    MissingId,
+    /// It has more members than the bound.
+    TooManyMembers,
+    /// The revision is no number that fits.
+    InvalidRevision,
+    /// A member's address can't be parsed.
+    InvalidAddress,
+    /// A member's phase is none of the known ones.
+    UnknownPhase,
 }
 
-#[derive(Clone, Copy, PartialEq)]
-enum Lexing {
-    Between,
-    Text,
-    Escape,
-    /// Hexadecimal digits still to come.
-    Code(u8),
-    Bare,
+impl fmt::Display for ListError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            ListError::Json(error) => return error.fmt(formatter),
+            ListError::Incomplete => "a list cut short",
+            ListError::MissingId => "a member without an id",
+            ListError::TooManyMembers => "too many members",
+            ListError::InvalidRevision => "a wild revision",
+            ListError::InvalidAddress => "a wild address",
+            ListError::UnknownPhase => "an unknown phase",
+        })
+    }
 }
 
-enum Value<'a> {
-    Text(&'a str),
-    Bare(&'a str),
-}
+impl std::error::Error for ListError {}
 
-pub struct Reader {
-    expect: Expect,
-    lexing: Lexing,
-    /// The token being read, and a half of a pair of codes.
-    token: Vec<u8>,
-    code: u32,
-    high: Option<u32>,
-    /// What encloses the place reached: true for an object.
-    within: Vec<bool>,
-    /// The last key of the outermost object, and of a member.
-    outer: String,
-    field: String,
-    member: Option<Member>,
-    /// The cell of that member, once it is told.
-    cell: Option<u64>,
-    revised: bool,
-    list: List,
-}
-
-fn blank() -> Member {
-    Member {
-        name: String::new(),
-        address: None,
-        zone: String::new(),
-        cell: 0,
-        standing: HostState::Gone,
-        size: 1.0,
-        started: None,
-        believed: None,
+impl From<JsonError> for ListError {
+    fn from(error: JsonError) -> Self {
+        ListError::Json(error)
     }
 }
 
-impl Default for Reader {
-    fn default() -> Self {
-        Reader {
-            expect: Expect::Value,
-            lexing: Lexing::Between,
-            token: Vec::new(),
-            code: 0,
-            high: None,
-            within: Vec::new(),
-            outer: String::new(),
-            field: String::new(),
-            member: None,
-            cell: None,
-            revised: false,
-            list: List::default(),
-        }
-    }
+/// Reads a list as it arrives.
+#[derive(Default)]
+pub struct ListReader {
+    lexer: JsonLexer,
+    builder: ListBuilder,
 }
 
-type Told = Result<(), &'static str>;
-
-impl Reader {
-    pub fn feed(&mut self, bytes: &[u8]) -> Told {
-        bytes.iter().try_for_each(|&byte| self.byte(byte))
+impl ListReader {
+    /// Reads on.
+    ///
+    /// # Errors
+    /// Why this is no list.
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<(), ListError> {
+        let builder = &mut self.builder;
+        bytes.iter().try_for_each(|&byte| {
+            self.lexer
+                .feed(byte, &mut |nesting, event| builder.on_event(nesting, event))
+        })
     }
 
-    /// The list, once it is whole.
-    pub fn finish(self) -> Result<List, &'static str> {
-        if self.expect != Expect::Nothing || self.lexing != Lexing::Between || !self.revised {
-            return Err("a list cut short");
-        }
-        Ok(self.list)
-    }
-
-    fn byte(&mut self, byte: u8) -> Told {
-        match self.lexing {
-            Lexing::Between => self.between(byte),
-            Lexing::Bare if matches!(byte, b',' | b']' | b'}' | b' ' | b'\t' | b'\r' | b'\n') => {
-                self.lexing = Lexing::Between;
-                let token = std::mem::take(&mut self.token);
-                let text = std::str::from_utf8(&token).map_err(|_| "a token that is no text")?;
-                if !matches!(text, "true" | "false" | "null")
-                    && !text.parse().is_ok_and(f64::is_finite)
-                {
-                    return Err("an unknown token");
-                }
-                self.value(Value::Bare(text))?;
-                self.between(byte)
-            }
-            Lexing::Bare => self.keep(&[byte]),
-            Lexing::Text => match byte {
-                b'"' => {
-                    self.lexing = Lexing::Between;
-                    let token = std::mem::take(&mut self.token);
-                    let text =
-                        std::str::from_utf8(&token).map_err(|_| "a string that is no text")?;
-                    if matches!(self.expect, Expect::Key | Expect::KeyOrEnd) {
-                        self.key(text);
-                        Ok(())
-                    } else {
-                        self.value(Value::Text(text))
-                    }
-                }
-                b'\\' => {
-                    self.lexing = Lexing::Escape;
-                    Ok(())
-                }
-                0..=0x1f => Err("a control character in a string"),
-                _ => self.keep(&[byte]),
-            },
-            Lexing::Escape => {
-                self.lexing = Lexing::Text;
-                let plain = match byte {
-                    b'"' | b'\\' | b'/' => byte,
-                    b'b' => 8,
-                    b'f' => 12,
-                    b'n' => b'\n',
-                    b'r' => b'\r',
-                    b't' => b'\t',
-                    b'u' => {
-                        (self.lexing, self.code) = (Lexing::Code(4), 0);
-                        return Ok(());
-                    }
-                    _ => return Err("an unknown escape"),
-                };
-                self.keep(&[plain])
-            }
-            Lexing::Code(left) => {
-                let digit = char::from(byte).to_digit(16).ok_or("a wild escape")?;
-                self.code = self.code << 4 | digit;
-                self.lexing = if left > 1 {
-                    Lexing::Code(left - 1)
-                } else {
-                    Lexing::Text
-                };
-                if left > 1 {
-                    return Ok(());
-                }
-                let whole = match (self.high.take(), self.code) {
-                    (_, code @ 0xd800..=0xdbff) => {
-                        self.high = Some(code);
-                        return Ok(());
-                    }
-                    (Some(high), code @ 0xdc00..=0xdfff) => {
-                        0x10000 + ((high - 0xd800) << 10) + (code - 0xdc00)
-                    }
-                    (_, code) => code,
-                };
-                let mut space = [0; 4];
-                let text = char::from_u32(whole)
-                    .unwrap_or('\u{fffd}')
-                    .encode_utf8(&mut space)
-                    .to_string();
-                self.keep(text.as_bytes())
-            }
+    /// The list, once it is complete.
+    ///
+    /// # Errors
+    /// [`ListError::Incomplete`] before that.
+    pub fn finish(self) -> Result<EndpointList, ListError> {
+        if !self.lexer.is_complete() || !self.builder.has_revision {
+            return Err(ListError::Incomplete);
         }
+        Ok(self.builder.list)
     }
+}
 
-    fn keep(&mut self, bytes: &[u8]) -> Told {
-        if self.token.len() + bytes.len() > LONGEST_TOKEN {
-            return Err("a token that is too long");
-        }
-        self.token.extend(bytes);
-        Ok(())
-    }
+/// Puts a list together from the events of the lexer.
+#[derive(Default)]
+struct ListBuilder {
+    /// The last key of the outermost object.
+    top_key: String,
+    /// The last key of a member.
+    field: String,
+    /// The member being read.
+    member: Option<Member>,
+    /// The cell of that member, once it is known.
+    cell: Option<u64>,
+    has_revision: bool,
+    list: EndpointList,
+}
 
-    fn between(&mut self, byte: u8) -> Told {
-        let value = matches!(self.expect, Expect::Value | Expect::ValueOrEnd);
-        match byte {
-            b' ' | b'\t' | b'\r' | b'\n' => {}
-            b'{' | b'[' if value => {
-                if self.within.len() >= DEEPEST {
-                    return Err("a list that is too deep");
-                }
-                let object = byte == b'{';
-                if self.within.is_empty() && !object {
-                    return Err("no object");
-                }
-                self.within.push(object);
-                self.expect = if object {
-                    Expect::KeyOrEnd
-                } else {
-                    Expect::ValueOrEnd
-                };
-                if object && self.in_member() {
-                    (self.member, self.cell) = (Some(blank()), None);
-                }
+impl ListBuilder {
+    fn on_event(&mut self, nesting: &[Container], event: JsonEvent<'_>) -> Result<(), ListError> {
+        let at_top = nesting.len() == 1;
+        let in_member = self.top_key == "members"
+            && nesting == [Container::Object, Container::Array, Container::Object];
+        match event {
+            JsonEvent::ObjectStart if in_member => {
+                self.member = Some(Member::default());
+                self.cell = None;
             }
-            b'}' if self.within.last() == Some(&true)
-                && matches!(self.expect, Expect::KeyOrEnd | Expect::CommaOrEnd) =>
-            {
-                if self.in_member() {
-                    self.add()?;
-                }
-                self.close();
-            }
-            b']' if self.within.last() == Some(&false)
-                && matches!(self.expect, Expect::ValueOrEnd | Expect::CommaOrEnd) =>
-            {
-                self.close();
-            }
-            b',' if self.expect == Expect::CommaOrEnd => {
-                let object = self.within.last() == Some(&true);
-                self.expect = if object { Expect::Key } else { Expect::Value };
-            }
-            b':' if self.expect == Expect::Colon => self.expect = Expect::Value,
-            b'"' if value || matches!(self.expect, Expect::Key | Expect::KeyOrEnd) => {
-                self.lexing = Lexing::Text;
-            }
-            b'-' | b'0'..=b'9' | b't' | b'f' | b'n' if value && !self.within.is_empty() => {
-                self.lexing = Lexing::Bare;
-                self.keep(&[byte])?;
-            }
-            _ => return Err("a list that is no JSON"),
+            JsonEvent::ObjectEnd if in_member => self.add_member()?,
+            JsonEvent::Key(key) if at_top => self.top_key = key.to_string(),
+            JsonEvent::Key(key) if in_member => self.field = key.to_string(),
+            JsonEvent::Bare(text) if at_top => self.set_top_field(text)?,
+            JsonEvent::Text(_) | JsonEvent::Bare(_) if in_member => self.set_member_field(event)?,
+            _ => {}
         }
         Ok(())
     }
 
-    /// Whether the place reached is right inside an entry of the list of members.
-    fn in_member(&self) -> bool {
-        self.within == [true, false, true] && self.outer == "members"
-    }
-
-    fn close(&mut self) {
-        self.within.pop();
-        self.expect = if self.within.is_empty() {
-            Expect::Nothing
-        } else {
-            Expect::CommaOrEnd
-        };
-    }
-
-    fn key(&mut self, text: &str) {
-        if self.within.len() == 1 {
-            self.outer = text.to_string();
-        } else if self.in_member() {
-            self.field = text.to_string();
-        }
-        self.expect = Expect::Colon;
-    }
-
-    fn add(&mut self) -> Told {
+    fn add_member(&mut self) -> Result<(), ListError> {
         let Some(mut member) = self.member.take() else {
             return Ok(());
         };
         if member.name.is_empty() {
-            return Err("a member without an id");
+            return Err(ListError::MissingId);
         }
-        if self.list.members.len() >= MOST_MEMBERS {
-            return Err("too many members");
+        if self.list.members.len() >= MAX_MEMBERS {
+            return Err(ListError::TooManyMembers);
         }
         member.cell = self.cell.take().unwrap_or_else(|| fnv1a(&member.name));
         self.list.members.push(member);
         Ok(())
     }
 
-    fn value(&mut self, value: Value<'_>) -> Told {
-        if self.within.is_empty() {
-            return Err("no object");
-        }
-        self.expect = Expect::CommaOrEnd;
-        if self.within.len() == 1 {
-            match (self.outer.as_str(), value) {
-                ("revision", Value::Bare(text)) => {
-                    (self.list.revision, self.revised) =
-                        (text.parse().map_err(|_| "a wild revision")?, true);
-                }
-                ("complete", Value::Bare(text)) => self.list.complete = text == "true",
-                _ => {}
+    fn set_top_field(&mut self, text: &str) -> Result<(), ListError> {
+        match self.top_key.as_str() {
+            "revision" => {
+                self.list.revision = text.parse().map_err(|_| ListError::InvalidRevision)?;
+                self.has_revision = true;
             }
-            return Ok(());
-        }
-        if !self.in_member() {
-            return Ok(());
+            "complete" => self.list.complete = text == "true",
+            _ => {}
         }
+        Ok(())
+    }
+
+    fn set_member_field(&mut self, value: JsonEvent<'_>) -> Result<(), ListError> {
+        use JsonEvent::{Bare, Text};
         let Some(member) = self.member.as_mut() else {
             return Ok(());
         };
         let number = |text: &str| text.parse::<f64>().ok();
         match (self.field.as_str(), value) {
-            ("id", Value::Text(text)) => member.name = text.to_string(),
-            ("host_port", Value::Text(text)) => {
-                member.address = Some(text.parse().map_err(|_| "a wild address")?);
+            ("id", Text(text)) => member.name = text.to_string(),
+            ("host_port", Text(text)) => {
+                let address = text.parse().map_err(|_| ListError::InvalidAddress)?;
+                member.address = Some(address);
             }
-            ("locality", Value::Text(text) | Value::Bare(text)) => member.zone = text.to_string(),
-            ("cell", Value::Bare("null")) => self.cell = None,
-            ("cell", Value::Bare(text)) => {
+            ("locality", Text(text) | Bare(text)) => member.zone = text.to_string(),
+            ("cell", Bare("null")) => self.cell = None,
+            ("cell", Bare(text)) => {
                 self.cell = Some(text.parse().unwrap_or_else(|_| fnv1a(text)));
             }
-            ("cell", Value::Text(text)) => self.cell = Some(fnv1a(text)),
-            ("phase", Value::Text(text)) => {
-                member.standing = match text {
+            ("cell", Text(text)) => self.cell = Some(fnv1a(text)),
+            ("phase", Text(text)) => {
+                member.state = match text {
                     "active" => HostState::Ready,
                     "leaving" => HostState::Draining,
                     "left" => HostState::Gone,
-                    _ => return Err("an unknown phase"),
+                    _ => return Err(ListError::UnknownPhase),
                 }
             }
-            ("size", Value::Bare(text)) => member.size = number(text).unwrap_or(1.0),
-            ("up_since_ms", Value::Bare(text)) => {
-                let ms = number(text).filter(|ms| (1.0..9e12).contains(ms));
-                member.started = ms.map(|ms| (ms * MILLI as f64) as Nanos);
+            ("size", Bare(text)) => member.size = number(text).unwrap_or(1.0),
+            ("up_since_ms", Bare(text)) => {
+                let milliseconds = number(text).filter(|ms| (1.0..9e12).contains(ms));
+                member.started = milliseconds.map(|ms| (ms * MILLI as f64) as Nanos);
             }
             _ => {}
         }
@@ -361,76 +231,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn read(text: &str, size: usize) -> Result<List, &'static str> {
-        let mut reader = Reader::default();
-        for piece in text.as_bytes().chunks(size) {
-            reader.feed(piece)?;
-        }
-        reader.finish()
-    }
-
-    const LIST: &str = r#"{"revision":41,"more":{"members":[{"id":"no"}]},"complete":true,"members":[
-        {"id":"s-5b\u00e9\"","host_port":"10.1.0.18:5000","locality":"a","flavor":"m2","tags":["x",{"id":"y"}],
-         "cell":3,"phase":"active","size":1.5,"up_since_ms":1700000000000},
-        {"id":"s-2","host_port":"10.1.0.19:5000","phase":"leaving","up_since_ms":0}]} "#;
-
-    #[test]
-    fn reads_a_list_however_it_is_split() {
-        for size in 1..LIST.len() {
-            let list = read(LIST, size).unwrap();
-            assert_eq!(
-                (list.revision, list.complete, list.members.len()),
-                (41, true, 2)
-            );
-            let first = &list.members[0];
-            assert_eq!(
-                (first.name.as_str(), first.zone.as_str(), first.cell),
-                ("s-5b\u{e9}\"", "a", 3)
-            );
-            assert_eq!(
-                (first.size, first.started),
-                (1.5, Some(1_700_000_000_000 * MILLI))
-            );
-            assert_eq!(first.address, Some("10.1.0.18:5000".parse().unwrap()));
-            assert_eq!(
-                (list.members[1].standing, list.members[1].started),
-                (HostState::Draining, None)
-            );
-        }
-    }
-
-    #[test]
-    fn says_what_is_malformed() {
-        for text in [
-            "",
-            "[]",
-            "7",
-            "{}",
-            r#"{"revision":1"#,
-            r#"{"revision":-1}"#,
-            r#"{"revision":1}}"#,
-            r#"{"revision":1,}"#,
-            r#"{"revision":1,"members":[{}]}"#,
-            r#"{"revision":1,"members":[{"id":"a","phase":"asleep"}]}"#,
-            r#"{"revision":1,"members":[{"id":"a","host_port":"nowhere"}]}"#,
-            r#"{"revision":1,"x":nope}"#,
-            "{\"revision\":1,\"x\":\"\u{1}\"}",
-        ] {
-            assert!(read(text, 5).is_err(), "{text}");
-        }
-        assert!(read(
-            &format!("{{\"revision\":1,\"x\":\"{}\"}}", "y".repeat(300)),
-            9
-        )
-        .is_err());
-        assert!(read(&format!("{{\"revision\":1,\"x\":{}", "[".repeat(30)), 9).is_err());
-        let long = "y".repeat(LIST.len() - 1);
-        assert!(read(&long, 7).is_err());
-        for cut in 1..LIST.len() - 2 {
-            assert!(read(&LIST[..cut], 11).is_err());
-        }
-    }
-}
+#[path = "list_tests.rs"]
+mod tests;
--- a/node/src/discovery/mod.rs
+++ b/node/src/discovery/mod.rs
@@ -1,10 +1,15 @@
-//! The list of hosts: calls to discovery, what is believed of their answers, and the hosts as the node reaches them.
-//! It must never judge a host.
+//! The list of hosts: the client of the list service, what is believed of its answers, and the hosts as the
+//! node reaches them. Must never judge a host.
 
+mod call;
 pub mod client;
+mod host_record;
 pub mod hosts;
-pub mod http;
+mod http;
+mod json;
 pub mod list;
-pub mod staleness;
-pub mod starts;
-pub mod versions;
+mod message_latency;
+mod staleness;
+mod start_times;
+mod versions;
+mod zones;
--- a/node/src/discovery/staleness_tests.rs
+++ b/node/src/discovery/staleness_tests.rs
@@ -9,8 +9,8 @@
 const LOOK: Nanos = 100 * MILLI;
 const GRACE: Nanos = 50 * MILLI;
 
-fn one(node: u32, nodes: u32, pushed: bool) -> Hearing {
-    Hearing::new(
+fn one(node: u32, nodes: u32, pushed: bool) -> WatchStaleness {
+    WatchStaleness::new(
         &BalancerSettings {
             node_index: node,
             node_count: nodes,
@@ -31,24 +31,30 @@
     let mut next = BinaryHeap::new();
     let mut all = Vec::new();
     for node in 0..nodes {
-        let mut hearing = one(node, nodes, pushed);
+        let mut staleness = one(node, nodes, pushed);
         let since = rng.random_range(0..200 * MILLI);
-        let (hold, fell) = (hearing.hold(), since + rng.random_range(0..2 * SECOND));
-        hearing.heard(since);
-        hearing.out(since, hold);
-        let noticed = hearing.silent_at(since, hold) + rng.random_range(0..LOOK);
+        let (hold, fell) = (
+            staleness.watch_wait(),
+            since + rng.random_range(0..2 * SECOND),
+        );
+        staleness.record_answer(since);
+        staleness.record_watch_start(since, hold);
+        let noticed = staleness.silence_deadline(since, hold) + rng.random_range(0..LOOK);
         next.push(Reverse((noticed, node as usize, 0)));
-        all.push((hearing, (fell + TOLD).max(since + hold + TOLD_AFTER_WAIT)));
+        all.push((
+            staleness,
+            (fell + NOTIFICATION_TIMEOUT).max(since + hold + NOTIFICATION_TIMEOUT_AFTER_WAIT),
+        ));
     }
     while let Some(Reverse((now, node, what))) = next.pop() {
-        let (hearing, told) = &mut all[node];
+        let (staleness, told) = &mut all[node];
         if what == 1 {
             latest = latest.max(now as i64 - *told as i64);
-            assert!(hearing.deaf().start == *told + GRACE);
-            hearing.heard(now);
+            assert!(staleness.stale_window().start == *told + GRACE);
+            staleness.record_answer(now);
             continue;
         }
-        let mut how = Failure::Silent;
+        let mut how = CallFailure::Silent;
         if what == 2 {
             calls += 1;
             free = now.max(free);
@@ -57,9 +63,9 @@
                 next.push(Reverse((free, node, 1)));
                 continue;
             }
-            how = Failure::Refused;
+            how = CallFailure::Rejected;
         }
-        let at = hearing.failed(now, how);
+        let at = staleness.record_failure(now, how);
         let late = if at > now {
             rng.random_range(0..LOOK)
         } else {
@@ -90,67 +96,75 @@
 }
 
 /// One whose watch fell silent and was noticed; gives when that was.
-fn noticed(hearing: &mut Hearing) -> Nanos {
-    hearing.heard(10 * SECOND);
-    hearing.out(10 * SECOND, hearing.hold());
-    let at = hearing.silent_at(10 * SECOND, hearing.hold());
-    assert_eq!(hearing.failed(at, Failure::Silent), at, "at once");
+fn noticed(staleness: &mut WatchStaleness) -> Nanos {
+    staleness.record_answer(10 * SECOND);
+    staleness.record_watch_start(10 * SECOND, staleness.watch_wait());
+    let at = staleness.silence_deadline(10 * SECOND, staleness.watch_wait());
+    assert_eq!(
+        staleness.record_failure(at, CallFailure::Silent),
+        at,
+        "at once"
+    );
     at
 }
 
 /// Guards: the 6 s after a call that failed, which go before what the wait of a silent watch would leave.
 #[test]
 fn what_presses_is_tried_until_it_is_heard_and_shuts_the_node_from_the_moment_it_is_held() {
-    let mut hearing = one(0, 1, false);
-    let first = noticed(&mut hearing);
-    let held = first - SILENT_AFTER_WAIT + TOLD_AFTER_WAIT;
+    let mut staleness = one(0, 1, false);
+    let first = noticed(&mut staleness);
+    let held = first - WATCH_SILENCE_TIMEOUT + NOTIFICATION_TIMEOUT_AFTER_WAIT;
     assert_eq!(
-        hearing.deaf(),
+        staleness.stale_window(),
         held + GRACE..held + GRACE + 10 * SECOND,
         "the call in its place is out"
     );
     let (mut now, mut tries) = (first, 0);
-    let told = 10 * SECOND + TOLD + GRACE;
+    let told = 10 * SECOND + NOTIFICATION_TIMEOUT + GRACE;
     while now < told + 10 * SECOND {
-        hearing.out(now, MILLI);
-        let at = hearing.failed(now, Failure::Refused);
-        assert_eq!(hearing.deaf(), told..told + 10 * SECOND, "it was refused");
+        staleness.record_watch_start(now, MILLI);
+        let at = staleness.record_failure(now, CallFailure::Rejected);
+        assert_eq!(
+            staleness.stale_window(),
+            told..told + 10 * SECOND,
+            "it was refused"
+        );
         assert!(at > now && at <= now + 2 * SECOND);
         (now, tries) = (at, tries + 1);
     }
     assert!((1..30).contains(&tries), "{tries} tries");
     assert!(
-        hearing.failed(now, Failure::Refused) <= now + 4 * SECOND,
+        staleness.record_failure(now, CallFailure::Rejected) <= now + 4 * SECOND,
         "it goes on for ever"
     );
-    hearing.heard(now);
-    assert_eq!(hearing.deaf().start, Nanos::MAX, "shut for ever");
+    staleness.record_answer(now);
+    assert_eq!(staleness.stale_window().start, Nanos::MAX, "shut for ever");
 }
 
 /// Guards: a node that calls again only after what it may have missed counts as told.
 #[test]
 fn a_watch_that_was_refused_or_broke_is_called_again_several_times_within_six_seconds() {
-    for (how, node) in [Failure::Refused, Failure::Broken]
+    for (how, node) in [CallFailure::Rejected, CallFailure::Disconnected]
         .into_iter()
         .flat_map(|h| [(h, 0), (h, 349)])
     {
-        let mut hearing = one(node, 350, false);
-        hearing.heard(10 * SECOND);
-        hearing.out(10 * SECOND, hearing.hold());
-        hearing.runs(15 * SECOND);
-        let (mut now, mut tries) = (hearing.failed(15 * SECOND, how), 0);
-        assert!(now <= 15 * SECOND + TURNS, "{how:?}");
-        while now < 15 * SECOND + TOLD {
-            hearing.out(now, hearing.hold());
-            (now, tries) = (hearing.failed(now, how), tries + 1);
+        let mut staleness = one(node, 350, false);
+        staleness.record_answer(10 * SECOND);
+        staleness.record_watch_start(10 * SECOND, staleness.watch_wait());
+        staleness.record_awake(15 * SECOND);
+        let (mut now, mut tries) = (staleness.record_failure(15 * SECOND, how), 0);
+        assert!(now <= 15 * SECOND + MAX_RECONNECT_SPREAD, "{how:?}");
+        while now < 15 * SECOND + NOTIFICATION_TIMEOUT {
+            staleness.record_watch_start(now, staleness.watch_wait());
+            (now, tries) = (staleness.record_failure(now, how), tries + 1);
         }
         assert!(
             (2..12).contains(&tries),
             "{how:?}, node {node}: {tries} tries"
         );
-        let deaf = hearing.deaf().start;
+        let deaf = staleness.stale_window().start;
         assert!(
-            if how == Failure::Refused {
+            if how == CallFailure::Rejected {
                 deaf == 21 * SECOND + GRACE
             } else {
                 deaf > now
@@ -174,15 +188,15 @@
                 max_poll_interval: 4 * SECOND,
                 ..BalancerSettings::default()
             };
-            let mut hearing = Hearing::new(&balancer_settings, 300 * MILLI, 0);
-            hearing.heard(SECOND);
-            hearing.out(SECOND, hearing.hold());
-            hearing.runs(2 * SECOND);
-            let first = hearing.failed(2 * SECOND, Failure::Broken);
-            hearing.out(first, MILLI);
-            let second = hearing.failed(first, Failure::Unread);
-            hearing.out(second, 0);
-            hearing.heard(second);
+            let mut staleness = WatchStaleness::new(&balancer_settings, 300 * MILLI, 0);
+            staleness.record_answer(SECOND);
+            staleness.record_watch_start(SECOND, staleness.watch_wait());
+            staleness.record_awake(2 * SECOND);
+            let first = staleness.record_failure(2 * SECOND, CallFailure::Disconnected);
+            staleness.record_watch_start(first, MILLI);
+            let second = staleness.record_failure(first, CallFailure::Malformed);
+            staleness.record_watch_start(second, 0);
+            staleness.record_answer(second);
             calls.extend([first, second, second]);
         }
         calls.sort_unstable();
@@ -217,26 +231,27 @@
 #[test]
 fn a_service_that_is_not_there_shuts_nothing_but_what_was_missed_before() {
     for pushed in [false, true] {
-        let mut hearing = one(0, 1, pushed);
+        let mut staleness = one(0, 1, pushed);
         let mut now = SECOND;
-        hearing.heard(now);
+        staleness.record_answer(now);
         for _ in 0..50 {
-            hearing.out(now, MILLI);
-            hearing.runs(now);
-            now = hearing.failed(now + MILLI, Failure::Broken);
+            staleness.record_watch_start(now, MILLI);
+            staleness.record_awake(now);
+            now = staleness.record_failure(now + MILLI, CallFailure::Disconnected);
             assert!(
-                hearing.deaf().start >= now.min(hearing.since + TOLD),
+                staleness.stale_window().start
+                    >= now.min(staleness.call_started_at + NOTIFICATION_TIMEOUT),
                 "pushed {pushed}"
             );
-            assert!(!hearing.deaf().contains(&now), "pushed {pushed}");
+            assert!(!staleness.stale_window().contains(&now), "pushed {pushed}");
         }
-        let mut hearing = one(0, 1, pushed);
-        let mut now = noticed(&mut hearing);
-        let held = now - SILENT_AFTER_WAIT + TOLD_AFTER_WAIT + GRACE;
+        let mut staleness = one(0, 1, pushed);
+        let mut now = noticed(&mut staleness);
+        let held = now - WATCH_SILENCE_TIMEOUT + NOTIFICATION_TIMEOUT_AFTER_WAIT + GRACE;
         for _ in 0..5 {
-            hearing.out(now, MILLI);
-            now = hearing.failed(now + MILLI, Failure::Broken);
-            assert_eq!(hearing.deaf().start, held, "pushed {pushed}");
+            staleness.record_watch_start(now, MILLI);
+            now = staleness.record_failure(now + MILLI, CallFailure::Disconnected);
+            assert_eq!(staleness.stale_window().start, held, "pushed {pushed}");
         }
     }
 }
@@ -245,18 +260,24 @@
 /// service stormed.
 #[test]
 fn what_cannot_be_read_is_asked_for_again_at_once_but_not_for_ever() {
-    let mut hearing = one(3, 4, false);
-    assert_eq!(hearing.failed(SECOND, Failure::Unread), SECOND);
-    let again = hearing.failed(SECOND + MILLI, Failure::Unread);
+    let mut staleness = one(3, 4, false);
+    assert_eq!(
+        staleness.record_failure(SECOND, CallFailure::Malformed),
+        SECOND
+    );
+    let again = staleness.record_failure(SECOND + MILLI, CallFailure::Malformed);
     assert!(again > SECOND + MILLI && again < SECOND + GRACE);
     assert_eq!(
-        hearing.deaf(),
+        staleness.stale_window(),
         SECOND + GRACE..SECOND + GRACE + 10 * SECOND,
         "told when it was written"
     );
     let (mut now, mut tries) = (again, 0);
     while now < 20 * SECOND {
-        (now, tries) = (hearing.failed(now, Failure::Unread), tries + 1);
+        (now, tries) = (
+            staleness.record_failure(now, CallFailure::Malformed),
+            tries + 1,
+        );
     }
     assert!(tries < 40, "{tries} tries");
 }
@@ -264,12 +285,12 @@
 /// Guards: a process that stood still while its watch ended, and counts what it missed from when it went on.
 #[test]
 fn what_a_process_missed_while_it_stood_still_counts_from_before_that() {
-    let mut hearing = one(0, 1, false);
-    hearing.heard(10 * SECOND);
-    hearing.out(10 * SECOND, hearing.hold());
-    hearing.runs(11 * SECOND);
-    hearing.failed(25 * SECOND, Failure::Broken);
-    assert!(hearing.deaf().contains(&(25 * SECOND)));
+    let mut staleness = one(0, 1, false);
+    staleness.record_answer(10 * SECOND);
+    staleness.record_watch_start(10 * SECOND, staleness.watch_wait());
+    staleness.record_awake(11 * SECOND);
+    staleness.record_failure(25 * SECOND, CallFailure::Disconnected);
+    assert!(staleness.stale_window().contains(&(25 * SECOND)));
 }
 
 /// How a list service stands.
@@ -291,7 +312,7 @@
     for seed in 0..400 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let nodes = [1, 6, 40, 350][seed as usize % 4];
-        let mut hearing = one(rng.random_range(0..nodes), nodes, false);
+        let mut staleness = one(rng.random_range(0..nodes), nodes, false);
         let (mut service, mut until) = (Service::Well, rng.random_range(0..5 * SECOND));
         // The call that is out: since when, how long it may wait, and whether it is heard.
         let mut call: Option<(Nanos, Nanos, bool)> = None;
@@ -320,27 +341,33 @@
             }
             let failed = match (&call, service) {
                 (None, _) if now < next => None,
-                (None, Service::Busy) => Some(Failure::Refused),
-                (None | Some(_), Service::Gone) => Some(Failure::Broken),
-                (None, Service::Garbled) => Some(Failure::Unread),
+                (None, Service::Busy) => Some(CallFailure::Rejected),
+                (None | Some(_), Service::Gone) => Some(CallFailure::Disconnected),
+                (None, Service::Garbled) => Some(CallFailure::Malformed),
                 (None, Service::Well | Service::Mute) => {
-                    let hold = if refused { MILLI } else { hearing.hold() };
-                    hearing.out(now, hold);
+                    let hold = if refused {
+                        MILLI
+                    } else {
+                        staleness.watch_wait()
+                    };
+                    staleness.record_watch_start(now, hold);
                     if service == Service::Well {
                         // What was missed comes at once.
-                        hearing.heard(now);
-                        hearing.out(now, hearing.hold());
+                        staleness.record_answer(now);
+                        staleness.record_watch_start(now, staleness.watch_wait());
                         (missed, kept) = (None, false);
                     }
                     call = Some((now, hold, service == Service::Well));
                     None
                 }
-                (Some((since, hold, heard)), _) if now >= hearing.silent_at(*since, *hold) => {
+                (Some((since, hold, heard)), _)
+                    if now >= staleness.silence_deadline(*since, *hold) =>
+                {
                     // A watch that is well is answered before that, with nothing.
                     if *heard {
                         None
                     } else {
-                        Some(Failure::Silent)
+                        Some(CallFailure::Silent)
                     }
                 }
                 _ => None,
@@ -348,46 +375,47 @@
             seen |= service != Service::Gone && (failed.is_some() || call.is_some());
             if let Some(how) = failed {
                 if call.is_none() {
-                    hearing.out(
+                    staleness.record_watch_start(
                         now,
-                        if how == Failure::Unread {
-                            hearing.hold()
+                        if how == CallFailure::Malformed {
+                            staleness.watch_wait()
                         } else {
                             MILLI
                         },
                     );
                 }
-                if how == Failure::Unread {
+                if how == CallFailure::Malformed {
                     missed = missed
                         .or(Some(now))
-                        .map(|at: Nanos| at.min(now.saturating_sub(TOLD)));
+                        .map(|at: Nanos| at.min(now.saturating_sub(NOTIFICATION_TIMEOUT)));
                 }
-                if how == Failure::Broken && call.is_some() {
+                if how == CallFailure::Disconnected && call.is_some() {
                     // A watch that was silent and then broke can't be told from one that was well until then.
                     missed = None;
                 }
-                kept = how == Failure::Silent && call.is_some_and(|(_, hold, _)| hold > SILENT);
-                (call, refused) = (None, how != Failure::Silent || refused);
-                next = hearing.failed(now, how);
+                kept = how == CallFailure::Silent
+                    && call.is_some_and(|(_, hold, _)| hold > CALL_SILENCE_TIMEOUT);
+                (call, refused) = (None, how != CallFailure::Silent || refused);
+                next = staleness.record_failure(now, how);
             }
             if let Some((since, hold, true)) = call {
                 if now >= since + hold {
-                    hearing.heard(now);
-                    hearing.out(now, hearing.hold());
-                    call = Some((now, hearing.hold(), true));
+                    staleness.record_answer(now);
+                    staleness.record_watch_start(now, staleness.watch_wait());
+                    call = Some((now, staleness.watch_wait(), true));
                 }
                 refused = false;
             }
-            hearing.runs(now);
+            staleness.record_awake(now);
             // What it does not hear from now on.
             if !call.is_some_and(|(_, _, heard)| heard) && service != Service::Gone {
                 missed = missed.or(Some(now));
             }
-            let waits = kept || call.is_some_and(|(_, hold, _)| hold > SILENT);
+            let waits = kept || call.is_some_and(|(_, hold, _)| hold > CALL_SILENCE_TIMEOUT);
             let told = missed
                 .filter(|_| !waits)
-                .is_some_and(|at| now > at + TOLD + GRACE + 20 * MILLI);
-            let deaf = hearing.deaf();
+                .is_some_and(|at| now > at + NOTIFICATION_TIMEOUT + GRACE + 20 * MILLI);
+            let deaf = staleness.stale_window();
             shut += u64::from(deaf.contains(&now));
             assert!(
                 !told || now >= deaf.start,
@@ -403,31 +431,31 @@
 #[test]
 fn a_pushed_service_that_is_gone_is_looked_for_within_the_grace_and_a_busy_one_less_often() {
     for (how, most) in [
-        (Failure::Broken, GRACE),
-        (Failure::Refused, 2 * SECOND),
-        (Failure::Silent, 0),
+        (CallFailure::Disconnected, GRACE),
+        (CallFailure::Rejected, 2 * SECOND),
+        (CallFailure::Silent, 0),
     ] {
-        let mut hearing = one(5, 9, true);
-        assert_eq!(hearing.failed(0, how), 0);
+        let mut staleness = one(5, 9, true);
+        assert_eq!(staleness.record_failure(0, how), 0);
         let mut now = 0;
         for _ in 0..30 {
-            let at = hearing.failed(now, how);
+            let at = staleness.record_failure(now, how);
             assert!(
-                at <= now + most && (at > now || how == Failure::Silent),
+                at <= now + most && (at > now || how == CallFailure::Silent),
                 "{how:?}"
             );
             now = at;
         }
         assert!(
-            how != Failure::Refused || now > 10 * SECOND,
+            how != CallFailure::Rejected || now > 10 * SECOND,
             "a storm at a busy service"
         );
     }
-    let mut hearing = one(5, 9, true);
-    hearing.moved(0);
+    let mut staleness = one(5, 9, true);
+    staleness.record_service_switch(0);
     let (mut now, mut tries) = (MILLI, 0);
-    while now < TOLD_AFTER_MOVE {
-        now = hearing.failed(now, Failure::Refused);
+    while now < NOTIFICATION_TIMEOUT_AFTER_SWITCH {
+        now = staleness.record_failure(now, CallFailure::Rejected);
         tries += 1;
     }
     assert!((4..30).contains(&tries), "{tries}");
@@ -436,72 +464,97 @@
 /// Guards: a service that is known to be slow given up before it can answer, and any other waited for as long.
 #[test]
 fn a_slow_service_is_waited_for_as_long_as_it_takes_within_bounds() {
-    let mut hearing = one(0, 1, false);
-    let usual = (hearing.silent_at(0, 0), hearing.silent_at(0, 10 * SECOND));
+    let mut staleness = one(0, 1, false);
+    let usual = (
+        staleness.silence_deadline(0, 0),
+        staleness.silence_deadline(0, 10 * SECOND),
+    );
     for (took, wanted) in [
         (100 * MILLI, usual),
         (2 * SECOND, (3 * SECOND, 13 * SECOND)),
-        (60 * SECOND, (MOST_PATIENCE, 10 * SECOND + MOST_PATIENCE)),
+        (
+            60 * SECOND,
+            (MAX_ANSWER_TIMEOUT, 10 * SECOND + MAX_ANSWER_TIMEOUT),
+        ),
         (0, usual),
     ] {
-        hearing.answered(10 * SECOND + took, 10 * SECOND, 0);
+        staleness.record_latency(10 * SECOND + took, 10 * SECOND, 0);
         assert_eq!(
-            (hearing.silent_at(0, 0), hearing.silent_at(0, 10 * SECOND)),
+            (
+                staleness.silence_deadline(0, 0),
+                staleness.silence_deadline(0, 10 * SECOND)
+            ),
             wanted,
             "{took}"
         );
     }
     // News tells nothing of that; another service has a pace of its own.
-    hearing.answered(15 * SECOND, 10 * SECOND, 0);
-    hearing.answered(31 * SECOND, 30 * SECOND, 20 * SECOND);
-    assert_eq!(hearing.silent_at(0, 0), MOST_PATIENCE);
-    hearing.moved(40 * SECOND);
-    assert_eq!(hearing.silent_at(0, 0), usual.0);
+    staleness.record_latency(15 * SECOND, 10 * SECOND, 0);
+    staleness.record_latency(31 * SECOND, 30 * SECOND, 20 * SECOND);
+    assert_eq!(staleness.silence_deadline(0, 0), MAX_ANSWER_TIMEOUT);
+    staleness.record_service_switch(40 * SECOND);
+    assert_eq!(staleness.silence_deadline(0, 0), usual.0);
 }
 
 /// Guards: a node shut though it hears late; one that is open though what it heard is from before what it missed.
 #[test]
 fn what_is_heard_late_counts_from_when_its_call_began() {
-    let mut hearing = one(0, 1, false);
-    let at = noticed(&mut hearing);
-    let held = hearing.deaf().start;
-    hearing.out(at, 0);
+    let mut staleness = one(0, 1, false);
+    let at = noticed(&mut staleness);
+    let held = staleness.stale_window().start;
+    staleness.record_watch_start(at, 0);
     // The answer of the call that fell silent says no more than was known when it went out.
-    hearing.heard_late(10 * SECOND);
-    assert_eq!(hearing.deaf().start, held);
-    hearing.failed(at + 2 * SECOND, Failure::Silent);
-    hearing.heard_late(at);
-    assert_eq!(hearing.deaf().start, at + TOLD + GRACE);
+    staleness.record_late_answer(10 * SECOND);
+    assert_eq!(staleness.stale_window().start, held);
+    staleness.record_failure(at + 2 * SECOND, CallFailure::Silent);
+    staleness.record_late_answer(at);
+    assert_eq!(
+        staleness.stale_window().start,
+        at + NOTIFICATION_TIMEOUT + GRACE
+    );
     // What came garbled counts as told when it was written, whatever an earlier call brings.
     let garbled = at + 3 * SECOND;
-    hearing.failed(garbled, Failure::Unread);
-    assert_eq!(hearing.deaf().start, garbled + GRACE);
-    hearing.heard_late(garbled - MILLI);
-    assert_eq!(hearing.deaf().start, garbled + GRACE);
-    hearing.heard_late(garbled);
-    assert_eq!(hearing.deaf().start, garbled + TOLD + GRACE);
+    staleness.record_failure(garbled, CallFailure::Malformed);
+    assert_eq!(staleness.stale_window().start, garbled + GRACE);
+    staleness.record_late_answer(garbled - MILLI);
+    assert_eq!(staleness.stale_window().start, garbled + GRACE);
+    staleness.record_late_answer(garbled);
+    assert_eq!(
+        staleness.stale_window().start,
+        garbled + NOTIFICATION_TIMEOUT + GRACE
+    );
 }
 
 /// Guards: new work for hosts that drain while the first pushed list is on its way; a new process that is shut for long where
 /// its agent is down or silent.
 #[test]
 fn a_new_process_is_shut_from_its_grace_on_until_its_first_pushed_list_or_its_failure() {
-    for (pushed, first) in [(true, GRACE), (false, HOLD + TOLD_AFTER_WAIT + GRACE)] {
-        for how in [Failure::Silent, Failure::Broken, Failure::Refused] {
-            let mut hearing = one(0, 1, pushed);
-            hearing.out(0, HOLD);
-            assert_eq!(hearing.deaf().start, first);
-            hearing.failed(2 * SECOND, how);
+    for (pushed, first) in [
+        (true, GRACE),
+        (
+            false,
+            MAX_WATCH_WAIT + NOTIFICATION_TIMEOUT_AFTER_WAIT + GRACE,
+        ),
+    ] {
+        for how in [
+            CallFailure::Silent,
+            CallFailure::Disconnected,
+            CallFailure::Rejected,
+        ] {
+            let mut staleness = one(0, 1, pushed);
+            staleness.record_watch_start(0, MAX_WATCH_WAIT);
+            assert_eq!(staleness.stale_window().start, first);
+            staleness.record_failure(2 * SECOND, how);
             assert!(
-                hearing.deaf().start >= TOLD + GRACE,
+                staleness.stale_window().start >= NOTIFICATION_TIMEOUT + GRACE,
                 "{how:?}: {:?}",
-                hearing.deaf()
+                staleness.stale_window()
             );
-            hearing.heard(3 * SECOND);
-            hearing.out(3 * SECOND, HOLD);
+            staleness.record_answer(3 * SECOND);
+            staleness.record_watch_start(3 * SECOND, MAX_WATCH_WAIT);
             assert_eq!(
-                hearing.deaf().start,
-                3 * SECOND + HOLD + TOLD_AFTER_WAIT + GRACE
+                staleness.stale_window().start,
+                3 * SECOND + MAX_WATCH_WAIT + NOTIFICATION_TIMEOUT_AFTER_WAIT + GRACE
             );
         }
     }
--- a/node/src/peers/fleet.rs
+++ b/node/src/peers/fleet.rs
@@ -262,7 +262,7 @@
         if std::mem::replace(&mut self.lending, shares_turns) != shares_turns {
             self.handle(context, members::Event::Lending(shares_turns));
         }
-        let by = Some((self.core.digest(), context.hosts.lists))
+        let by = Some((self.core.digest(), context.hosts.list_count))
             .filter(|_| !self.core.holds_off(context.now));
         if looks && (by.is_none() || by != self.looked_by) {
             let mine = self.core.duties(context.now, context.hosts.ids());
@@ -276,7 +276,7 @@
         if mine != self.looks
             || self
                 .looked_by
-                .is_none_or(|(_, lists)| lists != context.hosts.lists)
+                .is_none_or(|(_, lists)| lists != context.hosts.list_count)
         {
             context.events.push(Event::ProbeTargetsAssigned(
                 mine.iter().map(|id| HostId(*id)).collect(),
--- a/node/src/roles/alone.rs
+++ b/node/src/roles/alone.rs
@@ -5,9 +5,9 @@
 use crate::connections::probe::Probes;
 use crate::connections::Connections;
 use crate::context::{self, mark, Context, START_WITHIN};
-use crate::discovery::client::Discovery;
-use crate::discovery::hosts::Source;
-use crate::discovery::list::List;
+use crate::discovery::client::DiscoveryClient;
+use crate::discovery::hosts::ListSource;
+use crate::discovery::list::EndpointList;
 use crate::operators::files::{self, NotRead};
 use crate::operators::node_config::NodeConfig;
 use crate::operators::operator_config::{self, OperatorConfig, Role};
@@ -61,7 +61,7 @@
     context: Context,
     module: Balancer,
     connections: Connections,
-    discovery: Discovery,
+    discovery: DiscoveryClient,
     probes: Probes,
     peers: Option<Peers>,
     fleet: Option<Fleet>,
@@ -148,14 +148,14 @@
     }) = knowledge
     {
         // What another process was told last is newer than what this one was started with.
-        let roll = List {
+        let roll = EndpointList {
             revision: reached.unwrap_or(0),
             complete: true,
             members,
         };
         let event = context
             .hosts
-            .told(context.now, roll, Source::Kept, &context.log);
+            .apply_list(context.now, roll, ListSource::Cached, &context.log);
         context
             .events
             .extend([event, Event::StateInherited(Box::new(legacy))]);
@@ -175,7 +175,7 @@
         context,
         module,
         connections: Connections::default(),
-        discovery: Discovery::new(
+        discovery: DiscoveryClient::new(
             node_config.discovery,
             revision,
             &node_config.balancer_settings,
@@ -242,7 +242,7 @@
             _ => 2,
         });
         if self.context.now > before + 2 * SWEEP {
-            self.discovery.look(&mut self.context);
+            self.discovery.read_all(&mut self.context);
         }
         while let Some(one) = self.ready.next(self.context.now, clock) {
             let context = &mut self.context;
@@ -250,7 +250,7 @@
                 context::LISTENER => self.connections.accept(context, self.succession.listener()),
                 context::STOP => self.part(),
                 context::REREAD => self.read_again(),
-                context::DISCOVERY => self.discovery.ready(context, one),
+                context::DISCOVERY => self.discovery.on_ready(context, one),
                 context::PROBE => self.probes.on_ready(context, one),
                 context::OPS_LISTENER => self.ops.iter_mut().for_each(|ops| ops.accept(context)),
                 context::OPS => self.ops.iter_mut().for_each(|ops| ops.ready(context, one)),
@@ -360,8 +360,8 @@
                 Action::SetTimer { time, timer: word } => {
                     context.poller.set_timer(time, mark(context::MODULE), word);
                 }
-                Action::PollEndpoints => self.discovery.ask(context),
-                Action::WatchEndpoints => self.discovery.follow(context),
+                Action::PollEndpoints => self.discovery.poll(context),
+                Action::WatchEndpoints => self.discovery.watch(context),
                 Action::Probe { host } => self.probes.send(context, host),
                 Action::Gossip { message } => {
                     self.peers.iter().for_each(|peers| peers.tell(&message));
@@ -404,7 +404,9 @@
             fleet.sweep(context);
             fleet.serve(context, shares, looks);
         }
-        context.hosts.look(context.now, &mut context.events);
+        context
+            .hosts
+            .report_latencies(context.now, &mut context.events);
         context
             .poller
             .set_timer(context.now + SWEEP, mark(context::SWEEP), 0);
@@ -531,7 +533,7 @@
         self.node_config = fresh;
         if moved {
             self.discovery
-                .go_over(&mut self.context, self.node_config.discovery);
+                .switch_service(&mut self.context, self.node_config.discovery);
         }
     }
 
@@ -553,12 +555,12 @@
         (context.node_settings, context.classes) =
             (node_settings.clone(), balancer_settings.classes.clone());
         context.tally.offers(&node_settings.classes);
-        context.hosts.renew(
+        context.hosts.update_settings(
             node_settings.zones.clone(),
             balancer_settings.shortest_message_latency_objective(),
         );
         self.discovery
-            .retune(balancer_settings, node_settings.drain_grace);
+            .update_settings(balancer_settings, node_settings.drain_grace);
         context.events.push(Event::SettingsChanged(
             Box::new(balancer_settings.clone()),
             others,
@@ -566,15 +568,16 @@
         if zones {
             // Hosts are known by the places of their zones, those that are gone too while anything may go by them. Guards: a
             // repeat matched against the zone that now has the place of the one in which it may have run.
-            let members = [context.hosts.members(), context.hosts.former()].concat();
-            let roll = List {
+            let members = [context.hosts.members(), context.hosts.former_members()].concat();
+            let roll = EndpointList {
                 revision: self.discovery.revision().unwrap_or(0),
                 complete: true,
                 members,
             };
-            let event = context
-                .hosts
-                .told(context.now, roll, Source::Kept, &context.log);
+            let event =
+                context
+                    .hosts
+                    .apply_list(context.now, roll, ListSource::Cached, &context.log);
             context.events.push(event);
         }
     }
--- a/node/src/roles/forward.rs
+++ b/node/src/roles/forward.rs
@@ -154,7 +154,9 @@
         self.connections.accept(context, Some(&self.listener));
         self.connections.sweep(context);
         context.spare();
-        context.hosts.look(context.now, &mut context.events);
+        context
+            .hosts
+            .report_latencies(context.now, &mut context.events);
         context
             .poller
             .set_timer(context.now + SWEEP, mark(context::SWEEP), 0);
@@ -225,7 +227,7 @@
             ForwarderAction::DisconnectPlanner { line } => _ = self.wires.by_line.remove(&line),
             ForwarderAction::HostLearned(line) => {
                 let log = context.log.clone();
-                context.hosts.heard(context.now, line, &log);
+                context.hosts.apply_planner_entry(context.now, line, &log);
             }
             ForwarderAction::Log(text) => info!(context.log, "{}", text),
         }
--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -6,7 +6,7 @@
 use crate::connections::link::{LinkConnection, LinkConnections};
 use crate::connections::probe::Probes;
 use crate::context::{self, mark, Context, LINK, STOP};
-use crate::discovery::client::Discovery;
+use crate::discovery::client::DiscoveryClient;
 use crate::operators::node_config::NodeConfig;
 use crate::operators::operator_config::{OperatorConfig, Plans, Role};
 use crate::{AtStart, SWEEP};
@@ -24,7 +24,7 @@
 struct Plan {
     context: Context,
     core: Planner,
-    discovery: Discovery,
+    discovery: DiscoveryClient,
     probes: Probes,
     /// The connections of forwarders, by the core's name for each.
     wires: LinkConnections,
@@ -83,7 +83,7 @@
         node_settings,
         ..
     } = &node_config;
-    let discovery = Discovery::new(
+    let discovery = DiscoveryClient::new(
         node_config.discovery,
         revision,
         balancer_settings,
@@ -138,7 +138,7 @@
                 context::LINK_LISTENER => self.accept(),
                 STOP => self.part(),
                 context::REREAD => self.read_again(),
-                context::DISCOVERY => self.discovery.ready(&mut self.context, one),
+                context::DISCOVERY => self.discovery.on_ready(&mut self.context, one),
                 context::PROBE => self.probes.on_ready(&mut self.context, one),
                 _ => self.ready(one),
             }
@@ -199,7 +199,7 @@
             .read(|line, bytes| core.came(now, line, bytes, orders));
         // Behind the forwarders' beats. Guards: a drain that was written before a beat was sent, and that an
         // order under that beat does not know.
-        self.discovery.look(&mut self.context);
+        self.discovery.read_all(&mut self.context);
         for event in std::mem::take(&mut self.context.events) {
             self.told(event);
         }
@@ -284,8 +284,8 @@
                 };
                 context.poller.set_timer(time, at, mark);
             }
-            PlannerAction::PollEndpoints => self.discovery.ask(context),
-            PlannerAction::WatchEndpoints => self.discovery.follow(context),
+            PlannerAction::PollEndpoints => self.discovery.poll(context),
+            PlannerAction::WatchEndpoints => self.discovery.watch(context),
             PlannerAction::Probe { host } => self.probes.send(context, host),
             PlannerAction::Disconnect { line } => self.lost(line, "cut"),
             PlannerAction::Log(text) => info!(context.log, "{}", text),
@@ -316,7 +316,7 @@
         info!(log, "articles read again"; "discovery" => %fresh.node_config.discovery);
         if fresh.node_config.discovery != self.at {
             self.at = fresh.node_config.discovery;
-            self.discovery.go_over(&mut self.context, self.at);
+            self.discovery.switch_service(&mut self.context, self.at);
         }
     }
 }
--- a/node/src/roles/succession_bytes_tests.rs
+++ b/node/src/roles/succession_bytes_tests.rs
@@ -71,10 +71,10 @@
         address: Some("10.1.0.18:5000".parse().unwrap()),
         zone: "a".into(),
         cell: 3,
-        standing: HostState::Draining,
+        state: HostState::Draining,
         size: 1.5,
         started: Some(15),
-        believed: Some(None),
+        accepted_start: Some(None),
     }
 }
 
