--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -69,8 +69,8 @@
 fn run() -> Result<(), String> {
     // First of all. Guards: a node ended by a call to read its papers that comes while it starts.
     let start = AtStart {
-        stop: Signal::register(SIGTERM)?,
-        reread: Signal::register(SIGHUP)?,
+        stop: Signal::register(SIGTERM).map_err(|e| e.to_string())?,
+        reread: Signal::register(SIGHUP).map_err(|e| e.to_string())?,
     };
     match Line::parse().command {
         None => roles::alone::run(roles::alone::Told::Environment, start),
--- a/runtime/src/lib.rs
+++ b/runtime/src/lib.rs
@@ -1,6 +1,7 @@
-//! What every program here stands on: the poller and its timers, sockets with their budget, the buffer
-//! pool, the clock, signals and the log. It owns descriptors, buffers and what is still to be logged. It
-//! must never know what flows through a socket, nor take any decision.
+//! What every reedferry program is built on: the poller and its timers, sockets with their
+//! descriptor budget, the buffer pool, the clock, signals and the log. Owns descriptors, buffers
+//! and what is still to be logged. Must never know what flows through a socket, nor take any
+//! decision.
 
 pub mod channel;
 pub mod clock;
@@ -18,5 +19,5 @@
 pub use signals::Signal;
 pub use sockets::{DescriptorBudget, Socket};
 
-/// Whole nanoseconds.
+/// Time or a span of time in whole nanoseconds.
 pub type Nanos = u64;
--- a/runtime/src/log.rs
+++ b/runtime/src/log.rs
@@ -1,4 +1,4 @@
-//! The log. It owns what is still to be written to standard error. It must never hold up the loop: lines
+//! The log. Owns what is still to be written to standard error. Must never hold up the loop: lines
 //! wait in a bounded backlog, are written only while the other end takes them, and are counted and
 //! dropped where it does not.
 
@@ -10,9 +10,10 @@
 use std::sync::{Arc, Mutex};
 
 const SECOND: Nanos = 1_000_000_000;
-const MOST: usize = 256 * 1024;
-/// A pipe that polls as writable takes this much at once.
-const PIECE: usize = 4096;
+/// The most that waits; a line beyond it is dropped.
+const MAX_BACKLOG_BYTES: usize = 256 * 1024;
+/// What is written at once: a pipe that polls as writable takes this much.
+const WRITE_BYTES: usize = 4096;
 
 #[derive(Default)]
 struct Lines {
@@ -20,13 +21,14 @@
     dropped_lines: u64,
 }
 
+/// Lines of the log that are still to be written. Clones are one backlog.
 #[derive(Clone, Default)]
 pub struct LogBacklog(Arc<Mutex<Lines>>);
 
 impl Write for LogBacklog {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         if let Ok(mut lines) = self.0.lock() {
-            if lines.pending.len() + bytes.len() > MOST {
+            if lines.pending.len() + bytes.len() > MAX_BACKLOG_BYTES {
                 lines.dropped_lines += 1;
             } else {
                 lines.pending.extend(bytes);
@@ -56,7 +58,7 @@
                 return;
             }
             let (front, _) = lines.pending.as_slices();
-            let piece = &front[..front.len().min(PIECE)];
+            let piece = &front[..front.len().min(WRITE_BYTES)];
             let Ok(count) = stderr.lock().write(piece) else {
                 return;
             };
@@ -70,7 +72,8 @@
     }
 }
 
-/// A limit on log lines of one kind, so that what happens thousands of times a second does not fill the log.
+/// A limit on log lines of one kind, so that what happens thousands of times a second does not fill
+/// the log.
 #[derive(Debug)]
 pub struct LogRateLimit {
     max_lines_per_second: u32,
@@ -80,9 +83,10 @@
 }
 
 impl LogRateLimit {
-    pub fn new(most_a_second: u32) -> Self {
+    /// Lets so many lines a second through.
+    pub fn new(max_lines_per_second: u32) -> Self {
         LogRateLimit {
-            max_lines_per_second: most_a_second,
+            max_lines_per_second,
             second_start: 0,
             lines: 0,
             suppressed: 0,
@@ -95,19 +99,19 @@
             (self.second_start, self.lines) = (now, 0);
         }
         self.lines += 1;
-        let room = self.lines <= self.max_lines_per_second;
-        self.suppressed += u64::from(!room);
-        room
+        let allowed = self.lines <= self.max_lines_per_second;
+        self.suppressed += u64::from(!allowed);
+        allowed
     }
 
-    /// How many lines were left out, once their second is over.
+    /// How many lines were suppressed, once their second is over.
     pub fn take_suppressed(&mut self, now: Nanos) -> Option<u64> {
-        let over = self.suppressed > 0 && now >= self.second_start + SECOND;
-        over.then(|| std::mem::take(&mut self.suppressed))
+        let second_over = self.suppressed > 0 && now >= self.second_start + SECOND;
+        second_over.then(|| std::mem::take(&mut self.suppressed))
     }
 }
 
-/// The node's logger, and the backlog that the loop drains once a turn.
+/// The logger of a node, and the backlog that its loop drains once a turn.
 pub fn logger(node: &str) -> (Logger, LogBacklog) {
     let backlog = LogBacklog::default();
     let plain = slog_term::PlainDecorator::new(backlog.clone());
@@ -120,31 +124,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_limit_lets_so_many_lines_a_second_through_and_counts_the_rest() {
-        let mut limit = LogRateLimit::new(2);
-        let through = |limit: &mut LogRateLimit, now| (0..5).filter(|_| limit.allow(now)).count();
-        assert_eq!(
-            (through(&mut limit, SECOND), limit.take_suppressed(SECOND)),
-            (2, None)
-        );
-        assert_eq!(
-            (
-                through(&mut limit, 2 * SECOND - 1),
-                limit.take_suppressed(2 * SECOND)
-            ),
-            (0, Some(8))
-        );
-        assert_eq!(
-            (
-                through(&mut limit, 2 * SECOND),
-                limit.take_suppressed(3 * SECOND)
-            ),
-            (2, Some(3))
-        );
-        assert_eq!(limit.take_suppressed(9 * SECOND), None);
-    }
-}
+#[path = "log_tests.rs"]
+mod tests;
--- a/runtime/src/pool.rs
+++ b/runtime/src/pool.rs
@@ -1,27 +1,31 @@
-//! The buffer pool. It owns every buffer of the program: all have one size, and what is given back is used
-//! again. A buffer goes back in one place, when its holder drops it. The pool must never hold more than
-//! its share of the memory limit; where it is empty the asker waits, so a slow peer holds up only itself.
+//! The buffer pool. Owns every buffer of the program: all have one size, and what is given back is
+//! used again. A buffer goes back in one place, when it is dropped. The pool must never hold more
+//! than its share of the memory limit; where it is empty the caller waits, so a slow peer holds up
+//! only itself.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Twice the longest line, so that a whole line always fits beside the rest of another.
+/// The size of a buffer: twice the longest line, so that a whole line always fits beside the rest
+/// of another.
 pub const BUFFER_BYTES: usize = 8192;
 
 struct FreeList {
     free: Vec<Box<[u8]>>,
-    /// How many more may be made.
+    /// How many more may be allocated.
     allocatable: usize,
 }
 
+/// The buffers that may be taken. Clones are one pool.
 #[derive(Clone)]
 pub struct BufferPool(Rc<RefCell<FreeList>>);
 
 impl BufferPool {
-    pub fn new(most: usize) -> Self {
+    /// A pool of at most so many buffers, none of which is allocated yet.
+    pub fn new(max_buffers: usize) -> Self {
         BufferPool(Rc::new(RefCell::new(FreeList {
             free: Vec::new(),
-            allocatable: most,
+            allocatable: max_buffers,
         })))
     }
 
@@ -43,7 +47,8 @@
         })
     }
 
-    /// A buffer for a final answer, beyond the bound where that is reached: there are no more of these than connections.
+    /// A buffer, allocated beyond the limit where that is reached. For final answers: there are no
+    /// more of these than connections.
     pub fn take_beyond_limit(&self) -> Buffer {
         self.take().unwrap_or_else(|| {
             let bytes = vec![0; BUFFER_BYTES].into_boxed_slice();
@@ -72,14 +77,17 @@
 }
 
 impl Buffer {
+    /// The bytes that wait.
     pub fn unsent(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
+    /// Whether none wait.
     pub fn is_empty(&self) -> bool {
         self.start == self.end
     }
 
+    /// Where more bytes may be put; followed by [`Buffer::commit`].
     pub fn free_space(&mut self) -> &mut [u8] {
         if self.is_empty() {
             (self.start, self.end) = (0, 0);
@@ -87,14 +95,17 @@
         &mut self.bytes[self.end..]
     }
 
+    /// So many bytes were put into the free space.
     pub fn commit(&mut self, count: usize) {
         self.end = (self.end + count).min(BUFFER_BYTES);
     }
 
+    /// So many bytes of those that wait are done with.
     pub fn consume(&mut self, count: usize) {
         self.start = (self.start + count).min(self.end);
     }
 
+    /// Drops all bytes that wait.
     pub fn clear(&mut self) {
         (self.start, self.end) = (0, 0);
     }
@@ -121,23 +132,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_dropped_buffer_is_used_again_and_no_more_are_made_than_allowed() {
-        let pool = BufferPool::new(1);
-        let mut buffer = pool.take().unwrap();
-        assert!(buffer.append(b"ab") && buffer.unsent() == b"ab" && pool.take().is_none());
-        assert!(!buffer.append(&[0; BUFFER_BYTES]) && buffer.unsent() == b"ab");
-        buffer.consume(1);
-        assert_eq!(buffer.unsent(), b"b");
-        drop(buffer);
-        assert!(pool.take().unwrap().is_empty() && pool.available() == 1);
-        let _all = pool.take().unwrap();
-        assert!(
-            pool.take_beyond_limit().append(b"ERR") && pool.available() == 1,
-            "kept once it was made"
-        );
-    }
-}
+#[path = "pool_tests.rs"]
+mod tests;
--- /dev/null
+++ b/runtime/src/pool_tests.rs
@@ -0,0 +1,20 @@
+//! Tests of the buffer pool.
+
+use super::*;
+
+#[test]
+fn a_dropped_buffer_is_reused_and_no_more_are_allocated_than_allowed() {
+    let pool = BufferPool::new(1);
+    let mut buffer = pool.take().unwrap();
+    assert!(buffer.append(b"ab") && buffer.unsent() == b"ab" && pool.take().is_none());
+    assert!(!buffer.append(&[0; BUFFER_BYTES]) && buffer.unsent() == b"ab");
+    buffer.consume(1);
+    assert_eq!(buffer.unsent(), b"b");
+    drop(buffer);
+    assert!(pool.take().unwrap().is_empty() && pool.available() == 1);
+    let _all = pool.take().unwrap();
+    assert!(
+        pool.take_beyond_limit().append(b"ERR") && pool.available() == 1,
+        "kept once it was allocated"
+    );
+}
--- a/runtime/src/signals.rs
+++ b/runtime/src/signals.rs
@@ -1,9 +1,11 @@
-//! Signals as something to poll for. It owns a flag for each signal, and the pair of sockets that wakes the poller. It
-//! must never do anything where the signal meets the program but raise the flag and write one byte.
+//! Signals as something to poll for. Owns a flag for each signal, and the pair of sockets that
+//! wakes the poller. Must never do anything in the signal handler but raise the flag and write one
+//! byte.
 
 use crate::errors::retry_for;
 use rustix::io::Errno;
-use std::io::Read;
+use std::fmt;
+use std::io::{self, Read};
 use std::os::fd::{AsFd, BorrowedFd};
 use std::os::unix::net::UnixStream;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,43 +15,67 @@
 pub use signal_hook::consts::{SIGHUP, SIGTERM};
 
 /// For how long a start waits for a pair of sockets.
-const START_WITHIN: Duration = Duration::from_secs(5);
+const START_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Where a signal is told from now on.
+/// Why a signal can't be handled.
+#[derive(Debug)]
+pub enum SignalError {
+    /// The system gives no pair of sockets.
+    SocketPair(Errno),
+    /// The handler can't be set up.
+    Handler(io::Error),
+}
+
+impl fmt::Display for SignalError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            SignalError::SocketPair(error) => {
+                write!(formatter, "cannot make a pair of sockets: {error}")
+            }
+            SignalError::Handler(error) => write!(formatter, "cannot set up signals: {error}"),
+        }
+    }
+}
+
+impl std::error::Error for SignalError {}
+
+/// A signal that is handled from now on.
 pub struct Signal {
     raised: Arc<AtomicBool>,
     wake_receiver: UnixStream,
 }
 
 impl Signal {
+    /// Handles a signal.
+    ///
     /// # Errors
-    /// One line where the system lets the program have no pair of sockets or no handler.
-    pub fn register(which: i32) -> Result<Signal, String> {
+    /// Where the system lets the program have no pair of sockets or no handler.
+    pub fn register(which: i32) -> Result<Signal, SignalError> {
         let pair = || UnixStream::pair().map_err(|e| Errno::from_io_error(&e).unwrap_or(Errno::IO));
-        let (told, teller) = retry_for(START_WITHIN, pair)
-            .map_err(|e| format!("cannot make a pair of sockets: {e}"))?;
-        told.set_nonblocking(true)
-            .map_err(|e| format!("cannot set up signals: {e}"))?;
+        let (wake_receiver, wake_sender) =
+            retry_for(START_TIMEOUT, pair).map_err(SignalError::SocketPair)?;
+        wake_receiver
+            .set_nonblocking(true)
+            .map_err(SignalError::Handler)?;
         let raised = Arc::new(AtomicBool::new(false));
         // The flag first: whoever is woken finds it raised.
-        signal_hook::flag::register(which, raised.clone())
-            .map_err(|e| format!("cannot set up signals: {e}"))?;
-        signal_hook::low_level::pipe::register(which, teller)
-            .map_err(|e| format!("cannot set up signals: {e}"))?;
+        signal_hook::flag::register(which, raised.clone()).map_err(SignalError::Handler)?;
+        signal_hook::low_level::pipe::register(which, wake_sender).map_err(SignalError::Handler)?;
         Ok(Signal {
             raised,
-            wake_receiver: told,
+            wake_receiver,
         })
     }
 
-    /// Whether it came since this was last asked. It may be asked at any time, whatever the poller says. Guards: a signal
-    /// that is never heard, as the byte that tells of it could not be written or read.
+    /// Whether the signal came since this was last called. To be called at any time, whatever the
+    /// poller reports: without that, a signal would be missed whose byte could not be written or
+    /// read.
     pub fn take(&self) -> bool {
         if !self.raised.swap(false, Ordering::SeqCst) {
             return false;
         }
-        let (mut bytes, mut pair) = ([0; 16], &self.wake_receiver);
-        while matches!(pair.read(&mut bytes), Ok(1..)) {}
+        let mut receiver = &self.wake_receiver;
+        while matches!(receiver.read(&mut [0; 16]), Ok(1..)) {}
         true
     }
 }
--- a/runtime/src/sockets.rs
+++ b/runtime/src/sockets.rs
@@ -1,9 +1,10 @@
-//! Sockets and the descriptor budget. It owns the count of open descriptors: a [`Socket`] is counted
-//! when it is made and given back in one place, when it is dropped. It must never let the count pass the
-//! limit, nor let new work use up the reserve: a client that the machine has accepted already still gets
-//! its answer from it.
+//! Sockets and the descriptor budget. Owns the count of open descriptors: a [`Socket`] is counted
+//! when it is opened and given back in one place, when it is dropped. Must never let the count pass
+//! the limit, nor let new work use up the reserve: a client that the machine has accepted already
+//! still gets its answer from it.
 
-use rustix::event::{poll, PollFd, PollFlags, Timespec};
+use crate::{clock, Nanos};
+use rustix::event::{poll, PollFd, PollFlags};
 use rustix::io::Errno;
 use rustix::net::{
     self, sockopt, AddressFamily, RecvFlags, SendFlags, Shutdown, SocketFlags, SocketType,
@@ -15,10 +16,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Standard streams, the poller, the signals' pairs and a little more.
-const OWN: usize = 12;
-const BACKLOG: i32 = 4096;
+/// Descriptors that are not counted: standard streams, the poller, the signals' pairs and a little
+/// more.
+const UNCOUNTED_DESCRIPTORS: usize = 12;
+const LISTEN_BACKLOG: i32 = 4096;
 
+/// How many descriptors the program may have open, and has.
 pub struct DescriptorBudget {
     in_use: Rc<Cell<usize>>,
     limit: usize,
@@ -32,7 +35,7 @@
         .maximum
         .map_or(limit as u64, |most| most.min(limit as u64));
     if system.current.is_some_and(|now| now < wanted) {
-        // Where that is not allowed, what is there must do.
+        // Where raising the limit is not allowed, what is there must do.
         system.current = Some(wanted);
         _ = setrlimit(Resource::Nofile, system);
     }
@@ -42,16 +45,18 @@
 }
 
 impl DescriptorBudget {
+    /// A budget of so many descriptors, or of what the system allows.
     pub fn new(limit: usize) -> Self {
         let limit = granted(limit);
         DescriptorBudget {
-            in_use: Rc::new(Cell::new(OWN)),
-            limit: limit.max(2 * OWN),
+            in_use: Rc::new(Cell::new(UNCOUNTED_DESCRIPTORS)),
+            limit: limit.max(2 * UNCOUNTED_DESCRIPTORS),
             reserve: (limit / 8).clamp(16, 128).min(limit / 2),
         }
     }
 
-    /// Sets so many descriptors aside for one part alone: the others can't use them up, nor it theirs.
+    /// Sets so many descriptors aside for one part alone: the others can't use them up, nor it
+    /// theirs.
     pub fn split_off(&self, count: usize) -> DescriptorBudget {
         self.in_use.set(self.in_use.get() + count);
         DescriptorBudget {
@@ -71,6 +76,7 @@
         self.in_use.get() + self.reserve / 2 > self.limit
     }
 
+    /// How many are open.
     pub fn in_use(&self) -> usize {
         self.in_use.get()
     }
@@ -97,31 +103,43 @@
     }
 
     /// A socket for datagrams that come to this address and leave from it.
+    ///
+    /// # Errors
+    /// Those of the system; `MFILE` where the budget is used up.
     pub fn bind_datagram(&self, address: &SocketAddr) -> Result<Socket, Errno> {
         let socket = self.socket(address, SocketType::DGRAM)?;
         net::bind(&socket, address)?;
         Ok(socket)
     }
 
+    /// A listener at this address.
+    ///
+    /// # Errors
+    /// Those of the system; `MFILE` where the budget is used up.
     pub fn listen(&self, address: &SocketAddr) -> Result<Socket, Errno> {
         let socket = self.socket(address, SocketType::STREAM)?;
         sockopt::set_socket_reuseaddr(&socket, true)?;
         net::bind(&socket, address)?;
-        net::listen(&socket, BACKLOG)?;
+        net::listen(&socket, LISTEN_BACKLOG)?;
         Ok(socket)
     }
 
-    /// A listener that whoever started the program holds open, as this descriptor. It is never shut down
-    /// here: it is one open file for all processes that have it, its waiting connections theirs together.
+    /// A listener that whoever started the program holds open, as this descriptor. It is never shut
+    /// down here: it is one open file for all processes that have it, its waiting connections
+    /// theirs together.
+    ///
+    /// # Errors
+    /// Where the descriptor is not open, or no listener.
     pub fn inherit_listener(&self, number: i32) -> Result<Socket, Errno> {
-        // No descriptor that the program has opened itself may be meant: a listener is none of those.
+        // No descriptor that the program has opened itself may be meant: a listener is none of
+        // those.
         if self.in_use.get() >= self.limit || number < 0 {
             return Err(Errno::BADF);
         }
         // SAFETY: the borrow ends in this function, in which nothing closes a descriptor; what is not open
         // is an error of the first call.
-        let theirs = unsafe { BorrowedFd::borrow_raw(number) };
-        let fd = rustix::io::fcntl_dupfd_cloexec(theirs, 0)?;
+        let borrowed = unsafe { BorrowedFd::borrow_raw(number) };
+        let fd = rustix::io::fcntl_dupfd_cloexec(borrowed, 0)?;
         if !sockopt::socket_acceptconn(&fd)? {
             return Err(Errno::INVAL);
         }
@@ -129,7 +147,10 @@
         Ok(self.track(fd))
     }
 
-    /// The next connection that waits to be taken.
+    /// The next connection that waits to be accepted.
+    ///
+    /// # Errors
+    /// Those of the system; `MFILE` where the budget is used up.
     pub fn accept(&self, listener: &Socket) -> Result<Socket, Errno> {
         if self.in_use.get() >= self.limit {
             return Err(Errno::MFILE);
@@ -140,7 +161,10 @@
         Ok(socket)
     }
 
-    /// A connection on its way up; `up` tells whether it stands already.
+    /// A connection on its way, and whether it is established already.
+    ///
+    /// # Errors
+    /// Those of the system; `MFILE` where the budget is used up.
     pub fn connect(&self, address: &SocketAddr) -> Result<(Socket, bool), Errno> {
         let socket = self.socket(address, SocketType::STREAM)?;
         socket.set_options();
@@ -152,22 +176,29 @@
     }
 }
 
+/// An open socket, which is counted.
 pub struct Socket {
     fd: OwnedFd,
     in_use: Rc<Cell<usize>>,
 }
 
 impl Socket {
+    /// Neither option matters enough to refuse a connection over it.
     fn set_options(&self) {
         // Neither matters enough to refuse a connection over it.
         let _ = sockopt::set_tcp_nodelay(self, true);
         let _ = sockopt::set_socket_keepalive(self, true);
     }
 
+    /// The address that it is bound to.
     pub fn local_address(&self) -> Option<SocketAddr> {
         net::getsockname(self).ok().and_then(|a| a.try_into().ok())
     }
 
+    /// Receives what has arrived; 0 is the end.
+    ///
+    /// # Errors
+    /// Those of the system, but for interruptions.
     pub fn receive(&self, into: &mut [u8]) -> Result<usize, Errno> {
         loop {
             match net::recv(self, &mut *into, RecvFlags::empty()) {
@@ -177,7 +208,10 @@
         }
     }
 
-    /// Takes as much as `space` holds off the connection and throws it away; nothing is put there.
+    /// Receives as much as `space` holds and discards it; nothing is put there.
+    ///
+    /// # Errors
+    /// Those of the system, but for interruptions.
     pub fn discard(&self, space: &mut [u8]) -> Result<usize, Errno> {
         loop {
             match net::recv(self, &mut *space, RecvFlags::TRUNC) {
@@ -187,6 +221,10 @@
         }
     }
 
+    /// Sends what the connection takes.
+    ///
+    /// # Errors
+    /// Those of the system, but for interruptions.
     pub fn send(&self, bytes: &[u8]) -> Result<usize, Errno> {
         loop {
             match net::send(self, bytes, SendFlags::NOSIGNAL) {
@@ -197,11 +235,18 @@
     }
 
     /// Sends one datagram, or not.
+    ///
+    /// # Errors
+    /// Those of the system.
     pub fn send_to(&self, bytes: &[u8], to: &SocketAddr) -> Result<usize, Errno> {
         net::sendto(self, bytes, SendFlags::NOSIGNAL, to)
     }
 
-    /// The next datagram: its whole length, of which no more than fits is put there, and its sender.
+    /// The next datagram: its whole length, of which no more than fits is put there, and its
+    /// sender.
+    ///
+    /// # Errors
+    /// Those of the system, but for interruptions.
     pub fn receive_from(&self, into: &mut [u8]) -> Result<(usize, Option<SocketAddr>), Errno> {
         loop {
             match net::recvfrom(self, &mut *into, RecvFlags::TRUNC) {
@@ -215,31 +260,32 @@
     }
 
     /// Waits until something can be read from it, for a process that has nothing else to do yet.
-    pub fn wait_readable(&self, span: crate::Nanos) -> bool {
-        let span = Timespec {
-            tv_sec: (span / 1_000_000_000) as i64,
-            tv_nsec: (span % 1_000_000_000) as _,
-        };
+    pub fn wait_readable(&self, timeout: Nanos) -> bool {
         let mut polled = [PollFd::new(self, PollFlags::IN)];
-        matches!(poll(&mut polled, Some(&span)), Ok(1..) | Err(Errno::INTR))
+        let ready = poll(&mut polled, Some(&clock::timespec(timeout)));
+        matches!(ready, Ok(1..) | Err(Errno::INTR))
     }
 
-    /// Whether the connection stands, whatever the poller has said so far.
+    /// Whether the connection is established, whatever the poller has reported so far.
     pub fn is_connected(&self) -> bool {
         net::getpeername(self).is_ok_and(|peer| peer.is_some())
     }
 
     /// How the connect went.
+    ///
+    /// # Errors
+    /// That of the connect.
     pub fn connect_result(&self) -> Result<(), Errno> {
         sockopt::socket_error(self)?
     }
 
+    /// Ends the sending; the other side can still send.
     pub fn shutdown_write(&self) {
         let _ = net::shutdown(self, Shutdown::Write);
     }
 
-    /// Takes in nothing that is sent from now on: on a channel of this machine each later message fails at its sender, and what
-    /// came before can still be read.
+    /// Receives nothing that is sent from now on: on a channel of this machine each later message
+    /// fails at its sender, and what came before can still be read.
     pub fn shutdown_read(&self) {
         let _ = net::shutdown(self, Shutdown::Read);
     }
