--- a/node/src/discovery/staleness.rs
+++ b/node/src/discovery/staleness.rs
@@ -1,14 +1,14 @@
-//! By when a node has to have heard what the list service has to tell: a plain value with the caller's
+//! By when a node has to know what the list service has to tell: a plain value with the caller's
 //! clock. Owns how long a watch waits, when it counts as silent, when a call that failed is made again, and
 //! from when on nothing new may go out. Must never know a connection, nor what a list says.
 //!
 //! There is one rule for every way in which a node may have missed something. `accountable_from` is the moment
-//! from which it is held to that:
+//! from which it is accountable for that:
 //!
 //! | what happened | accountable from |
 //! | --- | --- |
 //! | a watch that waits is silent | [`NOTIFICATION_TIMEOUT`] after it was sent, or [`NOTIFICATION_TIMEOUT_AFTER_WAIT`] after its wait is over, if that is later |
-//! | any call was rejected, given up or broke | [`NOTIFICATION_TIMEOUT`] after the last moment of which all is known to have been heard |
+//! | any call was rejected, given up or broke | [`NOTIFICATION_TIMEOUT`] after the last moment of which all is known |
 //! | the service can't be reached at all | [`NOTIFICATION_TIMEOUT`] after the attempt before the last, as it may have been back since; while that is all that is seen |
 //! | what came could not be read | at once: it counts as told when it was written |
 //! | the node was switched to another service | [`NOTIFICATION_TIMEOUT_AFTER_SWITCH`] after that |
@@ -89,13 +89,13 @@
     call_started_at: Nanos,
     /// By when what that watch may miss counts as told.
     watch_deadline: Option<Nanos>,
-    /// From when on the node is held to what it may have missed.
+    /// From when on the node is accountable for what it may have missed.
     accountable_from: Option<Nanos>,
     /// Whether the service has been reached since then.
     service_reached: bool,
     /// When the service was last called and could not be reached.
     unreachable_at: Nanos,
-    /// When what the node is held to came about.
+    /// When the failure happened that it is accountable for.
     failed_at: Nanos,
     /// Calls that failed since the last answer.
     failures: u32,
@@ -132,7 +132,7 @@
         staleness
     }
 
-    /// Goes by other settings from here on; what the node is held to stays.
+    /// Goes by other settings from here on; what the node is accountable for stays.
     pub fn update_settings(&mut self, settings: &BalancerSettings, grace: Nanos) {
         let nodes = settings.node_count.max(1);
         let phase = (f64::from(settings.node_index) + 0.5) / f64::from(nodes);
@@ -158,9 +158,10 @@
         self.last_awake = now;
     }
 
-    /// Whether the node may have missed something, so that the next call may not wait: its answer shows that
-    /// the node hears. Without this, a watch might fall silent before anything was heard on it, and the node
-    /// would be shut, or worse would not be, for as long as that might have waited.
+    /// Whether the node may have missed something, so that the next call may not wait: its answer
+    /// shows that the node hears. Without this, a watch might fall silent before anything was heard
+    /// on it, and the node would stay closed to new work, or worse would not, for as long as that
+    /// might have waited.
     pub fn may_have_missed(&self) -> bool {
         self.accountable_from.is_some()
     }
@@ -205,9 +206,9 @@
         }
     }
 
-    /// A call that was taken for silent, or another beside the watch, has been answered after all: all that
-    /// there was when it was sent is heard. Without this, a node that hears all a slow service has to tell
-    /// would be shut as if it did not.
+    /// A call that was taken for silent, or another beside the watch, has been answered after all:
+    /// all that there was when it was sent is known. Without this, a node that hears all a slow
+    /// service has to tell would accept nothing new as if it did not.
     pub fn record_late_answer(&mut self, started_at: Nanos) {
         let before_failure = self.accountable_from.is_some() && started_at < self.failed_at;
         if started_at <= self.known_until || before_failure {
@@ -270,18 +271,19 @@
         self.latency = 0;
     }
 
-    /// From when what a list tells that comes now counts as told: before now where the node was held to it
-    /// already. Without this, the grace of a drain would be given once more to a node that heard of it late.
+    /// From when what a list tells that comes now counts as told: before now where the node was
+    /// accountable for it already. Without this, the grace of a drain would be given once more to a
+    /// node that learned of it late.
     pub fn effective_from(&self, now: Nanos) -> Nanos {
         self.accountable_from
             .or(self.watch_deadline)
             .map_or(now, |told| told.min(now))
     }
 
-    /// From when to when nothing new may go out, as the node may be held to a drain that it has not heard of:
-    /// from the end of the grace on, and for as long as it may not poll by the settings, as the service is
-    /// down for long then. Without this, hosts that drain would get new work from a node that was stalled, or
-    /// whose calls a busy service rejected.
+    /// From when to when nothing new may go out, as the node may be accountable for a drain that it
+    /// does not know of: from the end of the grace on, and for as long as it may not poll by the
+    /// settings, as the service is down for long then. Without this, hosts that drain would get new
+    /// work from a node that was stalled, or whose calls a busy service rejected.
     pub fn stale_window(&self) -> Range<Nanos> {
         let from = self
             .accountable_from
@@ -290,7 +292,7 @@
         from..from.saturating_add(self.max_poll_interval)
     }
 
-    /// From when on the node is held to what it may have missed by a call that fails now.
+    /// From when on the node is accountable for what it may have missed by a call that fails now.
     fn accountable_after(
         &mut self,
         now: Nanos,
@@ -363,8 +365,9 @@
     fn polled_retry_at(&self, now: Nanos, failure: CallFailure, first: bool) -> Nanos {
         let stale = self.stale_window();
         match failure {
-            // Without this, a watch given up at the very moment from which the node is held to what it missed
-            // would be sent again seconds after; and so a list that came garbled, with a drain in it.
+            // Without this, a watch given up at the very moment from which the node is accountable
+            // for what it missed would be sent again seconds after; and so a list that came
+            // garbled, with a drain in it.
             CallFailure::Silent | CallFailure::Malformed if first => now,
             // Without this, a service that restarts would be called by all at once, up to three times by
             // each: for what changed, the whole list, the next watch.
--- a/node/src/discovery/versions.rs
+++ b/node/src/discovery/versions.rs
@@ -1,29 +1,33 @@
-//! Which lists of a service are believed, and whether the next call to it may wait for news: a plain value. It owns
-//! the version reached. It must never know a connection or a host.
+//! Which lists of a service are believed, and whether the next call to it may wait for news: a
+//! plain value. Owns the version reached. Must never know a connection or a host.
 
-/// What a list is worth that has come.
+/// How a list that has come compares with what is known.
 #[derive(Debug, PartialEq)]
 pub enum Freshness {
+    /// It is the newest.
     Current,
-    /// A whole list from before what is known: believed, but for the drains that it does not know of.
+    /// A whole list from before what is known: believed, but for the drains that it does not know
+    /// of.
     Older,
-    /// From before what is known, by a call that waited long: nothing.
+    /// From before what is known, by a call that waited long: ignored.
     Stale,
     /// Changes from before what is known: not believed, and the whole list is wanted next.
     Backwards,
 }
 
+/// The version reached at one service.
 #[derive(Default)]
 pub struct ListVersions {
     /// None before the service has given its whole list.
     known: Option<u64>,
     /// The version reached before the service counted backwards.
     highest_before_reset: Option<u64>,
-    /// The service may have started anew and count afresh, below what is known here.
+    /// The service may have restarted and count afresh, below what is known here.
     maybe_restarted: bool,
 }
 
 impl ListVersions {
+    /// For a node that knows the list up to this version.
     pub fn new(known: Option<u64>) -> Self {
         ListVersions {
             known,
@@ -31,22 +35,23 @@
         }
     }
 
+    /// The version reached; none before the service has given its whole list.
     pub fn known(&self) -> Option<u64> {
         self.known
     }
 
-    /// Whether a call may wait there for what comes after the version known. Guards: one that waits at a service that
-    /// has started anew, with versions that the one known here is far beyond.
+    /// Whether a call may wait for what comes after the version known. Without this, one would wait
+    /// at a service that has restarted, with versions that the one known here is far beyond.
     pub fn may_long_poll(&self) -> bool {
         self.known.is_some() && !self.maybe_restarted
     }
 
-    /// A call broke off, or has had no answer in time.
+    /// A call broke, or had no answer in time.
     pub fn record_failure(&mut self) {
         self.maybe_restarted = true;
     }
 
-    /// A list has come, of the watch or of a call beside it.
+    /// Assesses a list, of the watch or of a call beside it, and goes by it where it is believed.
     pub fn assess(&mut self, watch: bool, revision: u64, complete: bool) -> Freshness {
         let before = self.known.is_some_and(|known| revision < known);
         if before && !watch {
@@ -61,8 +66,9 @@
                 .highest_before_reset
                 .max(self.known)
                 .is_some_and(|known| revision < known);
-        (self.known, self.highest_before_reset, self.maybe_restarted) =
-            (Some(revision), None, self.maybe_restarted && !watch);
+        self.known = Some(revision);
+        self.highest_before_reset = None;
+        self.maybe_restarted &= !watch;
         if older {
             Freshness::Older
         } else {
--- a/node/tests/relisted.rs
+++ b/node/tests/relisted.rs
@@ -1,19 +1,22 @@
-//! Hosts that the list names anew, in another group or at another address: what was chosen for them before goes by where they
-//! were.
+//! Hosts that the list puts into another group or at another address: what was chosen for them before goes by
+//! where they were.
+
+mod shared;
 
 use reedferry_testkit::program::node_config_of;
 use reedferry_testkit::*;
 use serde_json::json;
+use shared::{answer_late_request, request_class, wait_until_read, LATE_CONNECTION_TIMEOUT};
 use std::thread::yield_now;
 use std::time::{Duration, Instant};
 
-/// Longer than the grace for draining hosts in the papers of trials.
+/// Longer than the grace for draining hosts in the configuration of trials.
 const PAST_GRACE: Duration = Duration::from_millis(500);
 
-/// Guards: a repeat matched against the circle in which the host of the first attempt is listed by now, and not the one in
-/// which it may have run it: its name has come back in another.
+/// Guards against a retry matched against the idempotency group in which the host of the first attempt is
+/// listed by now, and not the one in which it may have run it: its name has come back in another.
 #[test]
-fn a_repeat_stays_in_the_circle_in_which_the_first_attempt_may_have_run() {
+fn a_retry_stays_in_the_group_in_which_the_first_attempt_may_have_run() {
     for idempotency_group in ["zone", "cell"] {
         let hosts = Hosts::start(2);
         let discovery = Discovery::start();
@@ -25,14 +28,13 @@
         let mut node_config = node_config_of(json!([named(0, 0)]), discovery.address);
         let settings = &mut node_config["settings"];
         settings["zones"] = json!(["a", "b"]);
-        settings["offerings"][0] = json!({"name": "chat", "contract_time": 1500.0, "expiry": 6000.0,
-            "effect": "guarded", "group": idempotency_group, "payoff": 1.0, "repeat_window": 6000.0});
+        settings["offerings"][0] = request_class("guarded", idempotency_group, 1500.0);
         let node = Node::start(&node_config);
         discovery.calls(1);
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
         let (_, mut host) = hosts.accept();
         host.hear();
-        // Each change has been taken in once the next call has come.
+        // Each change has been applied once the next call has come.
         discovery.change(named(1, 1));
         discovery.calls(2);
         discovery.change(named(0, 1));
@@ -41,15 +43,15 @@
         client.hears("ERR");
         assert!(
             hosts.accept_soon().is_none(),
-            "{idempotency_group}: sent out of its circle"
+            "{idempotency_group}: sent out of its group"
         );
     }
 }
 
-/// Guards: a repeat sent to a host that was in the circle when it was chosen, and is listed in another by the time its
-/// connection comes up.
+/// Guards against a retry sent to a host that was in the group when it was chosen, and is listed in another by
+/// the time its connection is established.
 #[test]
-fn a_repeat_is_not_sent_where_its_host_has_left_the_circle_while_it_was_called() {
+fn a_retry_is_not_sent_where_its_host_has_left_the_group_while_it_was_connected() {
     for (moves, sent) in [(false, true), (true, false)] {
         let hosts = Hosts::start(1);
         let (listener, first) = jammed();
@@ -57,8 +59,7 @@
         let mut node_config = node_config_of(hosts.members(), discovery.address);
         let settings = &mut node_config["settings"];
         settings["policy_limits"]["connect_timeout"] = json!(5000.0);
-        settings["offerings"][0] = json!({"name": "chat", "contract_time": 300.0, "expiry": 6000.0,
-            "effect": "guarded", "group": "cell", "payoff": 1.0, "repeat_window": 6000.0});
+        settings["offerings"][0] = request_class("guarded", "cell", 300.0);
         let node = Node::start(&node_config);
         discovery.calls(1);
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
@@ -69,10 +70,7 @@
         discovery.change(late.clone());
         host.hears("end");
         discovery.calls(2);
-        // Whoever answers this has asked for that connection.
-        let mut other = Peer::connect(node.address);
-        other.say("PING");
-        other.hears("PONG");
+        wait_until_read(&node);
         late["cell"] = json!(if moves {
             77
         } else {
@@ -80,23 +78,9 @@
         });
         discovery.change(late);
         discovery.calls(3);
-        drop(first);
-        drop(listener.accept().unwrap());
-        listener.set_nonblocking(true).unwrap();
-        let (asked, mut got) = (Instant::now(), None);
-        // The system asks for a connection again a second after the first time.
-        while asked.elapsed() < Duration::from_millis(2500) && got.is_none() {
-            let Ok((stream, _)) = listener.accept() else {
-                continue;
-            };
-            stream.set_nonblocking(false).unwrap();
-            let mut peer = Peer::new(stream);
-            if peer.hear().starts_with("OPEN") {
-                peer.say("UP 2");
-                got = Some(peer);
-            }
-        }
-        assert_eq!(got.is_some(), sent, "moves {moves}");
+        let deadline = Instant::now() + LATE_CONNECTION_TIMEOUT;
+        let late = answer_late_request(&listener, first, deadline);
+        assert_eq!(late.is_some(), sent, "moves {moves}");
         let said = client.hear();
         assert!(
             said.starts_with(if sent { "UP 2" } else { "ERR" }),
@@ -105,8 +89,8 @@
     }
 }
 
-/// Guards: new work for a place that a host has left: it is listed at another address while its connection comes up, which
-/// takes longer than the grace.
+/// Guards against new work for an address that a host has left: it is listed at another one while its connection
+/// is being established, which takes longer than the grace.
 #[test]
 fn a_host_listed_at_another_address_gets_nothing_new_at_the_old_one() {
     let (listener, first) = jammed();
@@ -120,23 +104,20 @@
     let node = Node::start(&node_config);
     discovery.calls(1);
     let mut client = node.open(&OPEN.replace("d=2000", "d=8000"));
-    // Whoever answers this has asked for that connection.
-    let mut other = Peer::connect(node.address);
-    other.say("PING");
-    other.hears("PONG");
+    wait_until_read(&node);
     discovery.change(member(0, &hosts.addresses[0].to_string(), "active"));
     discovery.calls(2);
-    let told = Instant::now();
-    while told.elapsed() < PAST_GRACE {
+    let changed = Instant::now();
+    while changed.elapsed() < PAST_GRACE {
         yield_now();
     }
     drop(first);
     drop(listener.accept().unwrap());
     listener.set_nonblocking(true).unwrap();
     // The system asks for the connection again a second after the first time, if it is still wanted.
-    let mut at_the_new_one = None;
-    while told.elapsed() < Duration::from_millis(2500) && at_the_new_one.is_none() {
-        at_the_new_one = hosts.accept_soon();
+    let mut at_new_address = None;
+    while changed.elapsed() < LATE_CONNECTION_TIMEOUT && at_new_address.is_none() {
+        at_new_address = hosts.accept_soon();
         if let Ok((late, _)) = listener.accept() {
             late.set_nonblocking(false).unwrap();
             let end = Peer::new(late).hear();
@@ -146,15 +127,15 @@
             );
         }
     }
-    let (_, mut host) = at_the_new_one.expect("nothing came to the new address");
+    let (_, mut host) = at_new_address.expect("nothing came to the new address");
     host.hear();
     host.say("UP 2");
     client.hears("UP 2");
 }
 
-/// Guards: a host avoided at its new address, as nobody takes the connection that is coming up at the old one.
+/// Guards against a host avoided at its new address, as nobody accepts the connection at the old one.
 #[test]
-fn a_host_is_not_avoided_for_what_becomes_of_its_old_address() {
+fn a_host_is_not_avoided_for_what_happens_at_its_old_address() {
     let (listener, first) = jammed();
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
     let old = member(0, &listener.local_addr().unwrap().to_string(), "active");
@@ -163,21 +144,18 @@
     let node = Node::start(&node_config);
     discovery.calls(1);
     let mut client = node.open(OPEN);
-    // Whoever answers this has asked for that connection.
-    let mut other = Peer::connect(node.address);
-    other.say("PING");
-    other.hears("PONG");
+    wait_until_read(&node);
     discovery.change(member(0, &hosts.addresses[0].to_string(), "active"));
     discovery.calls(2);
     let (_, mut host) = hosts.accept();
     host.hear();
     host.say("UP 2");
     client.hears("UP 2");
-    let masks: Vec<String> = node
+    let ejections: Vec<String> = node
         .logged()
         .into_iter()
         .filter(|line| line.contains("mask host"))
         .collect();
-    assert!(masks.is_empty(), "{masks:?}");
+    assert!(ejections.is_empty(), "{ejections:?}");
     drop((first, listener));
 }
--- a/node/tests/repeats.rs
+++ b/node/tests/repeats.rs
@@ -1,14 +1,17 @@
-//! Repeats: a further attempt at the last instant at which its effect allows one, and past it.
+//! Retries: a further attempt at the last instant at which its idempotency allows one, and past it.
+
+mod shared;
 
 use reedferry_testkit::program::node_config_of;
 use reedferry_testkit::*;
 use serde_json::json;
+use shared::{answer_late_request, request_class, wait_until_read, LATE_CONNECTION_TIMEOUT};
 use std::time::{Duration, Instant};
 
-/// Guards: a repeat that was chosen inside the window in which others drop it, and whose line went out after it, as the
-/// connection came up late.
+/// Guards against a retry that was chosen inside the window in which others drop it, and whose line went out
+/// after it, as the connection came up late.
 #[test]
-fn a_repeat_whose_connection_comes_up_past_its_window_is_not_sent() {
+fn a_retry_whose_connection_is_established_past_its_window_is_not_sent() {
     for (idempotency, window, sent, answer) in [
         ("free", 0, true, "UP 2"),
         ("guarded", 6000, true, "UP 2"),
@@ -21,12 +24,12 @@
         let mut node_config = node_config_of(hosts.members(), discovery.address);
         let settings = &mut node_config["settings"];
         settings["policy_limits"]["connect_timeout"] = json!(5000.0);
-        settings["offerings"][0] = json!({"name": "chat", "contract_time": 300.0, "expiry": 6000.0,
-            "effect": idempotency, "group": "all", "payoff": 1.0, "repeat_window": f64::from(window)});
+        settings["offerings"][0] = request_class(idempotency, "all", 300.0);
+        settings["offerings"][0]["repeat_window"] = json!(f64::from(window));
         let node = Node::start(&node_config);
         discovery.calls(1);
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
-        let asked = Instant::now();
+        let started = Instant::now();
         let (_, mut host) = hosts.accept();
         host.hear();
         // The only other host is one whose connections come up late.
@@ -35,35 +38,18 @@
             &listener.local_addr().unwrap().to_string(),
             "active",
         ));
-        // The first is given up; what is sent again goes there.
+        // The first attempt times out; the retry goes there.
         host.hears("end");
-        // Whoever answers this has asked for that connection.
-        let mut other = Peer::connect(node.address);
-        other.say("PING");
-        other.hears("PONG");
-        drop(first);
-        drop(listener.accept().unwrap());
-        listener.set_nonblocking(true).unwrap();
-        let mut lines = Vec::new();
-        // The system asks for a connection again a second after the first time.
-        while asked.elapsed() < Duration::from_millis(2500) && lines.is_empty() {
-            let Ok((late, _)) = listener.accept() else {
-                continue;
-            };
-            late.set_nonblocking(false).unwrap();
-            let mut late = Peer::new(late);
-            let line = late.hear();
-            if line.starts_with("OPEN") {
-                assert!(
-                    asked.elapsed() > Duration::from_millis(900),
-                    "too tame: {:?}",
-                    asked.elapsed()
-                );
-                late.say("UP 2");
-                lines.push((line, late));
-            }
+        wait_until_read(&node);
+        let late = answer_late_request(&listener, first, started + LATE_CONNECTION_TIMEOUT);
+        if late.is_some() {
+            let elapsed = started.elapsed();
+            assert!(
+                elapsed > Duration::from_millis(900),
+                "too tame: {elapsed:?}"
+            );
         }
-        assert_eq!(!lines.is_empty(), sent, "{idempotency}, {window} ms");
+        assert_eq!(late.is_some(), sent, "{idempotency}, {window} ms");
         let said = client.hear();
         assert!(
             said.starts_with(answer),
@@ -72,10 +58,11 @@
     }
 }
 
-/// Guards: a repeat sent out of the circle that drops it: where the settings name neither host's zone, where the host that
-/// may have run it has left and no more is said of it, and where the settings change the places of zones after that.
+/// Guards against a retry sent out of the group that drops it: where the settings name neither host's zone,
+/// where the host that may have run it has left and no more is said of it, and where the settings change the
+/// order of zones after that.
 #[test]
-fn a_repeat_stays_in_the_circle_of_the_host_that_may_have_run_it() {
+fn a_retry_stays_in_the_group_of_the_host_that_may_have_run_it() {
     for (what, idempotency_group, zones, left) in [
         (
             "zones that the settings do not name",
@@ -85,7 +72,7 @@
         ),
         ("a zone of which no more is said", "zone", ["b", ""], true),
         ("a cell of which no more is said", "cell", ["a", "a"], true),
-        ("zones that change their places", "zone", ["a", "b"], true),
+        ("zones that change their order", "zone", ["a", "b"], true),
     ] {
         let hosts = Hosts::start(2);
         let discovery = Discovery::start();
@@ -98,15 +85,14 @@
         let mut node_config = node_config_of(json!([named(0)]), discovery.address);
         let settings = &mut node_config["settings"];
         settings["zones"] = json!(["a", "b"]);
-        settings["offerings"][0] = json!({"name": "chat", "contract_time": 1500.0, "expiry": 6000.0,
-            "effect": "guarded", "group": idempotency_group, "payoff": 1.0, "repeat_window": 6000.0});
+        settings["offerings"][0] = request_class("guarded", idempotency_group, 1500.0);
         let node = Node::start(&node_config);
         discovery.calls(1);
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
         let (first, mut host) = hosts.accept();
         assert_eq!(first, 0);
         host.hear();
-        // Each change has been taken in once the next call has come.
+        // Each change has been applied once the next call has come.
         discovery.change(named(1));
         discovery.calls(2);
         if left {
@@ -119,7 +105,7 @@
             discovery.change(gone);
             discovery.calls(3);
         }
-        if what.contains("change their places") {
+        if what.contains("change their order") {
             node_config["settings"]["zones"] = json!(["b", "a"]);
             node_config["settings"]["zone"] = json!(1);
             node.reread(&node_config.to_string());
@@ -129,14 +115,14 @@
         client.hears("ERR");
         assert!(
             hosts.accept_soon().is_none(),
-            "{what}: sent out of its circle"
+            "{what}: sent out of its group"
         );
     }
 }
 
-/// Guards: the same kept so narrowly that nothing is repeated at all.
+/// Guards against the same kept so narrowly that nothing is retried at all.
 #[test]
-fn a_repeat_goes_to_another_host_of_the_same_circle() {
+fn a_retry_goes_to_another_host_of_the_same_group() {
     for idempotency_group in ["zone", "cell", "all"] {
         let hosts = Hosts::start(2);
         let discovery = Discovery::start();
@@ -146,8 +132,8 @@
             member
         };
         let mut node_config = node_config_of(json!([named(0), named(1)]), discovery.address);
-        node_config["settings"]["offerings"][0] = json!({"name": "chat", "contract_time": 1500.0, "expiry": 6000.0,
-            "effect": "guarded", "group": idempotency_group, "payoff": 1.0, "repeat_window": 6000.0});
+        node_config["settings"]["offerings"][0] =
+            request_class("guarded", idempotency_group, 1500.0);
         let node = Node::start(&node_config);
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
         let (first, mut host) = hosts.accept();
@@ -161,9 +147,9 @@
     }
 }
 
-/// Guards: hosts taken for ones of the same cell, as theirs are no small numbers or are not told at all.
+/// Guards against hosts taken for ones of the same cell, as theirs are no small numbers or are missing.
 #[test]
-fn a_repeat_goes_by_cells_of_any_form() {
+fn a_retry_goes_by_cells_of_any_form() {
     for (first, second, same) in [
         (json!("x"), json!("y"), false),
         (json!("x"), json!("x"), true),
@@ -183,20 +169,19 @@
             member
         };
         let mut node_config = node_config_of(json!([named(0, &first)]), discovery.address);
-        node_config["settings"]["offerings"][0] = json!({"name": "chat", "contract_time": 1500.0, "expiry": 6000.0,
-            "effect": "guarded", "group": "cell", "payoff": 1.0, "repeat_window": 6000.0});
+        node_config["settings"]["offerings"][0] = request_class("guarded", "cell", 1500.0);
         let node = Node::start(&node_config);
         discovery.calls(1);
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
         let (_, mut host) = hosts.accept();
         host.hear();
-        // The change has been taken in once the next call has come.
+        // The change has been applied once the next call has come.
         discovery.change(named(1, &second));
         discovery.calls(2);
         host.reset();
-        let again = hosts.accept_soon();
-        assert_eq!(again.is_some(), same, "{first} and {second}");
-        match again {
+        let retry = hosts.accept_soon();
+        assert_eq!(retry.is_some(), same, "{first} and {second}");
+        match retry {
             Some((_, mut host)) => {
                 host.hear();
                 host.say("UP 2");
@@ -207,8 +192,8 @@
     }
 }
 
-/// So that the node has one end: what it is told, and nothing behind it.
-fn hears_one(client: &mut Peer, wanted: &str, what: &str) {
+/// Checks that the client gets this answer, and nothing behind it.
+fn expect_only_answer(client: &mut Peer, wanted: &str, what: &str) {
     let said = client.hear();
     assert!(said.starts_with(wanted), "{what}: {said}");
     if !wanted.starts_with("UP") {
@@ -216,11 +201,12 @@
     }
 }
 
-/// Guards: two answers for one attachment, a further attempt beside one that was taken, or an answer taken for another's, where
-/// a host answers twice, with the wrong word, in pieces, or in the moment in which it is given up.
+/// Guards against two answers for one request, a further attempt beside one that was accepted, or an answer taken
+/// for another's, where a host answers twice, with the wrong word, in pieces, or at the moment its attempt times
+/// out.
 #[test]
 fn an_answer_that_comes_twice_late_or_in_pieces_is_one() {
-    // What the host says at once, what right behind it, what the client hears, and whether another host is asked.
+    // The host's answer, what it sends right behind it, the client's answer, and whether another host gets a retry.
     let cases = [
         ("free", "UP 7\r\n", "UP 8\r\n", "UP 7", false),
         ("free", "BUSY\r\n", "UP 8\r\n", "UP 2", true),
@@ -231,7 +217,7 @@
         ("single_shot", "WHAT 1\r\n", "UP 8\r\n", "ERR", false),
         ("single_shot", "UP 7\r\n", "ERR\r\n", "UP 7", false),
     ];
-    for ((idempotency, first, second, wanted, again), apart) in
+    for ((idempotency, first, second, wanted, retried), apart) in
         cases.into_iter().flat_map(|c| [(c, false), (c, true)])
     {
         let what = format!("{idempotency}, {first:?} and {second:?}, apart {apart}");
@@ -246,9 +232,9 @@
         // Both are there in one turn; or the first in two pieces, and the second once the node has read that.
         if apart {
             host.write(&first[..1]);
-            has_read(&node);
+            wait_until_read(&node);
             host.write(&first[1..]);
-            has_read(&node);
+            wait_until_read(&node);
             _ = std::io::Write::write_all(&mut host.stream, second.as_bytes());
         } else {
             node.stand_still();
@@ -256,16 +242,16 @@
             host.write(second);
             node.go_on();
         }
-        if again {
+        if retried {
             let (other, mut host) = hosts.accept();
             assert_ne!(one, other, "{what}");
             host.hear();
             host.say("UP 2");
-            hears_one(&mut client, wanted, &what);
+            expect_only_answer(&mut client, wanted, &what);
         } else {
-            hears_one(&mut client, wanted, &what);
+            expect_only_answer(&mut client, wanted, &what);
         }
-        assert!(hosts.accept_soon().is_none(), "{what}: sent on again");
+        assert!(hosts.accept_soon().is_none(), "{what}: sent again");
         if wanted.starts_with("UP 7") {
             // From there on the connection is the host's.
             client.hears(second.trim_end());
@@ -273,10 +259,10 @@
     }
 }
 
-/// Guards: an answer that is there while its attempt is given up: the node stands still over both and finds them in one turn,
-/// by itself or behind more than one turn takes in; and one that comes just after.
+/// Guards against a second answer where one is there while its attempt times out: the node is stopped over both and
+/// finds them in one turn, by itself or behind more than one turn takes in; and one that comes just after.
 #[test]
-fn an_answer_in_the_moment_in_which_its_attempt_is_given_up_is_the_only_one() {
+fn an_answer_at_the_moment_its_attempt_times_out_is_the_only_one() {
     for (idempotency, comes) in ["free", "single_shot"]
         .into_iter()
         .flat_map(|e| ["with it", "behind", "after"].map(|c| (e, c)))
@@ -295,27 +281,27 @@
             "behind" => (0..700).map(|_| Peer::connect(node.address)).collect(),
             _ => Vec::new(),
         };
-        has_read(&node);
+        wait_until_read(&node);
         let mut client = node.open(OPEN);
         let (one, mut host) = hosts.accept();
         let asked = Instant::now();
         host.hear();
         if comes == "after" {
-            // Given up: its connection has ended, and what it then says is nobody's.
+            // Timed out: its connection has ended, and what it then sends is nobody's.
             host.hears("end");
             _ = std::io::Write::write_all(&mut host.stream, b"UP 7\r\n");
             if idempotency == "single_shot" {
-                hears_one(&mut client, "ERR", &what);
+                expect_only_answer(&mut client, "ERR", &what);
             } else {
                 let (other, mut host) = hosts.accept();
                 assert_ne!(one, other, "{what}");
                 host.hear();
                 host.say("UP 2");
-                hears_one(&mut client, "UP 2", &what);
+                expect_only_answer(&mut client, "UP 2", &what);
             }
         } else {
             node.stand_still();
-            // What is irreversible is waited for as long as its client waits, less two rounds.
+            // What is not idempotent is waited for as long as its client waits, less two round trips.
             let up = Duration::from_millis(if idempotency == "single_shot" {
                 1650
             } else {
@@ -325,15 +311,8 @@
             host.say("UP 7");
             eventually("no time passes", || asked.elapsed() > up);
             node.go_on();
-            hears_one(&mut client, "UP 7", &what);
+            expect_only_answer(&mut client, "UP 7", &what);
         }
-        assert!(hosts.accept_soon().is_none(), "{what}: sent on again");
+        assert!(hosts.accept_soon().is_none(), "{what}: sent again");
     }
 }
-
-/// Whoever answers this has read all that came before.
-fn has_read(node: &Node) {
-    let mut other = Peer::connect(node.address);
-    other.say("PING");
-    other.hears("PONG");
-}
