--- a/node/src/connections/protocol/protocol_tests.rs
+++ b/node/src/connections/protocol/protocol_tests.rs
@@ -6,7 +6,7 @@
 const LINE: &[u8] = b"OPEN 9b1f 7f3a9c21e0b4d655 c=chat,t=acme,d=2000,g=5c0f,at=s-1,h=12.5,zz=1";
 
 #[test]
-fn reads_a_whole_opening_and_rewrites_only_its_wait() {
+fn reads_a_request_line_and_rewrites_only_its_timeout() {
     let Ok(ClientMessage::Request(request)) = parse_client_line(LINE) else {
         panic!()
     };
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn says_what_is_malformed() {
+fn reports_what_is_malformed() {
     for line in [
         "",
         "OPEN",
--- a/node/src/discovery/hosts_tests.rs
+++ b/node/src/discovery/hosts_tests.rs
@@ -4,24 +4,24 @@
 use crate::discovery::start_times::ClaimSource;
 use reedferry::{MILLI, SECOND};
 
-const T: Nanos = 1_000 * SECOND;
+const START: Nanos = 1_000 * SECOND;
 
-fn one() -> Hosts {
+fn hosts_with_one_answer() -> Hosts {
     let mut hosts = Hosts::new(Vec::new(), 48 * MILLI);
     let text = br#"{"revision":1,"complete":true,"members":[{"id":"a","phase":"active"}]}"#;
     let mut reader = crate::discovery::list::ListReader::default();
     reader.feed(text).unwrap();
     hosts.apply_list(
-        T,
+        START,
         reader.finish().unwrap(),
         ListSource::Cached,
         &Logger::root(slog::Discard, slog::o!()),
     );
-    hosts.record_answer(0, T + 100 * MILLI, T + 102 * MILLI);
+    hosts.record_answer(0, START + 100 * MILLI, START + 102 * MILLI);
     hosts
 }
 
-fn look(hosts: &mut Hosts, now: Nanos) -> Option<Nanos> {
+fn report(hosts: &mut Hosts, now: Nanos) -> Option<Nanos> {
     let mut events = Vec::new();
     hosts.report_latencies(now, &mut events);
     events.first().map(|e| match e {
@@ -31,85 +31,85 @@
 }
 
 #[test]
-fn a_jam_is_told_at_once_and_at_its_size_to_be() {
-    let mut hosts = one();
+fn a_jam_is_reported_at_once_and_at_its_projected_size() {
+    let mut hosts = hosts_with_one_answer();
     // Sent 200 ms after the last good one and 200 ms late: one sent now is to take twice that.
-    hosts.record_answer(0, T + 300 * MILLI, T + 500 * MILLI);
-    assert!((395..=400).contains(&look(&mut hosts, T + 500 * MILLI).unwrap()));
-    hosts.record_unanswered(0, T + 300 * MILLI, T + 10_000 * MILLI);
+    hosts.record_answer(0, START + 300 * MILLI, START + 500 * MILLI);
+    assert!((395..=400).contains(&report(&mut hosts, START + 500 * MILLI).unwrap()));
+    hosts.record_unanswered(0, START + 300 * MILLI, START + 10_000 * MILLI);
     assert_eq!(
-        look(&mut hosts, T + 600 * MILLI),
+        report(&mut hosts, START + 600 * MILLI),
         None,
         "told again within the second"
     );
-    hosts.record_unanswered(0, T + 300 * MILLI, T + 10_000 * MILLI);
-    hosts.record_unanswered(0, T + 320 * MILLI, T + 10_000 * MILLI);
-    assert_eq!(look(&mut hosts, T + 1600 * MILLI), Some(1298));
-    hosts.record_answer(0, T + 1700 * MILLI, T + 1705 * MILLI);
+    hosts.record_unanswered(0, START + 300 * MILLI, START + 10_000 * MILLI);
+    hosts.record_unanswered(0, START + 320 * MILLI, START + 10_000 * MILLI);
+    assert_eq!(report(&mut hosts, START + 1600 * MILLI), Some(1298));
+    hosts.record_answer(0, START + 1700 * MILLI, START + 1705 * MILLI);
     assert_eq!(
-        look(&mut hosts, T + 2600 * MILLI),
+        report(&mut hosts, START + 2600 * MILLI),
         Some(3),
         "and once more when it is over"
     );
-    hosts.record_answer(0, T + 2700 * MILLI, T + 2705 * MILLI);
-    assert_eq!(look(&mut hosts, T + 3600 * MILLI), None);
+    hosts.record_answer(0, START + 2700 * MILLI, START + 2705 * MILLI);
+    assert_eq!(report(&mut hosts, START + 3600 * MILLI), None);
 }
 
 #[test]
-fn a_host_that_answers_none_of_several_is_told_as_hung_and_once() {
-    let mut hosts = one();
+fn a_host_that_answers_none_of_several_is_reported_as_hung_and_once() {
+    let mut hosts = hosts_with_one_answer();
     for (now, wanted) in [
         (640, None),
         (660, Some(998)),
         (760, None),
         (1660, Some(1998)),
     ] {
-        hosts.record_unanswered(0, T + 250 * MILLI, T + 10_000 * MILLI);
-        hosts.record_unanswered(0, T + 300 * MILLI, T + 10_000 * MILLI);
-        assert_eq!(look(&mut hosts, T + now * MILLI), wanted, "at {now}");
+        hosts.record_unanswered(0, START + 250 * MILLI, START + 10_000 * MILLI);
+        hosts.record_unanswered(0, START + 300 * MILLI, START + 10_000 * MILLI);
+        assert_eq!(report(&mut hosts, START + now * MILLI), wanted, "at {now}");
     }
     // One line alone may be lost, and one older than what is answered is.
-    let mut hosts = one();
-    hosts.record_unanswered(0, T + 250 * MILLI, T + 10_000 * MILLI);
-    assert_eq!(look(&mut hosts, T + 660 * MILLI), None);
-    hosts.record_unanswered(0, T + 250 * MILLI, T + 10_000 * MILLI);
-    assert!(look(&mut hosts, T + 2800 * MILLI).unwrap() > 2500);
-    let mut hosts = one();
+    let mut hosts = hosts_with_one_answer();
+    hosts.record_unanswered(0, START + 250 * MILLI, START + 10_000 * MILLI);
+    assert_eq!(report(&mut hosts, START + 660 * MILLI), None);
+    hosts.record_unanswered(0, START + 250 * MILLI, START + 10_000 * MILLI);
+    assert!(report(&mut hosts, START + 2800 * MILLI).unwrap() > 2500);
+    let mut hosts = hosts_with_one_answer();
     for now in [700, 1700, 2700, 3700] {
-        hosts.record_answer(0, T + (now - 100) * MILLI, T + (now - 98) * MILLI);
-        hosts.record_unanswered(0, T + 250 * MILLI, T + 10_000 * MILLI);
-        hosts.record_unanswered(0, T + 300 * MILLI, T + 10_000 * MILLI);
-        assert_eq!(look(&mut hosts, T + now * MILLI), None, "at {now}");
+        hosts.record_answer(0, START + (now - 100) * MILLI, START + (now - 98) * MILLI);
+        hosts.record_unanswered(0, START + 250 * MILLI, START + 10_000 * MILLI);
+        hosts.record_unanswered(0, START + 300 * MILLI, START + 10_000 * MILLI);
+        assert_eq!(report(&mut hosts, START + now * MILLI), None, "at {now}");
     }
 }
 
 #[test]
-fn a_pause_is_not_told_and_steady_lateness_is_once_a_second() {
-    let mut hosts = one();
-    hosts.record_unanswered(0, T + 300 * MILLI, T + 10_000 * MILLI);
-    assert_eq!(look(&mut hosts, T + 390 * MILLI), None);
+fn a_pause_is_not_reported_and_steady_lateness_is_once_a_second() {
+    let mut hosts = hosts_with_one_answer();
+    hosts.record_unanswered(0, START + 300 * MILLI, START + 10_000 * MILLI);
+    assert_eq!(report(&mut hosts, START + 390 * MILLI), None);
     for n in 0..5 {
-        hosts.record_answer(0, T + 400 * MILLI, T + (440 + n) * MILLI);
+        hosts.record_answer(0, START + 400 * MILLI, START + (440 + n) * MILLI);
     }
-    assert_eq!(look(&mut hosts, T + 900 * MILLI), None);
-    assert_eq!(look(&mut hosts, T + 1000 * MILLI), Some(40));
+    assert_eq!(report(&mut hosts, START + 900 * MILLI), None);
+    assert_eq!(report(&mut hosts, START + 1000 * MILLI), Some(40));
     // An old slow answer among quick ones says nothing of now.
     for n in 0..5 {
-        hosts.record_answer(0, T + 1400 * MILLI, T + (1402 + n) * MILLI);
+        hosts.record_answer(0, START + 1400 * MILLI, START + (1402 + n) * MILLI);
     }
-    assert_eq!(look(&mut hosts, T + 2000 * MILLI), Some(2));
+    assert_eq!(report(&mut hosts, START + 2000 * MILLI), Some(2));
 }
 
-/// What a list in these words says, taken in.
-fn told(hosts: &mut Hosts, text: &str) -> Vec<Endpoint> {
+/// Applies a list with this text.
+fn apply(hosts: &mut Hosts, text: &str) -> Vec<Endpoint> {
     let mut reader = crate::discovery::list::ListReader::default();
     reader.feed(text.as_bytes()).unwrap();
     match hosts.apply_list(
-        T,
+        START,
         reader.finish().unwrap(),
         ListSource::Service {
             claims: ClaimSource::FullList,
-            effective_from: T,
+            effective_from: START,
         },
         &Logger::root(slog::Discard, slog::o!()),
     ) {
@@ -120,9 +120,10 @@
     }
 }
 
-/// Guards: zones that the settings do not name taken for one another or for one that they do; names that look like numbers.
+/// Guards against zones that the settings do not name taken for one another or for one that they
+/// do; names that look like numbers.
 #[test]
-fn each_zone_has_a_place_of_its_own_whether_or_not_the_settings_name_it() {
+fn each_zone_has_an_index_of_its_own_whether_or_not_the_settings_name_it() {
     let zones = |hosts: &mut Hosts, names: &[&str]| -> Vec<u16> {
         let member = |n: &&str| format!(r#"{{"id":"s-{n}","locality":"{n}","phase":"active"}}"#);
         let members: Vec<String> = names.iter().map(member).collect();
@@ -130,7 +131,7 @@
             r#"{{"revision":1,"complete":true,"members":[{}]}}"#,
             members.join(",")
         );
-        told(hosts, &list)
+        apply(hosts, &list)
             .iter()
             .map(|listing| listing.zone)
             .collect()
@@ -152,29 +153,30 @@
     );
     // Thousands of names have places, and none of the settings' own.
     let mut hosts = Hosts::new(vec!["a".to_string()], 48 * MILLI);
-    let places: HashSet<u16> = (0..3000)
+    let indices: HashSet<u16> = (0..3000)
         .map(|n| hosts.zones.index(&format!("z{n}")))
         .collect();
-    assert!(places.len() == 3000 && !places.contains(&0));
+    assert!(indices.len() == 3000 && !indices.contains(&0));
 }
 
-/// Guards: a host that has left, of which the last change says no more, taken for one of another zone or cell; and one that
-/// is gone and keeps the place that its zone had before the settings changed theirs.
+/// Guards against a host that has left, of which the last change says no more, taken for one of
+/// another zone or cell; and one that is gone and keeps the index that its zone had before the
+/// settings changed theirs.
 #[test]
-fn a_host_that_has_left_stays_of_its_zone_and_cell() {
+fn a_host_that_has_left_keeps_its_zone_and_cell() {
     let mut hosts = Hosts::new(vec!["a".to_string(), "b".to_string()], 48 * MILLI);
     let list = r#"{"revision":1,"complete":true,"members":[
         {"id":"s-0","locality":"b","cell":3,"size":2.0,"phase":"active"},
         {"id":"s-1","locality":"b","cell":4,"phase":"active"}]}"#;
-    told(&mut hosts, list);
+    apply(&mut hosts, list);
     let left = r#"{"revision":2,"complete":false,"members":[{"id":"s-0","phase":"left"}]}"#;
-    let listing = told(&mut hosts, left)[0];
+    let listing = apply(&mut hosts, left)[0];
     assert_eq!(
         (listing.state, listing.zone, listing.cell, listing.size),
         (HostState::Gone, 1, 3, 2.0)
     );
     // Another is missing from a whole list.
-    told(&mut hosts, r#"{"revision":3,"complete":true,"members":[]}"#);
+    apply(&mut hosts, r#"{"revision":3,"complete":true,"members":[]}"#);
     assert!(hosts.members().is_empty() && hosts.ids().next().is_none());
     hosts.update_settings(vec!["b".to_string()], 48 * MILLI);
     let former = EndpointList {
@@ -183,7 +185,7 @@
         members: hosts.former_members(),
     };
     let event = hosts.apply_list(
-        T,
+        START,
         former,
         ListSource::Cached,
         &Logger::root(slog::Discard, slog::o!()),
--- a/node/src/discovery/http_tests.rs
+++ b/node/src/discovery/http_tests.rs
@@ -3,23 +3,23 @@
 use super::*;
 
 fn read(text: &[u8], size: usize) -> Result<(u16, Vec<u8>, bool, bool), HttpError> {
-    let (mut answer, mut body) = (HttpResponse::default(), Vec::new());
+    let (mut response, mut body) = (HttpResponse::default(), Vec::new());
     for piece in text.chunks(size) {
-        answer.feed(piece, |bytes| {
+        response.feed(piece, |bytes| {
             body.extend(bytes);
             Ok::<(), HttpError>(())
         })?;
     }
     Ok((
-        answer.status,
+        response.status,
         body,
-        answer.is_complete(),
-        answer.closes_connection,
+        response.is_complete(),
+        response.closes_connection,
     ))
 }
 
 #[test]
-fn reads_answers_however_they_are_split() {
+fn reads_responses_however_they_are_split() {
     for (text, wanted) in [
         ("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", (200, "hello", true, false)),
         (
@@ -36,15 +36,15 @@
             assert_eq!((status, &*body, done, last), (wanted.0, wanted.1.as_bytes(), wanted.2, wanted.3));
         }
     }
-    let mut answer = HttpResponse::default();
-    answer
+    let mut response = HttpResponse::default();
+    response
         .feed(b"HTTP/1.1 200 OK\r\n\r\nx", |_| Ok::<(), HttpError>(()))
         .unwrap();
-    assert!(!answer.is_complete() && answer.on_close());
+    assert!(!response.is_complete() && response.on_close());
 }
 
 #[test]
-fn says_what_is_malformed() {
+fn reports_what_is_malformed() {
     for text in [
         "SSH-2.0\r\n",
         "HTTP/1.1 2x0 OK\r\n",
--- a/node/src/discovery/list_tests.rs
+++ b/node/src/discovery/list_tests.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn says_what_is_malformed() {
+fn reports_what_is_malformed() {
     for text in [
         "",
         "[]",
--- a/node/src/discovery/versions_tests.rs
+++ b/node/src/discovery/versions_tests.rs
@@ -2,9 +2,10 @@
 
 use super::*;
 
-/// Guards: drains forgotten by an older list, whether it comes at once or after changes that run backwards.
+/// Guards against drains forgotten by an older list, whether it comes at once or after changes that
+/// run backwards.
 #[test]
-fn an_older_whole_list_is_known_as_such_and_older_changes_are_not_believed() {
+fn an_older_full_list_is_known_as_such_and_older_changes_are_not_believed() {
     let mut versions = ListVersions::new(Some(9));
     assert_eq!(versions.assess(true, 4, true), Freshness::Older);
     assert_eq!(
@@ -22,9 +23,10 @@
     assert_eq!(versions.assess(true, 3, true), Freshness::Current);
 }
 
-/// Guards: a wait at a service that started anew, though a call beside the watch or a refusal came in between.
+/// Guards against a wait at a service that restarted, though a call beside the watch or a rejection
+/// came in between.
 #[test]
-fn doubt_lasts_until_the_watch_is_answered() {
+fn a_suspected_restart_lasts_until_the_watch_is_answered() {
     let mut versions = ListVersions::default();
     assert!(!versions.may_long_poll());
     versions.assess(false, 3, true);
--- a/node/tests/silence.rs
+++ b/node/tests/silence.rs
@@ -1,5 +1,6 @@
-//! Several processes of the program beside a list service whose watches fall silent, break or are spoilt, while hosts
-//! drain under load. Judged by what hosts and the list service saw, against when each node counts as told.
+//! Several processes of the program beside a list service whose watches fall silent, break or are
+//! spoilt, while hosts drain under load. Checked by what hosts and the list service saw, against
+//! when each node counts as told.
 
 use reedferry_testkit::acting::{Clients, Hosts, Reached, Referee, GRACE, SOCKETS};
 use reedferry_testkit::program::node_config_of;
@@ -15,20 +16,20 @@
 }
 
 /// What a busy machine adds to what is seen from outside.
-const BUSY: Duration = Duration::from_millis(250);
+const BUSY_MACHINE_DELAY: Duration = Duration::from_millis(250);
 const NODES: usize = 6;
 const HOSTS: usize = 4;
 /// Hosts that drain.
-const DRAIN: usize = 1;
+const DRAINING_HOSTS: usize = 1;
 
-/// A list service, hosts and processes that follow it. Their places are the last of many, as those watch for shorter
-/// times.
+/// A list service, hosts and processes that follow it. Their indices are the last of many, as those
+/// watch for shorter times.
 struct Site {
     service: Discovery,
     referee: Referee,
     hosts: Hosts,
     nodes: Vec<Node>,
-    /// Whose clients are whose, by their names.
+    /// Which clients belong to which run of [`Site::load`], by their names.
     named: Cell<u64>,
 }
 
@@ -39,7 +40,7 @@
         site
     }
 
-    /// One whose settings have nodes ask within so many milliseconds.
+    /// A site whose settings have nodes poll within so many milliseconds.
     fn with(
         service: Discovery,
         mode: &str,
@@ -70,7 +71,8 @@
         }
     }
 
-    /// By when each node counts as told of what a silence from then on hides, by the wait that it asked for.
+    /// By when each node counts as told of what a silence from then on hides, by the wait that it
+    /// asked for.
     fn told(&self, silent: Instant) -> Vec<Instant> {
         let calls: Vec<(Instant, String)> = self
             .service
@@ -100,7 +102,7 @@
         self.service.change(self.hosts.member(host, "leaving"));
     }
 
-    /// Clients at each node until then; gives what reached hosts that drain, node by node.
+    /// Clients at each node until then; returns what reached hosts that drain, node by node.
     fn load(&self, until: Instant) -> Vec<Vec<Instant>> {
         let from = self
             .named
@@ -121,7 +123,12 @@
             }
         });
         let mut reached = vec![Vec::new(); self.nodes.len()];
-        for one in self.referee.reached().iter().filter(|one| one.host < DRAIN) {
+        for one in self
+            .referee
+            .reached()
+            .iter()
+            .filter(|one| one.host < DRAINING_HOSTS)
+        {
             let named = one
                 .name
                 .split('-')
@@ -133,10 +140,11 @@
     }
 }
 
-/// Guards: a watch that has fallen silent given up at the very moment from which the node is held to what it missed,
-/// and taken up again seconds later; nodes that all call then, at a service that takes a few calls a second.
+/// Guards against a watch that has fallen silent given up at the very moment from which the node is
+/// accountable for what it missed, and renewed seconds later; nodes that all call then, at a
+/// service that takes a few calls a second.
 #[test]
-fn watches_of_all_fall_silent_together_and_a_host_drains_right_after() {
+fn all_watches_fall_silent_together_and_a_host_drains_right_after() {
     thread::scope(|scope| {
         for mode in ["on_request", "pushed"] {
             scope.spawn(move || {
@@ -144,7 +152,7 @@
                 site.service.bound(2.0, ms(1000));
                 site.service.fall_silent();
                 let silent = Instant::now();
-                (0..DRAIN).for_each(|host| site.drain(host));
+                (0..DRAINING_HOSTS).for_each(|host| site.drain(host));
                 let told = site.told(silent);
                 let last = *told.iter().max().unwrap();
                 let reached = site.load(last + ms(2000));
@@ -155,7 +163,7 @@
                 for (node, (reached, told)) in reached.iter().zip(&told).enumerate() {
                     let late = reached
                         .iter()
-                        .filter(|at| **at > *told + GRACE + SOCKETS + BUSY);
+                        .filter(|at| **at > *told + GRACE + SOCKETS + BUSY_MACHINE_DELAY);
                     assert_eq!(
                         late.count(),
                         0,
@@ -175,10 +183,11 @@
     });
 }
 
-/// Guards: a list that came garbled, or from before what is known, and the drain that follows it heard of seconds later
-/// than it counts as told; one such answer that ends more than its own call.
+/// Guards against a list that came garbled, or from before what is known, and the drain that
+/// follows it known seconds later than it counts as told; one such answer that ends more than its
+/// own call.
 #[test]
-fn a_spoilt_list_is_asked_for_again_at_once_whoever_asks_for_it() {
+fn a_spoilt_list_is_polled_again_at_once_whoever_polls_it() {
     let head = |length: usize| format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
     let body = r#"{"revision":9,"complete":true,"members":[{"id":"s-0","phase":"#;
     let whole = |body: &str| head(body.len()) + body;
@@ -195,7 +204,7 @@
             let spoilt = &spoilt;
             scope.spawn(move || {
                 for (n, spoilt) in spoilt.iter().enumerate() {
-                    // The last of a hundred: whoever asks for itself waits longest there.
+                    // The last of a hundred: a node that polls for itself waits longest there.
                     let site = Site::new(mode, 1, 100);
                     site.service.answer_instead(&[spoilt]);
                     site.service.change(site.hosts.member(HOSTS - 1, "active"));
@@ -204,7 +213,7 @@
                     site.referee.drains(0, true);
                     site.load(Instant::now() + ms(1500));
                     assert_eq!(
-                        site.referee.broken(BUSY),
+                        site.referee.broken(BUSY_MACHINE_DELAY),
                         Vec::<String>::new(),
                         "{mode}, answer {n}"
                     );
@@ -216,15 +225,16 @@
     });
 }
 
-/// Guards: a node that notices seconds late that a service is back, which it is held to from that moment on.
+/// Guards against a node that notices seconds late that a service is back, for whose list it is
+/// accountable from that moment on.
 #[test]
-fn pushed_lists_are_heard_of_as_soon_as_their_service_is_back() {
+fn pushed_lists_are_received_as_soon_as_their_service_is_back() {
     for hangs in [false, true] {
         let site = Site::new("pushed", 3, 3);
         let down = Instant::now();
         site.service.go_down();
         if hangs {
-            // It takes calls and says nothing.
+            // It takes calls and sends nothing.
             site.service.come_up();
             site.service.hang(false);
         }
@@ -235,16 +245,17 @@
         site.referee.drains(0, true);
         site.load(Instant::now() + ms(1500));
         assert_eq!(
-            site.referee.broken(BUSY),
+            site.referee.broken(BUSY_MACHINE_DELAY),
             Vec::<String>::new(),
             "hangs: {hangs}"
         );
     }
 }
 
-/// Guards: a service that ends every watch at once with nothing, called as fast as it answers.
+/// Guards against a service that ends every watch at once with nothing, called as fast as it
+/// answers.
 #[test]
-fn watches_that_end_at_once_with_nothing_storm_nobody() {
+fn watches_that_end_at_once_with_nothing_cause_no_call_storm() {
     let body = r#"{"revision":3,"complete":false,"members":[]}"#;
     let nothing = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -258,7 +269,7 @@
         site.load(Instant::now() + ms(2500));
         let calls = site.service.seen().0.len() - calls;
         assert!((2..=14).contains(&calls), "{mode}: {calls} calls");
-        // A host goes leaving, active and leaving again, and that is heard of all the same.
+        // A host goes leaving, active and leaving again, and that is noticed all the same.
         site.service.answer_instead(&[]);
         for phase in ["leaving", "active", "leaving"] {
             site.service.change(site.hosts.member(0, phase));
@@ -273,9 +284,10 @@
     }
 }
 
-/// Guards: clients that came while a process stood still, handed to a host by a list from before.
+/// Guards against clients that came while a process was stopped, sent to a host by a list from
+/// before.
 #[test]
-fn a_process_that_stood_still_reads_its_list_before_it_serves() {
+fn a_process_that_was_stopped_reads_its_list_before_it_serves() {
     for mode in ["on_request", "pushed"] {
         let site = Site::new(mode, 1, 1);
         let node = &site.nodes[0];
@@ -291,18 +303,22 @@
         site.drain(0);
         site.referee.drains(0, true);
         let from = Instant::now();
-        while from.elapsed() < GRACE + SOCKETS + BUSY + ms(100) {
+        while from.elapsed() < GRACE + SOCKETS + BUSY_MACHINE_DELAY + ms(100) {
             thread::yield_now();
         }
         node.go_on();
         clients.iter_mut().for_each(|client| client.hears("UP 1"));
-        assert_eq!(site.referee.broken(BUSY), Vec::<String>::new(), "{mode}");
+        assert_eq!(
+            site.referee.broken(BUSY_MACHINE_DELAY),
+            Vec::<String>::new(),
+            "{mode}"
+        );
     }
 }
 
-/// Guards: an answer that begins and never ends, waited for as long as a watch that is quiet.
+/// Guards against an answer that begins and never ends, waited for as long as a watch without news.
 #[test]
-fn a_list_that_begins_and_never_ends_is_asked_for_again_in_time() {
+fn a_list_that_begins_and_never_ends_is_polled_again_in_time() {
     for mode in ["on_request", "pushed"] {
         let site = Site::new(mode, 1, 1);
         site.service
@@ -317,16 +333,16 @@
             .reached()
             .into_iter()
             .filter(|one| one.host < HOSTS - 1);
-        let (late, before): (Vec<_>, Vec<_>) =
-            reached.partition(|one| one.at > begun + ms(6000) + GRACE + SOCKETS + BUSY);
+        let (late, before): (Vec<_>, Vec<_>) = reached
+            .partition(|one| one.at > begun + ms(6000) + GRACE + SOCKETS + BUSY_MACHINE_DELAY);
         assert_eq!(late.len(), 0, "{mode}");
         assert!(!before.is_empty(), "{mode}: too tame");
     }
 }
 
-/// Guards: a line that starts late to a host that was told to be leaving meanwhile.
+/// Guards against a line that starts late to a host that began to drain meanwhile.
 #[test]
-fn a_connection_that_comes_up_late_over_the_drain_is_not_written_to() {
+fn a_connection_established_after_the_drain_is_not_written_to() {
     let (listener, _first) = jammed();
     let service = Discovery::start();
     let named = |phase: &str| member(0, &listener.local_addr().unwrap().to_string(), phase);
@@ -338,7 +354,7 @@
     let node = Node::start(&node_config);
     service.calls(1);
     let mut client = node.open(&OPEN.replace("d=2000", "d=8000"));
-    // Whoever answers this has read that.
+    // A node that answers this has read that.
     let mut other = Peer::connect(node.address);
     other.say("PING");
     other.hears("PONG");
@@ -363,10 +379,11 @@
     assert!(client.hear().starts_with("BUSY"));
 }
 
-/// Guards: new work for a host that drains, by a node whose watch fell silent and whose next calls a busy service
-/// turned away until it was held to what it had missed; and one that serves no more when it has heard.
+/// Guards against new work for a host that drains, by a node whose watch fell silent and whose next
+/// calls a busy service rejected until it was accountable for what it had missed; and one that
+/// serves no more when it has heard.
 #[test]
-fn a_node_that_can_not_have_heard_in_time_hands_nothing_off_until_it_has() {
+fn a_node_whose_list_may_be_stale_starts_no_attempt_until_it_is_current() {
     let site = Site::new("on_request", 1, 1000);
     site.service.fall_silent();
     let silent = Instant::now();
@@ -374,7 +391,7 @@
     (0..HOSTS - 1).for_each(|host| site.drain(host));
     let told = site.told(silent)[0];
     site.load(told + ms(2000));
-    let late = |one: &&Reached| one.at > told + GRACE + SOCKETS + BUSY;
+    let late = |one: &&Reached| one.at > told + GRACE + SOCKETS + BUSY_MACHINE_DELAY;
     let reached = site.referee.reached();
     assert!(reached.iter().any(|one| one.host == 0), "too tame");
     assert_eq!(
@@ -398,20 +415,22 @@
     );
 }
 
-/// The term that goes before all others: what the service had and could be reached for counts as told so long after.
-const TOLD: Duration = Duration::from_secs(6);
+/// The term that goes before all others: what the service had and could be reached for counts as
+/// told so long after.
+const NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// What a watch comes to while a host drains, and how long the service goes on failing after it.
-const ENDS: [&str; 4] = ["reset", "reset, then busy", "busy", "garbled, then busy"];
+const WATCH_FAILURES: [&str; 4] = ["reset", "reset, then busy", "busy", "garbled, then busy"];
 
-/// Guards: a node whose watch was reset or refused and not silent, and that calls again by the pace of settings that leave
-/// it a minute; new work for a host that drained meanwhile.
+/// Guards against a node whose watch was reset or rejected and not silent, and that calls again by
+/// the schedule of settings that leave it a minute; new work for a host that drained meanwhile.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn however_a_watch_ends_nothing_new_goes_out_six_seconds_after_a_drain() {
     thread::scope(|scope| {
         for (mode, ends) in ["on_request", "pushed"]
             .into_iter()
-            .flat_map(|m| ENDS.map(|e| (m, e)))
+            .flat_map(|m| WATCH_FAILURES.map(|e| (m, e)))
         {
             scope.spawn(move || {
                 // The last of hundreds, which call in turn.
@@ -438,13 +457,16 @@
                     }
                 }
                 let ended = Instant::now();
-                (0..DRAIN).for_each(|host| site.drain(host));
+                (0..DRAINING_HOSTS).for_each(|host| site.drain(host));
                 if busy {
                     site.load(ended + ms(4500));
                     site.service.turn_away(0);
                 }
-                let reached = site.load(ended + TOLD + GRACE + BUSY + ms(2000));
-                let late = |at: &&Instant| **at > ended + TOLD + GRACE + SOCKETS + BUSY;
+                let reached =
+                    site.load(ended + NOTIFICATION_TIMEOUT + GRACE + BUSY_MACHINE_DELAY + ms(2000));
+                let late = |at: &&Instant| {
+                    **at > ended + NOTIFICATION_TIMEOUT + GRACE + SOCKETS + BUSY_MACHINE_DELAY
+                };
                 let last = reached
                     .iter()
                     .flatten()
@@ -473,10 +495,10 @@
     });
 }
 
-/// Guards: processes that start while the list service is down and is back with a host that drains; and while it is down, a
-/// tier that serves nobody, or storms the service at its return.
+/// Guards against processes that start while the list service is down and is back with a host that
+/// drains; and while it is down, a tier that serves nobody, or storms the service at its return.
 #[test]
-fn processes_that_start_with_the_service_down_hear_of_a_drain_at_its_return() {
+fn processes_that_start_with_the_service_down_learn_of_a_drain_at_its_return() {
     for (mode, nodes) in [("on_request", 1), ("pushed", 6), ("on_request", 40)] {
         let service = Discovery::start();
         service.go_down();
@@ -492,8 +514,11 @@
         site.drain(0);
         site.service.come_up();
         let back = Instant::now();
-        let reached = site.load(back + TOLD + GRACE + BUSY + ms(1500));
-        let late = |at: &&Instant| **at > back + TOLD + GRACE + SOCKETS + BUSY;
+        let reached =
+            site.load(back + NOTIFICATION_TIMEOUT + GRACE + BUSY_MACHINE_DELAY + ms(1500));
+        let late = |at: &&Instant| {
+            **at > back + NOTIFICATION_TIMEOUT + GRACE + SOCKETS + BUSY_MACHINE_DELAY
+        };
         assert_eq!(
             reached.iter().flatten().filter(late).count(),
             0,
@@ -512,8 +537,9 @@
     }
 }
 
-/// Guards: a node whose first call was turned away and whose next, a watch that waits, fell silent before it was ever
-/// answered: shut for seconds though the service is well, and then open though it has heard nothing.
+/// Guards against a node whose first call was rejected and whose next, a watch that waits, fell
+/// silent before it was ever answered: closed to new work for seconds though the service is
+/// healthy, and then open though it has heard nothing.
 #[test]
 fn a_watch_that_falls_silent_before_it_was_ever_answered_hides_nothing() {
     thread::scope(|scope| {
@@ -532,7 +558,7 @@
                 eventually("no call gets through", || seen(1));
                 site.service.fall_silent();
                 let silent = Instant::now();
-                site.load(silent + TOLD + GRACE + ms(700));
+                site.load(silent + NOTIFICATION_TIMEOUT + GRACE + ms(700));
                 let before = site.referee.reached().len();
                 site.load(Instant::now() + ms(1000));
                 assert!(site.referee.reached().len() > before, "{mode}: shut");
@@ -552,10 +578,10 @@
     });
 }
 
-/// Guards: a process whose lists are pushed and that calls for them only when it first looks round: what it missed counts as
-/// told from its start.
+/// Guards against a process whose lists are pushed and that calls for them only at its first sweep:
+/// what it missed counts as told from its start.
 #[test]
-fn a_pushed_list_is_called_for_before_anybody_is_served() {
+fn a_pushed_list_is_requested_before_anybody_is_served() {
     // Nobody answers there; a call lies in its queue.
     let service = TcpListener::bind("127.0.0.1:0").unwrap();
     service.set_nonblocking(true).unwrap();
@@ -568,10 +594,10 @@
     assert!(service.accept().is_ok(), "not called");
 }
 
-/// Guards: a node that hears all a slow service has to tell, a few seconds late, and refuses everybody for as long as its
-/// settings leave it to ask.
+/// Guards against a node that hears all a slow service has to tell, a few seconds late, and rejects
+/// everybody for as long as its settings leave it to poll.
 #[test]
-fn a_service_that_takes_longer_to_answer_than_is_waited_for_is_heard_all_the_same() {
+fn a_service_slower_than_its_calls_are_waited_for_is_heard_all_the_same() {
     let service = Discovery::start();
     service.bound(0.4, Duration::from_secs(600));
     let site = Site::with(service, "on_request", 1, 1000, 60_000.0);
@@ -593,16 +619,17 @@
             "nothing reached any host {after} s after the watch failed"
         );
     }
-    let late = reached
-        .iter()
-        .filter(|one| one.host == 0 && one.at > drained + TOLD + GRACE + SOCKETS + BUSY);
+    let late = reached.iter().filter(|one| {
+        one.host == 0
+            && one.at > drained + NOTIFICATION_TIMEOUT + GRACE + SOCKETS + BUSY_MACHINE_DELAY
+    });
     assert_eq!(late.count(), 0, "a host that had drained");
 }
 
-/// Guards: clients handed to a host that drains, by a new process that waits for a pushed list longer than the grace: what
-/// its agent has counts as told from the process's first moment.
+/// Guards against clients sent to a host that drains, by a new process that waits for a pushed list
+/// longer than the grace: what its service has counts as told from the process's first moment.
 #[test]
-fn a_new_process_waits_for_a_pushed_list_before_it_hands_anything_off() {
+fn a_new_process_waits_for_a_pushed_list_before_it_starts_any_attempt() {
     let service = Discovery::start();
     // Each call takes it a second.
     service.bound(1.0, Duration::from_secs(60));
@@ -621,7 +648,7 @@
     clients.load(60.0, ms(2500), &[0], ms(20));
     clients.end();
     let reached = referee.reached();
-    let late = |one: &&Reached| one.at > started + GRACE + SOCKETS + BUSY;
+    let late = |one: &&Reached| one.at > started + GRACE + SOCKETS + BUSY_MACHINE_DELAY;
     let to_drained: Vec<_> = reached
         .iter()
         .filter(late)
@@ -641,7 +668,8 @@
     assert!(served > 30, "{served} once the list had come");
 }
 
-/// Guards: a new process of no use for as long as the agent that has its list is down or says nothing.
+/// Guards against a new process of no use for as long as the service that has its list is down or
+/// silent.
 #[test]
 fn a_new_process_serves_soon_though_its_pushed_list_does_not_come() {
     for hangs in [false, true] {
--- a/node/tests/sockets.rs
+++ b/node/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! The program itself, started and spoken to over sockets, among stand-ins for all that it meets.
+//! The program itself, started and spoken to over sockets, among scripted stand-ins for all that it
+//! meets.
 
 use reedferry_testkit::*;
 use serde_json::{json, Value};
@@ -15,7 +16,7 @@
 }
 
 #[test]
-fn an_attachment_is_served_and_lines_pass_both_ways_unchanged() {
+fn a_request_is_served_and_lines_are_proxied_both_ways_unchanged() {
     let hosts = Hosts::start(1);
     let (node, _) = start(&hosts, |_| {});
     let mut client = Peer::connect(node.address);
@@ -51,8 +52,8 @@
 }
 
 #[test]
-fn endings_are_passed_on_in_kind() {
-    // More than one, as a host that broke one off is left alone for a while.
+fn ends_are_passed_on_in_kind() {
+    // More than one, as a host that broke a connection is left alone for a while.
     let hosts = Hosts::start(3);
     let (node, _) = start(&hosts, |_| {});
     let (mut client, _, host) = node.served(&hosts);
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn what_one_host_turns_away_or_breaks_goes_to_another() {
+fn what_one_host_rejects_or_breaks_goes_to_another() {
     for answer in ["BUSY\r\n", "ERR\r\n", "", "what\r\n", "UP"] {
         let mut hosts = Hosts::start(3);
         // At one of the three nobody listens.
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn what_no_host_takes_is_dismissed_at_once_with_a_wait() {
+fn what_no_host_accepts_is_rejected_at_once_with_a_retry_after() {
     let mut hosts = Hosts::start(2);
     hosts.addresses = vec![nowhere(), nowhere()];
     let (node, _) = start(&hosts, |_| {});
@@ -104,7 +105,7 @@
 }
 
 #[test]
-fn an_irreversible_one_that_may_have_run_is_given_up_and_never_sent_again() {
+fn a_non_idempotent_request_that_may_have_run_fails_and_is_never_sent_again() {
     let hosts = Hosts::start(3);
     let (node, _) = start(&hosts, |p| {
         p["settings"]["offerings"][0]["effect"] = json!("single_shot");
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn a_host_that_says_nothing_is_left_in_time_and_its_client_may_leave() {
+fn an_attempt_at_a_silent_host_times_out_and_its_client_may_leave() {
     let hosts = Hosts::start(2);
     let (node, _) = start(&hosts, |_| {});
     let began = Instant::now();
@@ -144,7 +145,7 @@
 }
 
 #[test]
-fn clients_are_moved_between_two_lines_before_their_host_goes_away() {
+fn clients_are_migrated_between_two_lines_before_their_host_goes_away() {
     let hosts = Hosts::start(2);
     let (node, discovery) = start(&hosts, |_| {});
     discovery.calls(1);
@@ -156,7 +157,7 @@
         &hosts.addresses[number].to_string(),
         "leaving",
     ));
-    // Served at the other one, since the node has been told.
+    // Served at the other one, since the node knows of the drain.
     eventually("new ones go on to the host that leaves", || {
         let mut client = node.open(OPEN);
         let (at, mut host) = hosts.accept();
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn a_planned_stop_moves_every_client_and_answers_new_ones() {
+fn a_graceful_shutdown_migrates_every_client_and_answers_new_ones() {
     let hosts = Hosts::start(1);
     let (mut node, _) = start(&hosts, |_| {});
     let all: Vec<_> = (0..12).map(|_| node.served(&hosts)).collect();
@@ -186,7 +187,7 @@
     assert!(late.hear().starts_with("BUSY"));
     for (mut client, _, mut host) in all {
         client.hears("MOVE");
-        // Served on for a third of the time that is left.
+        // Served for another third of the time that is left.
         assert!(began.elapsed() > Duration::from_millis(780));
         client.hears("end");
         host.hears("end");
@@ -197,7 +198,7 @@
 }
 
 #[test]
-fn connections_that_stood_before_go_back_to_their_host() {
+fn connections_from_before_the_start_go_back_to_their_host() {
     let mut hosts = Hosts::start(3);
     let (node, discovery) = start(&hosts, |_| {});
     for wanted in [2, 0, 1] {
@@ -206,14 +207,14 @@
         assert_eq!(number, wanted);
         host.hear();
         host.say("BUSY");
-        // It is tried again there, and nowhere else.
+        // It is retried there, and nowhere else.
         let (number, mut host) = hosts.accept();
         assert_eq!(number, wanted);
         host.hear();
         host.say("UP 5");
         client.hears("UP 5");
     }
-    // One that the known list does not hold yet is waited for, as long as the client waits.
+    // One that the known list does not name yet is waited for, as long as the client waits.
     node.open(&format!("{OPEN},at=s-9").replace("d=2000", "d=300"))
         .hears("ERR");
     let mut client = node.open(&format!("{OPEN},at=s-3"));
@@ -227,10 +228,14 @@
 }
 
 /// Within this time of connecting every bad client is to have its answer, or the end.
-const OWED: Duration = Duration::from_secs(3);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
 #[test]
-fn bad_clients_are_turned_away_in_time_and_none_is_served() {
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario: all kinds of bad clients at one node"
+)]
+fn bad_clients_are_rejected_in_time_and_none_is_served() {
     let hosts = Hosts::start(2);
     let (mut node, _) = start(&hosts, |p| {
         p["limits"] = json!({"memory_mb": 32, "sockets": 256});
@@ -242,7 +247,7 @@
     holder.say("UP 1");
     held.hears("UP 1");
     let began = Instant::now();
-    // Those that say nothing, or half of something, and never leave.
+    // Those that send nothing, or half of something, and never leave.
     let silent: Vec<Peer> = ["", "OP", "OPEN a b c=chat,t=acme,d=2000", "PING\r\n"]
         .iter()
         .cycle()
@@ -277,20 +282,21 @@
         &pings,
     ];
     for line in lines {
-        // The same again as soon as it is turned away.
+        // The same again as soon as it is rejected.
         for _ in 0..2 {
             let began = Instant::now();
             let mut bad = Peer::connect(node.address);
             bad.say(line);
             while bad.hear() == "PONG" {}
-            assert!(began.elapsed() < OWED, "{line}");
+            assert!(began.elapsed() < ANSWER_TIMEOUT, "{line}");
         }
     }
     let mut bytes = Peer::connect(node.address);
     std::io::Write::write_all(&mut bytes.stream, b"OPEN \xff\xfe a c=chat,d=1\r\n").unwrap();
     bytes.hears("ERR");
     drop(Peer::connect(node.address));
-    // One that talks on while its first line is out: its hand-off ends, and so does it.
+    // One that sends more while its first line waits for an answer: its attempt ends, and so does
+    // it.
     let mut talks = node.open(OPEN);
     let (_, mut taker) = hosts.accept();
     taker.hear();
@@ -299,10 +305,10 @@
     taker.hears("end");
     for mut peer in silent {
         while peer.hear() == "PONG" {}
-        assert!(began.elapsed() < OWED);
+        assert!(began.elapsed() < ANSWER_TIMEOUT);
     }
     node.logs("clients rejected");
-    // Nothing of all that came to a host, and the others are served.
+    // Nothing of all that reached a host, and the others are served.
     assert!(hosts.accept_soon().is_none());
     held.say("still");
     holder.hears("still");
@@ -322,8 +328,8 @@
         std::io::Write::write_all(&mut bad.stream, &piece).unwrap();
     }
     bad.hears("ERR");
-    assert!(began.elapsed() < 2 * OWED);
-    // While another sends without end, usual ones are served, and it is cut off.
+    assert!(began.elapsed() < 2 * ANSWER_TIMEOUT);
+    // While another sends without end, usual ones are served, and its connection is closed.
     let mut endless = Peer::connect(node.address);
     endless.write("x");
     let sender =
@@ -342,7 +348,7 @@
 }
 
 #[test]
-fn hundreds_of_silent_clients_take_no_descriptor_that_others_need() {
+fn hundreds_of_idle_clients_take_no_descriptor_that_others_need() {
     let hosts = Hosts::start(1);
     let (node, _) = start(&hosts, |p| {
         p["limits"] = json!({"memory_mb": 32, "sockets": 256});
@@ -366,7 +372,7 @@
 }
 
 #[test]
-fn over_long_lines_of_those_that_are_served_end_their_own_connection_alone() {
+fn overlong_lines_of_open_connections_end_their_own_connection_alone() {
     let hosts = Hosts::start(2);
     let (mut node, _) = start(&hosts, |_| {});
     let (mut client, _, mut host) = node.served(&hosts);
@@ -387,7 +393,7 @@
 }
 
 #[test]
-fn the_watch_is_renewed_at_once_and_taken_up_again_when_it_fails() {
+fn the_watch_is_renewed_at_once_and_retried_when_it_fails() {
     let mut hosts = Hosts::start(1);
     let (node, discovery) = start(&hosts, |_| {});
     // One call that waits, and no other before it.
@@ -423,10 +429,10 @@
     });
 }
 
-/// Guards: a wait at a service that has started anew; and one by a node that was turned away, and is held to what it
-/// missed though nothing tells it whether the watch that waits is heard.
+/// Guards against a wait at a service that has restarted; and one by a node that was rejected, and
+/// is accountable for what it missed though nothing tells it whether the watch that waits is heard.
 #[test]
-fn a_node_that_was_turned_away_or_whose_watch_broke_asks_at_once_first() {
+fn a_node_that_was_rejected_or_whose_watch_broke_first_polls_without_waiting() {
     let hosts = Hosts::start(1);
     let discovery = Discovery::start();
     discovery.turn_away(10);
@@ -445,8 +451,8 @@
     assert_eq!(held[..4], [false, true, false, true]);
 }
 
-/// Guards: a host that drains and gets new work again by changes from before what is known; a node ended, or
-/// left without a list, by one odd answer.
+/// Guards against a draining host that gets new work again by changes from before what is known; a
+/// node ended, or left without a list, by one odd answer.
 #[test]
 fn odd_lists_fail_alone_and_no_drain_is_forgotten() {
     let mut hosts = Hosts::start(1);
@@ -482,7 +488,7 @@
         served.iter().all(|(_, at, _)| *at == 1),
         "new work for a host that drains"
     );
-    // Nobody is listed: each client is told so at once, until somebody is.
+    // No host is listed: each client is told so at once, until one is.
     discovery.answer_instead(&[&list(50, true, "")]);
     discovery.change(member(8, "127.0.0.1:9", "left"));
     eventually("an empty list is not taken up", || {
@@ -502,13 +508,13 @@
 }
 
 #[test]
-fn papers_read_again_lead_to_another_discovery_and_cut_nothing() {
+fn a_reloaded_config_leads_to_another_list_service_and_cuts_nothing() {
     let mut hosts = Hosts::start(1);
     let (mut node, old) = start(&hosts, |_| {});
     (0..50).for_each(|n| old.change(member(9, "127.0.0.1:9", ["leaving", "active"][n % 2])));
     old.calls(2);
     let (mut client, _, mut host) = node.served(&hosts);
-    // A bad file is one line, and the node follows whom it followed.
+    // A bad file is one line, and the node stays with the service it followed.
     let mut node_config = node_config(&hosts, old.address);
     for bad in ["", "{\"name\": \"n0\", \"lis", "[]"] {
         node.reread(bad);
@@ -516,7 +522,7 @@
     }
     old.change(member(8, "127.0.0.1:9", "active"));
     node.logs("name: s-8");
-    // The new service counts from one again, and holds another host in place of the old ones.
+    // The new service counts from one again, and lists another host in place of the old ones.
     let new = Discovery::start();
     hosts.add();
     new.change(member(1, &hosts.addresses[1].to_string(), "active"));
@@ -532,7 +538,7 @@
     assert!(others.iter().all(|(_, at, _)| *at == 1));
     client.say("still");
     host.hears("still");
-    // What comes next is followed, over and over, and so is a call to stop right behind it.
+    // What comes next is followed, over and over, and so is a signal to stop right behind it.
     (0..20).for_each(|_| node.reread(&node_config.to_string()));
     new.change(member(7, "127.0.0.1:9", "active"));
     node.logs("name: s-7");
@@ -543,7 +549,7 @@
 }
 
 #[test]
-fn a_node_serves_from_the_known_roll_while_discovery_is_down() {
+fn a_node_serves_from_the_known_list_while_discovery_is_down() {
     let hosts = Hosts::start(1);
     let node = Node::start(&node_config(&hosts, nowhere()));
     node.logs("discovery call failed");
@@ -551,19 +557,20 @@
 }
 
 #[test]
-fn changes_that_come_unasked_are_watched_for_without_being_asked() {
+fn pushed_changes_are_watched_for_without_being_asked() {
     let hosts = Hosts::start(1);
     let (_node, discovery) = start(&hosts, |p| p["settings"]["registry_mode"] = json!("pushed"));
     discovery.calls(1);
 }
 
-/// Settings of a deployment whose hosts tell of their load when they are asked.
+/// Settings of a deployment whose hosts report their load to probes.
 fn by_probe(node_config: &mut Value, fields: &[&str]) {
     node_config["settings"]["reporting"] = json!({"fields": fields, "via": "pull"});
 }
 
 #[test]
-fn what_a_probe_reports_is_told_to_the_peers_and_what_they_tell_decides() {
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
+fn what_a_probe_reports_is_gossiped_and_what_peers_report_decides() {
     let hosts = Hosts::start(2);
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
     peer.set_read_timeout(Some(PATIENCE)).unwrap();
@@ -577,14 +584,14 @@
         peer.local_addr().unwrap()
     );
     let node = Node::start_as("node", &operator_config, &node_config);
-    // Whichever of the two is looked at first is full, and the peer is told of it.
+    // Whichever of the two is probed first is full, and the peer is told of it.
     let (first, mut probe) = hosts.accept();
     probe.hears("STATS");
     probe.say("PONG util=1,x0=1.5");
     let mut message = [0; 512];
     let (length, at) = peer.recv_from(&mut message).unwrap();
     assert_eq!((length, message[0], message[4]), (5, 1, 96));
-    // The peer's word on it counts; no bytes of nobody's do, and no stranger's.
+    // What the peer reports of it counts; datagrams of unknown nodes, or of no known form, do not.
     stranger.send_to(&message[..5], at).unwrap();
     node.logs("message dropped");
     for poor in [&[][..], &[1], &[9; 300], &[2, 1, 2, 3, 4]] {
@@ -612,8 +619,9 @@
         }
     };
     assert!((0..4).all(|_| serving() != first));
-    // Guards: the rest of a flood that came at once, left lying: its last message counts before the node looks
-    // there again by itself, or does so the second time on a machine that is very slow.
+    // Guards against the rest of a flood that came at once, left unread: its last message counts
+    // before the node polls there again by itself, or does so the second time on a machine that is
+    // very slow.
     message[4] = 0;
     let heard = (0..2).any(|_| {
         looked.set(false);
@@ -635,9 +643,9 @@
     assert!(heard, "the last message of a flood was left lying");
 }
 
-/// Guards: a node that starts with a mix of two shapes of deployment, or goes over to one.
+/// Guards against a node that starts with a mix of two shapes of deployment, or switches to one.
 #[test]
-fn a_mix_of_two_shapes_is_refused_at_the_start_and_on_reading_again() {
+fn a_mix_of_two_deployment_shapes_is_rejected_at_start_and_on_reload() {
     let hosts = Hosts::start(1);
     let good = node_config(&hosts, nowhere());
     type Mix = (&'static str, fn(&mut Value));
@@ -691,7 +699,7 @@
 }
 
 #[test]
-fn hosts_whose_load_comes_by_probes_are_probed_and_left_when_crowded() {
+fn hosts_whose_load_comes_by_probes_are_probed_and_avoided_when_full() {
     let hosts = Hosts::start(1);
     let (node, _) = start(&hosts, |p| {
         by_probe(p, &["x0", "x1"]);
@@ -708,7 +716,7 @@
 }
 
 #[test]
-fn a_client_of_a_host_that_falls_silent_is_moved_within_seven_seconds() {
+fn a_client_of_a_host_that_falls_silent_is_migrated_within_seven_seconds() {
     let hosts = Hosts::start(1);
     let (node, _) = start(&hosts, |_| {});
     let mut client = node.open(OPEN);
@@ -726,7 +734,7 @@
 }
 
 #[test]
-fn one_that_stops_within_a_line_is_ended_in_time_and_its_host_keeps_the_others() {
+fn a_connection_stopped_within_a_line_is_closed_in_time_and_its_host_keeps_the_others() {
     let hosts = Hosts::start(1);
     let (node, _) = start(&hosts, |_| {});
     let (mut well, _, mut answers) = node.served(&hosts);
@@ -743,7 +751,7 @@
         well.say("there?");
         answers.hears("there?");
         answers.say("here");
-        // Neither moved nor cut off, as the host is well.
+        // Neither migrated nor closed, as the host is healthy.
         well.hears("here");
     }
     assert!(ends.join().unwrap() < Duration::from_secs(7));
@@ -757,7 +765,7 @@
 }
 
 #[test]
-fn so_they_are_where_the_system_allows_fewer_than_the_papers() {
+fn all_are_answered_where_the_system_allows_fewer_descriptors_than_the_config() {
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
     crowd(
         Node::start_within(&node_config(&hosts, discovery.address), 96),
@@ -774,7 +782,7 @@
     let mut refused = 0;
     for _ in 0..60 {
         let mut client = node.open(OPEN);
-        // The host answers whoever comes; a client that is refused never gets there.
+        // The host answers whoever comes; a client that is rejected never gets there.
         let answer = {
             client
                 .stream
@@ -839,7 +847,7 @@
 }
 
 #[test]
-fn bad_papers_are_one_plain_line_and_no_start() {
+fn a_bad_config_is_one_plain_line_and_no_start() {
     let hosts = Hosts::start(1);
     let good = node_config(&hosts, nowhere());
     let mut all = vec!["".to_string(), "{".into(), "{}".into(), "[1]".into()];
@@ -850,7 +858,7 @@
         ("/settings/offerings", json!([])),
         ("/settings/offerings/0/effect", json!("odd")),
         ("/known/members/0/phase", json!("asleep")),
-        // Guards: a list beyond the bound that is cut off in silence.
+        // Guards against a list beyond the bound that is cut off in silence.
         (
             "/known/members",
             json!(vec![member(0, "127.0.0.1:9", "active"); 65_537]),
@@ -876,7 +884,7 @@
     );
 }
 
-/// Guards: lists, fleets or lines of the log that are cut off at some bound.
+/// Guards against lists, fleets or lines of the log that are cut off at some bound.
 #[test]
 fn eleven_hundred_hosts_in_a_fleet_of_eleven_hundred_nodes_are_all_known() {
     const MANY: usize = 1100;
