--- a/node/src/connections/handover.rs
+++ b/node/src/connections/handover.rs
@@ -143,7 +143,7 @@
 
     /// This process goes on with a connection in handover: the next one never got it, or it has come from
     /// the one before, which was told so.
-    pub fn resume(&mut self, context: &mut Context, id: RequestId) {
+    pub fn resume_connection(&mut self, context: &mut Context, id: RequestId) {
         let Some(slot) = self.slot_in_handover(id) else {
             return;
         };
@@ -188,7 +188,7 @@
     /// The next process has refused a connection: this one goes on with it, and has it migrated. Without
     /// that, it would be offered and refused again and again until the program is ended.
     pub fn resume_after_rejection(&mut self, context: &mut Context, id: RequestId) {
-        self.resume(context, id);
+        self.resume_connection(context, id);
         if let Some(slot) = self.slot_of(id) {
             self.slab[slot].handover_rejected = true;
             self.migrate(context, id);
@@ -203,7 +203,7 @@
     }
 
     /// Adopts a connection that the process before this one has let go of, under this id; none where that
-    /// cannot be. Nothing is read or written on it before [`Connections::resume`]: the process before takes
+    /// cannot be. Nothing is read or written on it before [`Connections::resume_connection`]: the process before takes
     /// it back where it is not told in time, and bytes would be lost between the two.
     pub fn adopt(
         &mut self,
--- a/node/src/roles/succession.rs
+++ b/node/src/roles/succession.rs
@@ -450,7 +450,7 @@
         successor
             .going
             .into_iter()
-            .for_each(|(id, _)| connections.resume(context, id));
+            .for_each(|(id, _)| connections.resume_connection(context, id));
         self.wanted = false;
         context.events.push(Event::SuccessorChanged(false));
         // Guards: a next try that calls where the one that died would have listened.
@@ -482,7 +482,7 @@
                 Ok(()) => successor.going.push_back((id, context.now)),
                 // The line is full, and tells when it is not; or broken, and tells that.
                 Err(e) => {
-                    connections.resume(context, id);
+                    connections.resume_connection(context, id);
                     return self.retry_soon(context, e, "sendmsg");
                 }
             }
@@ -556,7 +556,7 @@
                 self.owed = None;
                 adopted
                     .into_iter()
-                    .for_each(|id| connections.resume(context, id));
+                    .for_each(|id| connections.resume_connection(context, id));
                 true
             }
             Err(e) if classify_io(e) != IoFailure::Disconnected => {
