--- a/node/src/connections/connection.rs
+++ b/node/src/connections/connection.rs
@@ -126,6 +126,7 @@
         self.client_generation() == Some(generation)
     }
 
+    /// The generation of the client's socket, while there is a client.
     pub(super) fn client_generation(&self) -> Option<u32> {
         self.client.as_ref().map(|client| client.generation)
     }
--- a/node/src/connections/handover_bytes_tests.rs
+++ b/node/src/connections/handover_bytes_tests.rs
@@ -11,11 +11,11 @@
         .collect()
 }
 
-fn flowing(waiting: &[u8], unfinished: &[u8]) -> RelaySnapshot {
+fn relay_snapshot(unsent: &[u8], unfinished: &[u8]) -> RelaySnapshot {
     let mut scanner = LineScanner::default();
     scanner.step(unfinished).unwrap();
     RelaySnapshot {
-        unsent: waiting.to_vec(),
+        unsent: unsent.to_vec(),
         scanner,
         finished: true,
     }
@@ -38,8 +38,8 @@
     let open = OpenSnapshot {
         host: "s-1".into(),
         load: Some(0.5),
-        to_host: flowing(b"he", b"he"),
-        to_client: flowing(b"", b"LOAD 2"),
+        to_host: relay_snapshot(b"he", b"he"),
+        to_client: relay_snapshot(b"", b"LOAD 2"),
         unanswered_lines: vec![1, 2],
         migrate_by: Some(3),
         host_faulty: true,
@@ -47,7 +47,7 @@
         bye: true,
         migrating: false,
     };
-    let handed_over = ConnectionHandover {
+    let handover = ConnectionHandover {
         clock_offset: 5,
         accepted_at: 6,
         started_at: 7,
@@ -60,12 +60,12 @@
         usual_load: Some(0.0125),
         open: Some(open),
     };
-    assert_eq!(hex(&handed_over), "0506070800010439623166010463686174010214000000000000f83f1e28010109010a019a9999999999893f0103732d3101000000000000e03f02686568650000000000000000000000000000000000000000000000000000000000000201004c4f414420320000000000000000000000000000000000000000000000000000060102010201030101040100");
+    assert_eq!(hex(&handover), "0506070800010439623166010463686174010214000000000000f83f1e28010109010a019a9999999999893f0103732d3101000000000000e03f02686568650000000000000000000000000000000000000000000000000000000000000201004c4f414420320000000000000000000000000000000000000000000000000000060102010201030101040100");
 }
 
 #[test]
 fn a_client_without_a_whole_first_line_keeps_its_bytes() {
-    let handed_over = ConnectionHandover {
+    let handover = ConnectionHandover {
         clock_offset: 5,
         accepted_at: 6,
         started_at: 7,
@@ -78,5 +78,5 @@
         usual_load: None,
         open: None,
     };
-    assert_eq!(hex(&handed_over), "05060700074f50454e203962000000000000");
+    assert_eq!(hex(&handover), "05060700074f50454e203962000000000000");
 }
--- a/node/src/connections/rejection.rs
+++ b/node/src/connections/rejection.rs
@@ -65,6 +65,7 @@
 }
 
 impl Rejections {
+    /// Counts one more.
     pub(super) fn count(&mut self, reason: RejectReason) {
         *self.counts.entry(reason.message()).or_default() += 1;
     }
--- a/runtime/src/sockets.rs
+++ b/runtime/src/sockets.rs
@@ -81,6 +81,7 @@
         self.in_use.get()
     }
 
+    /// Counts a descriptor that has been opened for this budget.
     pub(crate) fn track(&self, fd: OwnedFd) -> Socket {
         self.in_use.set(self.in_use.get() + 1);
         Socket {
