--- a/runtime/src/channel.rs
+++ b/runtime/src/channel.rs
@@ -1,7 +1,7 @@
 //! A channel between two processes of this machine: whole messages, and descriptors with them. Must
 //! never accept what another user's process sends, nor leave a descriptor that came uncounted.
 
-use crate::sockets::{DescriptorBudget, Socket};
+use crate::{DescriptorBudget, Socket};
 use rustix::io::Errno;
 use rustix::net::{
     self, sockopt, AddressFamily, RecvFlags, SendFlags, SocketAddrUnix, SocketFlags, SocketType,
--- a/runtime/src/lib.rs
+++ b/runtime/src/lib.rs
@@ -5,6 +5,7 @@
 
 pub mod channel;
 pub mod clock;
+mod descriptor_budget;
 pub mod errors;
 pub mod log;
 pub mod poller;
@@ -13,11 +14,12 @@
 pub mod sockets;
 
 pub use clock::Clock;
+pub use descriptor_budget::DescriptorBudget;
 pub use poller::{merge_readiness, PollToken, Poller, Readiness};
 pub use pool::{Buffer, BufferPool};
 pub use rustix::io::Errno;
 pub use signals::Signal;
-pub use sockets::{DescriptorBudget, Socket};
+pub use sockets::Socket;
 
 /// Time or a span of time in whole nanoseconds.
 pub type Nanos = u64;
--- a/runtime/src/sockets.rs
+++ b/runtime/src/sockets.rs
@@ -1,97 +1,30 @@
-//! Sockets and the descriptor budget. Owns the count of open descriptors: a [`Socket`] is counted
-//! when it is opened and given back in one place, when it is dropped. Must never let the count pass
-//! the limit, nor let new work use up the reserve: a client that the machine has accepted already
-//! still gets its answer from it.
+//! Sockets. A [`Socket`] is counted by the [`DescriptorBudget`] when it is opened, and given back in one
+//! place, when it is dropped.
 
-use crate::{clock, Nanos};
+use crate::descriptor_budget::CountedDescriptor;
+use crate::{clock, DescriptorBudget, Nanos};
 use rustix::event::{poll, PollFd, PollFlags};
 use rustix::io::Errno;
 use rustix::net::{
     self, sockopt, AddressFamily, RecvFlags, SendFlags, Shutdown, SocketFlags, SocketType,
 };
-use rustix::process::{getrlimit, setrlimit, Resource};
-use std::cell::Cell;
 use std::net::SocketAddr;
 use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
-use std::rc::Rc;
 use std::time::Duration;
 
-/// Descriptors that are not counted: standard streams, the poller, the signals' pairs and a little
-/// more.
-const UNCOUNTED_DESCRIPTORS: usize = 12;
 const LISTEN_BACKLOG: i32 = 4096;
 
-/// How many descriptors the program may have open, and has.
-pub struct DescriptorBudget {
-    in_use: Rc<Cell<usize>>,
-    limit: usize,
-    reserve: usize,
-}
-
-/// How many descriptors the system lets the program have, of those it is to have.
-fn granted(limit: usize) -> usize {
-    let mut system = getrlimit(Resource::Nofile);
-    let wanted = system
-        .maximum
-        .map_or(limit as u64, |most| most.min(limit as u64));
-    if system.current.is_some_and(|now| now < wanted) {
-        // Where raising the limit is not allowed, what is there must do.
-        system.current = Some(wanted);
-        _ = setrlimit(Resource::Nofile, system);
-    }
-    getrlimit(Resource::Nofile)
-        .current
-        .map_or(limit, |now| (now as usize).min(limit))
-}
-
 impl DescriptorBudget {
-    /// A budget of so many descriptors, or of what the system allows.
-    pub fn new(limit: usize) -> Self {
-        let limit = granted(limit);
-        DescriptorBudget {
-            in_use: Rc::new(Cell::new(UNCOUNTED_DESCRIPTORS)),
-            limit: limit.max(2 * UNCOUNTED_DESCRIPTORS),
-            reserve: (limit / 8).clamp(16, 128).min(limit / 2),
-        }
-    }
-
-    /// Sets so many descriptors aside for one part alone: the others can't use them up, nor it
-    /// theirs.
-    pub fn split_off(&self, count: usize) -> DescriptorBudget {
-        self.in_use.set(self.in_use.get() + count);
-        DescriptorBudget {
-            in_use: Rc::new(Cell::new(0)),
-            limit: count,
-            reserve: 0,
-        }
-    }
-
-    /// Whether so many more may be opened for new work.
-    pub fn has_capacity(&self, count: usize) -> bool {
-        self.in_use.get() + count + self.reserve <= self.limit
-    }
-
-    /// Whether the reserve itself runs out.
-    pub fn nearly_exhausted(&self) -> bool {
-        self.in_use.get() + self.reserve / 2 > self.limit
-    }
-
-    /// How many are open.
-    pub fn in_use(&self) -> usize {
-        self.in_use.get()
-    }
-
-    /// Counts a descriptor that has been opened for this budget.
+    /// Counts a socket that has been opened.
     pub(crate) fn track(&self, fd: OwnedFd) -> Socket {
-        self.in_use.set(self.in_use.get() + 1);
         Socket {
             fd,
-            in_use: self.in_use.clone(),
+            _counted: self.count_one(),
         }
     }
 
     fn socket(&self, address: &SocketAddr, kind: SocketType) -> Result<Socket, Errno> {
-        if self.in_use.get() >= self.limit {
+        if self.is_exhausted() {
             return Err(Errno::MFILE);
         }
         let family = if address.is_ipv4() {
@@ -134,7 +67,7 @@
     pub fn inherit_listener(&self, number: i32) -> Result<Socket, Errno> {
         // No descriptor that the program has opened itself may be meant: a listener is none of
         // those.
-        if self.in_use.get() >= self.limit || number < 0 {
+        if self.is_exhausted() || number < 0 {
             return Err(Errno::BADF);
         }
         // SAFETY: the borrow ends in this function, in which nothing closes a descriptor; what is not open
@@ -153,7 +86,7 @@
     /// # Errors
     /// Those of the system; `MFILE` where the budget is used up.
     pub fn accept(&self, listener: &Socket) -> Result<Socket, Errno> {
-        if self.in_use.get() >= self.limit {
+        if self.is_exhausted() {
             return Err(Errno::MFILE);
         }
         let fd = net::accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC)?;
@@ -180,11 +113,11 @@
 /// An open socket, which is counted.
 pub struct Socket {
     fd: OwnedFd,
-    in_use: Rc<Cell<usize>>,
+    _counted: CountedDescriptor,
 }
 
 impl Socket {
-    /// Neither option matters enough to refuse a connection over it.
+    /// Sets what is usual for a connection.
     fn set_options(&self) {
         // Neither matters enough to refuse a connection over it.
         let _ = sockopt::set_tcp_nodelay(self, true);
@@ -302,9 +235,3 @@
         self.fd.as_fd()
     }
 }
-
-impl Drop for Socket {
-    fn drop(&mut self) {
-        self.in_use.set(self.in_use.get() - 1);
-    }
-}
