--- a/node/src/discovery/client.rs
+++ b/node/src/discovery/client/mod.rs
@@ -1,20 +1,20 @@
 //! The client of the list service: the watch on the endpoint list, and the whole list where that is asked
-//! for. Owns the connections to the service. Must never decide which list is believed ([`versions`](super::versions)),
+//! for. Owns the connections to the service. Must never decide which list is believed ([`versions`](crate::discovery::versions)),
 //! nor when to call: the decision module asks first, or where changes are pushed the watch is kept up by
 //! itself, and once a watch has failed [`WatchStaleness`] tells when. A call that fails ends alone.
 
-use super::call::{CallConnection, CallError, DiscoveryCall, ReadOutcome};
-use super::hosts::ListSource;
-use super::list::EndpointList;
-use super::staleness::{CallFailure, WatchStaleness};
-use super::start_times::ClaimSource;
-use super::versions::{Freshness, ListVersions};
+mod answers;
+mod failures;
+
 use crate::context::{Context, DISCOVERY};
+use crate::discovery::call::{CallConnection, CallError, DiscoveryCall, ReadOutcome};
+use crate::discovery::staleness::{CallFailure, WatchStaleness};
+use crate::discovery::versions::ListVersions;
 use reedferry::permission::usable_grace;
-use reedferry::{BalancerSettings, EndpointUpdate, Event, Nanos, MILLI, SECOND};
+use reedferry::{BalancerSettings, Nanos, MILLI, SECOND};
 use reedferry_runtime::errors::{classify_connect, ConnectFailure};
-use reedferry_runtime::{PollToken, Readiness};
-use slog::{info, warn};
+use reedferry_runtime::Readiness;
+use slog::warn;
 use std::net::SocketAddr;
 
 /// How soon a call over a connection that has served before may break for the other side to have closed it
@@ -238,192 +238,6 @@
         }
     }
 
-    /// A response is complete.
-    fn on_answer(&mut self, context: &mut Context, which: usize) {
-        let call = &mut self.calls[which];
-        if call.response.closes_connection {
-            call.connection = None;
-        }
-        if call.response.status != 200 {
-            let status = call.response.status;
-            return self.on_rejected(context, which, status);
-        }
-        call.in_flight = false;
-        let list = match std::mem::take(&mut call.reader).finish() {
-            Ok(list) => list,
-            Err(error) => return self.on_failed(context, which, CallError::List(error)),
-        };
-        let (started_at, max_wait) = (call.started_at, call.max_wait);
-        let has_news = !list.members.is_empty();
-        if !self.apply_list(context, which, list) {
-            return self.on_failed(context, which, CallError::BackwardsRevision);
-        }
-        self.staleness
-            .record_latency(context.now, started_at, max_wait);
-        if which != WATCH {
-            self.staleness.record_late_answer(started_at);
-            return self.extend_watch_deadline(context);
-        }
-        if !self.watching {
-            info!(context.log, "watch begun"; "at" => %self.address, "revision" => self.revision());
-        }
-        self.watching = true;
-        self.calls[SILENT_WATCH] = DiscoveryCall::default();
-        self.staleness.record_answer(context.now);
-        context.deaf = self.staleness.stale_window();
-        let next = self
-            .staleness
-            .next_watch_at(context.now, started_at, max_wait, has_news);
-        if next > context.now {
-            self.next_watch_at = Some(next);
-            return;
-        }
-        self.send_call(context, WATCH, self.staleness.watch_wait());
-    }
-
-    /// Goes by what the answer to another call has just shown of the service: how long the watch is waited
-    /// for, and from when on the list may be stale.
-    fn extend_watch_deadline(&mut self, context: &mut Context) {
-        let watch = &mut self.calls[WATCH];
-        if watch.in_flight && !watch.response_begun {
-            let deadline = self
-                .staleness
-                .silence_deadline(watch.started_at, watch.max_wait);
-            watch.deadline = watch.deadline.max(deadline);
-        }
-        context.deaf = self.staleness.stale_window();
-    }
-
-    /// What the answer to a call that has just come shows of the time its news is from.
-    fn claim_source(&self, which: usize, now: Nanos) -> ClaimSource {
-        let call = &self.calls[which];
-        let waited =
-            call.max_wait > IMMEDIATE_ANSWER_TIME && now > call.started_at + IMMEDIATE_ANSWER_TIME;
-        match self.last_list_at {
-            None => ClaimSource::FullList,
-            // News comes at once to a call that waits for it.
-            Some(_) if waited => ClaimSource::Update { known_until: now },
-            Some(known_until) => ClaimSource::Update { known_until },
-        }
-    }
-
-    /// Whether the list counts, if only as no news.
-    fn apply_list(&mut self, context: &mut Context, which: usize, mut list: EndpointList) -> bool {
-        let freshness = self
-            .versions
-            .assess(which == WATCH, list.revision, list.complete);
-        match freshness {
-            // Without this, a draining host would count as ready again by changes from before.
-            Freshness::Backwards => return false,
-            Freshness::Stale => {
-                context.events.push(Event::EndpointsUpdated {
-                    kind: EndpointUpdate::Delta,
-                    endpoints: Vec::new(),
-                });
-                return true;
-            }
-            // Without this, hosts that drain would get new work by a service that came back with an older
-            // list. What it says of them as a change from there on is news.
-            Freshness::Older => {
-                let kept = context.hosts.keep_drains(&mut list);
-                let hosts = list.members.len();
-                warn!(context.log, "an older list"; "revision" => list.revision, "hosts" => hosts, "drains kept" => kept);
-            }
-            Freshness::Current => {}
-        }
-        let now = context.now;
-        let source = ListSource::Service {
-            claims: self.claim_source(which, now),
-            effective_from: self.staleness.effective_from(now),
-        };
-        self.last_list_at = Some(now);
-        let event = context.hosts.apply_list(now, list, source, &context.log);
-        context.events.push(event);
-        true
-    }
-
-    /// The connection broke. Where it had served before and nothing has come of a response to a call that has
-    /// just gone out, the other side closed it between two calls: the call goes out once more. One that
-    /// broke while it waited has failed, as it may have ended for all nodes.
-    fn on_connection_lost(&mut self, context: &mut Context, which: usize, error: CallError) {
-        let call = &mut self.calls[which];
-        call.connection = None;
-        if !call.in_flight {
-            return;
-        }
-        let just_sent = context.now < call.started_at + IDLE_CLOSE_WINDOW;
-        if call.reused && !call.response.has_begun() && just_sent {
-            // Without a wait: whoever closed it may have restarted, and would wait for a version long passed
-            // here.
-            return self.send_call(context, which, MILLI);
-        }
-        self.on_failed(context, which, error);
-    }
-
-    /// The service answered, but not with a list. It is the same one as before where it says that it is busy.
-    fn on_rejected(&mut self, context: &mut Context, which: usize, status: u16) {
-        if !matches!(status, 429 | 503) {
-            self.versions.record_failure();
-        }
-        let error = CallError::Status(status);
-        self.end_call(context, which, error.failure(), error);
-    }
-
-    fn on_failed(&mut self, context: &mut Context, which: usize, error: CallError) {
-        if which == WATCH {
-            self.versions.record_failure();
-        }
-        self.end_call(context, which, error.failure(), error);
-    }
-
-    fn end_call(
-        &mut self,
-        context: &mut Context,
-        which: usize,
-        failure: CallFailure,
-        error: CallError,
-    ) {
-        let call = &mut self.calls[which];
-        call.connection = None;
-        call.in_flight = false;
-        warn!(context.log, "discovery call failed"; "watch" => which == WATCH, "why" => error.to_string());
-        if which == WATCH {
-            self.watching = false;
-            let next = self.staleness.record_failure(context.now, failure);
-            self.next_watch_at = Some(next);
-            context.deaf = self.staleness.stale_window();
-            if next <= context.now {
-                self.watch(context);
-            }
-        }
-        // Nothing else tells the decision module when to poll again.
-        if which == POLL {
-            context.events.push(Event::EndpointsUpdated {
-                kind: EndpointUpdate::Failed,
-                endpoints: Vec::new(),
-            });
-        }
-    }
-
-    /// The watch has been silent beyond its wait: it is kept until the call in its place is answered.
-    fn on_watch_silent(&mut self, context: &mut Context) {
-        let mut watch = std::mem::take(&mut self.calls[WATCH]);
-        if let Some(connection) = &mut watch.connection {
-            let token = PollToken {
-                component: DISCOVERY,
-                slot: SILENT_WATCH as u32,
-                generation: context.stamp(),
-            };
-            let socket = &connection.socket;
-            if context.poller.update_registration(socket, token).is_ok() {
-                connection.generation = token.generation;
-                watch.deadline = Nanos::MAX;
-                self.calls[SILENT_WATCH] = watch;
-            }
-        }
-        self.on_failed(context, WATCH, CallError::Timeout);
-    }
-
     /// Ends calls that nothing answers, and sends the watch where that is due.
     pub fn sweep(&mut self, context: &mut Context) {
         for which in ALL {
