--- /dev/null
+++ b/node/src/connections/invariants.rs
@@ -0,0 +1,102 @@
+//! Invariant checks: run-time checks of the rules on what has just been done on a socket. Owns what is
+//! counted and logged as a violation, with the request's id and the figures. Must never prevent anything:
+//! what may be done is decided in [`reedferry::permission`] before; what is found here in spite of that is a
+//! fault of the program.
+
+use super::connection::{Connection, Stage};
+use super::Connections;
+use crate::context::Context;
+use crate::operators::counts::{Close, Count, Violation};
+use reedferry::permission::{may_dismiss, may_go_on, may_repeat};
+use reedferry::{Idempotency, Nanos, RequestClass, MILLI};
+use slog::{error, info};
+
+/// What the rules allow on sockets beyond each time limit.
+const TOLERANCE: Nanos = 50 * MILLI;
+
+impl Connection {
+    fn request_class<'a>(&self, context: &'a Context) -> Option<&'a RequestClass> {
+        context.classes.get(self.incoming.class)
+    }
+
+    /// Counts and logs a violation; `excess` is by how much time.
+    fn report_violation(&self, context: &mut Context, rule: Violation, excess: Nanos) {
+        context.tally.add(Count::Violated(rule));
+        error!(context.log, "rule violated"; "rule" => rule.name(), "id" => self.log_id(),
+            "attempts" => self.attempts, "ms" => excess / MILLI, context.turn.account(context.clock.read()));
+    }
+}
+
+impl Connections {
+    /// Checks the rules on an attempt; the last byte of its request line has just been written.
+    pub(super) fn check_attempt(&self, context: &mut Context, slot: usize) {
+        let connection = &self.slab[slot];
+        if connection.stage != Stage::Pending {
+            return;
+        }
+        let Some(attempt) = connection.host_connection.as_ref() else {
+            return;
+        };
+        let now = context.clock.read();
+        let deadline = connection.answer_deadline();
+        if now > deadline + TOLERANCE {
+            connection.report_violation(context, Violation::AttemptedLate, now - deadline);
+        }
+        let write_by = attempt.write_by;
+        if may_go_on(now, write_by.saturating_add(TOLERANCE)).is_err() {
+            connection.report_violation(context, Violation::RepeatedLate, now - write_by);
+        }
+        let left_since = context.hosts.record(attempt.host).left_since;
+        let grace = context.node_settings.drain_grace;
+        if let Some(late) = left_since.and_then(|left| now.checked_sub(left + grace + TOLERANCE)) {
+            connection.report_violation(context, Violation::SentToLeavingHost, late);
+        }
+        let first_run = connection.may_have_run_since;
+        let repeated = connection.request_class(context).is_some_and(|class| {
+            class.idempotency == Idempotency::NonIdempotent
+                && may_repeat(class, first_run, now).is_err()
+        });
+        if repeated {
+            let since = now - first_run.unwrap_or(now);
+            connection.report_violation(context, Violation::RanTwice, since);
+        }
+    }
+
+    /// Checks the rules on a final answer, which goes out now.
+    pub(super) fn check_answer(&self, context: &mut Context, slot: usize, rejected: bool) {
+        let connection = &self.slab[slot];
+        if connection.stage != Stage::Pending || connection.client.is_none() {
+            return;
+        }
+        let now = context.clock.read();
+        let deadline = connection.answer_deadline();
+        if now > deadline + TOLERANCE {
+            connection.report_violation(context, Violation::AnsweredLate, now - deadline);
+        }
+        let first_run = connection.may_have_run_since;
+        let may_reject = connection
+            .request_class(context)
+            .is_none_or(|class| may_dismiss(class, first_run.is_some()));
+        if rejected && !may_reject {
+            let since = now - first_run.unwrap_or(now);
+            connection.report_violation(context, Violation::DismissedAfterRun, since);
+        }
+    }
+
+    /// Checks the rules on a client's connection, which is closed now, and counts why it is.
+    pub(super) fn check_close(&self, context: &mut Context, slot: usize, reason: Close) {
+        context.tally.add(Count::Closed(reason));
+        let connection = &self.slab[slot];
+        if connection.awaits_answer() && connection.client.is_some() {
+            let since = context.now - connection.started_at;
+            connection.report_violation(context, Violation::Unanswered, since);
+        }
+        let ordinary = matches!(
+            reason,
+            Close::Answered | Close::ClientEnded | Close::PassedOn
+        );
+        if !ordinary && context.request_lines.allow(context.now) {
+            info!(context.log, "closed"; "id" => connection.log_id(), "why" => reason.name());
+        }
+    }
+}
--- a/node/src/operators/node_config.rs
+++ b/node/src/operators/node_config.rs
@@ -182,7 +182,9 @@
             name: document.name,
             seed: match document.seed {
                 Seed::Number(seed) => seed,
-                Seed::Text(text) => crate::connections::lines::word(&text).unwrap_or(0),
+                Seed::Text(text) => {
+                    crate::connections::protocol::keys::key_from_text(&text).unwrap_or(0)
+                }
             },
             memory: (memory_mb * BYTES_PER_MB) as usize,
             sockets: document.limits.sockets,
--- a/runtime/src/lib.rs
+++ b/runtime/src/lib.rs
@@ -1,9 +1,11 @@
-//! What every program here stands on: the poller and its timers, sockets with their budget, the buffer
-//! pool, the clock, signals and the log. It owns descriptors, buffers and what is still to be logged. It
-//! must never know what flows through a socket, nor take any decision.
+//! What every reedferry program is built on: the poller and its timers, sockets with their
+//! descriptor budget, the buffer pool, the clock, signals and the log. Owns descriptors, buffers
+//! and what is still to be logged. Must never know what flows through a socket, nor take any
+//! decision.
 
 pub mod channel;
 pub mod clock;
+mod descriptor_budget;
 pub mod errors;
 pub mod log;
 pub mod poller;
@@ -12,11 +14,12 @@
 pub mod sockets;
 
 pub use clock::Clock;
-pub use poller::{merged, Mark, Poller, Readiness};
-pub use pool::{Buffer, Pool};
+pub use descriptor_budget::DescriptorBudget;
+pub use poller::{merge_readiness, PollToken, Poller, Readiness};
+pub use pool::{Buffer, BufferPool};
 pub use rustix::io::Errno;
 pub use signals::Signal;
-pub use sockets::{Budget, Socket};
+pub use sockets::Socket;
 
-/// Whole nanoseconds.
+/// Time or a span of time in whole nanoseconds.
 pub type Nanos = u64;
--- a/runtime/src/log.rs
+++ b/runtime/src/log.rs
@@ -1,4 +1,4 @@
-//! The log. It owns what is still to be written to standard error. It must never hold up the loop: lines
+//! The log. Owns what is still to be written to standard error. Must never hold up the loop: lines
 //! wait in a bounded backlog, are written only while the other end takes them, and are counted and
 //! dropped where it does not.
 
@@ -10,26 +10,28 @@
 use std::sync::{Arc, Mutex};
 
 const SECOND: Nanos = 1_000_000_000;
-const MOST: usize = 256 * 1024;
-/// A pipe that polls as writable takes this much at once.
-const PIECE: usize = 4096;
+/// The most that waits; a line beyond it is dropped.
+const MAX_BACKLOG_BYTES: usize = 256 * 1024;
+/// What is written at once: a pipe that polls as writable takes this much.
+const WRITE_BYTES: usize = 4096;
 
 #[derive(Default)]
 struct Lines {
-    waiting: VecDeque<u8>,
-    dropped: u64,
+    pending: VecDeque<u8>,
+    dropped_lines: u64,
 }
 
+/// Lines of the log that are still to be written. Clones are one backlog.
 #[derive(Clone, Default)]
-pub struct Backlog(Arc<Mutex<Lines>>);
+pub struct LogBacklog(Arc<Mutex<Lines>>);
 
-impl Write for Backlog {
+impl Write for LogBacklog {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         if let Ok(mut lines) = self.0.lock() {
-            if lines.waiting.len() + bytes.len() > MOST {
-                lines.dropped += 1;
+            if lines.pending.len() + bytes.len() > MAX_BACKLOG_BYTES {
+                lines.dropped_lines += 1;
             } else {
-                lines.waiting.extend(bytes);
+                lines.pending.extend(bytes);
             }
         }
         Ok(bytes.len())
@@ -40,12 +42,12 @@
     }
 }
 
-impl Backlog {
+impl LogBacklog {
     /// Writes what standard error takes without waiting.
     pub fn drain(&self) {
         let Ok(mut lines) = self.0.lock() else { return };
         let stderr = io::stderr();
-        while !lines.waiting.is_empty() {
+        while !lines.pending.is_empty() {
             let mut polled = [PollFd::new(&stderr, PollFlags::OUT)];
             let now = Timespec {
                 tv_sec: 0,
@@ -55,61 +57,63 @@
             if !ready || !polled[0].revents().contains(PollFlags::OUT) {
                 return;
             }
-            let (front, _) = lines.waiting.as_slices();
-            let piece = &front[..front.len().min(PIECE)];
+            let (front, _) = lines.pending.as_slices();
+            let piece = &front[..front.len().min(WRITE_BYTES)];
             let Ok(count) = stderr.lock().write(piece) else {
                 return;
             };
-            lines.waiting.drain(..count);
-            if lines.waiting.is_empty() && lines.dropped > 0 {
-                let text = format!("log lines dropped count={}\n", lines.dropped);
-                lines.dropped = 0;
-                lines.waiting.extend(text.as_bytes());
+            lines.pending.drain(..count);
+            if lines.pending.is_empty() && lines.dropped_lines > 0 {
+                let text = format!("log lines dropped count={}\n", lines.dropped_lines);
+                lines.dropped_lines = 0;
+                lines.pending.extend(text.as_bytes());
             }
         }
     }
 }
 
-/// A limit on log lines of one kind, so that what happens thousands of times a second does not fill the log.
+/// A limit on log lines of one kind, so that what happens thousands of times a second does not fill
+/// the log.
 #[derive(Debug)]
-pub struct LineLimit {
-    most_a_second: u32,
-    second: Nanos,
+pub struct LogRateLimit {
+    max_lines_per_second: u32,
+    second_start: Nanos,
     lines: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
-impl LineLimit {
-    pub fn new(most_a_second: u32) -> Self {
-        LineLimit {
-            most_a_second,
-            second: 0,
+impl LogRateLimit {
+    /// Lets so many lines a second through.
+    pub fn new(max_lines_per_second: u32) -> Self {
+        LogRateLimit {
+            max_lines_per_second,
+            second_start: 0,
             lines: 0,
-            left_out: 0,
+            suppressed: 0,
         }
     }
 
     /// Whether one more line may be written in this second; one that may not is counted.
-    pub fn room(&mut self, now: Nanos) -> bool {
-        if now >= self.second + SECOND {
-            (self.second, self.lines) = (now, 0);
+    pub fn allow(&mut self, now: Nanos) -> bool {
+        if now >= self.second_start + SECOND {
+            (self.second_start, self.lines) = (now, 0);
         }
         self.lines += 1;
-        let room = self.lines <= self.most_a_second;
-        self.left_out += u64::from(!room);
-        room
+        let allowed = self.lines <= self.max_lines_per_second;
+        self.suppressed += u64::from(!allowed);
+        allowed
     }
 
-    /// How many lines were left out, once their second is over.
-    pub fn left_out(&mut self, now: Nanos) -> Option<u64> {
-        let over = self.left_out > 0 && now >= self.second + SECOND;
-        over.then(|| std::mem::take(&mut self.left_out))
+    /// How many lines were suppressed, once their second is over.
+    pub fn take_suppressed(&mut self, now: Nanos) -> Option<u64> {
+        let second_over = self.suppressed > 0 && now >= self.second_start + SECOND;
+        second_over.then(|| std::mem::take(&mut self.suppressed))
     }
 }
 
-/// The node's logger, and the backlog that the loop drains once a turn.
-pub fn logger(node: &str) -> (Logger, Backlog) {
-    let backlog = Backlog::default();
+/// The logger of a node, and the backlog that its loop drains once a turn.
+pub fn logger(node: &str) -> (Logger, LogBacklog) {
+    let backlog = LogBacklog::default();
     let plain = slog_term::PlainDecorator::new(backlog.clone());
     let format = slog_term::FullFormat::new(plain)
         .use_utc_timestamp()
@@ -120,28 +124,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_limit_lets_so_many_lines_a_second_through_and_counts_the_rest() {
-        let mut limit = LineLimit::new(2);
-        let through = |limit: &mut LineLimit, now| (0..5).filter(|_| limit.room(now)).count();
-        assert_eq!(
-            (through(&mut limit, SECOND), limit.left_out(SECOND)),
-            (2, None)
-        );
-        assert_eq!(
-            (
-                through(&mut limit, 2 * SECOND - 1),
-                limit.left_out(2 * SECOND)
-            ),
-            (0, Some(8))
-        );
-        assert_eq!(
-            (through(&mut limit, 2 * SECOND), limit.left_out(3 * SECOND)),
-            (2, Some(3))
-        );
-        assert_eq!(limit.left_out(9 * SECOND), None);
-    }
-}
+#[path = "log_tests.rs"]
+mod tests;
