--- a/node/src/connections/attempt_progress.rs
+++ b/node/src/connections/attempt_progress.rs
@@ -10,7 +10,7 @@
 use crate::context::Context;
 use crate::operators::counts::Count;
 use crate::operators::tally::Outcome;
-use reedferry::permission::{may_begin, may_go_on, Beginning, Refusal};
+use reedferry::permission::{may_continue, may_start, AttemptStart, Refusal};
 use reedferry::{AttemptOutcome, Event, Nanos};
 use reedferry_runtime::Buffer;
 
@@ -65,7 +65,7 @@
         }
         let (not_after, host, started_at) = (attempt.write_by, attempt.host, attempt.started_at);
         if connection.to_host.buffer.is_some() {
-            return may_go_on(context.clock.read(), not_after);
+            return may_continue(context.clock.read(), not_after);
         }
         let attempt_deadline = started_at + connection.attempt_timeout;
         let deadline = attempt_deadline.min(connection.answer_deadline());
@@ -76,15 +76,15 @@
         let client_waits = self.client_still_waits(context, slot);
         let record = context.hosts.record(host);
         let changed_since = |at: Option<Nanos>| at.is_some_and(|at| at > started_at);
-        may_begin(&Beginning {
+        may_start(&AttemptStart {
             now,
             deadline,
             not_after,
             client_waits,
-            leaving_since: record.left_since,
+            draining_since: record.left_since,
             drain_grace: context.node_settings.drain_grace,
-            list_unheard: context.deaf.contains(&now),
-            host_moved: changed_since(record.readdressed),
+            endpoints_stale: context.deaf.contains(&now),
+            host_address_changed: changed_since(record.readdressed),
             group_changed: repeats && changed_since(record.regrouped),
         })
     }
@@ -96,7 +96,7 @@
             // The attempt has ended already.
             Refusal::ClientGone => {}
             // Its connection was established too late, or the host is draining.
-            Refusal::HostLeaving | Refusal::OutsideWindow => {
+            Refusal::HostDraining | Refusal::OutsideWindow => {
                 self.end_attempt(context, slot, AttemptOutcome::ConnectFailed);
             }
             // The host is not to blame.
--- a/node/src/connections/attempts.rs
+++ b/node/src/connections/attempts.rs
@@ -212,7 +212,7 @@
         if context.request_lines.allow(context.now) {
             let took = context.now.saturating_sub(attempt.started_at) / MILLI;
             info!(context.log, "attempt ended"; "id" => connection.log_id(), "attempt" => attempt.attempt,
-                "host" => &record.name, "why" => outcome.word(), "ms" => took);
+                "host" => &record.name, "why" => outcome.as_str(), "ms" => took);
         }
         if connection.stage == Stage::Pending {
             let client_gone = connection.client.is_none();
--- a/node/src/connections/invariants.rs
+++ b/node/src/connections/invariants.rs
@@ -7,7 +7,7 @@
 use super::Connections;
 use crate::context::Context;
 use crate::operators::counts::{Close, Count, Violation};
-use reedferry::permission::{may_dismiss, may_go_on, may_repeat};
+use reedferry::permission::{may_continue, may_reject, may_repeat};
 use reedferry::{Idempotency, Nanos, RequestClass, MILLI};
 use slog::{error, info};
 
@@ -43,7 +43,7 @@
             connection.report_violation(context, Violation::AttemptedLate, now - deadline);
         }
         let write_by = attempt.write_by;
-        if may_go_on(now, write_by.saturating_add(TOLERANCE)).is_err() {
+        if may_continue(now, write_by.saturating_add(TOLERANCE)).is_err() {
             connection.report_violation(context, Violation::RepeatedLate, now - write_by);
         }
         let left_since = context.hosts.record(attempt.host).left_since;
@@ -76,7 +76,7 @@
         let first_run = connection.may_have_run_since;
         let may_reject = connection
             .request_class(context)
-            .is_none_or(|class| may_dismiss(class, first_run.is_some()));
+            .is_none_or(|class| may_reject(class, first_run.is_some()));
         if rejected && !may_reject {
             let since = now - first_run.unwrap_or(now);
             connection.report_violation(context, Violation::DismissedAfterRun, since);
--- a/node/src/context/mod.rs
+++ b/node/src/context/mod.rs
@@ -14,8 +14,8 @@
 use crate::operators::tally::Tally;
 use crate::turn::Turn;
 use reedferry::{Event, Nanos, RequestClass, MILLI};
-use reedferry_runtime::log::LineLimit;
-use reedferry_runtime::{Budget, Clock, Errno, Mark, Poller, Pool, Socket};
+use reedferry_runtime::log::LogRateLimit;
+use reedferry_runtime::{BufferPool, Clock, DescriptorBudget, Errno, PollToken, Poller, Socket};
 use reedferry_settings::NodeSettings;
 use slog::{info, Logger};
 use std::ops::Range;
@@ -26,11 +26,11 @@
 const ENOUGH_DESCRIPTORS: usize = 8;
 
 /// The token of a component that has one socket or timer.
-pub fn mark(part: u8) -> Mark {
-    Mark {
-        part,
+pub fn mark(part: u8) -> PollToken {
+    PollToken {
+        component: part,
         slot: 0,
-        stamp: 0,
+        generation: 0,
     }
 }
 
@@ -49,9 +49,9 @@
     /// What reports ready sockets and due timers.
     pub poller: Poller,
     /// The descriptors that this process may use.
-    pub budget: Budget,
+    pub budget: DescriptorBudget,
     /// The buffers that this process may use.
-    pub pool: Pool,
+    pub pool: BufferPool,
     /// The hosts of the endpoint list.
     pub hosts: Hosts,
     /// The settings beside those of the decision core.
@@ -73,9 +73,9 @@
     /// The metrics.
     pub tally: Tally,
     /// The limit of log lines on turns that began late.
-    late_turn_lines: LineLimit,
+    late_turn_lines: LogRateLimit,
     /// The limit of log lines on single requests.
-    pub request_lines: LineLimit,
+    pub request_lines: LogRateLimit,
     /// Whether new work was last held off for want of descriptors or buffers.
     pub scarce: bool,
     /// From when to when no new attempts may go to hosts, unless discovery is heard from before.
@@ -91,8 +91,8 @@
             self.caught_up = previous;
         }
         self.hosts.stalls.looked(self.caught_up, waited, now);
-        self.turn.begin(self.poller.next_due(), waited, now);
-        if self.turn.lateness() > LATE_TURN && self.late_turn_lines.room(now) {
+        self.turn.begin(self.poller.next_deadline(), waited, now);
+        if self.turn.lateness() > LATE_TURN && self.late_turn_lines.allow(now) {
             info!(self.log, "woken late"; self.turn.account(now));
         }
         previous
@@ -100,16 +100,16 @@
 
     /// Logs how many lines on single requests were left out.
     pub fn say_left_out(&mut self) {
-        if let Some(count) = self.request_lines.left_out(self.now) {
+        if let Some(count) = self.request_lines.take_suppressed(self.now) {
             info!(self.log, "request lines left out"; "count" => count);
         }
     }
 
     /// Notes when there are enough descriptors again.
     pub fn spare(&mut self) {
-        if self.scarce && self.budget.room(ENOUGH_DESCRIPTORS) {
+        if self.scarce && self.budget.has_capacity(ENOUGH_DESCRIPTORS) {
             self.scarce = false;
-            info!(self.log, "descriptors to spare again"; "taken" => self.budget.taken());
+            info!(self.log, "descriptors to spare again"; "taken" => self.budget.in_use());
         }
     }
 
@@ -125,13 +125,13 @@
     }
 
     /// Has the poller report a socket under a new token.
-    pub fn watch(&mut self, socket: &Socket, part: u8, slot: usize) -> Result<Mark, Errno> {
-        let mark = Mark {
-            part,
+    pub fn watch(&mut self, socket: &Socket, part: u8, slot: usize) -> Result<PollToken, Errno> {
+        let mark = PollToken {
+            component: part,
             slot: slot as u32,
-            stamp: self.stamp(),
+            generation: self.stamp(),
         };
-        self.poller.watch(socket, mark)?;
+        self.poller.register(socket, mark)?;
         Ok(mark)
     }
 }
--- a/node/src/context/open.rs
+++ b/node/src/context/open.rs
@@ -1,17 +1,17 @@
 //! What is opened at the start: the poller, the budgets, the listeners and the endpoint list as last known.
 
 use super::{mark, Context, LISTENER, REREAD, STOP};
-use crate::discovery::hosts::{Hosts, Source};
-use crate::discovery::list::Reader;
+use crate::discovery::hosts::{Hosts, ListSource};
+use crate::discovery::list::ListReader;
 use crate::error::FatalError;
 use crate::operators::node_config::NodeConfig;
 use crate::operators::tally::Tally;
 use crate::turn::Turn;
 use crate::AtStart;
 use reedferry::Nanos;
-use reedferry_runtime::errors::patiently;
-use reedferry_runtime::log::{Backlog, LineLimit};
-use reedferry_runtime::{log, pool, Budget, Clock, Poller, Pool, Socket};
+use reedferry_runtime::errors::retry_for;
+use reedferry_runtime::log::{LogBacklog, LogRateLimit};
+use reedferry_runtime::{log, pool, BufferPool, Clock, DescriptorBudget, Poller, Socket};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -30,16 +30,18 @@
         node_config: &NodeConfig,
         clock: &Clock,
         signals: &AtStart,
-    ) -> Result<(Context, Backlog), FatalError> {
+    ) -> Result<(Context, LogBacklog), FatalError> {
         let (log, backlog) = log::logger(&node_config.name);
-        let poller = patiently(START_WITHIN, Poller::new).map_err(FatalError::Poll)?;
-        patiently(START_WITHIN, || poller.watch(&signals.stop, mark(STOP)))
-            .map_err(FatalError::Poll)?;
-        patiently(START_WITHIN, || poller.watch(&signals.reread, mark(REREAD)))
+        let poller = retry_for(START_WITHIN, Poller::new).map_err(FatalError::Poll)?;
+        retry_for(START_WITHIN, || poller.register(&signals.stop, mark(STOP)))
             .map_err(FatalError::Poll)?;
+        retry_for(START_WITHIN, || {
+            poller.register(&signals.reread, mark(REREAD))
+        })
+        .map_err(FatalError::Poll)?;
         let now = clock.read();
         // A quarter of the memory is for buffers; the rest is the program's own and a reserve.
-        let buffers = node_config.memory / BUFFER_MEMORY_DIVISOR / pool::SIZE;
+        let buffers = node_config.memory / BUFFER_MEMORY_DIVISOR / pool::BUFFER_BYTES;
         let mut tally = Tally::default();
         tally.offers(&node_config.node_settings.classes);
         let context = Context {
@@ -49,8 +51,8 @@
             caught_up: now,
             turn: Turn::default(),
             poller,
-            budget: Budget::new(node_config.sockets),
-            pool: Pool::new(buffers.max(MIN_BUFFERS)),
+            budget: DescriptorBudget::new(node_config.sockets),
+            pool: BufferPool::new(buffers.max(MIN_BUFFERS)),
             hosts: Hosts::new(
                 node_config.node_settings.zones.clone(),
                 node_config
@@ -66,8 +68,8 @@
             standby: None,
             stopped_by: None,
             tally,
-            late_turn_lines: LineLimit::new(MAX_LATE_TURN_LINES),
-            request_lines: LineLimit::new(MAX_REQUEST_LINES),
+            late_turn_lines: LogRateLimit::new(MAX_LATE_TURN_LINES),
+            request_lines: LogRateLimit::new(MAX_REQUEST_LINES),
             scarce: false,
             deaf: Nanos::MAX..Nanos::MAX,
         };
@@ -77,13 +79,13 @@
     /// Listens on an address, and has the poller report connections to it as this part's.
     pub fn listen(&mut self, address: &SocketAddr, part: u8) -> Result<Socket, FatalError> {
         let listener =
-            patiently(START_WITHIN, || self.budget.listen(address)).map_err(|error| {
+            retry_for(START_WITHIN, || self.budget.listen(address)).map_err(|error| {
                 FatalError::Listen {
                     address: *address,
                     error,
                 }
             })?;
-        patiently(START_WITHIN, || self.poller.watch(&listener, mark(part)))
+        retry_for(START_WITHIN, || self.poller.register(&listener, mark(part)))
             .map_err(FatalError::Poll)?;
         Ok(listener)
     }
@@ -91,10 +93,10 @@
     /// Accepts clients at a listener that the platform holds open.
     pub fn inherit(&mut self, descriptor: i32) -> Result<Socket, FatalError> {
         let no_listener = |error| FatalError::NoListener { descriptor, error };
-        let listener =
-            patiently(START_WITHIN, || self.budget.inherit(descriptor)).map_err(no_listener)?;
-        patiently(START_WITHIN, || {
-            self.poller.watch(&listener, mark(LISTENER))
+        let listener = retry_for(START_WITHIN, || self.budget.inherit_listener(descriptor))
+            .map_err(no_listener)?;
+        retry_for(START_WITHIN, || {
+            self.poller.register(&listener, mark(LISTENER))
         })
         .map_err(no_listener)?;
         Ok(listener)
@@ -105,13 +107,15 @@
         if node_config.known.is_empty() {
             return Ok(None);
         }
-        let mut reader = Reader::default();
+        let mut reader = ListReader::default();
         let list = reader
             .feed(&node_config.known)
             .and_then(|()| reader.finish())
             .map_err(|error| FatalError::KnownEndpoints(error.to_string()))?;
         let revision = list.revision;
-        let event = self.hosts.told(self.now, list, Source::Kept, &self.log);
+        let event = self
+            .hosts
+            .apply_list(self.now, list, ListSource::Cached, &self.log);
         self.events.push(event);
         Ok(Some(revision))
     }
--- a/node/src/context/shutdown.rs
+++ b/node/src/context/shutdown.rs
@@ -30,7 +30,7 @@
         // Without this, clients whose host stopped within a line, or whose migration began so late that it took too long, would be
         // held when the process is killed.
         self.stopped_by = Some(self.now + duration.saturating_sub(KILL_MARGIN));
-        warn!(self.log, "asked to stop"; "connections" => connections, "descriptors" => self.budget.taken());
+        warn!(self.log, "asked to stop"; "connections" => connections, "descriptors" => self.budget.in_use());
         // Migrations begin late: a client is served here as well as anywhere until it has to go. Without this, clients would be
         // moved while the node that stopped before this one is not back yet, and find nobody.
         let migration_span = duration.saturating_sub(LAST_MIGRATIONS);
--- a/node/src/discovery/hosts.rs
+++ b/node/src/discovery/hosts.rs
@@ -148,7 +148,7 @@
             let member = Member {
                 name: entry.name,
                 address: entry.address,
-                state: entry.stands.into(),
+                state: entry.state.into(),
                 accepted_start: Some(None),
                 ..Member::default()
             };
--- a/node/src/error.rs
+++ b/node/src/error.rs
@@ -53,6 +53,9 @@
     /// The sockets to other nodes can't be opened.
     #[error(transparent)]
     Peers(#[from] crate::peers::PeersError),
+    /// A signal can't be handled.
+    #[error(transparent)]
+    Signal(#[from] reedferry_runtime::signals::SignalError),
     /// Another part of the program says why in one line.
     #[error("{0}")]
     Other(String),
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -75,8 +75,8 @@
 fn run() -> Result<(), FatalError> {
     // First of all. Without this, a signal to reload that comes during the start would end the process.
     let signals = AtStart {
-        stop: Signal::told(SIGTERM)?,
-        reread: Signal::told(SIGHUP)?,
+        stop: Signal::register(SIGTERM).map_err(|error| error.to_string())?,
+        reread: Signal::register(SIGHUP).map_err(|error| error.to_string())?,
     };
     match CommandLine::parse().command {
         None => roles::standalone::run(ConfigSource::Environment, signals),
--- a/node/src/operators/api/connection.rs
+++ b/node/src/operators/api/connection.rs
@@ -2,7 +2,7 @@
 
 use super::request::{parse, ApiRequest, Parsed};
 use reedferry::Nanos;
-use reedferry_runtime::errors::{on_connection, Trouble};
+use reedferry_runtime::errors::{classify_io, IoFailure};
 use reedferry_runtime::{Buffer, Socket};
 
 /// How much of what comes after the head is read at a time.
@@ -59,7 +59,7 @@
     pub fn receive(&mut self) -> Progress {
         let mut discarded = [0; DISCARD_BYTES];
         let space = match &mut self.stage {
-            Stage::ReadingHead(head) => head.spare(),
+            Stage::ReadingHead(head) => head.free_space(),
             _ => &mut discarded,
         };
         let count = match self.socket.receive(space) {
@@ -72,11 +72,13 @@
             }
             Ok(count) => count,
             // The next sweep goes on where the poller does not.
-            Err(error) if on_connection(error) != Trouble::Connection => return Progress::Waiting,
+            Err(error) if classify_io(error) != IoFailure::Disconnected => {
+                return Progress::Waiting
+            }
             Err(_) => return Progress::Ended,
         };
         match &mut self.stage {
-            Stage::ReadingHead(head) => head.filled(count),
+            Stage::ReadingHead(head) => head.commit(count),
             Stage::ReadingBody { left, .. } => *left = left.saturating_sub(count as u64),
             // The rest is read too: closing over unread input would reset the connection, and the response would be lost.
             _ => {}
@@ -89,8 +91,8 @@
         let Stage::ReadingHead(head) = &mut self.stage else {
             return false;
         };
-        let full = head.spare().is_empty();
-        match parse(head.waiting(), full) {
+        let full = head.free_space().is_empty();
+        match parse(head.unsent(), full) {
             Parsed::Incomplete => false,
             Parsed::Head { request, body_left } => {
                 self.stage = Stage::ReadingBody {
@@ -115,13 +117,13 @@
         while *written < response.len() {
             match self.socket.send(&response[*written..]) {
                 Ok(count) => *written += count,
-                Err(error) if on_connection(error) != Trouble::Connection => {
+                Err(error) if classify_io(error) != IoFailure::Disconnected => {
                     return Progress::Waiting;
                 }
                 Err(_) => return Progress::Ended,
             }
         }
-        self.socket.end_sending();
+        self.socket.shutdown_write();
         self.stage = Stage::Lingering;
         self.since = now;
         Progress::Waiting
--- a/node/src/operators/api/mod.rs
+++ b/node/src/operators/api/mod.rs
@@ -13,8 +13,8 @@
 use crate::error::FatalError;
 use connection::{Connection, Progress, Stage};
 use reedferry::{Nanos, SECOND};
-use reedferry_runtime::errors::{on_accept, patiently, NotAccepted};
-use reedferry_runtime::{Budget, Mark, Pool, Readiness, Socket};
+use reedferry_runtime::errors::{classify_accept, retry_for, AcceptFailure};
+use reedferry_runtime::{BufferPool, DescriptorBudget, PollToken, Readiness, Socket};
 use slab::Slab;
 use slog::info;
 use std::net::SocketAddr;
@@ -38,8 +38,8 @@
 /// The server of the operators' API.
 pub struct OperatorApi {
     listener: Socket,
-    budget: Budget,
-    pool: Pool,
+    budget: DescriptorBudget,
+    pool: BufferPool,
     connections: Slab<Connection>,
     /// Whole requests, in the order in which they came.
     requests: Vec<(Caller, ApiRequest)>,
@@ -52,16 +52,16 @@
             address: *address,
             error,
         };
-        let budget = context.budget.set_aside(MAX_CONNECTIONS + 1);
-        let listener = patiently(START_WITHIN, || budget.listen(address)).map_err(cannot_listen)?;
-        let watch = || context.poller.watch(&listener, mark(OPS_LISTENER));
-        patiently(START_WITHIN, watch).map_err(cannot_listen)?;
-        let at = listener.address().unwrap_or(*address);
+        let budget = context.budget.split_off(MAX_CONNECTIONS + 1);
+        let listener = retry_for(START_WITHIN, || budget.listen(address)).map_err(cannot_listen)?;
+        let watch = || context.poller.register(&listener, mark(OPS_LISTENER));
+        retry_for(START_WITHIN, watch).map_err(cannot_listen)?;
+        let at = listener.local_address().unwrap_or(*address);
         info!(context.log, "operators"; "at" => %at);
         Ok(OperatorApi {
             listener,
             budget,
-            pool: Pool::new(MAX_CONNECTIONS),
+            pool: BufferPool::new(MAX_CONNECTIONS),
             connections: Slab::new(),
             requests: Vec::new(),
         })
@@ -75,11 +75,11 @@
             }
             let socket = match self.budget.accept(&self.listener) {
                 Ok(socket) => socket,
-                Err(error) => match on_accept(error) {
-                    NotAccepted::NoneWaiting => return,
-                    NotAccepted::ThisOne => continue,
+                Err(error) => match classify_accept(error) {
+                    AcceptFailure::NoneWaiting => return,
+                    AcceptFailure::AbortedConnection => continue,
                     // The next sweep accepts again.
-                    NotAccepted::Machine => return context.machine_trouble("accept"),
+                    AcceptFailure::LocalResources => return context.machine_trouble("accept"),
                 },
             };
             let Some(head) = self.pool.take() else {
@@ -97,18 +97,20 @@
             self.read(context, slot);
         }
         // More may wait.
-        _ = context.poller.rewatch(&self.listener, mark(OPS_LISTENER));
+        _ = context
+            .poller
+            .update_registration(&self.listener, mark(OPS_LISTENER));
     }
 
     /// Has the poller report a connection, from now or from the next sweep on.
     fn watch(&mut self, context: &mut Context, slot: usize) {
         let connection = &mut self.connections[slot];
-        let mark = Mark {
-            part: OPS,
+        let mark = PollToken {
+            component: OPS,
             slot: slot as u32,
-            stamp: connection.stamp,
+            generation: connection.stamp,
         };
-        connection.is_watched = context.poller.watch(&connection.socket, mark).is_ok();
+        connection.is_watched = context.poller.register(&connection.socket, mark).is_ok();
         if !connection.is_watched {
             context.machine_trouble("epoll_ctl");
         }
@@ -142,15 +144,15 @@
 
     /// Handles what the poller reports of a connection.
     pub fn on_ready(&mut self, context: &mut Context, ready: Readiness) {
-        let slot = ready.mark.slot as usize;
+        let slot = ready.token.slot as usize;
         let connection = self.connections.get(slot);
-        if connection.is_none_or(|connection| connection.stamp != ready.mark.stamp) {
+        if connection.is_none_or(|connection| connection.stamp != ready.token.generation) {
             return;
         }
-        if ready.write {
+        if ready.writable {
             self.write(context, slot);
         }
-        if ready.read {
+        if ready.readable {
             self.read(context, slot);
         }
     }
--- a/node/src/operators/config_files.rs
+++ b/node/src/operators/config_files.rs
@@ -1,7 +1,7 @@
 //! Reading configuration files. It owns the difference between a file that could not be read for a moment and one that is missing
 //! or wrong. It must never know what a file says.
 
-use reedferry_runtime::errors::{for_a_moment, patiently};
+use reedferry_runtime::errors::{is_transient, retry_for};
 use reedferry_runtime::Errno;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -25,7 +25,7 @@
 
 impl MayBeTransient for ReadError {
     fn is_transient(&self) -> bool {
-        for_a_moment(self.error) || self.error == Errno::IO
+        is_transient(self.error) || self.error == Errno::IO
     }
 }
 
@@ -36,7 +36,7 @@
 pub fn read(path: &Path) -> Result<Vec<u8>, ReadError> {
     let read_once =
         || std::fs::read(path).map_err(|e| Errno::from_io_error(&e).unwrap_or(Errno::IO));
-    patiently(READ_TIMEOUT, read_once).map_err(|error| ReadError {
+    retry_for(READ_TIMEOUT, read_once).map_err(|error| ReadError {
         path: path.to_path_buf(),
         error,
     })
@@ -51,7 +51,7 @@
     mut load: impl FnMut() -> Result<T, E>,
 ) -> Result<T, E> {
     let mut last_error = None;
-    let loaded = patiently(timeout, || {
+    let loaded = retry_for(timeout, || {
         load().map_err(|error| {
             let errno = if error.is_transient() {
                 Errno::AGAIN
--- a/node/src/operators/operator_config/fleet.rs
+++ b/node/src/operators/operator_config/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::error::{OperatorConfigError, Problem};
 use super::sections::{FleetSection, ReplicationSection};
-use super::source::Source;
+use super::source::ListSource;
 use crate::operators::node_config::NodeConfig;
 use crate::peers::FleetConfig;
 use crate::peers::ReplicationConfig;
@@ -12,7 +12,7 @@
 
 /// The configuration of the fleet that a node takes part in.
 pub(super) fn fleet_config(
-    source: &Source,
+    source: &ListSource,
     section: &Spanned<FleetSection>,
     node_config: &NodeConfig,
 ) -> Result<FleetConfig, OperatorConfigError> {
@@ -63,7 +63,7 @@
 }
 
 fn seeds(
-    source: &Source,
+    source: &ListSource,
     section: &FleetSection,
     own: SocketAddr,
 ) -> Result<Vec<SocketAddr>, OperatorConfigError> {
@@ -80,7 +80,7 @@
 }
 
 fn replication_config(
-    source: &Source,
+    source: &ListSource,
     section: &ReplicationSection,
 ) -> Result<ReplicationConfig, OperatorConfigError> {
     Ok(ReplicationConfig {
--- a/node/src/operators/operator_config/mod.rs
+++ b/node/src/operators/operator_config/mod.rs
@@ -19,7 +19,7 @@
 use reedferry::Nanos;
 use reedferry_control_plane::PlannerAddress;
 use sections::FileSections;
-use source::{Source, Span};
+use source::{ListSource, Span};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use toml::Spanned;
@@ -100,7 +100,7 @@
     }
 
     fn decode(path: &Path, text: &str) -> Result<OperatorConfig, OperatorConfigError> {
-        let source = Source { path, text };
+        let source = ListSource { path, text };
         let sections = parse(&source)?;
         let node_config_path = path
             .parent()
@@ -120,7 +120,7 @@
     }
 }
 
-fn parse(source: &Source) -> Result<FileSections, OperatorConfigError> {
+fn parse(source: &ListSource) -> Result<FileSections, OperatorConfigError> {
     toml::from_str(source.text).map_err(|error| {
         let first_line = error.message().lines().next().unwrap_or("cannot be read");
         source.error(
@@ -130,7 +130,10 @@
     })
 }
 
-fn check_single_role(source: &Source, sections: &FileSections) -> Result<(), OperatorConfigError> {
+fn check_single_role(
+    source: &ListSource,
+    sections: &FileSections,
+) -> Result<(), OperatorConfigError> {
     let mut spans: Vec<Span> = [
         sections.node.as_ref().map(Spanned::span),
         sections.forward.as_ref().map(Spanned::span),
@@ -148,7 +151,7 @@
 
 /// The role of the file, with its options.
 fn role(
-    source: &Source,
+    source: &ListSource,
     sections: &FileSections,
     node_config: &NodeConfig,
     planners: &[PlannerAddress],
@@ -173,7 +176,7 @@
 
 /// The peers of a node, which no other role has.
 fn gossip_config(
-    source: &Source,
+    source: &ListSource,
     sections: &FileSections,
     node_config: &NodeConfig,
 ) -> Result<Option<GossipConfig>, OperatorConfigError> {
@@ -219,7 +222,7 @@
 
 /// Forwarders and planners exchange no messages with peers.
 fn check_no_gossip(
-    source: &Source,
+    source: &ListSource,
     sections: &FileSections,
     node_config: &NodeConfig,
 ) -> Result<(), OperatorConfigError> {
--- a/node/src/operators/operator_config/source.rs
+++ b/node/src/operators/operator_config/source.rs
@@ -11,12 +11,12 @@
 pub(super) type Span = Range<usize>;
 
 /// A file's path and text.
-pub(super) struct Source<'a> {
+pub(super) struct ListSource<'a> {
     pub path: &'a Path,
     pub text: &'a str,
 }
 
-impl Source<'_> {
+impl ListSource<'_> {
     /// The error at a place of the text.
     pub fn error(&self, span: &Span, problem: impl Into<Problem>) -> OperatorConfigError {
         let before = &self.text.as_bytes()[..span.start.min(self.text.len())];
--- a/node/src/peers/assignments.rs
+++ b/node/src/peers/assignments.rs
@@ -41,7 +41,7 @@
         if quota == self.assignments.quota {
             return;
         }
-        if self.lines.room(context.now) {
+        if self.lines.allow(context.now) {
             info!(context.log, "slow-start quota"; "of" => format!("{quota:?}"));
         }
         context
@@ -59,7 +59,7 @@
         }
         let assigned_by = (!self.membership.holds_off(context.now)).then(|| AssignedBy {
             members_digest: self.membership.digest(),
-            endpoint_lists: context.hosts.lists,
+            endpoint_lists: context.hosts.list_count,
         });
         let is_unchanged = assigned_by.is_some() && assigned_by == self.assignments.assigned_by;
         if probes && !is_unchanged {
@@ -73,7 +73,8 @@
 
     pub(super) fn assign_probe_targets(&mut self, context: &mut Context, targets: Vec<u64>) {
         let assigned_by = self.assignments.assigned_by;
-        let lists_changed = assigned_by.is_none_or(|by| by.endpoint_lists != context.hosts.lists);
+        let lists_changed =
+            assigned_by.is_none_or(|by| by.endpoint_lists != context.hosts.list_count);
         // The balancer hears of new hosts though none of them is this node's to probe.
         if targets != self.assignments.probe_targets || lists_changed {
             let hosts = targets.iter().copied().map(HostId).collect();
--- a/node/src/peers/membership.rs
+++ b/node/src/peers/membership.rs
@@ -11,8 +11,8 @@
     self as membership, checksum, Action, MemberInfo, MemberState, Membership, MembershipConfig,
     MessageError, Role, MAX_MESSAGE_BYTES,
 };
-use reedferry_runtime::errors::patiently;
-use reedferry_runtime::log::LineLimit;
+use reedferry_runtime::errors::retry_for;
+use reedferry_runtime::log::LogRateLimit;
 use reedferry_runtime::{Errno, Socket};
 use slog::{info, warn};
 use std::collections::BTreeMap;
@@ -77,7 +77,7 @@
     socket: Option<Socket>,
     /// The earliest timer that the poller has.
     timer_at: Option<Nanos>,
-    pub(super) lines: LineLimit,
+    pub(super) lines: LogRateLimit,
     dropped: BTreeMap<DropReason, DropLog>,
     pub(super) assignments: Assignments,
     replication_inbox: Vec<ReplicationDatagram>,
@@ -100,7 +100,7 @@
             period: config.period,
             seeds: config.seeds.clone(),
             max_members: config.max_members,
-            fleet_id: crate::connections::lines::hash(&config.name) as u32,
+            fleet_id: crate::connections::protocol::keys::fnv1a(&config.name) as u32,
         };
         let membership = Membership::new(
             member_info(config, node_config),
@@ -114,7 +114,7 @@
             config: config.clone(),
             socket: None,
             timer_at: None,
-            lines: LineLimit::new(MAX_LINES_PER_SECOND),
+            lines: LogRateLimit::new(MAX_LINES_PER_SECOND),
             dropped: BTreeMap::new(),
             assignments: Assignments::default(),
             replication_inbox: Vec::new(),
@@ -126,8 +126,10 @@
     }
 
     fn bind(&mut self, context: &mut Context, timeout: Duration) -> Result<(), Errno> {
-        let socket = patiently(timeout, || context.budget.datagrams(&self.config.listen))?;
-        patiently(timeout, || context.poller.watch(&socket, mark(PEERS)))?;
+        let socket = retry_for(timeout, || {
+            context.budget.bind_datagram(&self.config.listen)
+        })?;
+        retry_for(timeout, || context.poller.register(&socket, mark(PEERS)))?;
         let (seeds, period_ms) = (self.config.seeds.len(), self.config.period / 1_000_000);
         info!(context.log, "fleet"; "address" => %self.config.address, "seeds" => seeds, "period_ms" => period_ms);
         self.socket = Some(socket);
@@ -144,7 +146,7 @@
         let due = self.membership.next_wakeup();
         if due != Nanos::MAX && self.timer_at.is_none_or(|at| due < at) {
             self.timer_at = Some(due);
-            context.poller.remind(due, mark(FLEET), 0);
+            context.poller.set_timer(due, mark(FLEET), 0);
         }
     }
 
@@ -156,11 +158,11 @@
                 address,
                 previous,
                 state,
-            } if self.lines.room(context.now) => {
+            } if self.lines.allow(context.now) => {
                 let before = previous.map_or("unknown", MemberState::label);
                 info!(context.log, "member {}", state.label(); "name" => name, "address" => %address, "before" => before);
             }
-            Action::MemberMoved { name, from, to } if self.lines.room(context.now) => {
+            Action::MemberMoved { name, from, to } if self.lines.allow(context.now) => {
                 info!(context.log, "member moved"; "name" => name, "from" => %from, "to" => %to);
             }
             // Counted by the limit.
@@ -212,7 +214,7 @@
         }
         // Without this, the rest of a flood is left lying, as the poller reports each arrival once.
         if let Some(socket) = &self.socket {
-            _ = context.poller.rewatch(socket, mark(PEERS));
+            _ = context.poller.update_registration(socket, mark(PEERS));
         }
     }
 
@@ -333,7 +335,7 @@
         if self.socket.is_none() {
             _ = self.bind(context, Duration::ZERO);
         }
-        if let Some(count) = self.lines.left_out(context.now) {
+        if let Some(count) = self.lines.take_suppressed(context.now) {
             info!(context.log, "more members changed"; "count" => count);
         }
     }
--- a/node/src/peers/replication.rs
+++ b/node/src/peers/replication.rs
@@ -113,7 +113,7 @@
                 .push((replica, ReplicationMessage::Request(request.clone())));
         }
         let deadline = context.now + self.config.majority_timeout;
-        context.poller.remind(deadline, mark(WARDS), 0);
+        context.poller.set_timer(deadline, mark(WARDS), 0);
     }
 
     /// An event on its way to the balancer; none where the request waits for its lease first.
--- a/node/src/peers/static_peers.rs
+++ b/node/src/peers/static_peers.rs
@@ -6,7 +6,7 @@
 use crate::peers::{GossipConfig, PeersError};
 use reedferry::gossip::MAX_MESSAGE_BYTES;
 use reedferry::Event;
-use reedferry_runtime::errors::patiently;
+use reedferry_runtime::errors::retry_for;
 use reedferry_runtime::{Errno, Socket};
 use slog::{info, warn};
 use std::net::SocketAddr;
@@ -29,10 +29,15 @@
     /// The address cannot be listened on.
     pub fn open(context: &mut Context, config: &GossipConfig) -> Result<StaticPeers, PeersError> {
         let failed = |e: Errno| PeersError::Gossip(config.listen, e);
-        let socket =
-            patiently(START_WITHIN, || context.budget.datagrams(&config.listen)).map_err(failed)?;
-        patiently(START_WITHIN, || context.poller.watch(&socket, mark(PEERS))).map_err(failed)?;
-        let address = socket.address().unwrap_or(config.listen);
+        let socket = retry_for(START_WITHIN, || {
+            context.budget.bind_datagram(&config.listen)
+        })
+        .map_err(failed)?;
+        retry_for(START_WITHIN, || {
+            context.poller.register(&socket, mark(PEERS))
+        })
+        .map_err(failed)?;
+        let address = socket.local_address().unwrap_or(config.listen);
         info!(context.log, "messages"; "at" => %address, "peers" => config.peers.len());
         Ok(StaticPeers {
             socket,
@@ -73,6 +78,8 @@
             }
         }
         // Without this, the rest of a flood is left lying, as the poller reports each arrival once.
-        _ = context.poller.rewatch(&self.socket, mark(PEERS));
+        _ = context
+            .poller
+            .update_registration(&self.socket, mark(PEERS));
     }
 }
--- a/node/src/ready.rs
+++ b/node/src/ready.rs
@@ -2,7 +2,7 @@
 //! which goes first in the next. It must never know whose a token is.
 
 use reedferry::{Nanos, MILLI};
-use reedferry_runtime::{merged, Clock, Readiness};
+use reedferry_runtime::{merge_readiness, Clock, Readiness};
 use std::collections::VecDeque;
 
 /// How long one turn goes on with what is ready. Without a bound, an answer that is due would wait for hundreds of writes each of
@@ -22,7 +22,7 @@
     /// Adds what is ready now behind what was left.
     pub fn add(&mut self, reported: Vec<Readiness>) {
         let left = std::mem::take(&mut self.0);
-        self.0 = merged(left.into(), reported).into();
+        self.0 = merge_readiness(left.into(), reported).into();
     }
 
     /// Puts those of a lower rank first.
--- a/node/src/ready_tests.rs
+++ b/node/src/ready_tests.rs
@@ -1,18 +1,18 @@
 //! The order in which reported sockets are served.
 
 use super::*;
-use reedferry_runtime::Mark;
+use reedferry_runtime::PollToken;
 
 #[test]
 fn what_a_turn_had_no_time_for_goes_first_in_the_next() {
     let ready_at = |slot| Readiness {
-        mark: Mark {
-            part: 4,
+        token: PollToken {
+            component: 4,
             slot,
-            stamp: 1,
+            generation: 1,
         },
-        read: true,
-        write: false,
+        readable: true,
+        writable: false,
     };
     let clock = Clock::start();
     let mut ready = Ready::default();
@@ -20,17 +20,17 @@
     assert_eq!(
         ready
             .next(clock.read(), &clock)
-            .map(|readiness| readiness.mark.slot),
+            .map(|readiness| readiness.token.slot),
         Some(1)
     );
     // A turn that began long ago.
     assert!(ready.next(clock.read() - 2 * MAX_TURN, &clock).is_none());
     assert!(ready.is_behind());
     ready.add(vec![ready_at(4), ready_at(2)]);
-    ready.order_by(|readiness| u8::from(readiness.mark.slot != 4));
+    ready.order_by(|readiness| u8::from(readiness.token.slot != 4));
     let now = clock.read();
     let rest: Vec<u32> = std::iter::from_fn(|| ready.next(now, &clock))
-        .map(|readiness| readiness.mark.slot)
+        .map(|readiness| readiness.token.slot)
         .collect();
     assert_eq!(rest, [4, 2, 3]);
     assert!(!ready.is_behind());
--- a/node/src/roles/forward.rs
+++ b/node/src/roles/forward.rs
@@ -3,7 +3,7 @@
 //! connections' events to the [`Forwarder`], carry out its actions, send what is to go. It must never decide
 //! anything, nor follow discovery: hosts are known as planners report them.
 
-use crate::connections::wire::{Ended, Wire, Wires};
+use crate::connections::link::{ClosedConnections, LinkConnection, LinkConnections};
 use crate::connections::Connections;
 use crate::context::{self, mark, Context, LINK, STOP, TICK};
 use crate::operators::operator_config::{Forwards, OperatorConfig, Role};
@@ -11,8 +11,8 @@
 use crate::{AtStart, BEYOND_EXPIRY, SWEEP};
 use reedferry::Nanos;
 use reedferry_control_plane::{Forwarder, ForwarderAction, ForwarderConfig, PlannerAddress};
-use reedferry_runtime::log::Backlog;
-use reedferry_runtime::{Clock, Errno, Mark, Readiness, Signal, Socket};
+use reedferry_runtime::log::LogBacklog;
+use reedferry_runtime::{Clock, Errno, PollToken, Readiness, Signal, Socket};
 use slog::{info, warn};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -23,7 +23,7 @@
     forwarder: Forwarder,
     connections: Connections,
     /// The connections to planners, by the forwarder's number for each.
-    planner_sockets: Wires,
+    planner_sockets: LinkConnections,
     listener: Socket,
     stop_signal: Signal,
     reload_signal: Signal,
@@ -55,7 +55,11 @@
 }
 
 impl ForwarderProcess {
-    fn start(config_path: &Path, start: AtStart, clock: &Clock) -> Result<(Self, Backlog), String> {
+    fn start(
+        config_path: &Path,
+        start: AtStart,
+        clock: &Clock,
+    ) -> Result<(Self, LogBacklog), String> {
         let OperatorConfig {
             node_config,
             role,
@@ -68,7 +72,7 @@
         };
         let (mut context, backlog) = Context::open(&node_config, clock, &start)?;
         let listener = context.listen(&node_config.listen, context::LISTENER)?;
-        let listen = listener.address().unwrap_or(node_config.listen);
+        let listen = listener.local_address().unwrap_or(node_config.listen);
         info!(context.log, "started"; "listen" => %listen, "role" => "forward", "planners" => planners.len(),
             "sockets" => node_config.sockets, "memory_mb" => node_config.memory >> 20);
         let config = ForwarderConfig {
@@ -83,12 +87,14 @@
         };
         let forwarder = Forwarder::new(config, planners.clone(), node_config.seed, context.now);
         let next_sweep = context.now + SWEEP;
-        context.poller.remind(next_sweep, mark(context::SWEEP), 0);
+        context
+            .poller
+            .set_timer(next_sweep, mark(context::SWEEP), 0);
         let process = ForwarderProcess {
             context,
             forwarder,
             connections: Connections::default(),
-            planner_sockets: Wires::default(),
+            planner_sockets: LinkConnections::default(),
             listener,
             stop_signal: start.stop,
             reload_signal: start.reread,
@@ -116,8 +122,8 @@
         let is_behind = self.ready.is_behind();
         let at_once = is_behind
             || !self.context.events.is_empty()
-            || self.connections.busy()
-            || self.planner_sockets.more;
+            || self.connections.has_runnable()
+            || self.planner_sockets.more_to_read;
         let wait_started = clock.read();
         self.context
             .poller
@@ -128,13 +134,13 @@
         while let Some(readiness) = self.ready.next(self.context.now, clock) {
             self.handle_readiness(readiness);
         }
-        if self.connections.busy() {
+        if self.connections.has_runnable() {
             self.connections
-                .resume(&mut self.context, Some(&self.listener));
+                .resume_runnable(&mut self.context, Some(&self.listener));
         }
-        while let Some((mark, word)) = self.context.poller.due(self.context.now) {
-            match mark.part {
-                context::HOST => self.connections.due(&mut self.context, mark, word),
+        while let Some((mark, word)) = self.context.poller.pop_expired(self.context.now) {
+            match mark.component {
+                context::HOST => self.connections.on_timer(&mut self.context, mark, word),
                 context::SWEEP => self.sweep(),
                 context::RETRY => self.connections.retry(&mut self.context),
                 _ => {}
@@ -148,19 +154,19 @@
         let deadline = self.forwarder.next_deadline();
         if deadline < self.armed_deadline || self.armed_deadline <= self.context.now {
             self.armed_deadline = deadline;
-            self.context.poller.remind(deadline, mark(TICK), 0);
+            self.context.poller.set_timer(deadline, mark(TICK), 0);
         }
     }
 
     fn handle_readiness(&mut self, readiness: Readiness) {
-        match readiness.mark.part {
+        match readiness.token.component {
             context::LISTENER => self
                 .connections
                 .accept(&mut self.context, Some(&self.listener)),
             STOP => self.shut_down_if_asked(),
             context::REREAD => self.reload_config_if_asked(),
             LINK => self.handle_planner_readiness(readiness),
-            _ => self.connections.ready(&mut self.context, readiness),
+            _ => self.connections.on_ready(&mut self.context, readiness),
         }
     }
 
@@ -172,23 +178,27 @@
         self.connections.accept(context, Some(&self.listener));
         self.connections.sweep(context);
         context.spare();
-        context.hosts.look(context.now, &mut context.events);
+        context
+            .hosts
+            .report_latencies(context.now, &mut context.events);
         let next_sweep = context.now + SWEEP;
-        context.poller.remind(next_sweep, mark(context::SWEEP), 0);
+        context
+            .poller
+            .set_timer(next_sweep, mark(context::SWEEP), 0);
     }
 
     fn handle_planner_readiness(&mut self, readiness: Readiness) {
-        let connection = readiness.mark.slot;
+        let connection = readiness.token.slot;
         let Some(socket) = self
             .planner_sockets
-            .all
+            .by_line
             .get_mut(&connection)
-            .filter(|socket| socket.stamp == readiness.mark.stamp)
+            .filter(|socket| socket.generation == readiness.token.generation)
         else {
             return;
         };
-        socket.ready(readiness);
-        match socket.came_up() {
+        socket.on_ready(readiness);
+        match socket.check_established() {
             Ok(true) => self.forwarder.connected(connection),
             Ok(false) => {}
             Err(_) => self.planner_connection_lost(connection, "unconnected"),
@@ -196,12 +206,12 @@
     }
 
     fn planner_connection_lost(&mut self, connection: u32, why: &str) {
-        self.planner_sockets.all.remove(&connection);
+        self.planner_sockets.by_line.remove(&connection);
         self.forwarder
             .connection_lost(self.context.now, connection, why, &mut self.actions);
     }
 
-    fn planner_connections_lost(&mut self, ended: Ended) {
+    fn planner_connections_lost(&mut self, ended: ClosedConnections) {
         for (connection, why) in ended {
             self.planner_connection_lost(connection, why);
         }
@@ -234,7 +244,7 @@
     fn carry_out(&mut self, action: ForwarderAction) {
         let context = &mut self.context;
         match action {
-            ForwarderAction::Perform(action) => _ = self.connections.carry_out(context, action),
+            ForwarderAction::Perform(action) => _ = self.connections.perform(context, action),
             ForwarderAction::StartAttempt {
                 id,
                 host,
@@ -242,17 +252,17 @@
                 start_by,
             } => self
                 .connections
-                .attempt(context, id, host, deadline, start_by),
+                .start_attempt(context, id, host, deadline, start_by),
             ForwarderAction::ConnectPlanner {
                 connection,
                 address,
             } => self.connect_planner(connection, address),
             ForwarderAction::DisconnectPlanner { connection } => {
-                self.planner_sockets.all.remove(&connection);
+                self.planner_sockets.by_line.remove(&connection);
             }
             ForwarderAction::HostLearned(entry) => {
                 let log = context.log.clone();
-                context.hosts.heard(context.now, entry, &log);
+                context.hosts.apply_planner_entry(context.now, entry, &log);
             }
             ForwarderAction::Log(text) => info!(context.log, "{}", text),
         }
@@ -262,22 +272,22 @@
         let context = &mut self.context;
         let opened = context.budget.connect(&address).and_then(|(socket, _)| {
             // The poller reports whether it is connected, in either case.
-            let mark = Mark {
-                part: LINK,
+            let mark = PollToken {
+                component: LINK,
                 slot: connection,
-                stamp: context.stamp(),
+                generation: context.stamp(),
             };
-            context.poller.watch(&socket, mark)?;
-            Ok(Wire::new(socket, mark.stamp, false))
+            context.poller.register(&socket, mark)?;
+            Ok(LinkConnection::new(socket, mark.generation, false))
         });
         match opened {
-            Ok(socket) => _ = self.planner_sockets.all.insert(connection, socket),
+            Ok(socket) => _ = self.planner_sockets.by_line.insert(connection, socket),
             Err(_) => self.planner_connection_lost(connection, "unconnected"),
         }
     }
 
     fn shut_down_if_asked(&mut self) {
-        if self.stop_signal.came() && self.context.leaving.is_none() {
+        if self.stop_signal.take() && self.context.leaving.is_none() {
             let event = self.context.leave(BEYOND_EXPIRY, self.connections.count());
             self.context.events.push(event);
         }
@@ -285,7 +295,7 @@
 
     /// Reads the operator's file anew: of a running forwarder, only the planners may change.
     fn reload_config_if_asked(&mut self) {
-        if !self.reload_signal.came() {
+        if !self.reload_signal.take() {
             return;
         }
         let log = self.context.log.clone();
--- a/node/src/roles/hot_restart/messages.rs
+++ b/node/src/roles/hot_restart/messages.rs
@@ -1,7 +1,7 @@
 //! The messages between a process and its successor. This module owns their encoding, which must never change without a new
 //! [`VERSION`].
 
-use crate::connections::HandedOver;
+use crate::connections::ConnectionHandover;
 use crate::discovery::list::Member;
 use reedferry::{InheritedState, Nanos, RequestClass};
 use serde::{Deserialize, Serialize};
@@ -25,7 +25,7 @@
     /// The next part of the encoded [`TransferredState`], and whether it is the last.
     StateChunk(Vec<u8>, bool),
     /// A connection, whose sockets travel with the message.
-    Connection(Box<HandedOver>),
+    Connection(Box<ConnectionHandover>),
 }
 
 /// The state that a process transfers to its successor.
--- a/node/src/roles/hot_restart/mod.rs
+++ b/node/src/roles/hot_restart/mod.rs
@@ -15,7 +15,7 @@
 use crate::operators::node_config::NodeConfig;
 use predecessor::Predecessor;
 use reedferry::{Event, Nanos, MILLI};
-use reedferry_runtime::errors::{on_connection, Trouble};
+use reedferry_runtime::errors::{classify_io, IoFailure};
 use reedferry_runtime::{Clock, Errno, Readiness, Socket};
 use slog::{info, warn};
 use std::path::PathBuf;
@@ -43,7 +43,7 @@
 impl ChannelError {
     /// What an error of a system call on the channel means.
     fn of(error: Errno, system_call: &'static str) -> Self {
-        if on_connection(error) == Trouble::Connection {
+        if classify_io(error) == IoFailure::Disconnected {
             ChannelError::Closed
         } else {
             ChannelError::Transient { error, system_call }
@@ -95,7 +95,7 @@
     pub fn take_over(&mut self, context: &mut Context, clock: &Clock) -> Option<TransferredState> {
         let folder = std::env::var_os("TMPDIR").filter(|_| self.listener_is_shared)?;
         self.successor_path = PathBuf::from(folder).join(SOCKET_NAME);
-        let greeted = match context.budget.call_at(&self.successor_path) {
+        let greeted = match context.budget.connect_unix(&self.successor_path) {
             Ok(channel) => Predecessor::greet(context, clock, channel),
             Err(_) => None,
         };
@@ -104,7 +104,7 @@
         let state = state.flatten();
         if let Some(state) = &state {
             // Times pass between both processes. Without this they would be wrong where the wall clock was stepped in between.
-            clock.go_by(state.clock_ahead);
+            clock.set_offset(state.clock_ahead);
             (context.now, context.start) = (clock.read(), clock.read());
         }
         self.listen_for_successor(context);
@@ -113,11 +113,11 @@
 
     /// Listens for a successor, in place of whichever process did.
     fn listen_for_successor(&mut self, context: &Context) {
-        match context.budget.listen_at(&self.successor_path) {
+        match context.budget.listen_unix(&self.successor_path) {
             Ok(listener)
                 if context
                     .poller
-                    .watch(&listener, context::mark(SUCCESSOR_LISTENER))
+                    .register(&listener, context::mark(SUCCESSOR_LISTENER))
                     .is_ok() =>
             {
                 self.successor_listener = Some(listener);
@@ -159,12 +159,12 @@
 
     /// Sets the timer for a retry, where the machine was short of something.
     fn schedule_retry(&mut self, context: &mut Context, error: Errno, system_call: &'static str) {
-        if on_connection(error) != Trouble::Machine {
+        if classify_io(error) != IoFailure::LocalResources {
             return;
         }
         context.machine_trouble(system_call);
         if !std::mem::replace(&mut self.retry_scheduled, true) {
-            context.poller.remind(
+            context.poller.set_timer(
                 context.now + RETRY_AFTER,
                 context::mark(context::CHANNEL_RETRY),
                 0,
@@ -179,8 +179,8 @@
         connections: &mut Connections,
         ready: Readiness,
     ) {
-        let mark = ready.mark;
-        match mark.part {
+        let mark = ready.token;
+        match mark.component {
             SUCCESSOR_LISTENER => self.accept_successors(context, connections),
             SUCCESSOR if self.successor.as_ref().is_some_and(|s| s.is_marked(mark)) => {
                 self.serve_successor(context, connections);
@@ -211,7 +211,7 @@
         while let Some(Ok(channel)) = self
             .successor_listener
             .as_ref()
-            .map(|listener| context.budget.called(listener))
+            .map(|listener| context.budget.accept_unix(listener))
         {
             self.abandon_successor(context, connections);
             if self.successor.is_some() {
@@ -285,7 +285,7 @@
     pub fn stop_accepting(&mut self, context: &Context) {
         if self.listener_is_shared {
             if let Some(listener) = self.listener.take() {
-                _ = context.poller.unwatch(&listener);
+                _ = context.poller.deregister(&listener);
             }
         }
     }
--- a/node/src/roles/hot_restart/predecessor.rs
+++ b/node/src/roles/hot_restart/predecessor.rs
@@ -6,8 +6,8 @@
 use crate::connections::Connections;
 use crate::context::{Context, PREDECESSOR};
 use reedferry::{Nanos, RequestId, MILLI};
-use reedferry_runtime::errors::{on_connection, patiently, Trouble};
-use reedferry_runtime::{channel, Clock, Mark, Socket};
+use reedferry_runtime::errors::{classify_io, retry_for, IoFailure};
+use reedferry_runtime::{channel, Clock, PollToken, Socket};
 use slog::{info, warn};
 use std::time::Duration;
 
@@ -49,8 +49,8 @@
         clock: &Clock,
         channel: Socket,
     ) -> Option<(Predecessor, Option<TransferredState>)> {
-        patiently(HELLO_TIMEOUT, || {
-            channel.send_with(&encode(&FromSuccessor::Hello(VERSION)), &[])
+        retry_for(HELLO_TIMEOUT, || {
+            channel.send_with_descriptors(&encode(&FromSuccessor::Hello(VERSION)), &[])
         })
         .ok()?;
         let state = match receive_state(context, clock, &channel) {
@@ -68,7 +68,7 @@
         };
         let watched = context
             .poller
-            .watch(&predecessor.channel, predecessor.mark());
+            .register(&predecessor.channel, predecessor.mark());
         if watched.is_err() {
             // The sweep reads from it.
             context.machine_trouble("epoll_ctl");
@@ -77,17 +77,17 @@
         Some((predecessor, state))
     }
 
-    fn mark(&self) -> Mark {
-        Mark {
-            part: PREDECESSOR,
+    fn mark(&self) -> PollToken {
+        PollToken {
+            component: PREDECESSOR,
             slot: 0,
-            stamp: self.stamp,
+            generation: self.stamp,
         }
     }
 
     /// Whether the poller's mark is for this channel.
-    pub fn is_marked(&self, mark: Mark) -> bool {
-        self.stamp == mark.stamp
+    pub fn is_marked(&self, mark: PollToken) -> bool {
+        self.stamp == mark.generation
     }
 
     /// Adopts the connections that have come, up to a number per turn.
@@ -96,12 +96,15 @@
         context: &mut Context,
         connections: &mut Connections,
     ) -> Result<(), ChannelError> {
-        let mut buffer = vec![0; channel::LONGEST];
+        let mut buffer = vec![0; channel::MAX_MESSAGE_BYTES];
         for _ in 0..MAX_ADOPTED_PER_TURN {
             self.reply(context, connections)?;
-            let (length, sockets) = match context.budget.receive_with(&self.channel, &mut buffer) {
+            let (length, sockets) = match context
+                .budget
+                .receive_with_descriptors(&self.channel, &mut buffer)
+            {
                 Ok((length @ 1.., sockets)) => (length, sockets),
-                Err(error) if on_connection(error) != Trouble::Connection => {
+                Err(error) if classify_io(error) != IoFailure::Disconnected => {
                     return Err(ChannelError::of(error, "recvmsg"));
                 }
                 _ => {
@@ -120,7 +123,9 @@
             self.pending_reply = Some(PendingReply { adopted });
         }
         self.reply(context, connections)?;
-        _ = context.poller.rewatch(&self.channel, self.mark());
+        _ = context
+            .poller
+            .update_registration(&self.channel, self.mark());
         Ok(())
     }
 
@@ -136,12 +141,12 @@
         let message = encode(&FromSuccessor::Adopted(adopted.is_some()));
         let sent = self
             .channel
-            .send_with(&message, &[])
+            .send_with_descriptors(&message, &[])
             .map_err(|error| ChannelError::of(error, "sendmsg"));
         match (&sent, adopted) {
-            (Ok(()), Some(id)) => connections.keep(context, id),
+            (Ok(()), Some(id)) => connections.resume_connection(context, id),
             // The predecessor keeps what it was not told of; without this, two processes would serve one connection.
-            (Err(ChannelError::Closed), Some(id)) => connections.abandon(context, id),
+            (Err(ChannelError::Closed), Some(id)) => connections.abandon_adopted(context, id),
             _ => {}
         }
         if !matches!(sent, Err(ChannelError::Transient { .. })) {
@@ -154,15 +159,18 @@
 /// Waits for the whole state.
 fn receive_state(context: &mut Context, clock: &Clock, channel: &Socket) -> StateTransfer {
     let deadline = clock.read() + STATE_TIMEOUT;
-    let mut buffer = vec![0; channel::LONGEST];
+    let mut buffer = vec![0; channel::MAX_MESSAGE_BYTES];
     let mut state = Vec::new();
     loop {
         let left = deadline.saturating_sub(clock.read());
-        if left == 0 || !channel.readable_within(left) {
+        if left == 0 || !channel.wait_readable(left) {
             return StateTransfer::TimedOut;
         }
-        let length = match context.budget.receive_with(channel, &mut buffer) {
-            Err(error) if on_connection(error) != Trouble::Connection => continue,
+        let length = match context
+            .budget
+            .receive_with_descriptors(channel, &mut buffer)
+        {
+            Err(error) if classify_io(error) != IoFailure::Disconnected => continue,
             Ok((0, _)) | Err(_) => return StateTransfer::Failed,
             Ok((length, _)) => length,
         };
--- a/node/src/roles/hot_restart/successor.rs
+++ b/node/src/roles/hot_restart/successor.rs
@@ -6,8 +6,8 @@
 use crate::connections::Connections;
 use crate::context::{Context, SUCCESSOR};
 use reedferry::{Nanos, RequestId, MILLI};
-use reedferry_runtime::errors::{on_connection, Trouble};
-use reedferry_runtime::{Mark, Socket};
+use reedferry_runtime::errors::{classify_io, IoFailure};
+use reedferry_runtime::{PollToken, Socket};
 use std::collections::VecDeque;
 
 /// How much of the encoded state goes into one message.
@@ -44,18 +44,18 @@
 impl Successor {
     /// The process at the other end of a channel that has just been accepted.
     pub fn new(context: &mut Context, channel: Socket) -> Self {
-        let mark = Mark {
-            part: SUCCESSOR,
+        let mark = PollToken {
+            component: SUCCESSOR,
             slot: 0,
-            stamp: context.stamp(),
+            generation: context.stamp(),
         };
-        if context.poller.watch(&channel, mark).is_err() {
+        if context.poller.register(&channel, mark).is_err() {
             // The sweep reads from it.
             context.machine_trouble("epoll_ctl");
         }
         Successor {
             channel,
-            stamp: mark.stamp,
+            stamp: mark.generation,
             outgoing: VecDeque::new(),
             in_transit: VecDeque::new(),
             abandoned: false,
@@ -64,8 +64,8 @@
     }
 
     /// Whether the poller's mark is for this channel, not for an earlier successor's.
-    pub fn is_marked(&self, mark: Mark) -> bool {
-        self.stamp == mark.stamp
+    pub fn is_marked(&self, mark: PollToken) -> bool {
+        self.stamp == mark.generation
     }
 
     /// Whether it has asked for the state since this was called last.
@@ -89,7 +89,7 @@
     pub fn flush(&mut self) -> Result<(), ChannelError> {
         while let Some(message) = self.outgoing.front() {
             self.channel
-                .send_with(message, &[])
+                .send_with_descriptors(message, &[])
                 .map_err(|error| ChannelError::of(error, "sendmsg"))?;
             self.outgoing.pop_front();
         }
@@ -105,9 +105,12 @@
         let mut buffer = [0; MAX_MESSAGE_BYTES];
         let mut error_seen = false;
         loop {
-            let length = match context.budget.receive_with(&self.channel, &mut buffer) {
+            let length = match context
+                .budget
+                .receive_with_descriptors(&self.channel, &mut buffer)
+            {
                 Ok((length @ 1.., _)) => length,
-                Err(error) if on_connection(error) != Trouble::Connection => {
+                Err(error) if classify_io(error) != IoFailure::Disconnected => {
                     return ChannelError::of(error, "recvmsg");
                 }
                 // Messages may lie behind the error that reports the other end's reset.
@@ -132,9 +135,9 @@
             return;
         };
         if adopted {
-            connections.passed(context, id);
+            connections.complete_handover(context, id);
         } else {
-            connections.turned_down(context, id);
+            connections.resume_after_rejection(context, id);
         }
     }
 
@@ -146,14 +149,14 @@
         }
         self.abandoned = true;
         self.outgoing.clear();
-        self.channel.end_receiving();
+        self.channel.shutdown_read();
         true
     }
 
     /// Takes the connections in transit back.
     pub fn take_back(self, context: &mut Context, connections: &mut Connections) {
         for InTransit { id, .. } in self.in_transit {
-            connections.keep(context, id);
+            connections.resume_connection(context, id);
         }
     }
 
@@ -171,17 +174,17 @@
         if !self.outgoing.is_empty() || self.abandoned {
             return Ok(());
         }
-        for slot in connections.passable() {
+        for slot in connections.handover_candidates() {
             if self.in_transit.len() >= MAX_IN_TRANSIT {
                 return Ok(());
             }
-            let (handed_over, id) = connections.release(context, slot);
+            let (handed_over, id) = connections.begin_handover(context, slot);
             let message = encode(&FromPredecessor::Connection(Box::new(handed_over)));
             let sent = self
                 .channel
-                .send_with(&message, &connections.descriptors(slot));
+                .send_with_descriptors(&message, &connections.descriptors(slot));
             if let Err(error) = sent {
-                connections.keep(context, id);
+                connections.resume_connection(context, id);
                 return Err(ChannelError::of(error, "sendmsg"));
             }
             self.in_transit.push_back(InTransit {
--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -3,17 +3,17 @@
 //! guarantee: what a forwarder asked for before it could know of a drain is never decided by an endpoint list
 //! that is older than the heartbeat which the decision answers. It must never take a client.
 
+use crate::connections::link::{ClosedConnections, LinkConnection, LinkConnections};
 use crate::connections::probe::Probes;
-use crate::connections::wire::{Ended, Wire, Wires};
 use crate::context::{self, mark, Context, LINK, STOP};
-use crate::discovery::client::Discovery;
+use crate::discovery::client::DiscoveryClient;
 use crate::operators::node_config::NodeConfig;
 use crate::operators::operator_config::{OperatorConfig, Plans, Role};
 use crate::{AtStart, SWEEP};
 use reedferry::{Endpoint, Event, Nanos, MILLI};
 use reedferry_control_plane::{HostEntry, Planner, PlannerAction, PlannerConfig};
-use reedferry_runtime::log::Backlog;
-use reedferry_runtime::{Clock, Errno, Mark, Readiness, Signal, Socket};
+use reedferry_runtime::log::LogBacklog;
+use reedferry_runtime::{Clock, Errno, PollToken, Readiness, Signal, Socket};
 use slog::{info, warn};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -27,10 +27,10 @@
 struct PlannerProcess {
     context: Context,
     planner: Planner,
-    discovery: Discovery,
+    discovery: DiscoveryClient,
     probes: Probes,
     /// The connections of forwarders, by the planner's number for each.
-    forwarder_sockets: Wires,
+    forwarder_sockets: LinkConnections,
     listener: Socket,
     stop_signal: Signal,
     reload_signal: Signal,
@@ -79,7 +79,11 @@
 }
 
 impl PlannerProcess {
-    fn start(config_path: &Path, start: AtStart, clock: &Clock) -> Result<(Self, Backlog), String> {
+    fn start(
+        config_path: &Path,
+        start: AtStart,
+        clock: &Clock,
+    ) -> Result<(Self, LogBacklog), String> {
         let OperatorConfig {
             node_config,
             role,
@@ -92,7 +96,7 @@
         };
         let (mut context, backlog) = Context::open(&node_config, clock, &start)?;
         let listener = context.listen(&role_config.listen, context::LINK_LISTENER)?;
-        let listen = listener.address().unwrap_or(role_config.listen);
+        let listen = listener.local_address().unwrap_or(role_config.listen);
         let mut actions = Vec::new();
         let config = planner_config(&node_config, &role_config, planners.len());
         let planner = Planner::new(config, node_config.seed, context.now, &mut actions);
@@ -100,8 +104,10 @@
         info!(context.log, "started"; "listen" => %listen, "role" => "plan", "name" => &role_config.name,
             "hosts" => context.hosts.count(), "revision" => revision);
         let next_sweep = context.now + SWEEP;
-        context.poller.remind(next_sweep, mark(context::SWEEP), 0);
-        let discovery = Discovery::new(
+        context
+            .poller
+            .set_timer(next_sweep, mark(context::SWEEP), 0);
+        let discovery = DiscoveryClient::new(
             node_config.discovery,
             revision,
             &node_config.balancer_settings,
@@ -113,7 +119,7 @@
             planner,
             discovery,
             probes: Probes::default(),
-            forwarder_sockets: Wires::default(),
+            forwarder_sockets: LinkConnections::default(),
             listener,
             stop_signal: start.stop,
             reload_signal: start.reread,
@@ -138,20 +144,22 @@
     /// Waits until something is ready or due, and hands it to whom it concerns.
     fn wait(&mut self, clock: &Clock) -> Result<(), Errno> {
         let deadline = self.planner.next_deadline(self.context.now);
-        self.context.poller.remind(deadline, mark(context::TICK), 0);
+        self.context
+            .poller
+            .set_timer(deadline, mark(context::TICK), 0);
         let mut ready = Vec::new();
-        let at_once = !self.context.events.is_empty() || self.forwarder_sockets.more;
+        let at_once = !self.context.events.is_empty() || self.forwarder_sockets.more_to_read;
         self.context
             .poller
             .wait(clock.read(), at_once, &mut ready)?;
         self.context.now = clock.read();
         for readiness in ready {
-            match readiness.mark.part {
+            match readiness.token.component {
                 context::LINK_LISTENER => self.accept_forwarders(),
                 STOP => self.shut_down_if_asked(),
                 context::REREAD => self.reload_config_if_asked(),
-                context::DISCOVERY => self.discovery.ready(&mut self.context, readiness),
-                context::PROBE => self.probes.ready(&mut self.context, readiness),
+                context::DISCOVERY => self.discovery.on_ready(&mut self.context, readiness),
+                context::PROBE => self.probes.on_ready(&mut self.context, readiness),
                 _ => self.handle_forwarder_readiness(readiness),
             }
         }
@@ -161,42 +169,46 @@
     fn accept_forwarders(&mut self) {
         for _ in 0..MAX_ACCEPTS {
             let context = &mut self.context;
-            if !context.budget.room(1) {
+            if !context.budget.has_capacity(1) {
                 return;
             }
             let Ok(socket) = context.budget.accept(&self.listener) else {
                 return;
             };
             let stamp = context.stamp();
-            let mark = Mark {
-                part: LINK,
+            let mark = PollToken {
+                component: LINK,
                 slot: 0,
-                stamp,
+                generation: stamp,
             };
-            if context.poller.watch(&socket, mark).is_err() {
+            if context.poller.register(&socket, mark).is_err() {
                 // The forwarder connects again.
                 context.machine_trouble("epoll_ctl");
                 continue;
             }
-            let socket = Wire::new(socket, stamp, true);
-            self.forwarder_sockets.all.insert(stamp, socket);
+            let socket = LinkConnection::new(socket, stamp, true);
+            self.forwarder_sockets.by_line.insert(stamp, socket);
             self.planner.accept(context.now, stamp, &mut self.actions);
         }
     }
 
     fn handle_forwarder_readiness(&mut self, readiness: Readiness) {
-        if let Some(socket) = self.forwarder_sockets.all.get_mut(&readiness.mark.stamp) {
-            socket.ready(readiness);
+        if let Some(socket) = self
+            .forwarder_sockets
+            .by_line
+            .get_mut(&readiness.token.generation)
+        {
+            socket.on_ready(readiness);
         }
     }
 
     fn connection_lost(&mut self, connection: u32, why: &str) {
-        self.forwarder_sockets.all.remove(&connection);
+        self.forwarder_sockets.by_line.remove(&connection);
         self.planner
             .connection_lost(connection, why, &mut self.actions);
     }
 
-    fn connections_lost(&mut self, ended: Ended) {
+    fn connections_lost(&mut self, ended: ClosedConnections) {
         for (connection, why) in ended {
             self.connection_lost(connection, why);
         }
@@ -211,7 +223,7 @@
             .read(|connection, bytes| planner.receive(now, connection, bytes, actions));
         // Behind the forwarders' heartbeats. Otherwise a decision that answers a heartbeat could miss a drain that was
         // written before that heartbeat was sent.
-        self.discovery.look(&mut self.context);
+        self.discovery.read_all(&mut self.context);
         for event in std::mem::take(&mut self.context.events) {
             self.handle_event(event);
         }
@@ -231,19 +243,19 @@
     }
 
     fn handle_due_timers(&mut self, now: Nanos) {
-        while let Some((due, word)) = self.context.poller.due(now) {
-            match due.part {
+        while let Some((due, word)) = self.context.poller.pop_expired(now) {
+            match due.component {
                 context::MODULE => {
                     let zone = due.slot as u16;
                     self.planner.timer_fired(now, zone, word, &mut self.actions);
                 }
-                context::PROBE => self.probes.due(&mut self.context, due),
+                context::PROBE => self.probes.on_timeout(&mut self.context, due),
                 context::SWEEP => {
                     self.discovery.sweep(&mut self.context);
                     self.context.spare();
                     self.context
                         .poller
-                        .remind(now + SWEEP, mark(context::SWEEP), 0);
+                        .set_timer(now + SWEEP, mark(context::SWEEP), 0);
                 }
                 _ => {}
             }
@@ -283,15 +295,15 @@
         let context = &mut self.context;
         match action {
             PlannerAction::SetTimer { time, zone, timer } => {
-                let mark = Mark {
-                    part: context::MODULE,
+                let mark = PollToken {
+                    component: context::MODULE,
                     slot: zone.into(),
-                    stamp: 0,
+                    generation: 0,
                 };
-                context.poller.remind(time, mark, timer);
+                context.poller.set_timer(time, mark, timer);
             }
-            PlannerAction::PollEndpoints => self.discovery.ask(context),
-            PlannerAction::WatchEndpoints => self.discovery.follow(context),
+            PlannerAction::PollEndpoints => self.discovery.poll(context),
+            PlannerAction::WatchEndpoints => self.discovery.watch(context),
             PlannerAction::Probe { host } => self.probes.send(context, host),
             PlannerAction::Disconnect { connection } => self.connection_lost(connection, "cut"),
             PlannerAction::Log(text) => info!(context.log, "{}", text),
@@ -299,7 +311,7 @@
     }
 
     fn shut_down_if_asked(&mut self) {
-        if self.stop_signal.came() && self.context.leaving.is_none() {
+        if self.stop_signal.take() && self.context.leaving.is_none() {
             warn!(self.context.log, "asked to stop"; "forwarders" => self.planner.follower_count());
             self.context.leaving = Some(self.context.now + SHUTDOWN_TIMEOUT);
             self.planner.shut_down(&mut self.actions);
@@ -308,7 +320,7 @@
 
     /// Reads the operator's file anew: of a running planner, only the address of discovery may change.
     fn reload_config_if_asked(&mut self) {
-        if !self.reload_signal.came() {
+        if !self.reload_signal.take() {
             return;
         }
         let log = self.context.log.clone();
@@ -324,7 +336,7 @@
         info!(log, "configuration reloaded"; "discovery" => %address);
         if address != self.discovery_address {
             self.discovery_address = address;
-            self.discovery.go_over(&mut self.context, address);
+            self.discovery.switch_service(&mut self.context, address);
         }
     }
 }
--- a/node/src/roles/standalone/event_loop.rs
+++ b/node/src/roles/standalone/event_loop.rs
@@ -7,7 +7,7 @@
 use crate::{BEYOND_EXPIRY, SWEEP};
 use reedferry::{Action, Event, Idempotency, Nanos};
 use reedferry_membership::MemberState;
-use reedferry_runtime::{Clock, Errno, Mark, Readiness};
+use reedferry_runtime::{Clock, Errno, PollToken, Readiness};
 use slog::info;
 
 impl Node<'_> {
@@ -16,17 +16,17 @@
         let previous_turn = self.poll(clock)?;
         self.order_ready();
         if self.context.now > previous_turn + 2 * SWEEP {
-            self.discovery.look(&mut self.context);
+            self.discovery.read_all(&mut self.context);
         }
         while let Some(ready) = self.ready.next(self.context.now, clock) {
             self.handle_ready(ready);
         }
         self.answer_operators();
-        if self.connections.busy() {
+        if self.connections.has_runnable() {
             self.connections
-                .resume(&mut self.context, self.hot_restart.listener());
+                .resume_runnable(&mut self.context, self.hot_restart.listener());
         }
-        while let Some((mark, timer)) = self.context.poller.due(self.context.now) {
+        while let Some((mark, timer)) = self.context.poller.pop_expired(self.context.now) {
             self.handle_timer(mark, timer);
         }
         if let (Some(replication), Some(fleet)) = (&mut self.replication, &mut self.fleet) {
@@ -39,7 +39,7 @@
     /// Waits for the poller, and returns when the turn before began.
     fn poll(&mut self, clock: &Clock) -> Result<Nanos, Errno> {
         let behind = self.ready.is_behind();
-        let at_once = behind || !self.context.events.is_empty() || self.connections.busy();
+        let at_once = behind || !self.context.events.is_empty() || self.connections.has_runnable();
         let mut ready = Vec::new();
         let wait_began = clock.read();
         self.context.poller.wait(wait_began, at_once, &mut ready)?;
@@ -54,7 +54,7 @@
     /// Puts discovery and operators first. Without this, an operator would wait behind a crowd of clients, and clients would be
     /// sent to a draining host by an older endpoint list after the process stood still.
     fn order_ready(&mut self) {
-        self.ready.order_by(|ready| match ready.mark.part {
+        self.ready.order_by(|ready| match ready.token.component {
             context::DISCOVERY => 0,
             context::OPS | context::OPS_LISTENER => 1,
             _ => 2,
@@ -63,14 +63,14 @@
 
     fn handle_ready(&mut self, ready: Readiness) {
         let context = &mut self.context;
-        match ready.mark.part {
+        match ready.token.component {
             context::LISTENER => self
                 .connections
                 .accept(context, self.hot_restart.listener()),
             context::STOP => self.stop_if_asked(),
             context::REREAD => self.reload_if_asked(),
-            context::DISCOVERY => self.discovery.ready(context, ready),
-            context::PROBE => self.probes.ready(context, ready),
+            context::DISCOVERY => self.discovery.on_ready(context, ready),
+            context::PROBE => self.probes.on_ready(context, ready),
             context::OPS_LISTENER => {
                 if let Some(api) = &mut self.operator_api {
                     api.accept(context);
@@ -93,7 +93,7 @@
                     fleet.on_readable(context);
                 }
             }
-            _ => self.connections.ready(context, ready),
+            _ => self.connections.on_ready(context, ready),
         }
     }
 
@@ -110,12 +110,12 @@
         }
     }
 
-    fn handle_timer(&mut self, mark: Mark, timer: u64) {
+    fn handle_timer(&mut self, mark: PollToken, timer: u64) {
         let context = &mut self.context;
-        match mark.part {
+        match mark.component {
             context::MODULE => context.events.push(Event::TimerFired { timer }),
-            context::HOST => self.connections.due(context, mark, timer),
-            context::PROBE => self.probes.due(context, mark),
+            context::HOST => self.connections.on_timer(context, mark, timer),
+            context::PROBE => self.probes.on_timeout(context, mark),
             context::RETRY => self.connections.retry(context),
             context::CHANNEL_RETRY => self.hot_restart.retry(context, &mut self.connections),
             context::WARDS => {
@@ -139,11 +139,11 @@
         if self.hot_restart.take_state_request() {
             let state = TransferredState {
                 discovery: self.node_config.discovery,
-                clock_ahead: context.clock.ahead(),
+                clock_ahead: context.clock.offset(),
                 revision: self.discovery.revision(),
                 members: context.hosts.members(),
                 classes: context.node_settings.classes.clone(),
-                referenced_classes: self.connections.held(context),
+                referenced_classes: self.connections.classes_in_use(context),
                 inherited: self.balancer.export_state(),
             };
             self.hot_restart
@@ -203,15 +203,15 @@
 
     fn carry_out(&mut self, action: Action) {
         let context = &mut self.context;
-        let Some(action) = self.connections.carry_out(context, action) else {
+        let Some(action) = self.connections.perform(context, action) else {
             return;
         };
         match action {
             Action::SetTimer { time, timer } => {
-                context.poller.remind(time, mark(context::MODULE), timer);
+                context.poller.set_timer(time, mark(context::MODULE), timer);
             }
-            Action::PollEndpoints => self.discovery.ask(context),
-            Action::WatchEndpoints => self.discovery.follow(context),
+            Action::PollEndpoints => self.discovery.poll(context),
+            Action::WatchEndpoints => self.discovery.watch(context),
             Action::Probe { host } => self.probes.send(context, host),
             Action::Gossip { message } => {
                 if let Some(peers) = &self.peers {
@@ -234,7 +234,7 @@
         };
         replication.exchange_messages(&mut self.context, fleet);
         for action in replication.take_released_actions() {
-            self.connections.carry_out(&mut self.context, action);
+            self.connections.perform(&mut self.context, action);
         }
     }
 
@@ -258,14 +258,16 @@
             fleet.sweep(context);
             fleet.update_assignments(context, uses_slow_start_slots, load_from_probes);
         }
-        context.hosts.look(context.now, &mut context.events);
+        context
+            .hosts
+            .report_latencies(context.now, &mut context.events);
         context
             .poller
-            .remind(context.now + SWEEP, mark(context::SWEEP), 0);
+            .set_timer(context.now + SWEEP, mark(context::SWEEP), 0);
     }
 
     fn stop_if_asked(&mut self) {
-        if !self.stop_signal.came() || self.context.leaving.is_some() {
+        if !self.stop_signal.take() || self.context.leaving.is_some() {
             return;
         }
         self.hot_restart.stop_accepting(&self.context);
--- a/node/src/roles/standalone/mod.rs
+++ b/node/src/roles/standalone/mod.rs
@@ -13,7 +13,7 @@
 use crate::connections::probe::Probes;
 use crate::connections::Connections;
 use crate::context::{Context, START_WITHIN};
-use crate::discovery::client::Discovery;
+use crate::discovery::client::DiscoveryClient;
 use crate::error::FatalError;
 use crate::operators::api::OperatorApi;
 use crate::operators::config_files;
@@ -40,7 +40,7 @@
     /// Whether every event and action of the balancer is logged.
     trace: bool,
     connections: Connections,
-    discovery: Discovery,
+    discovery: DiscoveryClient,
     probes: Probes,
     peers: Option<StaticPeers>,
     fleet: Option<Fleet>,
--- a/node/src/roles/standalone/reload.rs
+++ b/node/src/roles/standalone/reload.rs
@@ -2,8 +2,8 @@
 
 use super::config_source::{LoadError, LoadedConfig};
 use super::Node;
-use crate::discovery::hosts::Source;
-use crate::discovery::list::List;
+use crate::discovery::hosts::ListSource;
+use crate::discovery::list::EndpointList;
 use crate::operators::config_files::MayBeTransient;
 use crate::operators::node_config::{MissingKey, NodeConfig};
 use crate::peers::GossipConfig;
@@ -25,7 +25,7 @@
 impl Node<'_> {
     /// Reloads the configuration where a signal asks for it, or where it could not be read for a moment before.
     pub(super) fn reload_if_asked(&mut self) {
-        if !self.reload_signal.came() && !std::mem::take(&mut self.reload_pending) {
+        if !self.reload_signal.take() && !std::mem::take(&mut self.reload_pending) {
             return;
         }
         let loaded = match self.config_source.load() {
@@ -49,7 +49,7 @@
 
     fn postpone_reload(&mut self, error: &LoadError) {
         self.context.machine_trouble("open");
-        if self.context.request_lines.room(self.context.now) {
+        if self.context.request_lines.allow(self.context.now) {
             warn!(self.context.log, "configuration reload is retried soon"; "why" => %error);
         }
         self.reload_pending = true;
@@ -76,7 +76,7 @@
         self.node_config = node_config;
         if discovery_moved {
             self.discovery
-                .go_over(&mut self.context, self.node_config.discovery);
+                .switch_service(&mut self.context, self.node_config.discovery);
         }
     }
 
@@ -114,7 +114,7 @@
                 balancer: fresh.balancer_settings.clone(),
                 node: fresh.node_settings.clone(),
             },
-            |class| self.connections.holds(class),
+            |class| self.connections.uses_class(class),
         );
         fresh.balancer_settings = balancer_settings.clone();
         fresh.node_settings = node_settings.clone();
@@ -122,12 +122,12 @@
         context.node_settings = node_settings.clone();
         context.classes = balancer_settings.classes.clone();
         context.tally.offers(&node_settings.classes);
-        context.hosts.renew(
+        context.hosts.update_settings(
             node_settings.zones.clone(),
             balancer_settings.shortest_message_latency_objective(),
         );
         self.discovery
-            .retune(balancer_settings, node_settings.drain_grace);
+            .update_settings(balancer_settings, node_settings.drain_grace);
         context.events.push(Event::SettingsChanged(
             Box::new(balancer_settings.clone()),
             changed_classes,
@@ -141,15 +141,15 @@
     /// retry would be matched against the zone that now has the index of the one in which the request may have run.
     fn list_hosts_again(&mut self) {
         let context = &mut self.context;
-        let members = [context.hosts.members(), context.hosts.former()].concat();
-        let list = List {
+        let members = [context.hosts.members(), context.hosts.former_members()].concat();
+        let list = EndpointList {
             revision: self.discovery.revision().unwrap_or(0),
             complete: true,
             members,
         };
         let event = context
             .hosts
-            .told(context.now, list, Source::Kept, &context.log);
+            .apply_list(context.now, list, ListSource::Cached, &context.log);
         context.events.push(event);
     }
 }
--- a/node/src/roles/standalone/startup.rs
+++ b/node/src/roles/standalone/startup.rs
@@ -5,9 +5,9 @@
 use crate::connections::probe::Probes;
 use crate::connections::Connections;
 use crate::context::{self, mark, Context};
-use crate::discovery::client::Discovery;
-use crate::discovery::hosts::Source;
-use crate::discovery::list::List;
+use crate::discovery::client::DiscoveryClient;
+use crate::discovery::hosts::ListSource;
+use crate::discovery::list::EndpointList;
 use crate::error::FatalError;
 use crate::operators::api::OperatorApi;
 use crate::operators::node_config::NodeConfig;
@@ -18,7 +18,7 @@
 use crate::roles::hot_restart::{HotRestart, TransferredState};
 use crate::{AtStart, SWEEP};
 use reedferry::{Balancer, BalancerSettings, Event};
-use reedferry_runtime::log::Backlog;
+use reedferry_runtime::log::LogBacklog;
 use reedferry_runtime::{Clock, Socket};
 use reedferry_settings::reload;
 use slog::info;
@@ -37,7 +37,7 @@
         config: LoadedConfig,
         signals: AtStart,
         clock: &Clock,
-    ) -> Result<(Self, Backlog), FatalError> {
+    ) -> Result<(Self, LogBacklog), FatalError> {
         let LoadedConfig {
             mut node_config,
             gossip_config,
@@ -64,7 +64,7 @@
             revision = inherit(&mut context, &node_config, state);
         }
         log_start(&context, &node_config, &hot_restart, revision);
-        let discovery = Discovery::new(
+        let discovery = DiscoveryClient::new(
             node_config.discovery,
             revision,
             &node_config.balancer_settings,
@@ -105,7 +105,7 @@
         let context = &mut self.context;
         context
             .poller
-            .remind(context.now + SWEEP, mark(context::SWEEP), 0);
+            .set_timer(context.now + SWEEP, mark(context::SWEEP), 0);
     }
 }
 
@@ -172,14 +172,14 @@
     state: TransferredState,
 ) -> Option<u64> {
     // What the predecessor was told last is newer than what this process was started with.
-    let list = List {
+    let list = EndpointList {
         revision: state.revision.unwrap_or(0),
         complete: true,
         members: state.members,
     };
     let event = context
         .hosts
-        .told(context.now, list, Source::Kept, &context.log);
+        .apply_list(context.now, list, ListSource::Cached, &context.log);
     let inherited = Event::StateInherited(Box::new(state.inherited));
     context.events.extend([event, inherited]);
     state
@@ -196,7 +196,7 @@
     // The system assigns the port where none is configured.
     let listen = hot_restart
         .listener()
-        .and_then(Socket::address)
+        .and_then(Socket::local_address)
         .unwrap_or(node_config.listen);
     info!(context.log, "started"; "listen" => %listen, "hosts" => context.hosts.count(),
         "revision" => revision, "sockets" => node_config.sockets,
