--- a/node/src/connections/attempt_progress.rs
+++ b/node/src/connections/attempt_progress.rs
@@ -8,8 +8,8 @@
 use super::relay::RelayStatus;
 use super::Connections;
 use crate::context::Context;
-use crate::operators::counts::Count;
-use crate::operators::tally::Outcome;
+use crate::operators::counters::Counter;
+use crate::operators::metrics::RequestOutcome;
 use reedferry::permission::{may_continue, may_start, AttemptStart, Refusal};
 use reedferry::{AttemptOutcome, Event, Nanos};
 use reedferry_runtime::Buffer;
@@ -91,7 +91,7 @@
 
     /// Ends an attempt whose request line may not be written, or not to its end, and so never ran.
     fn abort_unwritten(&mut self, context: &mut Context, slot: usize, refusal: Refusal) {
-        context.tally.add(Count::NotBegun(refusal));
+        context.metrics.add(Counter::NotStarted(refusal));
         match refusal {
             // The attempt has ended already.
             Refusal::ClientGone => {}
@@ -135,7 +135,7 @@
             RelayStatus::Finished => {}
             RelayStatus::Idle => return false,
             RelayStatus::LocalResources => {
-                context.machine_trouble("send");
+                context.record_transient_failure("send");
                 self.retry_soon(context, slot);
                 return false;
             }
@@ -146,7 +146,7 @@
         }
         attempt.request_written = true;
         attempt.request_written_at = context.now;
-        context.tally.attempted();
+        context.metrics.record_attempt();
         self.check_attempt(context, slot);
         true
     }
@@ -206,7 +206,7 @@
         let host = context.hosts.record(host_connection.host).id;
         context.events.push(if connection.stage == Stage::Pending {
             let stalls = &context.hosts.stalls;
-            let visible_since = stalls.moved_on(host_connection.started_at, context.now);
+            let visible_since = stalls.adjusted_start(host_connection.started_at, context.now);
             Event::ConnectionEstablished {
                 id,
                 took: context.now - visible_since,
@@ -215,9 +215,9 @@
             Event::ConnectionFound(connection.incoming, host)
         });
         connection.stage = Stage::Open;
-        context.tally.came_to(
+        context.metrics.record_outcome(
             &context.node_settings.classes[connection.incoming.class],
-            Outcome::Served,
+            RequestOutcome::Served,
         );
         let mut recorder = MessageRecorder {
             id,
--- a/node/src/connections/attempts.rs
+++ b/node/src/connections/attempts.rs
@@ -8,7 +8,7 @@
 use super::relay::Relay;
 use super::Connections;
 use crate::context::{Context, HOST};
-use crate::operators::counts::{Close, Count};
+use crate::operators::counters::{CloseReason, Counter};
 use reedferry::{AttemptOutcome, Event, HostId, Nanos, RequestId, MILLI};
 use reedferry_runtime::errors::{classify_connect, ConnectFailure};
 use reedferry_runtime::{PollToken, Socket};
@@ -85,7 +85,7 @@
         while !context.budget.has_capacity(1) && self.evict_idle(context, 0) {}
         let (socket, connected) = open_socket(context, &address)?;
         let token = context.watch(&socket, HOST, slot).map_err(|_| {
-            context.machine_trouble("epoll_ctl");
+            context.record_transient_failure("epoll_ctl");
             AttemptOutcome::NeverSent
         })?;
         let connection = &mut self.slab[slot];
@@ -109,7 +109,7 @@
         connection.to_client = Relay::default();
         connection.to_host = Relay::default();
         connection.attempt_timeout = until.saturating_sub(context.now);
-        let connect_by = write_by.min(context.now + context.node_settings.connect_within);
+        let connect_by = write_by.min(context.now + context.node_settings.connect_timeout);
         if connect_by < until {
             context.poller.set_timer(connect_by, token, CONNECT_TIMER);
         }
@@ -208,7 +208,7 @@
                 .may_have_run_since
                 .get_or_insert(attempt.request_written_at);
         }
-        context.tally.add(Count::AttemptEnded(outcome));
+        context.metrics.add(Counter::AttemptEnded(outcome));
         if context.request_lines.allow(context.now) {
             let took = context.now.saturating_sub(attempt.started_at) / MILLI;
             info!(context.log, "attempt ended"; "id" => connection.log_id(), "attempt" => attempt.attempt,
@@ -225,7 +225,7 @@
                 load_metrics: Vec::new(),
             });
             if client_gone {
-                self.remove(context, slot, Close::ClientEnded);
+                self.remove(context, slot, CloseReason::ClientEnded);
             }
         } else if !outcome.never_ran() {
             self.send_final_answer(context, slot, ERROR_LINE);
@@ -253,7 +253,7 @@
         .connect(address)
         .map_err(|error| match classify_connect(error) {
             ConnectFailure::LocalResources => {
-                context.machine_trouble("connect");
+                context.record_transient_failure("connect");
                 AttemptOutcome::NeverSent
             }
             ConnectFailure::Route => AttemptOutcome::NoRoute,
--- a/node/src/connections/closing.rs
+++ b/node/src/connections/closing.rs
@@ -7,8 +7,8 @@
 use super::relay::{Relay, RelayStatus};
 use super::Connections;
 use crate::context::Context;
-use crate::operators::counts::Close;
-use crate::operators::tally::Outcome;
+use crate::operators::counters::CloseReason;
+use crate::operators::metrics::RequestOutcome;
 use reedferry::{Nanos, RequestId, MILLI};
 use reedferry_runtime::errors::{classify_io, IoFailure};
 
@@ -47,17 +47,17 @@
         let connection = &mut self.slab[slot];
         if connection.awaits_answer() && connection.client.is_some() {
             let outcome = if rejected {
-                Outcome::Refused
+                RequestOutcome::Refused
             } else {
-                Outcome::Failed
+                RequestOutcome::Failed
             };
             let class = &context.node_settings.classes[connection.incoming.class];
-            context.tally.came_to(class, outcome);
+            context.metrics.record_outcome(class, outcome);
         }
         connection.request_line = None;
         connection.host_connection = None;
         if connection.client.is_none() {
-            return self.remove(context, slot, Close::ClientEnded);
+            return self.remove(context, slot, CloseReason::ClientEnded);
         }
         // Without this, an answer to a ping that the client has a part of would be cut within its line.
         let unsent = connection
@@ -94,17 +94,17 @@
     pub(super) fn linger(&mut self, context: &mut Context, slot: usize) {
         let connection = &mut self.slab[slot];
         let Some(client) = connection.client.as_mut() else {
-            return self.remove(context, slot, Close::ClientEnded);
+            return self.remove(context, slot, CloseReason::ClientEnded);
         };
         if !connection.to_client.finished {
             match connection.to_client.write_to(client) {
                 RelayStatus::Finished => client.socket.shutdown_write(),
                 RelayStatus::Idle => return,
                 RelayStatus::LocalResources => {
-                    context.machine_trouble("send");
+                    context.record_transient_failure("send");
                     return self.retry_soon(context, slot);
                 }
-                _ => return self.remove(context, slot, Close::ClientBroke),
+                _ => return self.remove(context, slot, CloseReason::ClientBroke),
             }
             connection.to_client.finished = true;
         }
@@ -116,7 +116,7 @@
             && self.discard_allowance > 0
         {
             match client.socket.discard(buffer.free_space()) {
-                Ok(0) => return self.remove(context, slot, Close::Answered),
+                Ok(0) => return self.remove(context, slot, CloseReason::Answered),
                 Ok(count) => {
                     connection.discarded += count;
                     self.discard_allowance = self.discard_allowance.saturating_sub(count);
@@ -126,17 +126,19 @@
                 Err(error) => match classify_io(error) {
                     IoFailure::WouldBlock => client.readable = false,
                     IoFailure::LocalResources => return self.retry_soon(context, slot),
-                    IoFailure::Disconnected => return self.remove(context, slot, Close::Answered),
+                    IoFailure::Disconnected => {
+                        return self.remove(context, slot, CloseReason::Answered)
+                    }
                 },
             }
         }
         if context.budget.nearly_exhausted() {
-            self.remove(context, slot, Close::Answered);
+            self.remove(context, slot, CloseReason::Answered);
         }
     }
 
     /// The one place where a connection's sockets and buffers are given back.
-    pub(super) fn remove(&mut self, context: &mut Context, slot: usize, reason: Close) {
+    pub(super) fn remove(&mut self, context: &mut Context, slot: usize, reason: CloseReason) {
         self.check_close(context, slot, reason);
         self.release_id(slot);
         let connection = self.slab.remove(slot);
--- a/node/src/connections/first_line.rs
+++ b/node/src/connections/first_line.rs
@@ -10,7 +10,7 @@
 use super::relay::RelayStatus;
 use super::Connections;
 use crate::context::Context;
-use crate::operators::counts::Close;
+use crate::operators::counters::CloseReason;
 use reedferry::{Event, HostId, IncomingRequest, Nanos, RequestId};
 use reedferry_runtime::errors::{classify_io, IoFailure};
 use reedferry_runtime::BufferPool;
@@ -74,7 +74,7 @@
         while line.unsent().starts_with(PING_LINE) && self.pings < MAX_PINGS {
             line.consume(PING_LINE.len());
             self.pings += 1;
-            let answer = if context.standby.is_some() {
+            let answer = if context.standby_deadline.is_some() {
                 BUSY_LINE
             } else {
                 PONG_LINE
@@ -99,11 +99,11 @@
                 Ok(ended) => ended,
                 Err(ReceiveFailure::NoBuffer) => return self.retry_soon(context, slot),
                 Err(ReceiveFailure::LocalResources) => {
-                    context.machine_trouble("receive");
+                    context.record_transient_failure("receive");
                     return self.retry_soon(context, slot);
                 }
                 Err(ReceiveFailure::Disconnected) => {
-                    return self.remove(context, slot, Close::ClientBroke);
+                    return self.remove(context, slot, CloseReason::ClientBroke);
                 }
             };
             connection.answer_pings(context);
@@ -116,7 +116,7 @@
                 return;
             };
             match protocol::split_first_line(buffer.unsent()) {
-                Ok(None) if ended => return self.remove(context, slot, Close::ClientEnded),
+                Ok(None) if ended => return self.remove(context, slot, CloseReason::ClientEnded),
                 Ok(None) if client.readable => continue,
                 Ok(None) if buffer.is_empty() => connection.request_line = None,
                 Ok(None) => {}
@@ -146,10 +146,10 @@
             RelayStatus::Finished => return true,
             RelayStatus::Idle => {}
             RelayStatus::LocalResources => {
-                context.machine_trouble("send");
+                context.record_transient_failure("send");
                 self.retry_soon(context, slot);
             }
-            _ => self.remove(context, slot, Close::ClientBroke),
+            _ => self.remove(context, slot, CloseReason::ClientBroke),
         }
         false
     }
--- a/node/src/connections/handover.rs
+++ b/node/src/connections/handover.rs
@@ -8,10 +8,10 @@
 use super::peer_socket::PeerSocket;
 use super::Connections;
 use crate::context::{Context, CLIENT, HOST};
-use crate::operators::counts::Close;
+use crate::operators::counters::CloseReason;
 use reedferry::{AttemptOutcome, Event, RequestId};
 use reedferry_runtime::{PollToken, Socket};
-use reedferry_settings::renewal;
+use reedferry_settings::reload;
 use std::os::fd::{AsFd, BorrowedFd};
 use std::rc::Rc;
 
@@ -80,7 +80,7 @@
 fn adopted_peer(context: &mut Context, socket: Socket) -> PeerSocket {
     PeerSocket {
         socket,
-        generation: context.stamp(),
+        generation: context.next_generation(),
         readable: false,
         writable: true,
     }
@@ -137,7 +137,7 @@
     /// The next process has adopted it.
     pub fn complete_handover(&mut self, context: &mut Context, id: RequestId) {
         if let Some(slot) = self.slot_in_handover(id) {
-            self.remove(context, slot, Close::PassedOn);
+            self.remove(context, slot, CloseReason::HandedOver);
         }
     }
 
@@ -160,7 +160,7 @@
         ];
         for (component, peer) in peers {
             let Some(peer) = peer else { continue };
-            peer.generation = context.stamp();
+            peer.generation = context.next_generation();
             let token = PollToken {
                 component,
                 slot: slot as u32,
@@ -198,7 +198,7 @@
     /// Drops an adopted connection with nothing sent on it: the process before goes on with it after all.
     pub fn abandon_adopted(&mut self, context: &mut Context, id: RequestId) {
         if let Some(slot) = self.slot_in_handover(id) {
-            self.remove(context, slot, Close::PassedOn);
+            self.remove(context, slot, CloseReason::HandedOver);
         }
     }
 
@@ -215,7 +215,7 @@
         // A class that is no longer served must not stand for another one.
         let class = handover.class.as_ref().and_then(|(name, class)| {
             let served = context.node_settings.classes.as_slice();
-            renewal::place((&context.classes, served), name, class)
+            reload::find_class(&context.classes, served, name, class)
         });
         if handover.open.is_some() && class.is_none() {
             return None;
--- a/node/src/connections/idle.rs
+++ b/node/src/connections/idle.rs
@@ -7,7 +7,7 @@
 use super::rejection::RejectReason;
 use super::Connections;
 use crate::context::Context;
-use crate::operators::counts::Close;
+use crate::operators::counters::CloseReason;
 use reedferry::{Nanos, MILLI, SECOND};
 
 /// How long a connection may stay without a first line. With [`LINGER_TIMEOUT`](super::closing::LINGER_TIMEOUT)
@@ -63,7 +63,7 @@
                 }
             }
             match self.reject_idle(context, slot) {
-                IdleRejection::Sent => self.remove(context, slot, Close::MadeRoom),
+                IdleRejection::Sent => self.remove(context, slot, CloseReason::Evicted),
                 IdleRejection::Partial => return !self.slab.contains(slot),
                 IdleRejection::Blocked => {
                     // The next one may take its answer.
--- a/node/src/connections/invariants.rs
+++ b/node/src/connections/invariants.rs
@@ -6,7 +6,7 @@
 use super::connection::{Connection, Stage};
 use super::Connections;
 use crate::context::Context;
-use crate::operators::counts::{Close, Count, Violation};
+use crate::operators::counters::{CloseReason, Counter, Violation};
 use reedferry::permission::{may_continue, may_reject, may_repeat};
 use reedferry::{Idempotency, Nanos, RequestClass, MILLI};
 use slog::{error, info};
@@ -21,7 +21,7 @@
 
     /// Counts and logs a violation; `excess` is by how much time.
     fn report_violation(&self, context: &mut Context, rule: Violation, excess: Nanos) {
-        context.tally.add(Count::Violated(rule));
+        context.metrics.add(Counter::Violated(rule));
         error!(context.log, "rule violated"; "rule" => rule.name(), "id" => self.log_id(),
             "attempts" => self.attempts, "ms" => excess / MILLI, context.turn.account(context.clock.read()));
     }
@@ -44,12 +44,12 @@
         }
         let write_by = attempt.write_by;
         if may_continue(now, write_by.saturating_add(TOLERANCE)).is_err() {
-            connection.report_violation(context, Violation::RepeatedLate, now - write_by);
+            connection.report_violation(context, Violation::RetriedLate, now - write_by);
         }
         let left_since = context.hosts.record(attempt.host).left_since;
         let grace = context.node_settings.drain_grace;
         if let Some(late) = left_since.and_then(|left| now.checked_sub(left + grace + TOLERANCE)) {
-            connection.report_violation(context, Violation::SentToLeavingHost, late);
+            connection.report_violation(context, Violation::SentToDrainingHost, late);
         }
         let first_run = connection.may_have_run_since;
         let repeated = connection.request_class(context).is_some_and(|class| {
@@ -79,13 +79,13 @@
             .is_none_or(|class| may_reject(class, first_run.is_some()));
         if rejected && !may_reject {
             let since = now - first_run.unwrap_or(now);
-            connection.report_violation(context, Violation::DismissedAfterRun, since);
+            connection.report_violation(context, Violation::RejectedAfterRun, since);
         }
     }
 
     /// Checks the rules on a client's connection, which is closed now, and counts why it is.
-    pub(super) fn check_close(&self, context: &mut Context, slot: usize, reason: Close) {
-        context.tally.add(Count::Closed(reason));
+    pub(super) fn check_close(&self, context: &mut Context, slot: usize, reason: CloseReason) {
+        context.metrics.add(Counter::Closed(reason));
         let connection = &self.slab[slot];
         if connection.awaits_answer() && connection.client.is_some() {
             let since = context.now - connection.started_at;
@@ -93,7 +93,7 @@
         }
         let ordinary = matches!(
             reason,
-            Close::Answered | Close::ClientEnded | Close::PassedOn
+            CloseReason::Answered | CloseReason::ClientEnded | CloseReason::HandedOver
         );
         if !ordinary && context.request_lines.allow(context.now) {
             info!(context.log, "closed"; "id" => connection.log_id(), "why" => reason.name());
--- a/node/src/connections/listener.rs
+++ b/node/src/connections/listener.rs
@@ -67,7 +67,9 @@
                     AcceptFailure::NoneWaiting => return,
                     AcceptFailure::AbortedConnection => continue,
                     // The next sweep accepts again.
-                    AcceptFailure::LocalResources => return context.machine_trouble("accept"),
+                    AcceptFailure::LocalResources => {
+                        return context.record_transient_failure("accept")
+                    }
                 },
             };
             self.add_client(context, socket);
@@ -80,7 +82,7 @@
         let token = PollToken {
             component: CLIENT,
             slot: slot as u32,
-            generation: context.stamp(),
+            generation: context.next_generation(),
         };
         self.retry_queue.register(context, &socket, token);
         let client = PeerSocket {
--- a/node/src/connections/migration.rs
+++ b/node/src/connections/migration.rs
@@ -5,8 +5,8 @@
 use super::connection::Stage;
 use super::protocol::MOVE_LINE;
 use super::Connections;
-use crate::context::{Context, LONGEST_MOVE};
-use crate::operators::counts::Close;
+use crate::context::{Context, MAX_MIGRATION_WAIT};
+use crate::operators::counters::CloseReason;
 use reedferry::{AttemptOutcome, Nanos, RequestId};
 use reedferry_runtime::Buffer;
 
@@ -16,7 +16,7 @@
         let Some(slot) = self.slot_of(id) else { return };
         let connection = &mut self.slab[slot];
         if connection.stage == Stage::Open && connection.migrate_by.is_none() {
-            connection.migrate_by = Some(context.now + LONGEST_MOVE);
+            connection.migrate_by = Some(context.now + MAX_MIGRATION_WAIT);
             connection.migration_outcome = AttemptOutcome::Cancelled;
             self.try_migrate(context, slot);
         }
@@ -51,8 +51,8 @@
     /// the host has stopped in the middle of a line.
     pub(super) fn check_migration(&mut self, context: &mut Context, slot: usize) {
         let now = context.now;
-        let empty_by = context.empty_by();
-        if now >= empty_by {
+        let empty_deadline = context.empty_deadline();
+        if now >= empty_deadline {
             // Between two lines, or within one of the client's, it can still be migrated.
             let migrate_by = self.slab[slot].migrate_by.get_or_insert(now);
             *migrate_by = now.min(*migrate_by);
@@ -65,10 +65,10 @@
         let Some(connection) = self.slab.get_mut(slot) else {
             return;
         };
-        let overdue = |by: Nanos| now >= (by + LINGER_TIMEOUT).min(empty_by);
+        let overdue = |by: Nanos| now >= (by + LINGER_TIMEOUT).min(empty_deadline);
         if connection.migrate_by.is_some_and(overdue) {
             self.detach_host(context, slot, AttemptOutcome::ConnectionLost);
-            return self.remove(context, slot, Close::HostStalled);
+            return self.remove(context, slot, CloseReason::HostStalled);
         }
         self.try_migrate(context, slot);
     }
--- a/node/src/connections/probe.rs
+++ b/node/src/connections/probe.rs
@@ -68,7 +68,7 @@
             request_sent: false,
             received: None,
         });
-        let deadline: Nanos = context.now + 2 * context.node_settings.connect_within;
+        let deadline: Nanos = context.now + 2 * context.node_settings.connect_timeout;
         context.poller.set_timer(deadline, token, 0);
     }
 
--- a/node/src/connections/proxying.rs
+++ b/node/src/connections/proxying.rs
@@ -5,13 +5,13 @@
 use super::host_connection::{HostConnection, MessageRecorder};
 use super::relay::RelayStatus;
 use super::Connections;
-use crate::context::{Context, LONGEST_MOVE};
-use crate::operators::counts::Close;
+use crate::context::{Context, MAX_MIGRATION_WAIT};
+use crate::operators::counters::CloseReason;
 use reedferry::{AttemptOutcome, Event, Nanos, MILLI, SECOND};
 use slog::{info, warn};
 
 /// How long a client's line may go unanswered before its host counts as silent. With
-/// [`LONGEST_MOVE`], which a migration waits for the end of a line, it has to stay under the seven seconds
+/// [`MAX_MIGRATION_WAIT`], which a migration waits for the end of a line, it has to stay under the seven seconds
 /// within which the client of such a host is migrated.
 const HOST_SILENCE_TIMEOUT: Nanos = 4500 * MILLI;
 /// For how long a client that has ended its sending still gets what its host sends.
@@ -101,12 +101,12 @@
             (RelayStatus::SenderBroken, _) => {
                 let outcome = connection.host_break_outcome();
                 self.detach_host(context, slot, outcome);
-                return self.remove(context, slot, Close::HostBroke);
+                return self.remove(context, slot, CloseReason::HostBroke);
             }
             (RelayStatus::Malformed, _) => {
                 info!(context.log, "connection aborted"; "why" => "a host's line that is too long");
                 self.detach_host(context, slot, AttemptOutcome::ConnectionLost);
-                return self.remove(context, slot, Close::Malformed);
+                return self.remove(context, slot, CloseReason::Malformed);
             }
             (RelayStatus::ReceiverBroken, _) | (_, RelayStatus::SenderBroken) => {
                 return self.reset_both(context, slot);
@@ -132,7 +132,7 @@
         if let Some(host) = self.detach_host(context, slot, AttemptOutcome::Cancelled) {
             host.peer.socket.reset();
         }
-        self.remove(context, slot, Close::ClientBroke);
+        self.remove(context, slot, CloseReason::ClientBroke);
     }
 
     /// Reports how an open connection ended, and takes its host's side off.
@@ -176,7 +176,7 @@
         let finished_at = connection.client_finished_at;
         if finished_at.is_some_and(|at| now >= at + HALF_CLOSED_TIMEOUT) {
             self.detach_host(context, slot, AttemptOutcome::Cancelled);
-            return self.remove(context, slot, Close::ClientEnded);
+            return self.remove(context, slot, CloseReason::ClientEnded);
         }
         self.check_host_silence(context, slot);
         self.check_migration(context, slot);
@@ -198,7 +198,7 @@
             return;
         }
         warn!(context.log, "host silent"; "host" => &context.hosts.record(host).name);
-        connection.migrate_by = Some(now + LONGEST_MOVE);
+        connection.migrate_by = Some(now + MAX_MIGRATION_WAIT);
         // Without this, a host that answers all others would be ejected for one connection.
         connection.migration_outcome = if context.hosts.has_answered_since(host, sent_at) {
             AttemptOutcome::Cancelled
--- a/node/src/connections/reconnect.rs
+++ b/node/src/connections/reconnect.rs
@@ -16,7 +16,7 @@
     pub(super) fn reconnect(&mut self, context: &mut Context, slot: usize) {
         let connection = &mut self.slab[slot];
         let until = connection.started_at + connection.timeout.min(RECONNECT_TIMEOUT);
-        if context.now >= until || context.leaving.is_some() {
+        if context.now >= until || context.may_end_at.is_some() {
             return self.send_final_answer(context, slot, ERROR_LINE);
         }
         connection.stage = Stage::Reconnecting(context.now + RECONNECT_INTERVAL);
--- a/node/src/connections/resource_retry.rs
+++ b/node/src/connections/resource_retry.rs
@@ -23,7 +23,7 @@
     fn schedule(&mut self, context: &mut Context) {
         if !std::mem::replace(&mut self.scheduled, true) {
             let due = context.now + RETRY_AFTER;
-            let token = context::mark(context::RETRY);
+            let token = context::mark(context::CONNECTION_RETRY);
             context.poller.set_timer(due, token, 0);
         }
     }
@@ -31,7 +31,7 @@
     /// Registers a socket with the poller, now or at a retry.
     pub(super) fn register(&mut self, context: &mut Context, socket: &Socket, token: PollToken) {
         if context.poller.register_or_update(socket, token).is_err() {
-            context.machine_trouble("epoll_ctl");
+            context.record_transient_failure("epoll_ctl");
             self.unregistered.push(token);
             self.schedule(context);
         }
@@ -64,7 +64,7 @@
             peer.writable = true;
             self.runnable.push(slot);
             if registered.is_err() {
-                context.machine_trouble("epoll_ctl");
+                context.record_transient_failure("epoll_ctl");
                 self.retry_queue.unregistered.push(token);
             }
         }
--- a/node/src/connections/sweep.rs
+++ b/node/src/connections/sweep.rs
@@ -5,7 +5,7 @@
 use super::idle::FIRST_LINE_TIMEOUT;
 use super::Connections;
 use crate::context::Context;
-use crate::operators::counts::Close;
+use crate::operators::counters::CloseReason;
 use reedferry::Nanos;
 
 impl Connections {
@@ -16,7 +16,7 @@
         for slot in slots {
             self.sweep_one(context, slot);
         }
-        context.say_left_out();
+        context.log_suppressed_lines();
         let slab = &self.slab;
         self.listener.idle.retain(|&(slot, generation)| {
             slab.get(slot)
@@ -29,7 +29,7 @@
         let now = context.now;
         // Without this, clients that wait or are idle when the program is ended from outside would never
         // have an answer.
-        let stopping = now >= context.stopped_by.unwrap_or(Nanos::MAX);
+        let stopping = now >= context.shutdown_deadline.unwrap_or(Nanos::MAX);
         let Some(connection) = self.slab.get_mut(slot) else {
             return;
         };
@@ -43,7 +43,9 @@
             Stage::Reconnecting(next_attempt) if !has_attempt && now >= next_attempt => {
                 self.reconnect(context, slot);
             }
-            Stage::Closing(until) if now >= until => self.remove(context, slot, Close::Answered),
+            Stage::Closing(until) if now >= until => {
+                self.remove(context, slot, CloseReason::Answered)
+            }
             Stage::Closing(_) => {
                 connection.discarded = 0;
                 self.linger(context, slot);
--- a/node/src/connections/waiting_client.rs
+++ b/node/src/connections/waiting_client.rs
@@ -7,7 +7,7 @@
 use super::rejection::RejectReason;
 use super::Connections;
 use crate::context::{Context, CLIENT};
-use crate::operators::counts::Close;
+use crate::operators::counters::CloseReason;
 use reedferry::{AttemptOutcome, Event, Nanos};
 use reedferry_runtime::errors::{classify_io, IoFailure};
 use reedferry_runtime::PollToken;
@@ -36,7 +36,7 @@
             }
             // Whether it has gone can't be told now.
             Err(error) if classify_io(error) == IoFailure::LocalResources => {
-                context.machine_trouble("receive");
+                context.record_transient_failure("receive");
                 return self.retry_soon(context, slot);
             }
             Ok(1..) => ClientDeparture::SentMore,
@@ -67,7 +67,7 @@
         }
         let attempt = connection.host_connection.as_ref().filter(|_| pending);
         match attempt.map(|attempt| attempt.request_written) {
-            None => self.remove(context, slot, Close::ClientEnded),
+            None => self.remove(context, slot, CloseReason::ClientEnded),
             // Without this, a line would begin for a client that left while its host's connection came up,
             // where the settings allow no attempt to be cancelled: it has not begun, and never does.
             Some(false) => self.end_attempt(context, slot, AttemptOutcome::NeverSent),
@@ -109,7 +109,7 @@
         let token = PollToken {
             component: CLIENT,
             slot: slot as u32,
-            generation: context.stamp(),
+            generation: context.next_generation(),
         };
         self.retry_queue.register(context, &client.socket, token);
         client.generation = token.generation;
--- a/node/src/context/components.rs
+++ b/node/src/context/components.rs
@@ -1,7 +1,7 @@
 //! The components of the program that poller tokens are dealt out to: a token says whose socket is ready or whose timer is due.
 
 /// A timer of the balancer.
-pub const MODULE: u8 = 0;
+pub const BALANCER_TIMER: u8 = 0;
 /// The listener for clients.
 pub const LISTENER: u8 = 1;
 /// The signal to stop.
@@ -17,13 +17,13 @@
 /// The timer of the sweep.
 pub const SWEEP: u8 = 7;
 /// The signal to reload the configuration.
-pub const REREAD: u8 = 8;
+pub const RELOAD: u8 = 8;
 /// A connection between a forwarder and a planner.
 pub const LINK: u8 = 9;
 /// The listener for forwarders.
 pub const LINK_LISTENER: u8 = 10;
 /// The timer of a forwarder's or planner's core.
-pub const TICK: u8 = 11;
+pub const CORE_TIMER: u8 = 11;
 /// The socket for messages of other nodes.
 pub const PEERS: u8 = 12;
 /// The listener for operators.
@@ -37,10 +37,10 @@
 /// The channel to the predecessor.
 pub const PREDECESSOR: u8 = 17;
 /// The timer of the fleet view.
-pub const FLEET: u8 = 18;
+pub const FLEET_TIMER: u8 = 18;
 /// The timer of replicated requests.
-pub const WARDS: u8 = 19;
+pub const REPLICATION_TIMER: u8 = 19;
 /// The timer that retries what failed on connections for a moment.
-pub const RETRY: u8 = 20;
+pub const CONNECTION_RETRY: u8 = 20;
 /// The timer that retries what failed on the channels of a hot restart for a moment.
 pub const CHANNEL_RETRY: u8 = 21;
--- a/node/src/context/mod.rs
+++ b/node/src/context/mod.rs
@@ -6,12 +6,12 @@
 mod shutdown;
 
 pub use components::*;
-pub use open::START_WITHIN;
-pub use shutdown::LONGEST_MOVE;
+pub use open::START_TIMEOUT;
+pub use shutdown::MAX_MIGRATION_WAIT;
 
 use crate::discovery::hosts::Hosts;
-use crate::operators::counts::Count;
-use crate::operators::tally::Tally;
+use crate::operators::counters::Counter;
+use crate::operators::metrics::Metrics;
 use crate::turn::Turn;
 use reedferry::{Event, Nanos, RequestClass, MILLI};
 use reedferry_runtime::log::LogRateLimit;
@@ -63,15 +63,15 @@
     /// Where log lines go.
     pub log: Logger,
     /// The generation of the last token that was dealt out.
-    pub stamps: u32,
+    pub last_generation: u32,
     /// From when the process may end, once it has been asked to stop.
-    pub leaving: Option<Nanos>,
+    pub may_end_at: Option<Nanos>,
     /// When a node that stands by must hold no client any more.
-    pub standby: Option<Nanos>,
+    pub standby_deadline: Option<Nanos>,
     /// The same where the process has been asked to stop.
-    pub stopped_by: Option<Nanos>,
+    pub shutdown_deadline: Option<Nanos>,
     /// The metrics.
-    pub tally: Tally,
+    pub metrics: Metrics,
     /// The limit of log lines on turns that began late.
     late_turn_lines: LogRateLimit,
     /// The limit of log lines on single requests.
@@ -85,12 +85,12 @@
 impl Context {
     /// Begins a turn at `now`, after a wait that began at `waited`, and returns when the turn before began. `behind` where that one
     /// left something that was ready.
-    pub fn look_round(&mut self, waited: Nanos, now: Nanos, behind: bool) -> Nanos {
+    pub fn begin_turn(&mut self, waited: Nanos, now: Nanos, behind: bool) -> Nanos {
         let previous = std::mem::replace(&mut self.now, now);
         if !behind {
             self.caught_up = previous;
         }
-        self.hosts.stalls.looked(self.caught_up, waited, now);
+        self.hosts.stalls.record_turn(self.caught_up, waited, now);
         self.turn.begin(self.poller.next_deadline(), waited, now);
         if self.turn.lateness() > LATE_TURN && self.late_turn_lines.allow(now) {
             info!(self.log, "woken late"; self.turn.account(now));
@@ -99,14 +99,14 @@
     }
 
     /// Logs how many lines on single requests were left out.
-    pub fn say_left_out(&mut self) {
+    pub fn log_suppressed_lines(&mut self) {
         if let Some(count) = self.request_lines.take_suppressed(self.now) {
             info!(self.log, "request lines left out"; "count" => count);
         }
     }
 
     /// Notes when there are enough descriptors again.
-    pub fn spare(&mut self) {
+    pub fn note_spare_descriptors(&mut self) {
         if self.scarce && self.budget.has_capacity(ENOUGH_DESCRIPTORS) {
             self.scarce = false;
             info!(self.log, "descriptors to spare again"; "taken" => self.budget.in_use());
@@ -114,14 +114,14 @@
     }
 
     /// A new generation for a token, so that reports for an earlier owner of its slot are told apart.
-    pub fn stamp(&mut self) -> u32 {
-        self.stamps = self.stamps.wrapping_add(1);
-        self.stamps
+    pub fn next_generation(&mut self) -> u32 {
+        self.last_generation = self.last_generation.wrapping_add(1);
+        self.last_generation
     }
 
     /// Counts a system call that failed as this machine was short of something.
-    pub fn machine_trouble(&mut self, call: &'static str) {
-        self.tally.add(Count::MachineTrouble(call));
+    pub fn record_transient_failure(&mut self, call: &'static str) {
+        self.metrics.add(Counter::TransientFailure(call));
     }
 
     /// Has the poller report a socket under a new token.
@@ -129,7 +129,7 @@
         let mark = PollToken {
             component: part,
             slot: slot as u32,
-            generation: self.stamp(),
+            generation: self.next_generation(),
         };
         self.poller.register(socket, mark)?;
         Ok(mark)
--- a/node/src/context/open.rs
+++ b/node/src/context/open.rs
@@ -1,13 +1,13 @@
 //! What is opened at the start: the poller, the budgets, the listeners and the endpoint list as last known.
 
-use super::{mark, Context, LISTENER, REREAD, STOP};
+use super::{mark, Context, LISTENER, RELOAD, STOP};
 use crate::discovery::hosts::{Hosts, ListSource};
 use crate::discovery::list::ListReader;
 use crate::error::FatalError;
+use crate::operators::metrics::Metrics;
 use crate::operators::node_config::NodeConfig;
-use crate::operators::tally::Tally;
 use crate::turn::Turn;
-use crate::AtStart;
+use crate::Signals;
 use reedferry::Nanos;
 use reedferry_runtime::errors::retry_for;
 use reedferry_runtime::log::{LogBacklog, LogRateLimit};
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// How long a start waits for what the machine is short of.
-pub const START_WITHIN: Duration = Duration::from_secs(5);
+pub const START_TIMEOUT: Duration = Duration::from_secs(5);
 /// Log lines on single requests per second.
 const MAX_REQUEST_LINES: u32 = 20;
 /// Log lines on late turns per second.
@@ -29,21 +29,21 @@
     pub fn open(
         node_config: &NodeConfig,
         clock: &Clock,
-        signals: &AtStart,
+        signals: &Signals,
     ) -> Result<(Context, LogBacklog), FatalError> {
         let (log, backlog) = log::logger(&node_config.name);
-        let poller = retry_for(START_WITHIN, Poller::new).map_err(FatalError::Poll)?;
-        retry_for(START_WITHIN, || poller.register(&signals.stop, mark(STOP)))
+        let poller = retry_for(START_TIMEOUT, Poller::new).map_err(FatalError::Poll)?;
+        retry_for(START_TIMEOUT, || poller.register(&signals.stop, mark(STOP)))
             .map_err(FatalError::Poll)?;
-        retry_for(START_WITHIN, || {
-            poller.register(&signals.reread, mark(REREAD))
+        retry_for(START_TIMEOUT, || {
+            poller.register(&signals.reload, mark(RELOAD))
         })
         .map_err(FatalError::Poll)?;
         let now = clock.read();
         // A quarter of the memory is for buffers; the rest is the program's own and a reserve.
         let buffers = node_config.memory / BUFFER_MEMORY_DIVISOR / pool::BUFFER_BYTES;
-        let mut tally = Tally::default();
-        tally.offers(&node_config.node_settings.classes);
+        let mut metrics = Metrics::default();
+        metrics.add_classes(&node_config.node_settings.classes);
         let context = Context {
             now,
             clock: clock.clone(),
@@ -63,11 +63,11 @@
             classes: node_config.balancer_settings.classes.clone(),
             events: Vec::new(),
             log,
-            stamps: 0,
-            leaving: None,
-            standby: None,
-            stopped_by: None,
-            tally,
+            last_generation: 0,
+            may_end_at: None,
+            standby_deadline: None,
+            shutdown_deadline: None,
+            metrics,
             late_turn_lines: LogRateLimit::new(MAX_LATE_TURN_LINES),
             request_lines: LogRateLimit::new(MAX_REQUEST_LINES),
             scarce: false,
@@ -79,23 +79,25 @@
     /// Listens on an address, and has the poller report connections to it as this part's.
     pub fn listen(&mut self, address: &SocketAddr, part: u8) -> Result<Socket, FatalError> {
         let listener =
-            retry_for(START_WITHIN, || self.budget.listen(address)).map_err(|error| {
+            retry_for(START_TIMEOUT, || self.budget.listen(address)).map_err(|error| {
                 FatalError::Listen {
                     address: *address,
                     error,
                 }
             })?;
-        retry_for(START_WITHIN, || self.poller.register(&listener, mark(part)))
-            .map_err(FatalError::Poll)?;
+        retry_for(START_TIMEOUT, || {
+            self.poller.register(&listener, mark(part))
+        })
+        .map_err(FatalError::Poll)?;
         Ok(listener)
     }
 
     /// Accepts clients at a listener that the platform holds open.
     pub fn inherit(&mut self, descriptor: i32) -> Result<Socket, FatalError> {
         let no_listener = |error| FatalError::NoListener { descriptor, error };
-        let listener = retry_for(START_WITHIN, || self.budget.inherit_listener(descriptor))
+        let listener = retry_for(START_TIMEOUT, || self.budget.inherit_listener(descriptor))
             .map_err(no_listener)?;
-        retry_for(START_WITHIN, || {
+        retry_for(START_TIMEOUT, || {
             self.poller.register(&listener, mark(LISTENER))
         })
         .map_err(no_listener)?;
@@ -103,7 +105,10 @@
     }
 
     /// Takes up the endpoint list that the configuration holds, and returns its revision.
-    pub fn known(&mut self, node_config: &NodeConfig) -> Result<Option<u64>, FatalError> {
+    pub fn load_known_endpoints(
+        &mut self,
+        node_config: &NodeConfig,
+    ) -> Result<Option<u64>, FatalError> {
         if node_config.known.is_empty() {
             return Ok(None);
         }
--- a/node/src/discovery/client/failures.rs
+++ b/node/src/discovery/client/failures.rs
@@ -86,7 +86,7 @@
             let token = PollToken {
                 component: DISCOVERY,
                 slot: SILENT_WATCH as u32,
-                generation: context.stamp(),
+                generation: context.next_generation(),
             };
             let socket = &connection.socket;
             if context.poller.update_registration(socket, token).is_ok() {
--- a/node/src/discovery/hosts.rs
+++ b/node/src/discovery/hosts.rs
@@ -248,7 +248,7 @@
     /// A line that was sent at `sent_at` has been answered. What lay unread while this process was stalled
     /// does not count: without that, hosts would be taken for slow, and clients rejected.
     pub fn record_answer(&mut self, host: usize, sent_at: Nanos, now: Nanos) {
-        let latency = now.saturating_sub(self.stalls.moved_on(sent_at, now));
+        let latency = now.saturating_sub(self.stalls.adjusted_start(sent_at, now));
         let tracker = &mut self.records[host].latency;
         tracker.record_answer(sent_at, latency, self.slow_threshold);
     }
@@ -260,7 +260,7 @@
 
     /// A line that was sent at `sent_at` is not answered yet.
     pub fn record_unanswered(&mut self, host: usize, sent_at: Nanos, now: Nanos) {
-        let visible_since = self.stalls.moved_on(sent_at, now);
+        let visible_since = self.stalls.adjusted_start(sent_at, now);
         self.records[host].latency.record_unanswered(visible_since);
     }
 
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -25,7 +25,7 @@
 /// The interval of a role's sweep over its connections.
 const SWEEP: Nanos = 100 * MILLI;
 /// How much longer than the longest deadline of a request a process that was asked to stop has until it is killed.
-const BEYOND_EXPIRY: Nanos = 700 * MILLI;
+const SHUTDOWN_MARGIN: Nanos = 700 * MILLI;
 
 /// Balances long-lived connections. Without a command: a node, told by the file that GW_CONFIG names.
 #[derive(Parser)]
@@ -58,11 +58,11 @@
 }
 
 /// The signals that the program handles.
-pub struct AtStart {
+pub struct Signals {
     /// Asks it to stop.
     pub stop: Signal,
     /// Asks it to reload its configuration.
-    pub reread: Signal,
+    pub reload: Signal,
 }
 
 fn main() {
@@ -74,9 +74,9 @@
 
 fn run() -> Result<(), FatalError> {
     // First of all. Without this, a signal to reload that comes during the start would end the process.
-    let signals = AtStart {
+    let signals = Signals {
         stop: Signal::register(SIGTERM).map_err(|error| error.to_string())?,
-        reread: Signal::register(SIGHUP).map_err(|error| error.to_string())?,
+        reload: Signal::register(SIGHUP).map_err(|error| error.to_string())?,
     };
     match CommandLine::parse().command {
         None => roles::standalone::run(ConfigSource::Environment, signals),
@@ -95,7 +95,7 @@
     println!(
         "{}: in order, for `reedferry {}`, with the papers {}",
         file.display(),
-        operator_config.role.word(),
+        operator_config.role.command(),
         operator_config.node_config_path.display()
     );
     Ok(())
--- a/node/src/operators/api/mod.rs
+++ b/node/src/operators/api/mod.rs
@@ -9,7 +9,7 @@
 pub use request::ApiRequest;
 pub use response::ApiResponse;
 
-use crate::context::{mark, Context, OPS, OPS_LISTENER, START_WITHIN};
+use crate::context::{mark, Context, OPS, OPS_LISTENER, START_TIMEOUT};
 use crate::error::FatalError;
 use connection::{Connection, Progress, Stage};
 use reedferry::{Nanos, SECOND};
@@ -53,9 +53,10 @@
             error,
         };
         let budget = context.budget.split_off(MAX_CONNECTIONS + 1);
-        let listener = retry_for(START_WITHIN, || budget.listen(address)).map_err(cannot_listen)?;
+        let listener =
+            retry_for(START_TIMEOUT, || budget.listen(address)).map_err(cannot_listen)?;
         let watch = || context.poller.register(&listener, mark(OPS_LISTENER));
-        retry_for(START_WITHIN, watch).map_err(cannot_listen)?;
+        retry_for(START_TIMEOUT, watch).map_err(cannot_listen)?;
         let at = listener.local_address().unwrap_or(*address);
         info!(context.log, "operators"; "at" => %at);
         Ok(OperatorApi {
@@ -79,7 +80,9 @@
                     AcceptFailure::NoneWaiting => return,
                     AcceptFailure::AbortedConnection => continue,
                     // The next sweep accepts again.
-                    AcceptFailure::LocalResources => return context.machine_trouble("accept"),
+                    AcceptFailure::LocalResources => {
+                        return context.record_transient_failure("accept")
+                    }
                 },
             };
             let Some(head) = self.pool.take() else {
@@ -87,7 +90,7 @@
             };
             let slot = self.connections.insert(Connection {
                 socket,
-                stamp: context.stamp(),
+                stamp: context.next_generation(),
                 since: context.now,
                 stage: Stage::ReadingHead(head),
                 is_watched: false,
@@ -112,7 +115,7 @@
         };
         connection.is_watched = context.poller.register(&connection.socket, mark).is_ok();
         if !connection.is_watched {
-            context.machine_trouble("epoll_ctl");
+            context.record_transient_failure("epoll_ctl");
         }
     }
 
--- a/node/src/operators/counts.rs
+++ b/node/src/operators/counters.rs
@@ -17,13 +17,13 @@
     /// An attempt was written after the request's deadline.
     AttemptedLate,
     /// A retry was written after the window in which the host would drop a duplicate.
-    RepeatedLate,
+    RetriedLate,
     /// A request that is not idempotent was retried though it may have run.
     RanTwice,
     /// A request that is not idempotent was rejected though it may have run.
-    DismissedAfterRun,
+    RejectedAfterRun,
     /// An attempt was written to a draining host after its drain grace.
-    SentToLeavingHost,
+    SentToDrainingHost,
 }
 
 impl Violation {
@@ -32,10 +32,10 @@
         Violation::Unanswered,
         Violation::AnsweredLate,
         Violation::AttemptedLate,
-        Violation::RepeatedLate,
+        Violation::RetriedLate,
         Violation::RanTwice,
-        Violation::DismissedAfterRun,
-        Violation::SentToLeavingHost,
+        Violation::RejectedAfterRun,
+        Violation::SentToDrainingHost,
     ];
 
     /// The name in metrics and log lines.
@@ -44,17 +44,17 @@
             Violation::Unanswered => "unanswered",
             Violation::AnsweredLate => "answered_late",
             Violation::AttemptedLate => "attempted_late",
-            Violation::RepeatedLate => "repeated_late",
+            Violation::RetriedLate => "repeated_late",
             Violation::RanTwice => "ran_twice",
-            Violation::DismissedAfterRun => "dismissed_after_run",
-            Violation::SentToLeavingHost => "sent_to_leaving_host",
+            Violation::RejectedAfterRun => "dismissed_after_run",
+            Violation::SentToDrainingHost => "sent_to_leaving_host",
         }
     }
 }
 
 /// Why a client's connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Close {
+pub enum CloseReason {
     /// The client has its last line, and has ended or lingered long enough.
     Answered,
     /// The client ended it before its request, or while it waited.
@@ -68,23 +68,23 @@
     /// The client sent a line that is too long.
     Malformed,
     /// It had no request, and another connection needed its descriptor.
-    MadeRoom,
+    Evicted,
     /// It was handed over to another process.
-    PassedOn,
+    HandedOver,
 }
 
-impl Close {
+impl CloseReason {
     /// The name in metrics and log lines.
     pub fn name(self) -> &'static str {
         match self {
-            Close::Answered => "answered",
-            Close::ClientEnded => "client_ended",
-            Close::ClientBroke => "client_broke",
-            Close::HostBroke => "host_broke",
-            Close::HostStalled => "host_stalled",
-            Close::Malformed => "malformed",
-            Close::MadeRoom => "made_room",
-            Close::PassedOn => "passed_on",
+            CloseReason::Answered => "answered",
+            CloseReason::ClientEnded => "client_ended",
+            CloseReason::ClientBroke => "client_broke",
+            CloseReason::HostBroke => "host_broke",
+            CloseReason::HostStalled => "host_stalled",
+            CloseReason::Malformed => "malformed",
+            CloseReason::Evicted => "made_room",
+            CloseReason::HandedOver => "passed_on",
         }
     }
 
@@ -92,58 +92,61 @@
     pub fn resets(self) -> bool {
         matches!(
             self,
-            Close::ClientBroke | Close::HostBroke | Close::HostStalled | Close::Malformed
+            CloseReason::ClientBroke
+                | CloseReason::HostBroke
+                | CloseReason::HostStalled
+                | CloseReason::Malformed
         )
     }
 }
 
 /// A counter.
 #[derive(Clone, Copy, Debug)]
-pub enum Count {
+pub enum Counter {
     /// An attempt was not started.
-    NotBegun(Refusal),
+    NotStarted(Refusal),
     /// An attempt ended.
     AttemptEnded(AttemptOutcome),
     /// A client's connection was closed.
-    Closed(Close),
+    Closed(CloseReason),
     /// An invariant was violated.
     Violated(Violation),
     /// A system call failed as this machine was short of something, and is retried.
-    MachineTrouble(&'static str),
+    TransientFailure(&'static str),
 }
 
-impl Count {
+impl Counter {
     /// Its group and its name in that group.
     fn key(self) -> (&'static str, &'static str) {
         match self {
-            Count::NotBegun(reason) => ("attempts_not_begun", reason.name()),
-            Count::AttemptEnded(outcome) => ("attempts_ended", outcome.as_str()),
-            Count::Closed(close) => ("closed", close.name()),
-            Count::Violated(violation) => ("violations", violation.name()),
-            Count::MachineTrouble(call) => ("machine_trouble", call),
+            Counter::NotStarted(reason) => ("attempts_not_begun", reason.name()),
+            Counter::AttemptEnded(outcome) => ("attempts_ended", outcome.as_str()),
+            Counter::Closed(close) => ("closed", close.name()),
+            Counter::Violated(violation) => ("violations", violation.name()),
+            Counter::TransientFailure(call) => ("machine_trouble", call),
         }
     }
 }
 
 /// The values of all counters.
 #[derive(Clone, Debug)]
-pub struct Counts(BTreeMap<(&'static str, &'static str), u64>);
+pub struct Counters(BTreeMap<(&'static str, &'static str), u64>);
 
-impl Default for Counts {
+impl Default for Counters {
     /// Violations have their lines from the start, so that an alert on them need not wait for the first.
     fn default() -> Self {
-        Counts(
+        Counters(
             Violation::ALL
                 .into_iter()
-                .map(|v| (Count::Violated(v).key(), 0))
+                .map(|v| (Counter::Violated(v).key(), 0))
                 .collect(),
         )
     }
 }
 
-impl Counts {
+impl Counters {
     /// Adds one to a counter.
-    pub fn add(&mut self, count: Count) {
+    pub fn add(&mut self, count: Counter) {
         *self.0.entry(count.key()).or_default() += 1;
     }
 
@@ -158,9 +161,9 @@
 }
 
 #[cfg(test)]
-#[path = "counts_tests.rs"]
+#[path = "counters_tests.rs"]
 mod tests;
 
 #[cfg(test)]
-#[path = "counts_text_tests.rs"]
+#[path = "counters_text_tests.rs"]
 mod text_tests;
--- a/node/src/operators/counts_tests.rs
+++ b/node/src/operators/counters_tests.rs
@@ -4,14 +4,14 @@
 
 #[test]
 fn violations_have_lines_from_the_start_and_the_rest_once_counted() {
-    let mut counts = Counts::default();
+    let mut counts = Counters::default();
     assert_eq!(counts.text().lines().count(), Violation::ALL.len());
     assert!(counts.text().contains("app.violations.unanswered:0|c\n"));
     for _ in 0..2 {
-        counts.add(Count::Violated(Violation::Unanswered));
+        counts.add(Counter::Violated(Violation::Unanswered));
     }
-    counts.add(Count::AttemptEnded(AttemptOutcome::NeverSent));
-    counts.add(Count::NotBegun(Refusal::EndpointsStale));
+    counts.add(Counter::AttemptEnded(AttemptOutcome::NeverSent));
+    counts.add(Counter::NotStarted(Refusal::EndpointsStale));
     let text = counts.text();
     for line in [
         "app.violations.unanswered:2|c",
--- a/node/src/operators/counts_text_tests.rs
+++ b/node/src/operators/counters_text_tests.rs
@@ -64,25 +64,25 @@
         AttemptOutcome::HandedOver,
     ];
     let closes = [
-        Close::Answered,
-        Close::ClientEnded,
-        Close::ClientBroke,
-        Close::HostBroke,
-        Close::HostStalled,
-        Close::Malformed,
-        Close::MadeRoom,
-        Close::PassedOn,
+        CloseReason::Answered,
+        CloseReason::ClientEnded,
+        CloseReason::ClientBroke,
+        CloseReason::HostBroke,
+        CloseReason::HostStalled,
+        CloseReason::Malformed,
+        CloseReason::Evicted,
+        CloseReason::HandedOver,
     ];
-    let mut counts = Counts::default();
+    let mut counts = Counters::default();
     refusals
         .into_iter()
-        .for_each(|refusal| counts.add(Count::NotBegun(refusal)));
+        .for_each(|refusal| counts.add(Counter::NotStarted(refusal)));
     endings
         .into_iter()
-        .for_each(|ending| counts.add(Count::AttemptEnded(ending)));
+        .for_each(|ending| counts.add(Counter::AttemptEnded(ending)));
     closes
         .into_iter()
-        .for_each(|close| counts.add(Count::Closed(close)));
-    counts.add(Count::MachineTrouble("epoll_ctl"));
+        .for_each(|close| counts.add(Counter::Closed(close)));
+    counts.add(Counter::TransientFailure("epoll_ctl"));
     assert_eq!(counts.text().lines().collect::<Vec<_>>(), LINES);
 }
--- a/node/src/operators/tally.rs
+++ b/node/src/operators/metrics.rs
@@ -1,7 +1,7 @@
 //! The metrics: counts since the start and gauges of the moment, and their text for operators. A plain value without I/O. This
 //! module must never count what nobody saw happen on a socket, nor count a request twice or backwards.
 
-use crate::operators::counts::{Count, Counts};
+use crate::operators::counters::{Counter, Counters};
 use std::fmt::Write;
 
 /// The outcomes of the requests of one class.
@@ -16,7 +16,7 @@
 
 /// How a request ended its wait, by what the client heard.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Outcome {
+pub enum RequestOutcome {
     /// It was connected to a host.
     Served,
     /// It was rejected, and may be retried.
@@ -27,7 +27,7 @@
 
 /// What is so at this moment, beside what has been counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Now {
+pub struct Gauges {
     /// Requests that wait for their outcome.
     pub in_flight: usize,
     /// Hosts of the endpoint list.
@@ -38,14 +38,14 @@
 
 /// The metrics of a process.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub struct Metrics {
     /// In the order in which classes were first named; one that is configured no more keeps its line.
     classes: Vec<ClassOutcomes>,
     /// Attempts whose last byte was written to a host.
     attempts: u64,
     reloads_succeeded: u64,
     reloads_failed: u64,
-    counts: Counts,
+    counters: Counters,
 }
 
 /// A name as a part of a metric's name: what separates parts there, or would end the line, is an underscore.
@@ -56,9 +56,9 @@
         .collect()
 }
 
-impl Tally {
+impl Metrics {
     /// Has lines for each of these classes, even before a request of it has ended.
-    pub fn offers(&mut self, names: &[String]) {
+    pub fn add_classes(&mut self, names: &[String]) {
         for name in names.iter().map(|name| metric_name_part(name)) {
             if !self.classes.iter().any(|class| class.name == name) {
                 self.classes.push(ClassOutcomes {
@@ -70,30 +70,30 @@
     }
 
     /// Counts the outcome of a request.
-    pub fn came_to(&mut self, class: &str, outcome: Outcome) {
+    pub fn record_outcome(&mut self, class: &str, outcome: RequestOutcome) {
         let name = metric_name_part(class);
         let Some(outcomes) = self.classes.iter_mut().find(|class| class.name == name) else {
             return;
         };
         match outcome {
-            Outcome::Served => outcomes.served += 1,
-            Outcome::Refused => outcomes.rejected += 1,
-            Outcome::Failed => outcomes.failed += 1,
+            RequestOutcome::Served => outcomes.served += 1,
+            RequestOutcome::Refused => outcomes.rejected += 1,
+            RequestOutcome::Failed => outcomes.failed += 1,
         }
     }
 
     /// Adds one to a counter.
-    pub fn add(&mut self, count: Count) {
-        self.counts.add(count);
+    pub fn add(&mut self, count: Counter) {
+        self.counters.add(count);
     }
 
     /// Counts an attempt whose last byte was written.
-    pub fn attempted(&mut self) {
+    pub fn record_attempt(&mut self) {
         self.attempts += 1;
     }
 
     /// Counts a reload of the configuration.
-    pub fn reread(&mut self, succeeded: bool) {
+    pub fn record_reload(&mut self, succeeded: bool) {
         if succeeded {
             self.reloads_succeeded += 1;
         } else {
@@ -102,7 +102,7 @@
     }
 
     /// All metrics, a line each.
-    pub fn text(&self, now: &Now) -> String {
+    pub fn text(&self, now: &Gauges) -> String {
         let mut text = String::new();
         let mut line =
             |name: &str, value: u64, kind: &str| _ = writeln!(text, "app.{name}:{value}|{kind}");
@@ -118,10 +118,10 @@
         line("hosts_excluded", now.hosts_excluded as u64, "g");
         line("reloads_ok", self.reloads_succeeded, "c");
         line("reloads_failed", self.reloads_failed, "c");
-        text + &self.counts.text()
+        text + &self.counters.text()
     }
 }
 
 #[cfg(test)]
-#[path = "tally_tests.rs"]
+#[path = "metrics_tests.rs"]
 mod tests;
--- a/node/src/operators/mod.rs
+++ b/node/src/operators/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod api;
 pub mod config_files;
-pub mod counts;
+pub mod counters;
+pub mod metrics;
 pub mod node_config;
 pub mod operator_config;
-pub mod tally;
--- a/node/src/operators/operator_config/control_plane.rs
+++ b/node/src/operators/operator_config/control_plane.rs
@@ -3,7 +3,7 @@
 use super::error::{OperatorConfigError, Problem};
 use super::sections::{ForwardSection, PlanSection, PlannerSection};
 use super::source::{ListSource, Span};
-use super::{Forwards, Plans};
+use super::{ForwarderOptions, PlannerOptions};
 use reedferry::{Nanos, MILLI, SECOND};
 use reedferry_control_plane::PlannerAddress;
 use std::collections::HashSet;
@@ -45,7 +45,7 @@
     span: &Span,
     section: &ForwardSection,
     drain_grace: Nanos,
-) -> Result<Forwards, OperatorConfigError> {
+) -> Result<ForwarderOptions, OperatorConfigError> {
     // A lease as long as the drain grace or longer would let new work reach a draining host.
     let max_lease = drain_grace.saturating_sub(MILLI).min(MAX_LEASE);
     let default_lease = drain_grace
@@ -61,21 +61,21 @@
         MIN_LEASE..=max_lease,
     )?;
     let min_decision_timeout = lease + lease / 4;
-    Ok(Forwards {
+    Ok(ForwarderOptions {
         lease,
-        decide_within: source.duration(
+        decision_timeout: source.duration(
             "decide_within",
             section.decision_timeout.as_ref(),
             min_decision_timeout + lease / 4,
             min_decision_timeout..=30 * SECOND,
         )?,
-        settle: source.duration(
+        failback_delay: source.duration(
             "settle",
             section.failback_delay.as_ref(),
             2 * SECOND,
             0..=600 * SECOND,
         )?,
-        most_asked: source.count(
+        max_awaiting_decision: source.count(
             "most_asked",
             section.max_awaiting_decision.as_ref(),
             1024,
@@ -89,7 +89,7 @@
     source: &ListSource,
     section: &PlanSection,
     planners: &[PlannerAddress],
-) -> Result<Plans, OperatorConfigError> {
+) -> Result<PlannerOptions, OperatorConfigError> {
     let name = section.name.get_ref();
     let Some(index) = planners.iter().position(|planner| planner.name == *name) else {
         return Err(source.error(&section.name.span(), Problem::UnknownPlanner(name.clone())));
@@ -98,23 +98,23 @@
         Some(listen) => source.address("listen", listen)?,
         None => planners[index].address,
     };
-    Ok(Plans {
+    Ok(PlannerOptions {
         name: name.clone(),
-        place: index as u32,
+        planner_index: index as u32,
         listen,
-        silent: source.duration(
+        silence_timeout: source.duration(
             "silent",
             section.silence_timeout.as_ref(),
             SECOND,
             100 * MILLI..=60 * SECOND,
         )?,
-        settle: source.duration(
+        settle_time: source.duration(
             "settle",
             section.settle_time.as_ref(),
             50 * MILLI,
             0..=5 * SECOND,
         )?,
-        most_held: source.count(
+        max_requests_per_forwarder: source.count(
             "most_held",
             section.max_requests_per_forwarder.as_ref(),
             1 << 16,
--- a/node/src/operators/operator_config/keys_tests.rs
+++ b/node/src/operators/operator_config/keys_tests.rs
@@ -36,14 +36,14 @@
 fn a_forwarders_keys_are_read() {
     let text = "[forward]\nlease = \"200ms\"\ndecide_within = \"300ms\"\nmost_asked = 7\nsettle = \"3s\"\n";
     let file = read(false, &format!("{text}{PLANNERS}")).unwrap();
-    let wanted = Forwards {
+    let wanted = ForwarderOptions {
         lease: ms(200),
-        decide_within: ms(300),
-        most_asked: 7,
-        settle: ms(3000),
+        decision_timeout: ms(300),
+        max_awaiting_decision: 7,
+        failback_delay: ms(3000),
     };
     assert_eq!(
-        (file.role.word(), &file.role),
+        (file.role.command(), &file.role),
         ("forward", &Role::Forward(wanted))
     );
     let named: Vec<_> = file
@@ -58,16 +58,16 @@
 fn a_planners_keys_are_read() {
     let text = "[plan]\nname = \"p1\"\nlisten = \"127.0.0.1:7009\"\nsilent = \"2s\"\nsettle = \"60ms\"\nmost_held = 9\n";
     let file = read(false, &format!("{text}{PLANNERS}")).unwrap();
-    let wanted = Plans {
+    let wanted = PlannerOptions {
         name: "p1".into(),
-        place: 1,
+        planner_index: 1,
         listen: "127.0.0.1:7009".parse().unwrap(),
-        silent: ms(2000),
-        settle: ms(60),
-        most_held: 9,
+        silence_timeout: ms(2000),
+        settle_time: ms(60),
+        max_requests_per_forwarder: 9,
     };
     assert_eq!(
-        (file.role.word(), &file.role),
+        (file.role.command(), &file.role),
         ("plan", &Role::Plan(wanted))
     );
 }
@@ -76,7 +76,7 @@
 fn a_nodes_keys_are_read() {
     let text = "[node]\nmessages = \"127.0.0.1:7100\"\n[[peer]]\naddress = \"127.0.0.1:7101\"\n";
     let file = read(true, text).unwrap();
-    assert_eq!(file.role.word(), "node");
+    assert_eq!(file.role.command(), "node");
     let Role::Node(Some(gossip_config)) = file.role else {
         panic!("no messages")
     };
--- a/node/src/operators/operator_config/mod.rs
+++ b/node/src/operators/operator_config/mod.rs
@@ -26,32 +26,32 @@
 
 /// The options of a forwarder.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Forwards {
+pub struct ForwarderOptions {
     /// How long a planner's decisions hold. Shorter than the drain grace.
     pub lease: Nanos,
     /// How long a planner may take to decide.
-    pub decide_within: Nanos,
+    pub decision_timeout: Nanos,
     /// The most requests that await a planner's decision.
-    pub most_asked: usize,
+    pub max_awaiting_decision: usize,
     /// How long a preferred planner must have been healthy before it is followed again.
-    pub settle: Nanos,
+    pub failback_delay: Nanos,
 }
 
 /// The options of a planner.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plans {
+pub struct PlannerOptions {
     /// Its name among the planners.
     pub name: String,
     /// Its index among the planners.
-    pub place: u32,
+    pub planner_index: u32,
     /// Where forwarders connect.
     pub listen: SocketAddr,
     /// How long a forwarder may be silent.
-    pub silent: Nanos,
+    pub silence_timeout: Nanos,
     /// How long a zone without followers waits for others to report their connections.
-    pub settle: Nanos,
+    pub settle_time: Nanos,
     /// The most requests of one forwarder.
-    pub most_held: usize,
+    pub max_requests_per_forwarder: usize,
 }
 
 /// The role that the program runs in.
@@ -60,14 +60,14 @@
     /// A standalone node, with the peers that it exchanges messages with.
     Node(Option<GossipConfig>),
     /// A forwarder.
-    Forward(Forwards),
+    Forward(ForwarderOptions),
     /// A planner.
-    Plan(Plans),
+    Plan(PlannerOptions),
 }
 
 impl Role {
     /// The command that starts it.
-    pub fn word(&self) -> &'static str {
+    pub fn command(&self) -> &'static str {
         match self {
             Role::Node(_) => "node",
             Role::Forward(_) => "forward",
--- a/node/src/operators/operator_config/tests.rs
+++ b/node/src/operators/operator_config/tests.rs
@@ -26,7 +26,7 @@
     for word in ["node", "forward", "plan"] {
         let operator_config =
             OperatorConfig::read(&folder.join(format!("{word}.example.toml"))).unwrap();
-        assert_eq!(operator_config.role.word(), word);
+        assert_eq!(operator_config.role.command(), word);
     }
 }
 
@@ -34,11 +34,11 @@
 fn times_have_units_and_a_lease_is_under_the_grace() {
     let head = "papers = \"papers.example.json\"\n[forward]\n";
     let role = |text: &str| read(&format!("{head}{text}{PLANNERS}")).map(|config| config.role);
-    let usual = Forwards {
+    let usual = ForwarderOptions {
         lease: 250 * MILLI,
-        decide_within: 375 * MILLI,
-        most_asked: 1024,
-        settle: 2 * SECOND,
+        decision_timeout: 375 * MILLI,
+        max_awaiting_decision: 1024,
+        failback_delay: 2 * SECOND,
     };
     assert_eq!(role(""), Ok(Role::Forward(usual)));
     for (text, why) in [
--- a/node/src/peers/membership.rs
+++ b/node/src/peers/membership.rs
@@ -2,7 +2,7 @@
 //! loads and messages about replicated records. It owns that socket and the log lines on members, bounded when hundreds
 //! change at once. It must never decide who is alive, nor take in more of a flood than a turn's worth.
 
-use crate::context::{mark, Context, FLEET, PEERS, START_WITHIN};
+use crate::context::{mark, Context, FLEET_TIMER, PEERS, START_TIMEOUT};
 use crate::operators::node_config::NodeConfig;
 use crate::peers::assignments::Assignments;
 use crate::peers::{FleetConfig, PeersError};
@@ -119,7 +119,7 @@
             assignments: Assignments::default(),
             replication_inbox: Vec::new(),
         };
-        match fleet.bind(context, START_WITHIN) {
+        match fleet.bind(context, START_TIMEOUT) {
             Ok(()) | Err(Errno::ADDRINUSE) => Ok(fleet),
             Err(e) => Err(PeersError::Membership(config.listen, e)),
         }
@@ -146,7 +146,7 @@
         let due = self.membership.next_wakeup();
         if due != Nanos::MAX && self.timer_at.is_none_or(|at| due < at) {
             self.timer_at = Some(due);
-            context.poller.set_timer(due, mark(FLEET), 0);
+            context.poller.set_timer(due, mark(FLEET_TIMER), 0);
         }
     }
 
--- a/node/src/peers/static_peers.rs
+++ b/node/src/peers/static_peers.rs
@@ -2,7 +2,7 @@
 //! known by their addresses. It owns that socket. It must never take in what a stranger sends or what is longer than a
 //! message, hold a turn up over a flood, nor care whether a message arrives.
 
-use crate::context::{mark, Context, PEERS, START_WITHIN};
+use crate::context::{mark, Context, PEERS, START_TIMEOUT};
 use crate::peers::{GossipConfig, PeersError};
 use reedferry::gossip::MAX_MESSAGE_BYTES;
 use reedferry::Event;
@@ -29,11 +29,11 @@
     /// The address cannot be listened on.
     pub fn open(context: &mut Context, config: &GossipConfig) -> Result<StaticPeers, PeersError> {
         let failed = |e: Errno| PeersError::Gossip(config.listen, e);
-        let socket = retry_for(START_WITHIN, || {
+        let socket = retry_for(START_TIMEOUT, || {
             context.budget.bind_datagram(&config.listen)
         })
         .map_err(failed)?;
-        retry_for(START_WITHIN, || {
+        retry_for(START_TIMEOUT, || {
             context.poller.register(&socket, mark(PEERS))
         })
         .map_err(failed)?;
--- a/node/src/roles/forward.rs
+++ b/node/src/roles/forward.rs
@@ -5,10 +5,10 @@
 
 use crate::connections::link::{ClosedConnections, LinkConnection, LinkConnections};
 use crate::connections::Connections;
-use crate::context::{self, mark, Context, LINK, STOP, TICK};
-use crate::operators::operator_config::{Forwards, OperatorConfig, Role};
+use crate::context::{self, mark, Context, CORE_TIMER, LINK, STOP};
+use crate::operators::operator_config::{ForwarderOptions, OperatorConfig, Role};
 use crate::ready::Ready;
-use crate::{AtStart, BEYOND_EXPIRY, SWEEP};
+use crate::{Signals, SHUTDOWN_MARGIN, SWEEP};
 use reedferry::Nanos;
 use reedferry_control_plane::{Forwarder, ForwarderAction, ForwarderConfig, PlannerAddress};
 use reedferry_runtime::log::LogBacklog;
@@ -28,7 +28,7 @@
     stop_signal: Signal,
     reload_signal: Signal,
     config_path: PathBuf,
-    role_config: Forwards,
+    role_config: ForwarderOptions,
     planners: Vec<PlannerAddress>,
     /// The deadline of the forwarder that the poller last was given.
     armed_deadline: Nanos,
@@ -37,7 +37,7 @@
 }
 
 /// Runs a forwarder until it has shut down.
-pub fn run(config_path: &Path, start: AtStart) -> Result<(), String> {
+pub fn run(config_path: &Path, start: Signals) -> Result<(), String> {
     let clock = Clock::start();
     let (mut process, backlog) = ForwarderProcess::start(config_path, start, &clock)?;
     loop {
@@ -57,7 +57,7 @@
 impl ForwarderProcess {
     fn start(
         config_path: &Path,
-        start: AtStart,
+        start: Signals,
         clock: &Clock,
     ) -> Result<(Self, LogBacklog), String> {
         let OperatorConfig {
@@ -68,7 +68,7 @@
         } = OperatorConfig::read(config_path)?;
         let Role::Forward(role_config) = role else {
             let path = config_path.display();
-            return Err(format!("{path} is for `reedferry {}`", role.word()));
+            return Err(format!("{path} is for `reedferry {}`", role.command()));
         };
         let (mut context, backlog) = Context::open(&node_config, clock, &start)?;
         let listener = context.listen(&node_config.listen, context::LISTENER)?;
@@ -81,9 +81,9 @@
             epoch: context.start,
             balancer_settings: node_config.balancer_settings,
             lease: role_config.lease,
-            decision_timeout: role_config.decide_within,
-            max_awaiting_decision: role_config.most_asked,
-            failback_delay: role_config.settle,
+            decision_timeout: role_config.decision_timeout,
+            max_awaiting_decision: role_config.max_awaiting_decision,
+            failback_delay: role_config.failback_delay,
         };
         let forwarder = Forwarder::new(config, planners.clone(), node_config.seed, context.now);
         let next_sweep = context.now + SWEEP;
@@ -97,7 +97,7 @@
             planner_sockets: LinkConnections::default(),
             listener,
             stop_signal: start.stop,
-            reload_signal: start.reread,
+            reload_signal: start.reload,
             config_path: config_path.to_path_buf(),
             role_config,
             planners,
@@ -111,7 +111,9 @@
     /// Whether it was asked to stop and holds no connection any more that is worth waiting for.
     fn has_shut_down(&self) -> bool {
         let now = self.context.now;
-        self.context.leaving.is_some_and(|earliest| now >= earliest)
+        self.context
+            .may_end_at
+            .is_some_and(|earliest| now >= earliest)
             && self.connections.count() == 0
     }
 
@@ -129,7 +131,7 @@
             .poller
             .wait(wait_started, at_once, &mut ready)?;
         self.context
-            .look_round(wait_started, clock.read(), is_behind);
+            .begin_turn(wait_started, clock.read(), is_behind);
         self.ready.add(ready);
         while let Some(readiness) = self.ready.next(self.context.now, clock) {
             self.handle_readiness(readiness);
@@ -142,7 +144,7 @@
             match mark.component {
                 context::HOST => self.connections.on_timer(&mut self.context, mark, word),
                 context::SWEEP => self.sweep(),
-                context::RETRY => self.connections.retry(&mut self.context),
+                context::CONNECTION_RETRY => self.connections.retry(&mut self.context),
                 _ => {}
             }
         }
@@ -154,7 +156,7 @@
         let deadline = self.forwarder.next_deadline();
         if deadline < self.armed_deadline || self.armed_deadline <= self.context.now {
             self.armed_deadline = deadline;
-            self.context.poller.set_timer(deadline, mark(TICK), 0);
+            self.context.poller.set_timer(deadline, mark(CORE_TIMER), 0);
         }
     }
 
@@ -164,7 +166,7 @@
                 .connections
                 .accept(&mut self.context, Some(&self.listener)),
             STOP => self.shut_down_if_asked(),
-            context::REREAD => self.reload_config_if_asked(),
+            context::RELOAD => self.reload_config_if_asked(),
             LINK => self.handle_planner_readiness(readiness),
             _ => self.connections.on_ready(&mut self.context, readiness),
         }
@@ -177,7 +179,7 @@
         let context = &mut self.context;
         self.connections.accept(context, Some(&self.listener));
         self.connections.sweep(context);
-        context.spare();
+        context.note_spare_descriptors();
         context
             .hosts
             .report_latencies(context.now, &mut context.events);
@@ -275,7 +277,7 @@
             let mark = PollToken {
                 component: LINK,
                 slot: connection,
-                generation: context.stamp(),
+                generation: context.next_generation(),
             };
             context.poller.register(&socket, mark)?;
             Ok(LinkConnection::new(socket, mark.generation, false))
@@ -287,8 +289,10 @@
     }
 
     fn shut_down_if_asked(&mut self) {
-        if self.stop_signal.take() && self.context.leaving.is_none() {
-            let event = self.context.leave(BEYOND_EXPIRY, self.connections.count());
+        if self.stop_signal.take() && self.context.may_end_at.is_none() {
+            let event = self
+                .context
+                .begin_shutdown(SHUTDOWN_MARGIN, self.connections.count());
             self.context.events.push(event);
         }
     }
@@ -305,7 +309,7 @@
             Err(why) => return warn!(log, "configuration not reloaded"; "why" => why),
         };
         if config.role != Role::Forward(self.role_config.clone()) {
-            warn!(log, "kept until the next start"; "parts" => config.role.word());
+            warn!(log, "kept until the next start"; "parts" => config.role.command());
         }
         if config.planners.is_empty() {
             return warn!(log, "configuration not reloaded"; "why" => "no planner is named");
--- a/node/src/roles/hot_restart/mod.rs
+++ b/node/src/roles/hot_restart/mod.rs
@@ -136,7 +136,7 @@
         self.serve_channels(context, connections);
         if self.listener_is_shared
             && self.successor_listener.is_none()
-            && context.leaving.is_none()
+            && context.may_end_at.is_none()
             && context.now >= self.next_listen_attempt
         {
             self.listen_for_successor(context);
@@ -162,7 +162,7 @@
         if classify_io(error) != IoFailure::LocalResources {
             return;
         }
-        context.machine_trouble(system_call);
+        context.record_transient_failure(system_call);
         if !std::mem::replace(&mut self.retry_scheduled, true) {
             context.poller.set_timer(
                 context.now + RETRY_AFTER,
@@ -276,7 +276,7 @@
         successor.take_back(context, connections);
         context.events.push(Event::SuccessorChanged(false));
         // The one that is gone may have listened at the path already, where the next one would connect in vain.
-        if context.leaving.is_none() {
+        if context.may_end_at.is_none() {
             self.listen_for_successor(context);
         }
     }
--- a/node/src/roles/hot_restart/predecessor.rs
+++ b/node/src/roles/hot_restart/predecessor.rs
@@ -63,7 +63,7 @@
         };
         let predecessor = Predecessor {
             channel,
-            stamp: context.stamp(),
+            stamp: context.next_generation(),
             pending_reply: None,
         };
         let watched = context
@@ -71,7 +71,7 @@
             .register(&predecessor.channel, predecessor.mark());
         if watched.is_err() {
             // The sweep reads from it.
-            context.machine_trouble("epoll_ctl");
+            context.record_transient_failure("epoll_ctl");
         }
         info!(context.log, "predecessor connected"; "state" => state.is_some());
         Some((predecessor, state))
--- a/node/src/roles/hot_restart/successor.rs
+++ b/node/src/roles/hot_restart/successor.rs
@@ -47,11 +47,11 @@
         let mark = PollToken {
             component: SUCCESSOR,
             slot: 0,
-            generation: context.stamp(),
+            generation: context.next_generation(),
         };
         if context.poller.register(&channel, mark).is_err() {
             // The sweep reads from it.
-            context.machine_trouble("epoll_ctl");
+            context.record_transient_failure("epoll_ctl");
         }
         Successor {
             channel,
@@ -202,7 +202,7 @@
             .front()
             .is_some_and(|oldest| context.now >= oldest.sent_at + ACKNOWLEDGE_TIMEOUT);
         let must_migrate = context
-            .stopped_by
+            .shutdown_deadline
             .is_some_and(|deadline| context.now + MIGRATION_RESERVE >= deadline);
         unacknowledged || must_migrate
     }
--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -8,8 +8,8 @@
 use crate::context::{self, mark, Context, LINK, STOP};
 use crate::discovery::client::DiscoveryClient;
 use crate::operators::node_config::NodeConfig;
-use crate::operators::operator_config::{OperatorConfig, Plans, Role};
-use crate::{AtStart, SWEEP};
+use crate::operators::operator_config::{OperatorConfig, PlannerOptions, Role};
+use crate::{Signals, SWEEP};
 use reedferry::{Endpoint, Event, Nanos, MILLI};
 use reedferry_control_plane::{HostEntry, Planner, PlannerAction, PlannerConfig};
 use reedferry_runtime::log::LogBacklog;
@@ -35,14 +35,14 @@
     stop_signal: Signal,
     reload_signal: Signal,
     config_path: PathBuf,
-    role_config: Plans,
+    role_config: PlannerOptions,
     planner_count: usize,
     discovery_address: SocketAddr,
     actions: Vec<PlannerAction>,
 }
 
 /// Runs a planner until it has shut down.
-pub fn run(config_path: &Path, start: AtStart) -> Result<(), String> {
+pub fn run(config_path: &Path, start: Signals) -> Result<(), String> {
     let clock = Clock::start();
     let (mut process, backlog) = PlannerProcess::start(config_path, start, &clock)?;
     loop {
@@ -62,18 +62,18 @@
 /// The planner's own part of the configuration.
 fn planner_config(
     node_config: &NodeConfig,
-    role_config: &Plans,
+    role_config: &PlannerOptions,
     planner_count: usize,
 ) -> PlannerConfig {
     PlannerConfig {
         name: role_config.name.clone(),
         zone_count: node_config.node_settings.zones.len().max(1) as u16,
-        planner_index: role_config.place,
+        planner_index: role_config.planner_index,
         planner_count: planner_count as u32,
         fingerprint: node_config.fingerprint(),
-        silence_timeout: role_config.silent,
-        settle_time: role_config.settle,
-        max_requests_per_forwarder: role_config.most_held,
+        silence_timeout: role_config.silence_timeout,
+        settle_time: role_config.settle_time,
+        max_requests_per_forwarder: role_config.max_requests_per_forwarder,
         balancer_settings: node_config.balancer_settings.clone(),
     }
 }
@@ -81,7 +81,7 @@
 impl PlannerProcess {
     fn start(
         config_path: &Path,
-        start: AtStart,
+        start: Signals,
         clock: &Clock,
     ) -> Result<(Self, LogBacklog), String> {
         let OperatorConfig {
@@ -92,7 +92,7 @@
         } = OperatorConfig::read(config_path)?;
         let Role::Plan(role_config) = role else {
             let path = config_path.display();
-            return Err(format!("{path} is for `reedferry {}`", role.word()));
+            return Err(format!("{path} is for `reedferry {}`", role.command()));
         };
         let (mut context, backlog) = Context::open(&node_config, clock, &start)?;
         let listener = context.listen(&role_config.listen, context::LINK_LISTENER)?;
@@ -100,7 +100,7 @@
         let mut actions = Vec::new();
         let config = planner_config(&node_config, &role_config, planners.len());
         let planner = Planner::new(config, node_config.seed, context.now, &mut actions);
-        let revision = context.known(&node_config)?;
+        let revision = context.load_known_endpoints(&node_config)?;
         info!(context.log, "started"; "listen" => %listen, "role" => "plan", "name" => &role_config.name,
             "hosts" => context.hosts.count(), "revision" => revision);
         let next_sweep = context.now + SWEEP;
@@ -122,7 +122,7 @@
             forwarder_sockets: LinkConnections::default(),
             listener,
             stop_signal: start.stop,
-            reload_signal: start.reread,
+            reload_signal: start.reload,
             config_path: config_path.to_path_buf(),
             role_config,
             planner_count: planners.len(),
@@ -137,7 +137,7 @@
         let now = self.context.now;
         let is_alone = now >= self.context.start && self.planner.follower_count() == 0;
         self.context
-            .leaving
+            .may_end_at
             .is_some_and(|latest| now >= latest || is_alone)
     }
 
@@ -146,7 +146,7 @@
         let deadline = self.planner.next_deadline(self.context.now);
         self.context
             .poller
-            .set_timer(deadline, mark(context::TICK), 0);
+            .set_timer(deadline, mark(context::CORE_TIMER), 0);
         let mut ready = Vec::new();
         let at_once = !self.context.events.is_empty() || self.forwarder_sockets.more_to_read;
         self.context
@@ -157,7 +157,7 @@
             match readiness.token.component {
                 context::LINK_LISTENER => self.accept_forwarders(),
                 STOP => self.shut_down_if_asked(),
-                context::REREAD => self.reload_config_if_asked(),
+                context::RELOAD => self.reload_config_if_asked(),
                 context::DISCOVERY => self.discovery.on_ready(&mut self.context, readiness),
                 context::PROBE => self.probes.on_ready(&mut self.context, readiness),
                 _ => self.handle_forwarder_readiness(readiness),
@@ -175,7 +175,7 @@
             let Ok(socket) = context.budget.accept(&self.listener) else {
                 return;
             };
-            let stamp = context.stamp();
+            let stamp = context.next_generation();
             let mark = PollToken {
                 component: LINK,
                 slot: 0,
@@ -183,7 +183,7 @@
             };
             if context.poller.register(&socket, mark).is_err() {
                 // The forwarder connects again.
-                context.machine_trouble("epoll_ctl");
+                context.record_transient_failure("epoll_ctl");
                 continue;
             }
             let socket = LinkConnection::new(socket, stamp, true);
@@ -245,14 +245,14 @@
     fn handle_due_timers(&mut self, now: Nanos) {
         while let Some((due, word)) = self.context.poller.pop_expired(now) {
             match due.component {
-                context::MODULE => {
+                context::BALANCER_TIMER => {
                     let zone = due.slot as u16;
                     self.planner.timer_fired(now, zone, word, &mut self.actions);
                 }
                 context::PROBE => self.probes.on_timeout(&mut self.context, due),
                 context::SWEEP => {
                     self.discovery.sweep(&mut self.context);
-                    self.context.spare();
+                    self.context.note_spare_descriptors();
                     self.context
                         .poller
                         .set_timer(now + SWEEP, mark(context::SWEEP), 0);
@@ -296,7 +296,7 @@
         match action {
             PlannerAction::SetTimer { time, zone, timer } => {
                 let mark = PollToken {
-                    component: context::MODULE,
+                    component: context::BALANCER_TIMER,
                     slot: zone.into(),
                     generation: 0,
                 };
@@ -311,9 +311,9 @@
     }
 
     fn shut_down_if_asked(&mut self) {
-        if self.stop_signal.take() && self.context.leaving.is_none() {
+        if self.stop_signal.take() && self.context.may_end_at.is_none() {
             warn!(self.context.log, "asked to stop"; "forwarders" => self.planner.follower_count());
-            self.context.leaving = Some(self.context.now + SHUTDOWN_TIMEOUT);
+            self.context.may_end_at = Some(self.context.now + SHUTDOWN_TIMEOUT);
             self.planner.shut_down(&mut self.actions);
         }
     }
--- a/node/src/roles/standalone/config_source.rs
+++ b/node/src/roles/standalone/config_source.rs
@@ -74,7 +74,7 @@
                 }),
                 OperatorConfig { role, .. } => Err(LoadError::WrongRole {
                     path: path.to_path_buf(),
-                    role: role.word(),
+                    role: role.command(),
                 }),
             },
         }
--- a/node/src/roles/standalone/event_loop.rs
+++ b/node/src/roles/standalone/event_loop.rs
@@ -4,7 +4,7 @@
 use crate::context::{self, mark};
 use crate::operators::api::OperatorApi;
 use crate::roles::hot_restart::TransferredState;
-use crate::{BEYOND_EXPIRY, SWEEP};
+use crate::{SHUTDOWN_MARGIN, SWEEP};
 use reedferry::{Action, Event, Idempotency, Nanos};
 use reedferry_membership::MemberState;
 use reedferry_runtime::{Clock, Errno, PollToken, Readiness};
@@ -43,7 +43,7 @@
         let mut ready = Vec::new();
         let wait_began = clock.read();
         self.context.poller.wait(wait_began, at_once, &mut ready)?;
-        let previous_turn = self.context.look_round(wait_began, clock.read(), behind);
+        let previous_turn = self.context.begin_turn(wait_began, clock.read(), behind);
         self.ready.add(ready);
         if let Some(fleet) = &mut self.fleet {
             fleet.refresh_quota(&mut self.context);
@@ -68,7 +68,7 @@
                 .connections
                 .accept(context, self.hot_restart.listener()),
             context::STOP => self.stop_if_asked(),
-            context::REREAD => self.reload_if_asked(),
+            context::RELOAD => self.reload_if_asked(),
             context::DISCOVERY => self.discovery.on_ready(context, ready),
             context::PROBE => self.probes.on_ready(context, ready),
             context::OPS_LISTENER => {
@@ -113,17 +113,17 @@
     fn handle_timer(&mut self, mark: PollToken, timer: u64) {
         let context = &mut self.context;
         match mark.component {
-            context::MODULE => context.events.push(Event::TimerFired { timer }),
+            context::BALANCER_TIMER => context.events.push(Event::TimerFired { timer }),
             context::HOST => self.connections.on_timer(context, mark, timer),
             context::PROBE => self.probes.on_timeout(context, mark),
-            context::RETRY => self.connections.retry(context),
+            context::CONNECTION_RETRY => self.connections.retry(context),
             context::CHANNEL_RETRY => self.hot_restart.retry(context, &mut self.connections),
-            context::WARDS => {
+            context::REPLICATION_TIMER => {
                 if let Some(replication) = &mut self.replication {
                     replication.on_timer(context);
                 }
             }
-            context::FLEET => {
+            context::FLEET_TIMER => {
                 if let Some(fleet) = &mut self.fleet {
                     fleet.on_timer(context);
                 }
@@ -149,7 +149,7 @@
             self.hot_restart
                 .send_state(context, &mut self.connections, &state);
         }
-        if context.leaving.is_some() {
+        if context.may_end_at.is_some() {
             self.hot_restart.hand_over(context, &mut self.connections);
         }
         if !self.hot_restart.has_successor() {
@@ -208,7 +208,9 @@
         };
         match action {
             Action::SetTimer { time, timer } => {
-                context.poller.set_timer(time, mark(context::MODULE), timer);
+                context
+                    .poller
+                    .set_timer(time, mark(context::BALANCER_TIMER), timer);
             }
             Action::PollEndpoints => self.discovery.poll(context),
             Action::WatchEndpoints => self.discovery.watch(context),
@@ -249,7 +251,7 @@
         self.connections
             .accept(context, self.hot_restart.listener());
         self.connections.sweep(context);
-        context.spare();
+        context.note_spare_descriptors();
         self.hot_restart.sweep(context, &mut self.connections);
         self.discovery.sweep(context);
         let uses_slow_start_slots = self.balancer.uses_slow_start_slots(context.now);
@@ -267,11 +269,13 @@
     }
 
     fn stop_if_asked(&mut self) {
-        if !self.stop_signal.take() || self.context.leaving.is_some() {
+        if !self.stop_signal.take() || self.context.may_end_at.is_some() {
             return;
         }
         self.hot_restart.stop_accepting(&self.context);
-        let shutdown = self.context.leave(BEYOND_EXPIRY, self.connections.count());
+        let shutdown = self
+            .context
+            .begin_shutdown(SHUTDOWN_MARGIN, self.connections.count());
         self.pending_shutdown = Some(shutdown);
         self.announce(MemberState::Leaving);
     }
@@ -279,7 +283,7 @@
     /// Whether this node was asked to stop and serves nobody any more.
     pub(super) fn has_stopped(&self) -> bool {
         let may_end = |from: Nanos| self.context.now >= from || self.hot_restart.is_over();
-        self.context.leaving.is_some_and(may_end) && self.connections.count() == 0
+        self.context.may_end_at.is_some_and(may_end) && self.connections.count() == 0
     }
 
     /// Tells the fleet the state of this node.
--- a/node/src/roles/standalone/mod.rs
+++ b/node/src/roles/standalone/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::connections::probe::Probes;
 use crate::connections::Connections;
-use crate::context::{Context, START_WITHIN};
+use crate::context::{Context, START_TIMEOUT};
 use crate::discovery::client::DiscoveryClient;
 use crate::error::FatalError;
 use crate::operators::api::OperatorApi;
@@ -23,7 +23,7 @@
 use crate::peers::{GossipConfig, StaticPeers};
 use crate::ready::Ready;
 use crate::roles::hot_restart::HotRestart;
-use crate::AtStart;
+use crate::Signals;
 use reedferry::{Action, Balancer, Event};
 use reedferry_runtime::{Clock, Signal};
 use slog::info;
@@ -60,8 +60,8 @@
 ///
 /// # Errors
 /// Why it could not start, or not go on.
-pub fn run(config_source: ConfigSource, signals: AtStart) -> Result<(), FatalError> {
-    let config = config_files::retry_at_start(START_WITHIN, || config_source.load())?;
+pub fn run(config_source: ConfigSource, signals: Signals) -> Result<(), FatalError> {
+    let config = config_files::retry_at_start(START_TIMEOUT, || config_source.load())?;
     let clock = Clock::start();
     let (mut node, backlog) = Node::start(config_source, config, signals, &clock)?;
     loop {
--- a/node/src/roles/standalone/operator_calls.rs
+++ b/node/src/roles/standalone/operator_calls.rs
@@ -2,14 +2,14 @@
 
 use super::Node;
 use crate::operators::api::{ApiRequest, ApiResponse};
-use crate::operators::tally::Now;
+use crate::operators::metrics::Gauges;
 use crate::peers::RequestReplication;
 use reedferry_membership::MemberState;
 
 impl Node<'_> {
     /// Does what operators ask for, and returns the response.
     pub(super) fn answer(&mut self, request: ApiRequest) -> ApiResponse {
-        let is_stopping = self.context.leaving.is_some();
+        let is_stopping = self.context.may_end_at.is_some();
         match request {
             ApiRequest::Metrics => ApiResponse::new(200, self.metrics_text()),
             ApiRequest::Fleet => match &self.fleet {
@@ -35,7 +35,7 @@
 
     fn metrics_text(&self) -> String {
         let counts = self.balancer.host_counts(self.context.now);
-        self.context.tally.text(&Now {
+        self.context.metrics.text(&Gauges {
             in_flight: self.connections.in_flight(),
             hosts_known: counts.listed,
             hosts_excluded: counts.avoided,
@@ -45,9 +45,9 @@
     /// Whether this node takes new clients.
     fn status(&self) -> ApiResponse {
         let hosts_known = self.balancer.host_counts(self.context.now).listed;
-        if self.context.leaving.is_some() {
+        if self.context.may_end_at.is_some() {
             ApiResponse::new(503, "stopping\n")
-        } else if self.context.standby.is_some() {
+        } else if self.context.standby_deadline.is_some() {
             ApiResponse::new(503, "standby\n")
         } else if hosts_known == 0 {
             ApiResponse::new(503, "no hosts known\n")
@@ -57,19 +57,19 @@
     }
 
     fn enter_standby(&mut self) {
-        if self.context.standby.is_some() {
+        if self.context.standby_deadline.is_some() {
             return;
         }
-        let event = self.context.stand_by(self.connections.count());
+        let event = self.context.enter_standby(self.connections.count());
         self.context.events.push(event);
         self.announce(MemberState::Standby);
     }
 
     fn leave_standby(&mut self) {
-        if self.context.standby.is_none() {
+        if self.context.standby_deadline.is_none() {
             return;
         }
-        let event = self.context.back_to_work();
+        let event = self.context.leave_standby();
         self.context.events.push(event);
         self.announce(MemberState::Active);
     }
--- a/node/src/roles/standalone/reload.rs
+++ b/node/src/roles/standalone/reload.rs
@@ -38,7 +38,7 @@
             self.node_config.check_complete(&loaded.node_config)?;
             Ok(loaded)
         });
-        self.context.tally.reread(checked.is_ok());
+        self.context.metrics.record_reload(checked.is_ok());
         match checked {
             Ok(loaded) => self.apply(loaded),
             Err(error) => {
@@ -48,7 +48,7 @@
     }
 
     fn postpone_reload(&mut self, error: &LoadError) {
-        self.context.machine_trouble("open");
+        self.context.record_transient_failure("open");
         if self.context.request_lines.allow(self.context.now) {
             warn!(self.context.log, "configuration reload is retried soon"; "why" => %error);
         }
@@ -121,7 +121,7 @@
         let context = &mut self.context;
         context.node_settings = node_settings.clone();
         context.classes = balancer_settings.classes.clone();
-        context.tally.offers(&node_settings.classes);
+        context.metrics.add_classes(&node_settings.classes);
         context.hosts.update_settings(
             node_settings.zones.clone(),
             balancer_settings.shortest_message_latency_objective(),
--- a/node/src/roles/standalone/startup.rs
+++ b/node/src/roles/standalone/startup.rs
@@ -16,7 +16,7 @@
 use crate::peers::{GossipConfig, StaticPeers};
 use crate::ready::Ready;
 use crate::roles::hot_restart::{HotRestart, TransferredState};
-use crate::{AtStart, SWEEP};
+use crate::{Signals, SWEEP};
 use reedferry::{Balancer, BalancerSettings, Event};
 use reedferry_runtime::log::LogBacklog;
 use reedferry_runtime::{Clock, Socket};
@@ -35,7 +35,7 @@
     pub(super) fn start(
         config_source: ConfigSource<'a>,
         config: LoadedConfig,
-        signals: AtStart,
+        signals: Signals,
         clock: &Clock,
     ) -> Result<(Self, LogBacklog), FatalError> {
         let LoadedConfig {
@@ -59,7 +59,7 @@
             context.now,
             &mut actions,
         );
-        let mut revision = context.known(&node_config)?;
+        let mut revision = context.load_known_endpoints(&node_config)?;
         if let Some(state) = inherited {
             revision = inherit(&mut context, &node_config, state);
         }
@@ -89,7 +89,7 @@
             pending_shutdown: None,
             operator_api,
             stop_signal: signals.stop,
-            reload_signal: signals.reread,
+            reload_signal: signals.reload,
             reload_pending: false,
             ready: Ready::default(),
         };
--- a/node/src/stalls.rs
+++ b/node/src/stalls.rs
@@ -29,7 +29,7 @@
 impl Stalls {
     /// A turn begins at `now`. The process had served all that was ready up to `caught_up`, worked until `waited`, and has waited
     /// since.
-    pub fn looked(&mut self, caught_up: Nanos, waited: Nanos, now: Nanos) {
+    pub fn record_turn(&mut self, caught_up: Nanos, waited: Nanos, now: Nanos) {
         let is_old = |stall: &Stall| stall.to.saturating_add(RETENTION) < now;
         while self.0.front().is_some_and(is_old) {
             self.0.pop_front();
@@ -66,7 +66,7 @@
     }
 
     /// When a span up to `to` has to begin to be as long as what this process could see of the span from `from`.
-    pub fn moved_on(&self, from: Nanos, to: Nanos) -> Nanos {
+    pub fn adjusted_start(&self, from: Nanos, to: Nanos) -> Nanos {
         from.saturating_add(self.within(from, to)).min(to)
     }
 }
--- a/node/src/stalls_tests.rs
+++ b/node/src/stalls_tests.rs
@@ -5,11 +5,11 @@
 #[test]
 fn what_overlaps_a_stall_is_left_out_and_the_rest_is_not() {
     let mut stalls = Stalls::default();
-    stalls.looked(0, MIN_STALLED_TURN, MIN_STALLED_TURN + MIN_STALLED_WAIT);
+    stalls.record_turn(0, MIN_STALLED_TURN, MIN_STALLED_TURN + MIN_STALLED_WAIT);
     assert_eq!(stalls.within(0, SECOND), 0, "as it should");
     // A long turn, and a long wait.
-    stalls.looked(SECOND, 2 * SECOND, 2 * SECOND);
-    stalls.looked(3 * SECOND, 3 * SECOND, 5 * SECOND);
+    stalls.record_turn(SECOND, 2 * SECOND, 2 * SECOND);
+    stalls.record_turn(3 * SECOND, 3 * SECOND, 5 * SECOND);
     let (turn, wait) = (SECOND, 2 * SECOND - MAX_POLL_WAIT);
     assert_eq!(stalls.within(0, 10 * SECOND), turn + wait);
     assert_eq!(
@@ -17,11 +17,11 @@
         SECOND / 2 + SECOND - MAX_POLL_WAIT
     );
     assert_eq!(stalls.within(2 * SECOND, 3 * SECOND), 0);
-    assert_eq!(stalls.moved_on(0, 10 * SECOND), turn + wait);
-    assert_eq!(stalls.moved_on(4 * SECOND, 4 * SECOND), 4 * SECOND);
+    assert_eq!(stalls.adjusted_start(0, 10 * SECOND), turn + wait);
+    assert_eq!(stalls.adjusted_start(4 * SECOND, 4 * SECOND), 4 * SECOND);
     // One turn after the other leaves something that was ready from the first on.
-    stalls.looked(6 * SECOND, 7 * SECOND, 7 * SECOND);
-    stalls.looked(6 * SECOND, 8 * SECOND, 8 * SECOND);
+    stalls.record_turn(6 * SECOND, 7 * SECOND, 7 * SECOND);
+    stalls.record_turn(6 * SECOND, 8 * SECOND, 8 * SECOND);
     assert_eq!(stalls.within(0, 10 * SECOND), turn + wait + 2 * SECOND);
 }
 
@@ -31,10 +31,10 @@
     let mut stalls = Stalls::default();
     for turn in 0..2 * MAX_STALLS as u64 {
         let (from, to) = (turn * SECOND / 16, (turn + 1) * SECOND / 16);
-        stalls.looked(from, to, to);
+        stalls.record_turn(from, to, to);
     }
     assert!(stalls.0.len() <= MAX_STALLS);
     let last = 1000 * SECOND;
-    stalls.looked(last, last + SECOND, last + SECOND);
+    stalls.record_turn(last, last + SECOND, last + SECOND);
     assert_eq!(stalls.0.len(), 1);
 }
--- a/node/tests/clocks.rs
+++ b/node/tests/clocks.rs
@@ -9,14 +9,14 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-const COLD: f64 = 3.0;
-const FROM: f64 = 0.2;
-const HELD: usize = 40;
+const WARM_UP_SECONDS: f64 = 3.0;
+const INITIAL_SHARE: f64 = 0.2;
+const OPEN_CONNECTIONS: usize = 40;
 const RATE: f64 = 100.0;
 /// The time in milliseconds within which messages are wanted: longer than any here takes.
 const LENIENT_MESSAGE_TIME: f64 = 5000.0;
 /// How far the wall clock of the node and of the host's machine are off, in seconds.
-const OFF: [(i64, i64); 6] = [
+const CLOCK_OFFSETS: [(i64, i64); 6] = [
     (0, 0),
     (3600, 0),
     (0, -3600),
@@ -25,21 +25,21 @@
     (0, -20),
 ];
 /// So many of these are played at once: each is hundreds of threads and a traced process.
-const AT_ONCE: usize = 2;
+const CONCURRENT_TRIALS: usize = 2;
 
 fn node_config(service: &Discovery, members: Value) -> Value {
     let mut node_config = node_config_of(members, service.address);
     let settings = &mut node_config["settings"];
     settings["offerings"][0]["name"] = json!("free");
-    settings["contract"]["cold"] = json!(1000.0 * COLD);
-    settings["contract"]["cold_from"] = json!(FROM);
+    settings["contract"]["cold"] = json!(1000.0 * WARM_UP_SECONDS);
+    settings["contract"]["cold_from"] = json!(INITIAL_SHARE);
     // What a host is given is to go by its age alone here, not by how late its threads run.
     settings["extra"]["message_aim"] = json!([LENIENT_MESSAGE_TIME]);
     node_config
 }
 
 /// The wall clock of a machine that is off by so many seconds, in milliseconds.
-fn wall(off: i64) -> i64 {
+fn wall_clock_ms(off: i64) -> i64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap()
@@ -50,8 +50,8 @@
 /// Prevents that a host which has just started is taken for a warm one, and overloaded, or a warm one for one in its slow start for
 /// an hour, as its machine's wall clock or the node's was stepped since the other read it.
 #[test]
-fn a_host_that_starts_is_cold_for_its_warm_up_whatever_the_wall_clocks_say() {
-    for some in OFF.chunks(AT_ONCE) {
+fn a_host_that_starts_has_its_slow_start_whatever_the_wall_clocks_say() {
+    for some in CLOCK_OFFSETS.chunks(CONCURRENT_TRIALS) {
         thread::scope(|scope| {
             for (node_off, host_off) in some {
                 scope.spawn(move || warms_up(*node_off, *host_off));
@@ -80,16 +80,16 @@
         Duration::from_secs(60),
     );
     eventually("they do not stand", || {
-        hosts.standing().iter().sum::<u32>() as usize >= HELD * 9 / 10
+        hosts.standing().iter().sum::<u32>() as usize >= OPEN_CONNECTIONS * 9 / 10
     });
     let mut new = hosts.member(2, "active");
-    new["up_since_ms"] = json!(wall(host_off));
+    new["up_since_ms"] = json!(wall_clock_ms(host_off));
     let start = Instant::now();
     service.change(new);
     let mut clients = Clients::new(vec![node.address], &referee, 2);
     clients.load(
         RATE,
-        Duration::from_secs_f64(COLD + 2.0),
+        Duration::from_secs_f64(WARM_UP_SECONDS + 2.0),
         &[0],
         Duration::from_millis(100),
     );
@@ -101,16 +101,16 @@
     for (n, first) in times
         .iter()
         .enumerate()
-        .filter(|(_, first)| **first < COLD - 1.0)
+        .filter(|(_, first)| **first < WARM_UP_SECONDS - 1.0)
     {
         let came = times[n..]
             .iter()
             .take_while(|at| **at < first + 1.0)
             .count() as f64;
-        let warmth = FROM + (1.0 - FROM) * (first + 1.0) / COLD;
+        let warmth = INITIAL_SHARE + (1.0 - INITIAL_SHARE) * (first + 1.0) / WARM_UP_SECONDS;
         // What stands at warm hosts is taken for a quarter of what one bears.
-        let bears = 4.0 * (HELD as f64 + RATE * 0.1) / 2.0;
-        let budget = 3.0 * warmth * bears / COLD;
+        let bears = 4.0 * (OPEN_CONNECTIONS as f64 + RATE * 0.1) / 2.0;
+        let budget = 3.0 * warmth * bears / WARM_UP_SECONDS;
         let chance = if budget < 30.0 {
             3.0 * budget.sqrt() + 3.0
         } else {
@@ -122,10 +122,14 @@
             "{node_off}, {host_off}: {came} of {budget:.1} in a second from {first:.2} s on"
         );
     }
-    let warmed = times.iter().filter(|at| **at > COLD + 1.0).count();
+    let warmed = times
+        .iter()
+        .filter(|at| **at > WARM_UP_SECONDS + 1.0)
+        .count();
     let log = node.logged();
     let log = &log[log.len().saturating_sub(12)..];
-    let last_second = |one: &&acting::Reached| one.at > start + Duration::from_secs_f64(COLD + 1.0);
+    let last_second =
+        |one: &&acting::Reached| one.at > start + Duration::from_secs_f64(WARM_UP_SECONDS + 1.0);
     let anywhere = referee.reached().iter().filter(last_second).count();
     assert!(
         warmed as f64 > RATE / 6.0,
@@ -143,7 +147,7 @@
     clippy::too_many_lines,
     reason = "one story, of which each step needs the one before"
 )]
-fn the_next_process_goes_on_with_real_spans_of_time_though_the_wall_clock_was_stepped() {
+fn a_successor_goes_on_with_real_spans_of_time_though_the_wall_clock_was_stepped() {
     for off in [-3600, 3600, -5, 5] {
         let (hosts, service) = (reedferry_testkit::Hosts::start(1), Discovery::start());
         let node_config = reedferry_testkit::node_config(&hosts, service.address);
--- a/node/tests/gone.rs
+++ b/node/tests/departed_clients.rs
@@ -7,9 +7,9 @@
 use std::time::{Duration, Instant};
 
 /// How a client goes.
-const WAYS: [&str; 4] = ["closes", "ends its sending", "resets", "floods and closes"];
+const DEPARTURES: [&str; 4] = ["closes", "ends its sending", "resets", "floods and closes"];
 
-fn goes(mut client: Peer, way: &str) -> Option<Peer> {
+fn depart(mut client: Peer, way: &str) -> Option<Peer> {
     match way {
         "closes" => drop(client),
         "ends its sending" => {
@@ -51,7 +51,7 @@
 }
 
 /// Whoever answers this has read all that came before.
-fn has_read(node: &Node) {
+fn wait_until_read(node: &Node) {
     let mut other = Peer::connect(node.address);
     other.say("PING");
     other.hears("PONG");
@@ -59,10 +59,10 @@
 
 /// Prevents an attempt at a host whose connection is established after the client has left, where settings allow no cancellation.
 #[test]
-fn a_client_that_goes_while_its_hosts_connection_comes_up_is_not_sent_on() {
+fn a_client_that_leaves_while_its_hosts_connection_is_established_gets_no_attempt() {
     for (cancel, way) in [true, false]
         .into_iter()
-        .flat_map(|c| WAYS.map(|way| (c, way)))
+        .flat_map(|c| DEPARTURES.map(|way| (c, way)))
     {
         let (listener, first) = jammed();
         let discovery = Discovery::start();
@@ -74,9 +74,9 @@
         let node = start(members, &discovery, cancel);
         let mut client = Peer::connect(node.address);
         client.say(&line(1));
-        has_read(&node);
-        let kept = goes(client, way);
-        has_read(&node);
+        wait_until_read(&node);
+        let kept = depart(client, way);
+        wait_until_read(&node);
         drop(first);
         drop(listener.accept());
         listener.set_nonblocking(true).unwrap();
@@ -101,10 +101,10 @@
 
 /// Prevents a retry for a client that left during the attempt before.
 #[test]
-fn a_client_that_goes_between_two_attempts_is_not_sent_on() {
+fn a_client_that_leaves_between_two_attempts_gets_no_retry() {
     for (cancel, way) in [true, false]
         .into_iter()
-        .flat_map(|c| WAYS.map(|way| (c, way)))
+        .flat_map(|c| DEPARTURES.map(|way| (c, way)))
     {
         let hosts = Hosts::start(3);
         let discovery = Discovery::start();
@@ -114,9 +114,9 @@
         node.stand_still();
         host.say("BUSY");
         host.end_sending();
-        let kept = goes(client, way);
+        let kept = depart(client, way);
         node.go_on();
-        has_read(&node);
+        wait_until_read(&node);
         assert!(
             hosts.accept_soon().is_none(),
             "cancel {cancel}, {way}: sent on"
@@ -128,7 +128,7 @@
 /// Prevents attempts by a process that stood still for clients that left before it accepted them or read their line; the one that
 /// stayed is served.
 #[test]
-fn clients_that_went_while_the_process_stood_still_are_not_sent_on() {
+fn clients_that_left_while_the_process_stood_still_get_no_attempt() {
     let hosts = Hosts::start(2);
     let discovery = Discovery::start();
     let node = start(hosts.members(), &discovery, false);
@@ -142,7 +142,7 @@
     let fresh = (0..40).map(|_| Peer::connect(node.address));
     for (n, mut client) in before.into_iter().chain(fresh).enumerate() {
         client.say(&line(n));
-        kept.extend(goes(client, WAYS[n % WAYS.len()]));
+        kept.extend(depart(client, DEPARTURES[n % DEPARTURES.len()]));
     }
     let mut stays = Peer::connect(node.address);
     stays.say(&line(999));
@@ -175,25 +175,25 @@
 
 /// Prevents a retry for a client that has left, and whose end waits behind more than one turn serves.
 #[test]
-fn a_client_whose_end_waits_behind_hundreds_of_others_is_not_sent_on() {
+fn a_client_whose_end_waits_behind_hundreds_of_others_gets_no_retry() {
     for (cancel, way) in [true, false]
         .into_iter()
-        .flat_map(|c| WAYS.map(|way| (c, way)))
+        .flat_map(|c| DEPARTURES.map(|way| (c, way)))
     {
         let hosts = Hosts::start(3);
         let discovery = Discovery::start();
         let node = start(hosts.members(), &discovery, cancel);
         let mut crowd: Vec<Peer> = (0..700).map(|_| Peer::connect(node.address)).collect();
-        has_read(&node);
+        wait_until_read(&node);
         let (client, mut host) = attempt(&node, &hosts);
         node.stand_still();
         host.say("BUSY");
         host.end_sending();
         // What is ready first is told first, so many in one turn.
         crowd.iter_mut().for_each(|other| other.write("O"));
-        let kept = goes(client, way);
+        let kept = depart(client, way);
         node.go_on();
-        has_read(&node);
+        wait_until_read(&node);
         assert!(
             hosts.accept_soon().is_none(),
             "cancel {cancel}, {way}: sent on"
--- a/node/tests/handover.rs
+++ b/node/tests/handover.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// Longer than a process waits for its successor to acknowledge a connection.
-const LONGER_THAN_A_WORD_MAY_TAKE: Duration = Duration::from_millis(1900);
+const LONGER_THAN_THE_ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(1900);
 const CONNECTIONS: usize = 20;
 
 fn never_succeeds(call: Call) -> Fault {
@@ -60,17 +60,17 @@
 
 /// Prevents that both processes go on with a connection, as the predecessor gives up waiting for messages that lie unread.
 #[test]
-fn what_the_next_process_has_taken_stays_with_it_though_its_word_is_read_late() {
+fn connections_that_the_successor_adopted_stay_with_it_though_its_acknowledgement_is_read_late() {
     let site = Site::new();
     let spoiler = Spoiler::default();
     let mut predecessor = site.start(&spoiler);
     let mut open: Vec<_> = (0..CONNECTIONS)
         .map(|_| predecessor.served(&site.hosts))
         .collect();
-    let _heir = site.start(&Spoiler::default());
+    let _successor = site.start(&Spoiler::default());
     spoiler.set(&[never_succeeds(Call::ReceiveMessage)]);
     predecessor.stop();
-    thread::sleep(LONGER_THAN_A_WORD_MAY_TAKE);
+    thread::sleep(LONGER_THAN_THE_ACKNOWLEDGE_TIMEOUT);
     spoiler.clear();
     assert!(predecessor.wait().success());
     for (number, (client, _, host)) in open.iter_mut().enumerate() {
@@ -85,14 +85,14 @@
 
 /// Prevents that the successor reads bytes of a connection before it has acknowledged it.
 #[test]
-fn the_next_process_touches_nothing_before_it_has_said_that_it_goes_on_with_it() {
+fn the_successor_reads_nothing_of_a_connection_before_it_has_acknowledged_it() {
     let site = Site::new();
     let spoiler = Spoiler::default();
     let mut predecessor = site.start(&Spoiler::default());
     let mut open: Vec<_> = (0..CONNECTIONS)
         .map(|_| predecessor.served(&site.hosts))
         .collect();
-    let _heir = site.start(&spoiler);
+    let _successor = site.start(&spoiler);
     spoiler.set(&[never_succeeds(Call::SendMessage)]);
     predecessor.stop();
     eventually("the first connection came", || spoiler.spoilt() > 0);
@@ -124,7 +124,8 @@
 
 /// Prevents that clients of a process that ends are held for a successor that stands still, until the process is killed.
 #[test]
-fn clients_are_moved_in_time_where_the_next_process_stands_still_and_the_longest_expiry_is_short() {
+fn clients_are_migrated_in_time_where_the_successor_stands_still_and_the_longest_deadline_is_short()
+{
     let mut site = Site::new();
     site.node_config["settings"]["offerings"][0]["expiry"] = json!(500.0);
     site.node_config["settings"]["offerings"][0]["contract_time"] = json!(300.0);
--- a/node/tests/succession.rs
+++ b/node/tests/hot_restart.rs
@@ -45,20 +45,20 @@
 }
 
 /// Lines pass both ways.
-fn speaks(client: &mut Peer, host: &mut Peer) {
+fn exchange_lines(client: &mut Peer, host: &mut Peer) {
     client.say("up 1");
     host.hears("up 1");
     host.say("down 1");
     client.hears("down 1");
 }
 
-fn ended(node: &mut Node) {
+fn wait_for_end(node: &mut Node) {
     assert!(node.wait().success());
 }
 
 /// Prevents that clients are migrated, or their lines lost or doubled, in a hot restart.
 #[test]
-fn open_connections_go_on_in_the_next_process_with_what_was_on_its_way() {
+fn open_connections_go_on_in_the_successor_with_what_was_in_flight() {
     let site = Site::new(3);
     let mut predecessor = site.start();
     let mut open: Vec<_> = (0..40).map(|_| predecessor.served(&site.hosts)).collect();
@@ -75,7 +75,7 @@
         let successor = site.start();
         predecessor.stop();
         let asked = Instant::now();
-        ended(&mut predecessor);
+        wait_for_end(&mut predecessor);
         assert!(
             asked.elapsed() < Duration::from_secs(2),
             "it leaves early: {:?}",
@@ -88,7 +88,7 @@
         host.write("wn\r\n");
         host.hears("half");
         client.hears("down");
-        speaks(client, host);
+        exchange_lines(client, host);
     }
     let _one = predecessor.served(&site.hosts);
     assert_eq!(predecessor.figure("in_flight"), 41);
@@ -101,11 +101,11 @@
     predecessor.stop();
     open.iter_mut()
         .for_each(|(client, ..)| client.hears("MOVE"));
-    ended(&mut predecessor);
+    wait_for_end(&mut predecessor);
 }
 
 #[test]
-fn what_waits_for_its_answer_or_has_not_asked_is_served() {
+fn requests_that_wait_or_are_incomplete_are_served_after_a_hot_restart() {
     let site = Site::new(1);
     let mut predecessor = site.start();
     let mut waits = predecessor.open(OPEN);
@@ -126,15 +126,15 @@
     asks.hears("UP 2");
     host.say("UP 1");
     waits.hears("UP 1");
-    ended(&mut predecessor);
-    speaks(&mut waits, &mut host);
-    speaks(&mut asks, &mut other);
+    wait_for_end(&mut predecessor);
+    exchange_lines(&mut waits, &mut host);
+    exchange_lines(&mut asks, &mut other);
     assert_eq!(successor.figure("in_flight"), 2);
 }
 
 /// Prevents that clients are handed over to a process that is gone, and that a node stops serving since one was to replace it.
 #[test]
-fn a_next_process_that_dies_leaves_the_one_before_as_it_was() {
+fn a_successor_that_dies_leaves_the_predecessor_as_it_was() {
     let site = Site::new(2);
     let mut predecessor = site.start();
     let mut open = predecessor.served(&site.hosts);
@@ -142,17 +142,17 @@
         let mut successor = site.start();
         successor.kill();
         predecessor.logs("successor disconnected");
-        speaks(&mut open.0, &mut open.2);
+        exchange_lines(&mut open.0, &mut open.2);
         assert_eq!(predecessor.call("GET /status").0, 200);
         predecessor.served(&site.hosts);
     }
     predecessor.stop();
     open.0.hears("MOVE");
-    ended(&mut predecessor);
+    wait_for_end(&mut predecessor);
 }
 
 #[test]
-fn a_next_process_that_stands_still_has_the_one_before_move_its_clients_in_time() {
+fn a_predecessor_migrates_its_clients_in_time_where_the_successor_stands_still() {
     let site = Site::new(2);
     let mut predecessor = site.start();
     let mut open: Vec<_> = (0..40).map(|_| predecessor.served(&site.hosts)).collect();
@@ -168,7 +168,7 @@
         "{:?}",
         asked.elapsed()
     );
-    ended(&mut predecessor);
+    wait_for_end(&mut predecessor);
     successor.go_on();
     let _served = successor.served(&site.hosts);
     eventually("none of the others", || successor.figure("in_flight") == 1);
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn whatever_lies_in_the_folder_a_node_starts_and_is_followed() {
+fn a_node_starts_and_hands_over_whatever_is_in_the_folder() {
     let garbled = |at: &Path| std::fs::write(at.join("reedferry.next"), "garbled").unwrap();
     let stale = |at: &Path| {
         drop(
@@ -192,10 +192,10 @@
         prepare(&site.folder);
         let mut predecessor = site.start();
         let mut open = predecessor.served(&site.hosts);
-        let _heir = site.start();
+        let _successor = site.start();
         predecessor.stop();
-        ended(&mut predecessor);
-        speaks(&mut open.0, &mut open.2);
+        wait_for_end(&mut predecessor);
+        exchange_lines(&mut open.0, &mut open.2);
     }
     // A folder that is none, or whose path is too long for a socket's: it serves, and nobody can follow.
     for folder in ["/dev/null", &format!("/tmp/{}", "long".repeat(40))] {
@@ -207,7 +207,7 @@
 
 /// Prevents that a node is led astray by whoever else connects where the successor would.
 #[test]
-fn a_stranger_on_the_channel_is_dropped_and_nothing_is_given_away() {
+fn an_invalid_peer_on_the_channel_is_dropped_and_gets_nothing() {
     let site = Site::new(1);
     let predecessor = site.start();
     let mut open = predecessor.served(&site.hosts);
@@ -216,19 +216,19 @@
     for said in [&b"what"[..], &[0, 99], &[0, 1], &[7; 40_000]] {
         let line = budget.connect_unix(&path).unwrap();
         _ = line.send_with_descriptors(said, &[]);
-        speaks(&mut open.0, &mut open.2);
+        exchange_lines(&mut open.0, &mut open.2);
     }
     let _silent = budget.connect_unix(&path).unwrap();
     let mut predecessor = predecessor;
-    let _heir = site.start();
+    let _successor = site.start();
     predecessor.stop();
-    ended(&mut predecessor);
-    speaks(&mut open.0, &mut open.2);
+    wait_for_end(&mut predecessor);
+    exchange_lines(&mut open.0, &mut open.2);
 }
 
 /// Prevents that a node starts beside the one that holds its listener, or without any.
 #[test]
-fn a_descriptor_that_is_no_listener_is_one_plain_line_and_no_start() {
+fn a_descriptor_that_is_no_listener_is_one_line_and_no_start() {
     let site = Site::new(1);
     for named in ["three", "", "-1", "999", "0", "99999999999999999999"] {
         let output = program_at(&site.node_config.to_string(), named, &site.folder)
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn masks_and_drains_that_one_process_knows_hold_in_the_next() {
+fn ejections_and_drains_of_a_predecessor_hold_in_its_successor() {
     let mut site = Site::new(2);
     site.node_config["settings"]["policy_limits"]["most_hand_offs"] = json!(2);
     let mut predecessor = site.start();
@@ -253,7 +253,7 @@
     let mut client = predecessor.open(OPEN);
     let (bad, host) = site.hosts.accept();
     host.reset();
-    let masked = Instant::now();
+    let ejected_at = Instant::now();
     let (good, mut host) = site.hosts.accept();
     assert_ne!(bad, good);
     host.hear();
@@ -262,16 +262,16 @@
     assert_eq!(predecessor.figure("hosts_excluded"), 1);
     let successor = site.start();
     predecessor.stop();
-    ended(&mut predecessor);
+    wait_for_end(&mut predecessor);
     assert_eq!(successor.figure("hosts_excluded"), 1);
     let (_, number, _) = successor.served(&site.hosts);
     // A mask is over after 2.25 s at the soonest.
-    assert!(number == good || masked.elapsed() > Duration::from_secs(2));
+    assert!(number == good || ejected_at.elapsed() > Duration::from_secs(2));
 }
 
 /// The invariants over both processes, by what hosts and clients saw, among faulty hosts.
 #[test]
-fn under_load_every_client_has_one_answer_and_none_is_lost_at_the_door() {
+fn under_load_every_client_has_one_answer_and_none_is_lost_at_the_listener() {
     let referee = Referee::default();
     let hosts = acting::Hosts::start(5, &referee);
     hosts.go(3, Way::Fails);
@@ -320,7 +320,7 @@
 /// Prevents that one customer's connection goes by another's terms, or is cut, in a hot restart where the successor's settings name
 /// the classes in another order, without one of them, with one that means something else and with a new one.
 #[test]
-fn connections_keep_their_own_terms_in_a_next_process_with_other_settings() {
+fn connections_keep_their_class_in_a_successor_with_other_settings() {
     let mut site = Site::new(2);
     std::env::set_var("REEDFERRY_TRACE", "1");
     site.node_config["settings"]["offerings"] = json!([
@@ -353,7 +353,7 @@
     ]);
     let mut successor = site.start();
     predecessor.stop();
-    ended(&mut predecessor);
+    wait_for_end(&mut predecessor);
     let mut places = Vec::new();
     for _ in 0..open.len() {
         let line = successor.logs("event ConnectionHandedOver");
@@ -369,7 +369,7 @@
     places.dedup();
     assert_eq!(places.len(), 3, "{places:?}");
     for (client, host) in &mut open {
-        speaks(client, host);
+        exchange_lines(client, host);
     }
     // No more comes of what is gone, and what is new is served.
     assert_eq!(successor.open(OPEN).hear(), "ERR");
@@ -382,22 +382,22 @@
     for (client, _) in &mut open {
         client.hears("MOVE");
     }
-    ended(&mut successor);
+    wait_for_end(&mut successor);
 }
 
 /// A test's own successor, which speaks the protocol of a hot restart.
-struct Stranger {
+struct TestSuccessor {
     budget: DescriptorBudget,
     line: reedferry_runtime::Socket,
 }
 
-impl Stranger {
-    fn come(path: &Path) -> Self {
+impl TestSuccessor {
+    fn connect(path: &Path) -> Self {
         let budget = DescriptorBudget::new(64);
         let line = budget.connect_unix(path).unwrap();
         // It says hello in this version.
         line.send_with_descriptors(&[0, 3], &[]).unwrap();
-        let one = Stranger { budget, line };
+        let one = TestSuccessor { budget, line };
         // The chunks of the predecessor's state, to the last.
         while one.hear().last() != Some(&1) {}
         one
@@ -419,7 +419,7 @@
     }
 
     /// Receives a connection, and rejects it.
-    fn turns_down(&self) {
+    fn reject(&self) {
         assert!(!self.hear().is_empty(), "none is given");
         self.line.send_with_descriptors(&[1, 0], &[]).unwrap();
     }
@@ -428,18 +428,18 @@
 /// Prevents that a connection which the successor rejects is handed over again and again, or held until the process is killed, as it
 /// is neither handed over nor migrated.
 #[test]
-fn a_connection_that_is_turned_down_is_moved_by_the_process_that_has_it() {
+fn a_connection_that_the_successor_rejects_is_migrated_by_the_predecessor() {
     let site = Site::new(1);
     let mut predecessor = site.start();
     let mut open: Vec<_> = (0..5).map(|_| predecessor.served(&site.hosts)).collect();
     let mut rests = Peer::connect(predecessor.address);
     rests.say("PING");
     rests.hears("PONG");
-    let stranger = Stranger::come(&site.folder.join("reedferry.next"));
+    let stranger = TestSuccessor::connect(&site.folder.join("reedferry.next"));
     predecessor.stop();
     let asked = Instant::now();
     // The one that has not asked too.
-    (0..6).for_each(|_| stranger.turns_down());
+    (0..6).for_each(|_| stranger.reject());
     for (client, _, host) in &mut open {
         client.hears("MOVE");
         client.hears("end");
@@ -452,5 +452,5 @@
         asked.elapsed()
     );
     assert!(stranger.hear().is_empty(), "given again");
-    ended(&mut predecessor);
+    wait_for_end(&mut predecessor);
 }
--- a/node/tests/machine.rs
+++ b/node/tests/local_faults.rs
@@ -86,7 +86,7 @@
 
 /// Prevents that connections are closed without an answer, and all hosts ejected, for a transient fault of the own machine.
 #[test]
-fn trouble_of_the_own_machine_costs_no_request_its_answer() {
+fn local_faults_cost_no_request_its_answer() {
     // The least share that is served: what never came to a host may be refused.
     for (fault, least) in [
         (fails(Call::EpollAdd, Errno::NOMEM, 5), 0.7),
@@ -143,7 +143,7 @@
 
 /// Prevents that open connections are cut off, as a line can't be read or sent at once.
 #[test]
-fn open_connections_outlast_trouble_of_the_own_machine() {
+fn open_connections_outlast_local_faults() {
     for (call, errno) in [
         (Call::Send, Errno::NOBUFS),
         (Call::Send, Errno::NOMEM),
@@ -164,7 +164,7 @@
 
 /// Prevents that a process ends at its start, or never handles a signal or takes up its settings, for a transient fault.
 #[test]
-fn a_start_signals_and_settings_outlast_trouble_of_the_own_machine() {
+fn a_start_signals_and_settings_outlast_local_faults() {
     for fault in [
         fails(Call::Open, Errno::NFILE, 2),
         fails(Call::Socket, Errno::NOBUFS, 2),
@@ -211,7 +211,7 @@
 /// Prevents that two processes go on with a connection, or that it is migrated, as a message between both can't be sent or read at
 /// once.
 #[test]
-fn a_replacement_outlasts_trouble_of_the_own_machine() {
+fn a_hot_restart_outlasts_local_faults() {
     for call in [Call::SendMessage, Call::ReceiveMessage] {
         for spoils_next in [true, false] {
             let (hosts, discovery) = (Hosts::start(2), Discovery::start());
@@ -243,7 +243,7 @@
 
 /// Prevents a line after the drain grace by a process that is delayed before it writes it.
 #[test]
-fn a_process_that_is_held_up_before_it_writes_keeps_to_the_grace_of_a_drain() {
+fn a_process_that_is_delayed_before_it_writes_keeps_to_the_drain_grace() {
     let (listener, first) = jammed();
     let (discovery, spoiler) = (Discovery::start(), Spoiler::default());
     let late = |phase| member(5, &listener.local_addr().unwrap().to_string(), phase);
@@ -284,7 +284,7 @@
 
 /// Prevents an attempt after the request's deadline, as the process stood still while the connection to the host was established.
 #[test]
-fn nothing_begins_after_the_expiry_where_the_process_stood_still() {
+fn no_attempt_begins_after_the_deadline_where_the_process_stood_still() {
     let (listener, first) = jammed();
     let discovery = Discovery::start();
     let late = member(5, &listener.local_addr().unwrap().to_string(), "active");
@@ -357,7 +357,7 @@
 
 /// Prevents that operators' requests get no response, for a transient fault of the own machine.
 #[test]
-fn operators_calls_outlast_trouble_of_the_own_machine() {
+fn operators_requests_outlast_local_faults() {
     for fault in [
         fails(Call::EpollAdd, Errno::NOMEM, 2),
         fails(Call::Receive, Errno::NOMEM, 2),
--- a/node/tests/ops.rs
+++ b/node/tests/operator_api.rs
@@ -15,7 +15,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn the_figures_tell_what_happened_on_the_sockets() {
+fn the_metrics_tell_what_happened_on_the_sockets() {
     let hosts = Hosts::start(2);
     let (node, _discovery) = start(&hosts, |_| {});
     assert_eq!(node.call("GET /status"), (200, "ready\n".into()));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_failed_one_counts_as_failed_and_bad_papers_as_turned_down() {
+fn a_failed_request_and_a_failed_reload_are_counted() {
     let hosts = Hosts::start(2);
     let (node, _discovery) = start(&hosts, |p| {
         p["settings"]["offerings"][0]["effect"] = json!("single_shot");
@@ -95,7 +95,7 @@
 
 /// Prevents that requests which are malformed, endless or for something else are answered with another error than that of their kind.
 #[test]
-fn bad_calls_are_told_what_is_wrong_and_end_alone() {
+fn invalid_requests_are_told_what_is_wrong_and_end_alone() {
     let hosts = Hosts::start(1);
     let (node, _discovery) = start(&hosts, |_| {});
     let at = node.ops.unwrap();
@@ -140,7 +140,7 @@
 
 /// Prevents that operators are shut out by callers that never finish, and that a request is lost where it comes in pieces.
 #[test]
-fn a_call_is_answered_within_its_second_whatever_other_callers_do() {
+fn a_request_is_answered_within_a_second_whatever_other_callers_do() {
     let hosts = Hosts::start(1);
     let (node, _discovery) = start(&hosts, |_| {});
     let at = node.ops.unwrap();
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn standby_empties_the_node_and_active_has_it_back_at_work() {
+fn standby_empties_the_node_and_active_has_it_take_clients_again() {
     let hosts = Hosts::start(2);
     let (node, _discovery) = start(&hosts, |_| {});
     let ping = || {
@@ -223,7 +223,7 @@
 /// Prevents that clients of a node that has left standby are migrated by what was begun before, that an operator undoes a shutdown,
 /// and that a shutdown waits for a standby to end.
 #[test]
-fn active_stops_an_emptying_and_a_stop_wins_over_both() {
+fn active_ends_a_standby_and_a_shutdown_wins_over_both() {
     let hosts = Hosts::start(2);
     let (mut node, _discovery) = start(&hosts, |_| {});
     let (mut client, _, mut host) = node.served(&hosts);
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn a_port_that_cannot_be_had_is_one_plain_line_and_no_start() {
+fn a_port_that_cannot_be_bound_is_one_line_and_no_start() {
     let hosts = Hosts::start(1);
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     for ops in [taken.local_addr().unwrap().to_string(), "nowhere".into()] {
--- a/node/tests/pause.rs
+++ b/node/tests/process_stalls.rs
@@ -12,13 +12,13 @@
 const OPEN_CONNECTIONS: usize = 12;
 const PAUSE: Duration = Duration::from_millis(2500);
 /// How long clients come behind the pause, one after the other.
-const BEHIND: Duration = Duration::from_secs(3);
+const AFTERMATH: Duration = Duration::from_secs(3);
 
 /// Open connections that send one line after the other all the time, as their answers come, until then.
-struct Talking(Vec<thread::JoinHandle<()>>);
+struct OpenTraffic(Vec<thread::JoinHandle<()>>);
 
-impl Talking {
-    fn start(open: Vec<Peer>, until: Instant) -> Talking {
+impl OpenTraffic {
+    fn start(open: Vec<Peer>, until: Instant) -> OpenTraffic {
         let talk = |mut client: Peer| {
             thread::spawn(move || {
                 while Instant::now() < until {
@@ -30,7 +30,7 @@
                 }
             })
         };
-        Talking(open.into_iter().map(talk).collect())
+        OpenTraffic(open.into_iter().map(talk).collect())
     }
 
     fn end(self) {
@@ -68,21 +68,21 @@
         (client, said)
     }
 
-    fn talking(&self) -> Talking {
+    fn open_traffic(&self) -> OpenTraffic {
         let one = |number| {
             let (client, said) = self.ask(number);
             assert!(said.starts_with("UP"), "{said}");
             client
         };
         let open = (0..OPEN_CONNECTIONS).map(one).collect();
-        Talking::start(open, Instant::now() + PAUSE + Duration::from_millis(1500))
+        OpenTraffic::start(open, Instant::now() + PAUSE + Duration::from_millis(1500))
     }
 
     /// Nine in ten of those that come now are served.
     fn serves(&self) {
         let from = Instant::now();
         let (mut served, mut heard) = (0, Vec::new());
-        while from.elapsed() < BEHIND {
+        while from.elapsed() < AFTERMATH {
             let (_client, said) = self.ask(1000 + heard.len());
             served += usize::from(said.starts_with("UP"));
             heard.push(said);
@@ -102,20 +102,20 @@
 #[test]
 fn clients_are_served_right_after_the_process_stood_still() {
     let site = Site::start();
-    let talking = site.talking();
+    let open_traffic = site.open_traffic();
     thread::sleep(Duration::from_millis(500));
     site.node.stand_still();
     thread::sleep(PAUSE);
     site.node.go_on();
     site.serves();
-    talking.end();
+    open_traffic.end();
 }
 
 /// Prevents the same where each turn of the process takes long.
 #[test]
-fn clients_are_served_right_after_the_process_was_held_up_again_and_again() {
+fn clients_are_served_right_after_the_process_was_delayed_again_and_again() {
     let site = Site::start();
-    let talking = site.talking();
+    let open_traffic = site.open_traffic();
     let held = Outcome::HeldUp(Duration::from_millis(140));
     site.spoiler.set(&[Fault {
         call: Call::Send,
@@ -135,12 +135,12 @@
     }
     site.spoiler.clear();
     site.serves();
-    talking.end();
+    open_traffic.end();
 }
 
 /// Prevents that an answer which is due is late, as a turn goes on with hundreds of others, each of which may delay it.
 #[test]
-fn what_is_due_is_answered_in_time_though_each_turn_has_much_to_do() {
+fn due_requests_are_answered_in_time_though_each_turn_has_much_to_do() {
     const TALKING: usize = 60;
     let (hosts, discovery, spoiler) = (Hosts::start(1), Discovery::start(), Spoiler::default());
     let mut node_config = node_config(&hosts, discovery.address);
@@ -184,7 +184,7 @@
 }
 
 /// The process goes on; its waits are interrupted at first, so that what is due is seen before what is ready.
-fn go_on_by_what_is_due(node: &Node, spoiler: &Spoiler) {
+fn resume_with_timers_first(node: &Node, spoiler: &Spoiler) {
     interrupt_waits(spoiler);
     node.go_on();
     thread::sleep(Duration::from_millis(300));
@@ -193,7 +193,7 @@
 
 /// Prevents that a host is taken for unreachable, as the connection to it was established while the process stood still.
 #[test]
-fn a_connection_that_came_up_while_the_process_stood_still_is_used() {
+fn a_connection_that_was_established_while_the_process_stood_still_is_used() {
     let (listener, first) = jammed();
     let discovery = Discovery::start();
     let late = member(5, &listener.local_addr().unwrap().to_string(), "active");
@@ -216,7 +216,7 @@
     drop(listener.accept().unwrap());
     let (stream, _) = listener.accept().unwrap();
     thread::sleep(Duration::from_millis(1000));
-    go_on_by_what_is_due(&node, &spoiler);
+    resume_with_timers_first(&node, &spoiler);
     let mut host = Peer::new(stream);
     let line = host.hear();
     assert!(line.starts_with("OPEN"), "{line}");
@@ -239,7 +239,7 @@
     node.stand_still();
     probe.say("PONG util=0.2,x0=0.2");
     thread::sleep(2 * PROBE_WITHIN);
-    go_on_by_what_is_due(&node, &spoiler);
+    resume_with_timers_first(&node, &spoiler);
     let mut client = node.open(OPEN);
     let mut asked = false;
     while let Some((_, mut host)) = hosts.accept_soon().filter(|_| !asked) {
--- a/node/tests/retune.rs
+++ b/node/tests/reload.rs
@@ -28,13 +28,13 @@
     });
 }
 
-fn asks(name: &str) -> String {
+fn open_line(name: &str) -> String {
     OPEN.replace("chat", name)
 }
 
 /// A request of this class is served at the first host that is tried.
-fn serves(node: &Node, hosts: &Hosts, name: &str) {
-    let mut client = node.open(&asks(name));
+fn assert_served(node: &Node, hosts: &Hosts, name: &str) {
+    let mut client = node.open(&open_line(name));
     let (_, mut host) = hosts.accept();
     assert!(host.hear().contains(&format!("c={name},")));
     host.say("UP 1");
@@ -109,7 +109,7 @@
 
 /// Prevents that half of a file is in force, or that a node goes on without what the file no longer says.
 #[test]
-fn a_broken_file_changes_nothing() {
+fn an_invalid_file_changes_nothing() {
     let hosts = Hosts::start(2);
     let (node, node_config, _discovery) = start(&hosts);
     let broken = broken_files(&node_config);
@@ -117,8 +117,8 @@
         reread(&node, text, false);
     }
     assert_eq!(node.figure("reloads_ok"), 0);
-    serves(&node, &hosts, "chat");
-    node.open(&asks("talk")).hears("ERR");
+    assert_served(&node, &hosts, "chat");
+    node.open(&open_line("talk")).hears("ERR");
     assert!(node
         .logged()
         .iter()
@@ -128,22 +128,22 @@
         reread(&node, &broken[n * broken.len() / 20], false);
         reread(&node, &node_config.to_string(), true);
     }
-    serves(&node, &hosts, "chat");
+    assert_served(&node, &hosts, "chat");
 }
 
 #[test]
-fn offerings_appear_and_vanish_and_what_is_under_way_keeps_its_own() {
+fn classes_appear_and_vanish_and_requests_under_way_keep_their_own() {
     // Enough that some are left where others broke off what they were asked.
     let hosts = Hosts::start(8);
     let (node, mut node_config, _discovery) = start(&hosts);
     let (mut open, _, mut standing) = node.served(&hosts);
-    let mut waits = node.open(&asks("chat"));
+    let mut waits = node.open(&open_line("chat"));
     let (_, mut host) = hosts.accept();
     host.hear();
     node_config["settings"]["offerings"] = json!([class("talk", "single_shot")]);
     reread(&node, &node_config.to_string(), true);
-    serves(&node, &hosts, "talk");
-    node.open(&asks("chat")).hears("ERR");
+    assert_served(&node, &hosts, "talk");
+    node.open(&open_line("chat")).hears("ERR");
     // The one that waited was redoable, and still is: what may have run at one host goes to another.
     drop(host);
     let (_, mut host) = hosts.accept();
@@ -154,7 +154,7 @@
     standing.hears("up 1");
     assert_eq!(node.figure("requests.chat.served"), 2);
     // The same name comes again under stricter terms: not for what came before.
-    let mut waits = node.open(&asks("talk"));
+    let mut waits = node.open(&open_line("talk"));
     let (_, mut host) = hosts.accept();
     host.hear();
     node_config["settings"]["offerings"] =
@@ -162,7 +162,7 @@
     reread(&node, &node_config.to_string(), true);
     drop(host);
     waits.hears("ERR");
-    let mut strict = node.open(&asks("chat"));
+    let mut strict = node.open(&open_line("chat"));
     let (_, mut host) = hosts.accept();
     host.hear();
     drop(host);
@@ -205,18 +205,18 @@
 
 /// Prevents that hosts are taken for those of another zone where the names of zones change their indices.
 #[test]
-fn zones_may_change_their_places() {
+fn zones_may_change_their_indices() {
     let hosts = Hosts::start(2);
     let (node, mut node_config, _discovery) = start(&hosts);
     node_config["settings"]["zones"] = json!(["b", "a"]);
     node_config["settings"]["zone"] = json!(1);
     reread(&node, &node_config.to_string(), true);
     assert_eq!(node.figure("hosts_known"), 2);
-    serves(&node, &hosts, "chat");
+    assert_served(&node, &hosts, "chat");
 }
 
 /// A connection of a class and a tenant.
-fn asks_for(node: &Node, name: &str, tenant: &str) -> Peer {
+fn open_with(node: &Node, name: &str, tenant: &str) -> Peer {
     node.open(&OPEN.replace("c=chat,t=acme", &format!("c={name},t={tenant}")))
 }
 
@@ -227,7 +227,7 @@
     clippy::too_many_lines,
     reason = "one story, of which each step needs the one before"
 )]
-fn what_is_held_and_open_goes_by_its_own_terms_over_other_classes_and_tenants() {
+fn pending_requests_and_open_connections_keep_their_class_over_a_reload() {
     let hosts = Hosts::start(12);
     let discovery = Discovery::start();
     let mut node_config = node_config(&hosts, discovery.address);
@@ -258,13 +258,13 @@
     let mut open = Vec::new();
     let mut held = Vec::new();
     for (name, tenant, then) in kinds {
-        let mut client = asks_for(&node, name, tenant);
+        let mut client = open_with(&node, name, tenant);
         let (_, mut host) = hosts.accept();
         host.hear();
         host.say("UP 1");
         client.hears("UP 1");
         open.push((client, host));
-        let client = asks_for(&node, name, tenant);
+        let client = open_with(&node, name, tenant);
         let (_, mut host) = hosts.accept();
         host.hear();
         held.push((client, host, then));
@@ -293,7 +293,7 @@
         }
     }
     // By the names as they are now: nothing more may run twice, a tenant is unknown, and what is new is served.
-    let mut strict = asks_for(&node, "chat", "zeta");
+    let mut strict = open_with(&node, "chat", "zeta");
     let (_, mut host) = hosts.accept();
     host.hear();
     host.reset();
@@ -302,8 +302,8 @@
         hosts.accept_soon().is_none(),
         "sent on by what its name meant before"
     );
-    asks_for(&node, "late", "acme").hears("ERR");
-    let mut new = asks_for(&node, "late", "omega");
+    open_with(&node, "late", "acme").hears("ERR");
+    let mut new = open_with(&node, "late", "omega");
     let (_, mut host) = hosts.accept();
     host.hear();
     host.say("UP 3");
--- a/node/tests/ready.rs
+++ b/node/tests/restart_readiness.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 const NODES: usize = 10;
-const WITHIN: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// One of hundreds, by settings that leave a node a minute to ask, which knows no host.
 fn fresh(service: &Discovery, node: usize) -> Value {
@@ -24,9 +24,9 @@
 }
 
 /// How long after this a client that comes again and again is first served there.
-fn serves(node: &Node, named: usize, started: Instant) -> Option<Duration> {
+fn first_served(node: &Node, named: usize, started: Instant) -> Option<Duration> {
     for n in 0.. {
-        if started.elapsed() > 2 * WITHIN {
+        if started.elapsed() > 2 * READY_TIMEOUT {
             return None;
         }
         let mut client = Peer::connect(node.address);
@@ -48,7 +48,7 @@
 /// Prevents that processes wait for their turn at the discovery service, or again after it was too busy, for as long as settings
 /// allow, and serve nobody meanwhile.
 #[test]
-fn nine_in_ten_that_know_nothing_serve_within_ten_seconds_beside_a_slow_service() {
+fn nine_in_ten_without_an_endpoint_list_serve_within_ten_seconds_beside_a_slow_service() {
     for together in [true, false] {
         let (service, referee) = (Discovery::start(), Referee::default());
         let hosts = Hosts::start(4, &referee);
@@ -60,7 +60,7 @@
                 let (service, started) = (&service, Instant::now());
                 scope.spawn(move || {
                     let node = Node::start(&fresh(service, n));
-                    serves(&node, n, started)
+                    first_served(&node, n, started)
                 })
             };
             if together {
@@ -79,7 +79,7 @@
         });
         let late = took
             .iter()
-            .filter(|took| took.is_none_or(|took| took > WITHIN))
+            .filter(|took| took.is_none_or(|took| took > READY_TIMEOUT))
             .count();
         assert!(late <= NODES / 10, "together {together}: {took:?}");
     }
--- a/node/tests/stopping.rs
+++ b/node/tests/shutdown.rs
@@ -19,17 +19,17 @@
 }
 
 /// When a process with this longest deadline may be killed at the earliest.
-fn ended_outside(deadline: u64) -> Duration {
+fn kill_time(deadline: u64) -> Duration {
     ms(deadline.min(3000) + 700)
 }
 
-fn of_expiry(node_config: &mut Value, deadline: u64) {
+fn set_deadline(node_config: &mut Value, deadline: u64) {
     node_config["settings"]["offerings"][0]["expiry"] = json!(deadline as f64);
     node_config["settings"]["offerings"][0]["contract_time"] = json!(deadline as f64);
 }
 
 /// Whoever answers this has read all that came before.
-fn has_read(node: &Node) {
+fn wait_until_read(node: &Node) {
     let mut other = Peer::connect(node.address);
     other.say("PING");
     other.hears("PONG");
@@ -38,7 +38,7 @@
 /// Prevents that connections whose host has stopped within a line are held until the process is killed, as their turn to be
 /// migrated comes late: each would be lost.
 #[test]
-fn connections_whose_host_stopped_within_a_line_are_ended_before_the_program_is() {
+fn connections_whose_host_stopped_within_a_line_are_closed_before_the_process_ends() {
     let hosts = Hosts::start(1);
     let (mut node, _discovery) = start(&hosts, |_| {});
     let mut all: Vec<_> = (0..12).map(|_| node.served(&hosts)).collect();
@@ -52,7 +52,7 @@
         let end = client.hear();
         assert!(["end", "reset"].contains(&end.as_str()), "{end}");
         assert!(
-            began.elapsed() < ended_outside(2000),
+            began.elapsed() < kill_time(2000),
             "held for {:?}",
             began.elapsed()
         );
@@ -62,9 +62,9 @@
 
 /// Prevents the same where clients stopped within a line of theirs: these can still be migrated.
 #[test]
-fn clients_that_stopped_within_a_line_are_moved_before_the_program_ends() {
+fn clients_that_stopped_within_a_line_are_migrated_before_the_process_ends() {
     let hosts = Hosts::start(1);
-    let (mut node, _discovery) = start(&hosts, |p| of_expiry(p, 1000));
+    let (mut node, _discovery) = start(&hosts, |p| set_deadline(p, 1000));
     let mut all: Vec<_> = (0..12).map(|_| node.served(&hosts)).collect();
     for (client, _, host) in &mut all {
         client.write("half");
@@ -75,7 +75,7 @@
     for (mut client, _, _host) in all {
         client.hears("MOVE");
         assert!(
-            began.elapsed() < ended_outside(1000),
+            began.elapsed() < kill_time(1000),
             "held for {:?}",
             began.elapsed()
         );
@@ -86,11 +86,12 @@
 /// Prevents that an answer comes only after the process was killed, where clients may wait for longer than that leaves, and that a
 /// request which may have run is rejected as though it had not.
 #[test]
-fn what_hosts_do_not_answer_is_answered_before_the_program_ends_however_long_it_may_wait() {
+fn requests_without_an_answer_of_a_host_are_answered_before_the_process_ends_whatever_their_deadline(
+) {
     for (idempotency, answer) in [("free", "BUSY"), ("single_shot", "ERR")] {
         let hosts = Hosts::start(1);
         let (mut node, _discovery) = start(&hosts, |p| {
-            of_expiry(p, 9000);
+            set_deadline(p, 9000);
             p["settings"]["offerings"][0]["effect"] = json!(idempotency);
         });
         let mut client = node.open(&OPEN.replace("d=2000", "d=9000"));
@@ -101,7 +102,7 @@
         let said = client.hear();
         assert!(said.starts_with(answer), "{idempotency}: {said}");
         assert!(
-            began.elapsed() < ended_outside(9000),
+            began.elapsed() < kill_time(9000),
             "{idempotency}: {:?}",
             began.elapsed()
         );
@@ -117,12 +118,12 @@
 
 /// Prevents that idle clients and those that have sent half of their line are held when the process ends.
 #[test]
-fn clients_that_have_not_asked_are_sent_away_before_the_program_ends() {
+fn clients_without_a_request_are_rejected_before_the_process_ends() {
     let hosts = Hosts::start(1);
-    let (mut node, _discovery) = start(&hosts, |p| of_expiry(p, 900));
+    let (mut node, _discovery) = start(&hosts, |p| set_deadline(p, 900));
     let mut clients = [Peer::connect(node.address), Peer::connect(node.address)];
     clients[1].write("OPEN 77 88 c=chat");
-    has_read(&node);
+    wait_until_read(&node);
     let began = Instant::now();
     node.stop();
     node.logs("asked to stop");
@@ -136,7 +137,7 @@
         client.hears("end");
     }
     assert!(
-        began.elapsed() < ended_outside(900),
+        began.elapsed() < kill_time(900),
         "held for {:?}",
         began.elapsed()
     );
@@ -145,7 +146,7 @@
 }
 
 /// A host's listener that a test takes connections from when it likes, and the list that names it.
-fn slow_host() -> (std::net::TcpListener, std::net::TcpStream, Value) {
+fn unaccepting_host() -> (std::net::TcpListener, std::net::TcpStream, Value) {
     let (listener, first) = jammed();
     let members = json!([member(
         0,
@@ -158,20 +159,20 @@
 /// Prevents that a request is lost, or sent to a host after its answer, where the signal comes while the connection to its host is
 /// established.
 #[test]
-fn a_stop_while_the_connection_to_the_host_comes_up() {
-    let (listener, first, members) = slow_host();
+fn a_shutdown_while_the_connection_to_the_host_is_established() {
+    let (listener, first, members) = unaccepting_host();
     let discovery = Discovery::start();
     let mut node_config = node_config_of(members, discovery.address);
     node_config["settings"]["policy_limits"]["connect_timeout"] = json!(5000.0);
-    of_expiry(&mut node_config, 1500);
+    set_deadline(&mut node_config, 1500);
     let mut node = Node::start(&node_config);
     let mut client = node.open(&OPEN.replace("d=2000", "d=1500"));
-    has_read(&node);
+    wait_until_read(&node);
     let began = Instant::now();
     node.stop();
     assert!(client.hear().starts_with("BUSY"));
     client.hears("end");
-    assert!(began.elapsed() < ended_outside(1500));
+    assert!(began.elapsed() < kill_time(1500));
     assert!(node.wait().success());
     // What came up at all was ended without a byte; first in the way was the test's own.
     drop(first);
@@ -186,7 +187,7 @@
 /// Prevents that an answer on its way from the host is dropped by a shutdown, that a second signal or a reload in the middle cuts what
 /// is under way, and that answers are lost in a reset as clients go on sending.
 #[test]
-fn an_answer_on_its_way_is_passed_on_over_two_signals_and_new_papers() {
+fn an_answer_in_flight_is_forwarded_over_two_signals_and_a_reload() {
     let hosts = Hosts::start(1);
     let (mut node, discovery) = start(&hosts, |_| {});
     let mut waiting = node.open(OPEN);
@@ -215,21 +216,17 @@
         client.hears("end");
         host.hears("end");
     }
-    assert!(
-        began.elapsed() < ended_outside(2000),
-        "{:?}",
-        began.elapsed()
-    );
+    assert!(began.elapsed() < kill_time(2000), "{:?}", began.elapsed());
     assert!(node.wait().success());
 }
 
 /// Prevents that a request which may have run fails though it was accepted, as its answer lies unread, behind more than one turn
 /// serves, at the last moment by which anybody is held.
 #[test]
-fn an_answer_that_lies_unread_at_the_last_moment_of_a_stop_is_passed_on() {
+fn an_unread_answer_at_the_last_moment_of_a_shutdown_is_forwarded() {
     let hosts = Hosts::start(1);
     let (mut node, _discovery) = start(&hosts, |p| {
-        of_expiry(p, 9000);
+        set_deadline(p, 9000);
         p["settings"]["offerings"][0]["effect"] = json!("single_shot");
         p["limits"]["sockets"] = json!(2048);
     });
@@ -241,12 +238,12 @@
     eventually("no time passes", || began.elapsed() > ms(2000));
     // They rest for less than two seconds by then, and write first.
     let mut crowd: Vec<Peer> = (0..700).map(|_| Peer::connect(node.address)).collect();
-    has_read(&node);
+    wait_until_read(&node);
     node.stand_still();
     crowd.iter_mut().for_each(|other| other.write("O"));
     host.say("UP 7");
     eventually("no time passes", || {
-        began.elapsed() > ended_outside(9000) - ms(170)
+        began.elapsed() > kill_time(9000) - ms(170)
     });
     node.go_on();
     client.hears("UP 7");
--- a/node/tests/cold.rs
+++ b/node/tests/slow_start.rs
@@ -11,9 +11,9 @@
 const NODES: usize = 20;
 const WARM: usize = 3;
 /// Connections that stand at each node, and the seconds in which a host that has started gets warm.
-const HELD: usize = 4;
-const COLD: f64 = 10.0;
-const FROM: f64 = 0.2;
+const OPEN_CONNECTIONS: usize = 4;
+const WARM_UP_SECONDS: f64 = 10.0;
+const INITIAL_SHARE: f64 = 0.2;
 
 fn node_config(service: &Discovery, members: Value, node: usize) -> Value {
     let mut node_config = node_config_of(members, service.address);
@@ -22,8 +22,8 @@
     settings["balancers"] = json!(NODES);
     settings["index"] = json!(node);
     settings["offerings"][0]["name"] = json!("free");
-    settings["contract"]["cold"] = json!(1000.0 * COLD);
-    settings["contract"]["cold_from"] = json!(FROM);
+    settings["contract"]["cold"] = json!(1000.0 * WARM_UP_SECONDS);
+    settings["contract"]["cold_from"] = json!(INITIAL_SHARE);
     node_config
 }
 
@@ -33,7 +33,7 @@
     clippy::too_many_lines,
     reason = "one trial: its start, its load and what was measured"
 )]
-fn twenty_processes_keep_to_the_budget_of_one_cold_host() {
+fn twenty_processes_keep_to_the_slow_start_quota_of_one_host() {
     let (service, referee) = (Discovery::start(), Referee::default());
     let hosts = Hosts::start(WARM + 1, &referee);
     let warm: Value = (0..WARM).map(|host| hosts.member(host, "active")).collect();
@@ -45,14 +45,14 @@
         let mut clients = Clients::new(vec![node.address], &referee, n as u64);
         clients.load(
             100.0,
-            Duration::from_millis(10 * HELD as u64),
+            Duration::from_millis(10 * OPEN_CONNECTIONS as u64),
             &[0],
             Duration::from_secs(60),
         );
         standing.push(clients);
     }
     reedferry_testkit::eventually("they do not stand", || {
-        hosts.standing().iter().sum::<u32>() as usize >= NODES * HELD * 9 / 10
+        hosts.standing().iter().sum::<u32>() as usize >= NODES * OPEN_CONNECTIONS * 9 / 10
     });
     let mut new = hosts.member(WARM, "active");
     let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
@@ -98,10 +98,11 @@
             .iter()
             .take_while(|at| **at < *first + Duration::from_secs(1))
             .count() as f64;
-        let age = (first.saturating_duration_since(start).as_secs_f64() + 1.0).min(COLD);
+        let age = (first.saturating_duration_since(start).as_secs_f64() + 1.0).min(WARM_UP_SECONDS);
         // What the fleet holds at warm hosts of its size is taken for a quarter of what one bears.
-        let bears = 4.0 * (NODES * HELD) as f64 / WARM as f64;
-        let budget = 3.0 * (FROM + (1.0 - FROM) * age / COLD) * bears / COLD;
+        let bears = 4.0 * (NODES * OPEN_CONNECTIONS) as f64 / WARM as f64;
+        let budget = 3.0 * (INITIAL_SHARE + (1.0 - INITIAL_SHARE) * age / WARM_UP_SECONDS) * bears
+            / WARM_UP_SECONDS;
         let most = budget + 2.0 * budget.sqrt() + 2.0;
         assert!(
             came <= most,
--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -35,7 +35,7 @@
         let balancer = self.balancer_settings(classes);
         let node = NodeSettings {
             max_request_timeout: balancer.max_request_timeout,
-            connect_within: connect_timeout(&self.policy_limits),
+            connect_timeout: connect_timeout(&self.policy_limits),
             drain_grace: nanos(self.contract.drain_grace),
             active: vec![true; self.classes.len()],
             classes: self.classes.into_iter().map(|class| class.name).collect(),
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -63,22 +63,6 @@
 ///
 /// # Errors
 /// One line that names the key.
-pub fn balancer_settings(text: &[u8]) -> Result<BalancerSettings, String> {
-    Settings::from_json(text)
-        .map(|settings| settings.balancer)
-        .map_err(|error| error.to_string())
-}
-
-/// The former name of [`reload`].
-pub mod renewal {
-    use reedferry::RequestClass;
-
-    /// See [`crate::reload::find_class`].
-    pub fn place(
-        (classes, names): (&[RequestClass], &[String]),
-        name: &str,
-        class: &RequestClass,
-    ) -> Option<usize> {
-        crate::reload::find_class(classes, names, name, class)
-    }
+pub fn balancer_settings(text: &[u8]) -> Result<BalancerSettings, SettingsError> {
+    Settings::from_json(text).map(|settings| settings.balancer)
 }
--- a/settings/src/node_settings.rs
+++ b/settings/src/node_settings.rs
@@ -16,7 +16,7 @@
     /// The names of the values of a load report, in order.
     pub load_metrics: Vec<String>,
     /// How long a connection to a host may take to be established.
-    pub connect_within: Nanos,
+    pub connect_timeout: Nanos,
     /// How long after its drain began a host may still get new requests.
     pub drain_grace: Nanos,
     /// The longest time that any client waits for its answer.
--- a/settings/tests/keys.rs
+++ b/settings/tests/keys.rs
@@ -145,7 +145,7 @@
         ("acme".into(), "x0 util x1 qps".into())
     );
     assert_eq!(
-        (node_settings.connect_within, node_settings.drain_grace),
+        (node_settings.connect_timeout, node_settings.drain_grace),
         (260 * MILLI, 300 * MILLI)
     );
     assert_eq!(
