--- a/node/src/connections/attempt_progress.rs
+++ b/node/src/connections/attempt_progress.rs
@@ -82,8 +82,8 @@
             not_after,
             client_waits,
             draining_since: record.left_since,
-            drain_grace: context.node_settings.drain_grace,
-            endpoints_stale: context.deaf.contains(&now),
+            drain_grace: context.settings.drain_grace,
+            endpoints_stale: context.stale_window.contains(&now),
             host_address_changed: changed_since(record.readdressed),
             group_changed: repeats && changed_since(record.regrouped),
         })
@@ -216,7 +216,7 @@
         });
         connection.stage = Stage::Open;
         context.metrics.record_outcome(
-            &context.node_settings.classes[connection.incoming.class],
+            &context.settings.classes[connection.incoming.class],
             RequestOutcome::Served,
         );
         let mut recorder = MessageRecorder {
--- a/node/src/connections/attempts.rs
+++ b/node/src/connections/attempts.rs
@@ -54,7 +54,9 @@
         connection.attempts += 1;
         let started = match context.hosts.index(host) {
             // Hosts may be draining by now of which this node has not heard.
-            Some(_) if context.deaf.contains(&context.now) => Err(AttemptOutcome::NeverSent),
+            Some(_) if context.stale_window.contains(&context.now) => {
+                Err(AttemptOutcome::NeverSent)
+            }
             Some(index) => self.connect_to_host(context, slot, index, until, write_by),
             None => Err(AttemptOutcome::ConnectFailed),
         };
@@ -109,7 +111,7 @@
         connection.to_client = Relay::default();
         connection.to_host = Relay::default();
         connection.attempt_timeout = until.saturating_sub(context.now);
-        let connect_by = write_by.min(context.now + context.node_settings.connect_timeout);
+        let connect_by = write_by.min(context.now + context.settings.connect_timeout);
         if connect_by < until {
             context.poller.set_timer(connect_by, token, CONNECT_TIMER);
         }
--- a/node/src/connections/closing.rs
+++ b/node/src/connections/closing.rs
@@ -51,7 +51,7 @@
             } else {
                 RequestOutcome::Failed
             };
-            let class = &context.node_settings.classes[connection.incoming.class];
+            let class = &context.settings.classes[connection.incoming.class];
             context.metrics.record_outcome(class, outcome);
         }
         connection.request_line = None;
--- a/node/src/connections/first_line.rs
+++ b/node/src/connections/first_line.rs
@@ -209,7 +209,7 @@
     id: RequestId,
     request: &OpenRequest,
 ) -> Result<IncomingRequest, RejectReason> {
-    let settings = &context.node_settings;
+    let settings = &context.settings;
     let class = settings
         .class(request.class)
         .ok_or(RejectReason::UnknownClass)?;
--- a/node/src/connections/handover.rs
+++ b/node/src/connections/handover.rs
@@ -214,7 +214,7 @@
         let handover = handover.with_clock_offset(context.clock.offset());
         // A class that is no longer served must not stand for another one.
         let class = handover.class.as_ref().and_then(|(name, class)| {
-            let served = context.node_settings.classes.as_slice();
+            let served = context.settings.classes.as_slice();
             reload::find_class(&context.classes, served, name, class)
         });
         if handover.open.is_some() && class.is_none() {
--- a/node/src/connections/handover_snapshot.rs
+++ b/node/src/connections/handover_snapshot.rs
@@ -63,7 +63,7 @@
             .then(|| OpenSnapshot::capture(connection, context))
             .flatten();
         let class = open.as_ref().and_then(|_| {
-            let name = context.node_settings.classes.get(incoming.class)?;
+            let name = context.settings.classes.get(incoming.class)?;
             let class = context.classes.get(incoming.class)?;
             Some((name.clone(), class.clone()))
         });
--- a/node/src/connections/invariants.rs
+++ b/node/src/connections/invariants.rs
@@ -47,7 +47,7 @@
             connection.report_violation(context, Violation::RetriedLate, now - write_by);
         }
         let left_since = context.hosts.record(attempt.host).left_since;
-        let grace = context.node_settings.drain_grace;
+        let grace = context.settings.drain_grace;
         if let Some(late) = left_since.and_then(|left| now.checked_sub(left + grace + TOLERANCE)) {
             connection.report_violation(context, Violation::SentToDrainingHost, late);
         }
--- a/node/src/connections/mod.rs
+++ b/node/src/connections/mod.rs
@@ -70,7 +70,7 @@
 
     /// The classes that any request is of, with their names.
     pub fn classes_in_use(&self, context: &Context) -> Vec<(String, RequestClass)> {
-        let names = context.node_settings.classes.iter();
+        let names = context.settings.classes.iter();
         names
             .zip(&context.classes)
             .enumerate()
--- a/node/src/connections/probe.rs
+++ b/node/src/connections/probe.rs
@@ -68,7 +68,7 @@
             request_sent: false,
             received: None,
         });
-        let deadline: Nanos = context.now + 2 * context.node_settings.connect_timeout;
+        let deadline: Nanos = context.now + 2 * context.settings.connect_timeout;
         context.poller.set_timer(deadline, token, 0);
     }
 
@@ -96,7 +96,7 @@
             return;
         };
         if ready.writable && !probe.request_sent {
-            let line = if context.node_settings.load_metrics.is_empty() {
+            let line = if context.settings.load_metrics.is_empty() {
                 HEALTH_CHECK_LINE
             } else {
                 LOAD_PROBE_LINE
@@ -136,7 +136,7 @@
         match protocol::split_first_line(buffer.unsent()) {
             Ok(None) => probe.received = Some(buffer),
             Ok(Some(line)) => {
-                let names = &context.node_settings.load_metrics;
+                let names = &context.settings.load_metrics;
                 let result = ProbeResult {
                     outcome: answer_outcome(&buffer.unsent()[..line.length]),
                     load_metrics: protocol::parse_load_report(line.text, names),
--- a/node/src/context/mod.rs
+++ b/node/src/context/mod.rs
@@ -55,7 +55,7 @@
     /// The hosts of the endpoint list.
     pub hosts: Hosts,
     /// The settings beside those of the decision core.
-    pub node_settings: NodeSettings,
+    pub settings: NodeSettings,
     /// The request classes, in the order of their names in the settings.
     pub classes: Vec<RequestClass>,
     /// Events gathered for the decision core.
@@ -79,7 +79,7 @@
     /// Whether new work was last held off for want of descriptors or buffers.
     pub scarce: bool,
     /// From when to when no new attempts may go to hosts, unless discovery is heard from before.
-    pub deaf: Range<Nanos>,
+    pub stale_window: Range<Nanos>,
 }
 
 impl Context {
--- a/node/src/context/open.rs
+++ b/node/src/context/open.rs
@@ -59,7 +59,7 @@
                     .balancer_settings
                     .shortest_message_latency_objective(),
             ),
-            node_settings: node_config.node_settings.clone(),
+            settings: node_config.node_settings.clone(),
             classes: node_config.balancer_settings.classes.clone(),
             events: Vec::new(),
             log,
@@ -71,7 +71,7 @@
             late_turn_lines: LogRateLimit::new(MAX_LATE_TURN_LINES),
             request_lines: LogRateLimit::new(MAX_REQUEST_LINES),
             scarce: false,
-            deaf: Nanos::MAX..Nanos::MAX,
+            stale_window: Nanos::MAX..Nanos::MAX,
         };
         Ok((context, backlog))
     }
--- a/node/src/context/shutdown.rs
+++ b/node/src/context/shutdown.rs
@@ -21,10 +21,7 @@
     /// Begins the shutdown of this process, and returns the event for the balancer. It may take the longest deadline of a request
     /// and `beyond`.
     pub fn begin_shutdown(&mut self, beyond: Nanos, connections: usize) -> Event {
-        let request_grace = self
-            .node_settings
-            .max_request_timeout
-            .min(MAX_REQUEST_GRACE);
+        let request_grace = self.settings.max_request_timeout.min(MAX_REQUEST_GRACE);
         let duration = request_grace + beyond;
         self.may_end_at = Some(self.now + duration);
         // Without this, clients whose host stopped within a line, or whose migration began so late that it took too long, would be
--- a/node/src/discovery/client/answers.rs
+++ b/node/src/discovery/client/answers.rs
@@ -43,7 +43,7 @@
         self.watching = true;
         self.calls[SILENT_WATCH] = DiscoveryCall::default();
         self.staleness.record_answer(context.now);
-        context.deaf = self.staleness.stale_window();
+        context.stale_window = self.staleness.stale_window();
         let next = self
             .staleness
             .next_watch_at(context.now, started_at, max_wait, has_news);
@@ -64,7 +64,7 @@
                 .silence_deadline(watch.started_at, watch.max_wait);
             watch.deadline = watch.deadline.max(deadline);
         }
-        context.deaf = self.staleness.stale_window();
+        context.stale_window = self.staleness.stale_window();
     }
 
     /// What the answer to a call that has just come shows of the time its news is from.
--- a/node/src/discovery/client/failures.rs
+++ b/node/src/discovery/client/failures.rs
@@ -65,7 +65,7 @@
             self.watching = false;
             let next = self.staleness.record_failure(context.now, failure);
             self.next_watch_at = Some(next);
-            context.deaf = self.staleness.stale_window();
+            context.stale_window = self.staleness.stale_window();
             if next <= context.now {
                 self.watch(context);
             }
--- a/node/src/discovery/client/mod.rs
+++ b/node/src/discovery/client/mod.rs
@@ -153,7 +153,7 @@
         if which == WATCH {
             self.next_watch_at = None;
             self.staleness.record_watch_start(context.now, max_wait);
-            context.deaf = self.staleness.stale_window();
+            context.stale_window = self.staleness.stale_window();
         }
         self.start(context, which);
     }
@@ -259,7 +259,7 @@
         if watch_due && !self.calls[WATCH].in_flight {
             self.watch(context);
         }
-        let stale = context.deaf.contains(&context.now);
+        let stale = context.stale_window.contains(&context.now);
         if stale != std::mem::replace(&mut self.reported_stale, stale) {
             warn!(context.log, "list not heard in time"; "nothing new to hosts" => stale);
         }
--- a/node/src/roles/standalone/event_loop.rs
+++ b/node/src/roles/standalone/event_loop.rs
@@ -142,7 +142,7 @@
                 clock_ahead: context.clock.offset(),
                 revision: self.discovery.revision(),
                 members: context.hosts.members(),
-                classes: context.node_settings.classes.clone(),
+                classes: context.settings.classes.clone(),
                 referenced_classes: self.connections.classes_in_use(context),
                 inherited: self.balancer.export_state(),
             };
--- a/node/src/roles/standalone/reload.rs
+++ b/node/src/roles/standalone/reload.rs
@@ -119,7 +119,7 @@
         fresh.balancer_settings = balancer_settings.clone();
         fresh.node_settings = node_settings.clone();
         let context = &mut self.context;
-        context.node_settings = node_settings.clone();
+        context.settings = node_settings.clone();
         context.classes = balancer_settings.classes.clone();
         context.metrics.add_classes(&node_settings.classes);
         context.hosts.update_settings(
--- a/node/src/roles/standalone/startup.rs
+++ b/node/src/roles/standalone/startup.rs
@@ -160,7 +160,7 @@
         &mut node_config.node_settings,
         std::mem::take(&mut state.referenced_classes),
     );
-    context.node_settings = node_config.node_settings.clone();
+    context.settings = node_config.node_settings.clone();
     context.classes = node_config.balancer_settings.classes.clone();
     state.with_classes(&node_config.node_settings.classes)
 }
