--- a/node/tests/membership.rs
+++ b/node/tests/membership.rs
@@ -1,10 +1,10 @@
 //! Processes of the program that are members of a fleet, with faults put between them: how soon their member tables
 //! converge, who is declared dead and who is not. What clients and hosts saw is checked too where there is load.
 
-use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, Guests, WarmingHosts};
-use reedferry_testkit::schedule::{play, Schedule};
-use reedferry_testkit::view::{started, View};
-use reedferry_testkit::ways::{Spoil, Ways};
+use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, ReturningClients, WarmingHosts};
+use reedferry_testkit::fleet_view::{started, FleetView};
+use reedferry_testkit::network::{FaultyNetwork, LinkFaults};
+use reedferry_testkit::schedule::{play, FaultSchedule};
 use reedferry_testkit::{eventually, Discovery};
 use std::net::UdpSocket;
 use std::thread;
@@ -29,16 +29,16 @@
 fn false_deaths(fleet: &Fleet, but: &[usize]) -> Vec<String> {
     let of = |line: &String, node: &usize| format!("{line},").contains(&format!("name: n{node},"));
     fleet
-        .put_out()
+        .members_declared_dead()
         .into_iter()
         .filter(|line| !but.iter().any(|node| of(line, node)))
         .collect()
 }
 
 fn stall(fleet: &mut Fleet, node: usize, time: Duration) {
-    fleet.stand_still(node);
+    fleet.suspend(node);
     thread::sleep(time);
-    fleet.go_on(node);
+    fleet.unsuspend(node);
 }
 
 /// Prevents deaths that some never hear of, and others declared dead beside them.
@@ -69,20 +69,23 @@
     let _turn = alone();
     let (_service, fleet) = converged_fleet(20, 2);
     for (periods, parts) in [(20, 2), (30, 3)] {
-        fleet.view().ways.split(|node| node % parts);
+        fleet.fleet_view().network.split(|node| node % parts);
         thread::sleep(PERIOD * periods);
-        fleet.view().ways.heal();
+        fleet.fleet_view().network.heal();
         assert_converges(&fleet, 10, "after a cut");
     }
-    fleet.view().ways.split(|node| usize::from(node == 19));
+    fleet
+        .fleet_view()
+        .network
+        .split(|node| usize::from(node == 19));
     thread::sleep(PERIOD * 30);
-    fleet.view().ways.heal();
+    fleet.fleet_view().network.heal();
     assert_converges(&fleet, 10, "after one was cut off");
-    fleet.put_out();
+    fleet.members_declared_dead();
     let cut = |from, to| (from, to) == (3, 4) || (from, to) == (4, 3) || (from, to) == (7, 8);
-    fleet.view().ways.set(|from, to| Spoil {
+    fleet.fleet_view().network.set(|from, to| LinkFaults {
         cut: cut(from, to),
-        ..Spoil::default()
+        ..LinkFaults::default()
     });
     thread::sleep(PERIOD * 40);
     assert_eq!(false_deaths(&fleet, &[]), [""; 0]);
@@ -95,14 +98,14 @@
     let _turn = alone();
     let (_service, mut fleet) = converged_fleet(12, 3);
     let delay = PERIOD / 10;
-    fleet.view().ways.set(|_, _| Spoil {
+    fleet.fleet_view().network.set(|_, _| LinkFaults {
         loss: 0.2,
-        double: 0.1,
+        duplicate: 0.1,
         delay,
-        ..Spoil::default()
+        ..LinkFaults::default()
     });
     thread::sleep(PERIOD * 60);
-    fleet.view().ways.heal();
+    fleet.fleet_view().network.heal();
     assert_converges(&fleet, 10, "after the loss");
     stall(&mut fleet, 5, PERIOD * 2);
     for _ in 0..30 {
@@ -118,10 +121,10 @@
     assert_converges(&fleet, 10, "after a restart");
     thread::sleep(PERIOD * 10);
     assert_eq!(false_deaths(&fleet, &[]), [""; 0]);
-    fleet.stand_still(9);
+    fleet.suspend(9);
     thread::sleep(PERIOD * 40);
     let word = |fleet: &Fleet| fleet.status(9).and_then(|status| status["word"].as_u64());
-    fleet.go_on(9);
+    fleet.unsuspend(9);
     assert_converges(&fleet, 10, "after a long stop");
     assert!(word(&fleet) > Some(0));
     assert!(fleet.nodes[9]
@@ -136,8 +139,8 @@
 fn strangers_are_logged_at_most_and_of_two_processes_under_one_name_the_later_one_counts() {
     let _turn = alone();
     let service = Discovery::start();
-    let view = View {
-        ways: Ways::new(7, 4),
+    let fleet_view = FleetView {
+        network: FaultyNetwork::new(7, 4),
         period: PERIOD,
         seeds: vec![0, 1, 2],
     };
@@ -147,20 +150,20 @@
     };
     let mut fleet = Fleet::new(7, service.address, options)
         .among(6)
-        .with_view(view);
+        .with_view(fleet_view);
     // Two of three seeds are dead.
     fleet.start(&[0, 3, 4, 5], &[], 0);
     assert_converges(&fleet, 20, "with two dead seeds");
     fleet.start(&[1, 2], &[], 0);
     assert_converges(&fleet, 20, "with all");
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let at = fleet.view().ways.behind[3];
+    let at = fleet.fleet_view().network.process_addresses[3];
     for n in 0..2000u32 {
         _ = stranger.send_to(&n.to_le_bytes().repeat((n % 300) as usize), at);
     }
     thread::sleep(PERIOD * 5);
     assert_converges(&fleet, 5, "after a flood");
-    let lines = fleet.nodes[3].as_ref().unwrap().logged();
+    let lines = fleet.nodes[3].as_ref().unwrap().drain_log();
     let dropped = lines
         .iter()
         .filter(|line| line.contains("membership message dropped"))
@@ -173,7 +176,7 @@
 
 /// Replays what was sent while one member was dead and came back, and then the same in another version.
 fn assert_replays_change_nothing(fleet: &mut Fleet) {
-    fleet.view().ways.take_down();
+    fleet.fleet_view().network.take_down();
     fleet.kill(5, Duration::ZERO);
     assert_converges(fleet, 20, "after a death");
     fleet.start(&[5], &[], 0);
@@ -182,14 +185,14 @@
         .nodes
         .iter()
         .flatten()
-        .for_each(|node| drop(node.logged()));
-    assert!(fleet.view().ways.replay(|_| ()) > 100);
+        .for_each(|node| drop(node.drain_log()));
+    assert!(fleet.fleet_view().network.replay(|_| ()) > 100);
     thread::sleep(PERIOD * 10);
     assert_converges(fleet, 5, "after a replay");
     assert_eq!(false_deaths(fleet, &[]), [""; 0]);
     fleet
-        .view()
-        .ways
+        .fleet_view()
+        .network
         .replay(|bytes| bytes.iter_mut().take(1).for_each(|version| *version += 1));
     fleet.nodes[0].as_ref().unwrap().logs("another version");
     assert_converges(fleet, 5, "after messages of another version");
@@ -203,7 +206,7 @@
         .unwrap()
         .logs("another process has this node's name");
     eventually("the later one is held to be there", || {
-        let face = fleet.view().ways.faces[6].to_string();
+        let face = fleet.fleet_view().network.public_addresses[6].to_string();
         let status = fleet.status(0).unwrap();
         let members = status["members"].as_array().unwrap();
         members
@@ -218,19 +221,19 @@
     let _turn = alone();
     let service = Discovery::start();
     let period = PERIOD * 2;
-    let view = View {
-        ways: Ways::new(200, 9),
+    let fleet_view = FleetView {
+        network: FaultyNetwork::new(200, 9),
         period,
         seeds: vec![0, 1, 2],
     };
-    let mut fleet = Fleet::new(200, service.address, FleetOptions::TRIAL).with_view(view);
+    let mut fleet = Fleet::new(200, service.address, FleetOptions::TRIAL).with_view(fleet_view);
     let living: Vec<usize> = (0..200).filter(|node| *node != 1 && *node != 2).collect();
     fleet.start(&living, &[], 0);
     assert_converges(&fleet, 60, "after the start");
     let lines = |fleet: &Fleet| -> Vec<usize> {
         let of = |node: &reedferry_testkit::Node| {
             let lines = node
-                .logged_at()
+                .drain_log_timed()
                 .into_iter()
                 .filter(|(_, line)| line.contains("member "));
             let times: Vec<Instant> = lines.map(|(at, _)| at).collect();
@@ -263,15 +266,16 @@
     let list = hosts.members(hosts.start(6, false));
     list.iter()
         .for_each(|member| service.change(member.clone()));
-    let view = View {
-        ways: Ways::new(10, 5),
+    let fleet_view = FleetView {
+        network: FaultyNetwork::new(10, 5),
         period: PERIOD,
         seeds: vec![0, 1, 2],
     };
-    let mut fleet = Fleet::new(10, service.address, FleetOptions::TRIAL).with_view(view);
+    let mut fleet = Fleet::new(10, service.address, FleetOptions::TRIAL).with_view(fleet_view);
     fleet.start(&(0..10).collect::<Vec<_>>(), &list, 6);
-    let mut guests = Guests::come(60, &fleet.front, Duration::from_millis(500), None, 5);
-    eventually("all stand", || guests.standing() == 60);
+    let mut returning_clients =
+        ReturningClients::come(60, &fleet.front, Duration::from_millis(500), None, 5);
+    eventually("all stand", || returning_clients.standing() == 60);
     assert_converges(&fleet, 20, "at the start");
     let from = Instant::now();
     for node in 0..10 {
@@ -285,15 +289,15 @@
     }
     assert_converges(&fleet, 10, "after all were restarted");
     assert!(from.elapsed() < Duration::from_secs(60));
-    eventually("all stand again", || guests.standing() == 60);
-    guests.end();
+    eventually("all stand again", || returning_clients.standing() == 60);
+    returning_clients.end();
     assert_eq!(hosts.broken(Duration::from_millis(300)), [""; 0]);
-    assert_eq!(fleet.broken(&guests), [""; 0]);
+    assert_eq!(fleet.broken(&returning_clients), [""; 0]);
     let suspect = fleet
         .nodes
         .iter()
         .flatten()
-        .flat_map(reedferry_testkit::Node::logged);
+        .flat_map(reedferry_testkit::Node::drain_log);
     assert_eq!(
         suspect
             .filter(|line| line.contains("member suspect"))
@@ -353,13 +357,13 @@
     let list = hosts.members(hosts.start(8, false));
     list.iter()
         .for_each(|member| service.change(member.clone()));
-    let view = View {
-        ways: Ways::new(6, 6),
+    let fleet_view = FleetView {
+        network: FaultyNetwork::new(6, 6),
         period: PERIOD,
         seeds: vec![0, 1, 2],
     };
     let mut fleet = Fleet::new(6, service.address, FleetOptions::TRIAL)
-        .with_view(view)
+        .with_view(fleet_view)
         .probing();
     fleet.start(&(0..6).collect::<Vec<_>>(), &list, 8);
     assert_converges(&fleet, 20, "at the start");
@@ -372,10 +376,10 @@
         &count_probes(&hosts, Instant::now(), 3),
         "three rounds after deaths",
     );
-    fleet.stand_still(4);
+    fleet.suspend(4);
     let from = Instant::now();
     thread::sleep(Duration::from_secs(3));
-    fleet.go_on(4);
+    fleet.unsuspend(4);
     let looks = fleet.status(4).and_then(|status| status["looks"].as_u64());
     assert_eq!(
         looks,
@@ -405,14 +409,15 @@
     let mut list = hosts.members(hosts.start(4, false));
     list.iter()
         .for_each(|member| service.change(member.clone()));
-    let view = View {
-        ways: Ways::new(6, 7),
+    let fleet_view = FleetView {
+        network: FaultyNetwork::new(6, 7),
         period: PERIOD,
         seeds: vec![0, 1, 2],
     };
-    let mut fleet = Fleet::new(6, service.address, FleetOptions::TRIAL).with_view(view);
+    let mut fleet = Fleet::new(6, service.address, FleetOptions::TRIAL).with_view(fleet_view);
     fleet.start(&(0..6).collect::<Vec<_>>(), &list, 4);
-    let mut guests = Guests::come(60, &fleet.front, Duration::from_millis(300), None, 7);
+    let mut returning_clients =
+        ReturningClients::come(60, &fleet.front, Duration::from_millis(300), None, 7);
     assert_converges(&fleet, 20, "at the start");
     let mut cold = |count: usize| {
         for member in hosts.members(hosts.start(count, true)) {
@@ -433,19 +438,22 @@
     expect(&fleet, 6.0, "all is used");
     fleet.kill(5, Duration::from_millis(200));
     expect(&fleet, 5.5, "the half of the dead one that is lent is used");
-    fleet.view().ways.split(|node| node % 2);
+    fleet.fleet_view().network.split(|node| node % 2);
     // Three of six are no majority, and neither are two.
     expect(
         &fleet,
         2.5,
         "without a majority each uses its own half alone",
     );
-    fleet.view().ways.heal();
+    fleet.fleet_view().network.heal();
     let known = cold(1);
     expect(&fleet, 5.5, "after the cut");
     stall(&mut fleet, 4, Duration::from_secs(2));
     // The cluster shrinks in one partition, and grows again.
-    fleet.view().ways.split(|node| usize::from(node < 2));
+    fleet
+        .fleet_view()
+        .network
+        .split(|node| usize::from(node < 2));
     fleet.tells_of_places(0..2, 4, &known, 7);
     expect(
         &fleet,
@@ -453,14 +461,14 @@
         "those who shrank use no more than they did, the others their own",
     );
     fleet.tells_of_places(0..2, 6, &known, 7);
-    fleet.view().ways.heal();
+    fleet.fleet_view().network.heal();
     fleet.start(&[5], &known, 7);
     expect(&fleet, 6.0, "with all again");
     assert!(max_used <= 6.0 + 1e-6, "{max_used} of 6 were used");
-    eventually("all stand", || guests.standing() == 60);
-    guests.end();
+    eventually("all stand", || returning_clients.standing() == 60);
+    returning_clients.end();
     assert_eq!(hosts.broken(Duration::from_millis(300)), [""; 0]);
-    assert_eq!(fleet.broken(&guests), [""; 0]);
+    assert_eq!(fleet.broken(&returning_clients), [""; 0]);
 }
 
 /// Prevents an invariant broken, clients lost or tables that differ for ever where two faults overlap. Seed 31 flips bits
@@ -469,7 +477,7 @@
 fn drawn_schedules_of_two_overlapping_faults_break_no_invariant() {
     let _turn = alone();
     for seed in [31, 2, 5] {
-        let schedule = Schedule::draw(seed, 8, 2);
+        let schedule = FaultSchedule::draw(seed, 8, 2);
         let broken = play(&schedule, None);
         assert!(broken.is_empty(), "{schedule}{broken:#?}");
     }
--- a/node/tests/process_stalls.rs
+++ b/node/tests/process_stalls.rs
@@ -1,7 +1,7 @@
 //! A process that stands still for a while, or is delayed again and again, as its machine is, blames no host for what it did not
 //! see meanwhile.
 
-use reedferry_testkit::syscalls::{Call, Fault, Outcome, Spoiler};
+use reedferry_testkit::syscalls::{Call, Fault, Outcome, SyscallInjector};
 use reedferry_testkit::*;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -40,22 +40,22 @@
 
 struct Site {
     node: Node,
-    spoiler: Spoiler,
+    injector: SyscallInjector,
     _discovery: Discovery,
 }
 
 impl Site {
     fn start() -> Site {
-        let (referee, discovery) = (acting::Referee::default(), Discovery::start());
-        let hosts = acting::Hosts::start(HOSTS, &referee);
+        let (checker, discovery) = (simulated::InvariantChecker::default(), Discovery::start());
+        let hosts = simulated::Hosts::start(HOSTS, &checker);
         let mut node_config = program::node_config_of(hosts.members(), discovery.address);
         node_config["settings"]["offerings"][0]["name"] = serde_json::json!("free");
-        let spoiler = Spoiler::default();
-        let node = Node::start_spoilt(&node_config, &spoiler);
+        let injector = SyscallInjector::default();
+        let node = Node::start_injected(&node_config, &injector);
         discovery.calls(1);
         Site {
             node,
-            spoiler,
+            injector,
             _discovery: discovery,
         }
     }
@@ -88,7 +88,7 @@
             heard.push(said);
             thread::sleep(Duration::from_millis(20));
         }
-        let log = self.node.logged();
+        let log = self.node.drain_log();
         assert!(
             served * 10 >= heard.len() * 9,
             "{served} of {} served: {log:#?}",
@@ -104,9 +104,9 @@
     let site = Site::start();
     let open_traffic = site.open_traffic();
     thread::sleep(Duration::from_millis(500));
-    site.node.stand_still();
+    site.node.suspend();
     thread::sleep(PAUSE);
-    site.node.go_on();
+    site.node.unsuspend();
     site.serves();
     open_traffic.end();
 }
@@ -117,7 +117,7 @@
     let site = Site::start();
     let open_traffic = site.open_traffic();
     let held = Outcome::HeldUp(Duration::from_millis(140));
-    site.spoiler.set(&[Fault {
+    site.injector.set(&[Fault {
         call: Call::Send,
         outcome: held,
         every: 2,
@@ -133,7 +133,7 @@
         clients.push(client);
         thread::sleep(Duration::from_millis(40));
     }
-    site.spoiler.clear();
+    site.injector.clear();
     site.serves();
     open_traffic.end();
 }
@@ -142,10 +142,14 @@
 #[test]
 fn due_requests_are_answered_in_time_though_each_turn_has_much_to_do() {
     const TALKING: usize = 60;
-    let (hosts, discovery, spoiler) = (Hosts::start(1), Discovery::start(), Spoiler::default());
+    let (hosts, discovery, injector) = (
+        Hosts::start(1),
+        Discovery::start(),
+        SyscallInjector::default(),
+    );
     let mut node_config = node_config(&hosts, discovery.address);
     node_config["settings"]["offerings"][0]["contract_time"] = serde_json::json!(2000.0);
-    let node = Node::start_spoilt(&node_config, &spoiler);
+    let node = Node::start_injected(&node_config, &injector);
     let mut open: Vec<_> = (0..TALKING).map(|_| node.served(&hosts)).collect();
     // Its host says nothing.
     let mut waits = node.open(&OPEN.replace("d=2000", "d=1000"));
@@ -153,7 +157,7 @@
     let (_, mut silent) = hosts.accept();
     assert!(silent.hear().starts_with("OPEN"));
     let held = Outcome::HeldUp(Duration::from_millis(100));
-    spoiler.set(&[Fault {
+    injector.set(&[Fault {
         call: Call::Send,
         outcome: held,
         every: 2,
@@ -168,15 +172,15 @@
     assert!(said == "ERR" || said.starts_with("BUSY"), "{said}");
     // One turn more, its own sending, and what the first turn had begun.
     assert!(took < Duration::from_millis(1450), "{said} after {took:?}");
-    spoiler.clear();
+    injector.clear();
     for (_, _, host) in &mut open {
         host.hears("hello");
     }
 }
 
-fn interrupt_waits(spoiler: &Spoiler) {
+fn interrupt_waits(injector: &SyscallInjector) {
     let outcome = Outcome::Fails(rustix::io::Errno::INTR);
-    spoiler.set(&[Fault {
+    injector.set(&[Fault {
         call: Call::EpollWait,
         outcome,
         every: 1,
@@ -184,11 +188,11 @@
 }
 
 /// The process goes on; its waits are interrupted at first, so that what is due is seen before what is ready.
-fn resume_with_timers_first(node: &Node, spoiler: &Spoiler) {
-    interrupt_waits(spoiler);
-    node.go_on();
+fn resume_with_timers_first(node: &Node, injector: &SyscallInjector) {
+    interrupt_waits(injector);
+    node.unsuspend();
     thread::sleep(Duration::from_millis(300));
-    spoiler.clear();
+    injector.clear();
 }
 
 /// Prevents that a host is taken for unreachable, as the connection to it was established while the process stood still.
@@ -202,8 +206,8 @@
     node_config["settings"]["policy_limits"]["connect_timeout"] = serde_json::json!(1500.0);
     node_config["settings"]["offerings"][0]["expiry"] = serde_json::json!(6000.0);
     node_config["settings"]["offerings"][0]["contract_time"] = serde_json::json!(6000.0);
-    let spoiler = Spoiler::default();
-    let node = Node::start_spoilt(&node_config, &spoiler);
+    let injector = SyscallInjector::default();
+    let node = Node::start_injected(&node_config, &injector);
     discovery.calls(1);
     let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
     let mut other = Peer::connect(node.address);
@@ -211,12 +215,12 @@
         other.say("PING");
         other.hears("PONG");
     }
-    node.stand_still();
+    node.suspend();
     drop(first);
     drop(listener.accept().unwrap());
     let (stream, _) = listener.accept().unwrap();
     thread::sleep(Duration::from_millis(1000));
-    resume_with_timers_first(&node, &spoiler);
+    resume_with_timers_first(&node, &injector);
     let mut host = Peer::new(stream);
     let line = host.hear();
     assert!(line.starts_with("OPEN"), "{line}");
@@ -231,15 +235,15 @@
     let mut node_config = node_config(&hosts, discovery.address);
     node_config["settings"]["reporting"] =
         serde_json::json!({"fields": ["util", "x0"], "via": "pull"});
-    let spoiler = Spoiler::default();
-    let node = Node::start_spoilt(&node_config, &spoiler);
+    let injector = SyscallInjector::default();
+    let node = Node::start_injected(&node_config, &injector);
     let (_, mut probe) = hosts.accept();
     probe.hears("STATS");
-    interrupt_waits(&spoiler);
-    node.stand_still();
+    interrupt_waits(&injector);
+    node.suspend();
     probe.say("PONG util=0.2,x0=0.2");
     thread::sleep(2 * PROBE_WITHIN);
-    resume_with_timers_first(&node, &spoiler);
+    resume_with_timers_first(&node, &injector);
     let mut client = node.open(OPEN);
     let mut asked = false;
     while let Some((_, mut host)) = hosts.accept_soon().filter(|_| !asked) {
--- a/node/tests/relisted.rs
+++ b/node/tests/relisted.rs
@@ -152,7 +152,7 @@
     host.say("UP 2");
     client.hears("UP 2");
     let ejections: Vec<String> = node
-        .logged()
+        .drain_log()
         .into_iter()
         .filter(|line| line.contains("host ejected"))
         .collect();
--- a/node/tests/repeats.rs
+++ b/node/tests/repeats.rs
@@ -108,7 +108,7 @@
         if what.contains("change their order") {
             node_config["settings"]["zones"] = json!(["b", "a"]);
             node_config["settings"]["zone"] = json!(1);
-            node.reread(&node_config.to_string());
+            node.reload(&node_config.to_string());
             node.logs("settings changed active_classes=");
         }
         host.reset();
@@ -237,10 +237,10 @@
             wait_until_read(&node);
             _ = std::io::Write::write_all(&mut host.stream, second.as_bytes());
         } else {
-            node.stand_still();
+            node.suspend();
             host.write(first);
             host.write(second);
-            node.go_on();
+            node.unsuspend();
         }
         if retried {
             let (other, mut host) = hosts.accept();
@@ -300,7 +300,7 @@
                 expect_only_answer(&mut client, "UP 2", &what);
             }
         } else {
-            node.stand_still();
+            node.suspend();
             // What is not idempotent is waited for as long as its client waits, less two round trips.
             let up = Duration::from_millis(if idempotency == "single_shot" {
                 1650
@@ -310,7 +310,7 @@
             crowd.iter_mut().for_each(|other| other.write("O"));
             host.say("UP 7");
             eventually("no time passes", || asked.elapsed() > up);
-            node.go_on();
+            node.unsuspend();
             expect_only_answer(&mut client, "UP 7", &what);
         }
         assert!(hosts.accept_soon().is_none(), "{what}: sent again");
--- a/node/tests/replication.rs
+++ b/node/tests/replication.rs
@@ -1,9 +1,9 @@
 //! Processes of the program that replicate records of their requests, some of which are killed or stall: a request that is
 //! not idempotent reaches hosts once, as the hosts saw it.
 
-use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, REPEATS};
-use reedferry_testkit::view::View;
-use reedferry_testkit::ways::Ways;
+use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, IDEMPOTENCY_WINDOW};
+use reedferry_testkit::fleet_view::FleetView;
+use reedferry_testkit::network::FaultyNetwork;
 use reedferry_testkit::{eventually, Discovery, Peer};
 use serde_json::json;
 use std::collections::HashMap;
@@ -58,13 +58,13 @@
         });
         let service = Discovery::start();
         service.change(member.clone());
-        let view = View {
-            ways: Ways::new(nodes, 1),
+        let fleet_view = FleetView {
+            network: FaultyNetwork::new(nodes, 1),
             period: PERIOD,
             seeds: vec![0, 1, 2],
         };
         let mut fleet = Fleet::new(nodes, service.address, OPTIONS)
-            .with_view(view)
+            .with_view(fleet_view)
             .class(idempotency, retention);
         fleet.start(&(0..nodes).collect::<Vec<_>>(), &[member], 1);
         assert!(fleet.agrees_within(PERIOD * 60).is_some());
@@ -175,7 +175,7 @@
     eventually("those that come soon are retried", || {
         (0..20).all(|key| site.at_host(key) == 2)
     });
-    thread::sleep(REPEATS);
+    thread::sleep(IDEMPOTENCY_WINDOW);
     let mut late: Vec<Peer> = (20..40)
         .map(|key| site.open(1 + key % 4, key, true))
         .collect();
@@ -242,7 +242,7 @@
 #[test]
 fn a_node_that_stalled_sends_nothing_and_of_two_at_once_one_does() {
     let mut site = Site::new(5, "single_shot", Some(RETENTION));
-    site.fleet.stand_still(0);
+    site.fleet.suspend(0);
     let old: Vec<Peer> = (0..20).map(|key| site.open(0, key, false)).collect();
     let new: Vec<Peer> = (0..20)
         .map(|key| site.open(1 + key % 4, key, true))
@@ -250,7 +250,7 @@
     eventually("all stand at the host", || {
         (0..20).all(|key| site.at_host(key) == 1)
     });
-    site.fleet.go_on(0);
+    site.fleet.unsuspend(0);
     let both: Vec<(Peer, Peer)> = (20..60)
         .map(|key| (site.open(1, key, false), site.open(2, key, false)))
         .collect();
--- a/node/tests/shutdown.rs
+++ b/node/tests/shutdown.rs
@@ -200,7 +200,7 @@
     node.logs("asked to stop");
     let mut fresh = node_config(&hosts, discovery.address);
     fresh["settings"]["offerings"][0]["payoff"] = json!(2.0);
-    node.reread(&fresh.to_string());
+    node.reload(&fresh.to_string());
     node.logs("configuration reloaded");
     node.stop();
     host.write("7aa\r\n");
@@ -239,13 +239,13 @@
     // They rest for less than two seconds by then, and write first.
     let mut crowd: Vec<Peer> = (0..700).map(|_| Peer::connect(node.address)).collect();
     wait_until_read(&node);
-    node.stand_still();
+    node.suspend();
     crowd.iter_mut().for_each(|other| other.write("O"));
     host.say("UP 7");
     eventually("no time passes", || {
         began.elapsed() > kill_time(9000) - ms(170)
     });
-    node.go_on();
+    node.unsuspend();
     client.hears("UP 7");
     client.hears("MOVE");
     client.hears("end");
--- a/node/tests/silence.rs
+++ b/node/tests/silence.rs
@@ -2,8 +2,10 @@
 //! spoilt, while hosts drain under load. Checked by what hosts and the list service saw, against
 //! when each node counts as told.
 
-use reedferry_testkit::acting::{Clients, Hosts, Reached, Referee, GRACE, SOCKETS};
 use reedferry_testkit::program::node_config_of;
+use reedferry_testkit::simulated::{
+    Clients, Hosts, InvariantChecker, ObservedAttempt, DRAIN_GRACE, SOCKET_SLACK,
+};
 use reedferry_testkit::{eventually, jammed, member, Discovery, Node, Peer, OPEN};
 use serde_json::json;
 use std::cell::Cell;
@@ -26,7 +28,7 @@
 /// watch for shorter times.
 struct Site {
     service: Discovery,
-    referee: Referee,
+    checker: InvariantChecker,
     hosts: Hosts,
     nodes: Vec<Node>,
     /// Which clients belong to which run of [`Site::load`], by their names.
@@ -48,8 +50,8 @@
         of: usize,
         max_poll_interval: f64,
     ) -> Self {
-        let referee = Referee::default();
-        let hosts = Hosts::start(HOSTS, &referee);
+        let checker = InvariantChecker::default();
+        let hosts = Hosts::start(HOSTS, &checker);
         let start = |node: usize| {
             let mut node_config = node_config_of(hosts.members(), service.address);
             node_config["name"] = json!(format!("n{node}"));
@@ -64,7 +66,7 @@
         let nodes: Vec<Node> = (0..nodes).map(start).collect();
         Site {
             service,
-            referee,
+            checker,
             hosts,
             nodes,
             named: Cell::new(0),
@@ -109,9 +111,9 @@
             .replace(self.named.get() + self.nodes.len() as u64);
         thread::scope(|scope| {
             for (n, node) in self.nodes.iter().enumerate() {
-                let (address, referee) = (node.address, &self.referee);
+                let (address, checker) = (node.address, &self.checker);
                 scope.spawn(move || {
-                    let mut clients = Clients::new(vec![address], referee, from + n as u64);
+                    let mut clients = Clients::new(vec![address], checker, from + n as u64);
                     clients.load(
                         8.0,
                         until.saturating_duration_since(Instant::now()),
@@ -124,7 +126,7 @@
         });
         let mut reached = vec![Vec::new(); self.nodes.len()];
         for one in self
-            .referee
+            .checker
             .reached()
             .iter()
             .filter(|one| one.host < DRAINING_HOSTS)
@@ -161,9 +163,9 @@
                     "{mode}: too tame"
                 );
                 for (node, (reached, told)) in reached.iter().zip(&told).enumerate() {
-                    let late = reached
-                        .iter()
-                        .filter(|at| **at > *told + GRACE + SOCKETS + BUSY_MACHINE_DELAY);
+                    let late = reached.iter().filter(|at| {
+                        **at > *told + DRAIN_GRACE + SOCKET_SLACK + BUSY_MACHINE_DELAY
+                    });
                     assert_eq!(
                         late.count(),
                         0,
@@ -174,7 +176,7 @@
                 let calls = site.service.seen().0.len();
                 assert!(calls <= 4 * NODES, "{mode}: {calls} calls");
                 assert_eq!(
-                    site.referee.broken(ms(60_000)),
+                    site.checker.broken(ms(60_000)),
                     Vec::<String>::new(),
                     "{mode}"
                 );
@@ -210,10 +212,10 @@
                     site.service.change(site.hosts.member(HOSTS - 1, "active"));
                     site.service.calls(2);
                     site.drain(0);
-                    site.referee.drains(0, true);
+                    site.checker.drains(0, true);
                     site.load(Instant::now() + ms(1500));
                     assert_eq!(
-                        site.referee.broken(BUSY_MACHINE_DELAY),
+                        site.checker.broken(BUSY_MACHINE_DELAY),
                         Vec::<String>::new(),
                         "{mode}, answer {n}"
                     );
@@ -242,10 +244,10 @@
         site.service.come_up();
         site.service.stop_hanging();
         site.drain(0);
-        site.referee.drains(0, true);
+        site.checker.drains(0, true);
         site.load(Instant::now() + ms(1500));
         assert_eq!(
-            site.referee.broken(BUSY_MACHINE_DELAY),
+            site.checker.broken(BUSY_MACHINE_DELAY),
             Vec::<String>::new(),
             "hangs: {hangs}"
         );
@@ -275,9 +277,9 @@
             site.service.change(site.hosts.member(0, phase));
         }
         eventually("the drain is never heard of", || {
-            let before = site.referee.reached().len();
+            let before = site.checker.reached().len();
             site.load(Instant::now() + ms(700));
-            site.referee.reached()[before..]
+            site.checker.reached()[before..]
                 .iter()
                 .all(|one| one.host != 0)
         });
@@ -296,20 +298,20 @@
             client.say("PING");
             client.hears("PONG");
         });
-        node.stand_still();
+        node.suspend();
         for (n, client) in clients.iter_mut().enumerate() {
             client.say(&format!("OPEN {n:x} {n:x} c=free,t=acme,d=2000"));
         }
         site.drain(0);
-        site.referee.drains(0, true);
+        site.checker.drains(0, true);
         let from = Instant::now();
-        while from.elapsed() < GRACE + SOCKETS + BUSY_MACHINE_DELAY + ms(100) {
+        while from.elapsed() < DRAIN_GRACE + SOCKET_SLACK + BUSY_MACHINE_DELAY + ms(100) {
             thread::yield_now();
         }
-        node.go_on();
+        node.unsuspend();
         clients.iter_mut().for_each(|client| client.hears("UP 1"));
         assert_eq!(
-            site.referee.broken(BUSY_MACHINE_DELAY),
+            site.checker.broken(BUSY_MACHINE_DELAY),
             Vec::<String>::new(),
             "{mode}"
         );
@@ -329,12 +331,13 @@
         (0..HOSTS - 1).for_each(|host| site.drain(host));
         site.load(begun + ms(7500));
         let reached = site
-            .referee
+            .checker
             .reached()
             .into_iter()
             .filter(|one| one.host < HOSTS - 1);
-        let (late, before): (Vec<_>, Vec<_>) = reached
-            .partition(|one| one.at > begun + ms(6000) + GRACE + SOCKETS + BUSY_MACHINE_DELAY);
+        let (late, before): (Vec<_>, Vec<_>) = reached.partition(|one| {
+            one.at > begun + ms(6000) + DRAIN_GRACE + SOCKET_SLACK + BUSY_MACHINE_DELAY
+        });
         assert_eq!(late.len(), 0, "{mode}");
         assert!(!before.is_empty(), "{mode}: too tame");
     }
@@ -361,7 +364,7 @@
     service.change(named("leaving"));
     let told = Instant::now();
     eventually("no time passes", || {
-        told.elapsed() > GRACE + SOCKETS + ms(50)
+        told.elapsed() > DRAIN_GRACE + SOCKET_SLACK + ms(50)
     });
     listener.set_nonblocking(true).unwrap();
     let mut up = Vec::new();
@@ -391,8 +394,9 @@
     (0..HOSTS - 1).for_each(|host| site.drain(host));
     let told = site.told(silent)[0];
     site.load(told + ms(2000));
-    let late = |one: &&Reached| one.at > told + GRACE + SOCKETS + BUSY_MACHINE_DELAY;
-    let reached = site.referee.reached();
+    let late =
+        |one: &&ObservedAttempt| one.at > told + DRAIN_GRACE + SOCKET_SLACK + BUSY_MACHINE_DELAY;
+    let reached = site.checker.reached();
     assert!(reached.iter().any(|one| one.host == 0), "too tame");
     assert_eq!(
         reached.iter().filter(late).count(),
@@ -400,14 +404,14 @@
         "while it could not know"
     );
     assert_eq!(
-        site.referee.broken(ms(60_000)),
+        site.checker.broken(ms(60_000)),
         Vec::<String>::new(),
         "answered all the same"
     );
     site.service.turn_away(0);
     site.nodes[0].logs("watch begun");
     site.load(Instant::now() + ms(1000));
-    let reached = site.referee.reached();
+    let reached = site.checker.reached();
     let late: Vec<usize> = reached.iter().filter(late).map(|one| one.host).collect();
     assert!(
         !late.is_empty() && late.iter().all(|host| *host == HOSTS - 1),
@@ -462,10 +466,15 @@
                     site.load(ended + ms(4500));
                     site.service.turn_away(0);
                 }
-                let reached =
-                    site.load(ended + NOTIFICATION_TIMEOUT + GRACE + BUSY_MACHINE_DELAY + ms(2000));
+                let reached = site.load(
+                    ended + NOTIFICATION_TIMEOUT + DRAIN_GRACE + BUSY_MACHINE_DELAY + ms(2000),
+                );
                 let late = |at: &&Instant| {
-                    **at > ended + NOTIFICATION_TIMEOUT + GRACE + SOCKETS + BUSY_MACHINE_DELAY
+                    **at > ended
+                        + NOTIFICATION_TIMEOUT
+                        + DRAIN_GRACE
+                        + SOCKET_SLACK
+                        + BUSY_MACHINE_DELAY
                 };
                 let last = reached
                     .iter()
@@ -478,7 +487,7 @@
                     "{mode}, {ends}: {last:?}"
                 );
                 assert_eq!(
-                    site.referee.broken(ms(60_000)),
+                    site.checker.broken(ms(60_000)),
                     Vec::<String>::new(),
                     "{mode}, {ends}"
                 );
@@ -486,9 +495,9 @@
                 assert!(calls <= 3 * 20, "{mode}, {ends}: {calls} calls");
                 // It serves on once it has heard.
                 eventually("shut for ever", || {
-                    let before = site.referee.reached().len();
+                    let before = site.checker.reached().len();
                     site.load(Instant::now() + ms(300));
-                    site.referee.reached().len() > before
+                    site.checker.reached().len() > before
                 });
             });
         }
@@ -506,7 +515,7 @@
         let started = Instant::now();
         site.load(started + ms(3000));
         assert!(
-            !site.referee.reached().is_empty(),
+            !site.checker.reached().is_empty(),
             "{mode}, {nodes}: nobody is served"
         );
         site.service.bound(10.0, ms(2000));
@@ -515,9 +524,9 @@
         site.service.come_up();
         let back = Instant::now();
         let reached =
-            site.load(back + NOTIFICATION_TIMEOUT + GRACE + BUSY_MACHINE_DELAY + ms(1500));
+            site.load(back + NOTIFICATION_TIMEOUT + DRAIN_GRACE + BUSY_MACHINE_DELAY + ms(1500));
         let late = |at: &&Instant| {
-            **at > back + NOTIFICATION_TIMEOUT + GRACE + SOCKETS + BUSY_MACHINE_DELAY
+            **at > back + NOTIFICATION_TIMEOUT + DRAIN_GRACE + SOCKET_SLACK + BUSY_MACHINE_DELAY
         };
         assert_eq!(
             reached.iter().flatten().filter(late).count(),
@@ -525,7 +534,7 @@
             "{mode}, {nodes} nodes"
         );
         assert_eq!(
-            site.referee.broken(ms(60_000)),
+            site.checker.broken(ms(60_000)),
             Vec::<String>::new(),
             "{mode}, {nodes} nodes"
         );
@@ -558,10 +567,10 @@
                 eventually("no call gets through", || seen(1));
                 site.service.fall_silent();
                 let silent = Instant::now();
-                site.load(silent + NOTIFICATION_TIMEOUT + GRACE + ms(700));
-                let before = site.referee.reached().len();
+                site.load(silent + NOTIFICATION_TIMEOUT + DRAIN_GRACE + ms(700));
+                let before = site.checker.reached().len();
                 site.load(Instant::now() + ms(1000));
-                assert!(site.referee.reached().len() > before, "{mode}: shut");
+                assert!(site.checker.reached().len() > before, "{mode}: shut");
                 let asked = site.service.asked();
                 let first = asked
                     .iter()
@@ -569,7 +578,7 @@
                     .find(|path| path.contains("hold_ms"));
                 assert!(first.unwrap().ends_with("hold_ms=1"), "{mode}: {asked:?}");
                 assert_eq!(
-                    site.referee.broken(ms(60_000)),
+                    site.checker.broken(ms(60_000)),
                     Vec::<String>::new(),
                     "{mode}"
                 );
@@ -585,8 +594,8 @@
     // Nobody answers there; a call lies in its queue.
     let service = TcpListener::bind("127.0.0.1:0").unwrap();
     service.set_nonblocking(true).unwrap();
-    let referee = Referee::default();
-    let hosts = Hosts::start(1, &referee);
+    let checker = InvariantChecker::default();
+    let hosts = Hosts::start(1, &checker);
     let mut node_config = node_config_of(hosts.members(), service.local_addr().unwrap());
     node_config["settings"]["registry_mode"] = json!("pushed");
     // It has begun once its first line is read.
@@ -607,7 +616,7 @@
     site.drain(0);
     let drained = Instant::now();
     site.load(until);
-    let reached = site.referee.reached();
+    let reached = site.checker.reached();
     let second = |after: u64| drained + ms(1000 * after)..drained + ms(1000 * (after + 1));
     for after in 0..12 {
         let count = reached
@@ -621,7 +630,8 @@
     }
     let late = reached.iter().filter(|one| {
         one.host == 0
-            && one.at > drained + NOTIFICATION_TIMEOUT + GRACE + SOCKETS + BUSY_MACHINE_DELAY
+            && one.at
+                > drained + NOTIFICATION_TIMEOUT + DRAIN_GRACE + SOCKET_SLACK + BUSY_MACHINE_DELAY
     });
     assert_eq!(late.count(), 0, "a host that had drained");
 }
@@ -633,8 +643,8 @@
     let service = Discovery::start();
     // Each call takes it a second.
     service.bound(1.0, Duration::from_secs(60));
-    let referee = Referee::default();
-    let hosts = Hosts::start(HOSTS, &referee);
+    let checker = InvariantChecker::default();
+    let hosts = Hosts::start(HOSTS, &checker);
     // All but the last drain.
     (0..HOSTS - 1).for_each(|host| service.change(hosts.member(host, "leaving")));
     service.change(hosts.member(HOSTS - 1, "active"));
@@ -644,11 +654,12 @@
     let node = Node::start(&node_config);
     // Not from before it was started: a busy machine takes its time with that.
     let started = Instant::now();
-    let mut clients = Clients::new(vec![node.address], &referee, 1);
+    let mut clients = Clients::new(vec![node.address], &checker, 1);
     clients.load(60.0, ms(2500), &[0], ms(20));
     clients.end();
-    let reached = referee.reached();
-    let late = |one: &&Reached| one.at > started + GRACE + SOCKETS + BUSY_MACHINE_DELAY;
+    let reached = checker.reached();
+    let late =
+        |one: &&ObservedAttempt| one.at > started + DRAIN_GRACE + SOCKET_SLACK + BUSY_MACHINE_DELAY;
     let to_drained: Vec<_> = reached
         .iter()
         .filter(late)
@@ -658,9 +669,9 @@
     assert!(
         after.is_empty(),
         "hosts that drained before the process began: {after:?}, {:?}",
-        node.logged()
+        node.drain_log()
     );
-    assert_eq!(referee.broken(ms(60_000)), Vec::<String>::new());
+    assert_eq!(checker.broken(ms(60_000)), Vec::<String>::new());
     let served = reached
         .iter()
         .filter(|one| one.at > started + ms(1500))
@@ -678,21 +689,22 @@
             true => service.hang(false),
             false => service.go_down(),
         }
-        let referee = Referee::default();
-        let hosts = Hosts::start(HOSTS, &referee);
+        let checker = InvariantChecker::default();
+        let hosts = Hosts::start(HOSTS, &checker);
         let mut node_config = node_config_of(hosts.members(), service.address);
         node_config["settings"]["registry_mode"] = json!("pushed");
         node_config["settings"]["offerings"][0]["name"] = json!("free");
         let started = Instant::now();
         let node = Node::start(&node_config);
-        let mut clients = Clients::new(vec![node.address], &referee, 1);
+        let mut clients = Clients::new(vec![node.address], &checker, 1);
         clients.load(20.0, ms(4000), &[0], ms(20));
         clients.end();
         let soon = if hangs { ms(2500) } else { ms(200) };
-        let reached = referee.reached();
+        let reached = checker.reached();
         for from in [soon, ms(3000)] {
-            let within =
-                |one: &&Reached| (started + from..started + from + ms(1000)).contains(&one.at);
+            let within = |one: &&ObservedAttempt| {
+                (started + from..started + from + ms(1000)).contains(&one.at)
+            };
             let count = reached.iter().filter(within).count();
             assert!(
                 count > 10,
--- a/node/tests/slow_start.rs
+++ b/node/tests/slow_start.rs
@@ -1,8 +1,8 @@
 //! Twenty processes and one host in its slow start: the sum of all sends it no more than its quota and chance, with some of them
 //! killed and started again meanwhile.
 
-use reedferry_testkit::acting::{Clients, Hosts, Referee};
 use reedferry_testkit::program::node_config_of;
+use reedferry_testkit::simulated::{Clients, Hosts, InvariantChecker};
 use reedferry_testkit::{Discovery, Node};
 use serde_json::{json, Value};
 use std::thread;
@@ -34,15 +34,15 @@
     reason = "one trial: its start, its load and what was measured"
 )]
 fn twenty_processes_keep_to_the_slow_start_quota_of_one_host() {
-    let (service, referee) = (Discovery::start(), Referee::default());
-    let hosts = Hosts::start(WARM + 1, &referee);
+    let (service, checker) = (Discovery::start(), InvariantChecker::default());
+    let hosts = Hosts::start(WARM + 1, &checker);
     let warm: Value = (0..WARM).map(|host| hosts.member(host, "active")).collect();
     let mut nodes: Vec<Node> = (0..NODES)
         .map(|n| Node::start(&node_config(&service, warm.clone(), n)))
         .collect();
     let mut standing: Vec<Clients> = Vec::new();
     for (n, node) in nodes.iter().enumerate() {
-        let mut clients = Clients::new(vec![node.address], &referee, n as u64);
+        let mut clients = Clients::new(vec![node.address], &checker, n as u64);
         clients.load(
             100.0,
             Duration::from_millis(10 * OPEN_CONNECTIONS as u64),
@@ -65,11 +65,11 @@
     for round in 0..6 {
         thread::scope(|scope| {
             for (n, node) in nodes.iter().enumerate() {
-                let (address, referee) = (node.address, &referee);
+                let (address, checker) = (node.address, &checker);
                 let rate = if n % 5 == round % 5 { 8.0 } else { 2.0 };
                 scope.spawn(move || {
                     let mut clients =
-                        Clients::new(vec![address], referee, (1000 + round * NODES + n) as u64);
+                        Clients::new(vec![address], checker, (1000 + round * NODES + n) as u64);
                     clients.load(
                         rate,
                         Duration::from_secs(1),
@@ -85,7 +85,7 @@
             nodes[n] = Node::start(&node_config(&service, json!(listed), n));
         }
     }
-    let mut times: Vec<Instant> = referee
+    let mut times: Vec<Instant> = checker
         .reached()
         .iter()
         .filter(|one| one.host == WARM)
--- a/node/tests/two_tier.rs
+++ b/node/tests/two_tier.rs
@@ -1,9 +1,9 @@
 //! Forwarders and planners as processes, among simulated hosts and clients, with faults injected from outside.
 //! The rules are judged by what hosts and clients saw.
 
-use reedferry_testkit::acting::{Clients, Way};
 use reedferry_testkit::program::{path, Node};
-use reedferry_testkit::syscalls::{Call, Fault, Outcome, Spoiler};
+use reedferry_testkit::simulated::{Clients, HostBehavior};
+use reedferry_testkit::syscalls::{Call, Fault, Outcome, SyscallInjector};
 use reedferry_testkit::two_tier_cluster::{self, wait_until, TwoTierCluster, FAULT_KINDS};
 use reedferry_testkit::{eventually, Peer};
 use std::io::{Read, Write};
@@ -29,18 +29,18 @@
 }
 
 fn new_clients(cluster: &TwoTierCluster, seed: u64) -> Clients {
-    Clients::new(cluster.client_addresses(), &cluster.referee, seed)
+    Clients::new(cluster.client_addresses(), &cluster.checker, seed)
 }
 
 fn assert_no_violation(cluster: &TwoTierCluster, what: &str) {
-    let violations = cluster.referee.broken(DISCOVERY_DELAY);
+    let violations = cluster.checker.broken(DISCOVERY_DELAY);
     assert!(violations.is_empty(), "{what}: {violations:#?}");
 }
 
 fn count_answers(cluster: &TwoTierCluster, prefix: &str) -> usize {
     cluster
-        .referee
-        .lived()
+        .checker
+        .observations()
         .iter()
         .filter(|l| {
             l.answers
@@ -62,13 +62,13 @@
     clients.load(200.0, ms(1500), &[0, 1, 2], HOLD_TIME);
     clients.end();
     assert_no_violation(&cluster, "killed");
-    let all = cluster.referee.first_hand_offs();
+    let all = cluster.checker.first_attempts();
     let (count, up) = (all.len(), count_answers(&cluster, "UP"));
     assert!(up * 100 >= count * 90, "{up} of {count} served");
     let latest = all.iter().filter_map(|(_, took)| *took).max().unwrap();
     assert!(latest < ms(700), "a first hand-off after {latest:?}");
     // A second after the death decisions take their usual time.
-    let late = |l: &reedferry_testkit::acting::Lived, took: Duration| {
+    let late = |l: &reedferry_testkit::simulated::ClientObservation, took: Duration| {
         l.asked > killed + ms(1000) && took > ms(50)
     };
     let slow = all
@@ -89,14 +89,17 @@
     clients.load(100.0, ms(300), &[0, 1, 2], HOLD_TIME);
     for n in 0..2 {
         let planner = cluster.planners[n].as_ref().unwrap();
-        planner.stand_still();
+        planner.suspend();
         clients.load(100.0, ms(2000), &[0, 1, 2], HOLD_TIME);
-        planner.go_on();
+        planner.unsuspend();
         clients.load(100.0, ms(500), &[0, 1, 2], HOLD_TIME);
     }
     clients.end();
     assert_no_violation(&cluster, "stood still");
-    let (count, up) = (cluster.referee.lived().len(), count_answers(&cluster, "UP"));
+    let (count, up) = (
+        cluster.checker.observations().len(),
+        count_answers(&cluster, "UP"),
+    );
     assert!(up * 100 >= count * 90, "{up} of {count} served");
 }
 
@@ -114,9 +117,9 @@
     let mut clients = new_clients(&cluster, 4);
     (0..40).for_each(|n| clients.come(n % 3, HOLD_TIME));
     clients.end();
-    let lived = cluster.referee.lived();
-    assert_eq!(lived.len(), 40);
-    for one in &lived {
+    let observations = cluster.checker.observations();
+    assert_eq!(observations.len(), 40);
+    for one in &observations {
         let (at, said) = &one.answers[0];
         assert!(
             said.starts_with("BUSY ") && *at < one.asked + ms(100),
@@ -161,7 +164,7 @@
     clients.load(100.0, ms(300), &[0], HOLD_TIME);
     clients.end();
     assert_no_violation(&cluster, "drained");
-    let reached = cluster.referee.reached();
+    let reached = cluster.checker.reached();
     assert!(reached.iter().any(|r| r.host == 0) && reached.iter().any(|r| r.at > after));
 }
 
@@ -181,7 +184,10 @@
     }
     clients.end();
     assert_no_violation(&cluster, "planners restarted");
-    let (count, up) = (cluster.referee.lived().len(), count_answers(&cluster, "UP"));
+    let (count, up) = (
+        cluster.checker.observations().len(),
+        count_answers(&cluster, "UP"),
+    );
     assert!(up * 100 >= count * 95, "{up} of {count} served");
     // A forwarder that is asked to stop rejects new requests, migrates open connections, and ends by itself.
     let mut open_clients = new_clients(&cluster, 7);
@@ -206,15 +212,15 @@
     let _guard = exclusive();
     let mut cluster = TwoTierCluster::start(1, 2, 3, 8);
     let forwarder = &cluster.forwarders[0];
-    let before = forwarder.told();
-    forwarder.reread(&before.replace("lease = \"250ms\"", "lease = \"900ms\""));
+    let before = forwarder.config_file();
+    forwarder.reload(&before.replace("lease = \"250ms\"", "lease = \"900ms\""));
     forwarder.logs("lease is 900ms, not between");
     let first = before.find("[[planner]]").unwrap();
     let one = &before[first..];
     let second = first + one[1..].find("[[planner]]").unwrap() + 1;
     let mut clients = new_clients(&cluster, 8);
     clients.load(100.0, ms(300), &[0], Duration::from_secs(20));
-    cluster.forwarders[0].reread(&before[..second]);
+    cluster.forwarders[0].reload(&before[..second]);
     cluster.forwarders[0].logs("configuration reloaded");
     // The second planner may stop now: nobody follows it any more, whoever was followed before.
     eventually("p0 alone is followed", || {
@@ -224,7 +230,10 @@
     clients.load(100.0, ms(500), &[0], HOLD_TIME);
     clients.end();
     assert_no_violation(&cluster, "another list");
-    assert_eq!(count_answers(&cluster, "UP"), cluster.referee.lived().len());
+    assert_eq!(
+        count_answers(&cluster, "UP"),
+        cluster.checker.observations().len()
+    );
 }
 
 #[test]
@@ -305,7 +314,7 @@
     clients.end();
     assert_no_violation(&cluster, &format!("seed {seed}: {faults:?}"));
     assert!(
-        count_answers(&cluster, "UP") * 2 > cluster.referee.lived().len(),
+        count_answers(&cluster, "UP") * 2 > cluster.checker.observations().len(),
         "seed {seed}: {faults:?}"
     );
 }
@@ -314,7 +323,7 @@
 fn a_host_that_breaks_off_non_idempotent_requests_gets_each_once() {
     let _guard = exclusive();
     let cluster = TwoTierCluster::start(1, 1, 3, 20);
-    (0..3).for_each(|h| cluster.hosts.go(h, Way::Breaks));
+    (0..3).for_each(|h| cluster.hosts.go(h, HostBehavior::Disconnects));
     let mut clients = new_clients(&cluster, 20);
     (0..10).for_each(|_| clients.come(2, HOLD_TIME));
     clients.end();
@@ -322,7 +331,7 @@
     assert_eq!(
         (
             count_answers(&cluster, "ERR"),
-            cluster.referee.reached().len()
+            cluster.checker.reached().len()
         ),
         (10, 10)
     );
@@ -376,14 +385,17 @@
 fn a_forwarder_answers_in_time_though_each_turn_has_much_to_do() {
     const ACTIVE_CLIENTS: usize = 60;
     let _guard = exclusive();
-    let (cluster, spoiler) = (TwoTierCluster::start(1, 1, 1, 8), Spoiler::default());
+    let (cluster, injector) = (
+        TwoTierCluster::start(1, 1, 1, 8),
+        SyscallInjector::default(),
+    );
     let node_config =
         two_tier_cluster::node_config("held-up", &cluster.hosts, &cluster.discovery, 8);
-    let forwarder = Node::start_as_spoilt(
+    let forwarder = Node::start_as_injected(
         "forward",
         &cluster.operator_config(0, 1),
         &node_config,
-        &spoiler,
+        &injector,
     );
     forwarder.logs("following planner");
     let open = |n: usize| {
@@ -394,12 +406,12 @@
         client
     };
     let mut active_clients: Vec<Peer> = (0..ACTIVE_CLIENTS).map(open).collect();
-    cluster.hosts.go(0, Way::Silent);
+    cluster.hosts.go(0, HostBehavior::Silent);
     let mut waiting = Peer::connect(forwarder.address);
     waiting.say("OPEN late 7f c=once,t=acme,d=1000");
     let asked = Instant::now();
     _ = wait_until(ms(1000), || asked.elapsed() >= ms(500));
-    spoiler.set(&[Fault {
+    injector.set(&[Fault {
         call: Call::Send,
         outcome: Outcome::HeldUp(ms(100)),
         every: 2,
@@ -411,7 +423,7 @@
         .for_each(|client| client.say("hello"));
     let said = waiting.hear();
     let took = asked.elapsed();
-    spoiler.clear();
+    injector.clear();
     assert_eq!(said, "ERR");
     // One turn more, its own sending, and what the first turn had begun.
     assert!(took < ms(1450), "{said} after {took:?}");
--- a/testkit/src/chart.rs
+++ b/testkit/src/html_chart.rs
@@ -1,19 +1,20 @@
-//! Counts by second as one page of HTML, with drawings in it, that needs no network. It owns how they are drawn. It
-//! must never know what they mean.
+//! Counts by second as one self-contained HTML page. Knows how to draw them, not what they mean.
 
 use std::fmt::Write;
 
 /// A name, and what was counted in each second.
 pub struct Row {
+    /// The caption.
     pub name: String,
+    /// The count of each second, from the first.
     pub by_second: Vec<usize>,
 }
 
 const WIDTH: usize = 900;
 const HEIGHT: usize = 120;
 
-/// What a page may not take for its own marks.
-fn plain(text: &str) -> String {
+/// Escapes what HTML would take for markup.
+fn escape(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
         .replace('>', "&gt;")
@@ -21,7 +22,7 @@
 
 /// All rows over the same seconds, each to its own height, with its counts as a table below.
 pub fn page(title: &str, rows: &[Row]) -> String {
-    let title = plain(title);
+    let title = escape(title);
     let seconds = rows
         .iter()
         .map(|row| row.by_second.len())
@@ -34,32 +35,32 @@
          </head><body><h1>{title}</h1>\n"
     );
     for row in rows {
-        let most = row.by_second.iter().max().copied().unwrap_or(0);
+        let max = row.by_second.iter().max().copied().unwrap_or(0);
         let sum: usize = row.by_second.iter().sum();
         _ = write!(
             page,
-            "<h2>{}: {sum}, {most} at most in a second</h2>\n<svg width=\"{WIDTH}\" ",
-            plain(&row.name)
+            "<h2>{}: {sum}, {max} at most in a second</h2>\n<svg width=\"{WIDTH}\" ",
+            escape(&row.name)
         );
         _ = writeln!(
             page,
             "height=\"{HEIGHT}\" viewBox=\"0 0 {WIDTH} {HEIGHT}\">"
         );
-        let wide = WIDTH as f64 / seconds as f64;
+        let width = WIDTH as f64 / seconds as f64;
         for (second, count) in row.by_second.iter().enumerate() {
-            let high = (count * HEIGHT) as f64 / most.max(1) as f64;
-            let (x, y) = (second as f64 * wide, HEIGHT as f64 - high);
+            let height = (count * HEIGHT) as f64 / max.max(1) as f64;
+            let (x, y) = (second as f64 * width, HEIGHT as f64 - height);
             _ = writeln!(
                 page,
-                "<rect x=\"{x:.1}\" y=\"{y:.1}\" width=\"{:.1}\" height=\"{high:.1}\"><title>second {second}: {count}</title></rect>",
-                wide * 0.9
+                "<rect x=\"{x:.1}\" y=\"{y:.1}\" width=\"{:.1}\" height=\"{height:.1}\"><title>second {second}: {count}</title></rect>",
+                width * 0.9
             );
         }
         page.push_str("</svg>\n");
     }
     page.push_str("<table><tr><th>second</th>");
     rows.iter()
-        .for_each(|row| _ = write!(page, "<th>{}</th>", plain(&row.name)));
+        .for_each(|row| _ = write!(page, "<th>{}</th>", escape(&row.name)));
     page.push_str("</tr>\n");
     for second in 0..seconds {
         _ = write!(page, "<tr><td>{second}</td>");
@@ -79,28 +80,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards: a page that loads something from elsewhere, or leaves a count out.
-    #[test]
-    fn every_count_is_on_a_page_that_needs_nothing_else() {
-        let row = |name: &str, by_second: &[usize]| Row {
-            name: name.into(),
-            by_second: by_second.to_vec(),
-        };
-        let page = page(
-            "a <start>",
-            &[row("calls", &[7, 0, 311]), row("hosts", &[2])],
-        );
-        assert!(
-            !page.contains("http") && !page.contains("src=") && page.contains("a &lt;start&gt;")
-        );
-        assert_eq!(page.matches("<rect").count(), 4);
-        assert!(
-            page.contains("<td>0</td><td>7</td><td>2</td>")
-                && page.contains("<td>2</td><td>311</td><td></td>")
-        );
-        assert!(page.contains("height=\"120.0\"><title>second 2: 311</title>"));
-    }
-}
+#[path = "html_chart_tests.rs"]
+mod tests;
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -1,23 +1,22 @@
-//! What tests and measurements share: stand-ins on loopback for all that the program meets, the program
-//! itself as it is started and ended, a relay that spoils what passes, and a referee of the four rules. It
-//! must never be linked into the program.
+//! What tests and measurements share: stand-ins on loopback for everything that the program talks to, the program as a
+//! child process, relays and networks with faults, and a checker of the four rules. Never linked into the program.
 
-pub mod acting;
-pub mod chart;
 pub mod coldstart;
 pub mod discovery;
 pub mod fleet;
+pub mod fleet_view;
+pub mod html_chart;
+pub mod network;
 pub mod peers;
 pub mod program;
 pub mod relay;
 pub mod schedule;
 pub mod scripted_forwarder;
+pub mod simulated;
 pub mod soak;
 pub mod syscalls;
 pub mod two_tier;
 pub mod two_tier_cluster;
-pub mod view;
-pub mod ways;
 
 pub use discovery::Discovery;
 pub use peers::*;
--- a/testkit/src/main.rs
+++ b/testkit/src/main.rs
@@ -1,13 +1,14 @@
-//! `reedferry-testkit`: measurements, each by its name, on stand-ins on loopback. It owns how figures are printed
-//! and the exit code: 0 where all that a measurement promises held, 1 where something fell short, 2 for wrong
-//! usage.
+//! `reedferry-testkit`: measurements on stand-ins on loopback, one command each. Owns how figures are printed and the
+//! exit code: 0 where all that a measurement promises held, 1 where something fell short, 2 for wrong usage.
 
 use clap::{Args, Parser, Subcommand};
-use reedferry_testkit::schedule::{self, Schedule};
-use reedferry_testkit::two_tier::{self, Found};
-use reedferry_testkit::{chart, coldstart, soak, view};
+use reedferry_testkit::schedule::{self, FaultSchedule, ScheduleError};
+use reedferry_testkit::two_tier::{self, Report};
+use reedferry_testkit::{coldstart, fleet_view, html_chart, soak};
 use serde_json::json;
-use std::path::PathBuf;
+use std::fmt;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 /// Attachments a second at the most.
@@ -15,27 +16,27 @@
 
 /// Measures the program on stand-ins on loopback.
 #[derive(Parser)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
-    what: What,
+    what: Measurement,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Measurement {
     /// Forwarders and planners beside as many single nodes.
-    TwoTier(Options),
+    TwoTier(TwoTierOptions),
     /// Schedules of faults over processes, drawn by seeds or read from a file.
-    Schedule(Faults),
-    /// Nodes that keep a view of their fleet, over ways that are spoilt.
-    Fleet(Viewed),
-    /// Processes under troubles that overlap, judged by the rules.
-    Soak(Soaked),
+    Schedule(ScheduleOptions),
+    /// Nodes that keep a view of their fleet, over ways that are made faulty.
+    Fleet(FleetViewOptions),
+    /// Processes under faults that overlap, judged by the rules.
+    Soak(SoakOptions),
     /// Nodes that start at once and know nothing, beside a list service of some capacity.
-    Coldstart(Cold),
+    Coldstart(ColdStartOptions),
 }
 
 #[derive(Args)]
-struct Options {
+struct TwoTierOptions {
     /// What chance is drawn from.
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -48,7 +49,7 @@
 }
 
 #[derive(Args)]
-struct Faults {
+struct ScheduleOptions {
     /// What the first schedule is drawn from; each further one from the next number.
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -72,21 +73,20 @@
     json: bool,
 }
 
-impl Faults {
-    fn schedules(&self) -> Result<Vec<Schedule>, String> {
-        let Some(path) = &self.replay else {
-            let drawn = |n| Schedule::draw(self.seed + n, self.size as usize, self.faults as usize);
-            return Ok((0..self.count).map(drawn).collect());
-        };
-        let text = std::fs::read_to_string(path).map_err(|e| e.to_string());
-        let schedule = text
-            .and_then(|text| text.parse())
-            .map_err(|why| format!("{}: {why}", path.display()))?;
-        Ok(vec![schedule])
+impl ScheduleOptions {
+    fn schedules(&self) -> Result<Vec<FaultSchedule>, ScheduleFileError> {
+        match &self.replay {
+            Some(path) => Ok(vec![read_schedule(path)?]),
+            None => Ok((0..self.count)
+                .map(|n| {
+                    FaultSchedule::draw(self.seed + n, self.size as usize, self.faults as usize)
+                })
+                .collect()),
+        }
     }
 
-    /// Plays them one after the other; one that fails is made smaller and printed.
-    fn play(&self) -> Result<Found, String> {
+    /// Plays all schedules one after the other; one that fails is shrunk and printed.
+    fn play(&self) -> Result<Report, ScheduleFileError> {
         let (mut figures, mut broken) = (serde_json::Map::new(), Vec::new());
         let schedules = self.schedules()?;
         figures.insert("schedules".into(), json!(schedules.len()));
@@ -98,7 +98,7 @@
             eprint!("{schedule}");
             wrong.iter().for_each(|what| eprintln!("  {what}"));
             let mut fails =
-                |less: &Schedule| !schedule::play(less, self.program.as_ref()).is_empty();
+                |less: &FaultSchedule| !schedule::play(less, self.program.as_ref()).is_empty();
             eprint!(
                 "still fails:\n{}",
                 schedule::shrink(&schedule, 3, &mut fails)
@@ -109,12 +109,34 @@
                     .map(|what| format!("seed {}: {what}", schedule.seed)),
             );
         }
-        Ok(Found { figures, broken })
+        Ok(Report { figures, broken })
+    }
+}
+
+/// Why a file gives no schedule.
+enum ScheduleFileError {
+    Unreadable(PathBuf, io::Error),
+    Malformed(PathBuf, ScheduleError),
+}
+
+impl fmt::Display for ScheduleFileError {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            ScheduleFileError::Unreadable(path, why) => write!(out, "{}: {why}", path.display()),
+            ScheduleFileError::Malformed(path, why) => write!(out, "{}: {why}", path.display()),
+        }
     }
 }
 
+fn read_schedule(path: &Path) -> Result<FaultSchedule, ScheduleFileError> {
+    let text = std::fs::read_to_string(path)
+        .map_err(|why| ScheduleFileError::Unreadable(path.into(), why))?;
+    text.parse()
+        .map_err(|why| ScheduleFileError::Malformed(path.into(), why))
+}
+
 #[derive(Args)]
-struct Soaked {
+struct SoakOptions {
     /// What the first soak is drawn from; each further one from the next number.
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -124,7 +146,7 @@
     /// Seeds that are played one after the other.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=1000))]
     count: u64,
-    /// For how many seconds troubles come.
+    /// For how many seconds faults come.
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(1..=3600))]
     seconds: u64,
     /// Troubles at a time.
@@ -139,7 +161,7 @@
 }
 
 #[derive(Args)]
-struct Viewed {
+struct FleetViewOptions {
     /// What chance is drawn from.
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -155,7 +177,7 @@
 }
 
 #[derive(Args)]
-struct Cold {
+struct ColdStartOptions {
     /// What chance is drawn from.
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -182,105 +204,147 @@
     plot: Option<PathBuf>,
 }
 
-fn main() {
-    let (name, seed, size, asked, found) = match Line::parse().what {
-        What::TwoTier(options) => {
-            let nodes = options.size as usize;
-            // No more than leaves the ports of one machine to spare: connections that ended keep theirs for a minute,
-            // and what then cannot connect is dismissed.
-            let rate = (40.0 * nodes as f64).min(MOST_A_SECOND);
-            let size = two_tier::Size {
-                nodes,
-                hosts: nodes + 2,
-                rate,
-                span: Duration::from_secs(6),
-            };
-            let found = two_tier::measure(size, options.seed).unwrap_or_else(|why| {
-                eprintln!("reedferry-testkit: {why}");
-                Found {
-                    figures: Default::default(),
-                    broken: vec![why],
-                }
-            });
-            ("two-tier", options.seed, options.size, options.json, found)
-        }
-        What::Schedule(options) => {
-            let found = options.play().unwrap_or_else(|why| {
-                eprintln!("reedferry-testkit: {why}");
-                std::process::exit(2);
-            });
-            ("schedule", options.seed, options.size, options.json, found)
-        }
-        What::Fleet(options) => {
-            let found = view::measure(
-                options.size as usize,
-                Duration::from_millis(options.period),
-                options.seed,
-            );
-            ("fleet", options.seed, options.size, options.json, found)
-        }
-        What::Soak(options) => {
-            if !options.rate.is_finite() || !(0.1..=MOST_A_SECOND).contains(&options.rate) {
-                eprintln!(
-                    "reedferry-testkit: --rate takes clients a second, 0.1 to {MOST_A_SECOND}"
-                );
-                std::process::exit(2);
-            }
-            let size = soak::Size {
-                processes: options.size as usize,
-                hosts: 8,
-                span: Duration::from_secs(options.seconds),
-                rate: options.rate,
-                overlap: options.overlap as usize,
-            };
-            let found = soak::measure(options.seed, options.count, &size);
-            ("soak", options.seed, options.size, options.json, found)
+/// A finished measurement, with what the JSON line says of it.
+struct Run {
+    name: &'static str,
+    seed: u64,
+    size: u64,
+    print_json: bool,
+    report: Report,
+}
+
+/// Ends the program for wrong usage.
+fn usage_error(why: impl std::fmt::Display) -> ! {
+    eprintln!("reedferry-testkit: {why}");
+    std::process::exit(2);
+}
+
+fn run_two_tier(options: &TwoTierOptions) -> Run {
+    let nodes = options.size as usize;
+    // No more than leaves the ports of one machine to spare: connections that ended keep theirs for a minute,
+    // and what then cannot connect is rejected.
+    let rate = (40.0 * nodes as f64).min(MOST_A_SECOND);
+    let size = two_tier::Size {
+        nodes,
+        hosts: nodes + 2,
+        rate,
+        span: Duration::from_secs(6),
+    };
+    let report = two_tier::measure(size, options.seed).unwrap_or_else(|why| {
+        eprintln!("reedferry-testkit: {why}");
+        Report {
+            figures: Default::default(),
+            broken: vec![why],
         }
-        What::Coldstart(options) => {
-            if !options.rate.is_finite() || options.rate <= 0.0 {
-                eprintln!("reedferry-testkit: --rate takes calls a second, over 0");
-                std::process::exit(2);
-            }
-            if options.before.as_ref().is_some_and(|path| !path.is_file()) {
-                eprintln!("reedferry-testkit: --before names no file");
-                std::process::exit(2);
-            }
-            let size = coldstart::Size {
-                nodes: options.size as usize,
-                hosts: 8,
-                rate: options.rate,
-                queue: Duration::from_millis(options.queue),
-                down: Duration::from_millis(options.down),
-                before: options.before,
-            };
-            let (found, rows) = coldstart::measure(&size, options.seed);
-            if let Some(path) = options.plot {
-                let title = format!(
-                    "A cold start of {} nodes, seed {}",
-                    options.size, options.seed
-                );
-                if let Err(e) = std::fs::write(&path, chart::page(&title, &rows)) {
-                    eprintln!("reedferry-testkit: {}: {e}", path.display());
-                    std::process::exit(2);
-                }
-            }
-            ("coldstart", options.seed, options.size, options.json, found)
+    });
+    Run {
+        name: "two-tier",
+        seed: options.seed,
+        size: options.size,
+        print_json: options.json,
+        report,
+    }
+}
+
+fn run_schedule(options: &ScheduleOptions) -> Run {
+    Run {
+        name: "schedule",
+        seed: options.seed,
+        size: options.size,
+        print_json: options.json,
+        report: options.play().unwrap_or_else(|why| usage_error(why)),
+    }
+}
+
+fn run_fleet(options: &FleetViewOptions) -> Run {
+    let period = Duration::from_millis(options.period);
+    Run {
+        name: "fleet",
+        seed: options.seed,
+        size: options.size,
+        print_json: options.json,
+        report: fleet_view::measure(options.size as usize, period, options.seed),
+    }
+}
+
+fn run_soak(options: &SoakOptions) -> Run {
+    if !options.rate.is_finite() || !(0.1..=MOST_A_SECOND).contains(&options.rate) {
+        usage_error(format_args!(
+            "--rate takes clients a second, 0.1 to {MOST_A_SECOND}"
+        ));
+    }
+    let size = soak::SoakSize {
+        processes: options.size as usize,
+        hosts: 8,
+        span: Duration::from_secs(options.seconds),
+        rate: options.rate,
+        overlap: options.overlap as usize,
+    };
+    Run {
+        name: "soak",
+        seed: options.seed,
+        size: options.size,
+        print_json: options.json,
+        report: soak::measure(options.seed, options.count, &size),
+    }
+}
+
+fn run_coldstart(options: ColdStartOptions) -> Run {
+    if !options.rate.is_finite() || options.rate <= 0.0 {
+        usage_error("--rate takes calls a second, over 0");
+    }
+    if options.before.as_ref().is_some_and(|path| !path.is_file()) {
+        usage_error("--before names no file");
+    }
+    let size = coldstart::ColdStartSize {
+        nodes: options.size as usize,
+        hosts: 8,
+        rate: options.rate,
+        queue: Duration::from_millis(options.queue),
+        down: Duration::from_millis(options.down),
+        before: options.before,
+    };
+    let (report, rows) = coldstart::measure(&size, options.seed);
+    if let Some(path) = options.plot {
+        let title = format!(
+            "A cold start of {} nodes, seed {}",
+            options.size, options.seed
+        );
+        if let Err(error) = std::fs::write(&path, html_chart::page(&title, &rows)) {
+            usage_error(format_args!("{}: {error}", path.display()));
         }
+    }
+    Run {
+        name: "coldstart",
+        seed: options.seed,
+        size: options.size,
+        print_json: options.json,
+        report,
+    }
+}
+
+fn main() {
+    let run = match CommandLine::parse().what {
+        Measurement::TwoTier(options) => run_two_tier(&options),
+        Measurement::Schedule(options) => run_schedule(&options),
+        Measurement::Fleet(options) => run_fleet(&options),
+        Measurement::Soak(options) => run_soak(&options),
+        Measurement::Coldstart(options) => run_coldstart(options),
     };
-    for (name, value) in &found.figures {
+    let Report { figures, broken } = run.report;
+    for (name, value) in &figures {
         println!("{name:36} {value}");
     }
-    found
-        .broken
-        .iter()
-        .for_each(|what| println!("fell short: {what}"));
-    let ok = found.broken.is_empty();
-    if asked {
-        let Found { figures, broken } = found;
+    for what in &broken {
+        println!("fell short: {what}");
+    }
+    let ok = broken.is_empty();
+    if run.print_json {
         println!(
             "{}",
-            json!({"name": name, "seed": seed, "size": size, "ok": ok, "broken": broken, "figures": figures})
+            json!({"name": run.name, "seed": run.seed, "size": run.size, "ok": ok, "broken": broken,
+                "figures": figures})
         );
     }
-    std::process::exit(if ok { 0 } else { 1 });
+    std::process::exit(i32::from(!ok));
 }
--- a/testkit/src/soak/clients.rs
+++ b/testkit/src/soak/clients.rs
@@ -1,247 +1,293 @@
-//! The clients of a soak: most behave, some don't. Each notes what it lived through.
+//! The clients of a soak: most behave, some don't. Each records what it saw.
 
-use super::site::Seats;
-use super::Size;
-use crate::acting::{small, Referee, EXPIRY, OFFERINGS};
+use super::process_slot::ProcessSlots;
+use super::SoakSize;
+use crate::simulated::{spawn_thread, CLASS_NAMES, REQUEST_TIMEOUT};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use std::io::{BufRead, BufReader, ErrorKind, Write};
+use std::io::{self, BufRead, BufReader, ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
+/// Longer than any answer may take, and than a process is suspended.
+const READ_TIMEOUT: Duration = Duration::from_secs(7);
+/// The pause between two bytes of a slow client.
+const SLOW_BYTE_INTERVAL: Duration = Duration::from_millis(2);
+/// The pause between two lines on an open connection.
+const ECHO_INTERVAL: Duration = Duration::from_millis(60);
+/// How many requests a pipelining client sends at once.
+const PIPELINED_REQUESTS: usize = 3;
+
 /// How a client behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
-    /// Asks, waits for its answer, and sends lines on its open connection for a while.
+pub enum ClientBehavior {
+    /// Sends a request, waits for its answer, and sends lines on its open connection for a while.
     Plain,
     /// The same, a byte at a time.
     Slow,
-    /// Asks, and goes before it has its answer.
+    /// Sends a request, and closes before it has its answer.
     Leaves,
     /// Sends half a line, and stays.
     Half,
-    /// Rests until about the moment in which it is ended for that, and asks then.
+    /// Is idle until about the moment in which its connection is closed for that, and sends its request then.
     Rests,
-    /// Sends several lines at once.
+    /// Sends several requests at once.
     Pipelines,
 }
 
-/// How what it waited for came.
+impl ClientBehavior {
+    /// Whether the end of its connection, or an error, is all that such a client may expect.
+    pub fn is_bad(self) -> bool {
+        matches!(self, ClientBehavior::Half | ClientBehavior::Pipelines)
+    }
+}
+
+/// What a client received.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum Received {
     Line(String),
+    /// The end of the connection.
     End,
+    /// A reset of the connection.
     Reset,
     /// Nothing, for as long as it waited.
     Nothing,
 }
 
+impl Received {
+    /// Whether it is a line that starts so.
+    pub fn starts_with(&self, prefix: &str) -> bool {
+        matches!(self, Received::Line(line) if line.starts_with(prefix))
+    }
+}
+
+/// What a client saw.
 #[derive(Clone, Debug)]
-pub struct Lived {
+pub struct ClientObservation {
     pub name: String,
-    pub seat: usize,
+    pub slot: usize,
     pub class: usize,
-    pub manner: Manner,
+    pub behavior: ClientBehavior,
+    /// When it had sent its request.
     pub asked: Instant,
-    pub heard: Heard,
-    pub heard_at: Instant,
-    /// When it closed, where it went before it had an answer.
+    pub received: Received,
+    pub received_at: Instant,
+    /// When it closed, where it did before it had an answer.
     pub left: Option<Instant>,
-    /// How its open connection ended.
-    pub ended: Option<Heard>,
+    /// How its open connection ended, where the client did not end it.
+    pub ended: Option<Received>,
     pub ended_at: Option<Instant>,
-    /// A line came behind a final answer.
+    /// A line that came behind a final answer.
     pub second: Option<String>,
 }
 
 /// Clients that come at a steady rate until they are told to end.
-pub struct Load {
-    over: Arc<AtomicBool>,
-    dealer: Option<JoinHandle<()>>,
-    lived: Arc<Mutex<Vec<Lived>>>,
+pub struct ClientLoad {
+    stopped: Arc<AtomicBool>,
+    generator: Option<JoinHandle<()>>,
+    observations: Observations,
 }
 
-impl Load {
-    pub fn start(seed: u64, size: &Size, seats: Seats, _referee: &Referee) -> Load {
-        let (over, lived) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::default()));
-        let (their_over, their_lived) = (over.clone(), lived.clone());
-        let step = Duration::from_secs_f64(1.0 / size.rate);
-        let dealer = thread::spawn(move || {
-            let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
-            let (mut next, mut number, mut running) = (Instant::now(), 0u64, Vec::new());
-            while !their_over.load(SeqCst) {
-                thread::sleep(next.saturating_duration_since(Instant::now()));
-                next += step;
-                number += 1;
-                let Some((seat, address)) = deal(&seats, &mut rng) else {
-                    continue;
-                };
-                let client = Client::draw(&mut rng, format!("{seed:x}-{number}"), seat, address);
-                let lived: Arc<Mutex<Vec<Lived>>> = their_lived.clone();
-                running.push(small(move || {
-                    if let Some(one) = client.live() {
-                        lived.lock().unwrap().push(one);
-                    }
-                }));
-            }
-            running
-                .into_iter()
-                .for_each(|one| one.join().expect("a client panicked"));
-        });
-        Load {
-            over,
-            dealer: Some(dealer),
-            lived,
+type Observations = Arc<Mutex<Vec<ClientObservation>>>;
+
+impl ClientLoad {
+    pub fn start(seed: u64, size: &SoakSize, slots: ProcessSlots) -> ClientLoad {
+        let stopped = Arc::new(AtomicBool::new(false));
+        let observations = Observations::default();
+        let interval = Duration::from_secs_f64(1.0 / size.rate);
+        let generator = {
+            let (stopped, observations) = (stopped.clone(), observations.clone());
+            thread::spawn(move || generate(seed, interval, &slots, &stopped, &observations))
+        };
+        ClientLoad {
+            stopped,
+            generator: Some(generator),
+            observations,
         }
     }
 
-    /// No more come; those that are there live out their time.
+    /// Starts no more clients, and waits for those that are there.
     pub fn end(&mut self) {
-        self.over.store(true, SeqCst);
-        if let Some(dealer) = self.dealer.take() {
-            dealer.join().expect("the dealer panicked");
+        self.stopped.store(true, SeqCst);
+        if let Some(generator) = self.generator.take() {
+            generator.join().expect("the load generator panicked");
         }
     }
 
-    pub fn lived(&self) -> Vec<Lived> {
-        self.lived.lock().unwrap().clone()
+    pub fn observations(&self) -> Vec<ClientObservation> {
+        self.observations.lock().unwrap().clone()
     }
 }
 
-/// A process that the front deals clients to.
-fn deal(seats: &Seats, rng: &mut ChaCha8Rng) -> Option<(usize, SocketAddr)> {
-    let seat = rng.random_range(0..seats.len());
-    let noted = seats[seat].lock().unwrap();
-    if noted.closed.is_some_and(|t| t <= Instant::now()) {
+/// Starts clients until it is stopped, and waits for them.
+fn generate(
+    seed: u64,
+    interval: Duration,
+    slots: &ProcessSlots,
+    stopped: &AtomicBool,
+    observations: &Observations,
+) {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
+    let (mut next, mut number, mut threads) = (Instant::now(), 0u64, Vec::new());
+    while !stopped.load(SeqCst) {
+        thread::sleep(next.saturating_duration_since(Instant::now()));
+        next += interval;
+        number += 1;
+        let Some((slot, address)) = pick_slot(slots, &mut rng) else {
+            continue;
+        };
+        let client = Client::draw(&mut rng, format!("{seed:x}-{number}"), slot, address);
+        let observations = observations.clone();
+        threads.push(spawn_thread(move || {
+            if let Some(observation) = client.run() {
+                observations.lock().unwrap().push(observation);
+            }
+        }));
+    }
+    for client in threads {
+        client.join().expect("a client panicked");
+    }
+}
+
+/// A random slot and its address, unless the front sends no clients there.
+fn pick_slot(slots: &ProcessSlots, rng: &mut ChaCha8Rng) -> Option<(usize, SocketAddr)> {
+    let number = rng.random_range(0..slots.len());
+    let slot = slots[number].lock().unwrap();
+    if slot.closed.is_some_and(|at| at <= Instant::now()) {
         return None;
     }
-    Some((seat, noted.address?))
+    Some((number, slot.address?))
 }
 
 struct Client {
     name: String,
-    seat: usize,
+    slot: usize,
     address: SocketAddr,
     class: usize,
-    manner: Manner,
+    behavior: ClientBehavior,
     key: u64,
-    /// How long it stays, rests, or waits before it goes.
+    /// How long it holds its connection, is idle, or waits before it closes.
     span: Duration,
 }
 
 impl Client {
-    fn draw(rng: &mut ChaCha8Rng, name: String, seat: usize, address: SocketAddr) -> Client {
-        let (manner, span) = match rng.random_range(0..20) {
-            0 | 1 => (Manner::Leaves, rng.random_range(0..400)),
-            2 => (Manner::Half, 0),
-            3 => (Manner::Rests, rng.random_range(1900..2150)),
-            4 => (Manner::Pipelines, 0),
-            5 => (Manner::Slow, rng.random_range(50..600)),
-            _ => (Manner::Plain, rng.random_range(50..1500)),
+    fn draw(rng: &mut ChaCha8Rng, name: String, slot: usize, address: SocketAddr) -> Client {
+        let (behavior, span_millis) = match rng.random_range(0..20) {
+            0 | 1 => (ClientBehavior::Leaves, rng.random_range(0..400)),
+            2 => (ClientBehavior::Half, 0),
+            3 => (ClientBehavior::Rests, rng.random_range(1900..2150)),
+            4 => (ClientBehavior::Pipelines, 0),
+            5 => (ClientBehavior::Slow, rng.random_range(50..600)),
+            _ => (ClientBehavior::Plain, rng.random_range(50..1500)),
         };
-        let (class, key, span) = (
-            rng.random_range(0..3),
-            rng.random(),
-            Duration::from_millis(span),
-        );
         Client {
             name,
-            seat,
+            slot,
             address,
-            class,
-            manner,
-            key,
-            span,
+            class: rng.random_range(0..3),
+            behavior,
+            key: rng.random(),
+            span: Duration::from_millis(span_millis),
         }
     }
 
-    fn live(self) -> Option<Lived> {
+    /// Returns nothing where the request could not be sent.
+    fn run(self) -> Option<ClientObservation> {
         let mut stream = TcpStream::connect(self.address).ok()?;
         _ = stream.set_nodelay(true);
-        let wait = EXPIRY.as_millis();
+        self.send_request(&mut stream).ok()?;
+        let mut observation = self.observation(Instant::now());
+        if self.behavior == ClientBehavior::Leaves {
+            thread::sleep(self.span);
+            drop(stream);
+            observation.left = Some(Instant::now());
+            return Some(observation);
+        }
+        _ = stream.set_read_timeout(Some(READ_TIMEOUT));
+        let mut reader = BufReader::with_capacity(512, stream.try_clone().ok()?);
+        observation.received = receive(&mut reader);
+        observation.received_at = Instant::now();
+        if observation.received.starts_with("UP") {
+            observation.ended = self.hold(&mut stream, &mut reader);
+            observation.ended_at = Some(Instant::now());
+        } else if matches!(observation.received, Received::Line(_)) {
+            if let Received::Line(second) = receive(&mut reader) {
+                observation.second = Some(second);
+            }
+        }
+        Some(observation)
+    }
+
+    fn send_request(&self, stream: &mut TcpStream) -> io::Result<()> {
         let line = format!(
-            "OPEN {} {:x} c={},t=acme,d={wait}\r\n",
-            self.name, self.key, OFFERINGS[self.class]
+            "OPEN {} {:x} c={},t=acme,d={}\r\n",
+            self.name,
+            self.key,
+            CLASS_NAMES[self.class],
+            REQUEST_TIMEOUT.as_millis()
         );
-        match self.manner {
-            Manner::Half => stream.write_all(&line.as_bytes()[..line.len() / 2]).ok()?,
-            Manner::Pipelines => stream.write_all(line.repeat(3).as_bytes()).ok()?,
-            Manner::Slow => {
-                for byte in line.bytes() {
-                    stream.write_all(&[byte]).ok()?;
-                    thread::sleep(Duration::from_millis(2));
-                }
+        match self.behavior {
+            ClientBehavior::Half => stream.write_all(&line.as_bytes()[..line.len() / 2]),
+            ClientBehavior::Pipelines => {
+                stream.write_all(line.repeat(PIPELINED_REQUESTS).as_bytes())
             }
-            Manner::Rests => {
+            ClientBehavior::Slow => line.bytes().try_for_each(|byte| {
+                stream.write_all(&[byte])?;
+                thread::sleep(SLOW_BYTE_INTERVAL);
+                Ok(())
+            }),
+            ClientBehavior::Rests => {
                 thread::sleep(self.span);
-                stream.write_all(line.as_bytes()).ok()?;
+                stream.write_all(line.as_bytes())
             }
-            Manner::Plain | Manner::Leaves => stream.write_all(line.as_bytes()).ok()?,
+            ClientBehavior::Plain | ClientBehavior::Leaves => stream.write_all(line.as_bytes()),
         }
-        let asked = Instant::now();
-        let mut lived = Lived {
+    }
+
+    /// What a client saw that has only sent its request.
+    fn observation(&self, asked: Instant) -> ClientObservation {
+        ClientObservation {
             name: self.name.clone(),
-            seat: self.seat,
+            slot: self.slot,
             class: self.class,
-            manner: self.manner,
+            behavior: self.behavior,
             asked,
-            heard: Heard::Nothing,
-            heard_at: asked,
+            received: Received::Nothing,
+            received_at: asked,
             left: None,
             ended: None,
             ended_at: None,
             second: None,
-        };
-        if self.manner == Manner::Leaves {
-            thread::sleep(self.span);
-            drop(stream);
-            lived.left = Some(Instant::now());
-            return Some(lived);
-        }
-        // Longer than any answer may take, and than a process stands still.
-        _ = stream.set_read_timeout(Some(Duration::from_secs(7)));
-        let mut reader = BufReader::with_capacity(512, stream.try_clone().ok()?);
-        lived.heard = hear(&mut reader);
-        lived.heard_at = Instant::now();
-        match &lived.heard {
-            Heard::Line(said) if said.starts_with("UP") => {
-                let ended = self.stay(&mut stream, &mut reader);
-                (lived.ended, lived.ended_at) = (ended, Some(Instant::now()));
-            }
-            Heard::Line(_) => {
-                if let Heard::Line(more) = hear(&mut reader) {
-                    lived.second = Some(more);
-                }
-            }
-            _ => {}
         }
-        Some(lived)
     }
 
-    /// Sends lines on its open connection; gives how that ended, where the client did not end it.
-    fn stay(&self, stream: &mut TcpStream, reader: &mut BufReader<TcpStream>) -> Option<Heard> {
-        let until = Instant::now() + self.span;
-        while Instant::now() < until {
+    /// Sends lines on its open connection; returns how that ended, where the client did not end it.
+    fn hold(&self, stream: &mut TcpStream, reader: &mut BufReader<TcpStream>) -> Option<Received> {
+        let end = Instant::now() + self.span;
+        while Instant::now() < end {
             let sent = stream.write_all(b"hello\r\n").is_ok();
-            match hear(reader) {
-                Heard::Line(said) if said == "hello" => {}
+            match receive(reader) {
+                Received::Line(line) if line == "hello" => {}
                 other => return Some(other).filter(|_| sent),
             }
-            thread::sleep(Duration::from_millis(60));
+            thread::sleep(ECHO_INTERVAL);
         }
         None
     }
 }
 
-fn hear(reader: &mut BufReader<TcpStream>) -> Heard {
+/// The next line, or what came in its place.
+fn receive(reader: &mut BufReader<TcpStream>) -> Received {
     let mut line = String::new();
     match reader.read_line(&mut line) {
-        Ok(0) => Heard::End,
-        Ok(_) => Heard::Line(line.trim_end().to_string()),
-        Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => Heard::Nothing,
-        Err(_) => Heard::Reset,
+        Ok(0) => Received::End,
+        Ok(_) => Received::Line(line.trim_end().to_string()),
+        Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
+            Received::Nothing
+        }
+        Err(_) => Received::Reset,
     }
 }
--- /dev/null
+++ b/testkit/src/soak/soak_checker.rs
@@ -0,0 +1,252 @@
+//! The invariant checker of a soak: the four rules, by what clients and hosts saw. Answers owed by a process that was
+//! killed are excused, and so is lateness while a process was suspended; nothing else is.
+
+use super::clients::{ClientBehavior, ClientObservation, Received};
+use super::process_slot::{FaultHistory, ProcessSlots};
+use crate::simulated::{
+    HostBehavior, ObservedAttempt, DRAIN_GRACE, REQUEST_TIMEOUT, SOCKET_SLACK, WINDOW,
+};
+use std::collections::HashMap;
+use std::time::{Duration, Instant};
+
+/// How late a busy machine may note what is seen here, and a process with delayed system calls may act.
+const BUSY_SLACK: Duration = Duration::from_millis(350);
+/// How soon after a fault of the list service, or of the calls to it, a process has the list again.
+const LIST_RECOVERY_TIME: Duration = Duration::from_secs(6);
+/// How soon after its start a process has the list.
+const FIRST_POLL_TIME: Duration = Duration::from_secs(1);
+/// How soon after a reload a process has the list of the other service.
+const RELOAD_TIME: Duration = Duration::from_secs(4);
+/// How soon misbehaving clients are to have their error or their end.
+const BAD_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long after a client has closed an attempt may still begin.
+const ABANDON_TIME: Duration = Duration::from_millis(100);
+/// How long before its request what happened to a process may still concern a client.
+const FAULT_LOOKBACK: Duration = Duration::from_secs(3);
+/// How long before its request a suspension may have kept a process from reading it.
+const READ_LOOKBACK: Duration = Duration::from_secs(1);
+
+/// The index of requests with an idempotency key in [`CLASS_NAMES`](crate::simulated::CLASS_NAMES).
+const CLASS_WITH_KEY: usize = 1;
+/// The index of requests that are not idempotent in [`CLASS_NAMES`](crate::simulated::CLASS_NAMES).
+const CLASS_NON_IDEMPOTENT: usize = 2;
+
+/// What was seen in a soak, and what was done in it.
+pub struct SoakChecker<'a> {
+    pub observations: Vec<ClientObservation>,
+    pub reached: Vec<ObservedAttempt>,
+    pub slots: ProcessSlots,
+    pub fault_history: &'a FaultHistory,
+}
+
+impl SoakChecker<'_> {
+    /// How many clients had their connection opened.
+    pub fn served(&self) -> usize {
+        self.observations
+            .iter()
+            .filter(|client| client.received.starts_with("UP"))
+            .count()
+    }
+
+    /// All violations of a rule, one a line.
+    pub fn violations(&self) -> Vec<String> {
+        let mut by_name: HashMap<&str, Vec<&ObservedAttempt>> = HashMap::new();
+        for attempt in &self.reached {
+            by_name.entry(&attempt.name).or_default().push(attempt);
+        }
+        let mut violations = Vec::new();
+        for client in &self.observations {
+            let mut attempts = by_name
+                .get(client.name.as_str())
+                .cloned()
+                .unwrap_or_default();
+            attempts.sort_by_key(|attempt| attempt.at);
+            let found = [
+                self.check_answer(client),
+                check_repeats(client, &attempts),
+                self.check_late_attempt(client, &attempts),
+                self.check_drain(client, &attempts),
+            ];
+            violations.extend(found.into_iter().flatten().map(|violation| {
+                format!(
+                    "{} at seat {}, {:?}, offering {}: {violation}",
+                    client.name, client.slot, client.behavior, client.class
+                )
+            }));
+        }
+        violations
+    }
+
+    /// Whether a process of its slot was killed while the client was there.
+    fn was_killed(&self, client: &ClientObservation) -> bool {
+        let slot = self.slots[client.slot].lock().unwrap();
+        let until = client.ended_at.unwrap_or(client.received_at);
+        slot.killed
+            .iter()
+            .any(|at| *at + BUSY_SLACK > client.asked - FAULT_LOOKBACK && *at < until + BUSY_SLACK)
+    }
+
+    /// Whether the process of its slot was suspended at any time between these.
+    fn was_suspended(&self, client: &ClientObservation, from: Instant, to: Instant) -> bool {
+        let slot = self.slots[client.slot].lock().unwrap();
+        slot.suspensions
+            .iter()
+            .any(|span| span.from < to && span.to + BUSY_SLACK > from)
+    }
+
+    /// Rule 1: one final answer, in time.
+    fn check_answer(&self, client: &ClientObservation) -> Option<String> {
+        if client.behavior == ClientBehavior::Leaves || self.was_killed(client) {
+            return None;
+        }
+        if let Some(second) = &client.second {
+            return Some(format!("rule 1: {second} behind {:?}", client.received));
+        }
+        let took = client.received_at - client.asked;
+        let suspended =
+            self.was_suspended(client, client.asked - FAULT_LOOKBACK, client.received_at);
+        match &client.received {
+            Received::End if client.behavior.is_bad() => {}
+            Received::Line(_) => {}
+            // The client gave up waiting while the process was suspended, or right after.
+            Received::Nothing
+                if self.was_suspended(
+                    client,
+                    client.received_at - BAD_CLIENT_TIMEOUT,
+                    client.received_at,
+                ) => {}
+            other => return Some(format!("rule 1: no answer but {other:?} after {took:?}")),
+        }
+        let timeout = if client.behavior.is_bad() {
+            BAD_CLIENT_TIMEOUT
+        } else {
+            REQUEST_TIMEOUT + SOCKET_SLACK
+        };
+        if took > timeout + BUSY_SLACK && !suspended {
+            return Some(format!("rule 1: {:?} after {took:?}", client.received));
+        }
+        match &client.ended {
+            None => None,
+            Some(Received::Line(line)) if line == "MOVE" => None,
+            Some(Received::Nothing) if suspended => None,
+            Some(other) => Some(format!("an open connection ended with {other:?}")),
+        }
+    }
+
+    /// Rule 1: nothing is sent after the answer or the deadline, nor for a client that has closed.
+    fn check_late_attempt(
+        &self,
+        client: &ClientObservation,
+        attempts: &[&ObservedAttempt],
+    ) -> Option<String> {
+        let last = attempts.last()?;
+        if let Some(left) = client
+            .left
+            .filter(|left| last.at > *left + ABANDON_TIME + BUSY_SLACK)
+        {
+            return Some(format!(
+                "attempted {:?} after its client had gone",
+                last.at - left
+            ));
+        }
+        let slack = SOCKET_SLACK + BUSY_SLACK;
+        if matches!(client.received, Received::Line(_)) && last.at > client.received_at + slack {
+            return Some(format!(
+                "rule 1: attempted {:?} after its answer",
+                last.at - client.received_at
+            ));
+        }
+        // The time of a request counts from when it was read: a process that was suspended had not read it.
+        let from = client.asked - READ_LOOKBACK;
+        if last.at > client.asked + REQUEST_TIMEOUT + slack
+            && !self.was_suspended(client, from, last.at)
+        {
+            return Some(format!(
+                "rule 1: attempted {:?} after it asked",
+                last.at - client.asked
+            ));
+        }
+        None
+    }
+
+    /// Rule 3: no attempt reaches a host that drains, beyond the grace.
+    fn check_drain(
+        &self,
+        client: &ClientObservation,
+        attempts: &[&ObservedAttempt],
+    ) -> Option<String> {
+        attempts.iter().find_map(|attempt| {
+            let drains = self.fault_history.drains.get(&attempt.host)?;
+            let drain = drains.iter().find(|drain| {
+                attempt.at > drain.announced
+                    && drain.revoked.is_none_or(|revoked| attempt.at < revoked)
+            })?;
+            let late = attempt.at - drain.announced;
+            let notified = self.notified_at(client.slot, drain.announced, attempt.at);
+            let allowed = notified.saturating_duration_since(drain.announced)
+                + DRAIN_GRACE
+                + SOCKET_SLACK
+                + BUSY_SLACK;
+            (late > allowed).then(|| {
+                format!(
+                    "rule 3: sent to host {} {late:?} after its drain",
+                    attempt.host
+                )
+            })
+        })
+    }
+
+    /// When, by `at`, a process of this slot has to know what the list services had at `announced`.
+    fn notified_at(&self, slot: usize, announced: Instant, at: Instant) -> Instant {
+        let slot = self.slots[slot].lock().unwrap();
+        let started = slot.started.iter().copied().filter(|start| *start < at);
+        let mut notified = match started.max() {
+            Some(start) => announced.max(start + FIRST_POLL_TIME),
+            None => announced,
+        };
+        // Faults by which a poll may have failed.
+        let faults = self
+            .fault_history
+            .service_faults
+            .iter()
+            .chain(&slot.syscall_faults);
+        for span in faults.filter(|span| span.from < at && span.to + LIST_RECOVERY_TIME > announced)
+        {
+            notified = notified.max(span.to.max(announced) + LIST_RECOVERY_TIME);
+        }
+        for reloaded in slot.reloaded.iter().filter(|reloaded| **reloaded < at) {
+            notified = notified.max(*reloaded + RELOAD_TIME);
+        }
+        notified
+    }
+}
+
+/// Rule 2: a request that may have run is repeated only where, and for as long as, its class allows.
+fn check_repeats(client: &ClientObservation, attempts: &[&ObservedAttempt]) -> Option<String> {
+    let may_have_run: Vec<&ObservedAttempt> = attempts
+        .iter()
+        .copied()
+        .filter(|attempt| attempt.behavior != HostBehavior::Rejects)
+        .collect();
+    let first = may_have_run.first()?;
+    let window_end = first.at + WINDOW + SOCKET_SLACK + BUSY_SLACK;
+    match client.class {
+        CLASS_NON_IDEMPOTENT if may_have_run.len() > 1 => {
+            Some(format!("rule 2: may have run {} times", may_have_run.len()))
+        }
+        CLASS_NON_IDEMPOTENT if client.received.starts_with("BUSY") => {
+            Some("rule 2: dismissed though it may have run".into())
+        }
+        CLASS_WITH_KEY
+            if may_have_run
+                .iter()
+                .any(|one| one.host % 2 != first.host % 2) =>
+        {
+            Some("rule 2: left its group".into())
+        }
+        CLASS_WITH_KEY if may_have_run.iter().any(|one| one.at > window_end) => {
+            Some("rule 2: repeated past its window".into())
+        }
+        _ => None,
+    }
+}
--- a/testkit/src/two_tier/load.rs
+++ b/testkit/src/two_tier/load.rs
@@ -1,7 +1,7 @@
 //! Single nodes and the two tiers under the same load, and the death of a planner under it.
 
 use super::Size;
-use crate::acting::{Clients, Hosts, Referee};
+use crate::simulated::{Clients, Hosts, InvariantChecker};
 use crate::two_tier_cluster::{node_config, TwoTierCluster};
 use crate::{Discovery, Node};
 use hdrhistogram::Histogram;
@@ -52,7 +52,12 @@
 }
 
 /// Applies the load, and samples the spread over hosts meanwhile.
-fn measure_load(mut clients: Clients, hosts: &Hosts, referee: &Referee, size: Size) -> LoadResult {
+fn measure_load(
+    mut clients: Clients,
+    hosts: &Hosts,
+    checker: &InvariantChecker,
+    size: Size,
+) -> LoadResult {
     let mut samples = Vec::new();
     let started = Instant::now();
     while started.elapsed() < size.span {
@@ -63,7 +68,7 @@
     }
     clients.end();
     let mut first_attempt = micros_histogram();
-    let requests = referee.first_hand_offs();
+    let requests = checker.first_attempts();
     requests
         .iter()
         .filter_map(|(_, took)| *took)
@@ -81,14 +86,14 @@
         first_attempt,
         jain_index: samples.iter().sum::<f64>() / samples.len().max(1) as f64,
         served_ratio: served as f64 / requests.len().max(1) as f64,
-        violations: referee.broken(DISCOVERY_DELAY),
+        violations: checker.broken(DISCOVERY_DELAY),
     }
 }
 
 /// The load on single nodes.
 pub fn measure_single_nodes(size: Size, seed: u64) -> LoadResult {
-    let referee = Referee::default();
-    let hosts = Hosts::start(size.hosts, &referee);
+    let checker = InvariantChecker::default();
+    let hosts = Hosts::start(size.hosts, &checker);
     let discovery = Discovery::start();
     (0..size.hosts).for_each(|host| discovery.change(hosts.member(host, "active")));
     let start_node = |n: usize| {
@@ -99,21 +104,21 @@
     };
     let nodes: Vec<Node> = (0..size.nodes).map(start_node).collect();
     let addresses = nodes.iter().map(|node| node.address).collect();
-    let clients = Clients::new(addresses, &referee, seed);
-    measure_load(clients, &hosts, &referee, size)
+    let clients = Clients::new(addresses, &checker, seed);
+    measure_load(clients, &hosts, &checker, size)
 }
 
 fn start_cluster(size: Size, seed: u64) -> (TwoTierCluster, Clients) {
     let cluster = TwoTierCluster::start(size.nodes, PLANNERS, size.hosts, seed);
     std::thread::sleep(SETTLE_TIME);
-    let clients = Clients::new(cluster.client_addresses(), &cluster.referee, seed);
+    let clients = Clients::new(cluster.client_addresses(), &cluster.checker, seed);
     (cluster, clients)
 }
 
 /// The load on the two tiers.
 pub fn measure_two_tiers(size: Size, seed: u64) -> LoadResult {
     let (cluster, clients) = start_cluster(size, seed);
-    measure_load(clients, &cluster.hosts, &cluster.referee, size)
+    measure_load(clients, &cluster.hosts, &cluster.checker, size)
 }
 
 /// What a planner's death under the load showed.
@@ -132,13 +137,13 @@
     clients.load(size.rate, Duration::from_secs(2), &[0, 1, 2], HOLD_TIME);
     // The one that is paused for good says nothing, as a machine that is gone.
     let busiest = cluster.busiest_planner();
-    cluster.planners[busiest].iter().for_each(Node::stand_still);
+    cluster.planners[busiest].iter().for_each(Node::suspend);
     let died_at = Instant::now();
     clients.load(size.rate, Duration::from_secs(3), &[0, 1, 2], HOLD_TIME);
     clients.end();
     let (mut before, mut after) = (micros_histogram(), micros_histogram());
     let mut latest_first_attempt = Duration::ZERO;
-    for (client, took) in cluster.referee.first_hand_offs() {
+    for (client, took) in cluster.checker.first_attempts() {
         let Some(took) = took else { continue };
         latest_first_attempt = latest_first_attempt.max(took);
         if client.asked < died_at - Duration::from_millis(100) {
@@ -147,7 +152,7 @@
             after.saturating_record(took.as_micros() as u64);
         }
     }
-    let violations = cluster.referee.broken(DISCOVERY_DELAY);
+    let violations = cluster.checker.broken(DISCOVERY_DELAY);
     cluster.heal();
     FailoverResult {
         latest_first_attempt,
--- a/testkit/src/two_tier/mod.rs
+++ b/testkit/src/two_tier/mod.rs
@@ -29,7 +29,7 @@
 }
 
 /// What a measurement found.
-pub struct Found {
+pub struct Report {
     /// The figures, by name.
     pub figures: Map<String, Value>,
     /// The promises and rules that were broken.
@@ -149,7 +149,7 @@
 ///
 /// # Errors
 /// If something could not be measured at all.
-pub fn measure(size: Size, seed: u64) -> Result<Found, String> {
+pub fn measure(size: Size, seed: u64) -> Result<Report, String> {
     let mut report = ReportBuilder::default();
     let nodes = load::measure_single_nodes(size, seed);
     let tiers = load::measure_two_tiers(size, seed);
@@ -160,5 +160,5 @@
     let planner = planner::measure(size.hosts, seed).map_err(|error| error.to_string())?;
     report.planner(&planner);
     let ReportBuilder { figures, broken } = report;
-    Ok(Found { figures, broken })
+    Ok(Report { figures, broken })
 }
--- a/testkit/src/two_tier/planner.rs
+++ b/testkit/src/two_tier/planner.rs
@@ -1,8 +1,8 @@
 //! A planner by itself, and the decision core alone beside it.
 
 use super::{DECISIONS, OPEN_CONNECTIONS, OPEN_DURING_DECISIONS};
-use crate::acting::{Hosts, Referee};
 use crate::scripted_forwarder::{placement_request, ScriptedForwarder, SessionError};
+use crate::simulated::{Hosts, InvariantChecker};
 use crate::two_tier_cluster::node_config;
 use crate::{Discovery, Node};
 use reedferry::{
@@ -210,8 +210,8 @@
 
 /// Measures a planner by itself.
 pub fn measure(hosts: usize, seed: u64) -> Result<PlannerResult, MeasureError> {
-    let referee = Referee::default();
-    let simulated_hosts = Hosts::start(hosts, &referee);
+    let checker = InvariantChecker::default();
+    let simulated_hosts = Hosts::start(hosts, &checker);
     let discovery = Discovery::start();
     (0..hosts).for_each(|host| discovery.change(simulated_hosts.member(host, "active")));
     let node_config = node_config("plan", &simulated_hosts, &discovery, seed);
--- a/testkit/src/two_tier_cluster.rs
+++ b/testkit/src/two_tier_cluster.rs
@@ -2,9 +2,11 @@
 //! discovery. It owns how they are started, and the faults that tests draw. It must never judge: that is the
 //! referee's.
 
-use crate::acting::{Hosts, Referee, Way, EXPIRY, GRACE, OFFERINGS, WINDOW};
 use crate::program::Node;
 use crate::relay::Relay;
+use crate::simulated::{
+    HostBehavior, Hosts, InvariantChecker, CLASS_NAMES, DRAIN_GRACE, REQUEST_TIMEOUT, WINDOW,
+};
 use crate::Discovery;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -24,7 +26,7 @@
 /// Forwarders, planners and all that they meet.
 pub struct TwoTierCluster {
     /// Notes what hosts and clients see.
-    pub referee: Referee,
+    pub checker: InvariantChecker,
     /// The hosts.
     pub hosts: Hosts,
     /// Discovery.
@@ -49,11 +51,11 @@
 /// The configuration of one program among these hosts.
 pub fn node_config(name: &str, hosts: &Hosts, discovery: &Discovery, seed: u64) -> Value {
     let idempotencies = ["free", "guarded", "single_shot"];
-    let classes: Vec<Value> = OFFERINGS
+    let classes: Vec<Value> = CLASS_NAMES
         .iter()
         .zip(idempotencies)
         .map(|(name, idempotency)| {
-            json!({"name": name, "contract_time": 500, "expiry": EXPIRY.as_millis() as u64, "effect": idempotency,
+            json!({"name": name, "contract_time": 500, "expiry": REQUEST_TIMEOUT.as_millis() as u64, "effect": idempotency,
             "group": "cell", "repeat_window": WINDOW.as_millis() as u64, "payoff": 1})
         })
         .collect();
@@ -63,7 +65,7 @@
         "settings": {"balancers": 1, "index": 0, "zone": 0, "zones": ["a"], "round": 4.0, "offerings": classes,
             "tenants": [{"name": "acme"}],
             "contract": {"ask_within": 1000.0, "cold": 1000.0, "cold_from": 0.5,
-                "drain_grace": GRACE.as_millis() as u64, "tip_after": 1000.0, "tip_multiple": 3.0},
+                "drain_grace": DRAIN_GRACE.as_millis() as u64, "tip_after": 1000.0, "tip_multiple": 3.0},
             "policy_limits": {"cancel": true, "connect_timeout": 250.0, "max_retry_after": 1000.0,
                 "may_probe": false, "most_hand_offs": 3, "retry_after": true},
             "registry_mode": "on_request", "extra": {"message_aim": [100.0, 100.0, 100.0], "mode": "proxy"}}})
@@ -85,12 +87,12 @@
 impl TwoTierCluster {
     /// Starts so many of each.
     pub fn start(forwarders: usize, planners: usize, hosts: usize, seed: u64) -> Self {
-        let referee = Referee::default();
-        let hosts = Hosts::start(hosts, &referee);
+        let checker = InvariantChecker::default();
+        let hosts = Hosts::start(hosts, &checker);
         let discovery = Discovery::start();
         (0..hosts.addresses.len()).for_each(|h| discovery.change(hosts.member(h, "active")));
         let mut cluster = TwoTierCluster {
-            referee,
+            checker,
             hosts,
             discovery,
             planners: (0..planners).map(|_| None).collect(),
@@ -148,8 +150,11 @@
     /// The planner that most forwarders follow now.
     pub fn busiest_planner(&mut self) -> usize {
         for (forwarder, followed) in self.forwarders.iter().zip(&mut self.followed_planners) {
-            let logged = forwarder.logged();
-            let last = logged.iter().rev().find_map(|line| followed_planner(line));
+            let drain_log = forwarder.drain_log();
+            let last = drain_log
+                .iter()
+                .rev()
+                .find_map(|line| followed_planner(line));
             *followed = last.unwrap_or(*followed);
         }
         let followers = |planner: &usize| {
@@ -171,7 +176,7 @@
 
     /// Has discovery say that a host drains, or is ready again.
     pub fn set_draining(&self, host: usize, draining: bool) {
-        self.referee.drains(host, draining);
+        self.checker.drains(host, draining);
         let phase = if draining { "leaving" } else { "active" };
         self.discovery.change(self.hosts.member(host, phase));
     }
@@ -179,7 +184,7 @@
     /// Takes back all faults but drains: planners run, relays pass everything on, hosts accept.
     pub fn heal(&mut self) {
         for index in 0..self.planners.len() {
-            self.planners[index].iter().for_each(Node::go_on);
+            self.planners[index].iter().for_each(Node::unsuspend);
             if !self.planners[index].as_mut().is_some_and(Node::runs) {
                 self.start_planner(index);
             }
@@ -188,7 +193,7 @@
             relay.up.clear();
             relay.down.clear();
         }
-        (0..self.hosts.addresses.len()).for_each(|host| self.hosts.go(host, Way::Takes));
+        (0..self.hosts.addresses.len()).for_each(|host| self.hosts.go(host, HostBehavior::Accepts));
     }
 
     /// Injects a fault of this kind; `a` and `b` draw whom it meets. Returns what it did.
@@ -203,7 +208,7 @@
                 format!("planner {planner} killed")
             }
             1 => {
-                self.planners[planner].iter().for_each(Node::stand_still);
+                self.planners[planner].iter().for_each(Node::suspend);
                 format!("planner {planner} paused")
             }
             2 => {
@@ -234,7 +239,12 @@
                 format!("planner {planner} asked to stop")
             }
             8 => {
-                let behaviors = [Way::Busy, Way::Fails, Way::Silent, Way::Breaks];
+                let behaviors = [
+                    HostBehavior::Rejects,
+                    HostBehavior::Fails,
+                    HostBehavior::Silent,
+                    HostBehavior::Disconnects,
+                ];
                 self.hosts.go(host, behaviors[b % 4]);
                 format!("host {host} goes wrong, {}", b % 4)
             }
