--- a/node/src/connections/resource_retry.rs
+++ b/node/src/connections/resource_retry.rs
@@ -23,7 +23,7 @@
     fn schedule(&mut self, context: &mut Context) {
         if !std::mem::replace(&mut self.scheduled, true) {
             let due = context.now + RETRY_AFTER;
-            let token = context::mark(context::CONNECTION_RETRY);
+            let token = context::token(context::CONNECTION_RETRY);
             context.poller.set_timer(due, token, 0);
         }
     }
--- a/node/src/context/mod.rs
+++ b/node/src/context/mod.rs
@@ -26,9 +26,9 @@
 const ENOUGH_DESCRIPTORS: usize = 8;
 
 /// The token of a component that has one socket or timer.
-pub fn mark(part: u8) -> PollToken {
+pub fn token(component: u8) -> PollToken {
     PollToken {
-        component: part,
+        component: component,
         slot: 0,
         generation: 0,
     }
@@ -125,13 +125,18 @@
     }
 
     /// Has the poller report a socket under a new token.
-    pub fn watch(&mut self, socket: &Socket, part: u8, slot: usize) -> Result<PollToken, Errno> {
-        let mark = PollToken {
-            component: part,
+    pub fn watch(
+        &mut self,
+        socket: &Socket,
+        component: u8,
+        slot: usize,
+    ) -> Result<PollToken, Errno> {
+        let token = PollToken {
+            component: component,
             slot: slot as u32,
             generation: self.next_generation(),
         };
-        self.poller.register(socket, mark)?;
-        Ok(mark)
+        self.poller.register(socket, token)?;
+        Ok(token)
     }
 }
--- a/node/src/context/open.rs
+++ b/node/src/context/open.rs
@@ -1,6 +1,6 @@
 //! What is opened at the start: the poller, the budgets, the listeners and the endpoint list as last known.
 
-use super::{mark, Context, LISTENER, RELOAD, STOP};
+use super::{token, Context, LISTENER, RELOAD, STOP};
 use crate::discovery::hosts::{Hosts, ListSource};
 use crate::discovery::list::ListReader;
 use crate::error::FatalError;
@@ -33,10 +33,12 @@
     ) -> Result<(Context, LogBacklog), FatalError> {
         let (log, backlog) = log::logger(&node_config.name);
         let poller = retry_for(START_TIMEOUT, Poller::new).map_err(FatalError::Poll)?;
-        retry_for(START_TIMEOUT, || poller.register(&signals.stop, mark(STOP)))
-            .map_err(FatalError::Poll)?;
         retry_for(START_TIMEOUT, || {
-            poller.register(&signals.reload, mark(RELOAD))
+            poller.register(&signals.stop, token(STOP))
+        })
+        .map_err(FatalError::Poll)?;
+        retry_for(START_TIMEOUT, || {
+            poller.register(&signals.reload, token(RELOAD))
         })
         .map_err(FatalError::Poll)?;
         let now = clock.read();
@@ -77,7 +79,7 @@
     }
 
     /// Listens on an address, and has the poller report connections to it as this part's.
-    pub fn listen(&mut self, address: &SocketAddr, part: u8) -> Result<Socket, FatalError> {
+    pub fn listen(&mut self, address: &SocketAddr, component: u8) -> Result<Socket, FatalError> {
         let listener =
             retry_for(START_TIMEOUT, || self.budget.listen(address)).map_err(|error| {
                 FatalError::Listen {
@@ -86,7 +88,7 @@
                 }
             })?;
         retry_for(START_TIMEOUT, || {
-            self.poller.register(&listener, mark(part))
+            self.poller.register(&listener, token(component))
         })
         .map_err(FatalError::Poll)?;
         Ok(listener)
@@ -98,7 +100,7 @@
         let listener = retry_for(START_TIMEOUT, || self.budget.inherit_listener(descriptor))
             .map_err(no_listener)?;
         retry_for(START_TIMEOUT, || {
-            self.poller.register(&listener, mark(LISTENER))
+            self.poller.register(&listener, token(LISTENER))
         })
         .map_err(no_listener)?;
         Ok(listener)
--- a/node/src/operators/api/mod.rs
+++ b/node/src/operators/api/mod.rs
@@ -9,7 +9,7 @@
 pub use request::ApiRequest;
 pub use response::ApiResponse;
 
-use crate::context::{mark, Context, OPS, OPS_LISTENER, START_TIMEOUT};
+use crate::context::{token, Context, OPS, OPS_LISTENER, START_TIMEOUT};
 use crate::error::FatalError;
 use connection::{Connection, Progress, Stage};
 use reedferry::{Nanos, SECOND};
@@ -55,7 +55,7 @@
         let budget = context.budget.split_off(MAX_CONNECTIONS + 1);
         let listener =
             retry_for(START_TIMEOUT, || budget.listen(address)).map_err(cannot_listen)?;
-        let watch = || context.poller.register(&listener, mark(OPS_LISTENER));
+        let watch = || context.poller.register(&listener, token(OPS_LISTENER));
         retry_for(START_TIMEOUT, watch).map_err(cannot_listen)?;
         let at = listener.local_address().unwrap_or(*address);
         info!(context.log, "operators"; "at" => %at);
@@ -102,18 +102,18 @@
         // More may wait.
         _ = context
             .poller
-            .update_registration(&self.listener, mark(OPS_LISTENER));
+            .update_registration(&self.listener, token(OPS_LISTENER));
     }
 
     /// Has the poller report a connection, from now or from the next sweep on.
     fn watch(&mut self, context: &mut Context, slot: usize) {
         let connection = &mut self.connections[slot];
-        let mark = PollToken {
+        let token = PollToken {
             component: OPS,
             slot: slot as u32,
             generation: connection.stamp,
         };
-        connection.is_watched = context.poller.register(&connection.socket, mark).is_ok();
+        connection.is_watched = context.poller.register(&connection.socket, token).is_ok();
         if !connection.is_watched {
             context.record_transient_failure("epoll_ctl");
         }
--- a/node/src/peers/membership.rs
+++ b/node/src/peers/membership.rs
@@ -2,7 +2,7 @@
 //! loads and messages about replicated records. It owns that socket and the log lines on members, bounded when hundreds
 //! change at once. It must never decide who is alive, nor take in more of a flood than a turn's worth.
 
-use crate::context::{mark, Context, FLEET_TIMER, PEERS, START_TIMEOUT};
+use crate::context::{token, Context, FLEET_TIMER, PEERS, START_TIMEOUT};
 use crate::operators::node_config::NodeConfig;
 use crate::peers::assignments::Assignments;
 use crate::peers::{FleetConfig, PeersError};
@@ -129,7 +129,7 @@
         let socket = retry_for(timeout, || {
             context.budget.bind_datagram(&self.config.listen)
         })?;
-        retry_for(timeout, || context.poller.register(&socket, mark(PEERS)))?;
+        retry_for(timeout, || context.poller.register(&socket, token(PEERS)))?;
         let (seeds, period_ms) = (self.config.seeds.len(), self.config.period / 1_000_000);
         info!(context.log, "fleet"; "address" => %self.config.address, "seeds" => seeds, "period_ms" => period_ms);
         self.socket = Some(socket);
@@ -146,7 +146,7 @@
         let due = self.membership.next_wakeup();
         if due != Nanos::MAX && self.timer_at.is_none_or(|at| due < at) {
             self.timer_at = Some(due);
-            context.poller.set_timer(due, mark(FLEET_TIMER), 0);
+            context.poller.set_timer(due, token(FLEET_TIMER), 0);
         }
     }
 
@@ -214,7 +214,7 @@
         }
         // Without this, the rest of a flood is left lying, as the poller reports each arrival once.
         if let Some(socket) = &self.socket {
-            _ = context.poller.update_registration(socket, mark(PEERS));
+            _ = context.poller.update_registration(socket, token(PEERS));
         }
     }
 
--- a/node/src/peers/replication.rs
+++ b/node/src/peers/replication.rs
@@ -3,7 +3,7 @@
 //! a byte of it leaves. It owns what waits. It must never hold up idempotent requests, nor decide what becomes of a
 //! request whose lease it has.
 
-use crate::context::{mark, Context, REPLICATION_TIMER};
+use crate::context::{token, Context, REPLICATION_TIMER};
 use crate::peers::attempt_history::{AttemptHistory, AttemptTracker};
 use crate::peers::membership::ReplicationDatagram;
 use crate::peers::{Fleet, ReplicationConfig};
@@ -115,7 +115,7 @@
         let deadline = context.now + self.config.majority_timeout;
         context
             .poller
-            .set_timer(deadline, mark(REPLICATION_TIMER), 0);
+            .set_timer(deadline, token(REPLICATION_TIMER), 0);
     }
 
     /// An event on its way to the balancer; none where the request waits for its lease first.
--- a/node/src/peers/static_peers.rs
+++ b/node/src/peers/static_peers.rs
@@ -2,7 +2,7 @@
 //! known by their addresses. It owns that socket. It must never take in what a stranger sends or what is longer than a
 //! message, hold a turn up over a flood, nor care whether a message arrives.
 
-use crate::context::{mark, Context, PEERS, START_TIMEOUT};
+use crate::context::{token, Context, PEERS, START_TIMEOUT};
 use crate::peers::{GossipConfig, PeersError};
 use reedferry::gossip::MAX_MESSAGE_BYTES;
 use reedferry::Event;
@@ -34,7 +34,7 @@
         })
         .map_err(failed)?;
         retry_for(START_TIMEOUT, || {
-            context.poller.register(&socket, mark(PEERS))
+            context.poller.register(&socket, token(PEERS))
         })
         .map_err(failed)?;
         let address = socket.local_address().unwrap_or(config.listen);
@@ -80,6 +80,6 @@
         // Without this, the rest of a flood is left lying, as the poller reports each arrival once.
         _ = context
             .poller
-            .update_registration(&self.socket, mark(PEERS));
+            .update_registration(&self.socket, token(PEERS));
     }
 }
--- a/node/src/roles/forward.rs
+++ b/node/src/roles/forward.rs
@@ -5,7 +5,7 @@
 
 use crate::connections::link::{ClosedConnections, LinkConnection, LinkConnections};
 use crate::connections::Connections;
-use crate::context::{self, mark, Context, CORE_TIMER, LINK, STOP};
+use crate::context::{self, token, Context, CORE_TIMER, LINK, STOP};
 use crate::operators::operator_config::{ForwarderOptions, OperatorConfig, Role};
 use crate::ready::Ready;
 use crate::{Signals, SHUTDOWN_MARGIN, SWEEP};
@@ -89,7 +89,7 @@
         let next_sweep = context.now + SWEEP;
         context
             .poller
-            .set_timer(next_sweep, mark(context::SWEEP), 0);
+            .set_timer(next_sweep, token(context::SWEEP), 0);
         let process = ForwarderProcess {
             context,
             forwarder,
@@ -140,9 +140,9 @@
             self.connections
                 .resume_runnable(&mut self.context, Some(&self.listener));
         }
-        while let Some((mark, word)) = self.context.poller.pop_expired(self.context.now) {
-            match mark.component {
-                context::HOST => self.connections.on_timer(&mut self.context, mark, word),
+        while let Some((token, word)) = self.context.poller.pop_expired(self.context.now) {
+            match token.component {
+                context::HOST => self.connections.on_timer(&mut self.context, token, word),
                 context::SWEEP => self.sweep(),
                 context::CONNECTION_RETRY => self.connections.retry(&mut self.context),
                 _ => {}
@@ -156,7 +156,9 @@
         let deadline = self.forwarder.next_deadline();
         if deadline < self.armed_deadline || self.armed_deadline <= self.context.now {
             self.armed_deadline = deadline;
-            self.context.poller.set_timer(deadline, mark(CORE_TIMER), 0);
+            self.context
+                .poller
+                .set_timer(deadline, token(CORE_TIMER), 0);
         }
     }
 
@@ -186,7 +188,7 @@
         let next_sweep = context.now + SWEEP;
         context
             .poller
-            .set_timer(next_sweep, mark(context::SWEEP), 0);
+            .set_timer(next_sweep, token(context::SWEEP), 0);
     }
 
     fn handle_planner_readiness(&mut self, readiness: Readiness) {
@@ -274,13 +276,13 @@
         let context = &mut self.context;
         let opened = context.budget.connect(&address).and_then(|(socket, _)| {
             // The poller reports whether it is connected, in either case.
-            let mark = PollToken {
+            let token = PollToken {
                 component: LINK,
                 slot: connection,
                 generation: context.next_generation(),
             };
-            context.poller.register(&socket, mark)?;
-            Ok(LinkConnection::new(socket, mark.generation, false))
+            context.poller.register(&socket, token)?;
+            Ok(LinkConnection::new(socket, token.generation, false))
         });
         match opened {
             Ok(socket) => _ = self.planner_sockets.by_line.insert(connection, socket),
--- a/node/src/roles/hot_restart/mod.rs
+++ b/node/src/roles/hot_restart/mod.rs
@@ -117,7 +117,7 @@
             Ok(listener)
                 if context
                     .poller
-                    .register(&listener, context::mark(SUCCESSOR_LISTENER))
+                    .register(&listener, context::token(SUCCESSOR_LISTENER))
                     .is_ok() =>
             {
                 self.successor_listener = Some(listener);
@@ -166,7 +166,7 @@
         if !std::mem::replace(&mut self.retry_scheduled, true) {
             context.poller.set_timer(
                 context.now + RETRY_AFTER,
-                context::mark(context::CHANNEL_RETRY),
+                context::token(context::CHANNEL_RETRY),
                 0,
             );
         }
@@ -179,13 +179,18 @@
         connections: &mut Connections,
         ready: Readiness,
     ) {
-        let mark = ready.token;
-        match mark.component {
+        let token = ready.token;
+        match token.component {
             SUCCESSOR_LISTENER => self.accept_successors(context, connections),
-            SUCCESSOR if self.successor.as_ref().is_some_and(|s| s.is_marked(mark)) => {
+            SUCCESSOR if self.successor.as_ref().is_some_and(|s| s.is_marked(token)) => {
                 self.serve_successor(context, connections);
             }
-            PREDECESSOR if self.predecessor.as_ref().is_some_and(|p| p.is_marked(mark)) => {
+            PREDECESSOR
+                if self
+                    .predecessor
+                    .as_ref()
+                    .is_some_and(|p| p.is_marked(token)) =>
+            {
                 self.adopt_connections(context, connections);
             }
             _ => {}
--- a/node/src/roles/hot_restart/predecessor.rs
+++ b/node/src/roles/hot_restart/predecessor.rs
@@ -68,7 +68,7 @@
         };
         let watched = context
             .poller
-            .register(&predecessor.channel, predecessor.mark());
+            .register(&predecessor.channel, predecessor.token());
         if watched.is_err() {
             // The sweep reads from it.
             context.record_transient_failure("epoll_ctl");
@@ -77,7 +77,7 @@
         Some((predecessor, state))
     }
 
-    fn mark(&self) -> PollToken {
+    fn token(&self) -> PollToken {
         PollToken {
             component: PREDECESSOR,
             slot: 0,
@@ -86,8 +86,8 @@
     }
 
     /// Whether the poller's mark is for this channel.
-    pub fn is_marked(&self, mark: PollToken) -> bool {
-        self.stamp == mark.generation
+    pub fn is_marked(&self, token: PollToken) -> bool {
+        self.stamp == token.generation
     }
 
     /// Adopts the connections that have come, up to a number per turn.
@@ -125,7 +125,7 @@
         self.reply(context, connections)?;
         _ = context
             .poller
-            .update_registration(&self.channel, self.mark());
+            .update_registration(&self.channel, self.token());
         Ok(())
     }
 
--- a/node/src/roles/hot_restart/successor.rs
+++ b/node/src/roles/hot_restart/successor.rs
@@ -44,18 +44,18 @@
 impl Successor {
     /// The process at the other end of a channel that has just been accepted.
     pub fn new(context: &mut Context, channel: Socket) -> Self {
-        let mark = PollToken {
+        let token = PollToken {
             component: SUCCESSOR,
             slot: 0,
             generation: context.next_generation(),
         };
-        if context.poller.register(&channel, mark).is_err() {
+        if context.poller.register(&channel, token).is_err() {
             // The sweep reads from it.
             context.record_transient_failure("epoll_ctl");
         }
         Successor {
             channel,
-            stamp: mark.generation,
+            stamp: token.generation,
             outgoing: VecDeque::new(),
             in_transit: VecDeque::new(),
             abandoned: false,
@@ -64,8 +64,8 @@
     }
 
     /// Whether the poller's mark is for this channel, not for an earlier successor's.
-    pub fn is_marked(&self, mark: PollToken) -> bool {
-        self.stamp == mark.generation
+    pub fn is_marked(&self, token: PollToken) -> bool {
+        self.stamp == token.generation
     }
 
     /// Whether it has asked for the state since this was called last.
--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -5,7 +5,7 @@
 
 use crate::connections::link::{ClosedConnections, LinkConnection, LinkConnections};
 use crate::connections::probe::Probes;
-use crate::context::{self, mark, Context, LINK, STOP};
+use crate::context::{self, token, Context, LINK, STOP};
 use crate::discovery::client::DiscoveryClient;
 use crate::operators::node_config::NodeConfig;
 use crate::operators::operator_config::{OperatorConfig, PlannerOptions, Role};
@@ -106,7 +106,7 @@
         let next_sweep = context.now + SWEEP;
         context
             .poller
-            .set_timer(next_sweep, mark(context::SWEEP), 0);
+            .set_timer(next_sweep, token(context::SWEEP), 0);
         let discovery = DiscoveryClient::new(
             node_config.discovery,
             revision,
@@ -146,7 +146,7 @@
         let deadline = self.planner.next_deadline(self.context.now);
         self.context
             .poller
-            .set_timer(deadline, mark(context::CORE_TIMER), 0);
+            .set_timer(deadline, token(context::CORE_TIMER), 0);
         let mut ready = Vec::new();
         let at_once = !self.context.events.is_empty() || self.forwarder_sockets.more_to_read;
         self.context
@@ -176,12 +176,12 @@
                 return;
             };
             let stamp = context.next_generation();
-            let mark = PollToken {
+            let token = PollToken {
                 component: LINK,
                 slot: 0,
                 generation: stamp,
             };
-            if context.poller.register(&socket, mark).is_err() {
+            if context.poller.register(&socket, token).is_err() {
                 // The forwarder connects again.
                 context.record_transient_failure("epoll_ctl");
                 continue;
@@ -255,7 +255,7 @@
                     self.context.note_spare_descriptors();
                     self.context
                         .poller
-                        .set_timer(now + SWEEP, mark(context::SWEEP), 0);
+                        .set_timer(now + SWEEP, token(context::SWEEP), 0);
                 }
                 _ => {}
             }
@@ -295,12 +295,12 @@
         let context = &mut self.context;
         match action {
             PlannerAction::SetTimer { time, zone, timer } => {
-                let mark = PollToken {
+                let token = PollToken {
                     component: context::BALANCER_TIMER,
                     slot: zone.into(),
                     generation: 0,
                 };
-                context.poller.set_timer(time, mark, timer);
+                context.poller.set_timer(time, token, timer);
             }
             PlannerAction::PollEndpoints => self.discovery.poll(context),
             PlannerAction::WatchEndpoints => self.discovery.watch(context),
--- a/node/src/roles/standalone/event_loop.rs
+++ b/node/src/roles/standalone/event_loop.rs
@@ -1,7 +1,7 @@
 //! One turn of a standalone node: events are gathered, the balancer decides, its actions are carried out.
 
 use super::Node;
-use crate::context::{self, mark};
+use crate::context::{self, token};
 use crate::operators::api::OperatorApi;
 use crate::roles::hot_restart::TransferredState;
 use crate::{SHUTDOWN_MARGIN, SWEEP};
@@ -26,8 +26,8 @@
             self.connections
                 .resume_runnable(&mut self.context, self.hot_restart.listener());
         }
-        while let Some((mark, timer)) = self.context.poller.pop_expired(self.context.now) {
-            self.handle_timer(mark, timer);
+        while let Some((token, timer)) = self.context.poller.pop_expired(self.context.now) {
+            self.handle_timer(token, timer);
         }
         if let (Some(replication), Some(fleet)) = (&mut self.replication, &mut self.fleet) {
             replication.exchange_messages(&mut self.context, fleet);
@@ -110,12 +110,12 @@
         }
     }
 
-    fn handle_timer(&mut self, mark: PollToken, timer: u64) {
+    fn handle_timer(&mut self, token: PollToken, timer: u64) {
         let context = &mut self.context;
-        match mark.component {
+        match token.component {
             context::BALANCER_TIMER => context.events.push(Event::TimerFired { timer }),
-            context::HOST => self.connections.on_timer(context, mark, timer),
-            context::PROBE => self.probes.on_timeout(context, mark),
+            context::HOST => self.connections.on_timer(context, token, timer),
+            context::PROBE => self.probes.on_timeout(context, token),
             context::CONNECTION_RETRY => self.connections.retry(context),
             context::CHANNEL_RETRY => self.hot_restart.retry(context, &mut self.connections),
             context::REPLICATION_TIMER => {
@@ -210,7 +210,7 @@
             Action::SetTimer { time, timer } => {
                 context
                     .poller
-                    .set_timer(time, mark(context::BALANCER_TIMER), timer);
+                    .set_timer(time, token(context::BALANCER_TIMER), timer);
             }
             Action::PollEndpoints => self.discovery.poll(context),
             Action::WatchEndpoints => self.discovery.watch(context),
@@ -265,7 +265,7 @@
             .report_latencies(context.now, &mut context.events);
         context
             .poller
-            .set_timer(context.now + SWEEP, mark(context::SWEEP), 0);
+            .set_timer(context.now + SWEEP, token(context::SWEEP), 0);
     }
 
     fn stop_if_asked(&mut self) {
--- a/node/src/roles/standalone/startup.rs
+++ b/node/src/roles/standalone/startup.rs
@@ -4,7 +4,7 @@
 use super::Node;
 use crate::connections::probe::Probes;
 use crate::connections::Connections;
-use crate::context::{self, mark, Context};
+use crate::context::{self, token, Context};
 use crate::discovery::client::DiscoveryClient;
 use crate::discovery::hosts::ListSource;
 use crate::discovery::list::EndpointList;
@@ -105,7 +105,7 @@
         let context = &mut self.context;
         context
             .poller
-            .set_timer(context.now + SWEEP, mark(context::SWEEP), 0);
+            .set_timer(context.now + SWEEP, token(context::SWEEP), 0);
     }
 }
 
--- a/node/tests/handover.rs
+++ b/node/tests/handover.rs
@@ -95,7 +95,7 @@
     let _successor = site.start(&injector);
     injector.set(&[never_succeeds(Call::SendMessage)]);
     predecessor.stop();
-    eventually("the first connection came", || injector.spoilt() > 0);
+    eventually("the first connection came", || injector.injected() > 0);
     for (client, ..) in &mut open {
         client.say("early");
     }
--- a/node/tests/local_faults.rs
+++ b/node/tests/local_faults.rs
@@ -130,7 +130,7 @@
         let heard = site.heard();
         let count = |word: &str| heard.iter().filter(|said| said.starts_with(word)).count();
         let (up, busy) = (count("UP"), count("BUSY"));
-        assert!(site.injector.spoilt() > 5, "{fault:?}: too tame");
+        assert!(site.injector.injected() > 5, "{fault:?}: too tame");
         assert_eq!(up + busy, CLIENTS, "{fault:?}: {heard:?}");
         assert!(
             up as f64 >= least * CLIENTS as f64,
@@ -162,7 +162,10 @@
             client.say(&line);
             client.hears(&line);
         }
-        assert!(site.injector.spoilt() > 10, "{call:?} {errno:?}: too tame");
+        assert!(
+            site.injector.injected() > 10,
+            "{call:?} {errno:?}: too tame"
+        );
     }
 }
 
@@ -217,7 +220,7 @@
 #[test]
 fn a_hot_restart_outlasts_local_faults() {
     for call in [Call::SendMessage, Call::ReceiveMessage] {
-        for spoils_next in [true, false] {
+        for injects_into_next in [true, false] {
             let (hosts, discovery) = (Hosts::start(2), Discovery::start());
             let node_config = node_config(&hosts, discovery.address);
             let (held, folder) = (listener(), folder());
@@ -225,8 +228,8 @@
             let mut predecessor = Node::start_injected_at(&node_config, &held, &folder, &before);
             predecessor.address = held.local_addr().unwrap();
             let mut open: Vec<_> = (0..20).map(|_| predecessor.served(&hosts)).collect();
-            let spoilt = if spoils_next { &next } else { &before };
-            spoilt.set(&[fails(call, Errno::NOBUFS, 2)]);
+            let injected = if injects_into_next { &next } else { &before };
+            injected.set(&[fails(call, Errno::NOBUFS, 2)]);
             let mut successor = Node::start_injected_at(&node_config, &held, &folder, &next);
             predecessor.stop();
             assert!(predecessor.wait().success());
@@ -238,7 +241,7 @@
                     client.hears(&line);
                 }
             }
-            assert!(spoilt.spoilt() > 5, "{call:?}: too tame");
+            assert!(injected.injected() > 5, "{call:?}: too tame");
             successor.kill();
             std::fs::remove_dir_all(&folder).unwrap();
         }
@@ -393,7 +396,7 @@
                 asked.elapsed()
             );
         }
-        assert!(site.injector.spoilt() > 5, "{fault:?}: too tame");
+        assert!(site.injector.injected() > 5, "{fault:?}: too tame");
     }
 }
 
@@ -429,7 +432,7 @@
         for mut client in crowd {
             client.hears("BUSY");
         }
-        assert!(injector.spoilt() > 20, "{fault:?}: too tame");
+        assert!(injector.injected() > 20, "{fault:?}: too tame");
     }
 }
 
@@ -460,7 +463,7 @@
         every: 1,
     }]);
     clients.iter_mut().for_each(|client| client.hears("ERR"));
-    assert!(injector.spoilt() > 5, "too tame");
+    assert!(injector.injected() > 5, "too tame");
     injector.clear();
     assert_eq!(
         node.metric("violations.answered_late"),
--- a/node/tests/silence.rs
+++ b/node/tests/silence.rs
@@ -193,7 +193,7 @@
     let head = |length: usize| format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
     let body = r#"{"revision":9,"complete":true,"members":[{"id":"s-0","phase":"#;
     let whole = |body: &str| head(body.len()) + body;
-    let spoilt = [
+    let injected = [
         whole(&format!("{body}\"resting\"}}]}}")),
         whole(&format!("{body}\"active\"}}")),
         whole(&body.replace('{', "\u{1}")),
@@ -203,12 +203,12 @@
     ];
     thread::scope(|scope| {
         for mode in ["on_request", "pushed"] {
-            let spoilt = &spoilt;
+            let injected = &injected;
             scope.spawn(move || {
-                for (n, spoilt) in spoilt.iter().enumerate() {
+                for (n, injected) in injected.iter().enumerate() {
                     // The last of a hundred: a node that polls for itself waits longest there.
                     let site = Site::new(mode, 1, 100);
-                    site.service.answer_instead(&[spoilt]);
+                    site.service.answer_instead(&[injected]);
                     site.service.change(site.hosts.member(HOSTS - 1, "active"));
                     site.service.calls(2);
                     site.drain(0);
--- a/testkit/src/network/network_tests.rs
+++ b/testkit/src/network/network_tests.rs
@@ -141,7 +141,7 @@
     far.write_all(b"thanks").unwrap();
     drop(far);
     assert_eq!(writes.join().unwrap(), "thanks");
-    let spoilt = |link_faults: LinkFaults| {
+    let injected = |link_faults: LinkFaults| {
         network.set(|from, _| {
             if from == 0 {
                 link_faults
@@ -151,7 +151,7 @@
         });
     };
     let (mut near, mut far) = both();
-    spoilt(LinkFaults {
+    injected(LinkFaults {
         cut: true,
         ..LinkFaults::default()
     });
@@ -160,18 +160,18 @@
         .unwrap();
     let mut space = [0; 8];
     assert!(far.read(&mut space).is_err(), "a cut way carries");
-    spoilt(LinkFaults {
+    injected(LinkFaults {
         delay: Duration::from_millis(30),
         ..LinkFaults::default()
     });
     assert_eq!(far.read(&mut space).unwrap(), 3);
-    spoilt(LinkFaults {
+    injected(LinkFaults {
         corrupt: 1.0,
         ..LinkFaults::default()
     });
     near.write_all(b"two").unwrap();
     assert!(far.read(&mut space).unwrap() == 3 && &space[..3] != b"two");
-    spoilt(LinkFaults {
+    injected(LinkFaults {
         truncate: 1.0,
         ..LinkFaults::default()
     });
--- a/testkit/src/soak/process_group/mod.rs
+++ b/testkit/src/soak/process_group/mod.rs
@@ -126,7 +126,7 @@
     pub fn faulty_syscalls(&self) -> u64 {
         self.processes
             .iter()
-            .map(|process| process.injector.spoilt())
+            .map(|process| process.injector.injected())
             .sum()
     }
 
--- a/testkit/src/syscalls.rs
+++ b/testkit/src/syscalls.rs
@@ -132,7 +132,7 @@
     }
 
     /// How many calls were made faulty so far.
-    pub fn spoilt(&self) -> u64 {
+    pub fn injected(&self) -> u64 {
         self.state().faulty_calls
     }
 
