--- a/node/tests/clocks.rs
+++ b/node/tests/clocks.rs
@@ -162,21 +162,21 @@
         predecessor.address = held.local_addr().unwrap();
         let (mut client, _, mut host) = predecessor.served(&hosts);
         // A line without an answer goes over with the connection.
-        client.say("first");
-        host.hears("first");
+        client.send_line("first");
+        host.expect_line("first");
         let mut silent = Peer::connect(predecessor.address);
         let came = Instant::now();
         silent.write("OPEN half");
         let mut pinged = Peer::connect(predecessor.address);
-        pinged.say("PING");
-        pinged.hears("PONG");
+        pinged.send_line("PING");
+        pinged.expect_line("PONG");
         let injector = SyscallInjector::default();
         injector.step_clock(off);
         let mut successor = Node::start_injected_at(&node_config, &held, &folder, &injector);
         successor.address = predecessor.address;
         predecessor.stop();
         assert!(predecessor.wait().success());
-        silent.hears("ERR");
+        silent.expect_line("ERR");
         assert!(
             came.elapsed() < Duration::from_secs(3),
             "{off}: {:?}",
@@ -200,16 +200,16 @@
             came.elapsed(),
             successor.drain_log()
         );
-        host.say("answer");
+        host.send_line("answer");
         client
             .stream
             .set_read_timeout(Some(reedferry_testkit::peers::MAX_WAIT))
             .unwrap();
-        client.hears("answer");
-        client.say("second");
-        host.hears("second");
+        client.expect_line("answer");
+        client.send_line("second");
+        host.expect_line("second");
         let since = Instant::now();
-        client.hears("MOVE");
+        client.expect_line("MOVE");
         assert!(
             since.elapsed() < Duration::from_secs(7),
             "{off}: {:?}",
--- a/node/tests/closing.rs
+++ b/node/tests/closing.rs
@@ -19,8 +19,8 @@
 fn resting(node: &Node, count: usize) -> Vec<Peer> {
     let mut all: Vec<Peer> = (0..count).map(|_| Peer::connect(node.address)).collect();
     for client in &mut all {
-        client.say("PING");
-        client.hears("PONG");
+        client.send_line("PING");
+        client.expect_line("PONG");
     }
     let since = Instant::now();
     eventually("no time passes", || {
@@ -42,18 +42,18 @@
     // They come first, and whoever is oldest asks behind them.
     let _crowd: Vec<Peer> = (0..40).map(|_| Peer::connect(node.address)).collect();
     for (n, client) in all.iter_mut().take(6).enumerate() {
-        client.say(&line(n));
+        client.send_line(&line(n));
     }
     node.unsuspend();
     for client in all.iter_mut().take(6) {
         let answer = match hosts.accept_soon() {
             Some((_, mut host)) => {
-                host.hear();
-                host.say("UP 1");
-                client.hear()
+                host.receive_line();
+                host.send_line("UP 1");
+                client.receive_line()
             }
             // There was no descriptor for a host: refused, in a line that it can read.
-            None => client.hear(),
+            None => client.receive_line(),
         };
         assert!(
             answer.starts_with("UP") || answer.starts_with("BUSY"),
@@ -89,12 +89,12 @@
         });
         discovery.calls(1);
         discovery.go_down();
-        node.logs("discovery call failed");
+        node.wait_for_log("discovery call failed");
         // They come again whenever they are ended.
         let mut crowd: Vec<Peer> = (0..200).map(|_| Peer::connect(node.address)).collect();
         let mut last = Peer::connect(node.address);
-        last.say("PING");
-        assert!(["PONG", "BUSY", "end", "reset"].contains(&last.hear().as_str()));
+        last.send_line("PING");
+        assert!(["PONG", "BUSY", "end", "reset"].contains(&last.receive_line().as_str()));
         discovery.change(member(0, &hosts.addresses[0].to_string(), "leaving"));
         discovery.come_up();
         let back = Instant::now();
@@ -121,8 +121,8 @@
                         "{mode}: sent to a host that drains {:?} after",
                         before.elapsed()
                     );
-                    host.say("UP 1");
-                    client.hear().starts_with("UP")
+                    host.send_line("UP 1");
+                    client.receive_line().starts_with("UP")
                 }
                 None => false,
             }
@@ -139,18 +139,18 @@
         let discovery = Discovery::start();
         let node = start(&hosts, &discovery, |_| {});
         let mut client = Peer::connect(node.address);
-        client.say(&line(n));
+        client.send_line(&line(n));
         let (_, mut host) = hosts.accept();
-        host.hear();
+        host.receive_line();
         // The answer and more of the client's bytes are there in one turn.
         node.suspend();
-        client.say("more than was asked for");
-        host.say("BUSY");
+        client.send_line("more than was asked for");
+        host.send_line("BUSY");
         host.end_sending();
         node.unsuspend();
-        let answer = client.hear();
+        let answer = client.receive_line();
         assert!(answer.starts_with("BUSY") || answer == "ERR", "{answer}");
-        client.hears("end");
+        client.expect_line("end");
     }
 }
 
@@ -163,7 +163,7 @@
     for end in ["end", "reset"] {
         let (mut client, _, mut host) = node.served(&hosts);
         node.suspend();
-        client.say("one more");
+        client.send_line("one more");
         host.write("last");
         host.write(" words\r\nBY");
         host.write("E\r\n");
@@ -171,12 +171,12 @@
             host.end_sending();
         }
         node.unsuspend();
-        client.hears("last words");
-        client.hears("BYE");
+        client.expect_line("last words");
+        client.expect_line("BYE");
         if end == "reset" {
             host.reset();
         }
-        assert!(["end", "reset"].contains(&client.hear().as_str()));
+        assert!(["end", "reset"].contains(&client.receive_line().as_str()));
     }
 }
 
@@ -196,25 +196,25 @@
     let mut crowd: Vec<Peer> = (0..700).map(|_| Peer::connect(node.address)).collect();
     // All of them have been taken in once one that came behind them is answered.
     let mut last = Peer::connect(node.address);
-    last.say("PING");
-    last.hears("PONG");
+    last.send_line("PING");
+    last.expect_line("PONG");
     node.suspend();
     eventually("no time passes", || {
         since.elapsed() > Duration::from_millis(2600)
     });
     crowd.iter_mut().for_each(|other| other.write("O"));
-    all[0].say(&line(1));
+    all[0].send_line(&line(1));
     node.unsuspend();
     let (_, mut host) = hosts.accept();
-    assert!(host.hear().starts_with("OPEN 1 "));
-    host.say("UP 1");
-    all[0].hears("UP 1");
+    assert!(host.receive_line().starts_with("OPEN 1 "));
+    host.send_line("UP 1");
+    all[0].expect_line("UP 1");
     // One that had nothing to say may come again, and what it then says is not sent on; half a line is no request.
-    crosses.say(&line(2));
-    crosses.hears("BUSY");
-    crosses.hears("end");
-    half.hears("ERR");
-    half.hears("end");
+    crosses.send_line(&line(2));
+    crosses.expect_line("BUSY");
+    crosses.expect_line("end");
+    half.expect_line("ERR");
+    half.expect_line("end");
     assert!(hosts.accept_soon().is_none(), "sent on after its end");
 }
 
@@ -226,17 +226,17 @@
     let node = start(&hosts, &discovery, |p| p["limits"]["sockets"] = json!(2048));
     let mut crowd: Vec<Peer> = (0..700).map(|_| Peer::connect(node.address)).collect();
     let (mut client, _, mut host) = node.served(&hosts);
-    client.say("up 1");
-    host.hears("up 1");
+    client.send_line("up 1");
+    host.expect_line("up 1");
     node.suspend();
     let since = Instant::now();
     crowd.iter_mut().for_each(|other| other.write("O"));
-    host.say("down 1");
+    host.send_line("down 1");
     eventually("no time passes", || {
         since.elapsed() > Duration::from_millis(4700)
     });
     node.unsuspend();
-    client.hears("down 1");
+    client.expect_line("down 1");
     assert!(
         node.drain_log()
             .iter()
@@ -274,12 +274,12 @@
     injector.set(&[Fault { every: 1, ..fails }]);
     std::thread::sleep(std::time::Duration::from_millis(2300));
     injector.clear();
-    let mut heard = vec!["P".to_string() + &client.hear()];
+    let mut heard = vec!["P".to_string() + &client.receive_line()];
     while heard
         .last()
         .is_some_and(|line| line != "end" && line != "reset")
     {
-        heard.push(client.hear());
+        heard.push(client.receive_line());
     }
     assert_eq!(heard, ["PONG", "PONG", "BUSY", "end"]);
 }
--- a/node/tests/departed_clients.rs
+++ b/node/tests/departed_clients.rs
@@ -44,17 +44,17 @@
 /// A client whose first attempt is out.
 fn attempt(node: &Node, hosts: &Hosts) -> (Peer, Peer) {
     let mut client = Peer::connect(node.address);
-    client.say(&line(1));
+    client.send_line(&line(1));
     let (_, mut host) = hosts.accept();
-    host.hear();
+    host.receive_line();
     (client, host)
 }
 
 /// Whoever answers this has read all that came before.
 fn wait_until_read(node: &Node) {
     let mut other = Peer::connect(node.address);
-    other.say("PING");
-    other.hears("PONG");
+    other.send_line("PING");
+    other.expect_line("PONG");
 }
 
 /// Prevents an attempt at a host whose connection is established after the client has left, where settings allow no cancellation.
@@ -64,7 +64,7 @@
         .into_iter()
         .flat_map(|c| DEPARTURES.map(|way| (c, way)))
     {
-        let (listener, first) = jammed();
+        let (listener, first) = full_listener();
         let discovery = Discovery::start();
         let members = json!([member(
             0,
@@ -73,7 +73,7 @@
         )]);
         let node = start(members, &discovery, cancel);
         let mut client = Peer::connect(node.address);
-        client.say(&line(1));
+        client.send_line(&line(1));
         wait_until_read(&node);
         let kept = depart(client, way);
         wait_until_read(&node);
@@ -85,7 +85,7 @@
         while Instant::now() < until {
             if let Ok((late, _)) = listener.accept() {
                 late.set_nonblocking(false).unwrap();
-                let end = Peer::new(late).hear();
+                let end = Peer::new(late).receive_line();
                 assert!(
                     ["end", "reset"].contains(&end.as_str()),
                     "cancel {cancel}, {way}: {end}"
@@ -94,7 +94,7 @@
             std::thread::yield_now();
         }
         if let Some(mut client) = kept {
-            client.hears("ERR");
+            client.expect_line("ERR");
         }
     }
 }
@@ -112,7 +112,7 @@
         let (client, mut host) = attempt(&node, &hosts);
         // Both wait for the node when it goes on: the end of the attempt, and of the client.
         node.suspend();
-        host.say("BUSY");
+        host.send_line("BUSY");
         host.end_sending();
         let kept = depart(client, way);
         node.unsuspend();
@@ -134,23 +134,26 @@
     let node = start(hosts.members(), &discovery, false);
     let mut before: Vec<Peer> = (0..40).map(|_| Peer::connect(node.address)).collect();
     before.iter_mut().for_each(|client| {
-        client.say("PING");
-        client.hears("PONG");
+        client.send_line("PING");
+        client.expect_line("PONG");
     });
     node.suspend();
     let mut kept = Vec::new();
     let fresh = (0..40).map(|_| Peer::connect(node.address));
     for (n, mut client) in before.into_iter().chain(fresh).enumerate() {
-        client.say(&line(n));
+        client.send_line(&line(n));
         kept.extend(depart(client, DEPARTURES[n % DEPARTURES.len()]));
     }
     let mut stays = Peer::connect(node.address);
-    stays.say(&line(999));
+    stays.send_line(&line(999));
     node.unsuspend();
     let (_, mut host) = hosts.accept();
-    assert!(host.hear().starts_with("OPEN 3e7 "), "one that had gone");
-    host.say("UP 1");
-    stays.hears("UP 1");
+    assert!(
+        host.receive_line().starts_with("OPEN 3e7 "),
+        "one that had gone"
+    );
+    host.send_line("UP 1");
+    stays.expect_line("UP 1");
     assert!(hosts.accept_soon().is_none(), "one that had gone");
 }
 
@@ -162,14 +165,14 @@
     let node = start(hosts.members(), &discovery, true);
     let mut client = Peer::connect(node.address);
     let short = line(1);
-    client.say(&format!(
+    client.send_line(&format!(
         "{short},zz={}",
         "z".repeat(4096 - short.len() - 6)
     ));
     let (_, mut host) = hosts.accept();
-    host.hear();
+    host.receive_line();
     drop(client);
-    host.hears("end");
+    host.expect_line("end");
     assert!(hosts.accept_soon().is_none());
 }
 
@@ -187,7 +190,7 @@
         wait_until_read(&node);
         let (client, mut host) = attempt(&node, &hosts);
         node.suspend();
-        host.say("BUSY");
+        host.send_line("BUSY");
         host.end_sending();
         // What is ready first is told first, so many in one turn.
         crowd.iter_mut().for_each(|other| other.write("O"));
--- a/node/tests/fleet_recovery.rs
+++ b/node/tests/fleet_recovery.rs
@@ -1,7 +1,9 @@
 //! Fleets that start, restart and recover beside one discovery service and hosts that warm up, with faults put in between
 //! them; checked by what hosts, clients and the service saw.
 
-use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, ReturningClients, WarmingHosts};
+use reedferry_testkit::fleet::{
+    one_test_at_a_time, Fleet, FleetOptions, ReturningClients, WarmingHosts,
+};
 use reedferry_testkit::{eventually, Discovery, Node};
 use serde_json::Value;
 use std::ops::Range;
@@ -26,9 +28,9 @@
 impl Site {
     /// The service answers so many calls a second.
     fn new(nodes: usize, rate: f64) -> Self {
-        let turn = alone();
+        let turn = one_test_at_a_time();
         let (service, hosts) = (Discovery::start(), WarmingHosts::new(FleetOptions::TRIAL));
-        service.bound(rate, ms(1000));
+        service.limit_rate(rate, ms(1000));
         let fleet = Fleet::new(nodes, service.address, FleetOptions::TRIAL);
         Site {
             service,
@@ -145,7 +147,7 @@
     site.start(0..20, false);
     let returning_clients = site.one_each(2);
     for node in site.fleet.nodes.iter().flatten() {
-        node.logs("discovery call failed");
+        node.wait_for_log("discovery call failed");
     }
     site.at(3500);
     let down = site.calls();
@@ -155,10 +157,10 @@
         "{down} calls of 20 nodes in 3.5 s"
     );
     assert_eq!(returning_clients.standing(), 0);
-    site.service.turn_away(9);
+    site.service.reject_of_ten(9);
     site.service.come_up();
     site.at(5500);
-    site.service.turn_away(0);
+    site.service.reject_of_ten(0);
     let well = Instant::now();
     eventually("each node serves", || returning_clients.standing() == 20);
     let took = well.elapsed();
@@ -230,7 +232,8 @@
         if step == 5 {
             let old = std::mem::replace(&mut site.service, Discovery::start());
             site.service.restart(40, &site.list);
-            site.fleet.tells_of(site.service.address, &site.list, 24);
+            site.fleet
+                .move_discovery(site.service.address, &site.list, 24);
             old.go_down();
         }
         if step % 2 == 1 && step < 9 {
@@ -267,7 +270,9 @@
     let before = site.calls();
     site.from = site.service.restart(3, &site.list[..3]);
     for node in site.fleet.nodes.iter().flatten() {
-        assert!(node.logs("an older list").contains("drains kept: 2"));
+        assert!(node
+            .wait_for_log("an older list")
+            .contains("drains kept: 2"));
     }
     let took = site.from.elapsed();
     assert!(
--- a/node/tests/handover.rs
+++ b/node/tests/handover.rs
@@ -75,10 +75,10 @@
     assert!(predecessor.wait().success());
     for (number, (client, _, host)) in open.iter_mut().enumerate() {
         for line in [format!("first {number}"), format!("second {number}")] {
-            client.say(&line);
-            host.hears(&line);
-            host.say(&line);
-            client.hears(&line);
+            client.send_line(&line);
+            host.expect_line(&line);
+            host.send_line(&line);
+            client.expect_line(&line);
         }
     }
 }
@@ -97,7 +97,7 @@
     predecessor.stop();
     eventually("the first connection came", || injector.injected() > 0);
     for (client, ..) in &mut open {
-        client.say("early");
+        client.send_line("early");
     }
     // Within the time that the process before waits for its word.
     let until = Instant::now() + Duration::from_millis(600);
@@ -115,9 +115,9 @@
     }
     injector.clear();
     for (client, _, host) in &mut open {
-        host.hears("early");
-        host.say("late");
-        client.hears("late");
+        host.expect_line("early");
+        host.send_line("late");
+        client.expect_line("late");
     }
     assert!(predecessor.wait().success());
 }
@@ -139,7 +139,7 @@
     predecessor.stop();
     let asked = Instant::now();
     for (client, ..) in &mut open {
-        client.hears("MOVE");
+        client.expect_line("MOVE");
     }
     // The longest expiry and what a node may take beyond it.
     assert!(
@@ -150,6 +150,6 @@
     successor.unsuspend();
     assert!(predecessor.wait().success());
     for (_, _, host) in &mut open {
-        host.hears("end");
+        host.expect_line("end");
     }
 }
--- a/node/tests/hot_restart.rs
+++ b/node/tests/hot_restart.rs
@@ -46,10 +46,10 @@
 
 /// Lines pass both ways.
 fn exchange_lines(client: &mut Peer, host: &mut Peer) {
-    client.say("up 1");
-    host.hears("up 1");
-    host.say("down 1");
-    client.hears("down 1");
+    client.send_line("up 1");
+    host.expect_line("up 1");
+    host.send_line("down 1");
+    client.expect_line("down 1");
 }
 
 fn wait_for_end(node: &mut Node) {
@@ -86,8 +86,8 @@
     for (client, _, host) in &mut open {
         client.write("lf\r\n");
         host.write("wn\r\n");
-        host.hears("half");
-        client.hears("down");
+        host.expect_line("half");
+        client.expect_line("down");
         exchange_lines(client, host);
     }
     let _one = predecessor.served(&site.hosts);
@@ -96,11 +96,11 @@
     // What one side ends, the other is told of, as ever.
     let (mut client, _, host) = open.pop().unwrap();
     host.end_sending();
-    client.hears("end");
+    client.expect_line("end");
     // And the rest is moved when nobody follows.
     predecessor.stop();
     open.iter_mut()
-        .for_each(|(client, ..)| client.hears("MOVE"));
+        .for_each(|(client, ..)| client.expect_line("MOVE"));
     wait_for_end(&mut predecessor);
 }
 
@@ -110,22 +110,22 @@
     let mut predecessor = site.start();
     let mut waits = predecessor.open(OPEN);
     let (_, mut host) = site.hosts.accept();
-    host.hear();
+    host.receive_line();
     let mut asks = Peer::connect(predecessor.address);
     asks.write("PING\r\n");
-    asks.hears("PONG");
+    asks.expect_line("PONG");
     asks.write("OPEN 77 7f3a c=ch");
     eventually("read", || predecessor.metric("in_flight") == 1);
     let successor = site.start();
     predecessor.stop();
-    predecessor.logs("asked to stop");
+    predecessor.wait_for_log("asked to stop");
     asks.write("at,t=acme,d=2000\r\n");
     let (_, mut other) = site.hosts.accept();
-    assert!(other.hear().starts_with("OPEN 77 7f3a c=chat"));
-    other.say("UP 2");
-    asks.hears("UP 2");
-    host.say("UP 1");
-    waits.hears("UP 1");
+    assert!(other.receive_line().starts_with("OPEN 77 7f3a c=chat"));
+    other.send_line("UP 2");
+    asks.expect_line("UP 2");
+    host.send_line("UP 1");
+    waits.expect_line("UP 1");
     wait_for_end(&mut predecessor);
     exchange_lines(&mut waits, &mut host);
     exchange_lines(&mut asks, &mut other);
@@ -141,13 +141,13 @@
     for _ in 0..2 {
         let mut successor = site.start();
         successor.kill();
-        predecessor.logs("successor disconnected");
+        predecessor.wait_for_log("successor disconnected");
         exchange_lines(&mut open.0, &mut open.2);
         assert_eq!(predecessor.call("GET /status").0, 200);
         predecessor.served(&site.hosts);
     }
     predecessor.stop();
-    open.0.hears("MOVE");
+    open.0.expect_line("MOVE");
     wait_for_end(&mut predecessor);
 }
 
@@ -161,7 +161,7 @@
     predecessor.stop();
     let asked = Instant::now();
     open.iter_mut()
-        .for_each(|(client, ..)| client.hears("MOVE"));
+        .for_each(|(client, ..)| client.expect_line("MOVE"));
     // The longest expiry, and what is granted beyond it.
     assert!(
         asked.elapsed() < Duration::from_millis(2700),
@@ -256,9 +256,9 @@
     let ejected_at = Instant::now();
     let (good, mut host) = site.hosts.accept();
     assert_ne!(bad, good);
-    host.hear();
-    host.say("UP 1");
-    client.hears("UP 1");
+    host.receive_line();
+    host.send_line("UP 1");
+    client.expect_line("UP 1");
     assert_eq!(predecessor.metric("hosts_excluded"), 1);
     let successor = site.start();
     predecessor.stop();
@@ -340,9 +340,9 @@
         let mut client =
             predecessor.open(&OPEN.replace("c=chat,t=acme", &format!("c={name},t={tenant}")));
         let (_, mut host) = site.hosts.accept();
-        host.hear();
-        host.say("UP 77aa");
-        client.hears("UP 77aa");
+        host.receive_line();
+        host.send_line("UP 77aa");
+        client.expect_line("UP 77aa");
         open.push((client, host));
     }
     // `chat` is gone, `seat` means something else, `late` is new and stands first.
@@ -356,7 +356,7 @@
     wait_for_end(&mut predecessor);
     let mut places = Vec::new();
     for _ in 0..open.len() {
-        let line = successor.logs("event ConnectionHandedOver");
+        let line = successor.wait_for_log("event ConnectionHandedOver");
         let place = line
             .split(" class: ")
             .nth(1)
@@ -372,15 +372,15 @@
         exchange_lines(client, host);
     }
     // No more comes of what is gone, and what is new is served.
-    assert_eq!(successor.open(OPEN).hear(), "ERR");
+    assert_eq!(successor.open(OPEN).receive_line(), "ERR");
     let mut client = successor.open(&OPEN.replace("c=chat", "c=late"));
     let (_, mut host) = site.hosts.accept();
-    host.hear();
-    host.say("UP 1");
-    client.hears("UP 1");
+    host.receive_line();
+    host.send_line("UP 1");
+    client.expect_line("UP 1");
     successor.stop();
     for (client, _) in &mut open {
-        client.hears("MOVE");
+        client.expect_line("MOVE");
     }
     wait_for_end(&mut successor);
 }
@@ -399,12 +399,12 @@
         line.send_with_descriptors(&[0, 3], &[]).unwrap();
         let one = TestSuccessor { budget, line };
         // The chunks of the predecessor's state, to the last.
-        while one.hear().last() != Some(&1) {}
+        while one.receive_line().last() != Some(&1) {}
         one
     }
 
     /// The next message, or nothing at the end.
-    fn hear(&self) -> Vec<u8> {
+    fn receive_line(&self) -> Vec<u8> {
         let (mut space, until) = (vec![0; 48 << 10], Instant::now() + Duration::from_secs(20));
         loop {
             match self.budget.receive_with_descriptors(&self.line, &mut space) {
@@ -420,7 +420,7 @@
 
     /// Receives a connection, and rejects it.
     fn reject(&self) {
-        assert!(!self.hear().is_empty(), "none is given");
+        assert!(!self.receive_line().is_empty(), "none is given");
         self.line.send_with_descriptors(&[1, 0], &[]).unwrap();
     }
 }
@@ -433,24 +433,24 @@
     let mut predecessor = site.start();
     let mut open: Vec<_> = (0..5).map(|_| predecessor.served(&site.hosts)).collect();
     let mut rests = Peer::connect(predecessor.address);
-    rests.say("PING");
-    rests.hears("PONG");
+    rests.send_line("PING");
+    rests.expect_line("PONG");
     let stranger = TestSuccessor::connect(&site.folder.join("reedferry.next"));
     predecessor.stop();
     let asked = Instant::now();
     // The one that has not asked too.
     (0..6).for_each(|_| stranger.reject());
     for (client, _, host) in &mut open {
-        client.hears("MOVE");
-        client.hears("end");
-        host.hears("end");
+        client.expect_line("MOVE");
+        client.expect_line("end");
+        host.expect_line("end");
     }
-    rests.hears("BUSY");
+    rests.expect_line("BUSY");
     assert!(
         asked.elapsed() < Duration::from_millis(2700),
         "{:?}",
         asked.elapsed()
     );
-    assert!(stranger.hear().is_empty(), "given again");
+    assert!(stranger.receive_line().is_empty(), "given again");
     wait_for_end(&mut predecessor);
 }
--- a/node/tests/local_faults.rs
+++ b/node/tests/local_faults.rs
@@ -22,14 +22,14 @@
 /// A host that accepts each request at once, and sends back each line.
 fn echo(mut host: Peer) {
     thread::spawn(move || {
-        if !host.hear().starts_with("OPEN") {
+        if !host.receive_line().starts_with("OPEN") {
             return;
         }
-        host.say("UP 1");
+        host.send_line("UP 1");
         loop {
-            match host.hear().as_str() {
+            match host.receive_line().as_str() {
                 "end" | "reset" => return,
-                line => host.say(line),
+                line => host.send_line(line),
             }
         }
     });
@@ -82,7 +82,7 @@
     fn heard(&self) -> Vec<String> {
         let ask = |_| {
             let mut client = self.node.open(OPEN);
-            client.hear()
+            client.receive_line()
         };
         (0..CLIENTS).map(ask).collect()
     }
@@ -138,7 +138,7 @@
         );
         site.injector.clear();
         assert!(
-            site.node.open(OPEN).hear().starts_with("UP"),
+            site.node.open(OPEN).receive_line().starts_with("UP"),
             "{fault:?}: a host is left out for it"
         );
         assert_eq!(site.node.metric("violations.unanswered"), 0, "{fault:?}");
@@ -155,12 +155,12 @@
     ] {
         let site = Site::start(&[]);
         let mut client = site.node.open(OPEN);
-        client.hears("UP 1");
+        client.expect_line("UP 1");
         site.injector.set(&[fails(call, errno, 3)]);
         for n in 0..40 {
             let line = format!("line {n}");
-            client.say(&line);
-            client.hears(&line);
+            client.send_line(&line);
+            client.expect_line(&line);
         }
         assert!(
             site.injector.injected() > 10,
@@ -186,7 +186,10 @@
             &[fault]
         };
         let mut site = Site::start(at_start);
-        assert!(site.node.open(OPEN).hear().starts_with("UP"), "{fault:?}");
+        assert!(
+            site.node.open(OPEN).receive_line().starts_with("UP"),
+            "{fault:?}"
+        );
         let other = Discovery::start();
         site.node_config["discovery"] = json!(other.address.to_string());
         let before = Instant::now();
@@ -235,10 +238,10 @@
             assert!(predecessor.wait().success());
             for (n, (client, _, host)) in open.iter_mut().enumerate() {
                 for line in [format!("up {n}"), format!("more {n}")] {
-                    client.say(&line);
-                    host.hears(&line);
-                    host.say(&line);
-                    client.hears(&line);
+                    client.send_line(&line);
+                    host.expect_line(&line);
+                    host.send_line(&line);
+                    client.expect_line(&line);
                 }
             }
             assert!(injected.injected() > 5, "{call:?}: too tame");
@@ -251,7 +254,7 @@
 /// Prevents a line after the drain grace by a process that is delayed before it writes it.
 #[test]
 fn a_process_that_is_delayed_before_it_writes_keeps_to_the_drain_grace() {
-    let (listener, first) = jammed();
+    let (listener, first) = full_listener();
     let (discovery, injector) = (Discovery::start(), SyscallInjector::default());
     let late = |phase| member(5, &listener.local_addr().unwrap().to_string(), phase);
     let mut node_config = program::node_config_of(json!([late("active")]), discovery.address);
@@ -281,18 +284,18 @@
         "too tame: {:?}",
         asked.elapsed()
     );
-    let (line, late) = (host.hear(), told.elapsed());
+    let (line, late) = (host.receive_line(), told.elapsed());
     assert!(
         !line.starts_with("OPEN") || late < Duration::from_millis(1050),
         "{line}, {late:?} after the drain"
     );
-    assert!(client.hear().starts_with("BUSY"));
+    assert!(client.receive_line().starts_with("BUSY"));
 }
 
 /// Prevents an attempt after the request's deadline, as the process stood still while the connection to the host was established.
 #[test]
 fn no_attempt_begins_after_the_deadline_where_the_process_stood_still() {
-    let (listener, first) = jammed();
+    let (listener, first) = full_listener();
     let discovery = Discovery::start();
     let late = member(5, &listener.local_addr().unwrap().to_string(), "active");
     let mut node_config = program::node_config_of(json!([late]), discovery.address);
@@ -305,8 +308,8 @@
     let mut other = Peer::connect(node.address);
     // The first answer may go out in the turn in which the request is read, before the host is called.
     for _ in 0..2 {
-        other.say("PING");
-        other.hears("PONG");
+        other.send_line("PING");
+        other.expect_line("PONG");
     }
     // Held up right before it waits: what is ready then is seen before what is due. A process that a signal stops is woken
     // with nothing ready, and sees what is due first.
@@ -317,14 +320,14 @@
         every: 1,
     }]);
     // Wakes it where it waits already. Its answer is not waited for: it may be held up before that.
-    other.say("PING");
+    other.send_line("PING");
     drop(first);
     drop(accept(&listener));
     let stream = accept(&listener);
     injector.clear();
-    let line = Peer::new(stream).hear();
+    let line = Peer::new(stream).receive_line();
     assert!(!line.starts_with("OPEN"), "{line}");
-    assert!(client.hear().starts_with("BUSY"));
+    assert!(client.receive_line().starts_with("BUSY"));
 }
 
 /// Prevents that a client which stopped within its line, and whose time is up as the process stands still, gets no error.
@@ -352,7 +355,7 @@
     node.unsuspend();
     let on = Instant::now();
     for (asked, client) in &mut clients {
-        client.hears("ERR");
+        client.expect_line("ERR");
         assert!(
             on.elapsed() < Duration::from_secs(1),
             "{:?}, {:?}",
@@ -421,16 +424,16 @@
         for _ in 0..4 {
             let mut client = node.open(OPEN);
             let (_, mut host) = hosts.accept();
-            host.hear();
+            host.receive_line();
             injector.set(&[fault]);
             client.end_sending();
-            client.hears("ERR");
+            client.expect_line("ERR");
             injector.clear();
         }
         injector.set(&[fault]);
         let crowd: Vec<Peer> = (0..90).map(|_| Peer::connect(node.address)).collect();
         for mut client in crowd {
-            client.hears("BUSY");
+            client.expect_line("BUSY");
         }
         assert!(injector.injected() > 20, "{fault:?}: too tame");
     }
@@ -462,7 +465,9 @@
         outcome: Outcome::HeldUp(Duration::from_millis(75)),
         every: 1,
     }]);
-    clients.iter_mut().for_each(|client| client.hears("ERR"));
+    clients
+        .iter_mut()
+        .for_each(|client| client.expect_line("ERR"));
     assert!(injector.injected() > 5, "too tame");
     injector.clear();
     assert_eq!(
--- a/node/tests/membership.rs
+++ b/node/tests/membership.rs
@@ -1,7 +1,9 @@
 //! Processes of the program that are members of a fleet, with faults put between them: how soon their member tables
 //! converge, who is declared dead and who is not. What clients and hosts saw is checked too where there is load.
 
-use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, ReturningClients, WarmingHosts};
+use reedferry_testkit::fleet::{
+    one_test_at_a_time, Fleet, FleetOptions, ReturningClients, WarmingHosts,
+};
 use reedferry_testkit::fleet_view::{started, FleetView};
 use reedferry_testkit::network::{FaultyNetwork, LinkFaults};
 use reedferry_testkit::schedule::{play, FaultSchedule};
@@ -44,7 +46,7 @@
 /// Prevents deaths that some never hear of, and others declared dead beside them.
 #[test]
 fn one_of_twenty_dies_then_half_then_all_but_one_and_they_come_back() {
-    let _turn = alone();
+    let _turn = one_test_at_a_time();
     let (_service, mut fleet) = converged_fleet(20, 1);
     fleet.kill(7, Duration::ZERO);
     assert_converges(&fleet, 11, "after one death");
@@ -66,7 +68,7 @@
 /// Prevents partitions that stay apart, and members that are declared dead over one link that is cut.
 #[test]
 fn partitions_merge_and_a_pair_that_is_cut_declares_nobody_dead() {
-    let _turn = alone();
+    let _turn = one_test_at_a_time();
     let (_service, fleet) = converged_fleet(20, 2);
     for (periods, parts) in [(20, 2), (30, 3)] {
         fleet.fleet_view().network.split(|node| node % parts);
@@ -95,7 +97,7 @@
 /// stall and not under a new version; a restart taken for a death.
 #[test]
 fn loss_stalls_and_a_restart_declare_nobody_dead_that_runs() {
-    let _turn = alone();
+    let _turn = one_test_at_a_time();
     let (_service, mut fleet) = converged_fleet(12, 3);
     let delay = PERIOD / 10;
     fleet.fleet_view().network.set(|_, _| LinkFaults {
@@ -130,14 +132,14 @@
     assert!(fleet.nodes[9]
         .as_ref()
         .unwrap()
-        .logs("other members declared this node")
+        .wait_for_log("other members declared this node")
         .contains("dead"));
 }
 
 /// Prevents strangers that are taken in, that have a member declared dead, or fill the log; and a second process of one name.
 #[test]
 fn strangers_are_logged_at_most_and_of_two_processes_under_one_name_the_later_one_counts() {
-    let _turn = alone();
+    let _turn = one_test_at_a_time();
     let service = Discovery::start();
     let fleet_view = FleetView {
         network: FaultyNetwork::new(7, 4),
@@ -149,7 +151,7 @@
         ..FleetOptions::TRIAL
     };
     let mut fleet = Fleet::new(7, service.address, options)
-        .among(6)
+        .with_cluster_size(6)
         .with_view(fleet_view);
     // Two of three seeds are dead.
     fleet.start(&[0, 3, 4, 5], &[], 0);
@@ -176,7 +178,7 @@
 
 /// Replays what was sent while one member was dead and came back, and then the same in another version.
 fn assert_replays_change_nothing(fleet: &mut Fleet) {
-    fleet.fleet_view().network.take_down();
+    fleet.fleet_view().network.record_datagrams();
     fleet.kill(5, Duration::ZERO);
     assert_converges(fleet, 20, "after a death");
     fleet.start(&[5], &[], 0);
@@ -194,7 +196,10 @@
         .fleet_view()
         .network
         .replay(|bytes| bytes.iter_mut().take(1).for_each(|version| *version += 1));
-    fleet.nodes[0].as_ref().unwrap().logs("another version");
+    fleet.nodes[0]
+        .as_ref()
+        .unwrap()
+        .wait_for_log("another version");
     assert_converges(fleet, 5, "after messages of another version");
 }
 
@@ -204,7 +209,7 @@
     fleet.nodes[4]
         .as_ref()
         .unwrap()
-        .logs("another process has this node's name");
+        .wait_for_log("another process has this node's name");
     eventually("the later one is held to be there", || {
         let face = fleet.fleet_view().network.public_addresses[6].to_string();
         let status = fleet.status(0).unwrap();
@@ -218,7 +223,7 @@
 /// Prevents seeds that are dead and hold hundreds up, and logs that hundreds of changes at once fill.
 #[test]
 fn two_hundred_start_with_two_of_three_seeds_dead_and_many_die_at_once() {
-    let _turn = alone();
+    let _turn = one_test_at_a_time();
     let service = Discovery::start();
     let period = PERIOD * 2;
     let fleet_view = FleetView {
@@ -261,7 +266,7 @@
 /// Prevents nodes that shut down taken for dead, or clients left without an answer, while all are restarted in turn.
 #[test]
 fn all_are_restarted_in_turn_under_load_and_announce_that_they_leave() {
-    let _turn = alone();
+    let _turn = one_test_at_a_time();
     let (service, hosts) = (Discovery::start(), WarmingHosts::new(FleetOptions::TRIAL));
     let list = hosts.members(hosts.start(6, false));
     list.iter()
@@ -281,7 +286,10 @@
     for node in 0..10 {
         let mut stopped = fleet.stop(node, Duration::from_millis(100)).unwrap();
         if node == 0 {
-            fleet.nodes[9].as_ref().unwrap().logs("member leaving");
+            fleet.nodes[9]
+                .as_ref()
+                .unwrap()
+                .wait_for_log("member leaving");
         }
         // It keeps its address until it has ended.
         stopped.wait();
@@ -352,7 +360,7 @@
 /// with shards that others have taken over.
 #[test]
 fn each_host_is_probed_once_a_round_whoever_dies_or_stalls() {
-    let _turn = alone();
+    let _turn = one_test_at_a_time();
     let (service, hosts) = (Discovery::start(), WarmingHosts::new(FleetOptions::TRIAL));
     let list = hosts.members(hosts.start(8, false));
     list.iter()
@@ -364,7 +372,7 @@
     };
     let mut fleet = Fleet::new(6, service.address, FleetOptions::TRIAL)
         .with_view(fleet_view)
-        .probing();
+        .with_load_probes();
     fleet.start(&(0..6).collect::<Vec<_>>(), &list, 8);
     assert_converges(&fleet, 20, "at the start");
     // Those who knew nobody yet went by their numbers.
@@ -404,7 +412,7 @@
 /// pushed over meanwhile.
 #[test]
 fn quota_of_the_dead_is_lent_under_a_majority_and_never_used_twice() {
-    let _turn = alone();
+    let _turn = one_test_at_a_time();
     let (service, hosts) = (Discovery::start(), WarmingHosts::new(FleetOptions::TRIAL));
     let mut list = hosts.members(hosts.start(4, false));
     list.iter()
@@ -454,13 +462,13 @@
         .fleet_view()
         .network
         .split(|node| usize::from(node < 2));
-    fleet.tells_of_places(0..2, 4, &known, 7);
+    fleet.resize_cluster(0..2, 4, &known, 7);
     expect(
         &fleet,
         0.5 * 4.0 / 6.0 * 2.0 + 1.5,
         "those who shrank use no more than they did, the others their own",
     );
-    fleet.tells_of_places(0..2, 6, &known, 7);
+    fleet.resize_cluster(0..2, 6, &known, 7);
     fleet.fleet_view().network.heal();
     fleet.start(&[5], &known, 7);
     expect(&fleet, 6.0, "with all again");
@@ -475,7 +483,7 @@
 /// in messages, which members then believed.
 #[test]
 fn drawn_schedules_of_two_overlapping_faults_break_no_invariant() {
-    let _turn = alone();
+    let _turn = one_test_at_a_time();
     for seed in [31, 2, 5] {
         let schedule = FaultSchedule::draw(seed, 8, 2);
         let broken = play(&schedule, None);
@@ -486,7 +494,7 @@
 /// The keys of `/status/fleet`: whoever watches them knows them by these names.
 #[test]
 fn the_status_that_operators_see_keeps_its_keys() {
-    let _turn = alone();
+    let _turn = one_test_at_a_time();
     let (_service, fleet) = converged_fleet(2, 9);
     let status = fleet.status(0).unwrap();
     let keys = |value: &serde_json::Value| {
--- a/node/tests/operator_api.rs
+++ b/node/tests/operator_api.rs
@@ -39,10 +39,10 @@
     let mut refused = node.open(OPEN);
     for _ in 0..2 {
         let (_, mut host) = hosts.accept();
-        host.hear();
-        host.say("BUSY");
+        host.receive_line();
+        host.send_line("BUSY");
     }
-    assert!(refused.hear().starts_with("BUSY"));
+    assert!(refused.receive_line().starts_with("BUSY"));
     assert_eq!(
         (
             node.metric("requests.chat.refused"),
@@ -54,10 +54,10 @@
         (node.metric("hosts_known"), node.metric("hosts_excluded")),
         (2, 2)
     );
-    host.say("BYE");
+    host.send_line("BYE");
     host.end_sending();
-    client.hears("BYE");
-    client.hears("end");
+    client.expect_line("BYE");
+    client.expect_line("end");
     eventually("none in flight", || node.metric("in_flight") == 0);
     assert_eq!(
         (
@@ -76,9 +76,9 @@
     });
     let mut client = node.open(OPEN);
     let (_, mut host) = hosts.accept();
-    host.hear();
+    host.receive_line();
     host.end_sending();
-    client.hears("ERR");
+    client.expect_line("ERR");
     assert_eq!(
         (
             node.metric("requests.chat.failed"),
@@ -190,29 +190,29 @@
     let (node, _discovery) = start(&hosts, |_| {});
     let ping = || {
         let mut front = Peer::connect(node.address);
-        front.say("PING");
-        front.hear()
+        front.send_line("PING");
+        front.receive_line()
     };
     assert_eq!(ping(), "PONG");
     let mut open: Vec<_> = (0..8).map(|_| node.served(&hosts)).collect();
     // One more waits for its answer meanwhile.
     let mut waits = node.open(OPEN);
     let (_, mut host) = hosts.accept();
-    host.hear();
+    host.receive_line();
     let asked = Instant::now();
     assert_eq!(node.call("POST /standby"), (200, "standby\n".into()));
     assert_eq!((node.call("GET /status").0, ping().as_str()), (503, "BUSY"));
     assert_eq!(node.call("POST /standby").0, 200);
-    host.say("UP 5");
-    waits.hears("UP 5");
+    host.send_line("UP 5");
+    waits.expect_line("UP 5");
     // What still comes has an answer.
-    let late = node.open(OPEN).hear();
+    let late = node.open(OPEN).receive_line();
     assert!(late.starts_with("BUSY") || late.starts_with("UP"), "{late}");
     for (client, ..) in &mut open {
-        client.hears("MOVE");
-        client.hears("end");
+        client.expect_line("MOVE");
+        client.expect_line("end");
     }
-    waits.hears("MOVE");
+    waits.expect_line("MOVE");
     assert!(asked.elapsed() < 4 * SECOND, "{:?}", asked.elapsed());
     assert_eq!(node.call("POST /active"), (200, "active\n".into()));
     assert_eq!((node.call("GET /status").0, ping().as_str()), (200, "PONG"));
@@ -234,10 +234,10 @@
     // Past the time by which a node that stands by is empty.
     let until = Instant::now() + 4 * SECOND;
     while Instant::now() < until {
-        client.say("up 1");
-        host.hears("up 1");
-        host.say("down 1");
-        client.hears("down 1");
+        client.send_line("up 1");
+        host.expect_line("up 1");
+        host.send_line("down 1");
+        client.expect_line("down 1");
     }
     node.call("POST /standby");
     node.stop();
@@ -246,7 +246,7 @@
     });
     assert_eq!(node.call("POST /active").0, 409);
     assert_eq!(node.call("POST /standby").0, 200);
-    client.hears("MOVE");
+    client.expect_line("MOVE");
     assert!(node.wait().success());
 }
 
--- a/node/tests/process_stalls.rs
+++ b/node/tests/process_stalls.rs
@@ -22,8 +22,8 @@
         let talk = |mut client: Peer| {
             thread::spawn(move || {
                 while Instant::now() < until {
-                    client.say("hello");
-                    if client.hear() != "hello" {
+                    client.send_line("hello");
+                    if client.receive_line() != "hello" {
                         return;
                     }
                     thread::sleep(Duration::from_millis(20));
@@ -63,8 +63,8 @@
     /// One client more: its connection, and its answer.
     fn ask(&self, number: usize) -> (Peer, String) {
         let mut client = Peer::connect(self.node.address);
-        client.say(&format!("OPEN c{number} {number:x} c=free,t=acme,d=2000"));
-        let said = client.hear();
+        client.send_line(&format!("OPEN c{number} {number:x} c=free,t=acme,d=2000"));
+        let said = client.receive_line();
         (client, said)
     }
 
@@ -126,7 +126,7 @@
     let mut clients = Vec::new();
     while Instant::now() < until {
         let mut client = Peer::connect(site.node.address);
-        client.say(&format!(
+        client.send_line(&format!(
             "OPEN h{0} {0:x} c=free,t=acme,d=2000",
             clients.len()
         ));
@@ -155,7 +155,7 @@
     let mut waits = node.open(&OPEN.replace("d=2000", "d=1000"));
     let asked = Instant::now();
     let (_, mut silent) = hosts.accept();
-    assert!(silent.hear().starts_with("OPEN"));
+    assert!(silent.receive_line().starts_with("OPEN"));
     let held = Outcome::HeldUp(Duration::from_millis(100));
     injector.set(&[Fault {
         call: Call::Send,
@@ -166,15 +166,16 @@
     while asked.elapsed() < Duration::from_millis(900) {
         thread::sleep(Duration::from_millis(10));
     }
-    open.iter_mut().for_each(|(client, ..)| client.say("hello"));
-    let said = waits.hear();
+    open.iter_mut()
+        .for_each(|(client, ..)| client.send_line("hello"));
+    let said = waits.receive_line();
     let took = asked.elapsed();
     assert!(said == "ERR" || said.starts_with("BUSY"), "{said}");
     // One turn more, its own sending, and what the first turn had begun.
     assert!(took < Duration::from_millis(1450), "{said} after {took:?}");
     injector.clear();
     for (_, _, host) in &mut open {
-        host.hears("hello");
+        host.expect_line("hello");
     }
 }
 
@@ -198,7 +199,7 @@
 /// Prevents that a host is taken for unreachable, as the connection to it was established while the process stood still.
 #[test]
 fn a_connection_that_was_established_while_the_process_stood_still_is_used() {
-    let (listener, first) = jammed();
+    let (listener, first) = full_listener();
     let discovery = Discovery::start();
     let late = member(5, &listener.local_addr().unwrap().to_string(), "active");
     let mut node_config = program::node_config_of(serde_json::json!([late]), discovery.address);
@@ -212,8 +213,8 @@
     let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
     let mut other = Peer::connect(node.address);
     for _ in 0..2 {
-        other.say("PING");
-        other.hears("PONG");
+        other.send_line("PING");
+        other.expect_line("PONG");
     }
     node.suspend();
     drop(first);
@@ -222,10 +223,10 @@
     thread::sleep(Duration::from_millis(1000));
     resume_with_timers_first(&node, &injector);
     let mut host = Peer::new(stream);
-    let line = host.hear();
+    let line = host.receive_line();
     assert!(line.starts_with("OPEN"), "{line}");
-    host.say("UP 1");
-    client.hears("UP 1");
+    host.send_line("UP 1");
+    client.expect_line("UP 1");
 }
 
 /// Prevents that a host is taken for silent, and full, as its answer to a probe lies unread in a process that stood still.
@@ -238,20 +239,20 @@
     let injector = SyscallInjector::default();
     let node = Node::start_injected(&node_config, &injector);
     let (_, mut probe) = hosts.accept();
-    probe.hears("STATS");
+    probe.expect_line("STATS");
     interrupt_waits(&injector);
     node.suspend();
-    probe.say("PONG util=0.2,x0=0.2");
+    probe.send_line("PONG util=0.2,x0=0.2");
     thread::sleep(2 * PROBE_WITHIN);
     resume_with_timers_first(&node, &injector);
     let mut client = node.open(OPEN);
     let mut asked = false;
     while let Some((_, mut host)) = hosts.accept_soon().filter(|_| !asked) {
-        asked = host.hear().starts_with("OPEN");
+        asked = host.receive_line().starts_with("OPEN");
         if asked {
-            host.say("UP 1");
-            client.hears("UP 1");
+            host.send_line("UP 1");
+            client.expect_line("UP 1");
         }
     }
-    assert!(asked, "{}", client.hear());
+    assert!(asked, "{}", client.receive_line());
 }
--- a/node/tests/relisted.rs
+++ b/node/tests/relisted.rs
@@ -33,14 +33,14 @@
         discovery.calls(1);
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
         let (_, mut host) = hosts.accept();
-        host.hear();
+        host.receive_line();
         // Each change has been applied once the next call has come.
         discovery.change(named(1, 1));
         discovery.calls(2);
         discovery.change(named(0, 1));
         discovery.calls(3);
         host.reset();
-        client.hears("ERR");
+        client.expect_line("ERR");
         assert!(
             hosts.accept_soon().is_none(),
             "{idempotency_group}: sent out of its group"
@@ -54,7 +54,7 @@
 fn a_retry_is_not_sent_where_its_host_has_left_the_group_while_it_was_connected() {
     for (moves, sent) in [(false, true), (true, false)] {
         let hosts = Hosts::start(1);
-        let (listener, first) = jammed();
+        let (listener, first) = full_listener();
         let discovery = Discovery::start();
         let mut node_config = node_config_of(hosts.members(), discovery.address);
         let settings = &mut node_config["settings"];
@@ -64,11 +64,11 @@
         discovery.calls(1);
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
         let (_, mut host) = hosts.accept();
-        host.hear();
+        host.receive_line();
         let mut late = member(5, &listener.local_addr().unwrap().to_string(), "active");
         late["cell"] = node_config["known"]["members"][0]["cell"].clone();
         discovery.change(late.clone());
-        host.hears("end");
+        host.expect_line("end");
         discovery.calls(2);
         wait_until_read(&node);
         late["cell"] = json!(if moves {
@@ -81,7 +81,7 @@
         let deadline = Instant::now() + LATE_CONNECTION_TIMEOUT;
         let late = answer_late_request(&listener, first, deadline);
         assert_eq!(late.is_some(), sent, "moves {moves}");
-        let said = client.hear();
+        let said = client.receive_line();
         assert!(
             said.starts_with(if sent { "UP 2" } else { "ERR" }),
             "moves {moves}: {said}"
@@ -93,7 +93,7 @@
 /// is being established, which takes longer than the grace.
 #[test]
 fn a_host_listed_at_another_address_gets_nothing_new_at_the_old_one() {
-    let (listener, first) = jammed();
+    let (listener, first) = full_listener();
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
     let old = member(0, &listener.local_addr().unwrap().to_string(), "active");
     let mut node_config = node_config_of(json!([old]), discovery.address);
@@ -120,7 +120,7 @@
         at_new_address = hosts.accept_soon();
         if let Ok((late, _)) = listener.accept() {
             late.set_nonblocking(false).unwrap();
-            let end = Peer::new(late).hear();
+            let end = Peer::new(late).receive_line();
             assert!(
                 ["end", "reset"].contains(&end.as_str()),
                 "at the old address: {end}"
@@ -128,15 +128,15 @@
         }
     }
     let (_, mut host) = at_new_address.expect("nothing came to the new address");
-    host.hear();
-    host.say("UP 2");
-    client.hears("UP 2");
+    host.receive_line();
+    host.send_line("UP 2");
+    client.expect_line("UP 2");
 }
 
 /// Guards against a host avoided at its new address, as nobody accepts the connection at the old one.
 #[test]
 fn a_host_is_not_avoided_for_what_happens_at_its_old_address() {
-    let (listener, first) = jammed();
+    let (listener, first) = full_listener();
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
     let old = member(0, &listener.local_addr().unwrap().to_string(), "active");
     let mut node_config = node_config_of(json!([old]), discovery.address);
@@ -148,9 +148,9 @@
     discovery.change(member(0, &hosts.addresses[0].to_string(), "active"));
     discovery.calls(2);
     let (_, mut host) = hosts.accept();
-    host.hear();
-    host.say("UP 2");
-    client.hears("UP 2");
+    host.receive_line();
+    host.send_line("UP 2");
+    client.expect_line("UP 2");
     let ejections: Vec<String> = node
         .drain_log()
         .into_iter()
--- a/node/tests/reload.rs
+++ b/node/tests/reload.rs
@@ -36,9 +36,9 @@
 fn assert_served(node: &Node, hosts: &Hosts, name: &str) {
     let mut client = node.open(&open_line(name));
     let (_, mut host) = hosts.accept();
-    assert!(host.hear().contains(&format!("c={name},")));
-    host.say("UP 1");
-    client.hears("UP 1");
+    assert!(host.receive_line().contains(&format!("c={name},")));
+    host.send_line("UP 1");
+    client.expect_line("UP 1");
 }
 
 /// Files that are cut short, lack a key or have a wrong value. Each would show by another discovery and another class, were any of it
@@ -118,7 +118,7 @@
     }
     assert_eq!(node.metric("reloads_ok"), 0);
     assert_served(&node, &hosts, "chat");
-    node.open(&open_line("talk")).hears("ERR");
+    node.open(&open_line("talk")).expect_line("ERR");
     assert!(node
         .drain_log()
         .iter()
@@ -139,34 +139,34 @@
     let (mut open, _, mut standing) = node.served(&hosts);
     let mut waits = node.open(&open_line("chat"));
     let (_, mut host) = hosts.accept();
-    host.hear();
+    host.receive_line();
     node_config["settings"]["offerings"] = json!([class("talk", "single_shot")]);
     reload(&node, &node_config.to_string(), true);
     assert_served(&node, &hosts, "talk");
-    node.open(&open_line("chat")).hears("ERR");
+    node.open(&open_line("chat")).expect_line("ERR");
     // The one that waited was redoable, and still is: what may have run at one host goes to another.
     drop(host);
     let (_, mut host) = hosts.accept();
-    assert!(host.hear().contains("c=chat,"));
-    host.say("UP 2");
-    waits.hears("UP 2");
-    open.say("up 1");
-    standing.hears("up 1");
+    assert!(host.receive_line().contains("c=chat,"));
+    host.send_line("UP 2");
+    waits.expect_line("UP 2");
+    open.send_line("up 1");
+    standing.expect_line("up 1");
     assert_eq!(node.metric("requests.chat.served"), 2);
     // The same name comes again under stricter terms: not for what came before.
     let mut waits = node.open(&open_line("talk"));
     let (_, mut host) = hosts.accept();
-    host.hear();
+    host.receive_line();
     node_config["settings"]["offerings"] =
         json!([class("chat", "single_shot"), class("talk", "free")]);
     reload(&node, &node_config.to_string(), true);
     drop(host);
-    waits.hears("ERR");
+    waits.expect_line("ERR");
     let mut strict = node.open(&open_line("chat"));
     let (_, mut host) = hosts.accept();
-    host.hear();
+    host.receive_line();
     drop(host);
-    strict.hears("ERR");
+    strict.expect_line("ERR");
     assert_eq!(
         (
             node.metric("requests.chat.failed"),
@@ -184,22 +184,22 @@
     let mut before = node.open(OPEN);
     for left in [2, 1, 0] {
         let (_, mut host) = hosts.accept();
-        host.hear();
+        host.receive_line();
         if left == 1 {
             node_config["settings"]["policy_limits"]["most_hand_offs"] = json!(1);
             reload(&node, &node_config.to_string(), true);
         }
-        host.say("BUSY");
+        host.send_line("BUSY");
     }
-    assert!(before.hear().starts_with("BUSY"));
+    assert!(before.receive_line().starts_with("BUSY"));
     eventually("hosts are taken again", || {
         node.metric("hosts_excluded") == 0
     });
     let mut after = node.open(OPEN);
     let (_, mut host) = hosts.accept();
-    host.hear();
-    host.say("BUSY");
-    assert!(after.hear().starts_with("BUSY"));
+    host.receive_line();
+    host.send_line("BUSY");
+    assert!(after.receive_line().starts_with("BUSY"));
     assert!(hosts.accept_soon().is_none());
 }
 
@@ -260,13 +260,13 @@
     for (name, tenant, then) in kinds {
         let mut client = open_with(&node, name, tenant);
         let (_, mut host) = hosts.accept();
-        host.hear();
-        host.say("UP 1");
-        client.hears("UP 1");
+        host.receive_line();
+        host.send_line("UP 1");
+        client.expect_line("UP 1");
         open.push((client, host));
         let client = open_with(&node, name, tenant);
         let (_, mut host) = hosts.accept();
-        host.hear();
+        host.receive_line();
         held.push((client, host, then));
     }
     // Each name means what another meant, in another order, one is new; a tenant is gone, one new.
@@ -282,46 +282,46 @@
         host.reset();
         if then.starts_with("UP") {
             let (_, mut host) = hosts.accept();
-            assert!(host.hear().contains("c=chat,t=acme"));
-            host.say(then);
-            client.hears(then);
+            assert!(host.receive_line().contains("c=chat,t=acme"));
+            host.send_line(then);
+            client.expect_line(then);
             open.push((client, host));
         } else {
-            assert!(client.hear().starts_with(then), "{then}");
-            client.hears("end");
+            assert!(client.receive_line().starts_with(then), "{then}");
+            client.expect_line("end");
             assert!(hosts.accept_soon().is_none(), "{then}: sent on");
         }
     }
     // By the names as they are now: nothing more may run twice, a tenant is unknown, and what is new is served.
     let mut strict = open_with(&node, "chat", "zeta");
     let (_, mut host) = hosts.accept();
-    host.hear();
+    host.receive_line();
     host.reset();
-    strict.hears("ERR");
+    strict.expect_line("ERR");
     assert!(
         hosts.accept_soon().is_none(),
         "sent on by what its name meant before"
     );
-    open_with(&node, "late", "acme").hears("ERR");
+    open_with(&node, "late", "acme").expect_line("ERR");
     let mut new = open_with(&node, "late", "omega");
     let (_, mut host) = hosts.accept();
-    host.hear();
-    host.say("UP 3");
-    new.hears("UP 3");
+    host.receive_line();
+    host.send_line("UP 3");
+    new.expect_line("UP 3");
     open.push((new, host));
     // Again with all but one taken away: nothing open is cut.
     node_config["settings"]["offerings"] = json!([class("seat", "single_shot", 0.0)]);
     node_config["settings"]["tenants"] = json!([{"name": "acme"}]);
     reload(&node, &node_config.to_string(), true);
     for (client, host) in &mut open {
-        client.say("up 1");
-        host.hears("up 1");
-        host.say("down 1");
-        client.hears("down 1");
+        client.send_line("up 1");
+        host.expect_line("up 1");
+        host.send_line("down 1");
+        client.expect_line("down 1");
     }
     node.stop();
     for (client, host) in &mut open {
-        client.hears("MOVE");
-        host.hears("end");
+        client.expect_line("MOVE");
+        host.expect_line("end");
     }
 }
--- a/node/tests/repeats.rs
+++ b/node/tests/repeats.rs
@@ -19,7 +19,7 @@
         ("single_shot", 0, false, "ERR"),
     ] {
         let hosts = Hosts::start(1);
-        let (listener, first) = jammed();
+        let (listener, first) = full_listener();
         let discovery = Discovery::start();
         let mut node_config = node_config_of(hosts.members(), discovery.address);
         let settings = &mut node_config["settings"];
@@ -31,7 +31,7 @@
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
         let started = Instant::now();
         let (_, mut host) = hosts.accept();
-        host.hear();
+        host.receive_line();
         // The only other host is one whose connections come up late.
         discovery.change(member(
             5,
@@ -39,7 +39,7 @@
             "active",
         ));
         // The first attempt times out; the retry goes there.
-        host.hears("end");
+        host.expect_line("end");
         wait_until_read(&node);
         let late = answer_late_request(&listener, first, started + LATE_CONNECTION_TIMEOUT);
         if late.is_some() {
@@ -50,7 +50,7 @@
             );
         }
         assert_eq!(late.is_some(), sent, "{idempotency}, {window} ms");
-        let said = client.hear();
+        let said = client.receive_line();
         assert!(
             said.starts_with(answer),
             "{idempotency}, {window} ms: {said}"
@@ -91,7 +91,7 @@
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
         let (first, mut host) = hosts.accept();
         assert_eq!(first, 0);
-        host.hear();
+        host.receive_line();
         // Each change has been applied once the next call has come.
         discovery.change(named(1));
         discovery.calls(2);
@@ -109,10 +109,10 @@
             node_config["settings"]["zones"] = json!(["b", "a"]);
             node_config["settings"]["zone"] = json!(1);
             node.reload(&node_config.to_string());
-            node.logs("settings changed active_classes=");
+            node.wait_for_log("settings changed active_classes=");
         }
         host.reset();
-        client.hears("ERR");
+        client.expect_line("ERR");
         assert!(
             hosts.accept_soon().is_none(),
             "{what}: sent out of its group"
@@ -137,13 +137,13 @@
         let node = Node::start(&node_config);
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
         let (first, mut host) = hosts.accept();
-        host.hear();
+        host.receive_line();
         host.reset();
         let (second, mut host) = hosts.accept();
         assert_ne!(first, second, "{idempotency_group}");
-        host.hear();
-        host.say("UP 2");
-        client.hears("UP 2");
+        host.receive_line();
+        host.send_line("UP 2");
+        client.expect_line("UP 2");
     }
 }
 
@@ -174,7 +174,7 @@
         discovery.calls(1);
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
         let (_, mut host) = hosts.accept();
-        host.hear();
+        host.receive_line();
         // The change has been applied once the next call has come.
         discovery.change(named(1, &second));
         discovery.calls(2);
@@ -183,21 +183,21 @@
         assert_eq!(retry.is_some(), same, "{first} and {second}");
         match retry {
             Some((_, mut host)) => {
-                host.hear();
-                host.say("UP 2");
-                client.hears("UP 2");
+                host.receive_line();
+                host.send_line("UP 2");
+                client.expect_line("UP 2");
             }
-            None => client.hears("ERR"),
+            None => client.expect_line("ERR"),
         }
     }
 }
 
 /// Checks that the client gets this answer, and nothing behind it.
 fn expect_only_answer(client: &mut Peer, wanted: &str, what: &str) {
-    let said = client.hear();
+    let said = client.receive_line();
     assert!(said.starts_with(wanted), "{what}: {said}");
     if !wanted.starts_with("UP") {
-        client.hears("end");
+        client.expect_line("end");
     }
 }
 
@@ -228,7 +228,7 @@
         let node = Node::start(&node_config);
         let mut client = node.open(OPEN);
         let (one, mut host) = hosts.accept();
-        host.hear();
+        host.receive_line();
         // Both are there in one turn; or the first in two pieces, and the second once the node has read that.
         if apart {
             host.write(&first[..1]);
@@ -245,8 +245,8 @@
         if retried {
             let (other, mut host) = hosts.accept();
             assert_ne!(one, other, "{what}");
-            host.hear();
-            host.say("UP 2");
+            host.receive_line();
+            host.send_line("UP 2");
             expect_only_answer(&mut client, wanted, &what);
         } else {
             expect_only_answer(&mut client, wanted, &what);
@@ -254,7 +254,7 @@
         assert!(hosts.accept_soon().is_none(), "{what}: sent again");
         if wanted.starts_with("UP 7") {
             // From there on the connection is the host's.
-            client.hears(second.trim_end());
+            client.expect_line(second.trim_end());
         }
     }
 }
@@ -285,18 +285,18 @@
         let mut client = node.open(OPEN);
         let (one, mut host) = hosts.accept();
         let asked = Instant::now();
-        host.hear();
+        host.receive_line();
         if comes == "after" {
             // Timed out: its connection has ended, and what it then sends is nobody's.
-            host.hears("end");
+            host.expect_line("end");
             _ = std::io::Write::write_all(&mut host.stream, b"UP 7\r\n");
             if idempotency == "single_shot" {
                 expect_only_answer(&mut client, "ERR", &what);
             } else {
                 let (other, mut host) = hosts.accept();
                 assert_ne!(one, other, "{what}");
-                host.hear();
-                host.say("UP 2");
+                host.receive_line();
+                host.send_line("UP 2");
                 expect_only_answer(&mut client, "UP 2", &what);
             }
         } else {
@@ -308,7 +308,7 @@
                 700
             });
             crowd.iter_mut().for_each(|other| other.write("O"));
-            host.say("UP 7");
+            host.send_line("UP 7");
             eventually("no time passes", || asked.elapsed() > up);
             node.unsuspend();
             expect_only_answer(&mut client, "UP 7", &what);
--- a/node/tests/replication.rs
+++ b/node/tests/replication.rs
@@ -1,7 +1,7 @@
 //! Processes of the program that replicate records of their requests, some of which are killed or stall: a request that is
 //! not idempotent reaches hosts once, as the hosts saw it.
 
-use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, IDEMPOTENCY_WINDOW};
+use reedferry_testkit::fleet::{one_test_at_a_time, Fleet, FleetOptions, IDEMPOTENCY_WINDOW};
 use reedferry_testkit::fleet_view::FleetView;
 use reedferry_testkit::network::FaultyNetwork;
 use reedferry_testkit::{eventually, Discovery, Peer};
@@ -16,7 +16,7 @@
 const PERIOD: Duration = Duration::from_millis(100);
 const RETENTION: Duration = Duration::from_secs(2);
 const OPTIONS: FleetOptions = FleetOptions {
-    full: 1e6,
+    warm_capacity: 1e6,
     ..FleetOptions::TRIAL
 };
 
@@ -32,7 +32,7 @@
 
 impl Site {
     fn new(nodes: usize, idempotency: &'static str, retention: Option<Duration>) -> Site {
-        let turn = alone();
+        let turn = one_test_at_a_time();
         let host = TcpListener::bind("127.0.0.1:0").unwrap();
         let member = json!({"id": "s-0", "host_port": host.local_addr().unwrap().to_string(), "locality": "a",
             "flavor": "m", "cell": 0, "phase": "active", "size": 1.0, "up_since_ms": 0});
@@ -81,7 +81,7 @@
     fn open(&self, node: usize, key: usize, is_retry: bool) -> Peer {
         let mut client = Peer::connect(self.fleet.nodes[node].as_ref().unwrap().address);
         let retry = if is_retry { ",again=1" } else { "" };
-        client.say(&format!(
+        client.send_line(&format!(
             "OPEN {:x} {:x} c=chat,t=acme,d=2000{retry}",
             0x1000 + key,
             0xa000 + key
@@ -123,7 +123,7 @@
         .clone()
         .map(|key| site.open(2 + key % 3, key, true))
         .collect();
-    let answers = retries.iter_mut().map(Peer::hear).collect();
+    let answers = retries.iter_mut().map(Peer::receive_line).collect();
     drop(clients);
     (keys.map(|key| site.at_host(key)).collect(), answers)
 }
@@ -179,7 +179,7 @@
     let mut late: Vec<Peer> = (20..40)
         .map(|key| site.open(1 + key % 4, key, true))
         .collect();
-    let answers: Vec<String> = late.iter_mut().map(Peer::hear).collect();
+    let answers: Vec<String> = late.iter_mut().map(Peer::receive_line).collect();
     // Its idempotency group is all hosts: it may be rejected as well.
     assert!(
         answers
@@ -195,7 +195,7 @@
 #[test]
 fn while_cluster_sizes_differ_nothing_starts() {
     let mut site = Site::new(5, "single_shot", Some(RETENTION));
-    site.fleet.tells_of_places(0..1, 6, &[], 1);
+    site.fleet.resize_cluster(0..1, 6, &[], 1);
     eventually("all know of it", || {
         let other = |node| {
             site.fleet
@@ -205,7 +205,7 @@
         (1..5).all(other)
     });
     let mut clients: Vec<Peer> = (0..10).map(|key| site.open(key % 5, key, false)).collect();
-    let answers: Vec<String> = clients.iter_mut().map(Peer::hear).collect();
+    let answers: Vec<String> = clients.iter_mut().map(Peer::receive_line).collect();
     assert!(
         answers.iter().all(|line| line.starts_with("BUSY")),
         "{answers:?}"
@@ -230,7 +230,7 @@
     let mut site = Site::new(5, "single_shot", Some(RETENTION));
     (0..4).for_each(|node| site.fleet.kill(node, Duration::ZERO));
     let mut clients: Vec<Peer> = (0..20).map(|key| site.open(4, key, false)).collect();
-    let answers: Vec<String> = clients.iter_mut().map(Peer::hear).collect();
+    let answers: Vec<String> = clients.iter_mut().map(Peer::receive_line).collect();
     assert!(
         answers.iter().all(|line| line.starts_with("BUSY 1000")),
         "{answers:?}"
--- a/node/tests/restart_readiness.rs
+++ b/node/tests/restart_readiness.rs
@@ -30,11 +30,11 @@
             return None;
         }
         let mut client = Peer::connect(node.address);
-        client.say(&format!(
+        client.send_line(&format!(
             "OPEN {:x} {n:x} c=chat,t=acme,d=2000",
             named << 20 | n
         ));
-        if client.hear().starts_with("UP") {
+        if client.receive_line().starts_with("UP") {
             return Some(started.elapsed());
         }
         let asked = Instant::now();
@@ -54,7 +54,7 @@
         let hosts = Hosts::start(4, &checker);
         (0..4).for_each(|host| service.change(hosts.member(host, "active")));
         // A call of each of the three hundred in the minute that the settings leave them: no slower one keeps its terms.
-        service.bound(5.0, Duration::from_millis(1000));
+        service.limit_rate(5.0, Duration::from_millis(1000));
         let took: Vec<Option<Duration>> = thread::scope(|scope| {
             let one = |n: usize| {
                 let (service, started) = (&service, Instant::now());
--- a/node/tests/shared/mod.rs
+++ b/node/tests/shared/mod.rs
@@ -18,8 +18,8 @@
 /// Waits until the node has read all that came before, and has begun the connections that it chose.
 pub fn wait_until_read(node: &Node) {
     let mut other = Peer::connect(node.address);
-    other.say("PING");
-    other.hears("PONG");
+    other.send_line("PING");
+    other.expect_line("PONG");
 }
 
 /// Lets a jammed listener accept again, and answers the request that comes on a late connection, if one does
@@ -38,8 +38,8 @@
         };
         stream.set_nonblocking(false).unwrap();
         let mut peer = Peer::new(stream);
-        if peer.hear().starts_with("OPEN") {
-            peer.say("UP 2");
+        if peer.receive_line().starts_with("OPEN") {
+            peer.send_line("UP 2");
             return Some(peer);
         }
     }
--- a/node/tests/shutdown.rs
+++ b/node/tests/shutdown.rs
@@ -31,8 +31,8 @@
 /// Whoever answers this has read all that came before.
 fn wait_until_read(node: &Node) {
     let mut other = Peer::connect(node.address);
-    other.say("PING");
-    other.hears("PONG");
+    other.send_line("PING");
+    other.expect_line("PONG");
 }
 
 /// Prevents that connections whose host has stopped within a line are held until the process is killed, as their turn to be
@@ -49,7 +49,7 @@
     let began = Instant::now();
     node.stop();
     for (mut client, _, _host) in all {
-        let end = client.hear();
+        let end = client.receive_line();
         assert!(["end", "reset"].contains(&end.as_str()), "{end}");
         assert!(
             began.elapsed() < kill_time(2000),
@@ -73,7 +73,7 @@
     let began = Instant::now();
     node.stop();
     for (mut client, _, _host) in all {
-        client.hears("MOVE");
+        client.expect_line("MOVE");
         assert!(
             began.elapsed() < kill_time(1000),
             "held for {:?}",
@@ -96,18 +96,18 @@
         });
         let mut client = node.open(&OPEN.replace("d=2000", "d=9000"));
         let (_, mut host) = hosts.accept();
-        host.hear();
+        host.receive_line();
         let began = Instant::now();
         node.stop();
-        let said = client.hear();
+        let said = client.receive_line();
         assert!(said.starts_with(answer), "{idempotency}: {said}");
         assert!(
             began.elapsed() < kill_time(9000),
             "{idempotency}: {:?}",
             began.elapsed()
         );
-        client.hears("end");
-        host.hears("end");
+        client.expect_line("end");
+        host.expect_line("end");
         assert!(node.wait().success());
         assert!(
             hosts.accept_soon().is_none(),
@@ -126,15 +126,15 @@
     wait_until_read(&node);
     let began = Instant::now();
     node.stop();
-    node.logs("asked to stop");
+    node.wait_for_log("asked to stop");
     // One that comes after the signal, and asks only when it is told to go, is not sent on.
     let mut late = Peer::connect(node.address);
-    late.hears("BUSY");
-    late.say("OPEN 99 88 c=chat,t=acme,d=900");
-    late.hears("end");
+    late.expect_line("BUSY");
+    late.send_line("OPEN 99 88 c=chat,t=acme,d=900");
+    late.expect_line("end");
     for mut client in clients {
-        client.hears("BUSY");
-        client.hears("end");
+        client.expect_line("BUSY");
+        client.expect_line("end");
     }
     assert!(
         began.elapsed() < kill_time(900),
@@ -147,7 +147,7 @@
 
 /// A host's listener that a test takes connections from when it likes, and the list that names it.
 fn unaccepting_host() -> (std::net::TcpListener, std::net::TcpStream, Value) {
-    let (listener, first) = jammed();
+    let (listener, first) = full_listener();
     let members = json!([member(
         0,
         &listener.local_addr().unwrap().to_string(),
@@ -170,8 +170,8 @@
     wait_until_read(&node);
     let began = Instant::now();
     node.stop();
-    assert!(client.hear().starts_with("BUSY"));
-    client.hears("end");
+    assert!(client.receive_line().starts_with("BUSY"));
+    client.expect_line("end");
     assert!(began.elapsed() < kill_time(1500));
     assert!(node.wait().success());
     // What came up at all was ended without a byte; first in the way was the test's own.
@@ -179,7 +179,7 @@
     listener.set_nonblocking(true).unwrap();
     while let Ok((late, _)) = listener.accept() {
         late.set_nonblocking(false).unwrap();
-        let end = Peer::new(late).hear();
+        let end = Peer::new(late).receive_line();
         assert!(["end", "reset"].contains(&end.as_str()), "{end}");
     }
 }
@@ -192,29 +192,29 @@
     let (mut node, discovery) = start(&hosts, |_| {});
     let mut waiting = node.open(OPEN);
     let (_, mut host) = hosts.accept();
-    host.hear();
+    host.receive_line();
     host.write("UP 7");
     let (mut open, _, mut other) = node.served(&hosts);
     let began = Instant::now();
     node.stop();
-    node.logs("asked to stop");
+    node.wait_for_log("asked to stop");
     let mut fresh = node_config(&hosts, discovery.address);
     fresh["settings"]["offerings"][0]["payoff"] = json!(2.0);
     node.reload(&fresh.to_string());
-    node.logs("configuration reloaded");
+    node.wait_for_log("configuration reloaded");
     node.stop();
     host.write("7aa\r\n");
-    waiting.hears("UP 77aa");
-    waiting.say("still here");
-    host.hears("still here");
-    host.say("so am I");
-    waiting.hears("so am I");
+    waiting.expect_line("UP 77aa");
+    waiting.send_line("still here");
+    host.expect_line("still here");
+    host.send_line("so am I");
+    waiting.expect_line("so am I");
     for (client, host) in [(&mut waiting, &mut host), (&mut open, &mut other)] {
-        client.hears("MOVE");
+        client.expect_line("MOVE");
         // What it sends into the closing connection takes nothing back, and reaches no host.
-        client.say("too late");
-        client.hears("end");
-        host.hears("end");
+        client.send_line("too late");
+        client.expect_line("end");
+        host.expect_line("end");
     }
     assert!(began.elapsed() < kill_time(2000), "{:?}", began.elapsed());
     assert!(node.wait().success());
@@ -232,7 +232,7 @@
     });
     let mut client = node.open(&OPEN.replace("d=2000", "d=9000"));
     let (_, mut host) = hosts.accept();
-    host.hear();
+    host.receive_line();
     let began = Instant::now();
     node.stop();
     eventually("no time passes", || began.elapsed() > ms(2000));
@@ -241,13 +241,13 @@
     wait_until_read(&node);
     node.suspend();
     crowd.iter_mut().for_each(|other| other.write("O"));
-    host.say("UP 7");
+    host.send_line("UP 7");
     eventually("no time passes", || {
         began.elapsed() > kill_time(9000) - ms(170)
     });
     node.unsuspend();
-    client.hears("UP 7");
-    client.hears("MOVE");
-    client.hears("end");
+    client.expect_line("UP 7");
+    client.expect_line("MOVE");
+    client.expect_line("end");
     assert!(node.wait().success());
 }
--- a/node/tests/silence.rs
+++ b/node/tests/silence.rs
@@ -6,7 +6,7 @@
 use reedferry_testkit::simulated::{
     Clients, Hosts, InvariantChecker, ObservedAttempt, DRAIN_GRACE, SOCKET_SLACK,
 };
-use reedferry_testkit::{eventually, jammed, member, Discovery, Node, Peer, OPEN};
+use reedferry_testkit::{eventually, full_listener, member, Discovery, Node, Peer, OPEN};
 use serde_json::json;
 use std::cell::Cell;
 use std::net::TcpListener;
@@ -151,8 +151,8 @@
         for mode in ["on_request", "pushed"] {
             scope.spawn(move || {
                 let site = Site::new(mode, NODES, 2 * NODES);
-                site.service.bound(2.0, ms(1000));
-                site.service.fall_silent();
+                site.service.limit_rate(2.0, ms(1000));
+                site.service.silence_watches();
                 let silent = Instant::now();
                 (0..DRAINING_HOSTS).for_each(|host| site.drain(host));
                 let told = site.told(silent);
@@ -295,12 +295,12 @@
         let node = &site.nodes[0];
         let mut clients: Vec<Peer> = (0..40).map(|_| Peer::connect(node.address)).collect();
         clients.iter_mut().for_each(|client| {
-            client.say("PING");
-            client.hears("PONG");
+            client.send_line("PING");
+            client.expect_line("PONG");
         });
         node.suspend();
         for (n, client) in clients.iter_mut().enumerate() {
-            client.say(&format!("OPEN {n:x} {n:x} c=free,t=acme,d=2000"));
+            client.send_line(&format!("OPEN {n:x} {n:x} c=free,t=acme,d=2000"));
         }
         site.drain(0);
         site.checker.drains(0, true);
@@ -309,7 +309,9 @@
             thread::yield_now();
         }
         node.unsuspend();
-        clients.iter_mut().for_each(|client| client.hears("UP 1"));
+        clients
+            .iter_mut()
+            .for_each(|client| client.expect_line("UP 1"));
         assert_eq!(
             site.checker.broken(BUSY_MACHINE_DELAY),
             Vec::<String>::new(),
@@ -346,7 +348,7 @@
 /// Guards against a line that starts late to a host that began to drain meanwhile.
 #[test]
 fn a_connection_established_after_the_drain_is_not_written_to() {
-    let (listener, _first) = jammed();
+    let (listener, _first) = full_listener();
     let service = Discovery::start();
     let named = |phase: &str| member(0, &listener.local_addr().unwrap().to_string(), phase);
     let mut node_config = node_config_of(json!([named("active")]), service.address);
@@ -359,8 +361,8 @@
     let mut client = node.open(&OPEN.replace("d=2000", "d=8000"));
     // A node that answers this has read that.
     let mut other = Peer::connect(node.address);
-    other.say("PING");
-    other.hears("PONG");
+    other.send_line("PING");
+    other.expect_line("PONG");
     service.change(named("leaving"));
     let told = Instant::now();
     eventually("no time passes", || {
@@ -376,10 +378,10 @@
     let late = up.pop().unwrap().0;
     late.set_nonblocking(false).unwrap();
     assert!(
-        ["end", "reset"].contains(&Peer::new(late).hear().as_str()),
+        ["end", "reset"].contains(&Peer::new(late).receive_line().as_str()),
         "a line came"
     );
-    assert!(client.hear().starts_with("BUSY"));
+    assert!(client.receive_line().starts_with("BUSY"));
 }
 
 /// Guards against new work for a host that drains, by a node whose watch fell silent and whose next
@@ -388,9 +390,9 @@
 #[test]
 fn a_node_whose_list_may_be_stale_starts_no_attempt_until_it_is_current() {
     let site = Site::new("on_request", 1, 1000);
-    site.service.fall_silent();
+    site.service.silence_watches();
     let silent = Instant::now();
-    site.service.turn_away(10);
+    site.service.reject_of_ten(10);
     (0..HOSTS - 1).for_each(|host| site.drain(host));
     let told = site.told(silent)[0];
     site.load(told + ms(2000));
@@ -408,8 +410,8 @@
         Vec::<String>::new(),
         "answered all the same"
     );
-    site.service.turn_away(0);
-    site.nodes[0].logs("watch begun");
+    site.service.reject_of_ten(0);
+    site.nodes[0].wait_for_log("watch begun");
     site.load(Instant::now() + ms(1000));
     let reached = site.checker.reached();
     let late: Vec<usize> = reached.iter().filter(late).map(|one| one.host).collect();
@@ -442,7 +444,7 @@
                 site.service.calls(3);
                 let busy = ends.contains("busy");
                 if busy {
-                    site.service.turn_away(10);
+                    site.service.reject_of_ten(10);
                 }
                 match ends {
                     "busy" => site.service.change(site.hosts.member(HOSTS - 1, "active")),
@@ -464,7 +466,7 @@
                 (0..DRAINING_HOSTS).for_each(|host| site.drain(host));
                 if busy {
                     site.load(ended + ms(4500));
-                    site.service.turn_away(0);
+                    site.service.reject_of_ten(0);
                 }
                 let reached = site.load(
                     ended + NOTIFICATION_TIMEOUT + DRAIN_GRACE + BUSY_MACHINE_DELAY + ms(2000),
@@ -518,7 +520,7 @@
             !site.checker.reached().is_empty(),
             "{mode}, {nodes}: nobody is served"
         );
-        site.service.bound(10.0, ms(2000));
+        site.service.limit_rate(10.0, ms(2000));
         let before = site.service.seen().0.len();
         site.drain(0);
         site.service.come_up();
@@ -555,17 +557,17 @@
         for mode in ["on_request", "pushed"] {
             scope.spawn(move || {
                 let service = Discovery::start();
-                service.turn_away(10);
+                service.reject_of_ten(10);
                 let site = Site::with(service, mode, 1, 1, 10_000.0);
-                site.nodes[0].logs("status 503");
+                site.nodes[0].wait_for_log("status 503");
                 let turned = site.service.seen().0.len();
-                site.service.turn_away(0);
+                site.service.reject_of_ten(0);
                 // Whatever call gets through, those that wait by then are never answered.
                 let seen = |calls: usize| {
                     site.service.seen().0.len() - site.service.seen().1.len() >= calls
                 };
                 eventually("no call gets through", || seen(1));
-                site.service.fall_silent();
+                site.service.silence_watches();
                 let silent = Instant::now();
                 site.load(silent + NOTIFICATION_TIMEOUT + DRAIN_GRACE + ms(700));
                 let before = site.checker.reached().len();
@@ -608,10 +610,10 @@
 #[test]
 fn a_service_slower_than_its_calls_are_waited_for_is_heard_all_the_same() {
     let service = Discovery::start();
-    service.bound(0.4, Duration::from_secs(600));
+    service.limit_rate(0.4, Duration::from_secs(600));
     let site = Site::with(service, "on_request", 1, 1000, 60_000.0);
     // The watch is silent beyond its wait, as its answer comes late by what the service takes.
-    site.nodes[0].logs("discovery call failed");
+    site.nodes[0].wait_for_log("discovery call failed");
     let until = Instant::now() + ms(12_000);
     site.drain(0);
     let drained = Instant::now();
@@ -642,7 +644,7 @@
 fn a_new_process_waits_for_a_pushed_list_before_it_starts_any_attempt() {
     let service = Discovery::start();
     // Each call takes it a second.
-    service.bound(1.0, Duration::from_secs(60));
+    service.limit_rate(1.0, Duration::from_secs(60));
     let checker = InvariantChecker::default();
     let hosts = Hosts::start(HOSTS, &checker);
     // All but the last drain.
--- a/node/tests/sockets.rs
+++ b/node/tests/sockets.rs
@@ -20,12 +20,12 @@
     let hosts = Hosts::start(1);
     let (node, _) = start(&hosts, |_| {});
     let mut client = Peer::connect(node.address);
-    client.say("PING");
-    client.hears("PONG");
+    client.send_line("PING");
+    client.expect_line("PONG");
     client.write("OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f,r=1,zz=9\r");
     client.write("\n");
     let (_, mut host) = hosts.accept();
-    let line = host.hear();
+    let line = host.receive_line();
     let wait: u64 = line
         .strip_prefix("OPEN 9b1f 7f3a c=chat,t=acme,d=")
         .unwrap()
@@ -39,16 +39,16 @@
         "{line}"
     );
     host.write("UP 77aa\r\nLOAD 2500\r\nhalf");
-    client.hears("UP 77aa");
-    client.hears("LOAD 2500");
-    client.say("up 1");
-    host.hears("up 1");
+    client.expect_line("UP 77aa");
+    client.expect_line("LOAD 2500");
+    client.send_line("up 1");
+    host.expect_line("up 1");
     host.write(" a line\r\nBYE\r\n");
-    client.hears("half a line");
-    client.hears("BYE");
+    client.expect_line("half a line");
+    client.expect_line("BYE");
     host.end_sending();
-    client.hears("end");
-    host.hears("end");
+    client.expect_line("end");
+    host.expect_line("end");
 }
 
 #[test]
@@ -58,17 +58,17 @@
     let (node, _) = start(&hosts, |_| {});
     let (mut client, _, host) = node.served(&hosts);
     host.reset();
-    client.hears("reset");
+    client.expect_line("reset");
     let (client, _, mut host) = node.served(&hosts);
     client.reset();
-    host.hears("reset");
+    host.expect_line("reset");
     let (mut client, _, mut host) = node.served(&hosts);
     client.end_sending();
-    host.hears("end");
-    host.say("BYE");
+    host.expect_line("end");
+    host.send_line("BYE");
     host.end_sending();
-    client.hears("BYE");
-    client.hears("end");
+    client.expect_line("BYE");
+    client.expect_line("end");
 }
 
 #[test]
@@ -80,14 +80,14 @@
         let (node, _) = start(&hosts, |_| {});
         let mut client = node.open(OPEN);
         let (first, mut host) = hosts.accept();
-        host.hear();
+        host.receive_line();
         host.write(answer);
         host.end_sending();
         let (second, mut host) = hosts.accept();
         assert_ne!(first, second);
-        host.hear();
-        host.say("UP 1");
-        client.hears("UP 1");
+        host.receive_line();
+        host.send_line("UP 1");
+        client.expect_line("UP 1");
     }
 }
 
@@ -98,10 +98,10 @@
     let (node, _) = start(&hosts, |_| {});
     let began = Instant::now();
     let mut client = node.open(OPEN);
-    let answer = client.hear();
+    let answer = client.receive_line();
     let wait: u64 = answer.strip_prefix("BUSY ").unwrap().parse().unwrap();
     assert!((250..=1000).contains(&wait) && began.elapsed() < Duration::from_secs(1));
-    client.hears("end");
+    client.expect_line("end");
 }
 
 #[test]
@@ -112,18 +112,18 @@
     });
     let mut client = node.open(OPEN);
     let (_, mut host) = hosts.accept();
-    host.hear();
+    host.receive_line();
     host.end_sending();
-    client.hears("ERR");
+    client.expect_line("ERR");
     // What never ran may go again.
     let mut client = node.open(OPEN);
     let (_, mut host) = hosts.accept();
-    host.hear();
-    host.say("BUSY");
+    host.receive_line();
+    host.send_line("BUSY");
     let (_, mut host) = hosts.accept();
-    host.hear();
-    host.say("UP 2");
-    client.hears("UP 2");
+    host.receive_line();
+    host.send_line("UP 2");
+    client.expect_line("UP 2");
 }
 
 #[test]
@@ -133,15 +133,15 @@
     let began = Instant::now();
     let mut client = node.open(&OPEN.replace("d=2000", "d=400"));
     let (_, mut host) = hosts.accept();
-    host.hear();
-    assert!(client.hear().starts_with("BUSY"));
+    host.receive_line();
+    assert!(client.receive_line().starts_with("BUSY"));
     assert!(began.elapsed() < Duration::from_millis(466));
-    host.hears("end");
+    host.expect_line("end");
     let client = node.open(OPEN);
     let (_, mut host) = hosts.accept();
-    host.hear();
+    host.receive_line();
     drop(client);
-    host.hears("end");
+    host.expect_line("end");
 }
 
 #[test]
@@ -161,18 +161,18 @@
     eventually("new ones go on to the host that leaves", || {
         let mut client = node.open(OPEN);
         let (at, mut host) = hosts.accept();
-        host.say("BUSY");
+        host.send_line("BUSY");
         if at != number {
             return true;
         }
-        client.hear();
+        client.receive_line();
         false
     });
     host.write(" a line\r\n");
-    client.hears(" a line");
-    client.hears("MOVE");
-    client.hears("end");
-    host.hears("end");
+    client.expect_line(" a line");
+    client.expect_line("MOVE");
+    client.expect_line("end");
+    host.expect_line("end");
 }
 
 #[test]
@@ -182,15 +182,15 @@
     let all: Vec<_> = (0..12).map(|_| node.served(&hosts)).collect();
     let began = Instant::now();
     node.stop();
-    node.logs("shutting down requests=12");
+    node.wait_for_log("shutting down requests=12");
     let mut late = node.open(OPEN);
-    assert!(late.hear().starts_with("BUSY"));
+    assert!(late.receive_line().starts_with("BUSY"));
     for (mut client, _, mut host) in all {
-        client.hears("MOVE");
+        client.expect_line("MOVE");
         // Served for another third of the time that is left.
         assert!(began.elapsed() > Duration::from_millis(780));
-        client.hears("end");
-        host.hears("end");
+        client.expect_line("end");
+        host.expect_line("end");
     }
     assert!(began.elapsed() < Duration::from_millis(2700));
     assert!(node.wait().success());
@@ -205,26 +205,26 @@
         let mut client = node.open(&format!("{OPEN},at=s-{wanted}"));
         let (number, mut host) = hosts.accept();
         assert_eq!(number, wanted);
-        host.hear();
-        host.say("BUSY");
+        host.receive_line();
+        host.send_line("BUSY");
         // It is retried there, and nowhere else.
         let (number, mut host) = hosts.accept();
         assert_eq!(number, wanted);
-        host.hear();
-        host.say("UP 5");
-        client.hears("UP 5");
+        host.receive_line();
+        host.send_line("UP 5");
+        client.expect_line("UP 5");
     }
     // One that the known list does not name yet is waited for, as long as the client waits.
     node.open(&format!("{OPEN},at=s-9").replace("d=2000", "d=300"))
-        .hears("ERR");
+        .expect_line("ERR");
     let mut client = node.open(&format!("{OPEN},at=s-3"));
     hosts.add();
     discovery.change(member(3, &hosts.addresses[3].to_string(), "active"));
     let (number, mut host) = hosts.accept();
     assert_eq!(number, 3);
-    host.hear();
-    host.say("UP 6");
-    client.hears("UP 6");
+    host.receive_line();
+    host.send_line("UP 6");
+    client.expect_line("UP 6");
 }
 
 /// Within this time of connecting every bad client is to have its answer, or the end.
@@ -243,9 +243,9 @@
     let (mut client, _, mut host) = node.served(&hosts);
     let mut held = node.open("OPEN feed 7f3a c=chat,t=acme,d=2000");
     let (_, mut holder) = hosts.accept();
-    assert!(holder.hear().starts_with("OPEN feed "));
-    holder.say("UP 1");
-    held.hears("UP 1");
+    assert!(holder.receive_line().starts_with("OPEN feed "));
+    holder.send_line("UP 1");
+    held.expect_line("UP 1");
     let began = Instant::now();
     // Those that send nothing, or half of something, and never leave.
     let silent: Vec<Peer> = ["", "OP", "OPEN a b c=chat,t=acme,d=2000", "PING\r\n"]
@@ -286,34 +286,34 @@
         for _ in 0..2 {
             let began = Instant::now();
             let mut bad = Peer::connect(node.address);
-            bad.say(line);
-            while bad.hear() == "PONG" {}
+            bad.send_line(line);
+            while bad.receive_line() == "PONG" {}
             assert!(began.elapsed() < ANSWER_TIMEOUT, "{line}");
         }
     }
     let mut bytes = Peer::connect(node.address);
     std::io::Write::write_all(&mut bytes.stream, b"OPEN \xff\xfe a c=chat,d=1\r\n").unwrap();
-    bytes.hears("ERR");
+    bytes.expect_line("ERR");
     drop(Peer::connect(node.address));
     // One that sends more while its first line waits for an answer: its attempt ends, and so does
     // it.
     let mut talks = node.open(OPEN);
     let (_, mut taker) = hosts.accept();
-    taker.hear();
-    talks.say("and another thing");
-    talks.hears("ERR");
-    taker.hears("end");
+    taker.receive_line();
+    talks.send_line("and another thing");
+    talks.expect_line("ERR");
+    taker.expect_line("end");
     for mut peer in silent {
-        while peer.hear() == "PONG" {}
+        while peer.receive_line() == "PONG" {}
         assert!(began.elapsed() < ANSWER_TIMEOUT);
     }
-    node.logs("clients rejected");
+    node.wait_for_log("clients rejected");
     // Nothing of all that reached a host, and the others are served.
     assert!(hosts.accept_soon().is_none());
-    held.say("still");
-    holder.hears("still");
-    client.say("still");
-    host.hears("still");
+    held.send_line("still");
+    holder.expect_line("still");
+    client.send_line("still");
+    host.expect_line("still");
     assert!(node.runs());
 }
 
@@ -327,7 +327,7 @@
     for _ in 0..60 {
         std::io::Write::write_all(&mut bad.stream, &piece).unwrap();
     }
-    bad.hears("ERR");
+    bad.expect_line("ERR");
     assert!(began.elapsed() < 2 * ANSWER_TIMEOUT);
     // While another sends without end, usual ones are served, and its connection is closed.
     let mut endless = Peer::connect(node.address);
@@ -342,7 +342,7 @@
         assert!(began.elapsed() < Duration::from_millis(500));
         // The client ends first: where both end within one turn of the node, the only host counts as broken.
         drop(client);
-        assert!(["end", "reset"].contains(&host.hear().as_str()));
+        assert!(["end", "reset"].contains(&host.receive_line().as_str()));
     }
     sender.join().unwrap();
 }
@@ -366,8 +366,8 @@
         assert!(node.descriptors() <= 256);
     }
     for (mut client, _, mut host) in served {
-        client.say("still");
-        host.hears("still");
+        client.send_line("still");
+        host.expect_line("still");
     }
 }
 
@@ -380,15 +380,15 @@
     let (mut other, _, mut bad) = node.served(&hosts);
     bad.write(&long);
     eventually("an over-long line ends its connection", || {
-        other.hear() == "reset"
+        other.receive_line() == "reset"
     });
     let (mut bad, _, mut other) = node.served(&hosts);
     bad.write(&long);
     eventually("an over-long line ends its connection", || {
-        other.hear() == "reset"
+        other.receive_line() == "reset"
     });
-    client.say("still");
-    host.hears("still");
+    client.send_line("still");
+    host.expect_line("still");
     assert!(node.runs());
 }
 
@@ -416,15 +416,15 @@
         "SSH-2.0-x\r\n\r\n",
     ]);
     discovery.change(member(8, "127.0.0.1:9", "active"));
-    (0..4).for_each(|_| _ = node.logs("discovery call failed"));
+    (0..4).for_each(|_| _ = node.wait_for_log("discovery call failed"));
     hosts.add();
     discovery.change(member(0, &hosts.addresses[0].to_string(), "left"));
     discovery.change(member(1, &hosts.addresses[1].to_string(), "active"));
-    node.logs("watch begun");
+    node.wait_for_log("watch begun");
     eventually("the new host is never used", || {
         let _client = node.open(OPEN);
         let (at, mut host) = hosts.accept();
-        host.say("BUSY");
+        host.send_line("BUSY");
         at == 1
     });
 }
@@ -435,10 +435,10 @@
 fn a_node_that_was_rejected_or_whose_watch_broke_first_polls_without_waiting() {
     let hosts = Hosts::start(1);
     let discovery = Discovery::start();
-    discovery.turn_away(10);
+    discovery.reject_of_ten(10);
     let node = Node::start(&node_config(&hosts, discovery.address));
-    node.logs("status 503");
-    discovery.turn_away(0);
+    node.wait_for_log("status 503");
+    discovery.reject_of_ten(0);
     let before = discovery.seen().0.len();
     discovery.calls(before + 1);
     discovery.calls(before + 2);
@@ -465,7 +465,7 @@
     discovery.change(member(1, &addresses[1], "active"));
     discovery.change(member(0, &addresses[0], "leaving"));
     discovery.change(member(7, "127.0.0.1:9", "leaving"));
-    node.logs("name: s-7");
+    node.wait_for_log("name: s-7");
     let list = |revision: u64, complete: bool, members: &str| {
         let body =
             format!("{{\"revision\":{revision},\"complete\":{complete},\"members\":[{members}]}}");
@@ -480,9 +480,9 @@
         &list(9, false, "{\"id\":7,\"phase\":[]}"),
     ]);
     discovery.change(member(8, "127.0.0.1:9", "left"));
-    node.logs("a revision that runs backwards");
-    node.logs("discovery call failed");
-    node.logs("watch begun");
+    node.wait_for_log("a revision that runs backwards");
+    node.wait_for_log("discovery call failed");
+    node.wait_for_log("watch begun");
     let served: Vec<_> = (0..6).map(|_| node.served(&hosts)).collect();
     assert!(
         served.iter().all(|(_, at, _)| *at == 1),
@@ -492,7 +492,7 @@
     discovery.answer_instead(&[&list(50, true, "")]);
     discovery.change(member(8, "127.0.0.1:9", "left"));
     eventually("an empty list is not taken up", || {
-        node.open(OPEN).hear().starts_with("BUSY")
+        node.open(OPEN).receive_line().starts_with("BUSY")
     });
     discovery.answer_instead(&[&list(
         51,
@@ -518,10 +518,10 @@
     let mut node_config = node_config(&hosts, old.address);
     for bad in ["", "{\"name\": \"n0\", \"lis", "[]"] {
         node.reload(bad);
-        node.logs("configuration not reloaded");
+        node.wait_for_log("configuration not reloaded");
     }
     old.change(member(8, "127.0.0.1:9", "active"));
-    node.logs("name: s-8");
+    node.wait_for_log("name: s-8");
     // The new service counts from one again, and lists another host in place of the old ones.
     let new = Discovery::start();
     hosts.add();
@@ -529,22 +529,22 @@
     node_config["discovery"] = json!(new.address.to_string());
     node_config["limits"]["sockets"] = json!(300);
     node.reload(&node_config.to_string());
-    node.logs("kept until the next start, node: n0, parts: limits");
-    node.logs(&format!(
+    node.wait_for_log("kept until the next start, node: n0, parts: limits");
+    node.wait_for_log(&format!(
         "watch begun, node: n0, at: {}, revision: 1",
         new.address
     ));
     let others: Vec<_> = (0..3).map(|_| node.served(&hosts)).collect();
     assert!(others.iter().all(|(_, at, _)| *at == 1));
-    client.say("still");
-    host.hears("still");
+    client.send_line("still");
+    host.expect_line("still");
     // What comes next is followed, over and over, and so is a signal to stop right behind it.
     (0..20).for_each(|_| node.reload(&node_config.to_string()));
     new.change(member(7, "127.0.0.1:9", "active"));
-    node.logs("name: s-7");
+    node.wait_for_log("name: s-7");
     node.reload(&node_config.to_string());
     node.stop();
-    client.hears("MOVE");
+    client.expect_line("MOVE");
     assert!(node.wait().success());
 }
 
@@ -552,7 +552,7 @@
 fn a_node_serves_from_the_known_list_while_discovery_is_down() {
     let hosts = Hosts::start(1);
     let node = Node::start(&node_config(&hosts, nowhere()));
-    node.logs("discovery call failed");
+    node.wait_for_log("discovery call failed");
     node.served(&hosts);
 }
 
@@ -586,14 +586,14 @@
     let node = Node::start_as("node", &operator_config, &node_config);
     // Whichever of the two is probed first is full, and the peer is told of it.
     let (first, mut probe) = hosts.accept();
-    probe.hears("STATS");
-    probe.say("PONG util=1,x0=1.5");
+    probe.expect_line("STATS");
+    probe.send_line("PONG util=1,x0=1.5");
     let mut message = [0; 512];
     let (length, at) = peer.recv_from(&mut message).unwrap();
     assert_eq!((length, message[0], message[4]), (5, 1, 96));
     // What the peer reports of it counts; datagrams of unknown nodes, or of no known form, do not.
     stranger.send_to(&message[..5], at).unwrap();
-    node.logs("message dropped");
+    node.wait_for_log("message dropped");
     for poor in [&[][..], &[1], &[9; 300], &[2, 1, 2, 3, 4]] {
         peer.send_to(poor, at).unwrap();
     }
@@ -604,14 +604,14 @@
         let mut client = node.open(OPEN);
         loop {
             let (on, mut host) = hosts.accept();
-            if host.hear() != "STATS" {
-                host.say("UP 77aa");
-                client.hears("UP 77aa");
+            if host.receive_line() != "STATS" {
+                host.send_line("UP 77aa");
+                client.expect_line("UP 77aa");
                 stay.push((client, host));
                 return on;
             }
             looked.set(looked.get() || on == first);
-            host.say(if on == first {
+            host.send_line(if on == first {
                 "PONG util=1,x0=1.5"
             } else {
                 "PONG util=0.2,x0=0.2"
@@ -673,7 +673,9 @@
             "{said}"
         );
         node.reload(&node_config.to_string());
-        assert!(node.logs("configuration not reloaded").contains(key));
+        assert!(node
+            .wait_for_log("configuration not reloaded")
+            .contains(key));
     }
     node.served(&hosts);
     // `check` says the same without starting.
@@ -705,14 +707,14 @@
         by_probe(p, &["x0", "x1"]);
     });
     let (mut client, _, mut serving) = node.served(&hosts);
-    serving.say("LOAD 500000");
-    client.hears("LOAD 500000");
+    serving.send_line("LOAD 500000");
+    client.expect_line("LOAD 500000");
     let (_, mut probe) = hosts.accept();
-    probe.hears("STATS");
-    probe.say("PONG x0=1.5,x1=4.0");
-    probe.hears("end");
-    node.logs("load limit decreased host=");
-    client.hears("MOVE");
+    probe.expect_line("STATS");
+    probe.send_line("PONG x0=1.5,x1=4.0");
+    probe.expect_line("end");
+    node.wait_for_log("load limit decreased host=");
+    client.expect_line("MOVE");
 }
 
 #[test]
@@ -721,15 +723,15 @@
     let (node, _) = start(&hosts, |_| {});
     let mut client = node.open(OPEN);
     let (_, mut host) = hosts.accept();
-    host.hear();
+    host.receive_line();
     // The load comes in one piece with the answer and counts all the same.
     host.write("UP 1\r\nLOAD 2500000\r\n");
-    client.hears("UP 1");
-    client.hears("LOAD 2500000");
+    client.expect_line("UP 1");
+    client.expect_line("LOAD 2500000");
     let began = Instant::now();
-    client.say("anyone?");
-    client.hears("MOVE");
-    client.hears("end");
+    client.send_line("anyone?");
+    client.expect_line("MOVE");
+    client.expect_line("end");
     assert!(began.elapsed() < Duration::from_secs(7));
 }
 
@@ -742,17 +744,17 @@
     halts.write("half");
     assert_eq!(stuck.bytes(4), b"half");
     let began = Instant::now();
-    stuck.say("anyone?");
+    stuck.send_line("anyone?");
     let ends = std::thread::spawn(move || {
-        stuck.hear();
+        stuck.receive_line();
         began.elapsed()
     });
     while !ends.is_finished() {
-        well.say("there?");
-        answers.hears("there?");
-        answers.say("here");
+        well.send_line("there?");
+        answers.expect_line("there?");
+        answers.send_line("here");
         // Neither migrated nor closed, as the host is healthy.
-        well.hears("here");
+        well.expect_line("here");
     }
     assert!(ends.join().unwrap() < Duration::from_secs(7));
 }
@@ -768,7 +770,7 @@
 fn all_are_answered_where_the_system_allows_fewer_descriptors_than_the_config() {
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
     crowd(
-        Node::start_within(&node_config(&hosts, discovery.address), 96),
+        Node::start_with_descriptor_limit(&node_config(&hosts, discovery.address), 96),
         &hosts,
         &discovery,
     );
@@ -789,12 +791,12 @@
                 .set_read_timeout(Some(Duration::from_millis(1)))
                 .unwrap();
             if let Some((_, mut host)) = hosts.accept_soon() {
-                host.hear();
-                host.say("UP 1");
+                host.receive_line();
+                host.send_line("UP 1");
                 served.push(host);
             }
             client.stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
-            client.hear()
+            client.receive_line()
         };
         match answer.as_str() {
             "UP 1" => {}
@@ -804,14 +806,14 @@
         assert!(node.descriptors() <= 96);
         std::mem::forget(client);
     }
-    node.logs("out of descriptors");
+    node.wait_for_log("out of descriptors");
     assert!(
         served.len() >= 20 && refused >= 10,
         "{} served, {refused} refused",
         served.len()
     );
     drop(served);
-    node.logs("descriptors to spare again");
+    node.wait_for_log("descriptors to spare again");
     eventually("descriptors are lost", || {
         node.descriptors() <= before + refused
     });
@@ -829,12 +831,12 @@
     let writer = std::thread::spawn(move || {
         let mut host = host;
         (0..lines).for_each(|_| host.write(&text));
-        host.say("BYE");
+        host.send_line("BYE");
         host
     });
     let (mut client, _, mut other) = node.served(&hosts);
-    client.say("quick");
-    other.hears("quick");
+    client.send_line("quick");
+    other.expect_line("quick");
     assert!(
         !writer.is_finished(),
         "the node took in twenty megabytes for one client"
@@ -842,7 +844,7 @@
     for n in 0..lines {
         assert_eq!(slow.bytes(1000), line.as_bytes(), "line {n}");
     }
-    slow.hears("BYE");
+    slow.expect_line("BYE");
     writer.join().unwrap();
 }
 
--- a/node/tests/two_tier.rs
+++ b/node/tests/two_tier.rs
@@ -134,8 +134,8 @@
     // Back at once, with empty memories.
     (0..2).for_each(|n| cluster.start_planner(n));
     for forwarder in &cluster.forwarders {
-        forwarder.logs("no planner available");
-        forwarder.logs("following planner");
+        forwarder.wait_for_log("no planner available");
+        forwarder.wait_for_log("following planner");
     }
     clients.load(100.0, ms(500), &[0, 1, 2], HOLD_TIME);
     clients.end();
@@ -197,10 +197,10 @@
     });
     let forwarder = &mut cluster.forwarders[0];
     forwarder.stop();
-    forwarder.logs("shutting down requests=10");
+    forwarder.wait_for_log("shutting down requests=10");
     let mut client = Peer::connect(forwarder.address);
-    client.say("OPEN late 1 c=free,t=acme,d=2000");
-    assert!(client.hear().starts_with("BUSY "));
+    client.send_line("OPEN late 1 c=free,t=acme,d=2000");
+    assert!(client.receive_line().starts_with("BUSY "));
     assert!(forwarder.wait().success());
     assert_eq!(cluster.hosts.standing().iter().sum::<u32>(), 20);
     open_clients.end();
@@ -214,14 +214,14 @@
     let forwarder = &cluster.forwarders[0];
     let before = forwarder.config_file();
     forwarder.reload(&before.replace("lease = \"250ms\"", "lease = \"900ms\""));
-    forwarder.logs("lease is 900ms, not between");
+    forwarder.wait_for_log("lease is 900ms, not between");
     let first = before.find("[[planner]]").unwrap();
     let one = &before[first..];
     let second = first + one[1..].find("[[planner]]").unwrap() + 1;
     let mut clients = new_clients(&cluster, 8);
     clients.load(100.0, ms(300), &[0], Duration::from_secs(20));
     cluster.forwarders[0].reload(&before[..second]);
-    cluster.forwarders[0].logs("configuration reloaded");
+    cluster.forwarders[0].wait_for_log("configuration reloaded");
     // The second planner may stop now: nobody follows it any more, whoever was followed before.
     eventually("p0 alone is followed", || {
         cluster.planners[1].as_mut().unwrap().stop();
@@ -260,7 +260,7 @@
             .unwrap();
         let mut rest = Vec::new();
         _ = stream.read_to_end(&mut rest);
-        planner.logs(why);
+        planner.wait_for_log(why);
     }
     // One that sends nothing is not waited for either.
     let mut stream = TcpStream::connect(planner.address).unwrap();
@@ -268,7 +268,7 @@
         .set_read_timeout(Some(Duration::from_secs(5)))
         .unwrap();
     assert_eq!(stream.read(&mut [0; 8]).unwrap_or(0), 0);
-    planner.logs("no greeting in time");
+    planner.wait_for_log("no greeting in time");
     assert!(planner.memory() < before + (2 << 20));
     let mut clients = new_clients(&cluster, 9);
     (0..20).for_each(|_| clients.come(0, HOLD_TIME));
@@ -397,18 +397,18 @@
         &node_config,
         &injector,
     );
-    forwarder.logs("following planner");
+    forwarder.wait_for_log("following planner");
     let open = |n: usize| {
         let mut client = Peer::connect(forwarder.address);
-        client.say(&format!("OPEN c{n} {n:x} c=free,t=acme,d=2000"));
-        let said = client.hear();
+        client.send_line(&format!("OPEN c{n} {n:x} c=free,t=acme,d=2000"));
+        let said = client.receive_line();
         assert!(said.starts_with("UP"), "{said}");
         client
     };
     let mut active_clients: Vec<Peer> = (0..ACTIVE_CLIENTS).map(open).collect();
     cluster.hosts.go(0, HostBehavior::Silent);
     let mut waiting = Peer::connect(forwarder.address);
-    waiting.say("OPEN late 7f c=once,t=acme,d=1000");
+    waiting.send_line("OPEN late 7f c=once,t=acme,d=1000");
     let asked = Instant::now();
     _ = wait_until(ms(1000), || asked.elapsed() >= ms(500));
     injector.set(&[Fault {
@@ -420,8 +420,8 @@
     _ = wait_until(ms(1000), || asked.elapsed() >= ms(900));
     active_clients
         .iter_mut()
-        .for_each(|client| client.say("hello"));
-    let said = waiting.hear();
+        .for_each(|client| client.send_line("hello"));
+    let said = waiting.receive_line();
     let took = asked.elapsed();
     injector.clear();
     assert_eq!(said, "ERR");
--- a/node/tests/upgrade.rs
+++ b/node/tests/upgrade.rs
@@ -3,7 +3,7 @@
 //!
 //! `REEDFERRY_PREVIOUS` names the program of the older build; without it both are the build under test.
 
-use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, WarmingHosts};
+use reedferry_testkit::fleet::{one_test_at_a_time, Fleet, FleetOptions, WarmingHosts};
 use reedferry_testkit::fleet_view::FleetView;
 use reedferry_testkit::network::FaultyNetwork;
 use reedferry_testkit::program::{folder, listener, node_config_of, path};
@@ -38,7 +38,7 @@
         config["ops"] = json!("127.0.0.1:0");
         let (listener, folder) = (listener(), folder());
         let start = |program: &PathBuf| {
-            let mut node = Node::start_of_at(program, &config, &listener, &folder);
+            let mut node = Node::start_build_at(program, &config, &listener, &folder);
             node.address = listener.local_addr().unwrap();
             eventually("ready", || node.call("GET /status").0 == 200);
             node
@@ -55,8 +55,8 @@
         for (client, _, host) in &mut open {
             client.write("lf\r\n");
             host.write("wn\r\n");
-            host.hears("half");
-            client.hears("down");
+            host.expect_line("half");
+            client.expect_line("down");
         }
         assert_eq!(successor.metric("in_flight"), 20);
         _ = std::fs::remove_dir_all(&folder);
@@ -71,7 +71,7 @@
     build: impl Fn(Fleet) -> Fleet,
 ) -> Fleet {
     let options = FleetOptions {
-        full: 1e6,
+        warm_capacity: 1e6,
         ..FleetOptions::TRIAL
     };
     let fleet_view = FleetView {
@@ -94,7 +94,7 @@
 
 #[test]
 fn nodes_of_two_builds_share_a_fleet_view() {
-    let _turn = alone();
+    let _turn = one_test_at_a_time();
     let service = Discovery::start();
     let mut fleet = mixed_fleet(6, &service, &[], |fleet| fleet);
     for node in [0, 1] {
@@ -133,7 +133,7 @@
 /// Non-idempotent requests whose node dies are not sent again, whichever build the node and the replicas are of.
 #[test]
 fn nodes_of_two_builds_keep_records_for_each_other() {
-    let _turn = alone();
+    let _turn = one_test_at_a_time();
     let (member, lines) = host_that_counts();
     let service = Discovery::start();
     service.change(member.clone());
@@ -144,7 +144,7 @@
     thread::sleep(RECORD_LIFETIME + PERIOD);
     let ask = |fleet: &Fleet, node: usize, key: usize| {
         let mut client = Peer::connect(fleet.nodes[node].as_ref().unwrap().address);
-        client.say(&format!("OPEN {key:x} {key:x} c=chat,t=acme,d=2000"));
+        client.send_line(&format!("OPEN {key:x} {key:x} c=chat,t=acme,d=2000"));
         client
     };
     let sent = |key: usize| lines.lock().unwrap().get(&format!("{key:x}")).copied();
@@ -156,7 +156,7 @@
     fleet.kill(0, Duration::ZERO);
     fleet.kill(1, Duration::ZERO);
     for key in keys.clone() {
-        let answer = ask(&fleet, 2 + key % 4, key).hear();
+        let answer = ask(&fleet, 2 + key % 4, key).receive_line();
         assert!(
             answer.starts_with("ERR") || answer.starts_with("BUSY"),
             "{key:x}: {answer}"
@@ -192,24 +192,24 @@
             "papers = \"PAPERS\"\n[plan]\nname = \"p0\"\nlisten = \"127.0.0.1:0\"\n{}",
             listed("127.0.0.1:1".to_string())
         );
-        let planner = Node::start_of_as(&planner, "plan", &text, &config);
+        let planner = Node::start_build_as(&planner, "plan", &text, &config);
         let text = format!(
             "papers = \"PAPERS\"\n[forward]\nlease = \"250ms\"\n{}",
             listed(planner.address.to_string())
         );
-        let forwarder = Node::start_of_as(&forwarder, "forward", &text, &config);
+        let forwarder = Node::start_build_as(&forwarder, "forward", &text, &config);
         let mut open = Vec::new();
         // Before the planner has been heard the forwarder rejects.
         eventually("twenty are served", || {
             let mut client = forwarder.open(OPEN);
-            if client.hear().starts_with("UP") {
+            if client.receive_line().starts_with("UP") {
                 open.push(client);
             }
             open.len() == 20
         });
         for client in &mut open {
-            client.say("echo");
-            client.hears("echo");
+            client.send_line("echo");
+            client.expect_line("echo");
         }
     }
 }
--- a/testkit/src/coldstart/mod.rs
+++ b/testkit/src/coldstart/mod.rs
@@ -34,7 +34,7 @@
     overload_window: Duration::from_secs(1),
     overload_factor: 3.0,
     max_poll_interval: Duration::from_secs(10),
-    full: 1e6,
+    warm_capacity: 1e6,
 };
 
 /// Clients of each node where the hosts are cold: enough that chance does not send most of them to one host.
@@ -59,7 +59,7 @@
     /// The options where hosts are cold and have this multiple of the capacity that all clients need.
     fn options(&self, capacity: f64) -> FleetOptions {
         FleetOptions {
-            full: capacity * (CLIENTS_PER_NODE * self.nodes) as f64 / self.hosts as f64,
+            warm_capacity: capacity * (CLIENTS_PER_NODE * self.nodes) as f64 / self.hosts as f64,
             ..OPTIONS
         }
     }
--- a/testkit/src/coldstart/scenario.rs
+++ b/testkit/src/coldstart/scenario.rs
@@ -73,7 +73,7 @@
         program: Option<&PathBuf>,
     ) -> Self {
         let (service, hosts) = (Discovery::start(), WarmingHosts::new(options));
-        service.bound(size.rate, size.queue);
+        service.limit_rate(size.rate, size.queue);
         let host_numbers = hosts.start(size.hosts, mode == StartMode::ColdHosts);
         for member in hosts.members(host_numbers.clone()) {
             service.change(member);
@@ -83,7 +83,7 @@
             fleet = fleet.of(program.clone());
         }
         if mode == StartMode::Alone {
-            fleet = fleet.each_alone();
+            fleet = fleet.with_each_configured_alone();
         }
         Scenario {
             service,
--- a/testkit/src/discovery.rs
+++ b/testkit/src/discovery.rs
@@ -130,7 +130,7 @@
     }
 
     /// From now on it works calls off one by one, so many a second, and rejects those that would wait longer than this.
-    pub fn bound(&self, a_second: f64, queue: Duration) {
+    pub fn limit_rate(&self, a_second: f64, queue: Duration) {
         self.state().rate_limit = Some(RateLimit {
             time_per_call: Duration::from_secs_f64(1.0 / a_second),
             max_wait: queue,
@@ -138,7 +138,7 @@
     }
 
     /// From now on it works calls off as fast as it can.
-    pub fn unbound(&self) {
+    pub fn lift_rate_limit(&self) {
         self.state().rate_limit = None;
     }
 
@@ -171,12 +171,12 @@
     }
 
     /// Watches that wait now are never answered, and stay open; later calls are answered.
-    pub fn fall_silent(&self) {
+    pub fn silence_watches(&self) {
         self.state().silences += 1;
     }
 
     /// Rejects so many of ten calls.
-    pub fn turn_away(&self, of_ten: usize) {
+    pub fn reject_of_ten(&self, of_ten: usize) {
         self.state().rejected_of_ten = of_ten;
     }
 
--- a/testkit/src/fleet/mod.rs
+++ b/testkit/src/fleet/mod.rs
@@ -23,7 +23,7 @@
 pub const IDEMPOTENCY_WINDOW: Duration = Duration::from_millis(1500);
 
 /// Has the tests of one binary run one at a time: each starts dozens of processes and depends on time.
-pub fn alone() -> MutexGuard<'static, ()> {
+pub fn one_test_at_a_time() -> MutexGuard<'static, ()> {
     static LOCK: Mutex<()> = Mutex::new(());
     LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/testkit/src/fleet/options.rs
+++ b/testkit/src/fleet/options.rs
@@ -16,7 +16,7 @@
     /// The longest interval between two calls of a node to the list service.
     pub max_poll_interval: Duration,
     /// Connections that fill a warm host.
-    pub full: f64,
+    pub warm_capacity: f64,
 }
 
 impl FleetOptions {
@@ -28,7 +28,7 @@
         overload_window: Duration::from_millis(500),
         overload_factor: 3.0,
         max_poll_interval: Duration::from_secs(4),
-        full: 120.0,
+        warm_capacity: 120.0,
     };
 
     /// How many connections a host of this age may be sent within one overload window.
@@ -36,7 +36,10 @@
         let progress = (age.as_secs_f64() / self.warm_up.as_secs_f64()).min(1.0);
         let capacity_share =
             self.warm_up_initial_share + (1.0 - self.warm_up_initial_share) * progress;
-        self.overload_factor * capacity_share * self.full * self.overload_window.as_secs_f64()
+        self.overload_factor
+            * capacity_share
+            * self.warm_capacity
+            * self.overload_window.as_secs_f64()
             / self.warm_up.as_secs_f64()
     }
 }
--- a/testkit/src/fleet/processes.rs
+++ b/testkit/src/fleet/processes.rs
@@ -85,13 +85,13 @@
     }
 
     /// With this cluster size; any process beyond it is started as a second one of another.
-    pub fn among(mut self, cluster_size: usize) -> Self {
+    pub fn with_cluster_size(mut self, cluster_size: usize) -> Self {
         self.cluster_size = cluster_size;
         self
     }
 
     /// With loads of hosts that are learned by probes alone.
-    pub fn probing(mut self) -> Self {
+    pub fn with_load_probes(mut self) -> Self {
         self.load_probes = true;
         self
     }
@@ -103,7 +103,7 @@
     }
 
     /// With processes that are configured as if each were the only one at the list service.
-    pub fn each_alone(mut self) -> Self {
+    pub fn with_each_configured_alone(mut self) -> Self {
         self.configured_alone = true;
         self
     }
@@ -203,13 +203,13 @@
     }
 
     /// Has all running processes reload a config that names another address of the list service.
-    pub fn tells_of(&mut self, discovery: SocketAddr, known: &[Value], revision: u64) {
+    pub fn move_discovery(&mut self, discovery: SocketAddr, known: &[Value], revision: u64) {
         self.discovery = discovery;
         self.reload(0..self.nodes.len(), known, revision);
     }
 
     /// Has these processes reload a config that names another cluster size.
-    pub fn tells_of_places(
+    pub fn resize_cluster(
         &mut self,
         numbers: Range<usize>,
         cluster_size: usize,
@@ -235,7 +235,7 @@
         let mut node_config = self.node_config(of, known, revision);
         node_config["listen"] = json!("127.0.0.1:0");
         let operator_config = self.fleet_view().operator_config(self.cluster_size);
-        let twin = Node::start_of_as(&self.program, "node", &operator_config, &node_config);
+        let twin = Node::start_build_as(&self.program, "node", &operator_config, &node_config);
         self.front.add(twin.address);
         self.nodes[self.cluster_size] = Some(twin);
     }
@@ -326,9 +326,9 @@
     fn start(&self, program: &Path) -> Node {
         match &self.operator_config {
             Some(operator_config) => {
-                Node::start_of_as(program, "node", operator_config, &self.node_config)
+                Node::start_build_as(program, "node", operator_config, &self.node_config)
             }
-            None => Node::start_of(program, &self.node_config),
+            None => Node::start_build(program, &self.node_config),
         }
     }
 }
--- a/testkit/src/fleet/warming_hosts_tests.rs
+++ b/testkit/src/fleet/warming_hosts_tests.rs
@@ -8,7 +8,7 @@
     overload_window: Duration::from_secs(1),
     overload_factor: 3.0,
     max_poll_interval: Duration::from_secs(4),
-    full: 40.0,
+    warm_capacity: 40.0,
 };
 
 /// Sends a request to a host as a node would, and returns the connection.
--- a/testkit/src/network/mod.rs
+++ b/testkit/src/network/mod.rs
@@ -63,7 +63,7 @@
     /// By sender, then by receiver.
     link_faults: Vec<Vec<LinkFaults>>,
     traffic: TrafficCounts,
-    /// What was sent since [`FaultyNetwork::take_down`].
+    /// What was sent since [`FaultyNetwork::record_datagrams`].
     recorded: Option<Vec<Datagram>>,
     /// What the event loop is to send once more.
     replayed: Vec<Datagram>,
@@ -138,7 +138,7 @@
     }
 
     /// Records all datagrams that are sent from now on.
-    pub fn take_down(&self) {
+    pub fn record_datagrams(&self) {
         self.shared.lock().unwrap().recorded = Some(Vec::new());
     }
 
--- a/testkit/src/peers.rs
+++ b/testkit/src/peers.rs
@@ -40,12 +40,12 @@
     }
 
     /// Sends a line.
-    pub fn say(&mut self, line: &str) {
+    pub fn send_line(&mut self, line: &str) {
         self.write(&format!("{line}\r\n"));
     }
 
     /// The next line, or how the connection ended: `end` or `reset`.
-    pub fn hear(&mut self) -> String {
+    pub fn receive_line(&mut self) -> String {
         let mut line = Vec::new();
         match self.reader.read_until(b'\n', &mut line) {
             Ok(0) => "end".into(),
@@ -59,8 +59,8 @@
     }
 
     /// Expects the next line to be this one.
-    pub fn hears(&mut self, wanted: &str) {
-        assert_eq!(self.hear(), wanted);
+    pub fn expect_line(&mut self, wanted: &str) {
+        assert_eq!(self.receive_line(), wanted);
     }
 
     /// Reads so many bytes.
@@ -151,7 +151,7 @@
 }
 
 /// A host's listener with no room: connections to it come up only once the one that is in the way, the first, was accepted.
-pub fn jammed() -> (TcpListener, TcpStream) {
+pub fn full_listener() -> (TcpListener, TcpStream) {
     use rustix::net::{bind, listen, socket, AddressFamily, SocketType};
     let listener = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
     bind(&listener, &SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
--- a/testkit/src/program/node.rs
+++ b/testkit/src/program/node.rs
@@ -31,11 +31,11 @@
 impl Node {
     /// Starts a node with this node config.
     pub fn start(node_config: &Value) -> Self {
-        Node::start_of(&path(), node_config)
+        Node::start_build(&path(), node_config)
     }
 
     /// A node of this build of the program.
-    pub fn start_of(program: &Path, node_config: &Value) -> Self {
+    pub fn start_build(program: &Path, node_config: &Value) -> Self {
         Node::run(Launch::node(program, &node_config.to_string()))
     }
 
@@ -60,11 +60,11 @@
     /// A node that accepts clients at a listener which the test holds, with this folder for what it leaves to its
     /// successor.
     pub fn start_at(node_config: &Value, listener: &TcpListener, folder: &Path) -> Self {
-        Node::start_of_at(&path(), node_config, listener, folder)
+        Node::start_build_at(&path(), node_config, listener, folder)
     }
 
     /// The same, of this build of the program.
-    pub fn start_of_at(
+    pub fn start_build_at(
         program: &Path,
         node_config: &Value,
         listener: &TcpListener,
@@ -76,14 +76,14 @@
     }
 
     /// A node that the system allows no more than so many descriptors.
-    pub fn start_within(node_config: &Value, descriptors: usize) -> Self {
+    pub fn start_with_descriptor_limit(node_config: &Value, descriptors: usize) -> Self {
         let launch = Launch::node(&path(), &node_config.to_string());
         Node::run(launch.with_descriptor_limit(descriptors))
     }
 
     /// A process of another role, by an operator config; `PAPERS` in it stands for the file of this node config.
     pub fn start_as(role: &str, operator_config: &str, node_config: &Value) -> Self {
-        Node::start_of_as(&path(), role, operator_config, node_config)
+        Node::start_build_as(&path(), role, operator_config, node_config)
     }
 
     /// The same, whose system calls and wall clock this injector makes faulty.
@@ -98,7 +98,7 @@
     }
 
     /// A process of another role, of this build of the program.
-    pub fn start_of_as(
+    pub fn start_build_as(
         program: &Path,
         role: &str,
         operator_config: &str,
@@ -162,14 +162,14 @@
     }
 
     /// Waits for a log line that holds this text.
-    pub fn logs(&self, text: &str) -> String {
+    pub fn wait_for_log(&self, text: &str) -> String {
         self.log.wait_for(text)
     }
 
     /// A client that sends this request, under an id of its own.
     pub fn open(&self, line: &str) -> Peer {
         let mut client = Peer::connect(self.address);
-        client.say(&line.replace("9b1f", &format!("9b1f{}", unique_number())));
+        client.send_line(&line.replace("9b1f", &format!("9b1f{}", unique_number())));
         client
     }
 
@@ -177,9 +177,9 @@
     pub fn served(&self, hosts: &Hosts) -> (Peer, usize, Peer) {
         let mut client = self.open(OPEN);
         let (number, mut host) = hosts.accept();
-        assert!(host.hear().contains(" 7f3a c=chat,t=acme,d="));
-        host.say("UP 77aa");
-        client.hears("UP 77aa");
+        assert!(host.receive_line().contains(" 7f3a c=chat,t=acme,d="));
+        host.send_line("UP 77aa");
+        client.expect_line("UP 77aa");
         (client, number, host)
     }
 
--- a/testkit/src/program/ops_call.rs
+++ b/testkit/src/program/ops_call.rs
@@ -12,13 +12,13 @@
 
 /// The answer to a call, read to the end of its connection: its status, and its text.
 pub fn answered(caller: &mut Peer) -> (u16, String) {
-    let status_line = caller.hear();
+    let status_line = caller.receive_line();
     let status = status_line
         .strip_prefix("HTTP/1.1 ")
         .and_then(|rest| rest.split(' ').next()?.parse().ok());
     let length = content_length(caller, &status_line);
     let text = String::from_utf8(caller.bytes(length)).unwrap();
-    caller.hears("end");
+    caller.expect_line("end");
     (status.unwrap_or_else(|| panic!("{status_line}")), text)
 }
 
@@ -26,7 +26,7 @@
 fn content_length(caller: &mut Peer, status_line: &str) -> usize {
     let mut length = None;
     loop {
-        let line = caller.hear();
+        let line = caller.receive_line();
         // Without this, a test would never end where the answer is lost with its connection.
         assert!(
             !["end", "reset"].contains(&line.as_str()),
--- a/testkit/src/relay.rs
+++ b/testkit/src/relay.rs
@@ -10,7 +10,7 @@
 
 /// The faults of one direction.
 #[derive(Default)]
-pub struct Lane {
+pub struct RelayDirection {
     /// Bytes are dropped, and neither side learns it.
     pub cut: AtomicBool,
     /// By how many milliseconds each piece is delayed.
@@ -19,7 +19,7 @@
     pub garble: AtomicBool,
 }
 
-impl Lane {
+impl RelayDirection {
     /// Ends all faults.
     pub fn clear(&self) {
         self.cut.store(false, SeqCst);
@@ -33,9 +33,9 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// The direction from who connected to where the relay leads.
-    pub up: Arc<Lane>,
+    pub up: Arc<RelayDirection>,
     /// The direction back.
-    pub down: Arc<Lane>,
+    pub down: Arc<RelayDirection>,
     to: Arc<Mutex<SocketAddr>>,
     open: Arc<Mutex<Vec<TcpStream>>>,
 }
@@ -92,7 +92,7 @@
 }
 
 /// Copies one direction of a connection, until either side ends.
-fn pass(mut from: TcpStream, mut to: TcpStream, direction: Arc<Lane>) {
+fn pass(mut from: TcpStream, mut to: TcpStream, direction: Arc<RelayDirection>) {
     thread::spawn(move || {
         let mut bytes = vec![0; 1 << 16];
         while let Ok(count @ 1..) = from.read(&mut bytes) {
--- a/testkit/src/schedule/play.rs
+++ b/testkit/src/schedule/play.rs
@@ -167,7 +167,7 @@
             seeds: vec![0, 1],
         };
         let mut fleet = Fleet::new(nodes + 1, service.address, FleetOptions::TRIAL)
-            .among(nodes)
+            .with_cluster_size(nodes)
             .with_view(fleet_view);
         if let Some(program) = program {
             fleet = fleet.of(program.clone());
@@ -277,9 +277,11 @@
                 service.hang(*fault == ScheduledFault::Silent);
             }
             ScheduledFault::Hang | ScheduledFault::Silent => service.stop_hanging(),
-            ScheduledFault::Sluggish if begins => service.bound(SLUGGISH_RATE, SLUGGISH_QUEUE),
-            ScheduledFault::Sluggish => service.unbound(),
-            ScheduledFault::Refuse(of_ten) => service.turn_away(if begins { *of_ten } else { 0 }),
+            ScheduledFault::Sluggish if begins => service.limit_rate(SLUGGISH_RATE, SLUGGISH_QUEUE),
+            ScheduledFault::Sluggish => service.lift_rate_limit(),
+            ScheduledFault::Refuse(of_ten) => {
+                service.reject_of_ten(if begins { *of_ten } else { 0 })
+            }
             ScheduledFault::Older if begins => {
                 let older_list = &self.list[..OLDER_REVISION as usize];
                 service.restart(OLDER_REVISION, older_list);
--- a/testkit/src/soak/process_group/faults.rs
+++ b/testkit/src/soak/process_group/faults.rs
@@ -52,13 +52,13 @@
                 self.note_begin("service down".into());
             }
             SoakFault::ServiceSilent => {
-                self.services.iter().for_each(Discovery::fall_silent);
+                self.services.iter().for_each(Discovery::silence_watches);
                 self.note_begin("service silent".into());
             }
             SoakFault::ServiceRefuses => {
                 self.services
                     .iter()
-                    .for_each(|service| service.turn_away(REJECTED_OF_TEN));
+                    .for_each(|service| service.reject_of_ten(REJECTED_OF_TEN));
                 self.note_begin("service refuses".into());
             }
         }
@@ -85,7 +85,7 @@
             SoakFault::ServiceRefuses => {
                 self.services
                     .iter()
-                    .for_each(|service| service.turn_away(0));
+                    .for_each(|service| service.reject_of_ten(0));
                 self.note_service_fault("service refuses");
             }
         }
--- a/testkit/src/soak/process_group/health.rs
+++ b/testkit/src/soak/process_group/health.rs
@@ -131,8 +131,8 @@
             return "no process".to_string();
         };
         let mut client = Peer::connect(node.address);
-        client.say(&format!("OPEN r{slot}-{attempt} 7f c=free,t=acme,d=1000"));
-        client.hear()
+        client.send_line(&format!("OPEN r{slot}-{attempt} 7f c=free,t=acme,d=1000"));
+        client.receive_line()
     }
 
     /// Violations that the processes themselves count, beyond those that their logs excuse.
--- a/testkit/src/soak/process_group/mod.rs
+++ b/testkit/src/soak/process_group/mod.rs
@@ -184,7 +184,7 @@
         }
         for service in &self.services {
             service.come_up();
-            service.turn_away(0);
+            service.reject_of_ten(0);
         }
     }
 
--- a/testkit/src/two_tier_cluster.rs
+++ b/testkit/src/two_tier_cluster.rs
@@ -103,7 +103,8 @@
         };
         (0..planners).for_each(|planner| cluster.start_planner(planner));
         (0..forwarders).for_each(|forwarder| cluster.start_forwarder(forwarder));
-        let followed = |forwarder: &Node| followed_planner(&forwarder.logs(FOLLOWING)).unwrap_or(0);
+        let followed =
+            |forwarder: &Node| followed_planner(&forwarder.wait_for_log(FOLLOWING)).unwrap_or(0);
         cluster.followed_planners = cluster.forwarders.iter().map(followed).collect();
         cluster
     }
