--- a/node/tests/clocks.rs
+++ b/node/tests/clocks.rs
@@ -1,9 +1,9 @@
 //! A wall clock that is stepped, by seconds or an hour: waits, windows and the ages of hosts are spans of real time, in one
 //! process and where one takes the place of another.
 
-use reedferry_testkit::acting::{self, Clients, Hosts, Referee};
 use reedferry_testkit::program::node_config_of;
-use reedferry_testkit::syscalls::Spoiler;
+use reedferry_testkit::simulated::{self, Clients, Hosts, InvariantChecker};
+use reedferry_testkit::syscalls::SyscallInjector;
 use reedferry_testkit::{eventually, folder, listener, Discovery, Node, Peer};
 use serde_json::{json, Value};
 use std::thread;
@@ -62,13 +62,17 @@
 
 /// One node whose clock is off by so many seconds, and a host that starts with one that is off by so many.
 fn warms_up(node_off: i64, host_off: i64) {
-    let (service, referee, spoiler) = (Discovery::start(), Referee::default(), Spoiler::default());
-    let hosts = Hosts::start(3, &referee);
+    let (service, checker, injector) = (
+        Discovery::start(),
+        InvariantChecker::default(),
+        SyscallInjector::default(),
+    );
+    let hosts = Hosts::start(3, &checker);
     let warm: Value = (0..2).map(|host| hosts.member(host, "active")).collect();
-    spoiler.step_clock(node_off);
-    let node = Node::start_spoilt(&node_config(&service, warm), &spoiler);
+    injector.step_clock(node_off);
+    let node = Node::start_injected(&node_config(&service, warm), &injector);
     service.calls(2);
-    let mut standing = Clients::new(vec![node.address], &referee, 1);
+    let mut standing = Clients::new(vec![node.address], &checker, 1);
     standing.load(
         400.0,
         Duration::from_millis(100),
@@ -82,7 +86,7 @@
     new["up_since_ms"] = json!(wall(host_off));
     let start = Instant::now();
     service.change(new);
-    let mut clients = Clients::new(vec![node.address], &referee, 2);
+    let mut clients = Clients::new(vec![node.address], &checker, 2);
     clients.load(
         RATE,
         Duration::from_secs_f64(COLD + 2.0),
@@ -90,7 +94,7 @@
         Duration::from_millis(100),
     );
     let mut times: Vec<f64> = Vec::new();
-    for one in referee.reached().iter().filter(|one| one.host == 2) {
+    for one in checker.reached().iter().filter(|one| one.host == 2) {
         times.push(one.at.saturating_duration_since(start).as_secs_f64());
     }
     times.sort_by(f64::total_cmp);
@@ -119,10 +123,11 @@
         );
     }
     let warmed = times.iter().filter(|at| **at > COLD + 1.0).count();
-    let log = node.logged();
+    let log = node.drain_log();
     let log = &log[log.len().saturating_sub(12)..];
-    let last_second = |one: &&acting::Reached| one.at > start + Duration::from_secs_f64(COLD + 1.0);
-    let anywhere = referee.reached().iter().filter(last_second).count();
+    let last_second =
+        |one: &&simulated::ObservedAttempt| one.at > start + Duration::from_secs_f64(COLD + 1.0);
+    let anywhere = checker.reached().iter().filter(last_second).count();
     assert!(
         warmed as f64 > RATE / 6.0,
         "{node_off}, {host_off}: {warmed} of {anywhere} in the second after the warm-up, {:.2} s the last: {log:#?}",
@@ -141,7 +146,7 @@
         let node_config = reedferry_testkit::node_config(&hosts, service.address);
         let (held, folder) = (listener(), folder());
         let mut predecessor =
-            Node::start_spoilt_at(&node_config, &held, &folder, &Spoiler::default());
+            Node::start_injected_at(&node_config, &held, &folder, &SyscallInjector::default());
         predecessor.address = held.local_addr().unwrap();
         let (mut client, _, mut host) = predecessor.served(&hosts);
         // A line without an answer goes over with the connection.
@@ -153,9 +158,9 @@
         let mut pinged = Peer::connect(predecessor.address);
         pinged.say("PING");
         pinged.hears("PONG");
-        let spoiler = Spoiler::default();
-        spoiler.step_clock(off);
-        let mut successor = Node::start_spoilt_at(&node_config, &held, &folder, &spoiler);
+        let injector = SyscallInjector::default();
+        injector.step_clock(off);
+        let mut successor = Node::start_injected_at(&node_config, &held, &folder, &injector);
         successor.address = predecessor.address;
         predecessor.stop();
         assert!(predecessor.wait().success());
@@ -181,12 +186,12 @@
             early.is_err(),
             "{off}: {early:?} {read:?} after {:?}, {:?}",
             came.elapsed(),
-            successor.logged()
+            successor.drain_log()
         );
         host.say("answer");
         client
             .stream
-            .set_read_timeout(Some(reedferry_testkit::peers::PATIENCE))
+            .set_read_timeout(Some(reedferry_testkit::peers::MAX_WAIT))
             .unwrap();
         client.hears("answer");
         client.say("second");
@@ -200,7 +205,7 @@
         );
         assert_eq!(
             successor
-                .logged()
+                .drain_log()
                 .iter()
                 .filter(|line| line.contains("panicked"))
                 .count(),
--- a/node/tests/closing.rs
+++ b/node/tests/closing.rs
@@ -38,13 +38,13 @@
     let node = start(&hosts, &discovery, |p| p["limits"]["sockets"] = json!(64));
     // All that new work may have, less a little for what comes after.
     let mut all = resting(&node, 30);
-    node.stand_still();
+    node.suspend();
     // They come first, and whoever is oldest asks behind them.
     let _crowd: Vec<Peer> = (0..40).map(|_| Peer::connect(node.address)).collect();
     for (n, client) in all.iter_mut().take(6).enumerate() {
         client.say(&line(n));
     }
-    node.go_on();
+    node.unsuspend();
     for client in all.iter_mut().take(6) {
         let answer = match hosts.accept_soon() {
             Some((_, mut host)) => {
@@ -104,7 +104,7 @@
             if crowd.len() > 260 {
                 crowd.drain(..60);
             }
-            if node.logged().iter().any(|l| l.contains("watch begun")) {
+            if node.drain_log().iter().any(|l| l.contains("watch begun")) {
                 break;
             }
         }
@@ -143,11 +143,11 @@
         let (_, mut host) = hosts.accept();
         host.hear();
         // The answer and more of the client's bytes are there in one turn.
-        node.stand_still();
+        node.suspend();
         client.say("more than was asked for");
         host.say("BUSY");
         host.end_sending();
-        node.go_on();
+        node.unsuspend();
         let answer = client.hear();
         assert!(answer.starts_with("BUSY") || answer == "ERR", "{answer}");
         client.hears("end");
@@ -162,7 +162,7 @@
     let node = start(&hosts, &discovery, |_| {});
     for end in ["end", "reset"] {
         let (mut client, _, mut host) = node.served(&hosts);
-        node.stand_still();
+        node.suspend();
         client.say("one more");
         host.write("last");
         host.write(" words\r\nBY");
@@ -170,7 +170,7 @@
         if end == "end" {
             host.end_sending();
         }
-        node.go_on();
+        node.unsuspend();
         client.hears("last words");
         client.hears("BYE");
         if end == "reset" {
@@ -198,13 +198,13 @@
     let mut last = Peer::connect(node.address);
     last.say("PING");
     last.hears("PONG");
-    node.stand_still();
+    node.suspend();
     eventually("no time passes", || {
         since.elapsed() > Duration::from_millis(2600)
     });
     crowd.iter_mut().for_each(|other| other.write("O"));
     all[0].say(&line(1));
-    node.go_on();
+    node.unsuspend();
     let (_, mut host) = hosts.accept();
     assert!(host.hear().starts_with("OPEN 1 "));
     host.say("UP 1");
@@ -228,17 +228,17 @@
     let (mut client, _, mut host) = node.served(&hosts);
     client.say("up 1");
     host.hears("up 1");
-    node.stand_still();
+    node.suspend();
     let since = Instant::now();
     crowd.iter_mut().for_each(|other| other.write("O"));
     host.say("down 1");
     eventually("no time passes", || {
         since.elapsed() > Duration::from_millis(4700)
     });
-    node.go_on();
+    node.unsuspend();
     client.hears("down 1");
     assert!(
-        node.logged()
+        node.drain_log()
             .iter()
             .all(|line| !line.contains("silent, host")),
         "taken for silent"
@@ -248,10 +248,14 @@
 /// Guards: the rest of an answer to a ping, of which a client took a part, lost as it is ended for resting.
 #[test]
 fn the_rest_of_a_pings_answer_goes_out_before_the_end() {
-    use reedferry_testkit::syscalls::{Call, Fault, Outcome, Spoiler};
+    use reedferry_testkit::syscalls::{Call, Fault, Outcome, SyscallInjector};
     use rustix::io::Errno;
-    let (hosts, discovery, spoiler) = (Hosts::start(1), Discovery::start(), Spoiler::default());
-    let node = Node::start_spoilt(&node_config(&hosts, discovery.address), &spoiler);
+    let (hosts, discovery, injector) = (
+        Hosts::start(1),
+        Discovery::start(),
+        SyscallInjector::default(),
+    );
+    let node = Node::start_injected(&node_config(&hosts, discovery.address), &injector);
     let mut client = Peer::connect(node.address);
     // One byte of each answer goes out, and then none for a while.
     let short = Fault {
@@ -264,12 +268,12 @@
         outcome: Outcome::Fails(Errno::NOBUFS),
         every: 2,
     };
-    spoiler.set(&[fails, short]);
+    injector.set(&[fails, short]);
     client.write("PING\r\nPING\r\n");
     assert_eq!(client.bytes(1), b"P");
-    spoiler.set(&[Fault { every: 1, ..fails }]);
+    injector.set(&[Fault { every: 1, ..fails }]);
     std::thread::sleep(std::time::Duration::from_millis(2300));
-    spoiler.clear();
+    injector.clear();
     let mut heard = vec!["P".to_string() + &client.hear()];
     while heard
         .last()
--- a/node/tests/cold.rs
+++ b/node/tests/cold.rs
@@ -1,8 +1,8 @@
 //! Twenty processes of the program before one cold host: it is sent no more than its budget and chance by the sum of all,
 //! with some of them killed and started again meanwhile.
 
-use reedferry_testkit::acting::{Clients, Hosts, Referee};
 use reedferry_testkit::program::node_config_of;
+use reedferry_testkit::simulated::{Clients, Hosts, InvariantChecker};
 use reedferry_testkit::{Discovery, Node};
 use serde_json::{json, Value};
 use std::thread;
@@ -30,15 +30,15 @@
 /// Guards: a cold host pushed over by the sum of twenty processes, each of which keeps to its own part.
 #[test]
 fn twenty_processes_keep_to_the_budget_of_one_cold_host() {
-    let (service, referee) = (Discovery::start(), Referee::default());
-    let hosts = Hosts::start(WARM + 1, &referee);
+    let (service, checker) = (Discovery::start(), InvariantChecker::default());
+    let hosts = Hosts::start(WARM + 1, &checker);
     let warm: Value = (0..WARM).map(|host| hosts.member(host, "active")).collect();
     let mut nodes: Vec<Node> = (0..NODES)
         .map(|n| Node::start(&node_config(&service, warm.clone(), n)))
         .collect();
     let mut standing: Vec<Clients> = Vec::new();
     for (n, node) in nodes.iter().enumerate() {
-        let mut clients = Clients::new(vec![node.address], &referee, n as u64);
+        let mut clients = Clients::new(vec![node.address], &checker, n as u64);
         clients.load(
             100.0,
             Duration::from_millis(10 * HELD as u64),
@@ -61,11 +61,11 @@
     for round in 0..6 {
         thread::scope(|scope| {
             for (n, node) in nodes.iter().enumerate() {
-                let (address, referee) = (node.address, &referee);
+                let (address, checker) = (node.address, &checker);
                 let rate = if n % 5 == round % 5 { 8.0 } else { 2.0 };
                 scope.spawn(move || {
                     let mut clients =
-                        Clients::new(vec![address], referee, (1000 + round * NODES + n) as u64);
+                        Clients::new(vec![address], checker, (1000 + round * NODES + n) as u64);
                     clients.load(
                         rate,
                         Duration::from_secs(1),
@@ -81,7 +81,7 @@
             nodes[n] = Node::start(&node_config(&service, json!(listed), n));
         }
     }
-    let mut times: Vec<Instant> = referee
+    let mut times: Vec<Instant> = checker
         .reached()
         .iter()
         .filter(|one| one.host == WARM)
--- a/node/tests/fleet.rs
+++ b/node/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Many processes of the program beside one list service and hosts that warm up, with faults put in between them.
 //! Judged by what hosts, clients and the list service saw.
 
-use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, Guests, WarmingHosts};
+use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, ReturningClients, WarmingHosts};
 use reedferry_testkit::{eventually, Discovery, Node};
 use serde_json::Value;
 use std::ops::Range;
@@ -65,9 +65,9 @@
     }
 
     /// One client at each node.
-    fn one_each(&self, seed: u64) -> Guests {
+    fn one_each(&self, seed: u64) -> ReturningClients {
         let addresses = self.fleet.addresses();
-        Guests::come(
+        ReturningClients::come(
             addresses.len(),
             &self.fleet.front,
             Duration::ZERO,
@@ -77,10 +77,11 @@
     }
 
     /// Clients that the front deals out, until they stand.
-    fn guests(&self, count: usize, seed: u64) -> Guests {
-        let guests = Guests::come(count, &self.fleet.front, ms(500), None, seed);
-        eventually("all stand", || guests.standing() == count);
-        guests
+    fn returning_clients(&self, count: usize, seed: u64) -> ReturningClients {
+        let returning_clients =
+            ReturningClients::come(count, &self.fleet.front, ms(500), None, seed);
+        eventually("all stand", || returning_clients.standing() == count);
+        returning_clients
     }
 
     fn at(&self, after: u64) {
@@ -91,10 +92,10 @@
         self.service.seen().0.len()
     }
 
-    fn judged(&self, mut guests: Guests) {
-        guests.end();
+    fn judged(&self, mut returning_clients: ReturningClients) {
+        returning_clients.end();
         let mut broken = self.hosts.broken(ms(300));
-        broken.extend(self.fleet.broken(&guests));
+        broken.extend(self.fleet.broken(&returning_clients));
         assert!(broken.is_empty(), "{broken:#?}");
     }
 }
@@ -105,12 +106,12 @@
     let mut site = Site::new(40, 24.0);
     site.hosts(4, false);
     site.start(0..40, false);
-    let guests = site.one_each(1);
-    eventually("each node serves", || guests.standing() == 40);
+    let returning_clients = site.one_each(1);
+    eventually("each node serves", || returning_clients.standing() == 40);
     let took = site.from.elapsed();
     site.at(6500);
     let (called, turned_away) = site.service.seen();
-    site.judged(guests);
+    site.judged(returning_clients);
     assert!(
         turned_away.len() <= 4,
         "{} of {} calls turned away",
@@ -127,11 +128,11 @@
     let mut site = Site::new(1, 40.0);
     site.hosts(2, false);
     site.start(0..1, false);
-    let guests = site.one_each(8);
-    eventually("it serves", || guests.standing() == 1);
+    let returning_clients = site.one_each(8);
+    eventually("it serves", || returning_clients.standing() == 1);
     let took = site.from.elapsed();
     assert!(took <= ms(1500), "it served after {took:?}");
-    site.judged(guests);
+    site.judged(returning_clients);
 }
 
 /// Guards: nodes that wait in a circle, or call faster and faster, where nobody knows anything and the service is
@@ -142,7 +143,7 @@
     site.service.go_down();
     site.hosts(4, false);
     site.start(0..20, false);
-    let guests = site.one_each(2);
+    let returning_clients = site.one_each(2);
     for node in site.fleet.nodes.iter().flatten() {
         node.logs("discovery call failed");
     }
@@ -153,19 +154,19 @@
         (20..=90).contains(&down),
         "{down} calls of 20 nodes in 3.5 s"
     );
-    assert_eq!(guests.standing(), 0);
+    assert_eq!(returning_clients.standing(), 0);
     site.service.turn_away(9);
     site.service.come_up();
     site.at(5500);
     site.service.turn_away(0);
     let well = Instant::now();
-    eventually("each node serves", || guests.standing() == 20);
+    eventually("each node serves", || returning_clients.standing() == 20);
     let took = well.elapsed();
     assert!(
         took <= ms(2500),
         "the last node served {took:?} after the service was well"
     );
-    site.judged(guests);
+    site.judged(returning_clients);
 }
 
 /// Guards: hosts that are all new pushed over by nodes that are all new, and clients sent away for longer than the
@@ -175,9 +176,9 @@
     let mut site = Site::new(20, 40.0);
     site.hosts(6, true);
     site.start(0..20, false);
-    let guests = site.guests(90, 6);
+    let returning_clients = site.returning_clients(90, 6);
     let took = site.from.elapsed();
-    site.judged(guests);
+    site.judged(returning_clients);
     assert!(took <= ms(8000), "the last client stood after {took:?}");
 }
 
@@ -194,12 +195,12 @@
     let list: Vec<Value> = (0..5000).map(named).collect();
     site.service.restart(1, &list);
     site.start(0..14, false);
-    let guests = site.one_each(7);
+    let returning_clients = site.one_each(7);
     // How soon hangs on what writes the list here.
-    eventually("each node serves", || guests.standing() == 14);
+    eventually("each node serves", || returning_clients.standing() == 14);
     site.at(6500);
     let calls = site.calls();
-    site.judged(guests);
+    site.judged(returning_clients);
     assert!(calls <= 31, "{calls} calls of 14 nodes");
 }
 
@@ -211,7 +212,7 @@
     let mut site = Site::new(20, 1e6);
     site.hosts(12, false);
     site.start(0..20, true);
-    let guests = site.guests(240, 3);
+    let returning_clients = site.returning_clients(240, 3);
     let new = site.hosts(12, true);
     let from = Instant::now();
     let mut stopped: Vec<Node> = Vec::new();
@@ -241,7 +242,7 @@
         site.hosts.standing(new.clone()),
         site.hosts.standing(0..new.end),
     );
-    site.judged(guests);
+    site.judged(returning_clients);
     // They are twelve of the twenty hosts that stay.
     assert!(2 * there >= all, "{there} of {all} at the new hosts");
 }
@@ -253,7 +254,7 @@
     let mut site = Site::new(16, 1e6);
     site.hosts(6, false);
     site.start(0..16, true);
-    let guests = site.guests(96, 5);
+    let returning_clients = site.returning_clients(96, 5);
     for host in [0, 1] {
         site.service.change(site.hosts.member(host, "leaving"));
         site.hosts.drains(host);
@@ -283,7 +284,7 @@
     for node in 0..8 {
         drop(site.fleet.stop(node, ms(50)));
     }
-    eventually("all stand again", || guests.standing() == 96);
+    eventually("all stand again", || returning_clients.standing() == 96);
     let calls = site.calls() - before;
     assert!(calls <= 16 * 4, "{calls} calls of 16 nodes");
     let pieces = site.hosts.arrived(4).len();
@@ -294,7 +295,7 @@
     eventually("hosts that the pieces named are used again", || {
         site.hosts.arrived(4).len() > pieces
     });
-    site.judged(guests);
+    site.judged(returning_clients);
 }
 
 /// Guards: cold hosts pushed over, and clients lost, when most of a fleet dies and all its clients come to nodes
@@ -304,12 +305,12 @@
     let mut site = Site::new(20, 40.0);
     site.hosts(8, false);
     site.start(0..20, true);
-    let guests = site.guests(160, 4);
+    let returning_clients = site.returning_clients(160, 4);
     site.hosts(4, true);
     let from = Instant::now();
     (0..14).for_each(|node| site.fleet.kill(node, ms(300)));
     thread::sleep(ms(300));
-    (14..16).for_each(|node| site.fleet.stand_still(node));
+    (14..16).for_each(|node| site.fleet.suspend(node));
     for step in 0..7 {
         thread::sleep(
             (from + ms(500 + 200 * step as u64)).saturating_duration_since(Instant::now()),
@@ -317,10 +318,10 @@
         site.start(2 * step..2 * step + 2, true);
     }
     thread::sleep((from + ms(3300)).saturating_duration_since(Instant::now()));
-    (14..16).for_each(|node| site.fleet.go_on(node));
-    eventually("all stand again", || guests.standing() == 160);
+    (14..16).for_each(|node| site.fleet.unsuspend(node));
+    eventually("all stand again", || returning_clients.standing() == 160);
     let took = from.elapsed();
     thread::sleep((from + ms(6000)).saturating_duration_since(Instant::now()));
-    site.judged(guests);
+    site.judged(returning_clients);
     assert!(took <= ms(12_000), "all stood again after {took:?}");
 }
--- a/node/tests/gone.rs
+++ b/node/tests/gone.rs
@@ -111,11 +111,11 @@
         let node = start(hosts.members(), &discovery, cancel);
         let (client, mut host) = attempt(&node, &hosts);
         // Both wait for the node when it goes on: the end of the attempt, and of the client.
-        node.stand_still();
+        node.suspend();
         host.say("BUSY");
         host.end_sending();
         let kept = goes(client, way);
-        node.go_on();
+        node.unsuspend();
         has_read(&node);
         assert!(
             hosts.accept_soon().is_none(),
@@ -137,7 +137,7 @@
         client.say("PING");
         client.hears("PONG");
     });
-    node.stand_still();
+    node.suspend();
     let mut kept = Vec::new();
     let fresh = (0..40).map(|_| Peer::connect(node.address));
     for (n, mut client) in before.into_iter().chain(fresh).enumerate() {
@@ -146,7 +146,7 @@
     }
     let mut stays = Peer::connect(node.address);
     stays.say(&line(999));
-    node.go_on();
+    node.unsuspend();
     let (_, mut host) = hosts.accept();
     assert!(host.hear().starts_with("OPEN 3e7 "), "one that had gone");
     host.say("UP 1");
@@ -186,13 +186,13 @@
         let mut crowd: Vec<Peer> = (0..700).map(|_| Peer::connect(node.address)).collect();
         has_read(&node);
         let (client, mut host) = attempt(&node, &hosts);
-        node.stand_still();
+        node.suspend();
         host.say("BUSY");
         host.end_sending();
         // What is ready first is told first, so many in one turn.
         crowd.iter_mut().for_each(|other| other.write("O"));
         let kept = goes(client, way);
-        node.go_on();
+        node.unsuspend();
         has_read(&node);
         assert!(
             hosts.accept_soon().is_none(),
--- a/node/tests/handover.rs
+++ b/node/tests/handover.rs
@@ -1,7 +1,7 @@
 //! A connection that passes from one process to the next has one owner at each moment, also where a word between both can't be
 //! sent or read for a while, or the next process stands still.
 
-use reedferry_testkit::syscalls::{Call, Fault, Outcome, Spoiler};
+use reedferry_testkit::syscalls::{Call, Fault, Outcome, SyscallInjector};
 use reedferry_testkit::*;
 use rustix::io::Errno;
 use serde_json::{json, Value};
@@ -44,9 +44,9 @@
         }
     }
 
-    fn start(&self, spoiler: &Spoiler) -> Node {
+    fn start(&self, injector: &SyscallInjector) -> Node {
         let mut node =
-            Node::start_spoilt_at(&self.node_config, &self.listener, &self.folder, spoiler);
+            Node::start_injected_at(&self.node_config, &self.listener, &self.folder, injector);
         node.address = self.listener.local_addr().unwrap();
         node
     }
@@ -62,16 +62,16 @@
 #[test]
 fn what_the_next_process_has_taken_stays_with_it_though_its_word_is_read_late() {
     let site = Site::new();
-    let spoiler = Spoiler::default();
-    let mut predecessor = site.start(&spoiler);
+    let injector = SyscallInjector::default();
+    let mut predecessor = site.start(&injector);
     let mut open: Vec<_> = (0..CONNECTIONS)
         .map(|_| predecessor.served(&site.hosts))
         .collect();
-    let _heir = site.start(&Spoiler::default());
-    spoiler.set(&[never_succeeds(Call::ReceiveMessage)]);
+    let _heir = site.start(&SyscallInjector::default());
+    injector.set(&[never_succeeds(Call::ReceiveMessage)]);
     predecessor.stop();
     thread::sleep(LONGER_THAN_A_WORD_MAY_TAKE);
-    spoiler.clear();
+    injector.clear();
     assert!(predecessor.wait().success());
     for (number, (client, _, host)) in open.iter_mut().enumerate() {
         for line in [format!("first {number}"), format!("second {number}")] {
@@ -87,15 +87,15 @@
 #[test]
 fn the_next_process_touches_nothing_before_it_has_said_that_it_goes_on_with_it() {
     let site = Site::new();
-    let spoiler = Spoiler::default();
-    let mut predecessor = site.start(&Spoiler::default());
+    let injector = SyscallInjector::default();
+    let mut predecessor = site.start(&SyscallInjector::default());
     let mut open: Vec<_> = (0..CONNECTIONS)
         .map(|_| predecessor.served(&site.hosts))
         .collect();
-    let _heir = site.start(&spoiler);
-    spoiler.set(&[never_succeeds(Call::SendMessage)]);
+    let _heir = site.start(&injector);
+    injector.set(&[never_succeeds(Call::SendMessage)]);
     predecessor.stop();
-    eventually("the first connection came", || spoiler.spoilt() > 0);
+    eventually("the first connection came", || injector.spoilt() > 0);
     for (client, ..) in &mut open {
         client.say("early");
     }
@@ -113,7 +113,7 @@
         }
         thread::sleep(Duration::from_millis(20));
     }
-    spoiler.clear();
+    injector.clear();
     for (client, _, host) in &mut open {
         host.hears("early");
         host.say("late");
@@ -128,12 +128,12 @@
     let mut site = Site::new();
     site.node_config["settings"]["offerings"][0]["expiry"] = json!(500.0);
     site.node_config["settings"]["offerings"][0]["contract_time"] = json!(300.0);
-    let mut predecessor = site.start(&Spoiler::default());
+    let mut predecessor = site.start(&SyscallInjector::default());
     let mut open: Vec<_> = (0..CONNECTIONS)
         .map(|_| predecessor.served(&site.hosts))
         .collect();
-    let successor = site.start(&Spoiler::default());
-    successor.stand_still();
+    let successor = site.start(&SyscallInjector::default());
+    successor.suspend();
     // It stands still once this is said of it.
     predecessor.stop();
     let asked = Instant::now();
@@ -146,7 +146,7 @@
         "{:?}",
         asked.elapsed()
     );
-    successor.go_on();
+    successor.unsuspend();
     assert!(predecessor.wait().success());
     for (_, _, host) in &mut open {
         host.hears("end");
--- a/node/tests/machine.rs
+++ b/node/tests/machine.rs
@@ -1,7 +1,7 @@
 //! Trouble of the own machine: system calls that fail for want of memory, descriptors, ports or a route, are interrupted,
 //! fall short or are held up. No request loses its answer by it, no host its good name, and no signal or settings are missed.
 
-use reedferry_testkit::syscalls::{Call, Fault, Outcome, Spoiler};
+use reedferry_testkit::syscalls::{Call, Fault, Outcome, SyscallInjector};
 use reedferry_testkit::*;
 use rustix::io::Errno;
 use serde_json::{json, Value};
@@ -51,24 +51,28 @@
 /// A node before three hosts that take whoever comes.
 struct Site {
     node: Node,
-    spoiler: Spoiler,
+    injector: SyscallInjector,
     discovery: Discovery,
     node_config: Value,
 }
 
 impl Site {
     fn start(faults: &[Fault]) -> Site {
-        let (hosts, discovery, spoiler) = (Hosts::start(3), Discovery::start(), Spoiler::default());
+        let (hosts, discovery, injector) = (
+            Hosts::start(3),
+            Discovery::start(),
+            SyscallInjector::default(),
+        );
         let mut node_config = node_config(&hosts, discovery.address);
         node_config["ops"] = json!("127.0.0.1:0");
         thread::spawn(move || loop {
             echo(hosts.accept().1);
         });
-        spoiler.set(faults);
-        let node = Node::start_spoilt(&node_config, &spoiler);
+        injector.set(faults);
+        let node = Node::start_injected(&node_config, &injector);
         Site {
             node,
-            spoiler,
+            injector,
             discovery,
             node_config,
         }
@@ -122,22 +126,22 @@
         ),
     ] {
         let site = Site::start(&[]);
-        site.spoiler.set(&[fault]);
+        site.injector.set(&[fault]);
         let heard = site.heard();
         let count = |word: &str| heard.iter().filter(|said| said.starts_with(word)).count();
         let (up, busy) = (count("UP"), count("BUSY"));
-        assert!(site.spoiler.spoilt() > 5, "{fault:?}: too tame");
+        assert!(site.injector.spoilt() > 5, "{fault:?}: too tame");
         assert_eq!(up + busy, CLIENTS, "{fault:?}: {heard:?}");
         assert!(
             up as f64 >= least * CLIENTS as f64,
             "{fault:?}: {up} served, {busy} refused"
         );
-        site.spoiler.clear();
+        site.injector.clear();
         assert!(
             site.node.open(OPEN).hear().starts_with("UP"),
             "{fault:?}: a host is left out for it"
         );
-        assert_eq!(site.node.figure("violations.unanswered"), 0, "{fault:?}");
+        assert_eq!(site.node.metric("violations.unanswered"), 0, "{fault:?}");
     }
 }
 
@@ -152,13 +156,13 @@
         let site = Site::start(&[]);
         let mut client = site.node.open(OPEN);
         client.hears("UP 1");
-        site.spoiler.set(&[fails(call, errno, 3)]);
+        site.injector.set(&[fails(call, errno, 3)]);
         for n in 0..40 {
             let line = format!("line {n}");
             client.say(&line);
             client.hears(&line);
         }
-        assert!(site.spoiler.spoilt() > 10, "{call:?} {errno:?}: too tame");
+        assert!(site.injector.spoilt() > 10, "{call:?} {errno:?}: too tame");
     }
 }
 
@@ -184,20 +188,20 @@
         site.node_config["discovery"] = json!(other.address.to_string());
         let before = Instant::now();
         // The first try after this fails, whatever came before.
-        site.spoiler.set(&[Fault { every: 1, ..fault }]);
-        site.node.reread(&site.node_config.to_string());
+        site.injector.set(&[Fault { every: 1, ..fault }]);
+        site.node.reload(&site.node_config.to_string());
         thread::sleep(Duration::from_millis(300));
-        site.spoiler.set(&[fault]);
+        site.injector.set(&[fault]);
         other.calls(1);
         assert!(
             before.elapsed() < Duration::from_secs(4),
             "{fault:?}: {:?}",
             before.elapsed()
         );
-        site.spoiler.set(&[Fault { every: 1, ..fault }]);
+        site.injector.set(&[Fault { every: 1, ..fault }]);
         site.node.stop();
         thread::sleep(Duration::from_millis(300));
-        site.spoiler.set(&[fault]);
+        site.injector.set(&[fault]);
         assert!(site.node.wait().success(), "{fault:?}");
         assert!(
             before.elapsed() < Duration::from_secs(8),
@@ -217,13 +221,13 @@
             let (hosts, discovery) = (Hosts::start(2), Discovery::start());
             let node_config = node_config(&hosts, discovery.address);
             let (held, folder) = (listener(), folder());
-            let (before, next) = (Spoiler::default(), Spoiler::default());
-            let mut predecessor = Node::start_spoilt_at(&node_config, &held, &folder, &before);
+            let (before, next) = (SyscallInjector::default(), SyscallInjector::default());
+            let mut predecessor = Node::start_injected_at(&node_config, &held, &folder, &before);
             predecessor.address = held.local_addr().unwrap();
             let mut open: Vec<_> = (0..20).map(|_| predecessor.served(&hosts)).collect();
             let spoilt = if spoils_next { &next } else { &before };
             spoilt.set(&[fails(call, Errno::NOBUFS, 2)]);
-            let mut successor = Node::start_spoilt_at(&node_config, &held, &folder, &next);
+            let mut successor = Node::start_injected_at(&node_config, &held, &folder, &next);
             predecessor.stop();
             assert!(predecessor.wait().success());
             for (n, (client, _, host)) in open.iter_mut().enumerate() {
@@ -245,7 +249,7 @@
 #[test]
 fn a_process_that_is_held_up_before_it_writes_keeps_to_the_grace_of_a_drain() {
     let (listener, first) = jammed();
-    let (discovery, spoiler) = (Discovery::start(), Spoiler::default());
+    let (discovery, injector) = (Discovery::start(), SyscallInjector::default());
     let late = |phase| member(5, &listener.local_addr().unwrap().to_string(), phase);
     let mut node_config = program::node_config_of(json!([late("active")]), discovery.address);
     node_config["settings"]["policy_limits"]["connect_timeout"] = json!(5000.0);
@@ -253,7 +257,7 @@
     node_config["settings"]["offerings"][0]["contract_time"] = json!(6000.0);
     // The system asks for a connection again a second after the first time, which is then in the last part of the grace.
     node_config["settings"]["contract"]["drain_grace"] = json!(1000.0);
-    let node = Node::start_spoilt(&node_config, &spoiler);
+    let node = Node::start_injected(&node_config, &injector);
     discovery.calls(1);
     let asked = Instant::now();
     let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
@@ -263,7 +267,7 @@
     eventually("the watch goes on", || discovery.asked().len() >= 2);
     drop(first);
     drop(accept(&listener));
-    spoiler.set(&[Fault {
+    injector.set(&[Fault {
         call: Call::Send,
         outcome: Outcome::HeldUp(Duration::from_millis(150)),
         every: 1,
@@ -291,8 +295,8 @@
     let mut node_config = program::node_config_of(json!([late]), discovery.address);
     node_config["settings"]["policy_limits"]["connect_timeout"] = json!(5000.0);
     node_config["settings"]["offerings"][0]["contract_time"] = json!(2000.0);
-    let spoiler = Spoiler::default();
-    let node = Node::start_spoilt(&node_config, &spoiler);
+    let injector = SyscallInjector::default();
+    let node = Node::start_injected(&node_config, &injector);
     discovery.calls(1);
     let mut client = node.open(OPEN);
     let mut other = Peer::connect(node.address);
@@ -304,7 +308,7 @@
     // Held up right before it waits: what is ready then is seen before what is due. A process that a signal stops is woken
     // with nothing ready, and sees what is due first.
     let held = Outcome::HeldUp(Duration::from_millis(3000));
-    spoiler.set(&[Fault {
+    injector.set(&[Fault {
         call: Call::EpollWait,
         outcome: held,
         every: 1,
@@ -314,7 +318,7 @@
     drop(first);
     drop(accept(&listener));
     let stream = accept(&listener);
-    spoiler.clear();
+    injector.clear();
     let line = Peer::new(stream).hear();
     assert!(!line.starts_with("OPEN"), "{line}");
     assert!(client.hear().starts_with("BUSY"));
@@ -326,7 +330,8 @@
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
     let (held, folder) = (listener(), folder());
     let node_config = node_config(&hosts, discovery.address);
-    let mut node = Node::start_spoilt_at(&node_config, &held, &folder, &Spoiler::default());
+    let mut node =
+        Node::start_injected_at(&node_config, &held, &folder, &SyscallInjector::default());
     node.address = held.local_addr().unwrap();
     let from = Instant::now();
     let mut clients = Vec::new();
@@ -339,9 +344,9 @@
         clients.push((Instant::now(), client));
     }
     thread::sleep((from + Duration::from_millis(2300)).saturating_duration_since(Instant::now()));
-    node.stand_still();
+    node.suspend();
     thread::sleep(Duration::from_millis(2300));
-    node.go_on();
+    node.unsuspend();
     let on = Instant::now();
     for (asked, client) in &mut clients {
         client.hears("ERR");
@@ -376,7 +381,7 @@
         },
     ] {
         let site = Site::start(&[]);
-        site.spoiler.set(&[fault]);
+        site.injector.set(&[fault]);
         for _ in 0..20 {
             let asked = Instant::now();
             let (status, text) = site.node.call("GET /status");
@@ -388,7 +393,7 @@
                 asked.elapsed()
             );
         }
-        assert!(site.spoiler.spoilt() > 5, "{fault:?}: too tame");
+        assert!(site.injector.spoilt() > 5, "{fault:?}: too tame");
     }
 }
 
@@ -402,25 +407,29 @@
         every: 1,
     };
     for fault in [short, fails(Call::Send, Errno::NOBUFS, 2)] {
-        let (hosts, discovery, spoiler) = (Hosts::start(1), Discovery::start(), Spoiler::default());
+        let (hosts, discovery, injector) = (
+            Hosts::start(1),
+            Discovery::start(),
+            SyscallInjector::default(),
+        );
         let mut node_config = node_config(&hosts, discovery.address);
         node_config["limits"]["sockets"] = json!(64);
-        let node = Node::start_spoilt(&node_config, &spoiler);
+        let node = Node::start_injected(&node_config, &injector);
         for _ in 0..4 {
             let mut client = node.open(OPEN);
             let (_, mut host) = hosts.accept();
             host.hear();
-            spoiler.set(&[fault]);
+            injector.set(&[fault]);
             client.end_sending();
             client.hears("ERR");
-            spoiler.clear();
+            injector.clear();
         }
-        spoiler.set(&[fault]);
+        injector.set(&[fault]);
         let crowd: Vec<Peer> = (0..90).map(|_| Peer::connect(node.address)).collect();
         for mut client in crowd {
             client.hears("BUSY");
         }
-        assert!(spoiler.spoilt() > 20, "{fault:?}: too tame");
+        assert!(injector.spoilt() > 20, "{fault:?}: too tame");
     }
 }
 
@@ -428,11 +437,15 @@
 /// itself next to no time before the expiry.
 #[test]
 fn final_answers_are_in_time_though_the_process_is_woken_late() {
-    let (hosts, discovery, spoiler) = (Hosts::start(1), Discovery::start(), Spoiler::default());
+    let (hosts, discovery, injector) = (
+        Hosts::start(1),
+        Discovery::start(),
+        SyscallInjector::default(),
+    );
     let mut node_config = node_config(&hosts, discovery.address);
     node_config["ops"] = json!("127.0.0.1:0");
     node_config["settings"]["offerings"][0]["effect"] = json!("single_shot");
-    let node = Node::start_spoilt(&node_config, &spoiler);
+    let node = Node::start_injected(&node_config, &injector);
     let mut clients = Vec::new();
     for n in 0..8 {
         // Each at another distance from the next look round.
@@ -441,19 +454,19 @@
         clients.push(node.open(&line));
     }
     let silent: Vec<_> = clients.iter().map(|_| hosts.accept()).collect();
-    spoiler.set(&[Fault {
+    injector.set(&[Fault {
         call: Call::EpollWait,
         outcome: Outcome::HeldUp(Duration::from_millis(75)),
         every: 1,
     }]);
     clients.iter_mut().for_each(|client| client.hears("ERR"));
-    assert!(spoiler.spoilt() > 5, "too tame");
-    spoiler.clear();
+    assert!(injector.spoilt() > 5, "too tame");
+    injector.clear();
     assert_eq!(
-        node.figure("violations.answered_late"),
+        node.metric("violations.answered_late"),
         0,
         "{:#?}",
-        node.logged()
+        node.drain_log()
     );
     drop(silent);
 }
--- a/node/tests/members.rs
+++ b/node/tests/members.rs
@@ -1,10 +1,10 @@
 //! Processes of the program that keep a view of their fleet, with faults put between them: how soon the view settles,
 //! who is put out and who is not. What clients and hosts saw is judged beside it where there is load.
 
-use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, Guests, WarmingHosts};
+use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, ReturningClients, WarmingHosts};
+use reedferry_testkit::fleet_view::{started, FleetView};
+use reedferry_testkit::network::{FaultyNetwork, LinkFaults};
 use reedferry_testkit::schedule::{play, Schedule};
-use reedferry_testkit::view::{started, View};
-use reedferry_testkit::ways::{Spoil, Ways};
 use reedferry_testkit::{eventually, Discovery};
 use std::net::UdpSocket;
 use std::thread;
@@ -29,7 +29,7 @@
 fn wronged(fleet: &Fleet, but: &[usize]) -> Vec<String> {
     let of = |line: &String, node: &usize| format!("{line},").contains(&format!("name: n{node},"));
     fleet
-        .put_out()
+        .members_declared_dead()
         .into_iter()
         .filter(|line| !but.iter().any(|node| of(line, node)))
         .collect()
@@ -63,20 +63,23 @@
     let _turn = alone();
     let (_service, fleet) = agreed(20, 2);
     for (periods, parts) in [(20, 2), (30, 3)] {
-        fleet.view().ways.split(|node| node % parts);
+        fleet.fleet_view().network.split(|node| node % parts);
         thread::sleep(PERIOD * periods);
-        fleet.view().ways.heal();
+        fleet.fleet_view().network.heal();
         agree(&fleet, 10, "after a cut");
     }
-    fleet.view().ways.split(|node| usize::from(node == 19));
+    fleet
+        .fleet_view()
+        .network
+        .split(|node| usize::from(node == 19));
     thread::sleep(PERIOD * 30);
-    fleet.view().ways.heal();
+    fleet.fleet_view().network.heal();
     agree(&fleet, 10, "after one was cut off");
-    fleet.put_out();
+    fleet.members_declared_dead();
     let cut = |from, to| (from, to) == (3, 4) || (from, to) == (4, 3) || (from, to) == (7, 8);
-    fleet.view().ways.set(|from, to| Spoil {
+    fleet.fleet_view().network.set(|from, to| LinkFaults {
         cut: cut(from, to),
-        ..Spoil::default()
+        ..LinkFaults::default()
     });
     thread::sleep(PERIOD * 40);
     assert_eq!(wronged(&fleet, &[]), [""; 0]);
@@ -89,18 +92,18 @@
     let _turn = alone();
     let (_service, mut fleet) = agreed(12, 3);
     let delay = PERIOD / 10;
-    fleet.view().ways.set(|_, _| Spoil {
+    fleet.fleet_view().network.set(|_, _| LinkFaults {
         loss: 0.2,
-        double: 0.1,
+        duplicate: 0.1,
         delay,
-        ..Spoil::default()
+        ..LinkFaults::default()
     });
     thread::sleep(PERIOD * 60);
-    fleet.view().ways.heal();
+    fleet.fleet_view().network.heal();
     agree(&fleet, 10, "after the loss");
-    fleet.stand_still(5);
+    fleet.suspend(5);
     thread::sleep(PERIOD * 2);
-    fleet.go_on(5);
+    fleet.unsuspend(5);
     for _ in 0..30 {
         fleet.pause(6);
         thread::sleep(PERIOD * 9 / 10);
@@ -114,10 +117,10 @@
     agree(&fleet, 10, "after a restart");
     thread::sleep(PERIOD * 10);
     assert_eq!(wronged(&fleet, &[]), [""; 0]);
-    fleet.stand_still(9);
+    fleet.suspend(9);
     thread::sleep(PERIOD * 40);
     let word = |fleet: &Fleet| fleet.status(9).and_then(|status| status["word"].as_u64());
-    fleet.go_on(9);
+    fleet.unsuspend(9);
     agree(&fleet, 10, "after a long stop");
     assert!(word(&fleet) > Some(0));
     assert!(fleet.nodes[9]
@@ -132,8 +135,8 @@
 fn strangers_are_a_line_and_of_two_under_one_name_the_later_counts() {
     let _turn = alone();
     let service = Discovery::start();
-    let view = View {
-        ways: Ways::new(7, 4),
+    let fleet_view = FleetView {
+        network: FaultyNetwork::new(7, 4),
         period: PERIOD,
         seeds: vec![0, 1, 2],
     };
@@ -143,20 +146,20 @@
     };
     let mut fleet = Fleet::new(7, service.address, options)
         .among(6)
-        .with_view(view);
+        .with_view(fleet_view);
     // Two of three seeds are dead.
     fleet.start(&[0, 3, 4, 5], &[], 0);
     agree(&fleet, 20, "with two dead seeds");
     fleet.start(&[1, 2], &[], 0);
     agree(&fleet, 20, "with all");
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let at = fleet.view().ways.behind[3];
+    let at = fleet.fleet_view().network.process_addresses[3];
     for n in 0..2000u32 {
         _ = stranger.send_to(&n.to_le_bytes().repeat((n % 300) as usize), at);
     }
     thread::sleep(PERIOD * 5);
     agree(&fleet, 5, "after a flood");
-    let lines = fleet.nodes[3].as_ref().unwrap().logged();
+    let lines = fleet.nodes[3].as_ref().unwrap().drain_log();
     let dropped = lines
         .iter()
         .filter(|line| line.contains("letter dropped"))
@@ -164,7 +167,7 @@
     assert!((1..=5).contains(&dropped), "{dropped} lines on strangers");
     assert!(lines.iter().all(|line| !line.contains("member gone")));
     // What was said while one was taken for dead and came back, said again later; and the same by another version.
-    fleet.view().ways.take_down();
+    fleet.fleet_view().network.take_down();
     fleet.kill(5, Duration::ZERO);
     agree(&fleet, 20, "after a death");
     fleet.start(&[5], &[], 0);
@@ -173,14 +176,14 @@
         .nodes
         .iter()
         .flatten()
-        .for_each(|node| drop(node.logged()));
-    assert!(fleet.view().ways.replay(|_| ()) > 100);
+        .for_each(|node| drop(node.drain_log()));
+    assert!(fleet.fleet_view().network.replay(|_| ()) > 100);
     thread::sleep(PERIOD * 10);
     agree(&fleet, 5, "after a replay");
     assert_eq!(wronged(&fleet, &[]), [""; 0]);
     fleet
-        .view()
-        .ways
+        .fleet_view()
+        .network
         .replay(|bytes| bytes.iter_mut().take(1).for_each(|version| *version += 1));
     fleet.nodes[0].as_ref().unwrap().logs("another version");
     agree(&fleet, 5, "after letters of another version");
@@ -190,7 +193,7 @@
         .unwrap()
         .logs("another process has this node's name");
     eventually("the later one is held to be there", || {
-        let face = fleet.view().ways.faces[6].to_string();
+        let face = fleet.fleet_view().network.public_addresses[6].to_string();
         let status = fleet.status(0).unwrap();
         let members = status["members"].as_array().unwrap();
         members
@@ -205,19 +208,19 @@
     let _turn = alone();
     let service = Discovery::start();
     let period = PERIOD * 2;
-    let view = View {
-        ways: Ways::new(200, 9),
+    let fleet_view = FleetView {
+        network: FaultyNetwork::new(200, 9),
         period,
         seeds: vec![0, 1, 2],
     };
-    let mut fleet = Fleet::new(200, service.address, FleetOptions::TRIAL).with_view(view);
+    let mut fleet = Fleet::new(200, service.address, FleetOptions::TRIAL).with_view(fleet_view);
     let living: Vec<usize> = (0..200).filter(|node| *node != 1 && *node != 2).collect();
     fleet.start(&living, &[], 0);
     agree(&fleet, 60, "after the start");
     let lines = |fleet: &Fleet| -> Vec<usize> {
         let of = |node: &reedferry_testkit::Node| {
             let lines = node
-                .logged_at()
+                .drain_log_timed()
                 .into_iter()
                 .filter(|(_, line)| line.contains("member "));
             let times: Vec<Instant> = lines.map(|(at, _)| at).collect();
@@ -250,15 +253,16 @@
     let list = hosts.members(hosts.start(6, false));
     list.iter()
         .for_each(|member| service.change(member.clone()));
-    let view = View {
-        ways: Ways::new(10, 5),
+    let fleet_view = FleetView {
+        network: FaultyNetwork::new(10, 5),
         period: PERIOD,
         seeds: vec![0, 1, 2],
     };
-    let mut fleet = Fleet::new(10, service.address, FleetOptions::TRIAL).with_view(view);
+    let mut fleet = Fleet::new(10, service.address, FleetOptions::TRIAL).with_view(fleet_view);
     fleet.start(&(0..10).collect::<Vec<_>>(), &list, 6);
-    let mut guests = Guests::come(60, &fleet.front, Duration::from_millis(500), None, 5);
-    eventually("all stand", || guests.standing() == 60);
+    let mut returning_clients =
+        ReturningClients::come(60, &fleet.front, Duration::from_millis(500), None, 5);
+    eventually("all stand", || returning_clients.standing() == 60);
     agree(&fleet, 20, "at the start");
     let from = Instant::now();
     for node in 0..10 {
@@ -272,15 +276,15 @@
     }
     agree(&fleet, 10, "after all were restarted");
     assert!(from.elapsed() < Duration::from_secs(60));
-    eventually("all stand again", || guests.standing() == 60);
-    guests.end();
+    eventually("all stand again", || returning_clients.standing() == 60);
+    returning_clients.end();
     assert_eq!(hosts.broken(Duration::from_millis(300)), [""; 0]);
-    assert_eq!(fleet.broken(&guests), [""; 0]);
+    assert_eq!(fleet.broken(&returning_clients), [""; 0]);
     let suspect = fleet
         .nodes
         .iter()
         .flatten()
-        .flat_map(reedferry_testkit::Node::logged);
+        .flat_map(reedferry_testkit::Node::drain_log);
     assert_eq!(
         suspect
             .filter(|line| line.contains("member suspect"))
@@ -298,13 +302,13 @@
     let list = hosts.members(hosts.start(8, false));
     list.iter()
         .for_each(|member| service.change(member.clone()));
-    let view = View {
-        ways: Ways::new(6, 6),
+    let fleet_view = FleetView {
+        network: FaultyNetwork::new(6, 6),
         period: PERIOD,
         seeds: vec![0, 1, 2],
     };
     let mut fleet = Fleet::new(6, service.address, FleetOptions::TRIAL)
-        .with_view(view)
+        .with_view(fleet_view)
         .probing();
     fleet.start(&(0..6).collect::<Vec<_>>(), &list, 8);
     agree(&fleet, 20, "at the start");
@@ -346,10 +350,10 @@
         fewest >= 2 && most <= 2,
         "{fewest} in three rounds after deaths, {most} in one"
     );
-    fleet.stand_still(4);
+    fleet.suspend(4);
     let from = Instant::now();
     thread::sleep(Duration::from_secs(3));
-    fleet.go_on(4);
+    fleet.unsuspend(4);
     let looks = fleet.status(4).and_then(|status| status["looks"].as_u64());
     assert_eq!(looks, Some(0), "it goes on with what others have taken up");
     let (fewest, most) = probed(from, 4);
@@ -368,14 +372,15 @@
     let mut list = hosts.members(hosts.start(4, false));
     list.iter()
         .for_each(|member| service.change(member.clone()));
-    let view = View {
-        ways: Ways::new(6, 7),
+    let fleet_view = FleetView {
+        network: FaultyNetwork::new(6, 7),
         period: PERIOD,
         seeds: vec![0, 1, 2],
     };
-    let mut fleet = Fleet::new(6, service.address, FleetOptions::TRIAL).with_view(view);
+    let mut fleet = Fleet::new(6, service.address, FleetOptions::TRIAL).with_view(fleet_view);
     fleet.start(&(0..6).collect::<Vec<_>>(), &list, 4);
-    let guests = Guests::come(60, &fleet.front, Duration::from_millis(300), None, 7);
+    let returning_clients =
+        ReturningClients::come(60, &fleet.front, Duration::from_millis(300), None, 7);
     agree(&fleet, 20, "at the start");
     let mut cold = |count: usize| {
         for member in hosts.members(hosts.start(count, true)) {
@@ -405,21 +410,24 @@
     comes(&fleet, 6.0, "all is used");
     fleet.kill(5, Duration::from_millis(200));
     comes(&fleet, 5.5, "the half of the dead one that is lent is used");
-    fleet.view().ways.split(|node| node % 2);
+    fleet.fleet_view().network.split(|node| node % 2);
     // Three of six are no majority, and neither are two.
     comes(
         &fleet,
         2.5,
         "without a majority each uses its own half alone",
     );
-    fleet.view().ways.heal();
+    fleet.fleet_view().network.heal();
     let known = cold(1);
     comes(&fleet, 5.5, "after the cut");
-    fleet.stand_still(4);
+    fleet.suspend(4);
     thread::sleep(Duration::from_secs(2));
-    fleet.go_on(4);
+    fleet.unsuspend(4);
     // The places shrink behind a cut, for one part of the fleet, and grow again.
-    fleet.view().ways.split(|node| usize::from(node < 2));
+    fleet
+        .fleet_view()
+        .network
+        .split(|node| usize::from(node < 2));
     fleet.tells_of_places(0..2, 4, &known, 7);
     comes(
         &fleet,
@@ -427,15 +435,15 @@
         "those who shrank use no more than they did, the others their own",
     );
     fleet.tells_of_places(0..2, 6, &known, 7);
-    fleet.view().ways.heal();
+    fleet.fleet_view().network.heal();
     fleet.start(&[5], &known, 7);
     comes(&fleet, 6.0, "with all again");
     assert!(most <= 6.0 + 1e-6, "{most} of 6 were used");
-    eventually("all stand", || guests.standing() == 60);
-    let mut guests = guests;
-    guests.end();
+    eventually("all stand", || returning_clients.standing() == 60);
+    let mut returning_clients = returning_clients;
+    returning_clients.end();
     assert_eq!(hosts.broken(Duration::from_millis(300)), [""; 0]);
-    assert_eq!(fleet.broken(&guests), [""; 0]);
+    assert_eq!(fleet.broken(&returning_clients), [""; 0]);
 }
 
 /// Guards: a rule broken, clients lost or views that differ for ever where two faults overlap. Seed 31 flipped bits in
--- a/node/tests/ops.rs
+++ b/node/tests/ops.rs
@@ -21,17 +21,17 @@
     assert_eq!(node.call("GET /status"), (200, "ready\n".into()));
     assert_eq!(
         (
-            node.figure("hosts_known"),
-            node.figure("in_flight"),
-            node.figure("attempts")
+            node.metric("hosts_known"),
+            node.metric("in_flight"),
+            node.metric("attempts")
         ),
         (2, 0, 0)
     );
     let (mut client, _, mut host) = node.served(&hosts);
     assert_eq!(
         (
-            node.figure("requests.chat.served"),
-            node.figure("in_flight")
+            node.metric("requests.chat.served"),
+            node.metric("in_flight")
         ),
         (1, 1)
     );
@@ -45,24 +45,24 @@
     assert!(refused.hear().starts_with("BUSY"));
     assert_eq!(
         (
-            node.figure("requests.chat.refused"),
-            node.figure("attempts")
+            node.metric("requests.chat.refused"),
+            node.metric("attempts")
         ),
         (1, 3)
     );
     assert_eq!(
-        (node.figure("hosts_known"), node.figure("hosts_excluded")),
+        (node.metric("hosts_known"), node.metric("hosts_excluded")),
         (2, 2)
     );
     host.say("BYE");
     host.end_sending();
     client.hears("BYE");
     client.hears("end");
-    eventually("none in flight", || node.figure("in_flight") == 0);
+    eventually("none in flight", || node.metric("in_flight") == 0);
     assert_eq!(
         (
-            node.figure("requests.chat.served"),
-            node.figure("requests.chat.failed")
+            node.metric("requests.chat.served"),
+            node.metric("requests.chat.failed")
         ),
         (1, 0)
     );
@@ -81,16 +81,16 @@
     client.hears("ERR");
     assert_eq!(
         (
-            node.figure("requests.chat.failed"),
-            node.figure("requests.chat.refused")
+            node.metric("requests.chat.failed"),
+            node.metric("requests.chat.refused")
         ),
         (1, 0)
     );
     let told = node.told();
-    node.reread("{");
-    eventually("turned down", || node.figure("reloads_failed") == 1);
-    node.reread(&told);
-    eventually("taken up", || node.figure("reloads_ok") == 1);
+    node.reload("{");
+    eventually("turned down", || node.metric("reloads_failed") == 1);
+    node.reload(&told);
+    eventually("taken up", || node.metric("reloads_ok") == 1);
 }
 
 /// Guards: calls that are malformed, endless or for something else, answered with an error of their own kind.
--- a/node/tests/pause.rs
+++ b/node/tests/pause.rs
@@ -1,7 +1,7 @@
 //! A process that stands still for a while, or is held up again and again, as its machine is, blames no host for what it did
 //! not see meanwhile.
 
-use reedferry_testkit::syscalls::{Call, Fault, Outcome, Spoiler};
+use reedferry_testkit::syscalls::{Call, Fault, Outcome, SyscallInjector};
 use reedferry_testkit::*;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -40,22 +40,22 @@
 
 struct Site {
     node: Node,
-    spoiler: Spoiler,
+    injector: SyscallInjector,
     _discovery: Discovery,
 }
 
 impl Site {
     fn start() -> Site {
-        let (referee, discovery) = (acting::Referee::default(), Discovery::start());
-        let hosts = acting::Hosts::start(HOSTS, &referee);
+        let (checker, discovery) = (simulated::InvariantChecker::default(), Discovery::start());
+        let hosts = simulated::Hosts::start(HOSTS, &checker);
         let mut node_config = program::node_config_of(hosts.members(), discovery.address);
         node_config["settings"]["offerings"][0]["name"] = serde_json::json!("free");
-        let spoiler = Spoiler::default();
-        let node = Node::start_spoilt(&node_config, &spoiler);
+        let injector = SyscallInjector::default();
+        let node = Node::start_injected(&node_config, &injector);
         discovery.calls(1);
         Site {
             node,
-            spoiler,
+            injector,
             _discovery: discovery,
         }
     }
@@ -88,7 +88,7 @@
             heard.push(said);
             thread::sleep(Duration::from_millis(20));
         }
-        let log = self.node.logged();
+        let log = self.node.drain_log();
         assert!(
             served * 10 >= heard.len() * 9,
             "{served} of {} served: {log:#?}",
@@ -103,9 +103,9 @@
     let site = Site::start();
     let talking = site.talking();
     thread::sleep(Duration::from_millis(500));
-    site.node.stand_still();
+    site.node.suspend();
     thread::sleep(PAUSE);
-    site.node.go_on();
+    site.node.unsuspend();
     site.serves();
     talking.end();
 }
@@ -116,7 +116,7 @@
     let site = Site::start();
     let talking = site.talking();
     let held = Outcome::HeldUp(Duration::from_millis(140));
-    site.spoiler.set(&[Fault {
+    site.injector.set(&[Fault {
         call: Call::Send,
         outcome: held,
         every: 2,
@@ -132,7 +132,7 @@
         clients.push(client);
         thread::sleep(Duration::from_millis(40));
     }
-    site.spoiler.clear();
+    site.injector.clear();
     site.serves();
     talking.end();
 }
@@ -141,10 +141,14 @@
 #[test]
 fn what_is_due_is_answered_in_time_though_each_turn_has_much_to_do() {
     const TALKING: usize = 60;
-    let (hosts, discovery, spoiler) = (Hosts::start(1), Discovery::start(), Spoiler::default());
+    let (hosts, discovery, injector) = (
+        Hosts::start(1),
+        Discovery::start(),
+        SyscallInjector::default(),
+    );
     let mut node_config = node_config(&hosts, discovery.address);
     node_config["settings"]["offerings"][0]["contract_time"] = serde_json::json!(2000.0);
-    let node = Node::start_spoilt(&node_config, &spoiler);
+    let node = Node::start_injected(&node_config, &injector);
     let mut open: Vec<_> = (0..TALKING).map(|_| node.served(&hosts)).collect();
     // Its host says nothing.
     let mut waits = node.open(&OPEN.replace("d=2000", "d=1000"));
@@ -152,7 +156,7 @@
     let (_, mut silent) = hosts.accept();
     assert!(silent.hear().starts_with("OPEN"));
     let held = Outcome::HeldUp(Duration::from_millis(100));
-    spoiler.set(&[Fault {
+    injector.set(&[Fault {
         call: Call::Send,
         outcome: held,
         every: 2,
@@ -167,15 +171,15 @@
     assert!(said == "ERR" || said.starts_with("BUSY"), "{said}");
     // One turn more, its own sending, and what the first turn had begun.
     assert!(took < Duration::from_millis(1450), "{said} after {took:?}");
-    spoiler.clear();
+    injector.clear();
     for (_, _, host) in &mut open {
         host.hears("hello");
     }
 }
 
-fn interrupt_waits(spoiler: &Spoiler) {
+fn interrupt_waits(injector: &SyscallInjector) {
     let outcome = Outcome::Fails(rustix::io::Errno::INTR);
-    spoiler.set(&[Fault {
+    injector.set(&[Fault {
         call: Call::EpollWait,
         outcome,
         every: 1,
@@ -183,11 +187,11 @@
 }
 
 /// The process goes on; its waits are interrupted at first, so that what is due is seen before what is ready.
-fn go_on_by_what_is_due(node: &Node, spoiler: &Spoiler) {
-    interrupt_waits(spoiler);
-    node.go_on();
+fn go_on_by_what_is_due(node: &Node, injector: &SyscallInjector) {
+    interrupt_waits(injector);
+    node.unsuspend();
     thread::sleep(Duration::from_millis(300));
-    spoiler.clear();
+    injector.clear();
 }
 
 /// Guards: a host taken for one that can't be reached, as the connection to it came up while the process stood still.
@@ -201,8 +205,8 @@
     node_config["settings"]["policy_limits"]["connect_timeout"] = serde_json::json!(1500.0);
     node_config["settings"]["offerings"][0]["expiry"] = serde_json::json!(6000.0);
     node_config["settings"]["offerings"][0]["contract_time"] = serde_json::json!(6000.0);
-    let spoiler = Spoiler::default();
-    let node = Node::start_spoilt(&node_config, &spoiler);
+    let injector = SyscallInjector::default();
+    let node = Node::start_injected(&node_config, &injector);
     discovery.calls(1);
     let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
     let mut other = Peer::connect(node.address);
@@ -210,12 +214,12 @@
         other.say("PING");
         other.hears("PONG");
     }
-    node.stand_still();
+    node.suspend();
     drop(first);
     drop(listener.accept().unwrap());
     let (stream, _) = listener.accept().unwrap();
     thread::sleep(Duration::from_millis(1000));
-    go_on_by_what_is_due(&node, &spoiler);
+    go_on_by_what_is_due(&node, &injector);
     let mut host = Peer::new(stream);
     let line = host.hear();
     assert!(line.starts_with("OPEN"), "{line}");
@@ -230,15 +234,15 @@
     let mut node_config = node_config(&hosts, discovery.address);
     node_config["settings"]["reporting"] =
         serde_json::json!({"fields": ["util", "x0"], "via": "pull"});
-    let spoiler = Spoiler::default();
-    let node = Node::start_spoilt(&node_config, &spoiler);
+    let injector = SyscallInjector::default();
+    let node = Node::start_injected(&node_config, &injector);
     let (_, mut probe) = hosts.accept();
     probe.hears("STATS");
-    interrupt_waits(&spoiler);
-    node.stand_still();
+    interrupt_waits(&injector);
+    node.suspend();
     probe.say("PONG util=0.2,x0=0.2");
     thread::sleep(2 * PROBE_WITHIN);
-    go_on_by_what_is_due(&node, &spoiler);
+    go_on_by_what_is_due(&node, &injector);
     let mut client = node.open(OPEN);
     let mut asked = false;
     while let Some((_, mut host)) = hosts.accept_soon().filter(|_| !asked) {
--- a/node/tests/ready.rs
+++ b/node/tests/ready.rs
@@ -1,8 +1,8 @@
 //! Restarts: nine in ten processes serve within ten seconds of their start, in turn and together, under load, beside a list
 //! service that is slow.
 
-use reedferry_testkit::acting::{Hosts, Referee};
 use reedferry_testkit::program::node_config_of;
+use reedferry_testkit::simulated::{Hosts, InvariantChecker};
 use reedferry_testkit::*;
 use serde_json::{json, Value};
 use std::thread;
@@ -50,8 +50,8 @@
 #[test]
 fn nine_in_ten_that_know_nothing_serve_within_ten_seconds_beside_a_slow_service() {
     for together in [true, false] {
-        let (service, referee) = (Discovery::start(), Referee::default());
-        let hosts = Hosts::start(4, &referee);
+        let (service, checker) = (Discovery::start(), InvariantChecker::default());
+        let hosts = Hosts::start(4, &checker);
         (0..4).for_each(|host| service.change(hosts.member(host, "active")));
         // A call of each of the three hundred in the minute that the settings leave them: no slower one keeps its terms.
         service.bound(5.0, Duration::from_millis(1000));
--- a/node/tests/relisted.rs
+++ b/node/tests/relisted.rs
@@ -174,7 +174,7 @@
     host.say("UP 2");
     client.hears("UP 2");
     let masks: Vec<String> = node
-        .logged()
+        .drain_log()
         .into_iter()
         .filter(|line| line.contains("mask host"))
         .collect();
--- a/node/tests/repeats.rs
+++ b/node/tests/repeats.rs
@@ -122,7 +122,7 @@
         if what.contains("change their places") {
             node_config["settings"]["zones"] = json!(["b", "a"]);
             node_config["settings"]["zone"] = json!(1);
-            node.reread(&node_config.to_string());
+            node.reload(&node_config.to_string());
             node.logs("terms renewed");
         }
         host.reset();
@@ -251,10 +251,10 @@
             has_read(&node);
             _ = std::io::Write::write_all(&mut host.stream, second.as_bytes());
         } else {
-            node.stand_still();
+            node.suspend();
             host.write(first);
             host.write(second);
-            node.go_on();
+            node.unsuspend();
         }
         if again {
             let (other, mut host) = hosts.accept();
@@ -314,7 +314,7 @@
                 hears_one(&mut client, "UP 2", &what);
             }
         } else {
-            node.stand_still();
+            node.suspend();
             // What is irreversible is waited for as long as its client waits, less two rounds.
             let up = Duration::from_millis(if idempotency == "single_shot" {
                 1650
@@ -324,7 +324,7 @@
             crowd.iter_mut().for_each(|other| other.write("O"));
             host.say("UP 7");
             eventually("no time passes", || asked.elapsed() > up);
-            node.go_on();
+            node.unsuspend();
             hears_one(&mut client, "UP 7", &what);
         }
         assert!(hosts.accept_soon().is_none(), "{what}: sent on again");
--- a/node/tests/retune.rs
+++ b/node/tests/retune.rs
@@ -15,16 +15,16 @@
 }
 
 /// Has it read this, and waits until that is counted.
-fn reread(node: &Node, text: &str, taken: bool) {
+fn reload(node: &Node, text: &str, taken: bool) {
     let name = if taken {
         "reloads_ok"
     } else {
         "reloads_failed"
     };
-    let before = node.figure(name);
-    node.reread(text);
+    let before = node.metric(name);
+    node.reload(text);
     eventually(&format!("{name} after {text:.60}"), || {
-        node.figure(name) == before + 1
+        node.metric(name) == before + 1
     });
 }
 
@@ -112,19 +112,19 @@
         broken.push(wrong.to_string());
     }
     for text in &broken {
-        reread(&node, text, false);
+        reload(&node, text, false);
     }
-    assert_eq!(node.figure("reloads_ok"), 0);
+    assert_eq!(node.metric("reloads_ok"), 0);
     serves(&node, &hosts, "chat");
     node.open(&asks("talk")).hears("ERR");
     assert!(node
-        .logged()
+        .drain_log()
         .iter()
         .all(|line| !line.contains("discovery call failed")));
     // Good and bad ones in quick alternation.
     for n in 0..20 {
-        reread(&node, &broken[n * broken.len() / 20], false);
-        reread(&node, &node_config.to_string(), true);
+        reload(&node, &broken[n * broken.len() / 20], false);
+        reload(&node, &node_config.to_string(), true);
     }
     serves(&node, &hosts, "chat");
 }
@@ -139,7 +139,7 @@
     let (_, mut host) = hosts.accept();
     host.hear();
     node_config["settings"]["offerings"] = json!([class("talk", "single_shot")]);
-    reread(&node, &node_config.to_string(), true);
+    reload(&node, &node_config.to_string(), true);
     serves(&node, &hosts, "talk");
     node.open(&asks("chat")).hears("ERR");
     // The one that waited was redoable, and still is: what may have run at one host goes to another.
@@ -150,14 +150,14 @@
     waits.hears("UP 2");
     open.say("up 1");
     standing.hears("up 1");
-    assert_eq!(node.figure("requests.chat.served"), 2);
+    assert_eq!(node.metric("requests.chat.served"), 2);
     // The same name comes again under stricter terms: not for what came before.
     let mut waits = node.open(&asks("talk"));
     let (_, mut host) = hosts.accept();
     host.hear();
     node_config["settings"]["offerings"] =
         json!([class("chat", "single_shot"), class("talk", "free")]);
-    reread(&node, &node_config.to_string(), true);
+    reload(&node, &node_config.to_string(), true);
     drop(host);
     waits.hears("ERR");
     let mut strict = node.open(&asks("chat"));
@@ -167,12 +167,12 @@
     strict.hears("ERR");
     assert_eq!(
         (
-            node.figure("requests.chat.failed"),
-            node.figure("requests.talk.failed")
+            node.metric("requests.chat.failed"),
+            node.metric("requests.talk.failed")
         ),
         (1, 1)
     );
-    assert_eq!(node.figure("requests.chat.served"), 2);
+    assert_eq!(node.metric("requests.chat.served"), 2);
 }
 
 #[test]
@@ -185,13 +185,13 @@
         host.hear();
         if left == 1 {
             node_config["settings"]["policy_limits"]["most_hand_offs"] = json!(1);
-            reread(&node, &node_config.to_string(), true);
+            reload(&node, &node_config.to_string(), true);
         }
         host.say("BUSY");
     }
     assert!(before.hear().starts_with("BUSY"));
     eventually("hosts are taken again", || {
-        node.figure("hosts_excluded") == 0
+        node.metric("hosts_excluded") == 0
     });
     let mut after = node.open(OPEN);
     let (_, mut host) = hosts.accept();
@@ -208,8 +208,8 @@
     let (node, mut node_config, _discovery) = start(&hosts);
     node_config["settings"]["zones"] = json!(["b", "a"]);
     node_config["settings"]["zone"] = json!(1);
-    reread(&node, &node_config.to_string(), true);
-    assert_eq!(node.figure("hosts_known"), 2);
+    reload(&node, &node_config.to_string(), true);
+    assert_eq!(node.metric("hosts_known"), 2);
     serves(&node, &hosts, "chat");
 }
 
@@ -271,7 +271,7 @@
         class("chat", "single_shot", 0.0)
     ]);
     node_config["settings"]["tenants"] = json!([{"name": "omega"}, {"name": "zeta"}]);
-    reread(&node, &node_config.to_string(), true);
+    reload(&node, &node_config.to_string(), true);
     for (mut client, host, then) in held {
         host.reset();
         if then.starts_with("UP") {
@@ -306,7 +306,7 @@
     // Again with all but one taken away: nothing open is cut.
     node_config["settings"]["offerings"] = json!([class("seat", "single_shot", 0.0)]);
     node_config["settings"]["tenants"] = json!([{"name": "acme"}]);
-    reread(&node, &node_config.to_string(), true);
+    reload(&node, &node_config.to_string(), true);
     for (client, host) in &mut open {
         client.say("up 1");
         host.hears("up 1");
--- a/node/tests/silence.rs
+++ b/node/tests/silence.rs
@@ -1,8 +1,10 @@
 //! Several processes of the program beside a list service whose watches fall silent, break or are spoilt, while hosts
 //! drain under load. Judged by what hosts and the list service saw, against when each node counts as told.
 
-use reedferry_testkit::acting::{Clients, Hosts, Reached, Referee, GRACE, SOCKETS};
 use reedferry_testkit::program::node_config_of;
+use reedferry_testkit::simulated::{
+    Clients, Hosts, InvariantChecker, ObservedAttempt, DRAIN_GRACE, SOCKET_SLACK,
+};
 use reedferry_testkit::{eventually, jammed, member, Discovery, Node, Peer, OPEN};
 use serde_json::json;
 use std::cell::Cell;
@@ -25,7 +27,7 @@
 /// times.
 struct Site {
     service: Discovery,
-    referee: Referee,
+    checker: InvariantChecker,
     hosts: Hosts,
     nodes: Vec<Node>,
     /// Whose clients are whose, by their names.
@@ -47,8 +49,8 @@
         of: usize,
         max_poll_interval: f64,
     ) -> Self {
-        let referee = Referee::default();
-        let hosts = Hosts::start(HOSTS, &referee);
+        let checker = InvariantChecker::default();
+        let hosts = Hosts::start(HOSTS, &checker);
         let start = |node: usize| {
             let mut node_config = node_config_of(hosts.members(), service.address);
             node_config["name"] = json!(format!("n{node}"));
@@ -63,7 +65,7 @@
         let nodes: Vec<Node> = (0..nodes).map(start).collect();
         Site {
             service,
-            referee,
+            checker,
             hosts,
             nodes,
             named: Cell::new(0),
@@ -107,9 +109,9 @@
             .replace(self.named.get() + self.nodes.len() as u64);
         thread::scope(|scope| {
             for (n, node) in self.nodes.iter().enumerate() {
-                let (address, referee) = (node.address, &self.referee);
+                let (address, checker) = (node.address, &self.checker);
                 scope.spawn(move || {
-                    let mut clients = Clients::new(vec![address], referee, from + n as u64);
+                    let mut clients = Clients::new(vec![address], checker, from + n as u64);
                     clients.load(
                         8.0,
                         until.saturating_duration_since(Instant::now()),
@@ -121,7 +123,7 @@
             }
         });
         let mut reached = vec![Vec::new(); self.nodes.len()];
-        for one in self.referee.reached().iter().filter(|one| one.host < DRAIN) {
+        for one in self.checker.reached().iter().filter(|one| one.host < DRAIN) {
             let named = one
                 .name
                 .split('-')
@@ -155,7 +157,7 @@
                 for (node, (reached, told)) in reached.iter().zip(&told).enumerate() {
                     let late = reached
                         .iter()
-                        .filter(|at| **at > *told + GRACE + SOCKETS + BUSY);
+                        .filter(|at| **at > *told + DRAIN_GRACE + SOCKET_SLACK + BUSY);
                     assert_eq!(
                         late.count(),
                         0,
@@ -166,7 +168,7 @@
                 let calls = site.service.seen().0.len();
                 assert!(calls <= 4 * NODES, "{mode}: {calls} calls");
                 assert_eq!(
-                    site.referee.broken(ms(60_000)),
+                    site.checker.broken(ms(60_000)),
                     Vec::<String>::new(),
                     "{mode}"
                 );
@@ -201,10 +203,10 @@
                     site.service.change(site.hosts.member(HOSTS - 1, "active"));
                     site.service.calls(2);
                     site.drain(0);
-                    site.referee.drains(0, true);
+                    site.checker.drains(0, true);
                     site.load(Instant::now() + ms(1500));
                     assert_eq!(
-                        site.referee.broken(BUSY),
+                        site.checker.broken(BUSY),
                         Vec::<String>::new(),
                         "{mode}, answer {n}"
                     );
@@ -232,10 +234,10 @@
         site.service.come_up();
         site.service.stop_hanging();
         site.drain(0);
-        site.referee.drains(0, true);
+        site.checker.drains(0, true);
         site.load(Instant::now() + ms(1500));
         assert_eq!(
-            site.referee.broken(BUSY),
+            site.checker.broken(BUSY),
             Vec::<String>::new(),
             "hangs: {hangs}"
         );
@@ -264,9 +266,9 @@
             site.service.change(site.hosts.member(0, phase));
         }
         eventually("the drain is never heard of", || {
-            let before = site.referee.reached().len();
+            let before = site.checker.reached().len();
             site.load(Instant::now() + ms(700));
-            site.referee.reached()[before..]
+            site.checker.reached()[before..]
                 .iter()
                 .all(|one| one.host != 0)
         });
@@ -284,19 +286,19 @@
             client.say("PING");
             client.hears("PONG");
         });
-        node.stand_still();
+        node.suspend();
         for (n, client) in clients.iter_mut().enumerate() {
             client.say(&format!("OPEN {n:x} {n:x} c=free,t=acme,d=2000"));
         }
         site.drain(0);
-        site.referee.drains(0, true);
+        site.checker.drains(0, true);
         let from = Instant::now();
-        while from.elapsed() < GRACE + SOCKETS + BUSY + ms(100) {
+        while from.elapsed() < DRAIN_GRACE + SOCKET_SLACK + BUSY + ms(100) {
             thread::yield_now();
         }
-        node.go_on();
+        node.unsuspend();
         clients.iter_mut().for_each(|client| client.hears("UP 1"));
-        assert_eq!(site.referee.broken(BUSY), Vec::<String>::new(), "{mode}");
+        assert_eq!(site.checker.broken(BUSY), Vec::<String>::new(), "{mode}");
     }
 }
 
@@ -313,12 +315,12 @@
         (0..HOSTS - 1).for_each(|host| site.drain(host));
         site.load(begun + ms(7500));
         let reached = site
-            .referee
+            .checker
             .reached()
             .into_iter()
             .filter(|one| one.host < HOSTS - 1);
         let (late, before): (Vec<_>, Vec<_>) =
-            reached.partition(|one| one.at > begun + ms(6000) + GRACE + SOCKETS + BUSY);
+            reached.partition(|one| one.at > begun + ms(6000) + DRAIN_GRACE + SOCKET_SLACK + BUSY);
         assert_eq!(late.len(), 0, "{mode}");
         assert!(!before.is_empty(), "{mode}: too tame");
     }
@@ -345,7 +347,7 @@
     service.change(named("leaving"));
     let told = Instant::now();
     eventually("no time passes", || {
-        told.elapsed() > GRACE + SOCKETS + ms(50)
+        told.elapsed() > DRAIN_GRACE + SOCKET_SLACK + ms(50)
     });
     listener.set_nonblocking(true).unwrap();
     let mut up = Vec::new();
@@ -374,8 +376,8 @@
     (0..HOSTS - 1).for_each(|host| site.drain(host));
     let told = site.told(silent)[0];
     site.load(told + ms(2000));
-    let late = |one: &&Reached| one.at > told + GRACE + SOCKETS + BUSY;
-    let reached = site.referee.reached();
+    let late = |one: &&ObservedAttempt| one.at > told + DRAIN_GRACE + SOCKET_SLACK + BUSY;
+    let reached = site.checker.reached();
     assert!(reached.iter().any(|one| one.host == 0), "too tame");
     assert_eq!(
         reached.iter().filter(late).count(),
@@ -383,14 +385,14 @@
         "while it could not know"
     );
     assert_eq!(
-        site.referee.broken(ms(60_000)),
+        site.checker.broken(ms(60_000)),
         Vec::<String>::new(),
         "answered all the same"
     );
     site.service.turn_away(0);
     site.nodes[0].logs("watch begun");
     site.load(Instant::now() + ms(1000));
-    let reached = site.referee.reached();
+    let reached = site.checker.reached();
     let late: Vec<usize> = reached.iter().filter(late).map(|one| one.host).collect();
     assert!(
         !late.is_empty() && late.iter().all(|host| *host == HOSTS - 1),
@@ -443,8 +445,8 @@
                     site.load(ended + ms(4500));
                     site.service.turn_away(0);
                 }
-                let reached = site.load(ended + TOLD + GRACE + BUSY + ms(2000));
-                let late = |at: &&Instant| **at > ended + TOLD + GRACE + SOCKETS + BUSY;
+                let reached = site.load(ended + TOLD + DRAIN_GRACE + BUSY + ms(2000));
+                let late = |at: &&Instant| **at > ended + TOLD + DRAIN_GRACE + SOCKET_SLACK + BUSY;
                 let last = reached
                     .iter()
                     .flatten()
@@ -456,7 +458,7 @@
                     "{mode}, {ends}: {last:?}"
                 );
                 assert_eq!(
-                    site.referee.broken(ms(60_000)),
+                    site.checker.broken(ms(60_000)),
                     Vec::<String>::new(),
                     "{mode}, {ends}"
                 );
@@ -464,9 +466,9 @@
                 assert!(calls <= 3 * 20, "{mode}, {ends}: {calls} calls");
                 // It serves on once it has heard.
                 eventually("shut for ever", || {
-                    let before = site.referee.reached().len();
+                    let before = site.checker.reached().len();
                     site.load(Instant::now() + ms(300));
-                    site.referee.reached().len() > before
+                    site.checker.reached().len() > before
                 });
             });
         }
@@ -484,7 +486,7 @@
         let started = Instant::now();
         site.load(started + ms(3000));
         assert!(
-            !site.referee.reached().is_empty(),
+            !site.checker.reached().is_empty(),
             "{mode}, {nodes}: nobody is served"
         );
         site.service.bound(10.0, ms(2000));
@@ -492,15 +494,15 @@
         site.drain(0);
         site.service.come_up();
         let back = Instant::now();
-        let reached = site.load(back + TOLD + GRACE + BUSY + ms(1500));
-        let late = |at: &&Instant| **at > back + TOLD + GRACE + SOCKETS + BUSY;
+        let reached = site.load(back + TOLD + DRAIN_GRACE + BUSY + ms(1500));
+        let late = |at: &&Instant| **at > back + TOLD + DRAIN_GRACE + SOCKET_SLACK + BUSY;
         assert_eq!(
             reached.iter().flatten().filter(late).count(),
             0,
             "{mode}, {nodes} nodes"
         );
         assert_eq!(
-            site.referee.broken(ms(60_000)),
+            site.checker.broken(ms(60_000)),
             Vec::<String>::new(),
             "{mode}, {nodes} nodes"
         );
@@ -532,10 +534,10 @@
                 eventually("no call gets through", || seen(1));
                 site.service.fall_silent();
                 let silent = Instant::now();
-                site.load(silent + TOLD + GRACE + ms(700));
-                let before = site.referee.reached().len();
+                site.load(silent + TOLD + DRAIN_GRACE + ms(700));
+                let before = site.checker.reached().len();
                 site.load(Instant::now() + ms(1000));
-                assert!(site.referee.reached().len() > before, "{mode}: shut");
+                assert!(site.checker.reached().len() > before, "{mode}: shut");
                 let asked = site.service.asked();
                 let first = asked
                     .iter()
@@ -543,7 +545,7 @@
                     .find(|path| path.contains("hold_ms"));
                 assert!(first.unwrap().ends_with("hold_ms=1"), "{mode}: {asked:?}");
                 assert_eq!(
-                    site.referee.broken(ms(60_000)),
+                    site.checker.broken(ms(60_000)),
                     Vec::<String>::new(),
                     "{mode}"
                 );
@@ -559,8 +561,8 @@
     // Nobody answers there; a call lies in its queue.
     let service = TcpListener::bind("127.0.0.1:0").unwrap();
     service.set_nonblocking(true).unwrap();
-    let referee = Referee::default();
-    let hosts = Hosts::start(1, &referee);
+    let checker = InvariantChecker::default();
+    let hosts = Hosts::start(1, &checker);
     let mut node_config = node_config_of(hosts.members(), service.local_addr().unwrap());
     node_config["settings"]["registry_mode"] = json!("pushed");
     // It has begun once its first line is read.
@@ -581,7 +583,7 @@
     site.drain(0);
     let drained = Instant::now();
     site.load(until);
-    let reached = site.referee.reached();
+    let reached = site.checker.reached();
     let second = |after: u64| drained + ms(1000 * after)..drained + ms(1000 * (after + 1));
     for after in 0..12 {
         let count = reached
@@ -595,7 +597,7 @@
     }
     let late = reached
         .iter()
-        .filter(|one| one.host == 0 && one.at > drained + TOLD + GRACE + SOCKETS + BUSY);
+        .filter(|one| one.host == 0 && one.at > drained + TOLD + DRAIN_GRACE + SOCKET_SLACK + BUSY);
     assert_eq!(late.count(), 0, "a host that had drained");
 }
 
@@ -606,8 +608,8 @@
     let service = Discovery::start();
     // Each call takes it a second.
     service.bound(1.0, Duration::from_secs(60));
-    let referee = Referee::default();
-    let hosts = Hosts::start(HOSTS, &referee);
+    let checker = InvariantChecker::default();
+    let hosts = Hosts::start(HOSTS, &checker);
     // All but the last drain.
     (0..HOSTS - 1).for_each(|host| service.change(hosts.member(host, "leaving")));
     service.change(hosts.member(HOSTS - 1, "active"));
@@ -617,11 +619,11 @@
     let node = Node::start(&node_config);
     // Not from before it was started: a busy machine takes its time with that.
     let started = Instant::now();
-    let mut clients = Clients::new(vec![node.address], &referee, 1);
+    let mut clients = Clients::new(vec![node.address], &checker, 1);
     clients.load(60.0, ms(2500), &[0], ms(20));
     clients.end();
-    let reached = referee.reached();
-    let late = |one: &&Reached| one.at > started + GRACE + SOCKETS + BUSY;
+    let reached = checker.reached();
+    let late = |one: &&ObservedAttempt| one.at > started + DRAIN_GRACE + SOCKET_SLACK + BUSY;
     let to_drained: Vec<_> = reached
         .iter()
         .filter(late)
@@ -631,9 +633,9 @@
     assert!(
         after.is_empty(),
         "hosts that drained before the process began: {after:?}, {:?}",
-        node.logged()
+        node.drain_log()
     );
-    assert_eq!(referee.broken(ms(60_000)), Vec::<String>::new());
+    assert_eq!(checker.broken(ms(60_000)), Vec::<String>::new());
     let served = reached
         .iter()
         .filter(|one| one.at > started + ms(1500))
@@ -650,21 +652,22 @@
             true => service.hang(false),
             false => service.go_down(),
         }
-        let referee = Referee::default();
-        let hosts = Hosts::start(HOSTS, &referee);
+        let checker = InvariantChecker::default();
+        let hosts = Hosts::start(HOSTS, &checker);
         let mut node_config = node_config_of(hosts.members(), service.address);
         node_config["settings"]["registry_mode"] = json!("pushed");
         node_config["settings"]["offerings"][0]["name"] = json!("free");
         let started = Instant::now();
         let node = Node::start(&node_config);
-        let mut clients = Clients::new(vec![node.address], &referee, 1);
+        let mut clients = Clients::new(vec![node.address], &checker, 1);
         clients.load(20.0, ms(4000), &[0], ms(20));
         clients.end();
         let soon = if hangs { ms(2500) } else { ms(200) };
-        let reached = referee.reached();
+        let reached = checker.reached();
         for from in [soon, ms(3000)] {
-            let within =
-                |one: &&Reached| (started + from..started + from + ms(1000)).contains(&one.at);
+            let within = |one: &&ObservedAttempt| {
+                (started + from..started + from + ms(1000)).contains(&one.at)
+            };
             let count = reached.iter().filter(within).count();
             assert!(
                 count > 10,
--- a/node/tests/soak.rs
+++ b/node/tests/soak.rs
@@ -1,15 +1,15 @@
 //! The soak, in short: a dozen processes under troubles that overlap, judged by the rules. `reedferry-testkit soak` plays more
 //! seeds, larger and longer.
 
-use reedferry_testkit::soak::troubles::Schedule;
-use reedferry_testkit::soak::{play, Size};
+use reedferry_testkit::soak::soak_faults::SoakSchedule;
+use reedferry_testkit::soak::{play, SoakSize};
 use std::time::Duration;
 
 /// Guards: whatever breaks a rule where stops, reloads, replacements, failing calls, stepped clocks and peers that
 /// misbehave meet.
 #[test]
 fn no_rule_is_broken_where_troubles_overlap() {
-    let size = Size {
+    let size = SoakSize {
         processes: 12,
         hosts: 6,
         span: Duration::from_secs(5),
@@ -30,7 +30,7 @@
             "too tame: {:?}",
             found.figures
         );
-        let drawn = Schedule::draw(seed, &size);
+        let drawn = SoakSchedule::draw(seed, &size);
         assert!(
             found.broken.is_empty(),
             "seed {seed}: {:#?} under\n{drawn}",
--- a/node/tests/sockets.rs
+++ b/node/tests/sockets.rs
@@ -511,7 +511,7 @@
     // A bad file is one line, and the node follows whom it followed.
     let mut node_config = node_config(&hosts, old.address);
     for bad in ["", "{\"name\": \"n0\", \"lis", "[]"] {
-        node.reread(bad);
+        node.reload(bad);
         node.logs("papers not taken up");
     }
     old.change(member(8, "127.0.0.1:9", "active"));
@@ -522,7 +522,7 @@
     new.change(member(1, &hosts.addresses[1].to_string(), "active"));
     node_config["discovery"] = json!(new.address.to_string());
     node_config["limits"]["sockets"] = json!(300);
-    node.reread(&node_config.to_string());
+    node.reload(&node_config.to_string());
     node.logs("kept until the next start, node: n0, parts: limits");
     node.logs(&format!(
         "watch begun, node: n0, at: {}, revision: 1",
@@ -533,10 +533,10 @@
     client.say("still");
     host.hears("still");
     // What comes next is followed, over and over, and so is a call to stop right behind it.
-    (0..20).for_each(|_| node.reread(&node_config.to_string()));
+    (0..20).for_each(|_| node.reload(&node_config.to_string()));
     new.change(member(7, "127.0.0.1:9", "active"));
     node.logs("name: s-7");
-    node.reread(&node_config.to_string());
+    node.reload(&node_config.to_string());
     node.stop();
     client.hears("MOVE");
     assert!(node.wait().success());
@@ -566,7 +566,7 @@
 fn what_a_probe_reports_is_told_to_the_peers_and_what_they_tell_decides() {
     let hosts = Hosts::start(2);
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
-    peer.set_read_timeout(Some(PATIENCE)).unwrap();
+    peer.set_read_timeout(Some(MAX_WAIT)).unwrap();
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     let mut node_config = node_config(&hosts, nowhere());
     by_probe(&mut node_config, &["util", "x0"]);
@@ -617,12 +617,12 @@
     message[4] = 0;
     let heard = (0..2).any(|_| {
         looked.set(false);
-        node.stand_still();
+        node.suspend();
         for _ in 0..150 {
             peer.send_to(&[9], at).unwrap();
         }
         peer.send_to(&message[..5], at).unwrap();
-        node.go_on();
+        node.unsuspend();
         loop {
             if serving() == first {
                 return true;
@@ -664,7 +664,7 @@
             ended.status.code() == Some(1) && said.lines().count() == 1 && said.contains(key),
             "{said}"
         );
-        node.reread(&node_config.to_string());
+        node.reload(&node_config.to_string());
         assert!(node.logs("papers not taken up").contains(key));
     }
     node.served(&hosts);
@@ -785,7 +785,7 @@
                 host.say("UP 1");
                 served.push(host);
             }
-            client.stream.set_read_timeout(Some(PATIENCE)).unwrap();
+            client.stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
             client.hear()
         };
         match answer.as_str() {
--- a/node/tests/stopping.rs
+++ b/node/tests/stopping.rs
@@ -198,7 +198,7 @@
     node.logs("asked to stop");
     let mut fresh = node_config(&hosts, discovery.address);
     fresh["settings"]["offerings"][0]["payoff"] = json!(2.0);
-    node.reread(&fresh.to_string());
+    node.reload(&fresh.to_string());
     node.logs("papers read again");
     node.stop();
     host.write("7aa\r\n");
@@ -241,13 +241,13 @@
     // They rest for less than two seconds by then, and write first.
     let mut crowd: Vec<Peer> = (0..700).map(|_| Peer::connect(node.address)).collect();
     has_read(&node);
-    node.stand_still();
+    node.suspend();
     crowd.iter_mut().for_each(|other| other.write("O"));
     host.say("UP 7");
     eventually("no time passes", || {
         began.elapsed() > ended_outside(9000) - ms(170)
     });
-    node.go_on();
+    node.unsuspend();
     client.hears("UP 7");
     client.hears("MOVE");
     client.hears("end");
--- a/node/tests/succession.rs
+++ b/node/tests/succession.rs
@@ -1,7 +1,7 @@
 //! One process in place of another: both started and spoken to over sockets, at a listener that the test holds.
 
 use reedferry_runtime::Budget;
-use reedferry_testkit::acting::{self, Clients, Referee, Way};
+use reedferry_testkit::simulated::{self, Clients, HostBehavior, InvariantChecker};
 use reedferry_testkit::*;
 use serde_json::{json, Value};
 use std::net::TcpListener;
@@ -91,8 +91,8 @@
         speaks(client, host);
     }
     let _one = predecessor.served(&site.hosts);
-    assert_eq!(predecessor.figure("in_flight"), 41);
-    assert_eq!(predecessor.figure("requests.chat.served"), 1);
+    assert_eq!(predecessor.metric("in_flight"), 41);
+    assert_eq!(predecessor.metric("requests.chat.served"), 1);
     // What one side ends, the other is told of, as ever.
     let (mut client, _, host) = open.pop().unwrap();
     host.end_sending();
@@ -115,7 +115,7 @@
     asks.write("PING\r\n");
     asks.hears("PONG");
     asks.write("OPEN 77 7f3a c=ch");
-    eventually("read", || predecessor.figure("in_flight") == 1);
+    eventually("read", || predecessor.metric("in_flight") == 1);
     let successor = site.start();
     predecessor.stop();
     predecessor.logs("asked to stop");
@@ -129,7 +129,7 @@
     ended(&mut predecessor);
     speaks(&mut waits, &mut host);
     speaks(&mut asks, &mut other);
-    assert_eq!(successor.figure("in_flight"), 2);
+    assert_eq!(successor.metric("in_flight"), 2);
 }
 
 /// Guards: clients given to a process that is gone; a node that stops serving since one was to follow it.
@@ -157,7 +157,7 @@
     let mut predecessor = site.start();
     let mut open: Vec<_> = (0..40).map(|_| predecessor.served(&site.hosts)).collect();
     let mut successor = site.start();
-    successor.stand_still();
+    successor.suspend();
     predecessor.stop();
     let asked = Instant::now();
     open.iter_mut()
@@ -169,9 +169,9 @@
         asked.elapsed()
     );
     ended(&mut predecessor);
-    successor.go_on();
+    successor.unsuspend();
     let _served = successor.served(&site.hosts);
-    eventually("none of the others", || successor.figure("in_flight") == 1);
+    eventually("none of the others", || successor.metric("in_flight") == 1);
     successor.stop();
     assert!(successor.wait().success());
 }
@@ -259,11 +259,11 @@
     host.hear();
     host.say("UP 1");
     client.hears("UP 1");
-    assert_eq!(predecessor.figure("hosts_excluded"), 1);
+    assert_eq!(predecessor.metric("hosts_excluded"), 1);
     let successor = site.start();
     predecessor.stop();
     ended(&mut predecessor);
-    assert_eq!(successor.figure("hosts_excluded"), 1);
+    assert_eq!(successor.metric("hosts_excluded"), 1);
     let (_, number, _) = successor.served(&site.hosts);
     // A mask is over after 2.25 s at the soonest.
     assert!(number == good || masked.elapsed() > Duration::from_secs(2));
@@ -272,10 +272,10 @@
 /// The rules over both processes, by what hosts and clients saw, among hosts in trouble.
 #[test]
 fn under_load_every_client_has_one_answer_and_none_is_lost_at_the_door() {
-    let referee = Referee::default();
-    let hosts = acting::Hosts::start(5, &referee);
-    hosts.go(3, Way::Fails);
-    hosts.go(4, Way::Silent);
+    let checker = InvariantChecker::default();
+    let hosts = simulated::Hosts::start(5, &checker);
+    hosts.go(3, HostBehavior::Fails);
+    hosts.go(4, HostBehavior::Silent);
     let discovery = Discovery::start();
     let class = |name: &str, idempotency: &str, group: &str| {
         json!({"name": name, "contract_time": 200.0, "expiry": 2000.0, "effect": idempotency, "group": group,
@@ -290,7 +290,7 @@
         class("once", "single_shot", "all")
     ]);
     let mut predecessor = site.start();
-    let mut clients = Clients::new(vec![predecessor.address], &referee, 7);
+    let mut clients = Clients::new(vec![predecessor.address], &checker, 7);
     let ms = Duration::from_millis;
     let mut before = Vec::new();
     for _ in 0..3 {
@@ -302,10 +302,10 @@
         before.push(std::mem::replace(&mut predecessor, successor));
     }
     clients.end();
-    let broken = referee.broken(ms(150));
+    let broken = checker.broken(ms(150));
     assert!(broken.is_empty(), "{broken:#?}");
     assert_eq!(
-        referee.lived().len(),
+        checker.observations().len(),
         clients.started(),
         "some were lost at the listener"
     );
--- a/node/tests/two_tier.rs
+++ b/node/tests/two_tier.rs
@@ -1,9 +1,9 @@
 //! Forwarders and planners as processes, among hosts and clients that act by themselves, with faults put in
 //! from outside. The rules are judged by what hosts and clients saw.
 
-use reedferry_testkit::acting::{Clients, Way};
 use reedferry_testkit::program::{path, Node};
-use reedferry_testkit::syscalls::{Call, Fault, Outcome, Spoiler};
+use reedferry_testkit::simulated::{Clients, HostBehavior};
+use reedferry_testkit::syscalls::{Call, Fault, Outcome, SyscallInjector};
 use reedferry_testkit::tiers::{self, until, Tiers, FAULTS};
 use reedferry_testkit::{eventually, Peer};
 use std::io::{Read, Write};
@@ -28,18 +28,18 @@
 }
 
 fn load(tiers: &Tiers, seed: u64) -> Clients {
-    Clients::new(tiers.doors(), &tiers.referee, seed)
+    Clients::new(tiers.doors(), &tiers.checker, seed)
 }
 
 fn judged(tiers: &Tiers, what: &str) {
-    let broken = tiers.referee.broken(TOLD);
+    let broken = tiers.checker.broken(TOLD);
     assert!(broken.is_empty(), "{what}: {broken:#?}");
 }
 
 fn answered(tiers: &Tiers, with: &str) -> usize {
     tiers
-        .referee
-        .lived()
+        .checker
+        .observations()
         .iter()
         .filter(|l| {
             l.answers
@@ -61,13 +61,13 @@
     clients.load(200.0, ms(1500), &[0, 1, 2], HOLDS);
     clients.end();
     judged(&tiers, "killed");
-    let all = tiers.referee.first_hand_offs();
+    let all = tiers.checker.first_attempts();
     let (count, up) = (all.len(), answered(&tiers, "UP"));
     assert!(up * 100 >= count * 90, "{up} of {count} served");
     let latest = all.iter().filter_map(|(_, took)| *took).max().unwrap();
     assert!(latest < ms(700), "a first hand-off after {latest:?}");
     // A second after the death decisions take their usual time.
-    let late = |l: &reedferry_testkit::acting::Lived, took: Duration| {
+    let late = |l: &reedferry_testkit::simulated::ClientObservation, took: Duration| {
         l.asked > killed + ms(1000) && took > ms(50)
     };
     let slow = all
@@ -88,14 +88,14 @@
     clients.load(100.0, ms(300), &[0, 1, 2], HOLDS);
     for n in 0..2 {
         let planner = tiers.planners[n].as_ref().unwrap();
-        planner.stand_still();
+        planner.suspend();
         clients.load(100.0, ms(2000), &[0, 1, 2], HOLDS);
-        planner.go_on();
+        planner.unsuspend();
         clients.load(100.0, ms(500), &[0, 1, 2], HOLDS);
     }
     clients.end();
     judged(&tiers, "stood still");
-    let (count, up) = (tiers.referee.lived().len(), answered(&tiers, "UP"));
+    let (count, up) = (tiers.checker.observations().len(), answered(&tiers, "UP"));
     assert!(up * 100 >= count * 90, "{up} of {count} served");
 }
 
@@ -113,9 +113,9 @@
     let mut clients = load(&tiers, 4);
     (0..40).for_each(|n| clients.come(n % 3, HOLDS));
     clients.end();
-    let lived = tiers.referee.lived();
-    assert_eq!(lived.len(), 40);
-    for one in &lived {
+    let observations = tiers.checker.observations();
+    assert_eq!(observations.len(), 40);
+    for one in &observations {
         let (at, said) = &one.answers[0];
         assert!(
             said.starts_with("BUSY ") && *at < one.asked + ms(100),
@@ -160,7 +160,7 @@
     clients.load(100.0, ms(300), &[0], HOLDS);
     clients.end();
     judged(&tiers, "drained");
-    let reached = tiers.referee.reached();
+    let reached = tiers.checker.reached();
     assert!(reached.iter().any(|r| r.host == 0) && reached.iter().any(|r| r.at > after));
 }
 
@@ -180,7 +180,7 @@
     }
     clients.end();
     judged(&tiers, "planners restarted");
-    let (count, up) = (tiers.referee.lived().len(), answered(&tiers, "UP"));
+    let (count, up) = (tiers.checker.observations().len(), answered(&tiers, "UP"));
     assert!(up * 100 >= count * 95, "{up} of {count} served");
     // A forwarder that is asked to stop answers what comes, moves what stands, and ends by itself.
     let mut standing = load(&tiers, 7);
@@ -206,14 +206,14 @@
     let mut tiers = Tiers::start(1, 2, 3, 8);
     let forwarder = &tiers.forwarders[0];
     let before = forwarder.told();
-    forwarder.reread(&before.replace("lease = \"250ms\"", "lease = \"900ms\""));
+    forwarder.reload(&before.replace("lease = \"250ms\"", "lease = \"900ms\""));
     forwarder.logs("lease is 900ms, not between");
     let first = before.find("[[planner]]").unwrap();
     let one = &before[first..];
     let second = first + one[1..].find("[[planner]]").unwrap() + 1;
     let mut clients = load(&tiers, 8);
     clients.load(100.0, ms(300), &[0], Duration::from_secs(20));
-    tiers.forwarders[0].reread(&before[..second]);
+    tiers.forwarders[0].reload(&before[..second]);
     tiers.forwarders[0].logs("articles read again");
     // The second planner may go now: nobody follows it any more, whoever was followed before.
     eventually("p0 alone is followed", || {
@@ -223,7 +223,7 @@
     clients.load(100.0, ms(500), &[0], HOLDS);
     clients.end();
     judged(&tiers, "another list");
-    assert_eq!(answered(&tiers, "UP"), tiers.referee.lived().len());
+    assert_eq!(answered(&tiers, "UP"), tiers.checker.observations().len());
 }
 
 #[test]
@@ -304,7 +304,7 @@
     clients.end();
     judged(&tiers, &format!("day {seed}: {done:?}"));
     assert!(
-        answered(&tiers, "UP") * 2 > tiers.referee.lived().len(),
+        answered(&tiers, "UP") * 2 > tiers.checker.observations().len(),
         "day {seed}: {done:?}"
     );
 }
@@ -313,13 +313,13 @@
 fn a_host_that_fails_what_is_irreversible_has_it_once() {
     let _turn = alone();
     let tiers = Tiers::start(1, 1, 3, 20);
-    (0..3).for_each(|h| tiers.hosts.go(h, Way::Breaks));
+    (0..3).for_each(|h| tiers.hosts.go(h, HostBehavior::Disconnects));
     let mut clients = load(&tiers, 20);
     (0..10).for_each(|_| clients.come(2, HOLDS));
     clients.end();
     judged(&tiers, "broken off");
     assert_eq!(
-        (answered(&tiers, "ERR"), tiers.referee.reached().len()),
+        (answered(&tiers, "ERR"), tiers.checker.reached().len()),
         (10, 10)
     );
 }
@@ -371,13 +371,13 @@
 fn a_forwarder_answers_what_is_due_in_time_though_each_turn_has_much_to_do() {
     const TALKING: usize = 60;
     let _turn = alone();
-    let (tiers, spoiler) = (Tiers::start(1, 1, 1, 8), Spoiler::default());
+    let (tiers, injector) = (Tiers::start(1, 1, 1, 8), SyscallInjector::default());
     let node_config = tiers::node_config("held-up", &tiers.hosts, &tiers.discovery, 8);
-    let forwarder = Node::start_as_spoilt(
+    let forwarder = Node::start_as_injected(
         "forward",
         &tiers.operator_config(0, 1),
         &node_config,
-        &spoiler,
+        &injector,
     );
     forwarder.logs("follows planner");
     let open = |n: usize| {
@@ -388,12 +388,12 @@
         client
     };
     let mut talking: Vec<Peer> = (0..TALKING).map(open).collect();
-    tiers.hosts.go(0, Way::Silent);
+    tiers.hosts.go(0, HostBehavior::Silent);
     let mut waits = Peer::connect(forwarder.address);
     waits.say("OPEN late 7f c=once,t=acme,d=1000");
     let asked = Instant::now();
     _ = until(ms(1000), || asked.elapsed() >= ms(500));
-    spoiler.set(&[Fault {
+    injector.set(&[Fault {
         call: Call::Send,
         outcome: Outcome::HeldUp(ms(100)),
         every: 2,
@@ -403,7 +403,7 @@
     talking.iter_mut().for_each(|client| client.say("hello"));
     let said = waits.hear();
     let took = asked.elapsed();
-    spoiler.clear();
+    injector.clear();
     assert_eq!(said, "ERR");
     // One turn more, its own sending, and what the first turn had begun.
     assert!(took < ms(1450), "{said} after {took:?}");
--- a/node/tests/upgrade.rs
+++ b/node/tests/upgrade.rs
@@ -4,9 +4,9 @@
 //! `REEDFERRY_PREVIOUS` names the program of the older build; without it both are the build under test.
 
 use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, WarmingHosts};
+use reedferry_testkit::fleet_view::FleetView;
+use reedferry_testkit::network::FaultyNetwork;
 use reedferry_testkit::program::{folder, listener, node_config_of, path};
-use reedferry_testkit::view::View;
-use reedferry_testkit::ways::Ways;
 use reedferry_testkit::{eventually, node_config, Discovery, Hosts, Node, Peer, OPEN};
 use serde_json::json;
 use std::collections::HashMap;
@@ -58,7 +58,7 @@
             host.hears("half");
             client.hears("down");
         }
-        assert_eq!(successor.figure("in_flight"), 20);
+        assert_eq!(successor.metric("in_flight"), 20);
         _ = std::fs::remove_dir_all(&folder);
     }
 }
@@ -74,12 +74,12 @@
         full: 1e6,
         ..FleetOptions::TRIAL
     };
-    let view = View {
-        ways: Ways::new(nodes, 1),
+    let fleet_view = FleetView {
+        network: FaultyNetwork::new(nodes, 1),
         period: PERIOD,
         seeds: vec![0, 1],
     };
-    let mut fleet = build(Fleet::new(nodes, service.address, options).with_view(view));
+    let mut fleet = build(Fleet::new(nodes, service.address, options).with_view(fleet_view));
     let (even, odd): (Vec<usize>, Vec<usize>) = (0..nodes).partition(|node| node % 2 == 0);
     fleet.start(&even, known, 1);
     fleet = fleet.of(previous_build());
--- a/node/tests/wards.rs
+++ b/node/tests/wards.rs
@@ -1,9 +1,9 @@
 //! Processes of the program that keep records of each other's work in hand, some of which are killed or stand still: what
 //! is irreversible reaches hosts once, as the hosts saw it.
 
-use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, REPEATS};
-use reedferry_testkit::view::View;
-use reedferry_testkit::ways::Ways;
+use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, IDEMPOTENCY_WINDOW};
+use reedferry_testkit::fleet_view::FleetView;
+use reedferry_testkit::network::FaultyNetwork;
 use reedferry_testkit::{eventually, Discovery, Peer};
 use serde_json::json;
 use std::collections::HashMap;
@@ -58,13 +58,13 @@
         });
         let service = Discovery::start();
         service.change(member.clone());
-        let view = View {
-            ways: Ways::new(nodes, 1),
+        let fleet_view = FleetView {
+            network: FaultyNetwork::new(nodes, 1),
             period: PERIOD,
             seeds: vec![0, 1, 2],
         };
         let mut fleet = Fleet::new(nodes, service.address, TERMS)
-            .with_view(view)
+            .with_view(fleet_view)
             .class(idempotency, wards);
         fleet.start(&(0..nodes).collect::<Vec<_>>(), &[member], 1);
         assert!(fleet.agrees_within(PERIOD * 60).is_some());
@@ -98,7 +98,7 @@
             .unwrap_or(0)
     }
 
-    fn figure(&self, node: usize, name: &str) -> u64 {
+    fn metric(&self, node: usize, name: &str) -> u64 {
         self.fleet
             .status(node)
             .and_then(|status| status["wards"][name].as_u64())
@@ -147,7 +147,7 @@
     );
     assert_eq!(
         (2..5)
-            .map(|node| site.figure(node, "taken_over"))
+            .map(|node| site.metric(node, "taken_over"))
             .sum::<u64>(),
         given_up.len() as u64
     );
@@ -174,7 +174,7 @@
     eventually("those that come soon are sent again", || {
         (0..20).all(|key| site.at_host(key) == 2)
     });
-    thread::sleep(REPEATS);
+    thread::sleep(IDEMPOTENCY_WINDOW);
     let mut late: Vec<Peer> = (20..40)
         .map(|key| site.asks(1 + key % 4, key, true))
         .collect();
@@ -230,14 +230,14 @@
         told.iter().all(|line| line.starts_with("BUSY 1000")),
         "{told:?}"
     );
-    assert!((0..20).all(|key| site.at_host(key) == 0) && site.figure(4, "turned_away") == 20);
+    assert!((0..20).all(|key| site.at_host(key) == 0) && site.metric(4, "turned_away") == 20);
 }
 
 /// Guards: a node that stood still and goes on with what another has taken up; and one key brought to two at once.
 #[test]
 fn one_that_stood_still_sends_nothing_and_of_two_at_once_one_does() {
     let mut site = Site::new(5, "single_shot", Some(LIFE));
-    site.fleet.stand_still(0);
+    site.fleet.suspend(0);
     let old: Vec<Peer> = (0..20).map(|key| site.asks(0, key, false)).collect();
     let new: Vec<Peer> = (0..20)
         .map(|key| site.asks(1 + key % 4, key, true))
@@ -245,7 +245,7 @@
     eventually("all stand at the host", || {
         (0..20).all(|key| site.at_host(key) == 1)
     });
-    site.fleet.go_on(0);
+    site.fleet.unsuspend(0);
     let both: Vec<(Peer, Peer)> = (20..60)
         .map(|key| (site.asks(1, key, false), site.asks(2, key, false)))
         .collect();
--- a/testkit/src/coldstart.rs
+++ b/testkit/src/coldstart.rs
@@ -3,16 +3,16 @@
 //! likes, as a node alone does), another build if one is named, and hosts that are all cold as well, in the same run. It
 //! must never report what it did not measure.
 
-use crate::chart::Row;
-use crate::fleet::{Fleet, FleetOptions, Guests, WarmingHosts};
-use crate::two_tier::Found;
+use crate::fleet::{Fleet, FleetOptions, ReturningClients, WarmingHosts};
+use crate::html_chart::Row;
+use crate::two_tier::Report;
 use crate::Discovery;
 use serde_json::{json, Map, Value};
 use std::path::PathBuf;
 use std::thread;
 use std::time::{Duration, Instant};
 
-pub struct Size {
+pub struct ColdStartSize {
     pub nodes: usize,
     pub hosts: usize,
     /// Calls a second that the service works off, how much may wait there, and for how long it is down at first.
@@ -33,7 +33,7 @@
 
 /// What one way of starting showed.
 #[derive(Default)]
-struct Shown {
+struct StartResult {
     calls: usize,
     turned_away: usize,
     by_second: Vec<usize>,
@@ -44,7 +44,7 @@
     broken: Vec<String>,
 }
 
-impl Shown {
+impl StartResult {
     fn at(&self, part: f64) -> f64 {
         let place = (self.first.len() as f64 * part).ceil() as usize;
         self.first
@@ -70,7 +70,7 @@
 const COUNTED_ON: f64 = 4.0;
 const FILLED_BY: f64 = 8.0;
 
-impl Size {
+impl ColdStartSize {
     fn full(&self, multiple: f64) -> FleetOptions {
         FleetOptions {
             full: multiple * (EACH * self.nodes) as f64 / self.hosts as f64,
@@ -92,21 +92,26 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
+enum StartMode {
     Alone,
     Together,
     /// And the hosts are cold.
     Cold,
 }
 
-fn start(size: &Size, seed: u64, way: Way, program: Option<&PathBuf>) -> Shown {
-    let (terms, clients) = match way {
-        Way::Cold => (size.full(FILLED_BY), EACH * size.nodes),
+fn start(
+    size: &ColdStartSize,
+    seed: u64,
+    mode: StartMode,
+    program: Option<&PathBuf>,
+) -> StartResult {
+    let (terms, clients) = match mode {
+        StartMode::Cold => (size.full(FILLED_BY), EACH * size.nodes),
         _ => (TERMS, size.nodes),
     };
     let (service, hosts) = (Discovery::start(), WarmingHosts::new(terms));
     service.bound(size.rate, size.queue);
-    let which = hosts.start(size.hosts, way == Way::Cold);
+    let which = hosts.start(size.hosts, mode == StartMode::Cold);
     hosts
         .members(which.clone())
         .into_iter()
@@ -115,7 +120,7 @@
     if let Some(program) = program {
         fleet = fleet.of(program.clone());
     }
-    if way == Way::Alone {
+    if mode == StartMode::Alone {
         fleet = fleet.each_alone();
     }
     let all: Vec<usize> = (0..size.nodes).collect();
@@ -125,7 +130,7 @@
     let from = Instant::now();
     fleet.start(&all, &[], 0);
     let addresses = fleet.addresses();
-    let mut guests = Guests::come(
+    let mut returning_clients = ReturningClients::come(
         clients,
         &fleet.front,
         Duration::ZERO,
@@ -137,7 +142,7 @@
     // Long enough for a service that turns half of the calls away, three times over.
     let until =
         from + size.down + Duration::from_secs_f64(6.0 * size.nodes as f64 / size.rate + 10.0);
-    while guests.standing() < clients && Instant::now() < until {
+    while returning_clients.standing() < clients && Instant::now() < until {
         thread::sleep(Duration::from_millis(20));
     }
     // What follows is begun by then: the last list came at half of the time within which each has to ask, or later.
@@ -145,18 +150,18 @@
         (from + size.down + TERMS.max_poll_interval * 3 / 2)
             .saturating_duration_since(Instant::now()),
     );
-    let mut first: Vec<Duration> = guests
+    let mut first: Vec<Duration> = returning_clients
         .first(from + size.down)
         .into_iter()
         .flatten()
         .collect();
     first.sort_unstable();
-    guests.end();
+    returning_clients.end();
     let (called, turned_away) = service.seen();
     let arrived: Vec<Instant> = which.flat_map(|host| hosts.arrived(host)).collect();
-    let mut broken = fleet.broken(&guests);
+    let mut broken = fleet.broken(&returning_clients);
     broken.extend(hosts.broken(Duration::ZERO));
-    Shown {
+    StartResult {
         calls: called.len(),
         turned_away: turned_away.len(),
         by_second: by_second(from, &called),
@@ -167,19 +172,22 @@
 }
 
 /// Starts the fleet in each way in turn; gives what was counted by second beside what was found.
-pub fn measure(size: &Size, seed: u64) -> (Found, Vec<Row>) {
+pub fn measure(size: &ColdStartSize, seed: u64) -> (Report, Vec<Row>) {
     let (nodes, limit, hosts_limit) = (
         size.nodes as f64,
         size.nodes as f64 / size.rate,
         size.hosts_limit(size.full(COUNTED_ON), 0.5),
     );
     let budgets = size.hosts_limit(size.full(FILLED_BY), 1.0);
-    let mut ways = vec![("plain", start(size, seed, Way::Alone, None))];
+    let mut modes = vec![("plain", start(size, seed, StartMode::Alone, None))];
     if let Some(before) = &size.before {
-        ways.push(("before", start(size, seed, Way::Together, Some(before))));
+        modes.push((
+            "before",
+            start(size, seed, StartMode::Together, Some(before)),
+        ));
     }
-    ways.push(("now", start(size, seed, Way::Together, None)));
-    ways.push(("cold hosts", start(size, seed, Way::Cold, None)));
+    modes.push(("now", start(size, seed, StartMode::Together, None)));
+    modes.push(("cold hosts", start(size, seed, StartMode::Cold, None)));
     let mut figures = Map::new();
     figures.insert("the service's own limit, s".into(), json!(limit));
     figures.insert("cold hosts, by their budgets, s".into(), json!(budgets));
@@ -188,8 +196,8 @@
         json!(hosts_limit),
     );
     let mut rows = Vec::new();
-    for (way, shown) in &ways {
-        let mut put = |what: &str, value: Value| figures.insert(format!("{way}: {what}"), value);
+    for (mode, shown) in &modes {
+        let mut put = |what: &str, value: Value| figures.insert(format!("{mode}: {what}"), value);
         put("calls", json!(shown.calls));
         put("calls a node", json!(shown.calls as f64 / nodes));
         put("turned away", json!(shown.turned_away));
@@ -203,7 +211,7 @@
             ("asked at hosts", &shown.arrived),
         ] {
             rows.push(Row {
-                name: format!("{way}: {what}"),
+                name: format!("{mode}: {what}"),
                 by_second: by_second.clone(),
             });
         }
@@ -217,9 +225,10 @@
             broken.push(what);
         }
     };
-    let shown = |way: &str| {
-        ways.iter()
-            .find(|(name, _)| *name == way)
+    let shown = |mode: &str| {
+        modes
+            .iter()
+            .find(|(name, _)| *name == mode)
             .map(|(_, shown)| shown)
     };
     if let Some(now) = shown("now") {
@@ -267,9 +276,10 @@
         );
     }
     broken.extend(
-        ways.iter()
-            .filter(|(way, _)| *way != "plain" && *way != "before")
+        modes
+            .iter()
+            .filter(|(mode, _)| *mode != "plain" && *mode != "before")
             .flat_map(|(_, s)| s.broken.clone()),
     );
-    (Found { figures, broken }, rows)
+    (Report { figures, broken }, rows)
 }
--- a/testkit/src/discovery.rs
+++ b/testkit/src/discovery.rs
@@ -2,7 +2,7 @@
 //! second as a test allows, and fails as a test says. It must never tell anything but its list, unless a test has
 //! it answer with something else instead.
 
-use crate::peers::PATIENCE;
+use crate::peers::MAX_WAIT;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -150,7 +150,7 @@
 
     /// Waits until so many calls have come, and says how long after the last answer each followed.
     pub fn calls(&self, count: usize) -> Vec<Duration> {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + MAX_WAIT;
         let mut kept = self.kept.0.lock().unwrap();
         while kept.called.len() < count {
             let left = until
--- a/testkit/src/fleet.rs
+++ b/testkit/src/fleet.rs
@@ -2,9 +2,9 @@
 //! deals clients out and notices deaths late, and clients that come again under the same key. What hosts and
 //! clients saw is noted with its time, and the rules are judged by that alone.
 
-use crate::acting::{first_line, small, GRACE, SOCKETS};
+use crate::fleet_view::FleetView;
 use crate::program::{node_config_of, path, Node};
-use crate::view::View;
+use crate::simulated::{first_line, small, DRAIN_GRACE, SOCKET_SLACK};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::{json, Value};
@@ -16,9 +16,9 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-pub const EXPIRY: Duration = Duration::from_secs(2);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// Within which hosts drop repeats of what is labelled.
-pub const REPEATS: Duration = Duration::from_millis(1500);
+pub const IDEMPOTENCY_WINDOW: Duration = Duration::from_millis(1500);
 
 /// The terms on cold hosts and on calls to the list service that the whole site works under.
 #[derive(Clone, Copy)]
@@ -156,7 +156,7 @@
                 broken.push(format!("rule 4: host {host} was pushed over"));
             }
             let drains = *warming.drains.lock().unwrap();
-            let late = drains.map(|t| t + GRACE + SOCKETS + told);
+            let late = drains.map(|t| t + DRAIN_GRACE + SOCKET_SLACK + told);
             let after = warming
                 .arrived
                 .lock()
@@ -263,7 +263,7 @@
     wards: Option<Duration>,
     /// The places that settings name, where some of the processes have none of their own.
     pub(crate) places: usize,
-    view: Option<View>,
+    fleet_view: Option<FleetView>,
     /// Where a process was killed, stopped or asked to end, and when.
     ended: Vec<(SocketAddr, Instant)>,
 }
@@ -284,7 +284,7 @@
             idempotency: "free",
             wards: None,
             places,
-            view: None,
+            fleet_view: None,
             ended,
         }
     }
@@ -296,13 +296,13 @@
     }
 
     /// Each keeps a view of the fleet.
-    pub fn with_view(mut self, view: View) -> Self {
-        self.view = Some(view);
+    pub fn with_view(mut self, fleet_view: FleetView) -> Self {
+        self.fleet_view = Some(fleet_view);
         self
     }
 
-    pub fn view(&self) -> &View {
-        self.view.as_ref().expect("a fleet with a view")
+    pub fn fleet_view(&self) -> &FleetView {
+        self.fleet_view.as_ref().expect("a fleet with a view")
     }
 
     /// Of these places; any process beyond them is started as a second one of another.
@@ -346,13 +346,13 @@
         node_config["seed"] = json!(format!("{:016x}", 0x8c1f_30d2 + node as u64));
         node_config["known"]["revision"] = json!(revision);
         let settings = &mut node_config["settings"];
-        if self.view.is_some() {
+        if self.fleet_view.is_some() {
             settings["policy_limits"]["peers"] = json!(true);
             node_config["ops"] = json!("127.0.0.1:0");
         }
         node_config["settings"]["offerings"][0]["effect"] = json!(self.idempotency);
         if self.idempotency == "guarded" {
-            node_config["settings"]["offerings"][0]["repeat_window"] = millis(REPEATS);
+            node_config["settings"]["offerings"][0]["repeat_window"] = millis(IDEMPOTENCY_WINDOW);
         }
         if self.probes {
             node_config["settings"]["reporting"] = json!({"fields": ["util", "x0"], "via": "pull"});
@@ -379,19 +379,19 @@
             .iter()
             .map(|&n| (n, self.node_config(n, known, revision)))
             .collect();
-        let (program, view) = (&self.program, self.view.as_ref());
+        let (program, fleet_view) = (&self.program, self.fleet_view.as_ref());
         let more = self
             .wards
             .map(|life| format!("[fleet.wards]\nlife = \"{}ms\"\n", life.as_millis()));
         let more = more.unwrap_or_default();
         let started: Vec<(usize, Node)> = thread::scope(|scope| {
-            let one = |(node, node_config): &(usize, Value)| match view {
-                Some(view) => (
+            let one = |(node, node_config): &(usize, Value)| match fleet_view {
+                Some(fleet_view) => (
                     *node,
                     Node::start_of_as(
                         program,
                         "node",
-                        &(view.operator_config(*node) + &more),
+                        &(fleet_view.operator_config(*node) + &more),
                         node_config,
                     ),
                 ),
@@ -444,7 +444,7 @@
     pub fn start_twin(&mut self, of: usize, known: &[Value], revision: u64) {
         let mut node_config = self.node_config(of, known, revision);
         node_config["listen"] = json!("127.0.0.1:0");
-        let operator_config = self.view().operator_config(self.places);
+        let operator_config = self.fleet_view().operator_config(self.places);
         let twin = Node::start_of_as(&self.program, "node", &operator_config, &node_config);
         self.front.takes_in(twin.address);
         self.nodes[self.places] = Some(twin);
@@ -452,11 +452,11 @@
 
     /// Has one stand still for a moment; clients are dealt to it all the same.
     pub fn pause(&self, node: usize) {
-        self.nodes[node].iter().for_each(Node::stand_still);
+        self.nodes[node].iter().for_each(Node::suspend);
     }
 
     pub fn resume(&self, node: usize) {
-        self.nodes[node].iter().for_each(Node::go_on);
+        self.nodes[node].iter().for_each(Node::unsuspend);
     }
 
     fn ends(&mut self, node: usize, notices: Duration) {
@@ -473,15 +473,15 @@
     }
 
     /// Has one stand still until it goes on; what it had taken may get its answer late.
-    pub fn stand_still(&mut self, node: usize) {
+    pub fn suspend(&mut self, node: usize) {
         self.ends(node, Duration::ZERO);
-        self.nodes[node].iter().for_each(Node::stand_still);
+        self.nodes[node].iter().for_each(Node::suspend);
     }
 
     /// It goes on, and is dealt clients again.
-    pub fn go_on(&mut self, node: usize) {
+    pub fn unsuspend(&mut self, node: usize) {
         if let Some(one) = &self.nodes[node] {
-            one.go_on();
+            one.unsuspend();
             self.front.takes_in(one.address);
         }
     }
@@ -496,16 +496,20 @@
 
     /// What broke rule 1 as the clients saw it: those whose node ended or stood still by then may have had no answer,
     /// or a late one.
-    pub fn broken(&self, guests: &Guests) -> Vec<String> {
+    pub fn broken(&self, returning_clients: &ReturningClients) -> Vec<String> {
         let mut broken = Vec::new();
-        for (number, guest) in guests.seen.iter().enumerate() {
+        for (number, guest) in returning_clients.seen.iter().enumerate() {
             for ask in &guest.lock().unwrap().asks {
                 // Up to two seconds after a front has left it out, some still come.
-                let near = |t: Instant| ask.at < t + EXPIRY && t < ask.at + EXPIRY + SOCKETS;
+                let near = |t: Instant| {
+                    ask.at < t + REQUEST_TIMEOUT && t < ask.at + REQUEST_TIMEOUT + SOCKET_SLACK
+                };
                 let ended = self.ended.iter().any(|(a, t)| *a == ask.node && near(*t));
                 match ask.answered {
                     None if !ended => broken.push(format!("rule 1: guest {number} had no answer")),
-                    Some(took) if took > EXPIRY + SOCKETS + SOCKETS && !ended => {
+                    Some(took)
+                        if took > REQUEST_TIMEOUT + SOCKET_SLACK + SOCKET_SLACK && !ended =>
+                    {
                         broken.push(format!(
                             "rule 1: guest {number} was answered after {took:?}"
                         ));
@@ -534,13 +538,13 @@
 }
 
 /// Clients that want a connection each, and come again under the same key whenever it ends.
-pub struct Guests {
+pub struct ReturningClients {
     pub seen: Arc<Vec<Mutex<Seen>>>,
     over: Arc<AtomicBool>,
     running: Vec<thread::JoinHandle<()>>,
 }
 
-impl Guests {
+impl ReturningClients {
     /// They come within `spread`; where `at` is given, each keeps to the node of its number.
     pub fn come(
         count: usize,
@@ -575,7 +579,7 @@
             })
         };
         let running = (0..count).map(one).collect();
-        Guests {
+        ReturningClients {
             seen,
             over,
             running,
@@ -626,7 +630,7 @@
     let mark = if *again { ",again=1" } else { "" };
     let line = format!(
         "OPEN {id:x} {key:x} c=chat,t=acme,d={}{mark}\r\n",
-        EXPIRY.as_millis()
+        REQUEST_TIMEOUT.as_millis()
     );
     if stream.write_all(line.as_bytes()).is_err() {
         return backs_off;
@@ -641,7 +645,7 @@
         });
         seen.asks.len() - 1
     };
-    _ = stream.set_read_timeout(Some(EXPIRY + Duration::from_secs(1)));
+    _ = stream.set_read_timeout(Some(REQUEST_TIMEOUT + Duration::from_secs(1)));
     let mut reader = BufReader::with_capacity(512, stream.try_clone().expect("a descriptor"));
     let mut said = String::new();
     if !matches!(reader.read_line(&mut said), Ok(1..)) {
@@ -715,7 +719,7 @@
         let _flood: Vec<TcpStream> = (0..4).map(|_| asks(hosts.at(1).address)).collect();
         eventually("four came", || hosts.arrived(1).len() == 4);
         hosts.drains(2);
-        thread::sleep(GRACE + SOCKETS + Duration::from_millis(10));
+        thread::sleep(DRAIN_GRACE + SOCKET_SLACK + Duration::from_millis(10));
         let _late = asks(hosts.at(2).address);
         eventually("one came late", || hosts.arrived(2).len() == 5);
         let broken = hosts.broken(Duration::ZERO);
@@ -747,17 +751,18 @@
             idempotency: "free",
             wards: None,
             places: 0,
-            view: None,
+            fleet_view: None,
             ended: Vec::new(),
         };
         fleet.front.takes_in(address);
-        let mut guests = Guests::come(1, &fleet.front, Duration::ZERO, None, 1);
+        let mut returning_clients =
+            ReturningClients::come(1, &fleet.front, Duration::ZERO, None, 1);
         eventually("it has asked twice", || {
-            guests.seen[0].lock().unwrap().asks.len() > 1
+            returning_clients.seen[0].lock().unwrap().asks.len() > 1
         });
-        guests.end();
-        assert!(!fleet.broken(&guests).is_empty());
+        returning_clients.end();
+        assert!(!fleet.broken(&returning_clients).is_empty());
         fleet.ended.push((address, Instant::now()));
-        assert!(fleet.broken(&guests).is_empty());
+        assert!(fleet.broken(&returning_clients).is_empty());
     }
 }
--- a/testkit/src/view.rs
+++ b/testkit/src/fleet_view.rs
@@ -2,8 +2,8 @@
 //! say of the view, and the measurement of it. It owns what is promised of the view. It must never judge a rule by what a process says of itself.
 
 use crate::fleet::{Fleet, FleetOptions};
-use crate::two_tier::Found;
-use crate::ways::Ways;
+use crate::network::FaultyNetwork;
+use crate::two_tier::Report;
 use crate::Discovery;
 use serde_json::{json, Map, Value};
 use std::collections::HashMap;
@@ -11,24 +11,27 @@
 use std::time::{Duration, Instant};
 
 /// What a fleet needs to keep a view.
-pub struct View {
-    pub ways: Ways,
+pub struct FleetView {
+    pub network: FaultyNetwork,
     pub period: Duration,
     pub seeds: Vec<usize>,
 }
 
-impl View {
+impl FleetView {
     /// The operator's file of a node.
     pub fn operator_config(&self, node: usize) -> String {
-        let (face, behind) = (self.ways.faces[node], self.ways.behind[node]);
+        let (face, process_addresses) = (
+            self.network.public_addresses[node],
+            self.network.process_addresses[node],
+        );
         let seeds: Vec<String> = self
             .seeds
             .iter()
-            .map(|seed| self.ways.faces[*seed].to_string())
+            .map(|seed| self.network.public_addresses[*seed].to_string())
             .collect();
         let period = self.period.as_millis();
         format!(
-            "papers = \"PAPERS\"\n[node]\n[fleet]\naddress = \"{face}\"\nlisten = \"{behind}\"\nseeds = {seeds:?}\n\
+            "papers = \"PAPERS\"\n[node]\n[fleet]\naddress = \"{face}\"\nlisten = \"{process_addresses}\"\nseeds = {seeds:?}\n\
              period = \"{period}ms\"\n"
         )
     }
@@ -67,13 +70,14 @@
     /// Whether each that runs holds all that run, and them alone, to be at work.
     pub fn agrees(&self) -> bool {
         let held = self.held();
-        let well = |(node, view): &(usize, HashMap<String, String>)| {
+        let well = |(node, fleet_view): &(usize, HashMap<String, String>)| {
             let others = held.iter().filter(|(other, _)| other != node);
             let there = |(other, _): &(usize, _)| {
-                view.get(&format!("n{other}"))
+                fleet_view
+                    .get(&format!("n{other}"))
                     .is_some_and(|s| s == "at work")
             };
-            view.len() + 1 == held.len() && others.into_iter().all(there)
+            fleet_view.len() + 1 == held.len() && others.into_iter().all(there)
         };
         held.iter().all(well)
     }
@@ -94,11 +98,11 @@
     }
 
     /// Whom nodes that run have held gone since the log was looked at last.
-    pub fn put_out(&self) -> Vec<String> {
+    pub fn members_declared_dead(&self) -> Vec<String> {
         let lines = self.nodes.iter().enumerate().flat_map(|(node, one)| {
             let lines = one
                 .iter()
-                .flat_map(crate::Node::logged)
+                .flat_map(crate::Node::drain_log)
                 .filter(|l| l.contains("member gone"));
             lines
                 .map(move |line| format!("n{node}: {line}"))
@@ -108,19 +112,19 @@
     }
 
     /// Processor time that all have taken.
-    fn spent(&self) -> Duration {
-        self.nodes.iter().flatten().map(crate::Node::spent).sum()
+    fn cpu_time(&self) -> Duration {
+        self.nodes.iter().flatten().map(crate::Node::cpu_time).sum()
     }
 }
 
 pub fn started(nodes: usize, period: Duration, seed: u64) -> (Discovery, Fleet) {
     let service = Discovery::start();
-    let view = View {
-        ways: Ways::new(nodes + 1, seed),
+    let fleet_view = FleetView {
+        network: FaultyNetwork::new(nodes + 1, seed),
         period,
         seeds: (0..3.min(nodes)).collect(),
     };
-    let mut fleet = Fleet::new(nodes, service.address, FleetOptions::TRIAL).with_view(view);
+    let mut fleet = Fleet::new(nodes, service.address, FleetOptions::TRIAL).with_view(fleet_view);
     fleet.start(&(0..nodes).collect::<Vec<_>>(), &[], 0);
     (service, fleet)
 }
@@ -145,10 +149,10 @@
     let start = begun.elapsed().as_secs_f64() * 1000.0 / nodes as f64;
     let in_periods = |span: Duration| span.as_secs_f64() / period.as_secs_f64();
     let settled = in_periods(fleet.agrees_within(period * 100)?);
-    let passed = |fleet: &Fleet| fleet.view().ways.passed().sent.iter().sum::<u64>();
+    let passed = |fleet: &Fleet| fleet.fleet_view().network.passed().sent.iter().sum::<u64>();
     // News is told for some periods more.
     thread::sleep(period * (15 + nodes as u32 / 4));
-    let (from, before, spent) = (Instant::now(), passed(&fleet), fleet.spent());
+    let (from, before, cpu_time) = (Instant::now(), passed(&fleet), fleet.cpu_time());
     thread::sleep(period * 20);
     let quiet = from.elapsed();
     let letters = (passed(&fleet) - before) as f64 / nodes as f64 / in_periods(quiet);
@@ -160,11 +164,11 @@
         .sum::<usize>() as f64
         / nodes as f64
         / 1e6;
-    let core = (fleet.spent() - spent).as_secs_f64() / nodes as f64 / quiet.as_secs_f64();
+    let core = (fleet.cpu_time() - cpu_time).as_secs_f64() / nodes as f64 / quiet.as_secs_f64();
     let (mut found, mut known, mut healed, mut wrongly) = (Vec::new(), Vec::new(), Vec::new(), 0);
     for kill in 0..kills {
         let node = (seed as usize * 7 + kill * 5 + 3) % nodes;
-        fleet.put_out();
+        fleet.members_declared_dead();
         let at = Instant::now();
         fleet.kill(node, Duration::ZERO);
         let within = period.mul_f64(2.0 + 2.0 * (nodes as f64).log2());
@@ -178,7 +182,7 @@
                 .enumerate()
                 .filter_map(|(n, one)| Some((n, one.as_ref()?)))
             {
-                for (when, line) in one.logged_at() {
+                for (when, line) in one.drain_log_timed() {
                     let of_it = format!("{line},").contains(&format!("name: n{node},"));
                     if of_it && line.contains("member suspect") {
                         suspect.push((from, when));
@@ -207,25 +211,25 @@
     }
     if faults {
         for (periods, parts) in [(10, 2), (30, 2), (30, 3)] {
-            fleet.view().ways.split(|node| node % parts);
+            fleet.fleet_view().network.split(|node| node % parts);
             thread::sleep(period * periods);
-            fleet.view().ways.heal();
+            fleet.fleet_view().network.heal();
             healed.push(
                 fleet
                     .agrees_within(period * 100)
                     .map_or(f64::INFINITY, in_periods),
             );
         }
-        fleet.put_out();
-        let spoil = crate::ways::Spoil {
+        fleet.members_declared_dead();
+        let link_faults = crate::network::LinkFaults {
             loss: 0.2,
-            double: 0.1,
+            duplicate: 0.1,
             delay: period / 10,
             ..Default::default()
         };
-        fleet.view().ways.set(|_, _| spoil);
+        fleet.fleet_view().network.set(|_, _| link_faults);
         thread::sleep(period * 50);
-        wrongly += fleet.put_out().len();
+        wrongly += fleet.members_declared_dead().len();
     }
     Some(Shown {
         start,
@@ -246,11 +250,11 @@
 }
 
 /// Starts a fleet and spoils its ways and ends some of it; and a few processes beside it, for what a letter costs.
-pub fn measure(nodes: usize, period: Duration, seed: u64) -> Found {
+pub fn measure(nodes: usize, period: Duration, seed: u64) -> Report {
     let (mut figures, mut broken) = (Map::new(), Vec::new());
     let few = play(nodes.min(20), period, seed, 0, false);
     let Some((few, now)) = few.zip(play(nodes, period, seed, 3, true)) else {
-        return Found {
+        return Report {
             figures,
             broken: vec!["views never agreed".into()],
         };
@@ -298,5 +302,5 @@
         format!("{level:.2} times the letters of 20 nodes"),
     );
     promised(now.core <= 0.01, format!("{:.4} of a core each", now.core));
-    Found { figures, broken }
+    Report { figures, broken }
 }
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -2,22 +2,22 @@
 //! itself as it is started and ended, a relay that spoils what passes, and a referee of the four rules. It
 //! must never be linked into the program.
 
-pub mod acting;
-pub mod chart;
 pub mod coldstart;
 pub mod discovery;
 pub mod fleet;
+pub mod fleet_view;
+pub mod html_chart;
+pub mod network;
 pub mod peers;
 pub mod program;
 pub mod relay;
 pub mod schedule;
+pub mod simulated;
 pub mod soak;
 pub mod speaker;
 pub mod syscalls;
 pub mod tiers;
 pub mod two_tier;
-pub mod view;
-pub mod ways;
 
 pub use discovery::Discovery;
 pub use peers::*;
--- a/testkit/src/main.rs
+++ b/testkit/src/main.rs
@@ -3,9 +3,9 @@
 //! usage.
 
 use clap::{Args, Parser, Subcommand};
-use reedferry_testkit::schedule::{self, Schedule};
-use reedferry_testkit::two_tier::{self, Found};
-use reedferry_testkit::{chart, coldstart, soak, view};
+use reedferry_testkit::schedule::{self, FaultSchedule};
+use reedferry_testkit::two_tier::{self, Report};
+use reedferry_testkit::{coldstart, fleet_view, html_chart, soak};
 use serde_json::json;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -15,27 +15,27 @@
 
 /// Measures the program on stand-ins on loopback.
 #[derive(Parser)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
-    what: What,
+    what: Measurement,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Measurement {
     /// Forwarders and planners beside as many single nodes.
-    TwoTier(Options),
+    TwoTier(TwoTierOptions),
     /// Schedules of faults over processes, drawn by seeds or read from a file.
-    Schedule(Faults),
+    FaultSchedule(ScheduleOptions),
     /// Nodes that keep a view of their fleet, over ways that are spoilt.
-    Fleet(Viewed),
+    Fleet(FleetViewOptions),
     /// Processes under troubles that overlap, judged by the rules.
-    Soak(Soaked),
+    Soak(SoakOptions),
     /// Nodes that start at once and know nothing, beside a list service of some capacity.
-    Coldstart(Cold),
+    Coldstart(ColdStartOptions),
 }
 
 #[derive(Args)]
-struct Options {
+struct TwoTierOptions {
     /// What chance is drawn from.
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -48,7 +48,7 @@
 }
 
 #[derive(Args)]
-struct Faults {
+struct ScheduleOptions {
     /// What the first schedule is drawn from; each further one from the next number.
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -72,10 +72,11 @@
     json: bool,
 }
 
-impl Faults {
-    fn schedules(&self) -> Result<Vec<Schedule>, String> {
+impl ScheduleOptions {
+    fn schedules(&self) -> Result<Vec<FaultSchedule>, String> {
         let Some(path) = &self.replay else {
-            let drawn = |n| Schedule::draw(self.seed + n, self.size as usize, self.faults as usize);
+            let drawn =
+                |n| FaultSchedule::draw(self.seed + n, self.size as usize, self.faults as usize);
             return Ok((0..self.count).map(drawn).collect());
         };
         let text = std::fs::read_to_string(path).map_err(|e| e.to_string());
@@ -86,7 +87,7 @@
     }
 
     /// Plays them one after the other; one that fails is made smaller and printed.
-    fn play(&self) -> Result<Found, String> {
+    fn play(&self) -> Result<Report, String> {
         let (mut figures, mut broken) = (serde_json::Map::new(), Vec::new());
         let schedules = self.schedules()?;
         figures.insert("schedules".into(), json!(schedules.len()));
@@ -98,7 +99,7 @@
             eprint!("{schedule}");
             wrong.iter().for_each(|what| eprintln!("  {what}"));
             let mut fails =
-                |less: &Schedule| !schedule::play(less, self.program.as_ref()).is_empty();
+                |less: &FaultSchedule| !schedule::play(less, self.program.as_ref()).is_empty();
             eprint!(
                 "still fails:\n{}",
                 schedule::shrink(&schedule, 3, &mut fails)
@@ -109,12 +110,12 @@
                     .map(|what| format!("seed {}: {what}", schedule.seed)),
             );
         }
-        Ok(Found { figures, broken })
+        Ok(Report { figures, broken })
     }
 }
 
 #[derive(Args)]
-struct Soaked {
+struct SoakOptions {
     /// What the first soak is drawn from; each further one from the next number.
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -139,7 +140,7 @@
 }
 
 #[derive(Args)]
-struct Viewed {
+struct FleetViewOptions {
     /// What chance is drawn from.
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -155,7 +156,7 @@
 }
 
 #[derive(Args)]
-struct Cold {
+struct ColdStartOptions {
     /// What chance is drawn from.
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -183,8 +184,8 @@
 }
 
 fn main() {
-    let (name, seed, size, asked, found) = match Line::parse().what {
-        What::TwoTier(options) => {
+    let (name, seed, size, print_json, found) = match CommandLine::parse().what {
+        Measurement::TwoTier(options) => {
             let nodes = options.size as usize;
             // No more than leaves the ports of one machine to spare: connections that ended keep theirs for a minute,
             // and what then cannot connect is dismissed.
@@ -197,36 +198,36 @@
             };
             let found = two_tier::measure(size, options.seed).unwrap_or_else(|why| {
                 eprintln!("reedferry-testkit: {why}");
-                Found {
+                Report {
                     figures: Default::default(),
                     broken: vec![why],
                 }
             });
             ("two-tier", options.seed, options.size, options.json, found)
         }
-        What::Schedule(options) => {
+        Measurement::FaultSchedule(options) => {
             let found = options.play().unwrap_or_else(|why| {
                 eprintln!("reedferry-testkit: {why}");
                 std::process::exit(2);
             });
             ("schedule", options.seed, options.size, options.json, found)
         }
-        What::Fleet(options) => {
-            let found = view::measure(
+        Measurement::Fleet(options) => {
+            let found = fleet_view::measure(
                 options.size as usize,
                 Duration::from_millis(options.period),
                 options.seed,
             );
             ("fleet", options.seed, options.size, options.json, found)
         }
-        What::Soak(options) => {
+        Measurement::Soak(options) => {
             if !options.rate.is_finite() || !(0.1..=MOST_A_SECOND).contains(&options.rate) {
                 eprintln!(
                     "reedferry-testkit: --rate takes clients a second, 0.1 to {MOST_A_SECOND}"
                 );
                 std::process::exit(2);
             }
-            let size = soak::Size {
+            let size = soak::SoakSize {
                 processes: options.size as usize,
                 hosts: 8,
                 span: Duration::from_secs(options.seconds),
@@ -236,7 +237,7 @@
             let found = soak::measure(options.seed, options.count, &size);
             ("soak", options.seed, options.size, options.json, found)
         }
-        What::Coldstart(options) => {
+        Measurement::Coldstart(options) => {
             if !options.rate.is_finite() || options.rate <= 0.0 {
                 eprintln!("reedferry-testkit: --rate takes calls a second, over 0");
                 std::process::exit(2);
@@ -245,7 +246,7 @@
                 eprintln!("reedferry-testkit: --before names no file");
                 std::process::exit(2);
             }
-            let size = coldstart::Size {
+            let size = coldstart::ColdStartSize {
                 nodes: options.size as usize,
                 hosts: 8,
                 rate: options.rate,
@@ -259,7 +260,7 @@
                     "A cold start of {} nodes, seed {}",
                     options.size, options.seed
                 );
-                if let Err(e) = std::fs::write(&path, chart::page(&title, &rows)) {
+                if let Err(e) = std::fs::write(&path, html_chart::page(&title, &rows)) {
                     eprintln!("reedferry-testkit: {}: {e}", path.display());
                     std::process::exit(2);
                 }
@@ -275,8 +276,8 @@
         .iter()
         .for_each(|what| println!("fell short: {what}"));
     let ok = found.broken.is_empty();
-    if asked {
-        let Found { figures, broken } = found;
+    if print_json {
+        let Report { figures, broken } = found;
         println!(
             "{}",
             json!({"name": name, "seed": seed, "size": size, "ok": ok, "broken": broken, "figures": figures})
--- a/testkit/src/ways.rs
+++ b/testkit/src/network.rs
@@ -3,7 +3,7 @@
 //! sender's own face. It owns what is lost, held up,
 //! doubled, garbled or cut short on the way from whom to whom. It must never look into what passes.
 
-use crate::acting::small;
+use crate::simulated::small;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
@@ -20,19 +20,19 @@
 
 /// What happens to a datagram on one way; shares of all that pass.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Spoil {
+pub struct LinkFaults {
     pub cut: bool,
     pub loss: f64,
-    pub double: f64,
-    pub garble: f64,
-    pub short: f64,
+    pub duplicate: f64,
+    pub corrupt: f64,
+    pub truncate: f64,
     /// Held up for a time up to this, one of twenty for five times as long.
     pub delay: Duration,
 }
 
 /// What was seen on the wire.
 #[derive(Clone, Debug, Default)]
-pub struct Passed {
+pub struct TrafficCounts {
     /// Sent by each process, whatever became of it.
     pub sent: Vec<u64>,
     pub lost: u64,
@@ -42,20 +42,20 @@
     pub held_up: u64,
 }
 
-struct Kept {
+struct SharedState {
     /// By sender, then by receiver.
-    spoils: Vec<Vec<Spoil>>,
-    passed: Passed,
+    spoils: Vec<Vec<LinkFaults>>,
+    passed: TrafficCounts,
     /// What was sent while it was taken down, to be sent again later.
     taken_down: Option<Vec<(usize, usize, Vec<u8>)>>,
     again: Vec<(usize, usize, Vec<u8>)>,
 }
 
-pub struct Ways {
+pub struct FaultyNetwork {
     /// Where others reach each process, and where it listens itself.
-    pub faces: Vec<SocketAddr>,
-    pub behind: Vec<SocketAddr>,
-    kept: Arc<Mutex<Kept>>,
+    pub public_addresses: Vec<SocketAddr>,
+    pub process_addresses: Vec<SocketAddr>,
+    shared: Arc<Mutex<SharedState>>,
     over: Arc<AtomicBool>,
 }
 
@@ -67,16 +67,16 @@
 /// What is held up: until when, in which order, whence, whither.
 type Held = BinaryHeap<Reverse<(Instant, u64, usize, usize, Vec<u8>)>>;
 
-impl Ways {
-    pub fn new(count: usize, seed: u64) -> Ways {
+impl FaultyNetwork {
+    pub fn new(count: usize, seed: u64) -> FaultyNetwork {
         static DEALT: AtomicU32 = AtomicU32::new(0);
         let (sockets, doors): (Vec<UdpSocket>, Vec<TcpListener>) =
-            (0..count).map(|_| face()).unzip();
-        let faces = sockets
+            (0..count).map(|_| bind_public_address()).unzip();
+        let public_addresses = sockets
             .iter()
             .map(|socket| socket.local_addr().unwrap())
             .collect();
-        let behind: Vec<SocketAddr> = (0..count)
+        let process_addresses: Vec<SocketAddr> = (0..count)
             .map(|_| {
                 let number = DEALT.fetch_add(1, SeqCst);
                 let part = 16 + std::process::id() % 200;
@@ -91,56 +91,56 @@
                 ))
             })
             .collect();
-        let passed = Passed {
+        let passed = TrafficCounts {
             sent: vec![0; count],
-            ..Passed::default()
+            ..TrafficCounts::default()
         };
-        let spoils = vec![vec![Spoil::default(); count]; count];
-        let kept = Arc::new(Mutex::new(Kept {
+        let spoils = vec![vec![LinkFaults::default(); count]; count];
+        let shared = Arc::new(Mutex::new(SharedState {
             spoils,
             passed,
             taken_down: None,
             again: Vec::new(),
         }));
         let over = Arc::new(AtomicBool::new(false));
-        let way = Way {
-            by_address: behind
+        let network_loop = NetworkLoop {
+            by_address: process_addresses
                 .iter()
                 .enumerate()
                 .map(|(n, at)| (at.ip(), n))
                 .collect(),
-            behind: behind.clone(),
+            process_addresses: process_addresses.clone(),
             sockets,
             doors,
-            lines: Vec::new(),
-            kept: kept.clone(),
+            connections: Vec::new(),
+            shared: shared.clone(),
             held: Held::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
         let ends = over.clone();
-        small(move || way.run(&ends));
-        Ways {
-            faces,
-            behind,
-            kept,
+        small(move || network_loop.run(&ends));
+        FaultyNetwork {
+            public_addresses,
+            process_addresses,
+            shared,
             over,
         }
     }
 
     /// Has ways spoilt as this says, for each sender and receiver.
-    pub fn set(&self, spoil: impl Fn(usize, usize) -> Spoil) {
-        let mut kept = self.kept.lock().unwrap();
-        for (from, row) in kept.spoils.iter_mut().enumerate() {
+    pub fn set(&self, link_faults: impl Fn(usize, usize) -> LinkFaults) {
+        let mut shared = self.shared.lock().unwrap();
+        for (from, row) in shared.spoils.iter_mut().enumerate() {
             row.iter_mut()
                 .enumerate()
-                .for_each(|(to, one)| *one = spoil(from, to));
+                .for_each(|(to, one)| *one = link_faults(from, to));
         }
     }
 
     /// Changes what is there already.
-    pub fn change(&self, change: impl Fn(usize, usize, &mut Spoil)) {
-        let mut kept = self.kept.lock().unwrap();
-        for (from, row) in kept.spoils.iter_mut().enumerate() {
+    pub fn change(&self, change: impl Fn(usize, usize, &mut LinkFaults)) {
+        let mut shared = self.shared.lock().unwrap();
+        for (from, row) in shared.spoils.iter_mut().enumerate() {
             row.iter_mut()
                 .enumerate()
                 .for_each(|(to, one)| change(from, to, one));
@@ -149,42 +149,42 @@
 
     /// Parts that do not hear each other.
     pub fn split(&self, part: impl Fn(usize) -> usize) {
-        self.change(|from, to, spoil| spoil.cut = part(from) != part(to));
+        self.change(|from, to, link_faults| link_faults.cut = part(from) != part(to));
     }
 
     /// Takes down what is sent from here on.
     pub fn take_down(&self) {
-        self.kept.lock().unwrap().taken_down = Some(Vec::new());
+        self.shared.lock().unwrap().taken_down = Some(Vec::new());
     }
 
     /// Sends all that was taken down once more, changed as told, from whom it came to whom it went; gives how many.
     pub fn replay(&self, change: impl Fn(&mut Vec<u8>)) -> usize {
-        let mut kept = self.kept.lock().unwrap();
-        let mut again = kept.taken_down.take().unwrap_or_default();
+        let mut shared = self.shared.lock().unwrap();
+        let mut again = shared.taken_down.take().unwrap_or_default();
         again.iter_mut().for_each(|(.., bytes)| change(bytes));
         let count = again.len();
-        kept.taken_down = Some(again.clone());
-        kept.again.extend(again);
+        shared.taken_down = Some(again.clone());
+        shared.again.extend(again);
         count
     }
 
     pub fn heal(&self) {
-        self.set(|_, _| Spoil::default());
+        self.set(|_, _| LinkFaults::default());
     }
 
-    pub fn passed(&self) -> Passed {
-        self.kept.lock().unwrap().passed.clone()
+    pub fn passed(&self) -> TrafficCounts {
+        self.shared.lock().unwrap().passed.clone()
     }
 }
 
-impl Drop for Ways {
+impl Drop for FaultyNetwork {
     fn drop(&mut self) {
         self.over.store(true, SeqCst);
     }
 }
 
 /// One port for both.
-fn face() -> (UdpSocket, TcpListener) {
+fn bind_public_address() -> (UdpSocket, TcpListener) {
     loop {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         // Another connection may have that port.
@@ -201,7 +201,7 @@
 const MOST_HELD: usize = 64 << 10;
 
 /// A connection that passes: both ends, whose they are, and what is under way from each.
-struct Line {
+struct ProxiedConnection {
     ends: [TcpStream; 2],
     nodes: [usize; 2],
     held: [VecDeque<(Instant, Vec<u8>)>; 2],
@@ -211,15 +211,21 @@
     broken: bool,
 }
 
-impl Line {
+impl ProxiedConnection {
     fn bytes(&self, end: usize) -> usize {
         self.held[end].iter().map(|(_, bytes)| bytes.len()).sum()
     }
 
     /// Takes what an end has to say, as the way spoils it.
-    fn take(&mut self, end: usize, spoil: Spoil, rng: &mut ChaCha8Rng, passed: &mut Passed) {
+    fn take(
+        &mut self,
+        end: usize,
+        link_faults: LinkFaults,
+        rng: &mut ChaCha8Rng,
+        passed: &mut TrafficCounts,
+    ) {
         let mut space = [0; 16 << 10];
-        if spoil.cut || self.over[end] || self.bytes(end) >= MOST_HELD {
+        if link_faults.cut || self.over[end] || self.bytes(end) >= MOST_HELD {
             return;
         }
         let mut bytes = match self.ends[end].read(&mut space) {
@@ -229,17 +235,17 @@
             Err(_) => return self.broken = true,
         };
         let mut meets = |share: f64| share > 0.0 && rng.random::<f64>() < share;
-        if meets(spoil.garble) {
+        if meets(link_faults.corrupt) {
             let place = bytes.len() / 2;
             bytes[place] ^= 0x55;
             passed.garbled += 1;
-        } else if meets(spoil.short) {
+        } else if meets(link_faults.truncate) {
             bytes.truncate(bytes.len() / 2);
             self.broken = true;
             passed.shortened += 1;
         }
-        passed.held_up += u64::from(!spoil.delay.is_zero());
-        let wait = spoil.delay.mul_f64(rng.random());
+        passed.held_up += u64::from(!link_faults.delay.is_zero());
+        let wait = link_faults.delay.mul_f64(rng.random());
         let after = self.held[end].back().map_or(Instant::now(), |(at, _)| *at);
         self.held[end].push_back((after.max(Instant::now() + wait), bytes));
     }
@@ -264,18 +270,18 @@
     }
 }
 
-struct Way {
+struct NetworkLoop {
     sockets: Vec<UdpSocket>,
     doors: Vec<TcpListener>,
-    lines: Vec<Line>,
+    connections: Vec<ProxiedConnection>,
     by_address: HashMap<IpAddr, usize>,
-    behind: Vec<SocketAddr>,
-    kept: Arc<Mutex<Kept>>,
+    process_addresses: Vec<SocketAddr>,
+    shared: Arc<Mutex<SharedState>>,
     held: Held,
     rng: ChaCha8Rng,
 }
 
-impl Way {
+impl NetworkLoop {
     fn run(mut self, over: &AtomicBool) {
         let mut order = 0;
         while !over.load(SeqCst) {
@@ -286,10 +292,10 @@
                 let Some(Reverse((_, _, from, to, bytes))) = self.held.pop() else {
                     break;
                 };
-                _ = self.sockets[from].send_to(&bytes, self.behind[to]);
+                _ = self.sockets[from].send_to(&bytes, self.process_addresses[to]);
             }
-            for (from, to, bytes) in std::mem::take(&mut self.kept.lock().unwrap().again) {
-                _ = self.sockets[from].send_to(&bytes, self.behind[to]);
+            for (from, to, bytes) in std::mem::take(&mut self.shared.lock().unwrap().again) {
+                _ = self.sockets[from].send_to(&bytes, self.process_addresses[to]);
             }
             let next = self
                 .held
@@ -301,9 +307,9 @@
                 tv_nsec: wait.as_nanos() as i64,
             };
             let wait = if self
-                .lines
+                .connections
                 .iter()
-                .any(|line| line.bytes(0) + line.bytes(1) > 0)
+                .any(|connection| connection.bytes(0) + connection.bytes(1) > 0)
             {
                 SOON
             } else {
@@ -311,11 +317,16 @@
             };
             let sockets = self.sockets.iter().map(|s| PollFd::new(s, PollFlags::IN));
             let doors = self.doors.iter().map(|d| PollFd::new(d, PollFlags::IN));
-            let open = self
-                .lines
-                .iter()
-                .flat_map(|line| line.ends.iter().enumerate().map(move |(n, e)| (line, n, e)));
-            let open = open.filter(|(line, n, _)| !line.over[*n] && line.bytes(*n) < MOST_HELD);
+            let open = self.connections.iter().flat_map(|connection| {
+                connection
+                    .ends
+                    .iter()
+                    .enumerate()
+                    .map(move |(n, e)| (connection, n, e))
+            });
+            let open = open.filter(|(connection, n, _)| {
+                !connection.over[*n] && connection.bytes(*n) < MOST_HELD
+            });
             let open = open.map(|(.., end)| PollFd::new(end, PollFlags::IN));
             let mut ready: Vec<PollFd> = sockets.chain(doors).chain(open).collect();
             _ = poll(&mut ready, Some(&wait));
@@ -344,7 +355,8 @@
                 continue;
             };
             // Who calls one that is not there hears so by the end of its connection.
-            let Ok(host) = TcpStream::connect_timeout(&self.behind[to], Duration::from_millis(100))
+            let Ok(host) =
+                TcpStream::connect_timeout(&self.process_addresses[to], Duration::from_millis(100))
             else {
                 continue;
             };
@@ -355,7 +367,7 @@
                     .and_then(|()| end.set_nodelay(true));
             });
             let (held, over, told) = Default::default();
-            self.lines.push(Line {
+            self.connections.push(ProxiedConnection {
                 ends,
                 nodes: [from, to],
                 held,
@@ -368,21 +380,21 @@
 
     /// Passes on what connections have to say.
     fn pass(&mut self) {
-        let mut kept = self.kept.lock().unwrap();
-        let Kept { spoils, passed, .. } = &mut *kept;
-        for line in &mut self.lines {
+        let mut shared = self.shared.lock().unwrap();
+        let SharedState { spoils, passed, .. } = &mut *shared;
+        for connection in &mut self.connections {
             for end in 0..2 {
-                line.take(
+                connection.take(
                     end,
-                    spoils[line.nodes[end]][line.nodes[1 - end]],
+                    spoils[connection.nodes[end]][connection.nodes[1 - end]],
                     &mut self.rng,
                     passed,
                 );
-                line.give(end);
+                connection.give(end);
             }
         }
-        self.lines
-            .retain(|line| !line.broken && line.told != [true, true]);
+        self.connections
+            .retain(|connection| !connection.broken && connection.told != [true, true]);
     }
 
     /// Takes what has come for one process.
@@ -399,37 +411,38 @@
                 continue;
             };
             let mut bytes = space[..length].to_vec();
-            let mut kept = self.kept.lock().unwrap();
-            let spoil = kept.spoils[from][to];
-            kept.passed.sent[from] += 1;
-            kept.taken_down
+            let mut shared = self.shared.lock().unwrap();
+            let link_faults = shared.spoils[from][to];
+            shared.passed.sent[from] += 1;
+            shared
+                .taken_down
                 .iter_mut()
                 .for_each(|all| all.push((from, to, bytes.clone())));
             let mut meets = |share: f64| share > 0.0 && self.rng.random::<f64>() < share;
-            if spoil.cut || meets(spoil.loss) {
-                kept.passed.lost += 1;
+            if link_faults.cut || meets(link_faults.loss) {
+                shared.passed.lost += 1;
                 continue;
             }
-            let copies = if meets(spoil.double) { 2 } else { 1 };
-            kept.passed.doubled += copies - 1;
-            if meets(spoil.garble) && length > 0 {
+            let copies = if meets(link_faults.duplicate) { 2 } else { 1 };
+            shared.passed.doubled += copies - 1;
+            if meets(link_faults.corrupt) && length > 0 {
                 let place = self.rng.random_range(0..length);
                 bytes[place] ^= self.rng.random_range(1..=255u8);
-                kept.passed.garbled += 1;
-            } else if meets(spoil.short) && length > 0 {
+                shared.passed.garbled += 1;
+            } else if meets(link_faults.truncate) && length > 0 {
                 bytes.truncate(self.rng.random_range(0..length));
-                kept.passed.shortened += 1;
+                shared.passed.shortened += 1;
             }
-            kept.passed.held_up += u64::from(!spoil.delay.is_zero());
-            drop(kept);
+            shared.passed.held_up += u64::from(!link_faults.delay.is_zero());
+            drop(shared);
             for _ in 0..copies {
                 *order += 1;
-                if spoil.delay.is_zero() {
-                    _ = self.sockets[from].send_to(&bytes, self.behind[to]);
+                if link_faults.delay.is_zero() {
+                    _ = self.sockets[from].send_to(&bytes, self.process_addresses[to]);
                     continue;
                 }
                 let long = if self.rng.random_bool(0.05) { 5.0 } else { 1.0 };
-                let wait = spoil.delay.mul_f64(self.rng.random::<f64>() * long);
+                let wait = link_faults.delay.mul_f64(self.rng.random::<f64>() * long);
                 self.held.push(Reverse((
                     Instant::now() + wait,
                     *order,
@@ -449,9 +462,9 @@
     /// Guards: a fault that is told and does not happen, or happens on the way back too.
     #[test]
     fn each_fault_happens_on_the_wire_and_one_way_alone() {
-        let ways = Ways::new(2, 1);
-        let ends: Vec<UdpSocket> = ways
-            .behind
+        let network = FaultyNetwork::new(2, 1);
+        let ends: Vec<UdpSocket> = network
+            .process_addresses
             .iter()
             .map(|at| UdpSocket::bind(at).unwrap())
             .collect();
@@ -465,34 +478,56 @@
             came.ok()
                 .map(|(length, from)| (space[..length].to_vec(), from))
         };
-        let passes = |spoil: Spoil| {
-            ways.set(|from, _| if from == 0 { spoil } else { Spoil::default() });
-            ends[0].send_to(b"well met", ways.faces[1]).unwrap();
+        let passes = |link_faults: LinkFaults| {
+            network.set(|from, _| {
+                if from == 0 {
+                    link_faults
+                } else {
+                    LinkFaults::default()
+                }
+            });
+            ends[0]
+                .send_to(b"well met", network.public_addresses[1])
+                .unwrap();
             let there = hears(1);
-            ends[1].send_to(b"and you", ways.faces[0]).unwrap();
+            ends[1]
+                .send_to(b"and you", network.public_addresses[0])
+                .unwrap();
             assert_eq!(
                 hears(0),
-                Some((b"and you".to_vec(), ways.faces[1])),
+                Some((b"and you".to_vec(), network.public_addresses[1])),
                 "the way back is spoilt"
             );
             there
         };
-        let well = Spoil::default();
-        assert_eq!(passes(well), Some((b"well met".to_vec(), ways.faces[0])));
-        assert_eq!(passes(Spoil { cut: true, ..well }), None);
-        assert_eq!(passes(Spoil { loss: 1.0, ..well }), None);
-        let garbled = passes(Spoil {
-            garble: 1.0,
+        let well = LinkFaults::default();
+        assert_eq!(
+            passes(well),
+            Some((b"well met".to_vec(), network.public_addresses[0]))
+        );
+        assert_eq!(passes(LinkFaults { cut: true, ..well }), None);
+        assert_eq!(passes(LinkFaults { loss: 1.0, ..well }), None);
+        let garbled = passes(LinkFaults {
+            corrupt: 1.0,
             ..well
         })
         .unwrap()
         .0;
         assert!(garbled.len() == 8 && garbled != b"well met");
-        assert!(passes(Spoil { short: 1.0, ..well }).unwrap().0.len() < 8);
+        assert!(
+            passes(LinkFaults {
+                truncate: 1.0,
+                ..well
+            })
+            .unwrap()
+            .0
+            .len()
+                < 8
+        );
         let from = Instant::now();
         let late = (0..8)
             .map(|_| {
-                passes(Spoil {
+                passes(LinkFaults {
                     delay: Duration::from_millis(40),
                     ..well
                 })
@@ -503,13 +538,13 @@
             late == 8 && from.elapsed() >= Duration::from_millis(40),
             "nothing was held up"
         );
-        passes(Spoil {
-            double: 1.0,
+        passes(LinkFaults {
+            duplicate: 1.0,
             ..well
         })
         .unwrap();
         assert!(hears(1).is_some(), "not doubled");
-        let passed = ways.passed();
+        let passed = network.passed();
         assert_eq!(
             (
                 passed.lost,
@@ -524,11 +559,15 @@
     }
 
     /// A connection from one process's address to the other's face.
-    fn connect(ways: &Ways, from: usize, to: usize) -> TcpStream {
+    fn connect(network: &FaultyNetwork, from: usize, to: usize) -> TcpStream {
         use rustix::net::{bind, connect, socket, AddressFamily, SocketType};
         let end = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
-        bind(&end, &SocketAddr::new(ways.behind[from].ip(), 0)).unwrap();
-        connect(&end, &ways.faces[to]).unwrap();
+        bind(
+            &end,
+            &SocketAddr::new(network.process_addresses[from].ip(), 0),
+        )
+        .unwrap();
+        connect(&end, &network.public_addresses[to]).unwrap();
         let end = TcpStream::from(end);
         end.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
         end
@@ -537,9 +576,9 @@
     /// Guards: connections between processes that faults pass by, or that lose what they are to carry whole.
     #[test]
     fn connections_pass_whole_and_are_cut_held_up_garbled_and_cut_short() {
-        let ways = Ways::new(2, 2);
-        let door = TcpListener::bind(ways.behind[1]).unwrap();
-        let both = || (connect(&ways, 0, 1), door.accept().unwrap().0);
+        let network = FaultyNetwork::new(2, 2);
+        let door = TcpListener::bind(network.process_addresses[1]).unwrap();
+        let both = || (connect(&network, 0, 1), door.accept().unwrap().0);
         let (mut near, mut far) = both();
         let long: Vec<u8> = (0..300_000u32).map(|n| n as u8).collect();
         let sent = long.clone();
@@ -556,32 +595,39 @@
         far.write_all(b"thanks").unwrap();
         drop(far);
         assert_eq!(writes.join().unwrap(), "thanks");
-        let spoilt =
-            |spoil: Spoil| ways.set(|from, _| if from == 0 { spoil } else { Spoil::default() });
+        let spoilt = |link_faults: LinkFaults| {
+            network.set(|from, _| {
+                if from == 0 {
+                    link_faults
+                } else {
+                    LinkFaults::default()
+                }
+            })
+        };
         let (mut near, mut far) = both();
-        spoilt(Spoil {
+        spoilt(LinkFaults {
             cut: true,
-            ..Spoil::default()
+            ..LinkFaults::default()
         });
         near.write_all(b"one").unwrap();
         far.set_read_timeout(Some(Duration::from_millis(150)))
             .unwrap();
         let mut space = [0; 8];
         assert!(far.read(&mut space).is_err(), "a cut way carries");
-        spoilt(Spoil {
+        spoilt(LinkFaults {
             delay: Duration::from_millis(30),
-            ..Spoil::default()
+            ..LinkFaults::default()
         });
         assert_eq!(far.read(&mut space).unwrap(), 3);
-        spoilt(Spoil {
-            garble: 1.0,
-            ..Spoil::default()
+        spoilt(LinkFaults {
+            corrupt: 1.0,
+            ..LinkFaults::default()
         });
         near.write_all(b"two").unwrap();
         assert!(far.read(&mut space).unwrap() == 3 && &space[..3] != b"two");
-        spoilt(Spoil {
-            short: 1.0,
-            ..Spoil::default()
+        spoilt(LinkFaults {
+            truncate: 1.0,
+            ..LinkFaults::default()
         });
         near.write_all(b"three").unwrap();
         let mut rest = Vec::new();
@@ -589,7 +635,7 @@
             far.read_to_end(&mut rest).is_ok() && rest == b"th",
             "{rest:?}"
         );
-        let passed = ways.passed();
+        let passed = network.passed();
         assert!(passed.held_up >= 1 && passed.garbled == 1 && passed.shortened == 1);
     }
 }
--- a/testkit/src/peers.rs
+++ b/testkit/src/peers.rs
@@ -1,6 +1,6 @@
 //! Scripted peers: clients and hosts that say and hear what a test tells them, line by line. Whatever is waited
-//! for is waited for by reading, [`PATIENCE`] at the longest. They must never answer by themselves; what does
-//! stands in `acting.rs`.
+//! for is waited for by reading, [`MAX_WAIT`] at the longest. They must never answer by themselves; what does
+//! stands in `simulated.rs`.
 
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const MAX_WAIT: Duration = Duration::from_secs(20);
 
 /// One end of a connection that speaks lines.
 pub struct Peer {
@@ -19,7 +19,7 @@
 
 impl Peer {
     pub fn new(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
         stream.set_nodelay(true).unwrap();
         Peer {
             reader: BufReader::new(stream.try_clone().unwrap()),
@@ -108,7 +108,7 @@
     /// The next connection to any of them, and to which.
     pub fn accept(&self) -> (usize, Peer) {
         self.arrivals
-            .recv_timeout(PATIENCE)
+            .recv_timeout(MAX_WAIT)
             .expect("no connection came to a host")
     }
 
@@ -152,7 +152,7 @@
 
 /// Tries until it holds, for what shows itself by nothing that could be read.
 pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + MAX_WAIT;
     while !holds() {
         assert!(Instant::now() < until, "{what}");
         thread::yield_now();
--- a/testkit/src/program.rs
+++ b/testkit/src/program.rs
@@ -1,8 +1,8 @@
 //! The program as it runs: started with papers or an operator's file, read by its log, signalled, stopped
 //! dead or for a while, and ended when it is dropped. It must never outlive the test that started it.
 
-use crate::peers::{eventually, nowhere, Hosts, Peer, OPEN, PATIENCE};
-use crate::syscalls::{Spoiler, TracedProcess};
+use crate::peers::{eventually, nowhere, Hosts, Peer, MAX_WAIT, OPEN};
+use crate::syscalls::{SyscallInjector, TracedProcess};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
@@ -83,7 +83,7 @@
 pub struct Node {
     process: Process,
     /// The file that it reads, and all that was written for it.
-    told: PathBuf,
+    config_file: PathBuf,
     files: Vec<PathBuf>,
     pub address: SocketAddr,
     /// Where operators call, if they do.
@@ -203,18 +203,18 @@
     }
 
     /// One whose system calls and wall clock this spoils, from its first call on.
-    pub fn start_spoilt(node_config: &Value, spoiler: &Spoiler) -> Self {
+    pub fn start_injected(node_config: &Value, injector: &SyscallInjector) -> Self {
         let command = program(&node_config.to_string());
         let node_config = told_by(&command);
-        Node::run_spoilt(command, node_config.clone(), vec![node_config], spoiler)
+        Node::run_spoilt(command, node_config.clone(), vec![node_config], injector)
     }
 
     /// The same, at a listener which the test holds.
-    pub fn start_spoilt_at(
+    pub fn start_injected_at(
         node_config: &Value,
         listener: &TcpListener,
         folder: &Path,
-        spoiler: &Spoiler,
+        injector: &SyscallInjector,
     ) -> Self {
         let command = program_at(
             &node_config.to_string(),
@@ -222,7 +222,7 @@
             folder,
         );
         let node_config = told_by(&command);
-        Node::run_spoilt(command, node_config.clone(), vec![node_config], spoiler)
+        Node::run_spoilt(command, node_config.clone(), vec![node_config], injector)
     }
 
     /// One that takes clients in at a listener which the test holds, with this folder for what it leaves.
@@ -271,11 +271,11 @@
     }
 
     /// The same, whose system calls and wall clock this spoils.
-    pub fn start_as_spoilt(
+    pub fn start_as_injected(
         role: &str,
         operator_config: &str,
         node_config: &Value,
-        spoiler: &Spoiler,
+        injector: &SyscallInjector,
     ) -> Self {
         let (command, node_config, operator_config) =
             command_as(&path(), role, operator_config, node_config);
@@ -283,7 +283,7 @@
             command,
             operator_config.clone(),
             vec![node_config, operator_config],
-            spoiler,
+            injector,
         )
     }
 
@@ -307,19 +307,29 @@
         Node::run(command, node_config.clone(), vec![node_config])
     }
 
-    fn run(mut command: Command, told: PathBuf, files: Vec<PathBuf>) -> Self {
+    fn run(mut command: Command, config_file: PathBuf, files: Vec<PathBuf>) -> Self {
         let mut child = command.spawn().unwrap();
         let stderr = child.stderr.take().unwrap();
-        Node::started(Process::Plain(child), stderr, told, files)
+        Node::started(Process::Plain(child), stderr, config_file, files)
     }
 
-    fn run_spoilt(command: Command, told: PathBuf, files: Vec<PathBuf>, spoiler: &Spoiler) -> Self {
-        let (process, stderr) = TracedProcess::start(command, spoiler).unwrap();
-        Node::started(Process::Traced(process), stderr, told, files)
+    fn run_spoilt(
+        command: Command,
+        config_file: PathBuf,
+        files: Vec<PathBuf>,
+        injector: &SyscallInjector,
+    ) -> Self {
+        let (process, stderr) = TracedProcess::start(command, injector).unwrap();
+        Node::started(Process::Traced(process), stderr, config_file, files)
     }
 
     /// Reads the log of a process that has just been started, until it says where it listens.
-    fn started(process: Process, stderr: ChildStderr, told: PathBuf, files: Vec<PathBuf>) -> Self {
+    fn started(
+        process: Process,
+        stderr: ChildStderr,
+        config_file: PathBuf,
+        files: Vec<PathBuf>,
+    ) -> Self {
         let (sender, log) = channel();
         let lines = BufReader::new(stderr).lines();
         // To its end, whether or not anybody listens. Guards: a program held up by a full pipe.
@@ -330,7 +340,7 @@
         });
         let mut node = Node {
             process,
-            told,
+            config_file,
             files,
             address: nowhere(),
             ops: None,
@@ -357,12 +367,12 @@
 
     /// The next log line, if one comes in time.
     fn next_line(&self) -> Option<String> {
-        self.log.recv_timeout(PATIENCE).ok().map(|(_, line)| line)
+        self.log.recv_timeout(MAX_WAIT).ok().map(|(_, line)| line)
     }
 
     /// Waits for a log line that says so.
     pub fn logs(&self, text: &str) -> String {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + MAX_WAIT;
         loop {
             let left = until.saturating_duration_since(Instant::now());
             let line = self
@@ -405,7 +415,7 @@
     }
 
     /// One of the figures that operators are told.
-    pub fn figure(&self, name: &str) -> i64 {
+    pub fn metric(&self, name: &str) -> i64 {
         let (status, text) = self.call("GET /status/metrics");
         assert_eq!(status, 200, "{text}");
         let line = text
@@ -424,8 +434,8 @@
     }
 
     /// Puts another text in place of the file that it was started with, and has it read that.
-    pub fn reread(&self, text: &str) {
-        std::fs::write(&self.told, text).unwrap();
+    pub fn reload(&self, text: &str) {
+        std::fs::write(&self.config_file, text).unwrap();
         self.signal(Signal::HUP);
     }
 
@@ -436,13 +446,13 @@
     }
 
     /// The file that it was started with.
-    pub fn told(&self) -> String {
-        std::fs::read_to_string(&self.told).unwrap()
+    pub fn config_file(&self) -> String {
+        std::fs::read_to_string(&self.config_file).unwrap()
     }
 
-    /// Has it stand still until `go_on`. Returns once it does: a signal is on its way for milliseconds on a busy machine, and
+    /// Has it stand still until `unsuspend`. Returns once it does: a signal is on its way for milliseconds on a busy machine, and
     /// what is sent meanwhile would still be read.
-    pub fn stand_still(&self) {
+    pub fn suspend(&self) {
         match &self.process {
             Process::Plain(_) => {
                 self.signal(Signal::STOP);
@@ -450,14 +460,14 @@
                     self.state() == Some('T')
                 });
             }
-            Process::Traced(traced) => traced.stand_still(),
+            Process::Traced(traced) => traced.suspend(),
         }
     }
 
-    pub fn go_on(&self) {
+    pub fn unsuspend(&self) {
         match &self.process {
             Process::Plain(_) => self.signal(Signal::CONT),
-            Process::Traced(traced) => traced.go_on(),
+            Process::Traced(traced) => traced.unsuspend(),
         }
     }
 
@@ -467,12 +477,12 @@
     }
 
     /// The log lines that have come and were not waited for, without waiting.
-    pub fn logged(&self) -> Vec<String> {
+    pub fn drain_log(&self) -> Vec<String> {
         self.log.try_iter().map(|(_, line)| line).collect()
     }
 
     /// The same, each with when it came.
-    pub fn logged_at(&self) -> Vec<(Instant, String)> {
+    pub fn drain_log_timed(&self) -> Vec<(Instant, String)> {
         self.log.try_iter().collect()
     }
 
@@ -504,7 +514,7 @@
     }
 
     /// Processor time that it has taken, as the system counts it.
-    pub fn spent(&self) -> Duration {
+    pub fn cpu_time(&self) -> Duration {
         // Ticks of ten milliseconds.
         let ticks: u64 = self
             .stat()
--- a/testkit/src/acting.rs
+++ b/testkit/src/simulated.rs
@@ -16,39 +16,45 @@
 /// What a host does with a line that asks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[repr(u8)]
-pub enum Way {
-    Takes,
-    Busy,
+pub enum HostBehavior {
+    Accepts,
+    Rejects,
     Fails,
     Silent,
-    Breaks,
+    Disconnects,
 }
 
-const WAYS: [Way; 5] = [Way::Takes, Way::Busy, Way::Fails, Way::Silent, Way::Breaks];
+const BEHAVIORS: [HostBehavior; 5] = [
+    HostBehavior::Accepts,
+    HostBehavior::Rejects,
+    HostBehavior::Fails,
+    HostBehavior::Silent,
+    HostBehavior::Disconnects,
+];
 
 /// The names of the offerings, by what may be done with them again.
-pub const OFFERINGS: [&str; 3] = ["free", "mark", "once"];
+pub const CLASS_NAMES: [&str; 3] = ["free", "mark", "once"];
 /// How long those waits are that the referee allows beyond a rule's own, on sockets.
-pub const SOCKETS: Duration = Duration::from_millis(50);
-pub const GRACE: Duration = Duration::from_millis(300);
-pub const EXPIRY: Duration = Duration::from_secs(2);
+pub const SOCKET_SLACK: Duration = Duration::from_millis(50);
+pub const DRAIN_GRACE: Duration = Duration::from_millis(300);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a circle drops the repeats of a marked one.
 pub const WINDOW: Duration = Duration::from_secs(1);
 
 /// A line that asks, as it reached a host.
 #[derive(Clone, Debug)]
-pub struct Reached {
+pub struct ObservedAttempt {
     pub at: Instant,
     pub host: usize,
     pub name: String,
-    pub way: Way,
+    pub behavior: HostBehavior,
     /// When the node gave it up, where the host said nothing.
     pub left: Option<Instant>,
 }
 
 /// What a client lived through.
 #[derive(Clone, Debug)]
-pub struct Lived {
+pub struct ClientObservation {
     pub name: String,
     pub class: usize,
     pub asked: Instant,
@@ -58,33 +64,33 @@
 }
 
 #[derive(Default)]
-struct Noted {
-    reached: Vec<Reached>,
-    lived: Vec<Lived>,
+struct Record {
+    reached: Vec<ObservedAttempt>,
+    observations: Vec<ClientObservation>,
     /// When discovery began to say that a host drains, and when it ceased to.
     drains: HashMap<usize, (Instant, Option<Instant>)>,
 }
 
 /// Who judges.
 #[derive(Clone, Default)]
-pub struct Referee(Arc<Mutex<Noted>>);
+pub struct InvariantChecker(Arc<Mutex<Record>>);
 
-impl Referee {
-    pub fn reached(&self) -> Vec<Reached> {
+impl InvariantChecker {
+    pub fn reached(&self) -> Vec<ObservedAttempt> {
         self.0.lock().unwrap().reached.clone()
     }
 
-    pub fn lived(&self) -> Vec<Lived> {
-        self.0.lock().unwrap().lived.clone()
+    pub fn observations(&self) -> Vec<ClientObservation> {
+        self.0.lock().unwrap().observations.clone()
     }
 
     /// Discovery was told that the host drains, or is back.
     pub fn drains(&self, host: usize, drains: bool) {
-        let mut noted = self.0.lock().unwrap();
+        let mut record = self.0.lock().unwrap();
         match drains {
-            true => _ = noted.drains.insert(host, (Instant::now(), None)),
+            true => _ = record.drains.insert(host, (Instant::now(), None)),
             false => {
-                if let Some(since) = noted.drains.get_mut(&host) {
+                if let Some(since) = record.drains.get_mut(&host) {
                     since.1 = Some(Instant::now());
                 }
             }
@@ -92,58 +98,62 @@
     }
 
     /// From each client's line to its first hand-off, by name.
-    pub fn first_hand_offs(&self) -> Vec<(Lived, Option<Duration>)> {
-        let noted = self.0.lock().unwrap();
+    pub fn first_attempts(&self) -> Vec<(ClientObservation, Option<Duration>)> {
+        let record = self.0.lock().unwrap();
         let mut first: HashMap<&str, Instant> = HashMap::new();
-        for one in &noted.reached {
+        for one in &record.reached {
             first
                 .entry(&one.name)
                 .and_modify(|t| *t = one.at.min(*t))
                 .or_insert(one.at);
         }
-        let since = |l: &Lived| {
+        let since = |l: &ClientObservation| {
             first
                 .get(l.name.as_str())
                 .map(|t| t.saturating_duration_since(l.asked))
         };
-        noted.lived.iter().map(|l| (l.clone(), since(l))).collect()
+        record
+            .observations
+            .iter()
+            .map(|l| (l.clone(), since(l)))
+            .collect()
     }
 
     /// What broke a rule, each in a line. Clients that were still waiting when they were told to end do not
     /// count; `busy` says how late the word of discovery may be, and what is seen here noted, on a busy machine.
     pub fn broken(&self, busy: Duration) -> Vec<String> {
-        let noted = self.0.lock().unwrap();
+        let record = self.0.lock().unwrap();
         let mut broken = Vec::new();
-        let mut by_name: HashMap<&str, Vec<&Reached>> = HashMap::new();
-        for one in &noted.reached {
+        let mut by_name: HashMap<&str, Vec<&ObservedAttempt>> = HashMap::new();
+        for one in &record.reached {
             by_name.entry(&one.name).or_default().push(one);
-            let late = GRACE + SOCKETS + busy;
-            if noted
+            let late = DRAIN_GRACE + SOCKET_SLACK + busy;
+            if record
                 .drains
                 .get(&one.host)
                 .is_some_and(|(t, back)| one.at > *t + late && back.is_none())
             {
-                let since = one.at - noted.drains[&one.host].0;
+                let since = one.at - record.drains[&one.host].0;
                 broken.push(format!(
                     "rule 3: {} reached host {} {since:?} after its drain",
                     one.name, one.host
                 ));
             }
         }
-        for client in &noted.lived {
+        for client in &record.observations {
             let name = &client.name;
             let mut sent = by_name.get(name.as_str()).cloned().unwrap_or_default();
             sent.sort_by_key(|one| one.at);
             match &client.answers[..] {
                 [] => broken.push(format!("rule 1: {name} had no answer")),
-                [(at, _)] if *at > client.asked + EXPIRY + SOCKETS => {
+                [(at, _)] if *at > client.asked + REQUEST_TIMEOUT + SOCKET_SLACK => {
                     broken.push(format!(
                         "rule 1: {name} was answered {:?} after it asked",
                         *at - client.asked
                     ));
                 }
                 [(at, said)] => {
-                    if let Some(late) = sent.iter().find(|one| one.at > *at + SOCKETS + busy) {
+                    if let Some(late) = sent.iter().find(|one| one.at > *at + SOCKET_SLACK + busy) {
                         broken.push(format!(
                             "rule 1: {name} was sent on {:?} after {said}",
                             late.at - *at
@@ -156,7 +166,10 @@
                 broken.push(format!("{name}: its open connection passed nothing on"));
             }
             // Taken, failed, silent and broken may have run; refused never did.
-            let ran: Vec<&&Reached> = sent.iter().filter(|one| one.way != Way::Busy).collect();
+            let ran: Vec<&&ObservedAttempt> = sent
+                .iter()
+                .filter(|one| one.behavior != HostBehavior::Rejects)
+                .collect();
             let dismissed = client
                 .answers
                 .iter()
@@ -175,15 +188,17 @@
                 }
                 1 if ran
                     .iter()
-                    .any(|one| one.at > ran[0].at + WINDOW + SOCKETS + busy) =>
+                    .any(|one| one.at > ran[0].at + WINDOW + SOCKET_SLACK + busy) =>
                 {
                     broken.push(format!("rule 2: {name} went again out of its window"));
                 }
                 _ => {}
             }
             for pair in sent.windows(2) {
-                let out = pair[0].way == Way::Silent
-                    && pair[0].left.is_none_or(|t| t > pair[1].at + SOCKETS + busy);
+                let out = pair[0].behavior == HostBehavior::Silent
+                    && pair[0]
+                        .left
+                        .is_none_or(|t| t > pair[1].at + SOCKET_SLACK + busy);
                 if out {
                     broken.push(format!("rule 2: {name} had two hand-offs out"));
                 }
@@ -196,39 +211,40 @@
 /// Hosts that act. Even and odd ones are two circles.
 pub struct Hosts {
     pub addresses: Vec<SocketAddr>,
-    ways: Arc<Vec<AtomicU8>>,
+    behaviors: Arc<Vec<AtomicU8>>,
     pub open: Arc<Vec<AtomicU32>>,
-    referee: Referee,
+    checker: InvariantChecker,
 }
 
 impl Hosts {
-    pub fn start(count: usize, referee: &Referee) -> Self {
+    pub fn start(count: usize, checker: &InvariantChecker) -> Self {
         let mut hosts = Hosts {
             addresses: Vec::new(),
-            ways: Arc::new((0..count).map(|_| AtomicU8::new(0)).collect()),
+            behaviors: Arc::new((0..count).map(|_| AtomicU8::new(0)).collect()),
             open: Arc::new((0..count).map(|_| AtomicU32::new(0)).collect()),
-            referee: referee.clone(),
+            checker: checker.clone(),
         };
         for host in 0..count {
             let listener = TcpListener::bind("127.0.0.1:0").unwrap();
             hosts.addresses.push(listener.local_addr().unwrap());
-            let (ways, open, referee) = (
-                hosts.ways.clone(),
+            let (behaviors, open, checker) = (
+                hosts.behaviors.clone(),
                 hosts.open.clone(),
-                hosts.referee.clone(),
+                hosts.checker.clone(),
             );
             thread::spawn(move || {
                 for stream in listener.incoming().flatten() {
-                    let (ways, open, referee) = (ways.clone(), open.clone(), referee.clone());
-                    small(move || serve(host, stream, &ways, &open, &referee));
+                    let (behaviors, open, checker) =
+                        (behaviors.clone(), open.clone(), checker.clone());
+                    small(move || serve(host, stream, &behaviors, &open, &checker));
                 }
             });
         }
         hosts
     }
 
-    pub fn go(&self, host: usize, way: Way) {
-        self.ways[host].store(way as u8, SeqCst);
+    pub fn go(&self, host: usize, behavior: HostBehavior) {
+        self.behaviors[host].store(behavior as u8, SeqCst);
     }
 
     /// Connections that stand at each host.
@@ -267,34 +283,34 @@
 fn serve(
     host: usize,
     mut stream: TcpStream,
-    ways: &[AtomicU8],
+    behaviors: &[AtomicU8],
     open: &[AtomicU32],
-    referee: &Referee,
+    checker: &InvariantChecker,
 ) {
     let Some((mut reader, mut line)) = first_line(&stream) else {
         return;
     };
-    let (at, way) = (
+    let (at, behavior) = (
         Instant::now(),
-        WAYS[usize::from(ways[host].load(SeqCst)) % WAYS.len()],
+        BEHAVIORS[usize::from(behaviors[host].load(SeqCst)) % BEHAVIORS.len()],
     );
     let Some(name) = line.split(' ').nth(1).map(str::to_string) else {
         _ = stream.write_all(b"SYNTAX\r\n");
         return;
     };
     let number = {
-        let mut noted = referee.0.lock().unwrap();
-        noted.reached.push(Reached {
+        let mut record = checker.0.lock().unwrap();
+        record.reached.push(ObservedAttempt {
             at,
             host,
             name,
-            way,
+            behavior,
             left: None,
         });
-        noted.reached.len() - 1
+        record.reached.len() - 1
     };
-    match way {
-        Way::Takes => {
+    match behavior {
+        HostBehavior::Accepts => {
             open[host].fetch_add(1, SeqCst);
             if stream.write_all(b"UP 1\r\n").is_ok() {
                 line.clear();
@@ -306,21 +322,21 @@
             }
             open[host].fetch_sub(1, SeqCst);
         }
-        Way::Busy => _ = stream.write_all(b"BUSY\r\n"),
-        Way::Fails => _ = stream.write_all(b"ERR\r\n"),
-        Way::Silent => {
+        HostBehavior::Rejects => _ = stream.write_all(b"BUSY\r\n"),
+        HostBehavior::Fails => _ = stream.write_all(b"ERR\r\n"),
+        HostBehavior::Silent => {
             line.clear();
             _ = reader.read_line(&mut line);
-            referee.0.lock().unwrap().reached[number].left = Some(Instant::now());
+            checker.0.lock().unwrap().reached[number].left = Some(Instant::now());
         }
-        Way::Breaks => _ = stream.shutdown(Shutdown::Both),
+        HostBehavior::Disconnects => _ = stream.shutdown(Shutdown::Both),
     }
 }
 
 /// Clients, spread over addresses in turns.
 pub struct Clients {
     addresses: Vec<SocketAddr>,
-    referee: Referee,
+    checker: InvariantChecker,
     rng: ChaCha8Rng,
     running: Vec<thread::JoinHandle<()>>,
     /// Clients hold their connections until this moves on.
@@ -330,12 +346,12 @@
 }
 
 impl Clients {
-    pub fn new(addresses: Vec<SocketAddr>, referee: &Referee, seed: u64) -> Self {
+    pub fn new(addresses: Vec<SocketAddr>, checker: &InvariantChecker, seed: u64) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(seed);
         let (running, round) = (Vec::new(), Arc::default());
         Clients {
             addresses,
-            referee: referee.clone(),
+            checker: checker.clone(),
             rng,
             running,
             round,
@@ -354,13 +370,13 @@
         let address = self.addresses[self.started % self.addresses.len()];
         self.started += 1;
         let name = format!("{:x}-{}", self.seed, self.started);
-        let (key, referee, round) = (
+        let (key, checker, round) = (
             self.rng.random::<u64>(),
-            self.referee.clone(),
+            self.checker.clone(),
             self.round.clone(),
         );
         self.running.push(small(move || {
-            live(address, name, key, class, holds, &referee, &round);
+            live(address, name, key, class, holds, &checker, &round);
         }));
     }
 
@@ -391,7 +407,7 @@
     key: u64,
     class: usize,
     holds: Duration,
-    referee: &Referee,
+    checker: &InvariantChecker,
     round: &AtomicU64,
 ) {
     let before = round.load(SeqCst);
@@ -399,12 +415,12 @@
         return;
     };
     _ = stream.set_nodelay(true);
-    let wait = EXPIRY.as_millis();
+    let wait = REQUEST_TIMEOUT.as_millis();
     let line = format!(
         "OPEN {name} {key:x} c={},t=acme,d={wait}\r\n",
-        OFFERINGS[class]
+        CLASS_NAMES[class]
     );
-    let mut lived = Lived {
+    let mut observation = ClientObservation {
         name,
         class,
         asked: Instant::now(),
@@ -414,16 +430,16 @@
     if stream.write_all(line.as_bytes()).is_err() {
         return;
     }
-    _ = stream.set_read_timeout(Some(EXPIRY + Duration::from_millis(500)));
+    _ = stream.set_read_timeout(Some(REQUEST_TIMEOUT + Duration::from_millis(500)));
     let mut reader = BufReader::with_capacity(512, stream.try_clone().unwrap());
     let mut said = String::new();
     if matches!(reader.read_line(&mut said), Ok(1..)) {
-        lived
+        observation
             .answers
             .push((Instant::now(), said.trim_end().to_string()));
     }
     if said.starts_with("UP") {
-        lived.echoed = Some(true);
+        observation.echoed = Some(true);
         let from = Instant::now();
         _ = stream.set_read_timeout(Some(Duration::from_secs(3)));
         while from.elapsed() < holds && round.load(SeqCst) == before {
@@ -433,7 +449,7 @@
                 Ok(1..) if said == "hello\r\n" => {}
                 Ok(1..) if said == "MOVE\r\n" => break,
                 Ok(1..) => {
-                    lived
+                    observation
                         .answers
                         .push((Instant::now(), said.trim_end().to_string()));
                     break;
@@ -441,7 +457,7 @@
                 // Its host, or a node that was killed, ended it: nothing was owed any more.
                 Ok(0) => break,
                 Err(_) => {
-                    lived.echoed = Some(!sent);
+                    observation.echoed = Some(!sent);
                     break;
                 }
             }
@@ -450,10 +466,10 @@
     } else if !said.is_empty() {
         said.clear();
         if matches!(reader.read_line(&mut said), Ok(1..)) {
-            lived
+            observation
                 .answers
                 .push((Instant::now(), said.trim_end().to_string()));
         }
     }
-    referee.0.lock().unwrap().lived.push(lived);
+    checker.0.lock().unwrap().observations.push(observation);
 }
