--- a/testkit/src/soak/clients.rs
+++ b/testkit/src/soak/clients.rs
@@ -1,8 +1,8 @@
 //! The clients of a soak: most behave, some don't. Each notes what it lived through.
 
-use super::site::Seats;
-use super::Size;
-use crate::acting::{small, Referee, EXPIRY, OFFERINGS};
+use super::process_group::ProcessSlots;
+use super::SoakSize;
+use crate::simulated::{small, InvariantChecker, CLASS_NAMES, REQUEST_TIMEOUT};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::io::{BufRead, BufReader, ErrorKind, Write};
@@ -14,7 +14,7 @@
 
 /// How a client behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum ClientBehavior {
     /// Asks, waits for its answer, and sends lines on its open connection for a while.
     Plain,
     /// The same, a byte at a time.
@@ -31,7 +31,7 @@
 
 /// How what it waited for came.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum Received {
     Line(String),
     End,
     Reset,
@@ -40,34 +40,39 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Lived {
+pub struct ClientObservation {
     pub name: String,
-    pub seat: usize,
+    pub slot: usize,
     pub class: usize,
-    pub manner: Manner,
+    pub behavior: ClientBehavior,
     pub asked: Instant,
-    pub heard: Heard,
-    pub heard_at: Instant,
+    pub received: Received,
+    pub received_at: Instant,
     /// When it closed, where it went before it had an answer.
     pub left: Option<Instant>,
     /// How its open connection ended.
-    pub ended: Option<Heard>,
+    pub ended: Option<Received>,
     pub ended_at: Option<Instant>,
     /// A line came behind a final answer.
     pub second: Option<String>,
 }
 
 /// Clients that come at a steady rate until they are told to end.
-pub struct Load {
+pub struct ClientLoad {
     over: Arc<AtomicBool>,
     dealer: Option<JoinHandle<()>>,
-    lived: Arc<Mutex<Vec<Lived>>>,
+    observations: Arc<Mutex<Vec<ClientObservation>>>,
 }
 
-impl Load {
-    pub fn start(seed: u64, size: &Size, seats: Seats, _referee: &Referee) -> Load {
-        let (over, lived) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::default()));
-        let (their_over, their_lived) = (over.clone(), lived.clone());
+impl ClientLoad {
+    pub fn start(
+        seed: u64,
+        size: &SoakSize,
+        slots: ProcessSlots,
+        _referee: &InvariantChecker,
+    ) -> ClientLoad {
+        let (over, observations) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::default()));
+        let (their_over, their_observations) = (over.clone(), observations.clone());
         let step = Duration::from_secs_f64(1.0 / size.rate);
         let dealer = thread::spawn(move || {
             let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
@@ -76,14 +81,14 @@
                 thread::sleep(next.saturating_duration_since(Instant::now()));
                 next += step;
                 number += 1;
-                let Some((seat, address)) = deal(&seats, &mut rng) else {
+                let Some((slot, address)) = deal(&slots, &mut rng) else {
                     continue;
                 };
-                let client = Client::draw(&mut rng, format!("{seed:x}-{number}"), seat, address);
-                let lived: Arc<Mutex<Vec<Lived>>> = their_lived.clone();
+                let client = Client::draw(&mut rng, format!("{seed:x}-{number}"), slot, address);
+                let observations: Arc<Mutex<Vec<ClientObservation>>> = their_observations.clone();
                 running.push(small(move || {
                     if let Some(one) = client.live() {
-                        lived.lock().unwrap().push(one);
+                        observations.lock().unwrap().push(one);
                     }
                 }));
             }
@@ -91,10 +96,10 @@
                 .into_iter()
                 .for_each(|one| one.join().expect("a client panicked"));
         });
-        Load {
+        ClientLoad {
             over,
             dealer: Some(dealer),
-            lived,
+            observations,
         }
     }
 
@@ -106,41 +111,41 @@
         }
     }
 
-    pub fn lived(&self) -> Vec<Lived> {
-        self.lived.lock().unwrap().clone()
+    pub fn observations(&self) -> Vec<ClientObservation> {
+        self.observations.lock().unwrap().clone()
     }
 }
 
 /// A process that the front deals clients to.
-fn deal(seats: &Seats, rng: &mut ChaCha8Rng) -> Option<(usize, SocketAddr)> {
-    let seat = rng.random_range(0..seats.len());
-    let noted = seats[seat].lock().unwrap();
+fn deal(slots: &ProcessSlots, rng: &mut ChaCha8Rng) -> Option<(usize, SocketAddr)> {
+    let slot = rng.random_range(0..slots.len());
+    let noted = slots[slot].lock().unwrap();
     if noted.closed.is_some_and(|t| t <= Instant::now()) {
         return None;
     }
-    Some((seat, noted.address?))
+    Some((slot, noted.address?))
 }
 
 struct Client {
     name: String,
-    seat: usize,
+    slot: usize,
     address: SocketAddr,
     class: usize,
-    manner: Manner,
+    behavior: ClientBehavior,
     key: u64,
     /// How long it stays, rests, or waits before it goes.
     span: Duration,
 }
 
 impl Client {
-    fn draw(rng: &mut ChaCha8Rng, name: String, seat: usize, address: SocketAddr) -> Client {
-        let (manner, span) = match rng.random_range(0..20) {
-            0 | 1 => (Manner::Leaves, rng.random_range(0..400)),
-            2 => (Manner::Half, 0),
-            3 => (Manner::Rests, rng.random_range(1900..2150)),
-            4 => (Manner::Pipelines, 0),
-            5 => (Manner::Slow, rng.random_range(50..600)),
-            _ => (Manner::Plain, rng.random_range(50..1500)),
+    fn draw(rng: &mut ChaCha8Rng, name: String, slot: usize, address: SocketAddr) -> Client {
+        let (behavior, span) = match rng.random_range(0..20) {
+            0 | 1 => (ClientBehavior::Leaves, rng.random_range(0..400)),
+            2 => (ClientBehavior::Half, 0),
+            3 => (ClientBehavior::Rests, rng.random_range(1900..2150)),
+            4 => (ClientBehavior::Pipelines, 0),
+            5 => (ClientBehavior::Slow, rng.random_range(50..600)),
+            _ => (ClientBehavior::Plain, rng.random_range(50..1500)),
         };
         let (class, key, span) = (
             rng.random_range(0..3),
@@ -149,85 +154,87 @@
         );
         Client {
             name,
-            seat,
+            slot,
             address,
             class,
-            manner,
+            behavior,
             key,
             span,
         }
     }
 
-    fn live(self) -> Option<Lived> {
+    fn live(self) -> Option<ClientObservation> {
         let mut stream = TcpStream::connect(self.address).ok()?;
         _ = stream.set_nodelay(true);
-        let wait = EXPIRY.as_millis();
+        let wait = REQUEST_TIMEOUT.as_millis();
         let line = format!(
             "OPEN {} {:x} c={},t=acme,d={wait}\r\n",
-            self.name, self.key, OFFERINGS[self.class]
+            self.name, self.key, CLASS_NAMES[self.class]
         );
-        match self.manner {
-            Manner::Half => stream.write_all(&line.as_bytes()[..line.len() / 2]).ok()?,
-            Manner::Pipelines => stream.write_all(line.repeat(3).as_bytes()).ok()?,
-            Manner::Slow => {
+        match self.behavior {
+            ClientBehavior::Half => stream.write_all(&line.as_bytes()[..line.len() / 2]).ok()?,
+            ClientBehavior::Pipelines => stream.write_all(line.repeat(3).as_bytes()).ok()?,
+            ClientBehavior::Slow => {
                 for byte in line.bytes() {
                     stream.write_all(&[byte]).ok()?;
                     thread::sleep(Duration::from_millis(2));
                 }
             }
-            Manner::Rests => {
+            ClientBehavior::Rests => {
                 thread::sleep(self.span);
                 stream.write_all(line.as_bytes()).ok()?;
             }
-            Manner::Plain | Manner::Leaves => stream.write_all(line.as_bytes()).ok()?,
+            ClientBehavior::Plain | ClientBehavior::Leaves => {
+                stream.write_all(line.as_bytes()).ok()?
+            }
         }
         let asked = Instant::now();
-        let mut lived = Lived {
+        let mut observation = ClientObservation {
             name: self.name.clone(),
-            seat: self.seat,
+            slot: self.slot,
             class: self.class,
-            manner: self.manner,
+            behavior: self.behavior,
             asked,
-            heard: Heard::Nothing,
-            heard_at: asked,
+            received: Received::Nothing,
+            received_at: asked,
             left: None,
             ended: None,
             ended_at: None,
             second: None,
         };
-        if self.manner == Manner::Leaves {
+        if self.behavior == ClientBehavior::Leaves {
             thread::sleep(self.span);
             drop(stream);
-            lived.left = Some(Instant::now());
-            return Some(lived);
+            observation.left = Some(Instant::now());
+            return Some(observation);
         }
         // Longer than any answer may take, and than a process stands still.
         _ = stream.set_read_timeout(Some(Duration::from_secs(7)));
         let mut reader = BufReader::with_capacity(512, stream.try_clone().ok()?);
-        lived.heard = hear(&mut reader);
-        lived.heard_at = Instant::now();
-        match &lived.heard {
-            Heard::Line(said) if said.starts_with("UP") => {
+        observation.received = hear(&mut reader);
+        observation.received_at = Instant::now();
+        match &observation.received {
+            Received::Line(said) if said.starts_with("UP") => {
                 let ended = self.stay(&mut stream, &mut reader);
-                (lived.ended, lived.ended_at) = (ended, Some(Instant::now()));
+                (observation.ended, observation.ended_at) = (ended, Some(Instant::now()));
             }
-            Heard::Line(_) => {
-                if let Heard::Line(more) = hear(&mut reader) {
-                    lived.second = Some(more);
+            Received::Line(_) => {
+                if let Received::Line(more) = hear(&mut reader) {
+                    observation.second = Some(more);
                 }
             }
             _ => {}
         }
-        Some(lived)
+        Some(observation)
     }
 
     /// Sends lines on its open connection; gives how that ended, where the client did not end it.
-    fn stay(&self, stream: &mut TcpStream, reader: &mut BufReader<TcpStream>) -> Option<Heard> {
+    fn stay(&self, stream: &mut TcpStream, reader: &mut BufReader<TcpStream>) -> Option<Received> {
         let until = Instant::now() + self.span;
         while Instant::now() < until {
             let sent = stream.write_all(b"hello\r\n").is_ok();
             match hear(reader) {
-                Heard::Line(said) if said == "hello" => {}
+                Received::Line(said) if said == "hello" => {}
                 other => return Some(other).filter(|_| sent),
             }
             thread::sleep(Duration::from_millis(60));
@@ -236,12 +243,14 @@
     }
 }
 
-fn hear(reader: &mut BufReader<TcpStream>) -> Heard {
+fn hear(reader: &mut BufReader<TcpStream>) -> Received {
     let mut line = String::new();
     match reader.read_line(&mut line) {
-        Ok(0) => Heard::End,
-        Ok(_) => Heard::Line(line.trim_end().to_string()),
-        Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => Heard::Nothing,
-        Err(_) => Heard::Reset,
+        Ok(0) => Received::End,
+        Ok(_) => Received::Line(line.trim_end().to_string()),
+        Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
+            Received::Nothing
+        }
+        Err(_) => Received::Reset,
     }
 }
--- a/testkit/src/soak/mod.rs
+++ b/testkit/src/soak/mod.rs
@@ -3,22 +3,22 @@
 //! draws the same again.
 
 mod clients;
-mod judge;
-mod site;
-pub mod troubles;
+mod process_group;
+mod soak_checker;
+pub mod soak_faults;
 
-use crate::two_tier::Found;
-use clients::Load;
-use judge::Judge;
+use crate::two_tier::Report;
+use clients::ClientLoad;
+use process_group::ProcessGroup;
 use serde_json::{json, Map};
-use site::Site;
+use soak_checker::SoakChecker;
+use soak_faults::SoakSchedule;
 use std::thread;
 use std::time::{Duration, Instant};
-use troubles::Schedule;
 
 /// How large a soak is, and what it runs.
 #[derive(Clone, Debug)]
-pub struct Size {
+pub struct SoakSize {
     pub processes: usize,
     pub hosts: usize,
     /// For how long troubles come.
@@ -33,43 +33,48 @@
 const RECOVERY: Duration = Duration::from_secs(8);
 
 /// Plays one seed, and gives what broke a rule.
-pub fn play(seed: u64, size: &Size) -> Found {
-    let schedule = Schedule::draw(seed, size);
+pub fn play(seed: u64, size: &SoakSize) -> Report {
+    let schedule = SoakSchedule::draw(seed, size);
     play_schedule(&schedule, size)
 }
 
 /// Plays this schedule.
-pub fn play_schedule(schedule: &Schedule, size: &Size) -> Found {
-    let mut site = Site::start(schedule.seed, size);
-    let mut load = Load::start(schedule.seed, size, site.seats(), &site.referee);
+pub fn play_schedule(schedule: &SoakSchedule, size: &SoakSize) -> Report {
+    let mut process_group = ProcessGroup::start(schedule.seed, size);
+    let mut load = ClientLoad::start(
+        schedule.seed,
+        size,
+        process_group.slots(),
+        &process_group.checker,
+    );
     let from = Instant::now();
-    for moment in schedule.moments() {
-        thread::sleep((from + moment.at).saturating_duration_since(Instant::now()));
-        site.carry_out(moment);
+    for transition in schedule.transitions() {
+        thread::sleep((from + transition.at).saturating_duration_since(Instant::now()));
+        process_group.apply(transition);
     }
     load.end();
-    site.lift_all();
-    let mut broken = site.recovers(RECOVERY);
-    broken.extend(site.violations());
-    broken.extend(site.stops());
-    let judge = Judge {
-        lived: load.lived(),
-        reached: site.referee.reached(),
-        seats: site.seats(),
-        notes: &site.notes,
+    process_group.clear_all_faults();
+    let mut broken = process_group.recovery_failures(RECOVERY);
+    broken.extend(process_group.violations());
+    broken.extend(process_group.stop_all());
+    let soak_checker = SoakChecker {
+        observations: load.observations(),
+        reached: process_group.checker.reached(),
+        slots: process_group.slots(),
+        fault_history: &process_group.fault_history,
     };
-    broken.extend(judge.broken());
+    broken.extend(soak_checker.broken());
     let mut figures = Map::new();
-    figures.insert("clients".into(), json!(judge.lived.len()));
-    figures.insert("served".into(), json!(judge.served()));
-    figures.insert("attempts".into(), json!(judge.reached.len()));
+    figures.insert("clients".into(), json!(soak_checker.observations.len()));
+    figures.insert("served".into(), json!(soak_checker.served()));
+    figures.insert("attempts".into(), json!(soak_checker.reached.len()));
     figures.insert("troubles".into(), json!(schedule.planned.len()));
-    figures.insert("calls spoilt".into(), json!(site.spoilt()));
-    Found { figures, broken }
+    figures.insert("calls spoilt".into(), json!(process_group.spoilt()));
+    Report { figures, broken }
 }
 
 /// Plays so many seeds one after the other; what failed is printed with its schedule.
-pub fn measure(first: u64, count: u64, size: &Size) -> Found {
+pub fn measure(first: u64, count: u64, size: &SoakSize) -> Report {
     let (mut figures, mut broken) = (Map::new(), Vec::new());
     for seed in first..first + count {
         let found = play(seed, size);
@@ -83,7 +88,7 @@
             broken.push(format!("seed {seed}: {what}"));
         }
         if !found.broken.is_empty() {
-            eprint!("{}", Schedule::draw(seed, size));
+            eprint!("{}", SoakSchedule::draw(seed, size));
         }
         for (name, value) in found.figures {
             let sum = figures
@@ -94,5 +99,5 @@
         }
     }
     figures.insert("seeds".into(), json!(count));
-    Found { figures, broken }
+    Report { figures, broken }
 }
--- a/testkit/src/soak/site.rs
+++ b/testkit/src/soak/process_group.rs
@@ -1,13 +1,13 @@
 //! The processes of a soak, each in its seat, with hosts and two list services that tell the same. It owns what was done
 //! to them, and when. It must never judge what clients and hosts saw.
 
-use super::troubles::{Family, Moment, Trouble};
-use super::Size;
-use crate::acting::{Hosts, Referee, Way};
+use super::soak_faults::{FaultTransition, SoakFault, SyscallFaultFamily};
+use super::SoakSize;
 use crate::discovery::Discovery;
 use crate::peers::Peer;
 use crate::program::{folder, listener, Node};
-use crate::syscalls::{Fault, Spoiler};
+use crate::simulated::{HostBehavior, Hosts, InvariantChecker};
+use crate::syscalls::{Fault, SyscallInjector};
 use crate::tiers;
 use serde_json::{json, Value};
 use std::collections::HashMap;
@@ -29,7 +29,7 @@
 
 /// What clients have to know of a seat, and the judge of its past.
 #[derive(Debug, Default)]
-pub struct Seat {
+pub struct ProcessSlot {
     pub address: Option<SocketAddr>,
     /// From when on the front deals no clients to it.
     pub closed: Option<Instant>,
@@ -37,16 +37,16 @@
     pub started: Vec<Instant>,
     pub killed: Vec<Instant>,
     /// When it stood still, had its calls spoilt, or was led to another service.
-    pub still: Vec<(Instant, Instant)>,
+    pub pauses: Vec<(Instant, Instant)>,
     pub spoilt: Vec<(Instant, Instant)>,
     pub reloaded: Vec<Instant>,
 }
 
-pub type Seats = Arc<Vec<Mutex<Seat>>>;
+pub type ProcessSlots = Arc<Vec<Mutex<ProcessSlot>>>;
 
 /// What was done to hosts and list services.
 #[derive(Debug, Default)]
-pub struct Notes {
+pub struct FaultHistory {
     /// By host: when it was told to drain, and when that was taken back.
     pub drains: HashMap<usize, Vec<(Instant, Option<Instant>)>>,
     pub service: Vec<(Instant, Instant)>,
@@ -56,7 +56,7 @@
     node: Option<Node>,
     /// Held here where processes of the seat follow each other.
     shared: Option<(TcpListener, PathBuf)>,
-    spoiler: Spoiler,
+    injector: SyscallInjector,
     /// What is wrong with the machine's system calls now, for the processes that start meanwhile too.
     faults: Vec<Fault>,
     service: usize,
@@ -64,13 +64,13 @@
     stopping: Vec<(Node, Instant)>,
 }
 
-pub struct Site {
-    pub referee: Referee,
-    pub notes: Notes,
+pub struct ProcessGroup {
+    pub checker: InvariantChecker,
+    pub fault_history: FaultHistory,
     hosts: Hosts,
     services: [Discovery; 2],
     processes: Vec<Process>,
-    seats: Seats,
+    slots: ProcessSlots,
     seed: u64,
     /// What was seen to go wrong with processes.
     wrong: Vec<String>,
@@ -78,122 +78,127 @@
     lasting: HashMap<String, (u32, Instant)>,
 }
 
-impl Site {
-    pub fn start(seed: u64, size: &Size) -> Site {
-        let referee = Referee::default();
-        let hosts = Hosts::start(size.hosts, &referee);
+impl ProcessGroup {
+    pub fn start(seed: u64, size: &SoakSize) -> ProcessGroup {
+        let checker = InvariantChecker::default();
+        let hosts = Hosts::start(size.hosts, &checker);
         let services = [Discovery::start(), Discovery::start()];
         for host in 0..size.hosts {
             services
                 .iter()
                 .for_each(|service| service.change(hosts.member(host, "active")));
         }
-        let seats: Seats = Arc::new((0..size.processes).map(|_| Mutex::default()).collect());
+        let slots: ProcessSlots = Arc::new((0..size.processes).map(|_| Mutex::default()).collect());
         let processes = (0..size.processes)
-            .map(|seat| Process {
+            .map(|slot| Process {
                 node: None,
-                shared: (seat % 2 == 1).then(|| (listener(), folder())),
-                spoiler: Spoiler::default(),
+                shared: (slot % 2 == 1).then(|| (listener(), folder())),
+                injector: SyscallInjector::default(),
                 faults: Vec::new(),
                 service: 0,
                 stopping: Vec::new(),
             })
             .collect();
-        let mut site = Site {
-            referee,
-            notes: Notes::default(),
+        let mut process_group = ProcessGroup {
+            checker,
+            fault_history: FaultHistory::default(),
             hosts,
             services,
             processes,
-            seats,
+            slots,
             seed,
             wrong: Vec::new(),
             lasting: HashMap::new(),
         };
-        (0..size.processes).for_each(|seat| site.open(seat));
-        site
+        (0..size.processes).for_each(|slot| process_group.open(slot));
+        process_group
     }
 
-    pub fn seats(&self) -> Seats {
-        self.seats.clone()
+    pub fn slots(&self) -> ProcessSlots {
+        self.slots.clone()
     }
 
     pub fn spoilt(&self) -> u64 {
         self.processes
             .iter()
-            .map(|process| process.spoiler.spoilt())
+            .map(|process| process.injector.spoilt())
             .sum()
     }
 
-    fn node_config(&self, seat: usize) -> Value {
-        let service = &self.services[self.processes[seat].service];
+    fn node_config(&self, slot: usize) -> Value {
+        let service = &self.services[self.processes[slot].service];
         let mut node_config = tiers::node_config(
-            &format!("n{seat}"),
+            &format!("n{slot}"),
             &self.hosts,
             service,
-            self.seed + seat as u64,
+            self.seed + slot as u64,
         );
         node_config["limits"] = json!({"cores": 1.0, "memory_mb": 128, "sockets": 512});
         (
             node_config["settings"]["balancers"],
             node_config["settings"]["index"],
-        ) = (json!(self.processes.len()), json!(seat));
+        ) = (json!(self.processes.len()), json!(slot));
         node_config["ops"] = json!("127.0.0.1:0");
-        if let Some(address) = self.seats[seat].lock().unwrap().address {
+        if let Some(address) = self.slots[slot].lock().unwrap().address {
             node_config["listen"] = json!(address.to_string());
         }
         node_config
     }
 
     /// Starts a process in this seat.
-    fn open(&mut self, seat: usize) {
-        let node_config = self.node_config(seat);
-        let spoiler = Spoiler::default();
-        let node = match &self.processes[seat].shared {
+    fn open(&mut self, slot: usize) {
+        let node_config = self.node_config(slot);
+        let injector = SyscallInjector::default();
+        let node = match &self.processes[slot].shared {
             Some((listener, folder)) => {
-                Node::start_spoilt_at(&node_config, listener, folder, &spoiler)
+                Node::start_injected_at(&node_config, listener, folder, &injector)
             }
-            None => Node::start_spoilt(&node_config, &spoiler),
+            None => Node::start_injected(&node_config, &injector),
         };
-        let mut noted = self.seats[seat].lock().unwrap();
+        let mut noted = self.slots[slot].lock().unwrap();
         (noted.address, noted.closed) = (Some(node.address), None);
         noted.started.push(Instant::now());
         drop(noted);
-        let process = &mut self.processes[seat];
-        spoiler.set(&process.faults);
-        (process.node, process.spoiler) = (Some(node), spoiler);
+        let process = &mut self.processes[slot];
+        injector.set(&process.faults);
+        (process.node, process.injector) = (Some(node), injector);
     }
 
     /// Begins or ends a trouble.
-    pub fn carry_out(&mut self, moment: Moment) {
-        let Moment {
-            begins, trouble, ..
-        } = moment;
+    pub fn apply(&mut self, transition: FaultTransition) {
+        let FaultTransition { begins, fault, .. } = transition;
         self.look_for_ended();
         if std::env::var_os("SOAK_VERBOSE").is_some() {
-            eprintln!("{} {trouble:?}", if begins { "begin" } else { "end" });
+            eprintln!("{} {fault:?}", if begins { "begin" } else { "end" });
         }
-        match trouble {
-            Trouble::Stop(seat) => self.stop(seat, begins),
-            Trouble::Replace(seat) if begins => self.replace(seat),
-            Trouble::Replace(_) => {}
-            Trouble::ReplaceSpoilt(seat) => {
-                self.spoil(seat, begins, Family::Channel);
+        match fault {
+            SoakFault::Stop(slot) => self.stop(slot, begins),
+            SoakFault::Replace(slot) if begins => self.replace(slot),
+            SoakFault::Replace(_) => {}
+            SoakFault::ReplaceSpoilt(slot) => {
+                self.spoil(slot, begins, SyscallFaultFamily::Channel);
                 if begins {
-                    self.replace(seat);
+                    self.replace(slot);
                 }
             }
-            Trouble::Kill(seat) => self.kill(seat, begins),
-            Trouble::Reload(seat) => self.reload(seat),
-            Trouble::StandStill(seat) => self.stand_still(seat, begins),
-            Trouble::StepClock(seat, seconds) if begins => {
-                self.processes[seat].spoiler.step_clock(seconds);
+            SoakFault::Kill(slot) => self.kill(slot, begins),
+            SoakFault::Reload(slot) => self.reload(slot),
+            SoakFault::StandStill(slot) => self.suspend(slot, begins),
+            SoakFault::StepClock(slot, seconds) if begins => {
+                self.processes[slot].injector.step_clock(seconds);
             }
-            Trouble::StepClock(..) => {}
-            Trouble::Calls(seat, family) => self.spoil(seat, begins, family),
-            Trouble::Host(host, way) => self.hosts.go(host, if begins { way } else { Way::Takes }),
-            Trouble::Drain(host) => self.drain(host, begins),
-            Trouble::ServiceDown => {
+            SoakFault::StepClock(..) => {}
+            SoakFault::Calls(slot, family) => self.spoil(slot, begins, family),
+            SoakFault::Host(host, behavior) => self.hosts.go(
+                host,
+                if begins {
+                    behavior
+                } else {
+                    HostBehavior::Accepts
+                },
+            ),
+            SoakFault::Drain(host) => self.drain(host, begins),
+            SoakFault::ServiceDown => {
                 for service in &self.services {
                     if begins {
                         service.go_down();
@@ -203,13 +208,13 @@
                 }
                 self.service_lasts("down", begins);
             }
-            Trouble::ServiceSilent => {
+            SoakFault::ServiceSilent => {
                 if begins {
                     self.services.iter().for_each(Discovery::fall_silent);
                 }
                 self.service_lasts("silent", begins);
             }
-            Trouble::ServiceRefuses => {
+            SoakFault::ServiceRefuses => {
                 self.services
                     .iter()
                     .for_each(|service| service.turn_away(if begins { 7 } else { 0 }));
@@ -219,12 +224,12 @@
     }
 
     /// Has system calls of the processes in this seat fail, or no longer.
-    fn spoil(&mut self, seat: usize, begins: bool, family: Family) {
-        let process = &mut self.processes[seat];
+    fn spoil(&mut self, slot: usize, begins: bool, family: SyscallFaultFamily) {
+        let process = &mut self.processes[slot];
         process.faults = if begins { family.faults() } else { Vec::new() };
-        process.spoiler.set(&process.faults);
-        self.lasts(format!("calls {seat}"), begins, |site, span| {
-            site.seats[seat].lock().unwrap().spoilt.push(span);
+        process.injector.set(&process.faults);
+        self.lasts(format!("calls {slot}"), begins, |process_group, span| {
+            process_group.slots[slot].lock().unwrap().spoilt.push(span);
         });
     }
 
@@ -233,7 +238,7 @@
         &mut self,
         what: String,
         begins: bool,
-        note: impl FnOnce(&mut Site, (Instant, Instant)),
+        note: impl FnOnce(&mut ProcessGroup, (Instant, Instant)),
     ) {
         let now = Instant::now();
         let (count, since) = self.lasting.entry(what).or_insert((0, now));
@@ -250,143 +255,143 @@
     }
 
     fn service_lasts(&mut self, what: &str, begins: bool) {
-        self.lasts(format!("service {what}"), begins, |site, span| {
-            site.notes.service.push(span);
+        self.lasts(format!("service {what}"), begins, |process_group, span| {
+            process_group.fault_history.service.push(span);
         });
     }
 
-    fn stop(&mut self, seat: usize, begins: bool) {
+    fn stop(&mut self, slot: usize, begins: bool) {
         if begins {
-            let Some(node) = self.processes[seat].node.take() else {
+            let Some(node) = self.processes[slot].node.take() else {
                 return;
             };
             let now = Instant::now();
-            self.go_on(seat, &node);
-            self.seats[seat].lock().unwrap().closed = Some(now + STILL_DEALT);
+            self.unsuspend(slot, &node);
+            self.slots[slot].lock().unwrap().closed = Some(now + STILL_DEALT);
             node.stop();
-            self.processes[seat].stopping.push((node, now));
+            self.processes[slot].stopping.push((node, now));
             return;
         }
-        self.wait_for_stopped(seat);
-        if self.processes[seat].node.is_none() {
-            self.open(seat);
+        self.wait_for_stopped(slot);
+        if self.processes[slot].node.is_none() {
+            self.open(slot);
         }
     }
 
     /// Waits until all processes of a seat that were told to stop have ended.
-    fn wait_for_stopped(&mut self, seat: usize) {
-        for (mut node, since) in std::mem::take(&mut self.processes[seat].stopping) {
+    fn wait_for_stopped(&mut self, slot: usize) {
+        for (mut node, since) in std::mem::take(&mut self.processes[slot].stopping) {
             while node.runs() && since.elapsed() < STOPS_WITHIN {
                 thread::sleep(Duration::from_millis(5));
             }
             if node.runs() {
                 self.wrong.push(format!(
-                    "seat {seat}: still runs {:?} after it was told to stop",
+                    "seat {slot}: still runs {:?} after it was told to stop",
                     since.elapsed()
                 ));
             } else if !node.wait().success() {
                 self.wrong
-                    .push(format!("seat {seat}: ended with {}", node.wait()));
+                    .push(format!("seat {slot}: ended with {}", node.wait()));
             }
-            self.look_at_log(seat, &node);
+            self.look_at_log(slot, &node);
         }
     }
 
     /// Whether a process says with this line that it broke a rule because it stood still: a call to send began in time by the
     /// clock that was read before it, and was made when the process went on.
-    fn is_late_by_standing_still(&self, seat: usize, at: Instant, line: &str) -> bool {
+    fn is_late_by_standing_still(&self, slot: usize, at: Instant, line: &str) -> bool {
         let late = LATE_BY_STANDING_STILL
             .iter()
             .any(|rule| line.contains(rule));
-        let spans = &self.seats[seat].lock().unwrap().still;
+        let spans = &self.slots[slot].lock().unwrap().pauses;
         late && spans
             .iter()
             .any(|(from, to)| *from <= at && at <= *to + SEEN_AFTER)
     }
 
     /// A process that ended ill, or broke a rule, leaves that in its log. Gives the lines that are excused.
-    fn look_at_log(&mut self, seat: usize, node: &Node) -> Vec<String> {
+    fn look_at_log(&mut self, slot: usize, node: &Node) -> Vec<String> {
         let mut excused = Vec::new();
-        for (at, line) in node.logged_at() {
+        for (at, line) in node.drain_log_timed() {
             if !line.contains("panicked") && !line.contains("rule violated") {
                 continue;
             }
-            if self.is_late_by_standing_still(seat, at, &line) {
+            if self.is_late_by_standing_still(slot, at, &line) {
                 excused.push(line);
             } else {
-                self.wrong.push(format!("seat {seat}: {line}"));
+                self.wrong.push(format!("seat {slot}: {line}"));
             }
         }
         excused
     }
 
     /// Another process takes the place of the one in this seat.
-    fn replace(&mut self, seat: usize) {
-        if self.processes[seat].shared.is_none() || self.processes[seat].node.is_none() {
+    fn replace(&mut self, slot: usize) {
+        if self.processes[slot].shared.is_none() || self.processes[slot].node.is_none() {
             return;
         }
-        let Some(mut before) = self.processes[seat].node.take() else {
+        let Some(mut before) = self.processes[slot].node.take() else {
             return;
         };
-        self.go_on(seat, &before);
-        self.open(seat);
-        if self.ended_unasked(seat, &mut before) {
+        self.unsuspend(slot, &before);
+        self.open(slot);
+        if self.ended_unasked(slot, &mut before) {
             return;
         }
         before.stop();
-        self.processes[seat].stopping.push((before, Instant::now()));
+        self.processes[slot].stopping.push((before, Instant::now()));
     }
 
     /// Starts a process anew in each seat in which one has ended unasked.
     fn look_for_ended(&mut self) {
-        for seat in 0..self.processes.len() {
-            let Some(mut node) = self.processes[seat].node.take() else {
+        for slot in 0..self.processes.len() {
+            let Some(mut node) = self.processes[slot].node.take() else {
                 continue;
             };
-            if self.ended_unasked(seat, &mut node) {
-                self.open(seat);
+            if self.ended_unasked(slot, &mut node) {
+                self.open(slot);
             } else {
-                self.processes[seat].node = Some(node);
+                self.processes[slot].node = Some(node);
             }
         }
     }
 
     /// Whether a process that nobody told to stop has ended, which is wrong.
-    fn ended_unasked(&mut self, seat: usize, node: &mut Node) -> bool {
+    fn ended_unasked(&mut self, slot: usize, node: &mut Node) -> bool {
         if node.runs() {
             return false;
         }
-        let log = node.logged();
+        let log = node.drain_log();
         let end = &log[log.len().saturating_sub(LAST_LINES)..];
         self.wrong.push(format!(
-            "seat {seat}: ended unasked with {}: {end:#?}",
+            "seat {slot}: ended unasked with {}: {end:#?}",
             node.wait()
         ));
         true
     }
 
-    fn kill(&mut self, seat: usize, begins: bool) {
+    fn kill(&mut self, slot: usize, begins: bool) {
         if begins {
-            let Some(mut node) = self.processes[seat].node.take() else {
+            let Some(mut node) = self.processes[slot].node.take() else {
                 return;
             };
-            let mut noted = self.seats[seat].lock().unwrap();
+            let mut noted = self.slots[slot].lock().unwrap();
             (noted.closed, _) = (Some(Instant::now()), noted.killed.push(Instant::now()));
             drop(noted);
             node.kill();
-            self.look_at_log(seat, &node);
-        } else if self.processes[seat].node.is_none() {
-            self.wait_for_stopped(seat);
-            self.open(seat);
+            self.look_at_log(slot, &node);
+        } else if self.processes[slot].node.is_none() {
+            self.wait_for_stopped(slot);
+            self.open(slot);
         }
     }
 
-    fn reload(&mut self, seat: usize) {
-        self.processes[seat].service = 1 - self.processes[seat].service;
-        let node_config = self.node_config(seat).to_string();
-        if let Some(node) = &self.processes[seat].node {
-            node.reread(&node_config);
-            self.seats[seat]
+    fn reload(&mut self, slot: usize) {
+        self.processes[slot].service = 1 - self.processes[slot].service;
+        let node_config = self.node_config(slot).to_string();
+        if let Some(node) = &self.processes[slot].node {
+            node.reload(&node_config);
+            self.slots[slot]
                 .lock()
                 .unwrap()
                 .reloaded
@@ -394,28 +399,28 @@
         }
     }
 
-    fn go_on(&self, seat: usize, node: &Node) {
-        node.go_on();
-        if let Some(last) = self.seats[seat].lock().unwrap().still.last_mut() {
+    fn unsuspend(&self, slot: usize, node: &Node) {
+        node.unsuspend();
+        if let Some(last) = self.slots[slot].lock().unwrap().pauses.last_mut() {
             last.1 = last.1.min(Instant::now());
         }
     }
 
-    fn stand_still(&mut self, seat: usize, begins: bool) {
-        let Some(node) = &self.processes[seat].node else {
+    fn suspend(&mut self, slot: usize, begins: bool) {
+        let Some(node) = &self.processes[slot].node else {
             return;
         };
         if begins {
-            node.stand_still();
+            node.suspend();
             let (now, far) = (Instant::now(), Instant::now() + Duration::from_secs(3600));
-            self.seats[seat].lock().unwrap().still.push((now, far));
+            self.slots[slot].lock().unwrap().pauses.push((now, far));
         } else {
-            self.go_on(seat, node);
+            self.unsuspend(slot, node);
         }
     }
 
     fn drain(&mut self, host: usize, begins: bool) {
-        let drains = self.notes.drains.entry(host).or_default();
+        let drains = self.fault_history.drains.entry(host).or_default();
         let open = drains.iter().any(|(_, back)| back.is_none());
         match (begins, open) {
             (true, false) => drains.push((Instant::now(), None)),
@@ -431,15 +436,15 @@
     }
 
     /// All troubles are over; every seat has its process.
-    pub fn lift_all(&mut self) {
-        for seat in 0..self.processes.len() {
-            self.processes[seat].faults.clear();
-            self.processes[seat].spoiler.clear();
-            self.stand_still(seat, false);
-            self.stop(seat, false);
+    pub fn clear_all_faults(&mut self) {
+        for slot in 0..self.processes.len() {
+            self.processes[slot].faults.clear();
+            self.processes[slot].injector.clear();
+            self.suspend(slot, false);
+            self.stop(slot, false);
         }
         for host in 0..self.hosts.addresses.len() {
-            self.hosts.go(host, Way::Takes);
+            self.hosts.go(host, HostBehavior::Accepts);
             self.drain(host, false);
         }
         for service in &self.services {
@@ -449,31 +454,31 @@
     }
 
     /// Which processes don't serve again in time.
-    pub fn recovers(&mut self, within: Duration) -> Vec<String> {
+    pub fn recovery_failures(&mut self, within: Duration) -> Vec<String> {
         let from = Instant::now();
-        let answer = |seat: usize, tries: usize| {
-            let Some(node) = &self.processes[seat].node else {
+        let answer = |slot: usize, tries: usize| {
+            let Some(node) = &self.processes[slot].node else {
                 return "no process".to_string();
             };
             let mut client = Peer::connect(node.address);
-            client.say(&format!("OPEN r{seat}-{tries} 7f c=free,t=acme,d=1000"));
+            client.say(&format!("OPEN r{slot}-{tries} 7f c=free,t=acme,d=1000"));
             client.hear()
         };
         let mut late = Vec::new();
-        for seat in 0..self.processes.len() {
+        for slot in 0..self.processes.len() {
             let mut tries = 0;
             loop {
-                let heard = answer(seat, tries);
-                if heard.starts_with("UP") {
+                let received = answer(slot, tries);
+                if received.starts_with("UP") {
                     break;
                 }
                 tries += 1;
                 if from.elapsed() > within {
-                    let node = self.processes[seat].node.as_ref();
-                    let log = node.map_or(Vec::new(), Node::logged);
+                    let node = self.processes[slot].node.as_ref();
+                    let log = node.map_or(Vec::new(), Node::drain_log);
                     let last = log[log.len().saturating_sub(LAST_LINES)..].join("\n    ");
                     late.push(format!(
-                        "seat {seat}: does not serve {within:?} after all troubles are over, but says {heard} at try {tries}\n    {last}"
+                        "seat {slot}: does not serve {within:?} after all troubles are over, but says {received} at try {tries}\n    {last}"
                     ));
                     break;
                 }
@@ -486,21 +491,21 @@
     /// What the processes themselves count as broken, beyond what their logs excuse.
     pub fn violations(&mut self) -> Vec<String> {
         let mut found = Vec::new();
-        for seat in 0..self.processes.len() {
-            let Some(node) = self.processes[seat].node.take() else {
+        for slot in 0..self.processes.len() {
+            let Some(node) = self.processes[slot].node.take() else {
                 continue;
             };
-            let excused = self.look_at_log(seat, &node);
+            let excused = self.look_at_log(slot, &node);
             let (_, text) = node.call("GET /status/metrics");
             let counted = text.lines().filter(|line| is_beyond(line, &excused));
-            found.extend(counted.map(|line| format!("seat {seat}: {line}")));
-            self.processes[seat].node = Some(node);
+            found.extend(counted.map(|line| format!("seat {slot}: {line}")));
+            self.processes[slot].node = Some(node);
         }
         found
     }
 
     /// Stops all processes, and tells what went wrong with any.
-    pub fn stops(&mut self) -> Vec<String> {
+    pub fn stop_all(&mut self) -> Vec<String> {
         let now = Instant::now();
         for process in &mut self.processes {
             if let Some(node) = process.node.take() {
@@ -508,7 +513,7 @@
                 process.stopping.push((node, now));
             }
         }
-        (0..self.processes.len()).for_each(|seat| self.wait_for_stopped(seat));
+        (0..self.processes.len()).for_each(|slot| self.wait_for_stopped(slot));
         std::mem::take(&mut self.wrong)
     }
 }
--- a/testkit/src/soak/judge.rs
+++ b/testkit/src/soak/soak_checker.rs
@@ -1,9 +1,11 @@
 //! The judge of a soak: the four rules and the terms beside them, by what clients and hosts saw. What a process that was
 //! ended outright owed is excused; so is lateness while a process stood still. Nothing else is.
 
-use super::clients::{Heard, Lived, Manner};
-use super::site::{Notes, Seats};
-use crate::acting::{Reached, Way, EXPIRY, GRACE, SOCKETS, WINDOW};
+use super::clients::{ClientBehavior, ClientObservation, Received};
+use super::process_group::{FaultHistory, ProcessSlots};
+use crate::simulated::{
+    HostBehavior, ObservedAttempt, DRAIN_GRACE, REQUEST_TIMEOUT, SOCKET_SLACK, WINDOW,
+};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
@@ -18,27 +20,27 @@
 /// How long after a client has gone an attempt may still begin.
 const GONE: Duration = Duration::from_millis(100);
 
-pub struct Judge<'a> {
-    pub lived: Vec<Lived>,
-    pub reached: Vec<Reached>,
-    pub seats: Seats,
-    pub notes: &'a Notes,
+pub struct SoakChecker<'a> {
+    pub observations: Vec<ClientObservation>,
+    pub reached: Vec<ObservedAttempt>,
+    pub slots: ProcessSlots,
+    pub fault_history: &'a FaultHistory,
 }
 
-impl Judge<'_> {
+impl SoakChecker<'_> {
     pub fn served(&self) -> usize {
-        let up = |one: &&Lived| matches!(&one.heard, Heard::Line(said) if said.starts_with("UP"));
-        self.lived.iter().filter(up).count()
+        let up = |one: &&ClientObservation| matches!(&one.received, Received::Line(said) if said.starts_with("UP"));
+        self.observations.iter().filter(up).count()
     }
 
     /// What broke a rule, each in a line.
     pub fn broken(&self) -> Vec<String> {
-        let mut by_name: HashMap<&str, Vec<&Reached>> = HashMap::new();
+        let mut by_name: HashMap<&str, Vec<&ObservedAttempt>> = HashMap::new();
         for one in &self.reached {
             by_name.entry(&one.name).or_default().push(one);
         }
         let mut broken = Vec::new();
-        for client in &self.lived {
+        for client in &self.observations {
             let mut attempts = by_name
                 .get(client.name.as_str())
                 .cloned()
@@ -54,7 +56,7 @@
             let of = |why| {
                 format!(
                     "{} at seat {}, {:?}, offering {}: {why}",
-                    client.name, client.seat, client.manner, client.class
+                    client.name, client.slot, client.behavior, client.class
                 )
             };
             broken.extend(wrong.into_iter().flatten().map(of));
@@ -63,61 +65,76 @@
     }
 
     /// Whether a process of its seat was ended outright while it lived there.
-    fn excused(&self, client: &Lived) -> bool {
-        let seat = self.seats[client.seat].lock().unwrap();
-        let until = client.ended_at.unwrap_or(client.heard_at);
-        seat.killed
+    fn excused(&self, client: &ClientObservation) -> bool {
+        let slot = self.slots[client.slot].lock().unwrap();
+        let until = client.ended_at.unwrap_or(client.received_at);
+        slot.killed
             .iter()
             .any(|t| *t + BUSY > client.asked - Duration::from_secs(3) && *t < until + BUSY)
     }
 
     /// Until when the process of its seat stood still, after this.
-    fn stood_still(&self, client: &Lived, from: Instant, to: Instant) -> bool {
-        let seat = self.seats[client.seat].lock().unwrap();
-        seat.still
+    fn stood_still(&self, client: &ClientObservation, from: Instant, to: Instant) -> bool {
+        let slot = self.slots[client.slot].lock().unwrap();
+        slot.pauses
             .iter()
             .any(|(began, ended)| *began < to && *ended + BUSY > from)
     }
 
     /// Rule 1: one final answer, in time.
-    fn answer(&self, client: &Lived) -> Option<String> {
-        if client.manner == Manner::Leaves || self.excused(client) {
+    fn answer(&self, client: &ClientObservation) -> Option<String> {
+        if client.behavior == ClientBehavior::Leaves || self.excused(client) {
             return None;
         }
         if let Some(second) = &client.second {
-            return Some(format!("rule 1: {second} behind {:?}", client.heard));
+            return Some(format!("rule 1: {second} behind {:?}", client.received));
         }
-        let took = client.heard_at - client.asked;
-        let still = self.stood_still(
+        let took = client.received_at - client.asked;
+        let pauses = self.stood_still(
             client,
             client.asked - Duration::from_secs(3),
-            client.heard_at,
+            client.received_at,
         );
-        let bad = matches!(client.manner, Manner::Half | Manner::Pipelines);
-        match &client.heard {
-            Heard::End if bad => {}
-            Heard::Line(_) => {}
+        let bad = matches!(
+            client.behavior,
+            ClientBehavior::Half | ClientBehavior::Pipelines
+        );
+        match &client.received {
+            Received::End if bad => {}
+            Received::Line(_) => {}
             // It gave up waiting while the process stood still, or right after.
-            Heard::Nothing
-                if self.stood_still(client, client.heard_at - BAD_CLIENTS, client.heard_at) => {}
+            Received::Nothing
+                if self.stood_still(
+                    client,
+                    client.received_at - BAD_CLIENTS,
+                    client.received_at,
+                ) => {}
             other => return Some(format!("rule 1: no answer but {other:?} after {took:?}")),
         }
-        let within = if bad { BAD_CLIENTS } else { EXPIRY + SOCKETS } + BUSY;
-        if took > within && !still {
-            return Some(format!("rule 1: {:?} after {took:?}", client.heard));
+        let within = if bad {
+            BAD_CLIENTS
+        } else {
+            REQUEST_TIMEOUT + SOCKET_SLACK
+        } + BUSY;
+        if took > within && !pauses {
+            return Some(format!("rule 1: {:?} after {took:?}", client.received));
         }
         match &client.ended {
             None => None,
-            Some(Heard::Line(said)) if said == "MOVE" => None,
-            Some(Heard::Nothing) if still => None,
+            Some(Received::Line(said)) if said == "MOVE" => None,
+            Some(Received::Nothing) if pauses => None,
             Some(other) => Some(format!("an open connection ended with {other:?}")),
         }
     }
 
     /// Rule 2: no effect twice.
-    fn repeats(&self, client: &Lived, attempts: &[&Reached]) -> Option<String> {
-        let ran: Vec<&&Reached> = attempts.iter().filter(|one| one.way != Way::Busy).collect();
-        let dismissed = matches!(&client.heard, Heard::Line(said) if said.starts_with("BUSY"));
+    fn repeats(&self, client: &ClientObservation, attempts: &[&ObservedAttempt]) -> Option<String> {
+        let ran: Vec<&&ObservedAttempt> = attempts
+            .iter()
+            .filter(|one| one.behavior != HostBehavior::Rejects)
+            .collect();
+        let dismissed =
+            matches!(&client.received, Received::Line(said) if said.starts_with("BUSY"));
         let first = ran.first()?;
         match client.class {
             2 if ran.len() > 1 => Some(format!("rule 2: may have run {} times", ran.len())),
@@ -127,7 +144,7 @@
             }
             1 if ran
                 .iter()
-                .any(|one| one.at > first.at + WINDOW + SOCKETS + BUSY) =>
+                .any(|one| one.at > first.at + WINDOW + SOCKET_SLACK + BUSY) =>
             {
                 Some("rule 2: repeated past its window".into())
             }
@@ -136,7 +153,7 @@
     }
 
     /// Rule 1: nothing is sent after the answer or the expiry, nor for a client that has gone.
-    fn late(&self, client: &Lived, attempts: &[&Reached]) -> Option<String> {
+    fn late(&self, client: &ClientObservation, attempts: &[&ObservedAttempt]) -> Option<String> {
         let last = attempts.last()?;
         if let Some(left) = client.left.filter(|left| last.at > *left + GONE + BUSY) {
             return Some(format!(
@@ -144,17 +161,17 @@
                 last.at - left
             ));
         }
-        let answered =
-            matches!(client.heard, Heard::Line(_)) && last.at > client.heard_at + SOCKETS + BUSY;
+        let answered = matches!(client.received, Received::Line(_))
+            && last.at > client.received_at + SOCKET_SLACK + BUSY;
         if answered {
             return Some(format!(
                 "rule 1: attempted {:?} after its answer",
-                last.at - client.heard_at
+                last.at - client.received_at
             ));
         }
         // Its time counts from when it was read: a process that stood still had not read it.
         let from = client.asked - Duration::from_secs(1);
-        if last.at > client.asked + EXPIRY + SOCKETS + BUSY
+        if last.at > client.asked + REQUEST_TIMEOUT + SOCKET_SLACK + BUSY
             && !self.stood_still(client, from, last.at)
         {
             return Some(format!(
@@ -166,31 +183,32 @@
     }
 
     /// Rule 3: nothing new to hosts that drain, beyond the grace.
-    fn drained(&self, client: &Lived, attempts: &[&Reached]) -> Option<String> {
+    fn drained(&self, client: &ClientObservation, attempts: &[&ObservedAttempt]) -> Option<String> {
         attempts.iter().find_map(|one| {
-            let drains = self.notes.drains.get(&one.host)?;
+            let drains = self.fault_history.drains.get(&one.host)?;
             let (since, _) = drains
                 .iter()
                 .find(|(since, back)| one.at > *since && back.is_none_or(|back| one.at < back))?;
             let late = one.at - *since;
-            let told = self.told(client.seat, *since, one.at);
-            let allowed = told.saturating_duration_since(*since) + GRACE + SOCKETS + BUSY;
+            let told = self.told(client.slot, *since, one.at);
+            let allowed =
+                told.saturating_duration_since(*since) + DRAIN_GRACE + SOCKET_SLACK + BUSY;
             (late > allowed)
                 .then(|| format!("rule 3: sent to host {} {late:?} after its drain", one.host))
         })
     }
 
     /// When a process of this seat counts as told of what the list service had at `since`.
-    fn told(&self, seat: usize, since: Instant, at: Instant) -> Instant {
-        let seat = self.seats[seat].lock().unwrap();
-        let started = seat.started.iter().copied().filter(|t| *t < at).max();
+    fn told(&self, slot: usize, since: Instant, at: Instant) -> Instant {
+        let slot = self.slots[slot].lock().unwrap();
+        let started = slot.started.iter().copied().filter(|t| *t < at).max();
         let mut told = since.max(started.map_or(since, |t| t + ASK_WITHIN));
         // A call that failed, for whatever reason, or a change of the service that is followed.
-        let failed = self.notes.service.iter().chain(&seat.spoilt);
+        let failed = self.fault_history.service.iter().chain(&slot.spoilt);
         for (_, ended) in failed.filter(|(began, ended)| *began < at && *ended + TOLD > since) {
             told = told.max((*ended).max(since) + TOLD);
         }
-        for reloaded in seat.reloaded.iter().filter(|t| **t < at) {
+        for reloaded in slot.reloaded.iter().filter(|t| **t < at) {
             told = told.max(*reloaded + Duration::from_secs(4));
         }
         told
--- a/testkit/src/soak/troubles.rs
+++ b/testkit/src/soak/soak_faults.rs
@@ -1,7 +1,7 @@
 //! What happens in a soak, drawn by a seed: each trouble has a moment and a length, and several streams of them overlap.
 
-use super::Size;
-use crate::acting::Way;
+use super::SoakSize;
+use crate::simulated::HostBehavior;
 use crate::syscalls::{Call, Fault, Outcome};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -11,7 +11,7 @@
 
 /// One trouble, at a process by its seat, at a host, or at the list service.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Trouble {
+pub enum SoakFault {
     /// Told to stop by a signal, and started again once it has.
     Stop(usize),
     /// Another process takes its place and its connections.
@@ -27,8 +27,8 @@
     /// The wall clock of its machine is stepped by so many seconds.
     StepClock(usize, i64),
     /// System calls of this family fail, fall short or are held up.
-    Calls(usize, Family),
-    Host(usize, Way),
+    Calls(usize, SyscallFaultFamily),
+    Host(usize, HostBehavior),
     Drain(usize),
     ServiceDown,
     ServiceSilent,
@@ -37,7 +37,7 @@
 
 /// Faults of system calls that come together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Family {
+pub enum SyscallFaultFamily {
     NoMemory,
     NoDescriptors,
     NoRoute,
@@ -48,17 +48,17 @@
     Channel,
 }
 
-const FAMILIES: [Family; 7] = [
-    Family::NoMemory,
-    Family::NoDescriptors,
-    Family::NoRoute,
-    Family::Interrupted,
-    Family::Short,
-    Family::HeldUp,
-    Family::Channel,
+const FAMILIES: [SyscallFaultFamily; 7] = [
+    SyscallFaultFamily::NoMemory,
+    SyscallFaultFamily::NoDescriptors,
+    SyscallFaultFamily::NoRoute,
+    SyscallFaultFamily::Interrupted,
+    SyscallFaultFamily::Short,
+    SyscallFaultFamily::HeldUp,
+    SyscallFaultFamily::Channel,
 ];
 
-impl Family {
+impl SyscallFaultFamily {
     pub fn faults(self) -> Vec<Fault> {
         let fails = |call, errno, every| Fault {
             call,
@@ -66,32 +66,32 @@
             every,
         };
         match self {
-            Family::NoMemory => vec![
+            SyscallFaultFamily::NoMemory => vec![
                 fails(Call::EpollAdd, Errno::NOMEM, 3),
                 fails(Call::Send, Errno::NOBUFS, 5),
                 fails(Call::Receive, Errno::NOMEM, 7),
                 fails(Call::Accept, Errno::NOBUFS, 3),
                 fails(Call::Open, Errno::NOMEM, 2),
             ],
-            Family::NoDescriptors => vec![
+            SyscallFaultFamily::NoDescriptors => vec![
                 fails(Call::Accept, Errno::NFILE, 2),
                 fails(Call::Socket, Errno::NFILE, 3),
                 fails(Call::Open, Errno::NFILE, 2),
                 fails(Call::EpollAdd, Errno::NOSPC, 3),
             ],
-            Family::NoRoute => vec![
+            SyscallFaultFamily::NoRoute => vec![
                 fails(Call::Connect, Errno::NETUNREACH, 3),
                 fails(Call::Connect, Errno::HOSTUNREACH, 5),
                 fails(Call::Connect, Errno::ADDRNOTAVAIL, 4),
                 fails(Call::Accept, Errno::CONNABORTED, 3),
             ],
-            Family::Interrupted => vec![
+            SyscallFaultFamily::Interrupted => vec![
                 fails(Call::EpollWait, Errno::INTR, 2),
                 fails(Call::Receive, Errno::INTR, 2),
                 fails(Call::Send, Errno::INTR, 2),
                 fails(Call::Read, Errno::INTR, 2),
             ],
-            Family::Short => vec![
+            SyscallFaultFamily::Short => vec![
                 Fault {
                     call: Call::Send,
                     outcome: Outcome::Short,
@@ -103,7 +103,7 @@
                     every: 2,
                 },
             ],
-            Family::HeldUp => {
+            SyscallFaultFamily::HeldUp => {
                 let outcome = Outcome::HeldUp(Duration::from_millis(140));
                 vec![Fault {
                     call: Call::Send,
@@ -112,7 +112,7 @@
                 }]
             }
             // Two beside each other, so that no more than one in three succeeds.
-            Family::Channel => vec![
+            SyscallFaultFamily::Channel => vec![
                 fails(Call::SendMessage, Errno::NOBUFS, 2),
                 fails(Call::SendMessage, Errno::NOMEM, 3),
                 fails(Call::ReceiveMessage, Errno::NOMEM, 2),
@@ -123,24 +123,24 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Planned {
+pub struct PlannedFault {
     pub at: Duration,
     pub lasts: Duration,
-    pub trouble: Trouble,
+    pub fault: SoakFault,
 }
 
 /// A trouble begins or ends.
 #[derive(Clone, Debug)]
-pub struct Moment {
+pub struct FaultTransition {
     pub at: Duration,
     pub begins: bool,
-    pub trouble: Trouble,
+    pub fault: SoakFault,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Schedule {
+pub struct SoakSchedule {
     pub seed: u64,
-    pub planned: Vec<Planned>,
+    pub planned: Vec<PlannedFault>,
 }
 
 /// How long a process takes to stop, by the longest expiry, in milliseconds.
@@ -148,86 +148,92 @@
 /// A quiet time at the start, and between two troubles of one stream at the most.
 const QUIET: u64 = 500;
 
-impl Schedule {
-    pub fn draw(seed: u64, size: &Size) -> Schedule {
+impl SoakSchedule {
+    pub fn draw(seed: u64, size: &SoakSize) -> SoakSchedule {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let span = size.span.as_millis() as u64;
         let mut planned = Vec::new();
         for _ in 0..size.overlap {
             let mut at = QUIET + rng.random_range(0..QUIET);
             while at < span {
-                let trouble = Schedule::trouble(&mut rng, size);
+                let fault = SoakSchedule::fault(&mut rng, size);
                 // A process that was told to stop takes its time, and nobody is to wait for it.
-                let least = if matches!(trouble, Trouble::Stop(_)) {
+                let least = if matches!(fault, SoakFault::Stop(_)) {
                     STOPS
                 } else {
                     200
                 };
                 let lasts = rng.random_range(least..least + 2800);
                 let (at_span, lasting) = (Duration::from_millis(at), Duration::from_millis(lasts));
-                planned.push(Planned {
+                planned.push(PlannedFault {
                     at: at_span,
                     lasts: lasting,
-                    trouble,
+                    fault,
                 });
                 // The next may begin while this one lasts.
                 at += rng.random_range(100..=lasts + QUIET);
             }
         }
         planned.sort_by_key(|one| one.at);
-        Schedule { seed, planned }
+        SoakSchedule { seed, planned }
     }
 
-    fn trouble(rng: &mut ChaCha8Rng, size: &Size) -> Trouble {
-        let seat = rng.random_range(0..size.processes);
+    fn fault(rng: &mut ChaCha8Rng, size: &SoakSize) -> SoakFault {
+        let slot = rng.random_range(0..size.processes);
         let host = rng.random_range(0..size.hosts);
         match rng.random_range(0..20) {
             // Where a listener is shared the next process is there first: those are replaced, never stopped alone.
-            0 | 1 => Trouble::Stop(seat - seat % 2),
-            2 => Trouble::Replace(seat),
+            0 | 1 => SoakFault::Stop(slot - slot % 2),
+            2 => SoakFault::Replace(slot),
             // One whose listener is shared, where there is any.
-            3 => Trouble::ReplaceSpoilt((seat | 1).min(size.processes - 1)),
-            4 => Trouble::Kill(seat),
-            5 | 6 => Trouble::Reload(seat),
-            7 | 8 => Trouble::StandStill(seat),
-            9 => Trouble::StepClock(seat, [3600, -3600, 5, -5][rng.random_range(0..4)]),
-            10..=14 => Trouble::Calls(seat, FAMILIES[rng.random_range(0..FAMILIES.len())]),
+            3 => SoakFault::ReplaceSpoilt((slot | 1).min(size.processes - 1)),
+            4 => SoakFault::Kill(slot),
+            5 | 6 => SoakFault::Reload(slot),
+            7 | 8 => SoakFault::StandStill(slot),
+            9 => SoakFault::StepClock(slot, [3600, -3600, 5, -5][rng.random_range(0..4)]),
+            10..=14 => SoakFault::Calls(slot, FAMILIES[rng.random_range(0..FAMILIES.len())]),
             15 => {
-                let ways = [Way::Busy, Way::Fails, Way::Silent, Way::Breaks];
-                Trouble::Host(host, ways[rng.random_range(0..ways.len())])
+                let behaviors = [
+                    HostBehavior::Rejects,
+                    HostBehavior::Fails,
+                    HostBehavior::Silent,
+                    HostBehavior::Disconnects,
+                ];
+                SoakFault::Host(host, behaviors[rng.random_range(0..behaviors.len())])
             }
-            16 | 17 => Trouble::Drain(host),
-            18 => Trouble::ServiceDown,
-            _ => [Trouble::ServiceSilent, Trouble::ServiceRefuses][rng.random_range(0..2)].clone(),
+            16 | 17 => SoakFault::Drain(host),
+            18 => SoakFault::ServiceDown,
+            _ => [SoakFault::ServiceSilent, SoakFault::ServiceRefuses][rng.random_range(0..2)]
+                .clone(),
         }
     }
 
     /// All beginnings and ends in their order.
-    pub fn moments(&self) -> Vec<Moment> {
-        let mut moments = Vec::new();
-        for Planned { at, lasts, trouble } in &self.planned {
-            moments.push(Moment {
+    pub fn transitions(&self) -> Vec<FaultTransition> {
+        let mut transitions = Vec::new();
+        for PlannedFault { at, lasts, fault } in &self.planned {
+            transitions.push(FaultTransition {
                 at: *at,
                 begins: true,
-                trouble: trouble.clone(),
+                fault: fault.clone(),
             });
-            moments.push(Moment {
+            transitions.push(FaultTransition {
                 at: *at + *lasts,
                 begins: false,
-                trouble: trouble.clone(),
+                fault: fault.clone(),
             });
         }
-        moments.sort_by_key(|moment| moment.at);
-        moments
+        transitions.sort_by_key(|transition| transition.at);
+        transitions
     }
 }
 
-impl fmt::Display for Schedule {
+impl fmt::Display for SoakSchedule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for Planned { at, lasts, trouble } in &self.planned {
+        for PlannedFault { at, lasts, fault } in &self.planned {
             writeln!(
                 f,
-                "  at {} for {} {trouble:?}",
+                "  at {} for {} {fault:?}",
                 at.as_millis(),
                 lasts.as_millis()
             )?;
@@ -243,7 +249,7 @@
     /// Guards: a failing seed that can't be played again, and troubles that never meet.
     #[test]
     fn a_seed_draws_the_same_again_and_its_troubles_overlap() {
-        let size = Size {
+        let size = SoakSize {
             processes: 24,
             hosts: 8,
             span: Duration::from_secs(10),
@@ -251,9 +257,10 @@
             overlap: 3,
         };
         for seed in 0..50 {
-            let drawn = Schedule::draw(seed, &size);
-            assert_eq!(drawn, Schedule::draw(seed, &size));
-            let meet = |a: &Planned, b: &Planned| a.at < b.at + b.lasts && b.at < a.at + a.lasts;
+            let drawn = SoakSchedule::draw(seed, &size);
+            assert_eq!(drawn, SoakSchedule::draw(seed, &size));
+            let meet =
+                |a: &PlannedFault, b: &PlannedFault| a.at < b.at + b.lasts && b.at < a.at + a.lasts;
             let met = drawn
                 .planned
                 .windows(2)
@@ -264,8 +271,8 @@
                 "seed {seed}: {met} of {}",
                 drawn.planned.len()
             );
-            assert_eq!(drawn.moments().len(), 2 * drawn.planned.len());
+            assert_eq!(drawn.transitions().len(), 2 * drawn.planned.len());
         }
-        assert_ne!(Schedule::draw(1, &size), Schedule::draw(2, &size));
+        assert_ne!(SoakSchedule::draw(1, &size), SoakSchedule::draw(2, &size));
     }
 }
--- a/testkit/src/syscalls.rs
+++ b/testkit/src/syscalls.rs
@@ -89,9 +89,9 @@
 
 /// What a test holds of a spoilt process: it says what happens to its calls from now on.
 #[derive(Clone, Default)]
-pub struct Spoiler(Arc<(Mutex<State>, Condvar)>);
+pub struct SyscallInjector(Arc<(Mutex<State>, Condvar)>);
 
-impl Spoiler {
+impl SyscallInjector {
     fn state(&self) -> MutexGuard<'_, State> {
         self.0 .0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -163,20 +163,20 @@
     }
 }
 
-/// A process of the program whose system calls a [`Spoiler`] governs.
+/// A process of the program whose system calls a [`SyscallInjector`] governs.
 pub struct TracedProcess {
     pid: libc::pid_t,
-    spoiler: Spoiler,
+    injector: SyscallInjector,
 }
 
 impl TracedProcess {
     /// Starts the program. Its standard error has to be piped.
     pub fn start(
         mut command: Command,
-        spoiler: &Spoiler,
+        injector: &SyscallInjector,
     ) -> io::Result<(TracedProcess, ChildStderr)> {
         let (sender, started) = channel();
-        let theirs = spoiler.clone();
+        let theirs = injector.clone();
         thread::spawn(move || {
             let filter = filter();
             // SAFETY: only calls that are safe after a fork, on memory that was allocated before.
@@ -188,7 +188,7 @@
                     _ = sender.send(Ok((pid, stderr)));
                     Tracer {
                         pid,
-                        spoiler: theirs,
+                        injector: theirs,
                     }
                     .run();
                 }
@@ -199,7 +199,7 @@
         Ok((
             TracedProcess {
                 pid,
-                spoiler: spoiler.clone(),
+                injector: injector.clone(),
             },
             stderr,
         ))
@@ -211,8 +211,8 @@
 
     /// Waits for its end.
     pub fn wait(&self) -> ExitStatus {
-        let (_, changed) = &*self.spoiler.0;
-        let state = changed.wait_while(self.spoiler.state(), |state| state.exited.is_none());
+        let (_, changed) = &*self.injector.0;
+        let state = changed.wait_while(self.injector.state(), |state| state.exited.is_none());
         state
             .unwrap_or_else(PoisonError::into_inner)
             .exited
@@ -220,11 +220,11 @@
     }
 
     pub fn runs(&self) -> bool {
-        self.spoiler.state().exited.is_none()
+        self.injector.state().exited.is_none()
     }
 
     pub fn kill(&self) {
-        self.spoiler.pause(false);
+        self.injector.pause(false);
         if self.runs() {
             // SAFETY: a signal to a child that has not been waited for.
             unsafe { libc::kill(self.pid, libc::SIGKILL) };
@@ -232,15 +232,15 @@
     }
 
     /// Has it stand still. Returns once it does.
-    pub fn stand_still(&self) {
-        self.spoiler.pause(true);
+    pub fn suspend(&self) {
+        self.injector.pause(true);
         // SAFETY: as above. The tracer keeps it stopped where the signal meets it.
         unsafe { libc::kill(self.pid, libc::SIGSTOP) };
-        self.spoiler.wait_until_it_stands();
+        self.injector.wait_until_it_stands();
     }
 
-    pub fn go_on(&self) {
-        self.spoiler.pause(false);
+    pub fn unsuspend(&self) {
+        self.injector.pause(false);
     }
 }
 
@@ -292,7 +292,7 @@
 
 struct Tracer {
     pid: libc::pid_t,
-    spoiler: Spoiler,
+    injector: SyscallInjector,
 }
 
 impl Tracer {
@@ -321,7 +321,7 @@
                     0
                 }
                 (libc::SIGSTOP, _) => {
-                    self.spoiler.wait_while_paused();
+                    self.injector.wait_while_paused();
                     0
                 }
                 (_, event) if event != 0 => 0,
@@ -339,8 +339,8 @@
     }
 
     fn ended(&self, status: ExitStatus) {
-        self.spoiler.state().exited = Some(status);
-        self.spoiler.0 .1.notify_all();
+        self.injector.state().exited = Some(status);
+        self.injector.0 .1.notify_all();
     }
 
     fn registers(&self) -> libc::user_regs_struct {
@@ -379,7 +379,7 @@
         if *call == Call::Open && !self.text(registers.rsi).ends_with(".json") {
             return;
         }
-        match self.spoiler.outcome(*call) {
+        match self.injector.outcome(*call) {
             None => {}
             Some(Outcome::Fails(errno)) => self.skip(registers, -i64::from(errno.raw_os_error())),
             Some(Outcome::Short) => {
@@ -396,7 +396,7 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_nanos() as i64;
-        let told = (real + self.spoiler.state().step_nanos).max(0);
+        let told = (real + self.injector.state().step_nanos).max(0);
         self.poke(registers.rsi, (told / 1_000_000_000) as u64);
         self.poke(registers.rsi + 8, (told % 1_000_000_000) as u64);
         self.skip(registers, 0);
--- a/testkit/src/tiers.rs
+++ b/testkit/src/tiers.rs
@@ -2,9 +2,11 @@
 //! discovery, and beside them as many single nodes on the same settings. It owns how they are started, and
 //! the faults that tests draw. It must never judge: that is the referee's.
 
-use crate::acting::{Hosts, Referee, Way, EXPIRY, GRACE, OFFERINGS, WINDOW};
 use crate::program::Node;
 use crate::relay::Relay;
+use crate::simulated::{
+    HostBehavior, Hosts, InvariantChecker, CLASS_NAMES, DRAIN_GRACE, REQUEST_TIMEOUT, WINDOW,
+};
 use crate::Discovery;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -14,7 +16,7 @@
 pub const LEASE: Duration = Duration::from_millis(250);
 
 pub struct Tiers {
-    pub referee: Referee,
+    pub checker: InvariantChecker,
     pub hosts: Hosts,
     pub discovery: Discovery,
     pub planners: Vec<Option<Node>>,
@@ -39,11 +41,11 @@
 /// The papers of one program among these hosts.
 pub fn node_config(name: &str, hosts: &Hosts, discovery: &Discovery, seed: u64) -> Value {
     let idempotencies = ["free", "guarded", "single_shot"];
-    let classes: Vec<Value> = OFFERINGS
+    let classes: Vec<Value> = CLASS_NAMES
         .iter()
         .zip(idempotencies)
         .map(|(name, idempotency)| {
-            json!({"name": name, "contract_time": 500, "expiry": EXPIRY.as_millis() as u64, "effect": idempotency,
+            json!({"name": name, "contract_time": 500, "expiry": REQUEST_TIMEOUT.as_millis() as u64, "effect": idempotency,
             "group": "cell", "repeat_window": WINDOW.as_millis() as u64, "payoff": 1})
         })
         .collect();
@@ -53,7 +55,7 @@
         "settings": {"balancers": 1, "index": 0, "zone": 0, "zones": ["a"], "round": 4.0, "offerings": classes,
             "tenants": [{"name": "acme"}],
             "contract": {"ask_within": 1000.0, "cold": 1000.0, "cold_from": 0.5,
-                "drain_grace": GRACE.as_millis() as u64, "tip_after": 1000.0, "tip_multiple": 3.0},
+                "drain_grace": DRAIN_GRACE.as_millis() as u64, "tip_after": 1000.0, "tip_multiple": 3.0},
             "policy_limits": {"cancel": true, "connect_timeout": 250.0, "max_retry_after": 1000.0,
                 "may_probe": false, "most_hand_offs": 3, "retry_after": true},
             "registry_mode": "on_request", "extra": {"message_aim": [100.0, 100.0, 100.0], "mode": "proxy"}}})
@@ -78,12 +80,12 @@
 
 impl Tiers {
     pub fn start(forwarders: usize, planners: usize, hosts: usize, seed: u64) -> Self {
-        let referee = Referee::default();
-        let hosts = Hosts::start(hosts, &referee);
+        let checker = InvariantChecker::default();
+        let hosts = Hosts::start(hosts, &checker);
         let discovery = Discovery::start();
         (0..hosts.addresses.len()).for_each(|h| discovery.change(hosts.member(h, "active")));
         let mut tiers = Tiers {
-            referee,
+            checker,
             hosts,
             discovery,
             planners: (0..planners).map(|_| None).collect(),
@@ -146,7 +148,7 @@
     pub fn busiest(&mut self) -> usize {
         for (forwarder, follows) in self.forwarders.iter().zip(&mut self.follows) {
             *follows = forwarder
-                .logged()
+                .drain_log()
                 .iter()
                 .rev()
                 .find_map(|line| followed(line))
@@ -166,7 +168,7 @@
     }
 
     pub fn drain(&self, host: usize, drains: bool) {
-        self.referee.drains(host, drains);
+        self.checker.drains(host, drains);
         self.discovery.change(
             self.hosts
                 .member(host, if drains { "leaving" } else { "active" }),
@@ -176,7 +178,7 @@
     /// Waits until so many planners answer every forwarder again.
     pub fn heal(&mut self) {
         for n in 0..self.planners.len() {
-            self.planners[n].iter().for_each(Node::go_on);
+            self.planners[n].iter().for_each(Node::unsuspend);
             if !self.planners[n].as_mut().is_some_and(Node::runs) {
                 self.start_planner(n);
             }
@@ -185,7 +187,7 @@
             r.up.clear();
             r.down.clear();
         });
-        (0..self.hosts.addresses.len()).for_each(|h| self.hosts.go(h, Way::Takes));
+        (0..self.hosts.addresses.len()).for_each(|h| self.hosts.go(h, HostBehavior::Accepts));
     }
 
     /// One of the faults that are known, by number; `a` and `b` draw whom it meets. Tells what it did.
@@ -203,7 +205,7 @@
                 format!("planner {p} killed")
             }
             1 => {
-                self.planners[p].iter().for_each(Node::stand_still);
+                self.planners[p].iter().for_each(Node::suspend);
                 format!("planner {p} stopped")
             }
             2 => {
@@ -234,8 +236,15 @@
                 format!("planner {p} asked to stop")
             }
             8 => {
-                self.hosts
-                    .go(h, [Way::Busy, Way::Fails, Way::Silent, Way::Breaks][b % 4]);
+                self.hosts.go(
+                    h,
+                    [
+                        HostBehavior::Rejects,
+                        HostBehavior::Fails,
+                        HostBehavior::Silent,
+                        HostBehavior::Disconnects,
+                    ][b % 4],
+                );
                 format!("host {h} goes wrong, {}", b % 4)
             }
             _ => {
--- a/testkit/src/two_tier.rs
+++ b/testkit/src/two_tier.rs
@@ -1,7 +1,7 @@
 //! The measurement of the two tiers beside as many single nodes, on the same stand-ins and the same load in
 //! one run. It owns what is promised and the figures. It must never report what it did not measure.
 
-use crate::acting::{Clients, Hosts, Referee};
+use crate::simulated::{Clients, Hosts, InvariantChecker};
 use crate::speaker::{asked, Speaker};
 use crate::tiers::{node_config, Tiers, LEASE};
 use crate::{Discovery, Node};
@@ -22,7 +22,7 @@
     pub span: Duration,
 }
 
-pub struct Found {
+pub struct Report {
     pub figures: Map<String, Value>,
     pub broken: Vec<String>,
 }
@@ -56,7 +56,7 @@
 }
 
 /// Has the clients come, and looks at the spread over hosts meanwhile.
-fn loaded(mut clients: Clients, hosts: &Hosts, referee: &Referee, size: Size) -> Shown {
+fn loaded(mut clients: Clients, hosts: &Hosts, checker: &InvariantChecker, size: Size) -> Shown {
     let mut looks = Vec::new();
     let from = Instant::now();
     while from.elapsed() < size.span {
@@ -67,7 +67,7 @@
     }
     clients.end();
     let mut first = Histogram::new(3).expect("three digits are allowed");
-    let all = referee.first_hand_offs();
+    let all = checker.first_attempts();
     all.iter()
         .filter_map(|(_, took)| *took)
         .for_each(|took| first.saturating_record(took.as_micros() as u64));
@@ -84,13 +84,13 @@
         first,
         jain,
         served: served as f64 / all.len().max(1) as f64,
-        broken: referee.broken(TOLD),
+        broken: checker.broken(TOLD),
     }
 }
 
 fn singles(size: Size, seed: u64) -> Shown {
-    let referee = Referee::default();
-    let hosts = Hosts::start(size.hosts, &referee);
+    let checker = InvariantChecker::default();
+    let hosts = Hosts::start(size.hosts, &checker);
     let discovery = Discovery::start();
     (0..size.hosts).for_each(|h| discovery.change(hosts.member(h, "active")));
     let node = |n: usize| {
@@ -101,7 +101,7 @@
     };
     let nodes: Vec<Node> = (0..size.nodes).map(node).collect();
     let doors = nodes.iter().map(|n| n.address).collect();
-    loaded(Clients::new(doors, &referee, seed), &hosts, &referee, size)
+    loaded(Clients::new(doors, &checker, seed), &hosts, &checker, size)
 }
 
 fn two(size: Size, seed: u64) -> Shown {
@@ -109,9 +109,9 @@
     // Until each follows its own.
     std::thread::sleep(Duration::from_secs(1));
     loaded(
-        Clients::new(tiers.doors(), &tiers.referee, seed),
+        Clients::new(tiers.doors(), &tiers.checker, seed),
         &tiers.hosts,
-        &tiers.referee,
+        &tiers.checker,
         size,
     )
 }
@@ -121,11 +121,11 @@
 fn death(size: Size, seed: u64) -> (Duration, u64, u64, Vec<String>) {
     let mut tiers = Tiers::start(size.nodes, PLANNERS, size.hosts, seed);
     std::thread::sleep(Duration::from_secs(1));
-    let mut clients = Clients::new(tiers.doors(), &tiers.referee, seed);
+    let mut clients = Clients::new(tiers.doors(), &tiers.checker, seed);
     clients.load(size.rate, Duration::from_secs(2), &[0, 1, 2], HOLDS);
     // The one that stops dead says nothing, as a machine that is gone.
     let busiest = tiers.busiest();
-    tiers.planners[busiest].iter().for_each(Node::stand_still);
+    tiers.planners[busiest].iter().for_each(Node::suspend);
     let died = Instant::now();
     clients.load(size.rate, Duration::from_secs(3), &[0, 1, 2], HOLDS);
     clients.end();
@@ -134,7 +134,7 @@
         Histogram::<u64>::new(3).expect("allowed"),
     );
     let mut latest = Duration::ZERO;
-    for (lived, took) in tiers.referee.first_hand_offs() {
+    for (lived, took) in tiers.checker.first_attempts() {
         let Some(took) = took else { continue };
         latest = latest.max(took);
         if lived.asked < died - Duration::from_millis(100) {
@@ -143,7 +143,7 @@
             after.saturating_record(took.as_micros() as u64);
         }
     }
-    let broken = tiers.referee.broken(TOLD);
+    let broken = tiers.checker.broken(TOLD);
     tiers.heal();
     (
         latest,
@@ -240,11 +240,11 @@
 }
 
 fn speed(count: u64, open: usize, standing: u64, hosts: usize, seed: u64) -> Result<Speed, String> {
-    let referee = Referee::default();
-    let acting = Hosts::start(hosts, &referee);
+    let checker = InvariantChecker::default();
+    let simulated = Hosts::start(hosts, &checker);
     let discovery = Discovery::start();
-    (0..hosts).for_each(|h| discovery.change(acting.member(h, "active")));
-    let node_config = node_config("plan", &acting, &discovery, seed);
+    (0..hosts).for_each(|h| discovery.change(simulated.member(h, "active")));
+    let node_config = node_config("plan", &simulated, &discovery, seed);
     let text =
         "papers = \"PAPERS\"\n[plan]\nname = \"p0\"\nlisten = \"127.0.0.1:0\"\nsettle = \"0s\"\n\
         [[planner]]\nname = \"p0\"\naddress = \"127.0.0.1:1\"\n";
@@ -315,7 +315,7 @@
 
 /// # Errors
 /// Where something could not be measured at all.
-pub fn measure(size: Size, seed: u64) -> Result<Found, String> {
+pub fn measure(size: Size, seed: u64) -> Result<Report, String> {
     let (mut figures, mut broken) = (Map::new(), Vec::new());
     let mut put = |name: &str, value: f64| {
         _ = figures.insert(name.into(), json!((value * 1000.0).round() / 1000.0));
@@ -412,5 +412,5 @@
         "100,000 open attachments in under 100 MB",
         memory < 100 << 20,
     );
-    Ok(Found { figures, broken })
+    Ok(Report { figures, broken })
 }
