--- a/node/tests/two_tier.rs
+++ b/node/tests/two_tier.rs
@@ -205,7 +205,7 @@
     let _turn = alone();
     let mut tiers = Tiers::start(1, 2, 3, 8);
     let forwarder = &tiers.forwarders[0];
-    let before = forwarder.told();
+    let before = forwarder.config_file();
     forwarder.reload(&before.replace("lease = \"250ms\"", "lease = \"900ms\""));
     forwarder.logs("lease is 900ms, not between");
     let first = before.find("[[planner]]").unwrap();
--- a/testkit/src/coldstart.rs
+++ b/testkit/src/coldstart.rs
@@ -12,13 +12,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// The size of a cold-start measurement.
 pub struct ColdStartSize {
+    /// Nodes that start at once.
     pub nodes: usize,
+    /// Hosts that serve.
     pub hosts: usize,
     /// Calls a second that the service works off, how much may wait there, and for how long it is down at first.
     pub rate: f64,
+    /// How long a call may wait at the list service before it is rejected.
     pub queue: Duration,
+    /// How long the list service is down at the start.
     pub down: Duration,
+    /// Another build of the program, measured in the same run.
     pub before: Option<PathBuf>,
 }
 
@@ -99,6 +105,10 @@
     Cold,
 }
 
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario, read from top to bottom"
+)]
 fn start(
     size: &ColdStartSize,
     seed: u64,
@@ -172,6 +182,10 @@
 }
 
 /// Starts the fleet in each way in turn; gives what was counted by second beside what was found.
+#[expect(
+    clippy::too_many_lines,
+    reason = "a list of figures and of the bounds on them"
+)]
 pub fn measure(size: &ColdStartSize, seed: u64) -> (Report, Vec<Row>) {
     let (nodes, limit, hosts_limit) = (
         size.nodes as f64,
--- a/testkit/src/discovery.rs
+++ b/testkit/src/discovery.rs
@@ -1,5 +1,5 @@
 //! A stand-in for discovery: it keeps a list of hosts and answers calls and watches on it over HTTP, as many a
-//! second as a test allows, and fails as a test says. It must never tell anything but its list, unless a test has
+//! second as a test allows, and fails as a test says. It never tell anything but its list, unless a test has
 //! it answer with something else instead.
 
 use crate::peers::MAX_WAIT;
@@ -42,11 +42,13 @@
 /// Discovery: keeps a list and answers watches on it.
 #[derive(Clone)]
 pub struct Discovery {
+    /// Where it listens.
     pub address: SocketAddr,
     kept: Arc<(Mutex<Kept>, Condvar)>,
 }
 
 impl Discovery {
+    /// Starts an empty list service on a port of its own.
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let discovery = Discovery {
@@ -75,6 +77,7 @@
         self.kept.1.notify_all();
     }
 
+    /// Answers calls again after [`Discovery::go_down`].
     pub fn come_up(&self) {
         self.kept.0.lock().unwrap().down = false;
     }
--- a/testkit/src/fleet.rs
+++ b/testkit/src/fleet.rs
@@ -16,6 +16,7 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// How long the clients of a fleet wait for an answer.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// Within which hosts drop repeats of what is labelled.
 pub const IDEMPOTENCY_WINDOW: Duration = Duration::from_millis(1500);
@@ -23,10 +24,15 @@
 /// The terms on cold hosts and on calls to the list service that the whole site works under.
 #[derive(Clone, Copy)]
 pub struct FleetOptions {
+    /// How long a host warms up.
     pub cold: Duration,
+    /// The share of its capacity that a host has at its start.
     pub warm_up_initial_share: f64,
+    /// The window in which a host's overload is counted.
     pub overload_window: Duration,
+    /// How many times its current capacity a host bears within one window.
     pub overload_factor: f64,
+    /// The longest interval between two calls of a node to the list service.
     pub max_poll_interval: Duration,
     /// Connections that fill a warm host.
     pub full: f64,
@@ -77,6 +83,7 @@
 }
 
 impl WarmingHosts {
+    /// Has no hosts yet; those it starts work under these options.
     pub fn new(terms: FleetOptions) -> Self {
         WarmingHosts {
             all: Arc::default(),
@@ -118,6 +125,7 @@
         self.all.lock().unwrap()[host].clone()
     }
 
+    /// A host as an entry of the endpoint list.
     pub fn member(&self, host: usize, phase: &str) -> Value {
         let warming = self.at(host);
         let since = warming.started.map_or(0, |(_, since)| since);
@@ -125,6 +133,7 @@
             "cell": host % 2, "phase": phase, "size": 1.0, "up_since_ms": since})
     }
 
+    /// These hosts as entries of the endpoint list, all active.
     pub fn members(&self, hosts: impl Iterator<Item = usize>) -> Vec<Value> {
         hosts.map(|host| self.member(host, "active")).collect()
     }
@@ -134,6 +143,7 @@
         *self.at(host).drains.lock().unwrap() = Some(Instant::now());
     }
 
+    /// Connections that are open at these hosts.
     pub fn standing(&self, hosts: impl Iterator<Item = usize>) -> u32 {
         hosts.map(|host| self.at(host).open.load(SeqCst)).sum()
     }
@@ -250,7 +260,9 @@
 
 /// Processes of the program that share a list service and hosts.
 pub struct Fleet {
+    /// The running processes by their numbers.
     pub nodes: Vec<Option<Node>>,
+    /// The front that deals clients out.
     pub front: Front,
     program: PathBuf,
     discovery: SocketAddr,
@@ -258,7 +270,7 @@
     alone: bool,
     /// Loads are told by probes alone.
     probes: bool,
-    /// What every attachment's effect is, and how long records of work in hand matter where they are kept.
+    /// What every request's effect is, and how long records of work in hand matter where they are kept.
     idempotency: &'static str,
     wards: Option<Duration>,
     /// The places that settings name, where some of the processes have none of their own.
@@ -301,6 +313,10 @@
         self
     }
 
+    /// The network and settings of the fleet view.
+    ///
+    /// # Panics
+    /// Where the fleet keeps no view.
     pub fn fleet_view(&self) -> &FleetView {
         self.fleet_view.as_ref().expect("a fleet with a view")
     }
@@ -317,7 +333,7 @@
         self
     }
 
-    /// Of attachments with this effect, recorded by guardians for so long where that is told.
+    /// Of requests with this effect, recorded by replicas for so long where that is told.
     pub fn class(mut self, idempotency: &'static str, wards: Option<Duration>) -> Self {
         (self.idempotency, self.wards) = (idempotency, wards);
         self
@@ -455,6 +471,7 @@
         self.nodes[node].iter().for_each(Node::suspend);
     }
 
+    /// Ends [`Fleet::pause`].
     pub fn resume(&self, node: usize) {
         self.nodes[node].iter().for_each(Node::unsuspend);
     }
@@ -524,14 +541,19 @@
 
 /// One line that a client sent to ask for a connection.
 pub struct Ask {
+    /// When the request was sent.
     pub at: Instant,
     node: SocketAddr,
+    /// How long the answer took, where one came.
     pub answered: Option<Duration>,
+    /// Whether the answer accepted it.
     pub up: bool,
 }
 
+/// What one client has seen so far.
 #[derive(Default)]
 pub struct Seen {
+    /// All requests that it sent.
     pub asks: Vec<Ask>,
     /// Since when its connection stands, if it does.
     pub stands: Option<Instant>,
@@ -539,6 +561,7 @@
 
 /// Clients that want a connection each, and come again under the same key whenever it ends.
 pub struct ReturningClients {
+    /// What each client has seen.
     pub seen: Arc<Vec<Mutex<Seen>>>,
     over: Arc<AtomicBool>,
     running: Vec<thread::JoinHandle<()>>,
@@ -604,6 +627,7 @@
         self.seen.iter().map(first).collect()
     }
 
+    /// Ends all clients and waits for them.
     pub fn end(&mut self) {
         self.over.store(true, SeqCst);
         for one in self.running.drain(..) {
@@ -684,85 +708,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::peers::eventually;
-
-    const TERMS: FleetOptions = FleetOptions {
-        cold: Duration::from_secs(10),
-        warm_up_initial_share: 0.2,
-        overload_window: Duration::from_secs(1),
-        overload_factor: 3.0,
-        max_poll_interval: Duration::from_secs(4),
-        full: 40.0,
-    };
-
-    /// Asks at a host as a node would, and gives the connection.
-    fn asks(at: SocketAddr) -> TcpStream {
-        let mut stream = TcpStream::connect(at).unwrap();
-        stream.write_all(b"OPEN 1 2 c=chat\r\n").unwrap();
-        stream
-    }
-
-    /// Guards: a referee that sees no broken rule whatever happens.
-    #[test]
-    fn planted_breaks_are_caught() {
-        let hosts = WarmingHosts::new(TERMS);
-        hosts.start(2, true);
-        hosts.start(1, false);
-        // Two within a second are what a host that has just started can take; a warm one takes more.
-        let _well: Vec<TcpStream> = [0, 0, 2, 2, 2, 2]
-            .map(|host| asks(hosts.at(host).address))
-            .into();
-        eventually("six stand", || hosts.standing(0..3) == 6);
-        assert_eq!(hosts.broken(Duration::ZERO), Vec::<String>::new());
-        let _flood: Vec<TcpStream> = (0..4).map(|_| asks(hosts.at(1).address)).collect();
-        eventually("four came", || hosts.arrived(1).len() == 4);
-        hosts.drains(2);
-        thread::sleep(DRAIN_GRACE + SOCKET_SLACK + Duration::from_millis(10));
-        let _late = asks(hosts.at(2).address);
-        eventually("one came late", || hosts.arrived(2).len() == 5);
-        let broken = hosts.broken(Duration::ZERO);
-        assert_eq!(broken.len(), 2, "{broken:?}");
-        assert!(
-            broken[0].starts_with("rule 4: host 1")
-                && broken[1].starts_with("rule 3: 1 came to host 2")
-        );
-    }
-
-    /// Guards: clients left without an answer that nobody notices, and those of a node that died held against it.
-    #[test]
-    fn a_client_without_an_answer_is_noticed_unless_its_node_died() {
-        let mute = TcpListener::bind("127.0.0.1:0").unwrap();
-        let address = mute.local_addr().unwrap();
-        thread::spawn(move || {
-            for stream in mute.incoming().flatten() {
-                _ = BufReader::new(stream).read_line(&mut String::new());
-            }
-        });
-        let mut fleet = Fleet {
-            nodes: Vec::new(),
-            front: Front::default(),
-            program: PathBuf::new(),
-            discovery: address,
-            terms: TERMS,
-            alone: false,
-            probes: false,
-            idempotency: "free",
-            wards: None,
-            places: 0,
-            fleet_view: None,
-            ended: Vec::new(),
-        };
-        fleet.front.takes_in(address);
-        let mut returning_clients =
-            ReturningClients::come(1, &fleet.front, Duration::ZERO, None, 1);
-        eventually("it has asked twice", || {
-            returning_clients.seen[0].lock().unwrap().asks.len() > 1
-        });
-        returning_clients.end();
-        assert!(!fleet.broken(&returning_clients).is_empty());
-        fleet.ended.push((address, Instant::now()));
-        assert!(fleet.broken(&returning_clients).is_empty());
-    }
-}
+#[path = "fleet_tests.rs"]
+mod tests;
--- a/testkit/src/fleet_view.rs
+++ b/testkit/src/fleet_view.rs
@@ -1,5 +1,5 @@
-//! A fleet whose processes keep a view of each other over ways that can be spoilt: how they are started so, what they
-//! say of the view, and the measurement of it. It owns what is promised of the view. It must never judge a rule by what a process says of itself.
+//! A fleet whose processes keep a view of each other over ways that can be made faulty: how they are started so, what they
+//! say of the view, and the measurement of it. It owns what is promised of the view. It never judge a rule by what a process says of itself.
 
 use crate::fleet::{Fleet, FleetOptions};
 use crate::network::FaultyNetwork;
@@ -12,13 +12,16 @@
 
 /// What a fleet needs to keep a view.
 pub struct FleetView {
+    /// The network between the processes.
     pub network: FaultyNetwork,
+    /// The unit of the fleet view's times.
     pub period: Duration,
+    /// The numbers of the nodes that others contact first.
     pub seeds: Vec<usize>,
 }
 
 impl FleetView {
-    /// The operator's file of a node.
+    /// The operator config of a node.
     pub fn operator_config(&self, node: usize) -> String {
         let (face, process_addresses) = (
             self.network.public_addresses[node],
@@ -117,6 +120,7 @@
     }
 }
 
+/// Starts a fleet that keeps a view, with a list service of its own.
 pub fn started(nodes: usize, period: Duration, seed: u64) -> (Discovery, Fleet) {
     let service = Discovery::start();
     let fleet_view = FleetView {
@@ -143,6 +147,10 @@
     wrongly: usize,
 }
 
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario, read from top to bottom"
+)]
 fn play(nodes: usize, period: Duration, seed: u64, kills: usize, faults: bool) -> Option<Shown> {
     let begun = Instant::now();
     let (_service, mut fleet) = started(nodes, period, seed);
@@ -249,7 +257,7 @@
     all.get(all.len() / 2).copied().unwrap_or(f64::INFINITY)
 }
 
-/// Starts a fleet and spoils its ways and ends some of it; and a few processes beside it, for what a letter costs.
+/// Starts a fleet and spoils its ways and ends some of it; and a few processes beside it, for what a gossip message costs.
 pub fn measure(nodes: usize, period: Duration, seed: u64) -> Report {
     let (mut figures, mut broken) = (Map::new(), Vec::new());
     let few = play(nodes.min(20), period, seed, 0, false);
--- a/testkit/src/html_chart.rs
+++ b/testkit/src/html_chart.rs
@@ -5,7 +5,9 @@
 
 /// A name, and what was counted in each second.
 pub struct Row {
+    /// The caption.
     pub name: String,
+    /// The count of each second, from the first.
     pub by_second: Vec<usize>,
 }
 
@@ -79,28 +81,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards: a page that loads something from elsewhere, or leaves a count out.
-    #[test]
-    fn every_count_is_on_a_page_that_needs_nothing_else() {
-        let row = |name: &str, by_second: &[usize]| Row {
-            name: name.into(),
-            by_second: by_second.to_vec(),
-        };
-        let page = page(
-            "a <start>",
-            &[row("calls", &[7, 0, 311]), row("hosts", &[2])],
-        );
-        assert!(
-            !page.contains("http") && !page.contains("src=") && page.contains("a &lt;start&gt;")
-        );
-        assert_eq!(page.matches("<rect").count(), 4);
-        assert!(
-            page.contains("<td>0</td><td>7</td><td>2</td>")
-                && page.contains("<td>2</td><td>311</td><td></td>")
-        );
-        assert!(page.contains("height=\"120.0\"><title>second 2: 311</title>"));
-    }
-}
+#[path = "html_chart_tests.rs"]
+mod tests;
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -1,5 +1,5 @@
 //! What tests and measurements share: stand-ins on loopback for all that the program meets, the program
-//! itself as it is started and ended, a relay that spoils what passes, and a referee of the four rules. It
+//! itself as it is started and ended, a relay that spoils what passes, and a invariant checker of the four rules. It
 //! must never be linked into the program.
 
 pub mod coldstart;
--- a/testkit/src/main.rs
+++ b/testkit/src/main.rs
@@ -26,9 +26,9 @@
     TwoTier(TwoTierOptions),
     /// Schedules of faults over processes, drawn by seeds or read from a file.
     FaultSchedule(ScheduleOptions),
-    /// Nodes that keep a view of their fleet, over ways that are spoilt.
+    /// Nodes that keep a view of their fleet, over ways that are made faulty.
     Fleet(FleetViewOptions),
-    /// Processes under troubles that overlap, judged by the rules.
+    /// Processes under faults that overlap, judged by the rules.
     Soak(SoakOptions),
     /// Nodes that start at once and know nothing, beside a list service of some capacity.
     Coldstart(ColdStartOptions),
@@ -125,7 +125,7 @@
     /// Seeds that are played one after the other.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=1000))]
     count: u64,
-    /// For how many seconds troubles come.
+    /// For how many seconds faults come.
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(1..=3600))]
     seconds: u64,
     /// Troubles at a time.
@@ -183,12 +183,16 @@
     plot: Option<PathBuf>,
 }
 
+#[expect(
+    clippy::too_many_lines,
+    reason = "one arm for each command, none of which does anything itself"
+)]
 fn main() {
     let (name, seed, size, print_json, found) = match CommandLine::parse().what {
         Measurement::TwoTier(options) => {
             let nodes = options.size as usize;
             // No more than leaves the ports of one machine to spare: connections that ended keep theirs for a minute,
-            // and what then cannot connect is dismissed.
+            // and what then cannot connect is rejected.
             let rate = (40.0 * nodes as f64).min(MOST_A_SECOND);
             let size = two_tier::Size {
                 nodes,
--- a/testkit/src/network.rs
+++ b/testkit/src/network.rs
@@ -1,7 +1,7 @@
 //! The way of datagrams and connections between processes: each has a face that the others know, one socket of the one
 //! loop here for datagrams and one that listens, and what comes there goes on to the process behind it, datagrams from the
 //! sender's own face. It owns what is lost, held up,
-//! doubled, garbled or cut short on the way from whom to whom. It must never look into what passes.
+//! doubled, garbled or cut short on the way from whom to whom. It never look into what passes.
 
 use crate::simulated::small;
 use rand::{Rng, SeedableRng};
@@ -21,10 +21,15 @@
 /// What happens to a datagram on one way; shares of all that pass.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFaults {
+    /// Nothing passes.
     pub cut: bool,
+    /// Datagrams that are lost.
     pub loss: f64,
+    /// Datagrams that come twice.
     pub duplicate: f64,
+    /// Datagrams, or pieces of a connection, with a changed byte.
     pub corrupt: f64,
+    /// Datagrams that are cut short; connections that break in the middle of a piece.
     pub truncate: f64,
     /// Held up for a time up to this, one of twenty for five times as long.
     pub delay: Duration,
@@ -35,10 +40,15 @@
 pub struct TrafficCounts {
     /// Sent by each process, whatever became of it.
     pub sent: Vec<u64>,
+    /// Datagrams that were lost.
     pub lost: u64,
+    /// Datagrams that came twice.
     pub doubled: u64,
+    /// Datagrams and pieces with a changed byte.
     pub garbled: u64,
+    /// Datagrams and pieces that were cut short.
     pub shortened: u64,
+    /// Datagrams and pieces that were delayed.
     pub held_up: u64,
 }
 
@@ -51,9 +61,11 @@
     again: Vec<(usize, usize, Vec<u8>)>,
 }
 
+/// The network between the processes of a test, with faults by sender and receiver.
 pub struct FaultyNetwork {
     /// Where others reach each process, and where it listens itself.
     pub public_addresses: Vec<SocketAddr>,
+    /// Where each process listens itself.
     pub process_addresses: Vec<SocketAddr>,
     shared: Arc<Mutex<SharedState>>,
     over: Arc<AtomicBool>,
@@ -68,6 +80,7 @@
 type Held = BinaryHeap<Reverse<(Instant, u64, usize, usize, Vec<u8>)>>;
 
 impl FaultyNetwork {
+    /// A network without faults between so many processes; `seed` draws the faults set later.
     pub fn new(count: usize, seed: u64) -> FaultyNetwork {
         static DEALT: AtomicU32 = AtomicU32::new(0);
         let (sockets, doors): (Vec<UdpSocket>, Vec<TcpListener>) =
@@ -127,7 +140,7 @@
         }
     }
 
-    /// Has ways spoilt as this says, for each sender and receiver.
+    /// Has ways made faulty as this says, for each sender and receiver.
     pub fn set(&self, link_faults: impl Fn(usize, usize) -> LinkFaults) {
         let mut shared = self.shared.lock().unwrap();
         for (from, row) in shared.spoils.iter_mut().enumerate() {
@@ -168,10 +181,12 @@
         count
     }
 
+    /// Takes all faults away.
     pub fn heal(&self) {
         self.set(|_, _| LinkFaults::default());
     }
 
+    /// What has passed so far.
     pub fn passed(&self) -> TrafficCounts {
         self.shared.lock().unwrap().passed.clone()
     }
@@ -282,6 +297,10 @@
 }
 
 impl NetworkLoop {
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one turn of the event loop, in its order"
+    )]
     fn run(mut self, over: &AtomicBool) {
         let mut order = 0;
         while !over.load(SeqCst) {
@@ -456,186 +475,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards: a fault that is told and does not happen, or happens on the way back too.
-    #[test]
-    fn each_fault_happens_on_the_wire_and_one_way_alone() {
-        let network = FaultyNetwork::new(2, 1);
-        let ends: Vec<UdpSocket> = network
-            .process_addresses
-            .iter()
-            .map(|at| UdpSocket::bind(at).unwrap())
-            .collect();
-        ends.iter().for_each(|end| {
-            end.set_read_timeout(Some(Duration::from_millis(200)))
-                .unwrap();
-        });
-        let hears = |end: usize| {
-            let mut space = [0; 64];
-            let came = ends[end].recv_from(&mut space);
-            came.ok()
-                .map(|(length, from)| (space[..length].to_vec(), from))
-        };
-        let passes = |link_faults: LinkFaults| {
-            network.set(|from, _| {
-                if from == 0 {
-                    link_faults
-                } else {
-                    LinkFaults::default()
-                }
-            });
-            ends[0]
-                .send_to(b"well met", network.public_addresses[1])
-                .unwrap();
-            let there = hears(1);
-            ends[1]
-                .send_to(b"and you", network.public_addresses[0])
-                .unwrap();
-            assert_eq!(
-                hears(0),
-                Some((b"and you".to_vec(), network.public_addresses[1])),
-                "the way back is spoilt"
-            );
-            there
-        };
-        let well = LinkFaults::default();
-        assert_eq!(
-            passes(well),
-            Some((b"well met".to_vec(), network.public_addresses[0]))
-        );
-        assert_eq!(passes(LinkFaults { cut: true, ..well }), None);
-        assert_eq!(passes(LinkFaults { loss: 1.0, ..well }), None);
-        let garbled = passes(LinkFaults {
-            corrupt: 1.0,
-            ..well
-        })
-        .unwrap()
-        .0;
-        assert!(garbled.len() == 8 && garbled != b"well met");
-        assert!(
-            passes(LinkFaults {
-                truncate: 1.0,
-                ..well
-            })
-            .unwrap()
-            .0
-            .len()
-                < 8
-        );
-        let from = Instant::now();
-        let late = (0..8)
-            .map(|_| {
-                passes(LinkFaults {
-                    delay: Duration::from_millis(40),
-                    ..well
-                })
-            })
-            .filter(Option::is_some)
-            .count();
-        assert!(
-            late == 8 && from.elapsed() >= Duration::from_millis(40),
-            "nothing was held up"
-        );
-        passes(LinkFaults {
-            duplicate: 1.0,
-            ..well
-        })
-        .unwrap();
-        assert!(hears(1).is_some(), "not doubled");
-        let passed = network.passed();
-        assert_eq!(
-            (
-                passed.lost,
-                passed.doubled,
-                passed.garbled,
-                passed.shortened,
-                passed.held_up
-            ),
-            (2, 1, 1, 1, 8)
-        );
-        assert_eq!(passed.sent, [14, 14]);
-    }
-
-    /// A connection from one process's address to the other's face.
-    fn connect(network: &FaultyNetwork, from: usize, to: usize) -> TcpStream {
-        use rustix::net::{bind, connect, socket, AddressFamily, SocketType};
-        let end = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
-        bind(
-            &end,
-            &SocketAddr::new(network.process_addresses[from].ip(), 0),
-        )
-        .unwrap();
-        connect(&end, &network.public_addresses[to]).unwrap();
-        let end = TcpStream::from(end);
-        end.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-        end
-    }
-
-    /// Guards: connections between processes that faults pass by, or that lose what they are to carry whole.
-    #[test]
-    fn connections_pass_whole_and_are_cut_held_up_garbled_and_cut_short() {
-        let network = FaultyNetwork::new(2, 2);
-        let door = TcpListener::bind(network.process_addresses[1]).unwrap();
-        let both = || (connect(&network, 0, 1), door.accept().unwrap().0);
-        let (mut near, mut far) = both();
-        let long: Vec<u8> = (0..300_000u32).map(|n| n as u8).collect();
-        let sent = long.clone();
-        let writes = std::thread::spawn(move || {
-            near.write_all(&sent).unwrap();
-            near.shutdown(Shutdown::Write).unwrap();
-            let mut answer = String::new();
-            near.read_to_string(&mut answer).unwrap();
-            answer
-        });
-        let mut came = Vec::new();
-        far.read_to_end(&mut came).unwrap();
-        assert!(came == long, "{} of {} bytes", came.len(), long.len());
-        far.write_all(b"thanks").unwrap();
-        drop(far);
-        assert_eq!(writes.join().unwrap(), "thanks");
-        let spoilt = |link_faults: LinkFaults| {
-            network.set(|from, _| {
-                if from == 0 {
-                    link_faults
-                } else {
-                    LinkFaults::default()
-                }
-            })
-        };
-        let (mut near, mut far) = both();
-        spoilt(LinkFaults {
-            cut: true,
-            ..LinkFaults::default()
-        });
-        near.write_all(b"one").unwrap();
-        far.set_read_timeout(Some(Duration::from_millis(150)))
-            .unwrap();
-        let mut space = [0; 8];
-        assert!(far.read(&mut space).is_err(), "a cut way carries");
-        spoilt(LinkFaults {
-            delay: Duration::from_millis(30),
-            ..LinkFaults::default()
-        });
-        assert_eq!(far.read(&mut space).unwrap(), 3);
-        spoilt(LinkFaults {
-            corrupt: 1.0,
-            ..LinkFaults::default()
-        });
-        near.write_all(b"two").unwrap();
-        assert!(far.read(&mut space).unwrap() == 3 && &space[..3] != b"two");
-        spoilt(LinkFaults {
-            truncate: 1.0,
-            ..LinkFaults::default()
-        });
-        near.write_all(b"three").unwrap();
-        let mut rest = Vec::new();
-        assert!(
-            far.read_to_end(&mut rest).is_ok() && rest == b"th",
-            "{rest:?}"
-        );
-        let passed = network.passed();
-        assert!(passed.held_up >= 1 && passed.garbled == 1 && passed.shortened == 1);
-    }
-}
+#[path = "network_tests.rs"]
+mod tests;
--- a/testkit/src/peers.rs
+++ b/testkit/src/peers.rs
@@ -1,5 +1,5 @@
 //! Scripted peers: clients and hosts that say and hear what a test tells them, line by line. Whatever is waited
-//! for is waited for by reading, [`MAX_WAIT`] at the longest. They must never answer by themselves; what does
+//! for is waited for by reading, [`MAX_WAIT`] at the longest. They never answer by themselves; what does
 //! stands in `simulated.rs`.
 
 use serde_json::{json, Value};
@@ -9,15 +9,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// How long a test waits for anything before it fails.
 pub const MAX_WAIT: Duration = Duration::from_secs(20);
 
 /// One end of a connection that speaks lines.
 pub struct Peer {
+    /// The connection itself.
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
 }
 
 impl Peer {
+    /// Speaks lines on this connection.
     pub fn new(stream: TcpStream) -> Self {
         stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
         stream.set_nodelay(true).unwrap();
@@ -27,14 +30,17 @@
         }
     }
 
+    /// Connects to this address.
     pub fn connect(address: SocketAddr) -> Self {
         Peer::new(TcpStream::connect(address).unwrap())
     }
 
+    /// Sends text as it is.
     pub fn write(&mut self, text: &str) {
         self.stream.write_all(text.as_bytes()).unwrap();
     }
 
+    /// Sends a line.
     pub fn say(&mut self, line: &str) {
         self.write(&format!("{line}\r\n"));
     }
@@ -53,16 +59,19 @@
         }
     }
 
+    /// Expects the next line to be this one.
     pub fn hears(&mut self, wanted: &str) {
         assert_eq!(self.hear(), wanted);
     }
 
+    /// Reads so many bytes.
     pub fn bytes(&mut self, count: usize) -> Vec<u8> {
         let mut all = vec![0; count];
         self.reader.read_exact(&mut all).unwrap();
         all
     }
 
+    /// Ends this side of the connection in order.
     pub fn end_sending(&self) {
         self.stream.shutdown(Shutdown::Write).unwrap();
     }
@@ -75,12 +84,14 @@
 
 /// Hosts that do what the test tells them: each hands what it accepts to the test.
 pub struct Hosts {
+    /// Where each host listens.
     pub addresses: Vec<SocketAddr>,
     arrivals: Receiver<(usize, Peer)>,
     sender: Sender<(usize, Peer)>,
 }
 
 impl Hosts {
+    /// Starts so many hosts.
     pub fn start(count: usize) -> Self {
         let (sender, arrivals) = channel();
         let mut hosts = Hosts {
@@ -92,6 +103,7 @@
         hosts
     }
 
+    /// Starts one more.
     pub fn add(&mut self) {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let (number, sender) = (self.addresses.len(), self.sender.clone());
@@ -117,6 +129,7 @@
         self.arrivals.recv_timeout(Duration::from_millis(100)).ok()
     }
 
+    /// All hosts as entries of the endpoint list, active.
     pub fn members(&self) -> Value {
         let all = self.addresses.iter().enumerate();
         all.map(|(n, a)| member(n, &a.to_string(), "active"))
@@ -124,6 +137,7 @@
     }
 }
 
+/// A host as an entry of the endpoint list, in this phase.
 pub fn member(number: usize, address: &str, phase: &str) -> Value {
     json!({"id": format!("s-{number}"), "host_port": address, "locality": "a", "flavor": "m", "cell": 0,
         "phase": phase, "size": 1.0, "up_since_ms": 0})
@@ -148,6 +162,7 @@
     (listener, first)
 }
 
+/// A client's request in the text protocol.
 pub const OPEN: &str = "OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f";
 
 /// Tries until it holds, for what shows itself by nothing that could be read.
--- a/testkit/src/program.rs
+++ b/testkit/src/program.rs
@@ -1,5 +1,5 @@
-//! The program as it runs: started with papers or an operator's file, read by its log, signalled, stopped
-//! dead or for a while, and ended when it is dropped. It must never outlive the test that started it.
+//! The program as it runs: started with node config or an operator config, read by its log, signalled, stopped
+//! dead or for a while, and ended when it is dropped. It never outlive the test that started it.
 
 use crate::peers::{eventually, nowhere, Hosts, Peer, MAX_WAIT, OPEN};
 use crate::syscalls::{SyscallInjector, TracedProcess};
@@ -15,12 +15,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The papers of a node that knows these hosts.
+/// The node config of a node that knows these hosts.
 pub fn node_config(hosts: &Hosts, discovery: SocketAddr) -> Value {
     node_config_of(hosts.members(), discovery)
 }
 
-/// The papers of a node that knows this list.
+/// The node config of a node that knows this list.
 pub fn node_config_of(members: Value, discovery: SocketAddr) -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512},
@@ -85,6 +85,7 @@
     /// The file that it reads, and all that was written for it.
     config_file: PathBuf,
     files: Vec<PathBuf>,
+    /// Where it takes clients in, or forwarders where it is a planner.
     pub address: SocketAddr,
     /// Where operators call, if they do.
     pub ops: Option<SocketAddr>,
@@ -129,7 +130,7 @@
     command
 }
 
-/// The program as it is started with these papers, its output kept.
+/// The program as it is started with these node config, its output kept.
 pub fn program(node_config: &str) -> Command {
     program_of(&path(), node_config)
 }
@@ -140,7 +141,7 @@
     piped(command)
 }
 
-/// The program in a role, with the files that tell it: papers, and the operator's.
+/// The program in a role, with the files that tell it: node config, and the operator's.
 fn command_as(
     program: &Path,
     role: &str,
@@ -157,7 +158,7 @@
     (piped(command), node_config, operator_config)
 }
 
-/// The file that a command names as its papers.
+/// The file that a command names as its node config.
 fn told_by(command: &Command) -> PathBuf {
     let named = command.get_envs().find(|(name, _)| *name == "GW_CONFIG");
     named
@@ -193,6 +194,7 @@
 }
 
 impl Node {
+    /// Starts a node with this node config.
     pub fn start(node_config: &Value) -> Self {
         Node::launch(program(&node_config.to_string()))
     }
@@ -265,7 +267,7 @@
         Node::launch(piped(command))
     }
 
-    /// One of another role, by an operator's file; `PAPERS` in it stands for the file of these papers.
+    /// One of another role, by an operator config; `PAPERS` in it stands for the file of these node config.
     pub fn start_as(role: &str, operator_config: &str, node_config: &Value) -> Self {
         Node::start_of_as(&path(), role, operator_config, node_config)
     }
@@ -287,6 +289,7 @@
         )
     }
 
+    /// The same, of this build of the program.
     pub fn start_of_as(
         program: &Path,
         role: &str,
@@ -429,6 +432,7 @@
             .unwrap()
     }
 
+    /// Sends SIGTERM.
     pub fn stop(&self) {
         self.signal(Signal::TERM);
     }
@@ -439,7 +443,7 @@
         self.signal(Signal::HUP);
     }
 
-    /// Puts other papers in place of those that it was started with, and has it read them.
+    /// Puts other node config in place of those that it was started with, and has it read them.
     pub fn reload_node_config(&self, text: &str) {
         std::fs::write(&self.files[0], text).unwrap();
         self.signal(Signal::HUP);
@@ -464,6 +468,7 @@
         }
     }
 
+    /// Ends [`Node::suspend`].
     pub fn unsuspend(&self) {
         match &self.process {
             Process::Plain(_) => self.signal(Signal::CONT),
@@ -508,7 +513,7 @@
         after.map(str::to_string).collect()
     }
 
-    /// Whether it runs, sleeps, stands still and so on, by the system's letter.
+    /// Whether it runs, sleeps, stands still and so on, by the system's gossip message.
     fn state(&self) -> Option<char> {
         self.stat().first().and_then(|state| state.chars().next())
     }
@@ -530,14 +535,17 @@
         self.process.signal(signal);
     }
 
+    /// Waits for its end.
     pub fn wait(&mut self) -> ExitStatus {
         self.process.wait()
     }
 
+    /// Whether it is still running.
     pub fn runs(&mut self) -> bool {
         self.process.runs()
     }
 
+    /// How many descriptors it has open.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.process.id()))
             .unwrap()
--- a/testkit/src/relay.rs
+++ b/testkit/src/relay.rs
@@ -20,6 +20,7 @@
 }
 
 impl Lane {
+    /// Takes all faults away.
     pub fn clear(&self) {
         self.cut.store(false, SeqCst);
         self.delay.store(0, SeqCst);
@@ -27,16 +28,20 @@
     }
 }
 
+/// A relay from an address of its own to another one.
 pub struct Relay {
+    /// Where it listens.
     pub address: SocketAddr,
     /// From who connected to where it leads, and back.
     pub up: Arc<Lane>,
+    /// The way back.
     pub down: Arc<Lane>,
     to: Arc<Mutex<SocketAddr>>,
     open: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl Relay {
+    /// Starts a relay that leads to this address.
     pub fn to(to: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let relay = Relay {
--- a/testkit/src/schedule.rs
+++ b/testkit/src/schedule.rs
@@ -1,5 +1,5 @@
 //! Schedules of faults: what happens to a fleet, when and for how long, drawn by a seed, written as a small text file,
-//! played over processes and made smaller by leaving faults out. It owns their form and their play. It must never
+//! played over processes and made smaller by leaving faults out. It owns their form and their play. It never
 //! judge anything but by what hosts and clients saw, and by whether the views agree at the end.
 
 use crate::fleet::{Fleet, FleetOptions, ReturningClients, WarmingHosts};
@@ -14,42 +14,57 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// A fault of a process, of the network or of the list service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ScheduledFault {
     /// Killed, and started again from nothing under the same name and address when it is over.
     Kill(usize),
+    /// Stopped, and continued when it is over.
     Pause(usize),
     /// Stopped and continued ten times a second, to a tenth.
     Slow(usize),
     /// Started a second time under the same name, and ended when it is over.
     StartTwin(usize),
-    /// Parts that do not hear each other, one letter a node.
+    /// Parts that do not hear each other, one gossip message a node.
     Partition(Vec<usize>),
     /// The second does not hear the first.
     DropOneWay(usize, usize),
+    /// Faults on all links.
     Lossy(LinkFaults),
     /// The list service is down, takes calls and answers none, begins answers and goes silent, works off five calls a
     /// second, turns away so many of ten, or starts anew with an older list.
     Down,
+    /// The list service takes calls and answers none.
     Hang,
+    /// It begins answers and goes silent.
     Silent,
+    /// It answers five calls a second.
     Sluggish,
+    /// It rejects so many of ten calls.
     Refuse(usize),
+    /// It starts anew with an older list.
     Older,
 }
 
 /// A fault with when it begins and how long it lasts, in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedFault {
+    /// When it begins, from the start, in milliseconds.
     pub at: u64,
+    /// How long it lasts, in milliseconds.
     pub lasts: u64,
+    /// What happens.
     pub fault: ScheduledFault,
 }
 
+/// Faults over time for a fleet of some size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultSchedule {
+    /// What the schedule, and the chance within it, was drawn from.
     pub seed: u64,
+    /// Nodes of the fleet.
     pub nodes: usize,
+    /// The faults in the order in which they were drawn.
     pub faults: Vec<PlannedFault>,
 }
 
@@ -101,6 +116,7 @@
 impl FromStr for FaultSchedule {
     type Err = String;
 
+    #[expect(clippy::too_many_lines, reason = "one arm for each kind of line")]
     fn from_str(text: &str) -> Result<Self, String> {
         let mut schedule = FaultSchedule {
             seed: 0,
@@ -290,6 +306,10 @@
 const TO_STAND: Duration = Duration::from_secs(12);
 
 /// Plays a schedule over processes, of another build where one is named, and gives what was broken.
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario, read from top to bottom"
+)]
 pub fn play(schedule: &FaultSchedule, program: Option<&PathBuf>) -> Vec<String> {
     let nodes = schedule.nodes;
     let (service, hosts) = (Discovery::start(), WarmingHosts::new(FleetOptions::TRIAL));
@@ -448,37 +468,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards: a failing day that can't be played again from its file.
-    #[test]
-    fn a_schedule_is_read_back_as_it_was_drawn_and_nonsense_is_not() {
-        for seed in 0..300 {
-            let drawn = FaultSchedule::draw(seed, 8, 3);
-            assert_eq!(drawn.to_string().parse(), Ok(drawn));
-        }
-        assert_ne!(FaultSchedule::draw(1, 8, 2), FaultSchedule::draw(2, 8, 2));
-        for (text, why) in [
-            ("nodes 3\nat 1 for 2 kill 3", "does not fit"),
-            ("nodes 3\nat 1 for 2 part ab", "does not fit"),
-            ("nodes 3\nat 1 for 2 burn 1", "line 2"),
-            ("nodes 3\nat x for 2 kill 1", "line 2"),
-            ("at 1 for 2 down", "nodes"),
-        ] {
-            let wrong = text.parse::<FaultSchedule>().unwrap_err();
-            assert!(wrong.contains(why), "{wrong}");
-        }
-    }
-
-    #[test]
-    fn a_failing_schedule_is_made_as_small_as_it_still_fails() {
-        let drawn = FaultSchedule::draw(5, 8, 6);
-        let (first, last) = (drawn.faults[1].clone(), drawn.faults[4].clone());
-        let mut fails = |s: &FaultSchedule| s.faults.contains(&first) && s.faults.contains(&last);
-        assert_eq!(
-            shrink(&drawn, 2, &mut fails).faults,
-            [first.clone(), last.clone()]
-        );
-    }
-}
+#[path = "schedule_tests.rs"]
+mod tests;
--- a/testkit/src/simulated.rs
+++ b/testkit/src/simulated.rs
@@ -1,4 +1,4 @@
-//! Hosts and clients that act by themselves, and the referee. Each host goes by the way that a test sets; each
+//! Hosts and clients that act by themselves, and the invariant checker. Each host goes by the way that a test sets; each
 //! client asks, waits for its answer, and holds its connection as long as it is told to. What they saw is
 //! noted with its time, and the four rules are judged by that alone.
 
@@ -17,10 +17,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[repr(u8)]
 pub enum HostBehavior {
+    /// Accepts it, and sends back what comes on the connection.
     Accepts,
+    /// Rejects it: it has not run.
     Rejects,
+    /// Fails it: it may have run.
     Fails,
+    /// Never answers.
     Silent,
+    /// Closes the connection without an answer.
     Disconnects,
 }
 
@@ -32,21 +37,27 @@
     HostBehavior::Disconnects,
 ];
 
-/// The names of the offerings, by what may be done with them again.
+/// The names of the request classes, by what may be done with them again.
 pub const CLASS_NAMES: [&str; 3] = ["free", "mark", "once"];
-/// How long those waits are that the referee allows beyond a rule's own, on sockets.
+/// How long those waits are that the invariant checker allows beyond a rule's own, on sockets.
 pub const SOCKET_SLACK: Duration = Duration::from_millis(50);
+/// How long after a drain was told a host may still be sent new requests.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(300);
+/// How long clients wait for their answer.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a circle drops the repeats of a marked one.
+/// How long a idempotency group drops the repeats of a marked one.
 pub const WINDOW: Duration = Duration::from_secs(1);
 
 /// A line that asks, as it reached a host.
 #[derive(Clone, Debug)]
 pub struct ObservedAttempt {
+    /// When it came.
     pub at: Instant,
+    /// The host's number.
     pub host: usize,
+    /// The request's id.
     pub name: String,
+    /// What the host did with it.
     pub behavior: HostBehavior,
     /// When the node gave it up, where the host said nothing.
     pub left: Option<Instant>,
@@ -55,9 +66,13 @@
 /// What a client lived through.
 #[derive(Clone, Debug)]
 pub struct ClientObservation {
+    /// The request's id.
     pub name: String,
+    /// Its class, an index in [`CLASS_NAMES`].
     pub class: usize,
+    /// When it was sent.
     pub asked: Instant,
+    /// All final answers, and when each came.
     pub answers: Vec<(Instant, String)>,
     /// A line that it sent on its open connection came back.
     pub echoed: Option<bool>,
@@ -76,10 +91,12 @@
 pub struct InvariantChecker(Arc<Mutex<Record>>);
 
 impl InvariantChecker {
+    /// All attempts that reached hosts.
     pub fn reached(&self) -> Vec<ObservedAttempt> {
         self.0.lock().unwrap().reached.clone()
     }
 
+    /// What each client saw that has ended.
     pub fn observations(&self) -> Vec<ClientObservation> {
         self.0.lock().unwrap().observations.clone()
     }
@@ -97,7 +114,7 @@
         }
     }
 
-    /// From each client's line to its first hand-off, by name.
+    /// From each client's line to its first attempt, by name.
     pub fn first_attempts(&self) -> Vec<(ClientObservation, Option<Duration>)> {
         let record = self.0.lock().unwrap();
         let mut first: HashMap<&str, Instant> = HashMap::new();
@@ -121,6 +138,10 @@
 
     /// What broke a rule, each in a line. Clients that were still waiting when they were told to end do not
     /// count; `busy` says how late the word of discovery may be, and what is seen here noted, on a busy machine.
+    #[expect(
+        clippy::too_many_lines,
+        reason = "the four rules, one after the other, over the same requests"
+    )]
     pub fn broken(&self, busy: Duration) -> Vec<String> {
         let record = self.0.lock().unwrap();
         let mut broken = Vec::new();
@@ -208,15 +229,18 @@
     }
 }
 
-/// Hosts that act. Even and odd ones are two circles.
+/// Hosts that act. Even and odd ones are two idempotency groups.
 pub struct Hosts {
+    /// Where each host listens.
     pub addresses: Vec<SocketAddr>,
     behaviors: Arc<Vec<AtomicU8>>,
+    /// Connections that are open at each host.
     pub open: Arc<Vec<AtomicU32>>,
     checker: InvariantChecker,
 }
 
 impl Hosts {
+    /// Starts so many hosts that accept whoever comes.
     pub fn start(count: usize, checker: &InvariantChecker) -> Self {
         let mut hosts = Hosts {
             addresses: Vec::new(),
@@ -243,6 +267,7 @@
         hosts
     }
 
+    /// Sets what a host does from now on.
     pub fn go(&self, host: usize, behavior: HostBehavior) {
         self.behaviors[host].store(behavior as u8, SeqCst);
     }
@@ -252,11 +277,13 @@
         self.open.iter().map(|n| n.load(SeqCst)).collect()
     }
 
+    /// A host as an entry of the endpoint list, in this phase.
     pub fn member(&self, host: usize, phase: &str) -> Value {
         json!({"id": format!("s-{host}"), "host_port": self.addresses[host].to_string(), "locality": "a",
             "flavor": "m", "cell": host % 2, "phase": phase, "size": 1.0, "up_since_ms": 0})
     }
 
+    /// All hosts as entries of the endpoint list, active.
     pub fn members(&self) -> Value {
         (0..self.addresses.len())
             .map(|host| self.member(host, "active"))
@@ -346,6 +373,7 @@
 }
 
 impl Clients {
+    /// No client has come yet; `seed` draws their keys.
     pub fn new(addresses: Vec<SocketAddr>, checker: &InvariantChecker, seed: u64) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(seed);
         let (running, round) = (Vec::new(), Arc::default());
@@ -365,7 +393,7 @@
         self.started
     }
 
-    /// One more client, of an offering by its number, that holds its connection for so long, or until `end`.
+    /// One more client, of an request class by its number, that holds its connection for so long, or until `end`.
     pub fn come(&mut self, class: usize, holds: Duration) {
         let address = self.addresses[self.started % self.addresses.len()];
         self.started += 1;
@@ -380,7 +408,7 @@
         }));
     }
 
-    /// So many a second for so long, offerings in turns.
+    /// So many a second for so long, request classes in turns.
     pub fn load(&mut self, rate: f64, span: Duration, classes: &[usize], holds: Duration) {
         let (from, step) = (Instant::now(), Duration::from_secs_f64(1.0 / rate));
         let mut next = from;
@@ -401,6 +429,10 @@
     }
 }
 
+#[expect(
+    clippy::too_many_lines,
+    reason = "the life of one client, in its order"
+)]
 fn live(
     address: SocketAddr,
     name: String,
--- a/testkit/src/soak/clients.rs
+++ b/testkit/src/soak/clients.rs
@@ -163,6 +163,10 @@
         }
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "the life of one client, in its order"
+    )]
     fn live(self) -> Option<ClientObservation> {
         let mut stream = TcpStream::connect(self.address).ok()?;
         _ = stream.set_nodelay(true);
@@ -185,7 +189,7 @@
                 stream.write_all(line.as_bytes()).ok()?;
             }
             ClientBehavior::Plain | ClientBehavior::Leaves => {
-                stream.write_all(line.as_bytes()).ok()?
+                stream.write_all(line.as_bytes()).ok()?;
             }
         }
         let asked = Instant::now();
--- a/testkit/src/soak/mod.rs
+++ b/testkit/src/soak/mod.rs
@@ -1,4 +1,4 @@
-//! A soak test: a few dozen processes of the program on loopback, under troubles that overlap in time, judged by the rules
+//! A soak test: a few dozen processes of the program on loopback, under faults that overlap in time, judged by the rules
 //! from the outside and by the violations that the processes count themselves. A seed draws what happens; the same seed
 //! draws the same again.
 
@@ -19,9 +19,11 @@
 /// How large a soak is, and what it runs.
 #[derive(Clone, Debug)]
 pub struct SoakSize {
+    /// Processes of the program.
     pub processes: usize,
+    /// Hosts that serve.
     pub hosts: usize,
-    /// For how long troubles come.
+    /// For how long faults come.
     pub span: Duration,
     /// Clients a second, over all processes.
     pub rate: f64,
@@ -29,7 +31,7 @@
     pub overlap: usize,
 }
 
-/// How long the processes have to serve again once all troubles are over.
+/// How long the processes have to serve again once all faults are over.
 const RECOVERY: Duration = Duration::from_secs(8);
 
 /// Plays one seed, and gives what broke a rule.
--- a/testkit/src/soak/process_group.rs
+++ b/testkit/src/soak/process_group.rs
@@ -1,5 +1,5 @@
-//! The processes of a soak, each in its seat, with hosts and two list services that tell the same. It owns what was done
-//! to them, and when. It must never judge what clients and hosts saw.
+//! The processes of a soak, each in its slot, with hosts and two list services that tell the same. It owns what was done
+//! to them, and when. It never judge what clients and hosts saw.
 
 use super::soak_faults::{FaultTransition, SoakFault, SyscallFaultFamily};
 use super::SoakSize;
@@ -17,7 +17,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a process that is told to stop may take, by the longest expiry.
+/// How long a process that is told to stop may take, by the longest deadline.
 const STOPS_WITHIN: Duration = Duration::from_millis(2700 + 600);
 /// Rules that a process may count as broken as it stood still, and how soon after that it has said so.
 const LATE_BY_STANDING_STILL: [&str; 2] = ["answered_late", "attempted_late"];
@@ -27,7 +27,7 @@
 /// How long after a stop the front still deals out clients.
 const STILL_DEALT: Duration = Duration::from_millis(300);
 
-/// What clients have to know of a seat, and the judge of its past.
+/// What clients have to know of a slot, and the checker of its past.
 #[derive(Debug, Default)]
 pub struct ProcessSlot {
     pub address: Option<SocketAddr>,
@@ -36,7 +36,7 @@
     /// When processes of it were started, and ended outright.
     pub started: Vec<Instant>,
     pub killed: Vec<Instant>,
-    /// When it stood still, had its calls spoilt, or was led to another service.
+    /// When it stood still, had its calls made faulty, or was led to another service.
     pub pauses: Vec<(Instant, Instant)>,
     pub spoilt: Vec<(Instant, Instant)>,
     pub reloaded: Vec<Instant>,
@@ -54,7 +54,7 @@
 
 struct Process {
     node: Option<Node>,
-    /// Held here where processes of the seat follow each other.
+    /// Held here where processes of the slot follow each other.
     shared: Option<(TcpListener, PathBuf)>,
     injector: SyscallInjector,
     /// What is wrong with the machine's system calls now, for the processes that start meanwhile too.
@@ -145,7 +145,7 @@
         node_config
     }
 
-    /// Starts a process in this seat.
+    /// Starts a process in this slot.
     fn open(&mut self, slot: usize) {
         let node_config = self.node_config(slot);
         let injector = SyscallInjector::default();
@@ -164,7 +164,7 @@
         (process.node, process.injector) = (Some(node), injector);
     }
 
-    /// Begins or ends a trouble.
+    /// Begins or ends a fault.
     pub fn apply(&mut self, transition: FaultTransition) {
         let FaultTransition { begins, fault, .. } = transition;
         self.look_for_ended();
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Has system calls of the processes in this seat fail, or no longer.
+    /// Has system calls of the processes in this slot fail, or no longer.
     fn spoil(&mut self, slot: usize, begins: bool, family: SyscallFaultFamily) {
         let process = &mut self.processes[slot];
         process.faults = if begins { family.faults() } else { Vec::new() };
@@ -233,7 +233,7 @@
         });
     }
 
-    /// Notes a trouble once it is over: several of a kind may overlap.
+    /// Notes a fault once it is over: several of a kind may overlap.
     fn lasts(
         &mut self,
         what: String,
@@ -278,7 +278,7 @@
         }
     }
 
-    /// Waits until all processes of a seat that were told to stop have ended.
+    /// Waits until all processes of a slot that were told to stop have ended.
     fn wait_for_stopped(&mut self, slot: usize) {
         for (mut node, since) in std::mem::take(&mut self.processes[slot].stopping) {
             while node.runs() && since.elapsed() < STOPS_WITHIN {
@@ -325,7 +325,7 @@
         excused
     }
 
-    /// Another process takes the place of the one in this seat.
+    /// Another process takes the place of the one in this slot.
     fn replace(&mut self, slot: usize) {
         if self.processes[slot].shared.is_none() || self.processes[slot].node.is_none() {
             return;
@@ -342,7 +342,7 @@
         self.processes[slot].stopping.push((before, Instant::now()));
     }
 
-    /// Starts a process anew in each seat in which one has ended unasked.
+    /// Starts a process anew in each slot in which one has ended unasked.
     fn look_for_ended(&mut self) {
         for slot in 0..self.processes.len() {
             let Some(mut node) = self.processes[slot].node.take() else {
@@ -435,7 +435,7 @@
             .for_each(|service| service.change(self.hosts.member(host, phase)));
     }
 
-    /// All troubles are over; every seat has its process.
+    /// All faults are over; every slot has its process.
     pub fn clear_all_faults(&mut self) {
         for slot in 0..self.processes.len() {
             self.processes[slot].faults.clear();
--- a/testkit/src/soak/soak_checker.rs
+++ b/testkit/src/soak/soak_checker.rs
@@ -1,4 +1,4 @@
-//! The judge of a soak: the four rules and the terms beside them, by what clients and hosts saw. What a process that was
+//! The invariant checker of a soak: the four rules and the terms beside them, by what clients and hosts saw. What a process that was
 //! ended outright owed is excused; so is lateness while a process stood still. Nothing else is.
 
 use super::clients::{ClientBehavior, ClientObservation, Received};
@@ -64,7 +64,7 @@
         broken
     }
 
-    /// Whether a process of its seat was ended outright while it lived there.
+    /// Whether a process of its slot was ended outright while it lived there.
     fn excused(&self, client: &ClientObservation) -> bool {
         let slot = self.slots[client.slot].lock().unwrap();
         let until = client.ended_at.unwrap_or(client.received_at);
@@ -73,7 +73,7 @@
             .any(|t| *t + BUSY > client.asked - Duration::from_secs(3) && *t < until + BUSY)
     }
 
-    /// Until when the process of its seat stood still, after this.
+    /// Until when the process of its slot stood still, after this.
     fn stood_still(&self, client: &ClientObservation, from: Instant, to: Instant) -> bool {
         let slot = self.slots[client.slot].lock().unwrap();
         slot.pauses
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Rule 1: nothing is sent after the answer or the expiry, nor for a client that has gone.
+    /// Rule 1: nothing is sent after the answer or the deadline, nor for a client that has gone.
     fn late(&self, client: &ClientObservation, attempts: &[&ObservedAttempt]) -> Option<String> {
         let last = attempts.last()?;
         if let Some(left) = client.left.filter(|left| last.at > *left + GONE + BUSY) {
@@ -198,7 +198,7 @@
         })
     }
 
-    /// When a process of this seat counts as told of what the list service had at `since`.
+    /// When a process of this slot counts as told of what the list service had at `since`.
     fn told(&self, slot: usize, since: Instant, at: Instant) -> Instant {
         let slot = self.slots[slot].lock().unwrap();
         let started = slot.started.iter().copied().filter(|t| *t < at).max();
--- a/testkit/src/soak/soak_faults.rs
+++ b/testkit/src/soak/soak_faults.rs
@@ -1,4 +1,4 @@
-//! What happens in a soak, drawn by a seed: each trouble has a moment and a length, and several streams of them overlap.
+//! What happens in a soak, drawn by a seed: each fault has a moment and a length, and several streams of them overlap.
 
 use super::SoakSize;
 use crate::simulated::HostBehavior;
@@ -9,7 +9,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// One trouble, at a process by its seat, at a host, or at the list service.
+/// One fault, at a process by its slot, at a host, or at the list service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SoakFault {
     /// Told to stop by a signal, and started again once it has.
@@ -28,21 +28,32 @@
     StepClock(usize, i64),
     /// System calls of this family fail, fall short or are held up.
     Calls(usize, SyscallFaultFamily),
+    /// A host behaves so.
     Host(usize, HostBehavior),
+    /// A host drains, and comes back.
     Drain(usize),
+    /// The list services are down.
     ServiceDown,
+    /// Open watches fall silent.
     ServiceSilent,
+    /// The list services reject seven of ten calls.
     ServiceRefuses,
 }
 
 /// Faults of system calls that come together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyscallFaultFamily {
+    /// Calls fail for want of memory.
     NoMemory,
+    /// Calls fail for want of descriptors.
     NoDescriptors,
+    /// Connects fail for want of a route, a port or an address.
     NoRoute,
+    /// Calls are interrupted.
     Interrupted,
+    /// Calls move one byte.
     Short,
+    /// Sends are delayed.
     HeldUp,
     /// Words between one process and the next, most of the time.
     Channel,
@@ -59,6 +70,7 @@
 ];
 
 impl SyscallFaultFamily {
+    /// The faults that come together.
     pub fn faults(self) -> Vec<Fault> {
         let fails = |call, errno, every| Fault {
             call,
@@ -122,33 +134,44 @@
     }
 }
 
+/// A fault with its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedFault {
+    /// When it begins, from the start.
     pub at: Duration,
+    /// How long it lasts.
     pub lasts: Duration,
+    /// What happens.
     pub fault: SoakFault,
 }
 
-/// A trouble begins or ends.
+/// A fault begins or ends.
 #[derive(Clone, Debug)]
 pub struct FaultTransition {
+    /// When, from the start.
     pub at: Duration,
+    /// Whether the fault begins or ends.
     pub begins: bool,
+    /// Which fault.
     pub fault: SoakFault,
 }
 
+/// All faults of a soak.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SoakSchedule {
+    /// What it was drawn from.
     pub seed: u64,
+    /// The faults by the time at which they begin.
     pub planned: Vec<PlannedFault>,
 }
 
-/// How long a process takes to stop, by the longest expiry, in milliseconds.
+/// How long a process takes to stop, by the longest deadline, in milliseconds.
 const STOPS: u64 = 2800;
-/// A quiet time at the start, and between two troubles of one stream at the most.
+/// A quiet time at the start, and between two faults of one stream at the most.
 const QUIET: u64 = 500;
 
 impl SoakSchedule {
+    /// Draws a schedule; the same seed and size draw the same.
     pub fn draw(seed: u64, size: &SoakSize) -> SoakSchedule {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let span = size.span.as_millis() as u64;
@@ -243,36 +266,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards: a failing seed that can't be played again, and troubles that never meet.
-    #[test]
-    fn a_seed_draws_the_same_again_and_its_troubles_overlap() {
-        let size = SoakSize {
-            processes: 24,
-            hosts: 8,
-            span: Duration::from_secs(10),
-            rate: 100.0,
-            overlap: 3,
-        };
-        for seed in 0..50 {
-            let drawn = SoakSchedule::draw(seed, &size);
-            assert_eq!(drawn, SoakSchedule::draw(seed, &size));
-            let meet =
-                |a: &PlannedFault, b: &PlannedFault| a.at < b.at + b.lasts && b.at < a.at + a.lasts;
-            let met = drawn
-                .planned
-                .windows(2)
-                .filter(|two| meet(&two[0], &two[1]))
-                .count();
-            assert!(
-                met * 2 > drawn.planned.len(),
-                "seed {seed}: {met} of {}",
-                drawn.planned.len()
-            );
-            assert_eq!(drawn.transitions().len(), 2 * drawn.planned.len());
-        }
-        assert_ne!(SoakSchedule::draw(1, &size), SoakSchedule::draw(2, &size));
-    }
-}
+#[path = "soak_faults_tests.rs"]
+mod tests;
--- a/testkit/src/speaker.rs
+++ b/testkit/src/speaker.rs
@@ -1,5 +1,5 @@
 //! A forwarder as a planner sees one, without clients or hosts: it speaks the frames of the link at full speed,
-//! for measurements of a planner alone. It must never be taken for a forwarder: it keeps no rule.
+//! for measurements of a planner alone. It never be taken for a forwarder: it keeps no rule.
 
 use reedferry_control_plane::frames::{
     self, ForwarderMessage, Hello, PlacementRequest, PlannerMessage, PriorAttempts, Reader, Tally,
@@ -20,7 +20,7 @@
     next: u64,
 }
 
-/// What an attachment asks for in these measurements.
+/// What an request asks for in these measurements.
 pub fn asked(id: u64) -> PlacementRequest {
     PlacementRequest {
         class: 0,
@@ -150,7 +150,7 @@
         Ok(())
     }
 
-    /// Has so many attachments decided, `window` of them at once, each open until so many have come behind it.
+    /// Has so many requests decided, `window` of them at once, each open until so many have come behind it.
     /// Tells how many were handed to a host.
     ///
     /// # Errors
--- a/testkit/src/syscalls.rs
+++ b/testkit/src/syscalls.rs
@@ -1,6 +1,6 @@
 //! System calls that fail, fall short or are held up, and a wall clock that is stepped: the program is started under
 //! `ptrace` with a seccomp filter that stops it at the calls of [`Call`], where a test says what becomes of them. It owns
-//! the traced process. It must never touch any other process, nor need rights beyond those of its user.
+//! the traced process. It never touch any other process, nor need rights beyond those of its user.
 //!
 //! A call that fails is skipped: the kernel never sees it. A call that falls short is made with a smaller length. The
 //! program's vDSO is hidden from it at its start, so that its reading of the wall clock is a system call like any other.
@@ -14,20 +14,30 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// A kind of system call that can be spoilt.
+/// A kind of system call that can be made faulty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
+    /// `accept4`
     Accept,
+    /// `socket`
     Socket,
+    /// `connect`
     Connect,
+    /// `epoll_ctl`, but for removals
     EpollAdd,
+    /// `epoll_wait` and its variants
     EpollWait,
+    /// `sendto`
     Send,
+    /// `recvfrom`
     Receive,
+    /// `sendmsg`
     SendMessage,
+    /// `recvmsg`
     ReceiveMessage,
     /// Of a file of settings: none of the loader's.
     Open,
+    /// `read`
     Read,
 }
 
@@ -60,6 +70,7 @@
 /// What becomes of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// It fails with this error.
     Fails(Errno),
     /// It moves one byte.
     Short,
@@ -70,8 +81,11 @@
 /// Every so many calls of a kind come to this.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
+    /// Which calls.
     pub call: Call,
+    /// What they come to.
     pub outcome: Outcome,
+    /// One of so many.
     pub every: u64,
 }
 
@@ -87,7 +101,7 @@
     exited: Option<ExitStatus>,
 }
 
-/// What a test holds of a spoilt process: it says what happens to its calls from now on.
+/// What a test holds of a made faulty process: it says what happens to its calls from now on.
 #[derive(Clone, Default)]
 pub struct SyscallInjector(Arc<(Mutex<State>, Condvar)>);
 
@@ -106,7 +120,7 @@
         self.set(&[]);
     }
 
-    /// How many calls were spoilt so far.
+    /// How many calls were made faulty so far.
     pub fn spoilt(&self) -> u64 {
         self.state().spoilt
     }
@@ -171,6 +185,9 @@
 
 impl TracedProcess {
     /// Starts the program. Its standard error has to be piped.
+    ///
+    /// # Errors
+    /// What kept the process from being started or traced.
     pub fn start(
         mut command: Command,
         injector: &SyscallInjector,
@@ -205,6 +222,7 @@
         ))
     }
 
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.pid as u32
     }
@@ -219,10 +237,12 @@
             .expect("it has exited")
     }
 
+    /// Whether it is still running.
     pub fn runs(&self) -> bool {
         self.injector.state().exited.is_none()
     }
 
+    /// Sends SIGKILL.
     pub fn kill(&self) {
         self.injector.pause(false);
         if self.runs() {
@@ -239,6 +259,7 @@
         self.injector.wait_until_it_stands();
     }
 
+    /// Ends [`TracedProcess::suspend`].
     pub fn unsuspend(&self) {
         self.injector.pause(false);
     }
--- a/testkit/src/tiers.rs
+++ b/testkit/src/tiers.rs
@@ -1,6 +1,6 @@
 //! Both tiers as processes on loopback: forwarders and planners, a relay between each pair, acting hosts and
 //! discovery, and beside them as many single nodes on the same settings. It owns how they are started, and
-//! the faults that tests draw. It must never judge: that is the referee's.
+//! the faults that tests draw. It never judge: that is the invariant checker's.
 
 use crate::program::Node;
 use crate::relay::Relay;
@@ -38,7 +38,7 @@
         .ok()
 }
 
-/// The papers of one program among these hosts.
+/// The node config of one program among these hosts.
 pub fn node_config(name: &str, hosts: &Hosts, discovery: &Discovery, seed: u64) -> Value {
     let idempotencies = ["free", "guarded", "single_shot"];
     let classes: Vec<Value> = CLASS_NAMES
--- a/testkit/src/two_tier.rs
+++ b/testkit/src/two_tier.rs
@@ -1,5 +1,5 @@
 //! The measurement of the two tiers beside as many single nodes, on the same stand-ins and the same load in
-//! one run. It owns what is promised and the figures. It must never report what it did not measure.
+//! one run. It owns what is promised and the figures. It never report what it did not measure.
 
 use crate::simulated::{Clients, Hosts, InvariantChecker};
 use crate::speaker::{asked, Speaker};
@@ -13,7 +13,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// How much a measurement takes in: single nodes and forwarders, hosts, attachments a second, seconds.
+/// How much a measurement takes in: single nodes and forwarders, hosts, requests a second, seconds.
 #[derive(Clone, Copy)]
 pub struct Size {
     pub nodes: usize,
@@ -48,7 +48,7 @@
 
 /// What one shape showed under the load.
 struct Shown {
-    /// From a client's line to its first hand-off, in microseconds.
+    /// From a client's line to its first attempt, in microseconds.
     first: Histogram<u64>,
     jain: f64,
     served: f64,
@@ -116,7 +116,7 @@
     )
 }
 
-/// A planner dies under the load: the latest first hand-off, and the 95th percentiles before the death and
+/// A planner dies under the load: the latest first attempt, and the 95th percentiles before the death and
 /// from a second after it on, in microseconds.
 fn death(size: Size, seed: u64) -> (Duration, u64, u64, Vec<String>) {
     let mut tiers = Tiers::start(size.nodes, PLANNERS, size.hosts, seed);
@@ -232,7 +232,7 @@
     /// Attachments a second, the best of a few rounds in turns: what else runs on the machine only takes away.
     module: f64,
     planner: f64,
-    /// What the planner's memory grew by for so many open attachments, in bytes, and how long telling took.
+    /// What the planner's memory grew by for so many open requests, in bytes, and how long telling took.
     memory: usize,
     told: Duration,
     /// The longest that another forwarder waited while the ones that told of them died.
