--- a/testkit/src/coldstart.rs
+++ b/testkit/src/coldstart.rs
@@ -1,7 +1,6 @@
-//! The measurement of a cold start: as many processes at once as asked for, all knowing nothing, beside a list service
-//! of a stated capacity. It owns what is promised and the figures, and plays the plain way (each calls when it
-//! likes, as a node alone does), another build if one is named, and hosts that are all cold as well, in the same run. It
-//! must never report what it did not measure.
+//! Measurement of a cold start: many processes start at once, know nothing, and share a list service of a stated
+//! capacity. Each run also plays the baseline (every node calls when it likes), another build if one is named, and hosts
+//! that are all warming up. Owns the promised bounds and the figures.
 
 use crate::fleet::{Fleet, FleetOptions, ReturningClients, WarmingHosts};
 use crate::html_chart::Row;
--- a/testkit/src/discovery.rs
+++ b/testkit/src/discovery.rs
@@ -1,6 +1,6 @@
-//! A stand-in for discovery: it keeps a list of hosts and answers calls and watches on it over HTTP, as many a
-//! second as a test allows, and fails as a test says. It never tell anything but its list, unless a test has
-//! it answer with something else instead.
+//! A stand-in for the discovery service: keeps a list of hosts and answers polls and watches over HTTP, as many a
+//! second as a test allows, with faults as a test sets them. It serves nothing but its list, unless a test sets another
+//! answer.
 
 use crate::peers::MAX_WAIT;
 use serde_json::{json, Value};
--- a/testkit/src/fleet.rs
+++ b/testkit/src/fleet.rs
@@ -1,6 +1,6 @@
-//! A fleet of processes of the program, each at an address of its own, hosts that warm up and tip over, a front that
-//! deals clients out and notices deaths late, and clients that come again under the same key. What hosts and
-//! clients saw is noted with its time, and the rules are judged by that alone.
+//! A fleet of processes of the program at addresses of their own, hosts that warm up and can be overloaded, a front
+//! that distributes clients and notices deaths late, and clients that reconnect under the same key. Hosts and clients
+//! record what they saw with its time; the rules are checked by these records alone.
 
 use crate::fleet_view::FleetView;
 use crate::program::{node_config_of, path, Node};
--- a/testkit/src/fleet_view.rs
+++ b/testkit/src/fleet_view.rs
@@ -1,5 +1,5 @@
-//! A fleet whose processes keep a view of each other over ways that can be made faulty: how they are started so, what they
-//! say of the view, and the measurement of it. It owns what is promised of the view. It never judge a rule by what a process says of itself.
+//! A fleet whose processes run the membership protocol over a faulty network: how they are started, how their views are
+//! read, and the measurement of both. No rule is checked by what a process says of itself.
 
 use crate::fleet::{Fleet, FleetOptions};
 use crate::network::FaultyNetwork;
--- a/testkit/src/html_chart.rs
+++ b/testkit/src/html_chart.rs
@@ -1,5 +1,4 @@
-//! Counts by second as one page of HTML, with drawings in it, that needs no network. It owns how they are drawn. It
-//! must never know what they mean.
+//! Counts by second as one self-contained HTML page. Knows how to draw them, not what they mean.
 
 use std::fmt::Write;
 
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -1,6 +1,5 @@
-//! What tests and measurements share: stand-ins on loopback for all that the program meets, the program
-//! itself as it is started and ended, a relay that spoils what passes, and a invariant checker of the four rules. It
-//! must never be linked into the program.
+//! What tests and measurements share: stand-ins on loopback for everything that the program talks to, the program as a
+//! child process, relays and networks with faults, and a checker of the four rules. Never linked into the program.
 
 pub mod coldstart;
 pub mod discovery;
--- a/testkit/src/main.rs
+++ b/testkit/src/main.rs
@@ -1,6 +1,5 @@
-//! `reedferry-testkit`: measurements, each by its name, on stand-ins on loopback. It owns how figures are printed
-//! and the exit code: 0 where all that a measurement promises held, 1 where something fell short, 2 for wrong
-//! usage.
+//! `reedferry-testkit`: measurements on stand-ins on loopback, one command each. Owns how figures are printed and the
+//! exit code: 0 where all that a measurement promises held, 1 where something fell short, 2 for wrong usage.
 
 use clap::{Args, Parser, Subcommand};
 use reedferry_testkit::schedule::{self, FaultSchedule};
--- a/testkit/src/network.rs
+++ b/testkit/src/network.rs
@@ -1,7 +1,7 @@
-//! The way of datagrams and connections between processes: each has a face that the others know, one socket of the one
-//! loop here for datagrams and one that listens, and what comes there goes on to the process behind it, datagrams from the
-//! sender's own face. It owns what is lost, held up,
-//! doubled, garbled or cut short on the way from whom to whom. It never look into what passes.
+//! A network between processes: each process has a public address that the others use, one UDP socket and one TCP
+//! listener of the event loop here, and what arrives there is forwarded to the process behind it, datagrams from the
+//! sender's own public address. Owns what is lost, delayed, duplicated, corrupted or truncated from whom to whom, and
+//! never looks into what passes.
 
 use crate::simulated::small;
 use rand::{Rng, SeedableRng};
--- a/testkit/src/peers.rs
+++ b/testkit/src/peers.rs
@@ -1,6 +1,5 @@
-//! Scripted peers: clients and hosts that say and hear what a test tells them, line by line. Whatever is waited
-//! for is waited for by reading, [`MAX_WAIT`] at the longest. They never answer by themselves; what does
-//! stands in `simulated.rs`.
+//! Scripted peers: clients and hosts that send and expect lines as a test tells them. Every wait is a read of
+//! [`MAX_WAIT`] at the longest. Peers that act by themselves are in [`crate::simulated`].
 
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
--- a/testkit/src/program.rs
+++ b/testkit/src/program.rs
@@ -1,5 +1,5 @@
-//! The program as it runs: started with node config or an operator config, read by its log, signalled, stopped
-//! dead or for a while, and ended when it is dropped. It never outlive the test that started it.
+//! The program as a child process: started with a node config or an operator config, read by its log, signalled,
+//! suspended, and killed when it is dropped, so that none outlives the test that started it.
 
 use crate::peers::{eventually, nowhere, Hosts, Peer, MAX_WAIT, OPEN};
 use crate::syscalls::{SyscallInjector, TracedProcess};
--- a/testkit/src/relay.rs
+++ b/testkit/src/relay.rs
@@ -1,5 +1,5 @@
-//! A relay between two ends of TCP connections, that a test can cut, hold up and garble, one way or both. It
-//! must never end a connection by itself but where one side did, or where it is told to.
+//! A TCP relay that a test can cut, delay and corrupt in either direction. It ends a connection only where one side
+//! did, or where it is told to.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
--- a/testkit/src/schedule.rs
+++ b/testkit/src/schedule.rs
@@ -1,6 +1,6 @@
-//! Schedules of faults: what happens to a fleet, when and for how long, drawn by a seed, written as a small text file,
-//! played over processes and made smaller by leaving faults out. It owns their form and their play. It never
-//! judge anything but by what hosts and clients saw, and by whether the views agree at the end.
+//! Fault schedules: what happens to a fleet, when and for how long. They are drawn by a seed, written as small text
+//! files, played over processes and shrunk by leaving faults out. What is checked is what hosts and clients saw, and
+//! whether the views agree at the end.
 
 use crate::fleet::{Fleet, FleetOptions, ReturningClients, WarmingHosts};
 use crate::fleet_view::FleetView;
--- a/testkit/src/simulated.rs
+++ b/testkit/src/simulated.rs
@@ -1,6 +1,6 @@
-//! Hosts and clients that act by themselves, and the invariant checker. Each host goes by the way that a test sets; each
-//! client asks, waits for its answer, and holds its connection as long as it is told to. What they saw is
-//! noted with its time, and the four rules are judged by that alone.
+//! Hosts and clients that act by themselves, and the invariant checker. Each host behaves as a test sets it; each client
+//! sends a request, waits for its answer, and holds its connection for a time. What they saw is recorded with its
+//! time, and the four rules are checked by these records alone.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/testkit/src/soak/clients.rs
+++ b/testkit/src/soak/clients.rs
@@ -1,4 +1,4 @@
-//! The clients of a soak: most behave, some don't. Each notes what it lived through.
+//! The clients of a soak: most behave, some don't. Each records what it saw.
 
 use super::process_group::ProcessSlots;
 use super::SoakSize;
--- a/testkit/src/soak/mod.rs
+++ b/testkit/src/soak/mod.rs
@@ -1,6 +1,5 @@
-//! A soak test: a few dozen processes of the program on loopback, under faults that overlap in time, judged by the rules
-//! from the outside and by the violations that the processes count themselves. A seed draws what happens; the same seed
-//! draws the same again.
+//! A soak test: a few dozen processes of the program on loopback under overlapping faults, checked against the rules
+//! from the outside and by the violations that the processes count themselves. The same seed draws the same faults.
 
 mod clients;
 mod process_group;
--- a/testkit/src/soak/process_group.rs
+++ b/testkit/src/soak/process_group.rs
@@ -1,5 +1,5 @@
-//! The processes of a soak, each in its slot, with hosts and two list services that tell the same. It owns what was done
-//! to them, and when. It never judge what clients and hosts saw.
+//! The processes of a soak, each in a slot, with hosts and two list services of the same content. Owns which faults were
+//! applied to them and when; what clients and hosts saw is checked elsewhere.
 
 use super::soak_faults::{FaultTransition, SoakFault, SyscallFaultFamily};
 use super::SoakSize;
--- a/testkit/src/soak/soak_checker.rs
+++ b/testkit/src/soak/soak_checker.rs
@@ -1,5 +1,5 @@
-//! The invariant checker of a soak: the four rules and the terms beside them, by what clients and hosts saw. What a process that was
-//! ended outright owed is excused; so is lateness while a process stood still. Nothing else is.
+//! The invariant checker of a soak: the four rules, by what clients and hosts saw. Answers owed by a process that was
+//! killed are excused, and so is lateness while a process was suspended; nothing else is.
 
 use super::clients::{ClientBehavior, ClientObservation, Received};
 use super::process_group::{FaultHistory, ProcessSlots};
--- a/testkit/src/soak/soak_faults.rs
+++ b/testkit/src/soak/soak_faults.rs
@@ -1,4 +1,4 @@
-//! What happens in a soak, drawn by a seed: each fault has a moment and a length, and several streams of them overlap.
+//! The faults of a soak, drawn by a seed: each has a beginning and a length, and several streams of them overlap.
 
 use super::SoakSize;
 use crate::simulated::HostBehavior;
--- a/testkit/src/syscalls.rs
+++ b/testkit/src/syscalls.rs
@@ -1,6 +1,6 @@
-//! System calls that fail, fall short or are held up, and a wall clock that is stepped: the program is started under
-//! `ptrace` with a seccomp filter that stops it at the calls of [`Call`], where a test says what becomes of them. It owns
-//! the traced process. It never touch any other process, nor need rights beyond those of its user.
+//! System calls that fail, fall short or are delayed, and a wall clock that is stepped: the program is started under
+//! `ptrace` with a seccomp filter that stops it at the calls of [`Call`], where a test says what becomes of them. Only the
+//! traced process is touched, and no rights beyond those of its user are needed.
 //!
 //! A call that fails is skipped: the kernel never sees it. A call that falls short is made with a smaller length. The
 //! program's vDSO is hidden from it at its start, so that its reading of the wall clock is a system call like any other.
