--- a/node/tests/members.rs
+++ b/node/tests/members.rs
@@ -4,7 +4,7 @@
 use reedferry_testkit::fleet::{alone, Fleet, FleetOptions, ReturningClients, WarmingHosts};
 use reedferry_testkit::fleet_view::{started, FleetView};
 use reedferry_testkit::network::{FaultyNetwork, LinkFaults};
-use reedferry_testkit::schedule::{play, Schedule};
+use reedferry_testkit::schedule::{play, FaultSchedule};
 use reedferry_testkit::{eventually, Discovery};
 use std::net::UdpSocket;
 use std::thread;
@@ -452,7 +452,7 @@
 fn drawn_schedules_of_two_overlapping_faults_break_no_rule() {
     let _turn = alone();
     for seed in [31, 2, 5] {
-        let schedule = Schedule::draw(seed, 8, 2);
+        let schedule = FaultSchedule::draw(seed, 8, 2);
         let broken = play(&schedule, None);
         assert!(broken.is_empty(), "{schedule}{broken:#?}");
     }
--- a/node/tests/ops.rs
+++ b/node/tests/ops.rs
@@ -86,7 +86,7 @@
         ),
         (1, 0)
     );
-    let told = node.told();
+    let told = node.config_file();
     node.reload("{");
     eventually("turned down", || node.metric("reloads_failed") == 1);
     node.reload(&told);
