--- a/testkit/src/coldstart.rs
+++ b/testkit/src/coldstart.rs
@@ -27,8 +27,8 @@
     pub before: Option<PathBuf>,
 }
 
-const TERMS: FleetOptions = FleetOptions {
-    cold: Duration::from_secs(20),
+const OPTIONS: FleetOptions = FleetOptions {
+    warm_up: Duration::from_secs(20),
     warm_up_initial_share: 0.12,
     overload_window: Duration::from_secs(1),
     overload_factor: 3.0,
@@ -76,19 +76,19 @@
 const FILLED_BY: f64 = 8.0;
 
 impl ColdStartSize {
-    fn full(&self, multiple: f64) -> FleetOptions {
+    fn options(&self, multiple: f64) -> FleetOptions {
         FleetOptions {
             full: multiple * (EACH * self.nodes) as f64 / self.hosts as f64,
-            ..TERMS
+            ..OPTIONS
         }
     }
 
     /// How soon hosts that are all cold may have taken all clients, where they are sent this part of the budget.
-    fn hosts_limit(&self, terms: FleetOptions, part: f64) -> f64 {
+    fn hosts_limit(&self, options: FleetOptions, part: f64) -> f64 {
         let (step, mut sent, mut at) = (0.01, 0.0, 0.0);
         while sent < (EACH * self.nodes) as f64 {
             let a_second =
-                terms.budget(Duration::from_secs_f64(at)) / terms.overload_window.as_secs_f64();
+                options.budget(Duration::from_secs_f64(at)) / options.overload_window.as_secs_f64();
             sent += part * a_second * self.hosts as f64 * step;
             at += step;
         }
@@ -114,18 +114,18 @@
     mode: StartMode,
     program: Option<&PathBuf>,
 ) -> StartResult {
-    let (terms, clients) = match mode {
-        StartMode::Cold => (size.full(FILLED_BY), EACH * size.nodes),
-        _ => (TERMS, size.nodes),
+    let (options, clients) = match mode {
+        StartMode::Cold => (size.options(FILLED_BY), EACH * size.nodes),
+        _ => (OPTIONS, size.nodes),
     };
-    let (service, hosts) = (Discovery::start(), WarmingHosts::new(terms));
+    let (service, hosts) = (Discovery::start(), WarmingHosts::new(options));
     service.bound(size.rate, size.queue);
     let which = hosts.start(size.hosts, mode == StartMode::Cold);
     hosts
         .members(which.clone())
         .into_iter()
         .for_each(|member| service.change(member));
-    let mut fleet = Fleet::new(size.nodes, service.address, terms);
+    let mut fleet = Fleet::new(size.nodes, service.address, options);
     if let Some(program) = program {
         fleet = fleet.of(program.clone());
     }
@@ -156,7 +156,7 @@
     }
     // What follows is begun by then: the last list came at half of the time within which each has to ask, or later.
     thread::sleep(
-        (from + size.down + TERMS.max_poll_interval * 3 / 2)
+        (from + size.down + OPTIONS.max_poll_interval * 3 / 2)
             .saturating_duration_since(Instant::now()),
     );
     let mut first: Vec<Duration> = returning_clients
@@ -189,9 +189,9 @@
     let (nodes, limit, hosts_limit) = (
         size.nodes as f64,
         size.nodes as f64 / size.rate,
-        size.hosts_limit(size.full(COUNTED_ON), 0.5),
+        size.hosts_limit(size.options(COUNTED_ON), 0.5),
     );
-    let budgets = size.hosts_limit(size.full(FILLED_BY), 1.0);
+    let budgets = size.hosts_limit(size.options(FILLED_BY), 1.0);
     let mut modes = vec![("plain", start(size, seed, StartMode::Alone, None))];
     if let Some(before) = &size.before {
         modes.push((
--- /dev/null
+++ b/testkit/src/fleet/processes.rs
@@ -0,0 +1,353 @@
+//! The processes of a fleet: their configs, how they are started, reconfigured, suspended and ended. Owns when each of
+//! them ended, by which rule 1 is checked against what clients saw.
+
+use super::returning_clients::RequestRecord;
+use super::{FleetOptions, Front, ReturningClients, IDEMPOTENCY_WINDOW, REQUEST_TIMEOUT};
+use crate::fleet_view::FleetView;
+use crate::program::{node_config_of, path, Node};
+use crate::simulated::SOCKET_SLACK;
+use serde_json::{json, Value};
+use std::net::SocketAddr;
+use std::ops::Range;
+use std::path::{Path, PathBuf};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// How many processes a fleet starts at a time.
+const START_THREADS: usize = 16;
+
+/// Processes of the program that share a list service and hosts.
+pub struct Fleet {
+    /// The running processes by their numbers.
+    pub nodes: Vec<Option<Node>>,
+    /// The front that distributes clients.
+    pub front: Front,
+    program: PathBuf,
+    discovery: SocketAddr,
+    options: FleetOptions,
+    /// Each process is configured as if it were the only one.
+    configured_alone: bool,
+    /// Nodes learn the loads of hosts by probes alone.
+    load_probes: bool,
+    /// The effect of all requests.
+    effect: &'static str,
+    /// How long request records are kept by replicas, where they are.
+    record_lifetime: Option<Duration>,
+    /// The cluster size that settings name, where some of the processes have no index of their own.
+    pub(crate) cluster_size: usize,
+    fleet_view: Option<FleetView>,
+    /// Where a process was killed, suspended or asked to stop, and when.
+    ended: Vec<EndedProcess>,
+}
+
+struct EndedProcess {
+    address: SocketAddr,
+    at: Instant,
+}
+
+impl Fleet {
+    /// A fleet of which no process runs yet.
+    pub fn new(nodes: usize, discovery: SocketAddr, options: FleetOptions) -> Self {
+        Fleet {
+            nodes: (0..nodes).map(|_| None).collect(),
+            front: Front::default(),
+            program: path(),
+            discovery,
+            options,
+            configured_alone: false,
+            load_probes: false,
+            effect: "free",
+            record_lifetime: None,
+            cluster_size: nodes,
+            fleet_view: None,
+            ended: Vec::new(),
+        }
+    }
+
+    /// With another build of the program.
+    pub fn of(mut self, program: PathBuf) -> Self {
+        self.program = program;
+        self
+    }
+
+    /// With a fleet view in each process.
+    pub fn with_view(mut self, fleet_view: FleetView) -> Self {
+        self.fleet_view = Some(fleet_view);
+        self
+    }
+
+    /// The network and settings of the fleet view.
+    ///
+    /// # Panics
+    /// Where the fleet keeps no view.
+    pub fn fleet_view(&self) -> &FleetView {
+        self.fleet_view.as_ref().expect("a fleet with a view")
+    }
+
+    /// With this cluster size; any process beyond it is started as a second one of another.
+    pub fn among(mut self, cluster_size: usize) -> Self {
+        self.cluster_size = cluster_size;
+        self
+    }
+
+    /// With loads of hosts that are learned by probes alone.
+    pub fn probing(mut self) -> Self {
+        self.load_probes = true;
+        self
+    }
+
+    /// With requests of this effect, whose records replicas keep for so long, where that is given.
+    pub fn class(mut self, effect: &'static str, record_lifetime: Option<Duration>) -> Self {
+        (self.effect, self.record_lifetime) = (effect, record_lifetime);
+        self
+    }
+
+    /// With processes that are configured as if each were the only one at the list service.
+    pub fn each_alone(mut self) -> Self {
+        self.configured_alone = true;
+        self
+    }
+
+    /// Where the running processes accept clients, by their numbers.
+    pub fn addresses(&self) -> Vec<SocketAddr> {
+        self.nodes
+            .iter()
+            .flatten()
+            .map(|node| node.address)
+            .collect()
+    }
+
+    fn node_config(&self, node: usize, known: &[Value], revision: u64) -> Value {
+        let mut node_config = node_config_of(json!(known), self.discovery);
+        node_config["name"] = json!(format!("n{node}"));
+        node_config["listen"] = json!(format!("127.1.{}.{}:0", node / 200, node % 200 + 1));
+        node_config["seed"] = json!(format!("{:016x}", 0x8c1f_30d2 + node as u64));
+        node_config["known"]["revision"] = json!(revision);
+        if self.fleet_view.is_some() {
+            node_config["ops"] = json!("127.0.0.1:0");
+        }
+        self.configure(&mut node_config["settings"], node);
+        node_config
+    }
+
+    /// Writes the options of the fleet into the settings of a node.
+    fn configure(&self, settings: &mut Value, node: usize) {
+        if self.fleet_view.is_some() {
+            settings["policy_limits"]["peers"] = json!(true);
+        }
+        settings["offerings"][0]["effect"] = json!(self.effect);
+        if self.effect == "guarded" {
+            settings["offerings"][0]["repeat_window"] = millis(IDEMPOTENCY_WINDOW);
+        }
+        if self.load_probes {
+            settings["reporting"] = json!({"fields": ["util", "x0"], "via": "pull"});
+        }
+        let (cluster_size, index) = if self.configured_alone {
+            (1, 0)
+        } else {
+            (self.cluster_size, node)
+        };
+        settings["balancers"] = json!(cluster_size);
+        settings["index"] = json!(index);
+        let contract = &mut settings["contract"];
+        contract["cold"] = millis(self.options.warm_up);
+        contract["cold_from"] = json!(self.options.warm_up_initial_share);
+        contract["tip_after"] = millis(self.options.overload_window);
+        contract["tip_multiple"] = json!(self.options.overload_factor);
+        contract["ask_within"] = millis(self.options.max_poll_interval);
+    }
+
+    /// Starts these processes at once, each with this endpoint list, and adds them to the front.
+    pub fn start(&mut self, numbers: &[usize], known: &[Value], revision: u64) {
+        let configs: Vec<ProcessConfig> = numbers
+            .iter()
+            .map(|&number| self.process_config(number, known, revision))
+            .collect();
+        let chunk_size = configs.len().div_ceil(START_THREADS).max(1);
+        let program = &self.program;
+        let started: Vec<(usize, Node)> = thread::scope(|scope| {
+            let start_chunk = |chunk: &[ProcessConfig]| -> Vec<(usize, Node)> {
+                chunk
+                    .iter()
+                    .map(|config| (config.number, config.start(program)))
+                    .collect()
+            };
+            let threads: Vec<_> = configs
+                .chunks(chunk_size)
+                .map(|chunk| scope.spawn(move || start_chunk(chunk)))
+                .collect();
+            threads
+                .into_iter()
+                .flat_map(|thread| thread.join().expect("a node did not start"))
+                .collect()
+        });
+        for (number, node) in started {
+            self.front.add(node.address);
+            self.nodes[number] = Some(node);
+        }
+    }
+
+    fn process_config(&self, number: usize, known: &[Value], revision: u64) -> ProcessConfig {
+        let operator_config = self.fleet_view.as_ref().map(|fleet_view| {
+            let mut text = fleet_view.operator_config(number);
+            if let Some(lifetime) = self.record_lifetime {
+                text += &format!("[fleet.wards]\nlife = \"{}ms\"\n", lifetime.as_millis());
+            }
+            text
+        });
+        ProcessConfig {
+            number,
+            operator_config,
+            node_config: self.node_config(number, known, revision),
+        }
+    }
+
+    /// Has all running processes reload a config that names another address of the list service.
+    pub fn tells_of(&mut self, discovery: SocketAddr, known: &[Value], revision: u64) {
+        self.discovery = discovery;
+        self.reload(0..self.nodes.len(), known, revision);
+    }
+
+    /// Has these processes reload a config that names another cluster size.
+    pub fn tells_of_places(
+        &mut self,
+        numbers: Range<usize>,
+        cluster_size: usize,
+        known: &[Value],
+        revision: u64,
+    ) {
+        self.cluster_size = cluster_size;
+        self.reload(numbers, known, revision);
+    }
+
+    fn reload(&self, numbers: Range<usize>, known: &[Value], revision: u64) {
+        for number in numbers {
+            let node_config = self.node_config(number, known, revision).to_string();
+            if let Some(node) = &self.nodes[number] {
+                node.reload_node_config(&node_config);
+            }
+        }
+    }
+
+    /// Starts a second process under the name of this one, with a fleet address of its own: the first beyond the
+    /// cluster size.
+    pub fn start_twin(&mut self, of: usize, known: &[Value], revision: u64) {
+        let mut node_config = self.node_config(of, known, revision);
+        node_config["listen"] = json!("127.0.0.1:0");
+        let operator_config = self.fleet_view().operator_config(self.cluster_size);
+        let twin = Node::start_of_as(&self.program, "node", &operator_config, &node_config);
+        self.front.add(twin.address);
+        self.nodes[self.cluster_size] = Some(twin);
+    }
+
+    /// Suspends a process for a moment, in which the front still sends clients to it.
+    pub fn pause(&self, node: usize) {
+        self.nodes[node].iter().for_each(Node::suspend);
+    }
+
+    /// Ends [`Fleet::pause`].
+    pub fn resume(&self, node: usize) {
+        self.nodes[node].iter().for_each(Node::unsuspend);
+    }
+
+    /// Notes the end of a process, and has the front notice it after this delay.
+    fn note_end(&mut self, node: usize, notice_delay: Duration) {
+        if let Some(address) = self.nodes[node].as_ref().map(|node| node.address) {
+            self.ended.push(EndedProcess {
+                address,
+                at: Instant::now(),
+            });
+            self.front.remove_at(address, Instant::now() + notice_delay);
+        }
+    }
+
+    /// Kills a process; the front notices after this delay.
+    pub fn kill(&mut self, node: usize, notice_delay: Duration) {
+        self.note_end(node, notice_delay);
+        self.nodes[node] = None;
+    }
+
+    /// Suspends a process until [`Fleet::unsuspend`]; requests that it had accepted may be answered late.
+    pub fn suspend(&mut self, node: usize) {
+        self.note_end(node, Duration::ZERO);
+        self.nodes[node].iter().for_each(Node::suspend);
+    }
+
+    /// Continues a suspended process and adds it to the front again.
+    pub fn unsuspend(&mut self, node: usize) {
+        if let Some(process) = &self.nodes[node] {
+            process.unsuspend();
+            self.front.add(process.address);
+        }
+    }
+
+    /// Asks a process to stop, and returns it to whoever waits for its end.
+    pub fn stop(&mut self, node: usize, notice_delay: Duration) -> Option<Node> {
+        self.note_end(node, notice_delay);
+        let node = self.nodes[node].take()?;
+        node.stop();
+        Some(node)
+    }
+
+    /// Violations of rule 1 as the clients saw them: a client whose node ended or was suspended by then may have had no
+    /// answer, or a late one.
+    pub fn broken(&self, returning_clients: &ReturningClients) -> Vec<String> {
+        let mut violations = Vec::new();
+        for (number, client) in returning_clients.seen.iter().enumerate() {
+            let client = client.lock().unwrap();
+            violations.extend(client.asks.iter().filter_map(|request| {
+                let violation = answer_violation(number, request)?;
+                (!self.ended_near(request)).then_some(violation)
+            }));
+        }
+        violations
+    }
+
+    /// Whether the node of a request ended about when it was sent. Until a front has left a node out, and up to
+    /// [`REQUEST_TIMEOUT`] after that, some requests still reach it.
+    fn ended_near(&self, request: &RequestRecord) -> bool {
+        self.ended.iter().any(|ended| {
+            ended.address == request.node
+                && request.at < ended.at + REQUEST_TIMEOUT
+                && ended.at < request.at + REQUEST_TIMEOUT + SOCKET_SLACK
+        })
+    }
+}
+
+/// What one process is started with.
+struct ProcessConfig {
+    number: usize,
+    /// Only where the fleet keeps a view.
+    operator_config: Option<String>,
+    node_config: Value,
+}
+
+impl ProcessConfig {
+    fn start(&self, program: &Path) -> Node {
+        match &self.operator_config {
+            Some(operator_config) => {
+                Node::start_of_as(program, "node", operator_config, &self.node_config)
+            }
+            None => Node::start_of(program, &self.node_config),
+        }
+    }
+}
+
+/// How the answer to a request violates rule 1, where it does.
+fn answer_violation(client: usize, request: &RequestRecord) -> Option<String> {
+    match request.answered {
+        None => Some(format!("rule 1: guest {client} had no answer")),
+        Some(took) if took > REQUEST_TIMEOUT + SOCKET_SLACK + SOCKET_SLACK => Some(format!(
+            "rule 1: guest {client} was answered after {took:?}"
+        )),
+        Some(_) => None,
+    }
+}
+
+fn millis(duration: Duration) -> Value {
+    json!(duration.as_secs_f64() * 1000.0)
+}
+
+#[cfg(test)]
+#[path = "processes_tests.rs"]
+mod tests;
--- /dev/null
+++ b/testkit/src/fleet/processes_tests.rs
@@ -0,0 +1,42 @@
+use super::*;
+use crate::peers::eventually;
+use std::io::{BufRead, BufReader};
+use std::net::TcpListener;
+
+/// Prevents clients left without an answer that nobody notices, and those of a node that died held against it.
+#[test]
+fn a_client_without_an_answer_is_noticed_unless_its_node_died() {
+    let silent_node = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = silent_node.local_addr().unwrap();
+    thread::spawn(move || {
+        for stream in silent_node.incoming().flatten() {
+            _ = BufReader::new(stream).read_line(&mut String::new());
+        }
+    });
+    let mut fleet = Fleet {
+        nodes: Vec::new(),
+        front: Front::default(),
+        program: PathBuf::new(),
+        discovery: address,
+        options: FleetOptions::TRIAL,
+        configured_alone: false,
+        load_probes: false,
+        effect: "free",
+        record_lifetime: None,
+        cluster_size: 0,
+        fleet_view: None,
+        ended: Vec::new(),
+    };
+    fleet.front.add(address);
+    let mut returning_clients = ReturningClients::come(1, &fleet.front, Duration::ZERO, None, 1);
+    eventually("it has sent two requests", || {
+        returning_clients.seen[0].lock().unwrap().asks.len() > 1
+    });
+    returning_clients.end();
+    assert!(!fleet.broken(&returning_clients).is_empty());
+    fleet.ended.push(EndedProcess {
+        address,
+        at: Instant::now(),
+    });
+    assert!(fleet.broken(&returning_clients).is_empty());
+}
--- /dev/null
+++ b/testkit/src/fleet/returning_clients.rs
@@ -0,0 +1,222 @@
+//! Clients that want a connection each, and reconnect under the same key whenever it ends. Owns what each of them saw.
+
+use super::{Front, REQUEST_TIMEOUT};
+use crate::simulated::small;
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use std::io::{BufRead, BufReader, ErrorKind, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// How long a client with a node of its own waits at the longest before it reconnects, as it observes when the node
+/// serves again.
+const MAX_OWN_NODE_BACKOFF: Duration = Duration::from_millis(100);
+/// How long a client waits for a front that knows no node.
+const EMPTY_FRONT_BACKOFF: Duration = Duration::from_millis(50);
+/// The pause between two lines on an open connection.
+const ECHO_INTERVAL: Duration = Duration::from_millis(100);
+/// How long an open connection is read without a line before the client looks whether it is to end.
+const ECHO_READ_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// A request that a client sent, and its answer.
+pub struct RequestRecord {
+    /// When the request was sent.
+    pub at: Instant,
+    pub(super) node: SocketAddr,
+    /// How long the answer took, where one came.
+    pub answered: Option<Duration>,
+    /// Whether the answer accepted it.
+    pub up: bool,
+}
+
+/// What one client has seen so far.
+#[derive(Default)]
+pub struct ClientRecord {
+    /// All requests that it sent.
+    pub asks: Vec<RequestRecord>,
+    /// Since when its connection is open, if it is.
+    pub stands: Option<Instant>,
+}
+
+/// Clients that want a connection each, and reconnect under the same key whenever it ends.
+pub struct ReturningClients {
+    /// What each client has seen.
+    pub seen: Arc<Vec<Mutex<ClientRecord>>>,
+    stopped: Arc<AtomicBool>,
+    threads: Vec<thread::JoinHandle<()>>,
+}
+
+impl ReturningClients {
+    /// Starts so many clients within `spread`; where `nodes` is given, each stays with the node of its number.
+    pub fn come(
+        count: usize,
+        front: &Front,
+        spread: Duration,
+        nodes: Option<&[SocketAddr]>,
+        seed: u64,
+    ) -> Self {
+        let seen: Arc<Vec<Mutex<ClientRecord>>> =
+            Arc::new((0..count).map(|_| Mutex::default()).collect());
+        let stopped = Arc::new(AtomicBool::new(false));
+        let spawn = |number: usize| {
+            let (seen, front) = (seen.clone(), front.clone());
+            let own_node = nodes.map(|nodes| nodes[number % nodes.len()]);
+            let mut rng = ChaCha8Rng::seed_from_u64(seed << 20 | number as u64);
+            let stopped = stopped.clone();
+            small(move || {
+                thread::sleep(spread.mul_f64(rng.random::<f64>()));
+                let client = ReturningClient {
+                    key: rng.random(),
+                    rng,
+                    record: &seen[number],
+                    stopped: &stopped,
+                    was_connected: false,
+                };
+                client.run(&front, own_node);
+            })
+        };
+        let threads = (0..count).map(spawn).collect();
+        ReturningClients {
+            seen,
+            stopped,
+            threads,
+        }
+    }
+
+    /// How many have an open connection now.
+    pub fn standing(&self) -> usize {
+        self.seen
+            .iter()
+            .filter(|record| record.lock().unwrap().stands.is_some())
+            .count()
+    }
+
+    /// How long after `from` each client's first connection opened, where one did.
+    pub fn first(&self, from: Instant) -> Vec<Option<Duration>> {
+        let first = |record: &Mutex<ClientRecord>| {
+            let record = record.lock().unwrap();
+            let accepted = record.asks.iter().find(|request| request.up)?;
+            Some((accepted.at + accepted.answered?).saturating_duration_since(from))
+        };
+        self.seen.iter().map(first).collect()
+    }
+
+    /// Ends all clients and waits for them.
+    pub fn end(&mut self) {
+        self.stopped.store(true, SeqCst);
+        for client in self.threads.drain(..) {
+            client.join().expect("a client panicked");
+        }
+    }
+}
+
+struct ReturningClient<'a> {
+    /// The key of all its requests.
+    key: u64,
+    rng: ChaCha8Rng,
+    record: &'a Mutex<ClientRecord>,
+    stopped: &'a AtomicBool,
+    /// Whether it had a connection before, which its requests tell.
+    was_connected: bool,
+}
+
+impl ReturningClient<'_> {
+    fn run(mut self, front: &Front, own_node: Option<SocketAddr>) {
+        while !self.stopped.load(SeqCst) {
+            let Some(node) = own_node.or_else(|| front.pick(&mut self.rng)) else {
+                thread::sleep(EMPTY_FRONT_BACKOFF);
+                continue;
+            };
+            let backoff = self.attempt(node);
+            thread::sleep(match own_node {
+                Some(_) => backoff.min(MAX_OWN_NODE_BACKOFF),
+                None => backoff,
+            });
+        }
+    }
+
+    /// Sends one request and holds the connection where it opens. Returns how long to wait before the next attempt.
+    fn attempt(&mut self, node: SocketAddr) -> Duration {
+        let backoff = Duration::from_millis(self.rng.random_range(100..400));
+        let Ok(mut stream) = TcpStream::connect(node) else {
+            return backoff;
+        };
+        _ = stream.set_nodelay(true);
+        let sent_at = Instant::now();
+        if stream.write_all(self.request_line().as_bytes()).is_err() {
+            return backoff;
+        }
+        let number = self.note_request(sent_at, node);
+        _ = stream.set_read_timeout(Some(REQUEST_TIMEOUT + Duration::from_secs(1)));
+        let mut reader = BufReader::with_capacity(512, stream.try_clone().expect("a descriptor"));
+        let mut answer = String::new();
+        if !matches!(reader.read_line(&mut answer), Ok(1..)) {
+            return backoff;
+        }
+        let accepted = answer.starts_with("UP");
+        self.note_answer(number, sent_at.elapsed(), accepted);
+        if !accepted {
+            return retry_after(&answer).unwrap_or(backoff);
+        }
+        self.hold(&mut stream, &mut reader);
+        self.record.lock().unwrap().stands = None;
+        self.was_connected = true;
+        backoff
+    }
+
+    fn request_line(&mut self) -> String {
+        let id: u64 = self.rng.random();
+        let mark = if self.was_connected { ",again=1" } else { "" };
+        format!(
+            "OPEN {id:x} {:x} c=chat,t=acme,d={}{mark}\r\n",
+            self.key,
+            REQUEST_TIMEOUT.as_millis()
+        )
+    }
+
+    /// Notes a request, and returns its number.
+    fn note_request(&self, at: Instant, node: SocketAddr) -> usize {
+        let mut record = self.record.lock().unwrap();
+        record.asks.push(RequestRecord {
+            at,
+            node,
+            answered: None,
+            up: false,
+        });
+        record.asks.len() - 1
+    }
+
+    fn note_answer(&self, number: usize, took: Duration, accepted: bool) {
+        let mut record = self.record.lock().unwrap();
+        let request = &mut record.asks[number];
+        (request.answered, request.up) = (Some(took), accepted);
+        record.stands = accepted.then(Instant::now);
+    }
+
+    /// Sends a line now and then and expects it back, until either side ends the connection.
+    fn hold(&self, stream: &mut TcpStream, reader: &mut BufReader<TcpStream>) {
+        _ = stream.set_read_timeout(Some(ECHO_READ_TIMEOUT));
+        let mut line = String::new();
+        while !self.stopped.load(SeqCst) && stream.write_all(b"hello\r\n").is_ok() {
+            match reader.read_line(&mut line) {
+                Ok(1..) if line == "hello\r\n" => {
+                    line.clear();
+                    thread::sleep(ECHO_INTERVAL);
+                }
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                    thread::sleep(Duration::from_millis(50));
+                }
+                _ => break,
+            }
+        }
+    }
+}
+
+/// How long an answer asks the client to wait, where it does.
+fn retry_after(answer: &str) -> Option<Duration> {
+    let millis = answer.strip_prefix("BUSY ")?.trim().parse().ok()?;
+    Some(Duration::from_millis(millis))
+}
--- /dev/null
+++ b/testkit/src/fleet/warming_hosts_tests.rs
@@ -0,0 +1,47 @@
+use super::*;
+use crate::peers::eventually;
+use std::thread;
+
+const OPTIONS: FleetOptions = FleetOptions {
+    warm_up: Duration::from_secs(10),
+    warm_up_initial_share: 0.2,
+    overload_window: Duration::from_secs(1),
+    overload_factor: 3.0,
+    max_poll_interval: Duration::from_secs(4),
+    full: 40.0,
+};
+
+/// Sends a request to a host as a node would, and returns the connection.
+fn send_request(at: SocketAddr) -> TcpStream {
+    let mut stream = TcpStream::connect(at).unwrap();
+    stream.write_all(b"OPEN 1 2 c=chat\r\n").unwrap();
+    stream
+}
+
+/// Prevents a checker that finds no violation whatever happens.
+#[test]
+fn planted_breaks_are_caught() {
+    let hosts = WarmingHosts::new(OPTIONS);
+    hosts.start(2, true);
+    hosts.start(1, false);
+    // Two within a second are what a host that has just started can take; a warm one takes more.
+    let _within_budget: Vec<TcpStream> = [0, 0, 2, 2, 2, 2]
+        .map(|host| send_request(hosts.host(host).address))
+        .into();
+    eventually("six stand", || hosts.standing(0..3) == 6);
+    assert_eq!(hosts.broken(Duration::ZERO), Vec::<String>::new());
+    let _flood: Vec<TcpStream> = (0..4)
+        .map(|_| send_request(hosts.host(1).address))
+        .collect();
+    eventually("four came", || hosts.arrived(1).len() == 4);
+    hosts.drains(2);
+    thread::sleep(DRAIN_GRACE + SOCKET_SLACK + Duration::from_millis(10));
+    let _late = send_request(hosts.host(2).address);
+    eventually("one came late", || hosts.arrived(2).len() == 5);
+    let violations = hosts.broken(Duration::ZERO);
+    assert_eq!(violations.len(), 2, "{violations:?}");
+    assert!(
+        violations[0].starts_with("rule 4: host 1")
+            && violations[1].starts_with("rule 3: 1 came to host 2")
+    );
+}
--- a/testkit/src/fleet_view.rs
+++ b/testkit/src/fleet_view.rs
@@ -67,7 +67,7 @@
                     .collect(),
             ))
         };
-        (0..self.places).filter_map(held).collect()
+        (0..self.cluster_size).filter_map(held).collect()
     }
 
     /// Whether each that runs holds all that run, and them alone, to be at work.
