--- a/testkit/src/main.rs
+++ b/testkit/src/main.rs
@@ -78,10 +78,11 @@
                 |n| FaultSchedule::draw(self.seed + n, self.size as usize, self.faults as usize);
             return Ok((0..self.count).map(drawn).collect());
         };
-        let text = std::fs::read_to_string(path).map_err(|e| e.to_string());
+        let in_file = |why: &dyn std::fmt::Display| format!("{}: {why}", path.display());
+        let text = std::fs::read_to_string(path).map_err(|why| in_file(&why))?;
         let schedule = text
-            .and_then(|text| text.parse())
-            .map_err(|why| format!("{}: {why}", path.display()))?;
+            .parse()
+            .map_err(|why: schedule::ScheduleError| in_file(&why))?;
         Ok(vec![schedule])
     }
 
--- a/testkit/src/schedule_tests.rs
+++ b/testkit/src/schedule/schedule_tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Guards: a failing day that can't be played again from its file.
+/// Prevents a failing schedule that can't be played again from its file.
 #[test]
 fn a_schedule_is_read_back_as_it_was_drawn_and_nonsense_is_not() {
     for seed in 0..300 {
@@ -15,7 +15,7 @@
         ("nodes 3\nat x for 2 kill 1", "line 2"),
         ("at 1 for 2 down", "nodes"),
     ] {
-        let wrong = text.parse::<FaultSchedule>().unwrap_err();
+        let wrong = text.parse::<FaultSchedule>().unwrap_err().to_string();
         assert!(wrong.contains(why), "{wrong}");
     }
 }
