--- /dev/null
+++ b/testkit/src/program/mod.rs
@@ -0,0 +1,16 @@
+//! The program as a child process: started with a node config or an operator config, read by its log, signalled,
+//! suspended, and killed when it is dropped, so that none outlives the test that started it.
+
+mod config;
+mod files;
+mod launch;
+mod log;
+mod node;
+mod ops_call;
+mod process;
+
+pub use config::{node_config, node_config_of};
+pub use files::folder;
+pub use launch::{listener, path, program, program_at};
+pub use node::Node;
+pub use ops_call::{answered, ask};
