--- a/testkit/src/fleet/returning_clients.rs
+++ b/testkit/src/fleet/returning_clients.rs
@@ -1,7 +1,7 @@
 //! Clients that want a connection each, and reconnect under the same key whenever it ends. Owns what each of them saw.
 
 use super::{Front, REQUEST_TIMEOUT};
-use crate::simulated::small;
+use crate::simulated::spawn_thread;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::io::{BufRead, BufReader, ErrorKind, Write};
@@ -66,7 +66,7 @@
             let own_node = nodes.map(|nodes| nodes[number % nodes.len()]);
             let mut rng = ChaCha8Rng::seed_from_u64(seed << 20 | number as u64);
             let stopped = stopped.clone();
-            small(move || {
+            spawn_thread(move || {
                 thread::sleep(spread.mul_f64(rng.random::<f64>()));
                 let client = ReturningClient {
                     key: rng.random(),
--- a/testkit/src/fleet/warming_hosts.rs
+++ b/testkit/src/fleet/warming_hosts.rs
@@ -2,9 +2,9 @@
 //! rules 3 and 4 are checked by these records alone.
 
 use super::FleetOptions;
-use crate::simulated::{first_line, small, DRAIN_GRACE, SOCKET_SLACK};
+use crate::simulated::{echo_lines, first_line, spawn_thread, DRAIN_GRACE, SOCKET_SLACK};
 use serde_json::{json, Value};
-use std::io::{BufRead, BufReader, Write};
+use std::io::{BufRead, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::ops::Range;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering::SeqCst};
@@ -70,10 +70,10 @@
             });
             self.hosts.lock().unwrap().push(host.clone());
             let options = self.options;
-            small(move || {
+            spawn_thread(move || {
                 for stream in listener.incoming().flatten() {
                     let host = host.clone();
-                    small(move || host.serve(stream, options));
+                    spawn_thread(move || host.serve(stream, options));
                 }
             });
         }
@@ -189,16 +189,6 @@
     }
 }
 
-/// Sends each line back until either side ends the connection.
-fn echo_lines(reader: &mut BufReader<TcpStream>, stream: &mut TcpStream) {
-    let mut line = String::new();
-    while matches!(reader.read_line(&mut line), Ok(1..))
-        && stream.write_all(line.as_bytes()).is_ok()
-    {
-        line.clear();
-    }
-}
-
 #[cfg(test)]
 #[path = "warming_hosts_tests.rs"]
 mod tests;
--- a/testkit/src/network.rs
+++ b/testkit/src/network.rs
@@ -3,7 +3,7 @@
 //! sender's own public address. Owns what is lost, delayed, duplicated, corrupted or truncated from whom to whom, and
 //! never looks into what passes.
 
-use crate::simulated::small;
+use crate::simulated::spawn_thread;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
@@ -134,7 +134,7 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
         let ends = over.clone();
-        small(move || network_loop.run(&ends));
+        spawn_thread(move || network_loop.run(&ends));
         FaultyNetwork {
             public_addresses,
             process_addresses,
--- /dev/null
+++ b/testkit/src/simulated/hosts.rs
@@ -0,0 +1,161 @@
+//! Hosts that behave as a test sets them, and record each request that reaches them.
+
+use super::{echo_lines, first_line, spawn_thread, InvariantChecker};
+use serde_json::{json, Value};
+use std::io::{BufRead, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicU32, AtomicU8, Ordering::SeqCst};
+use std::sync::Arc;
+use std::thread;
+use std::time::Instant;
+
+/// What a host does with a request.
+#[derive(Clone, Copy, Debug, PartialEq)]
+#[repr(u8)]
+pub enum HostBehavior {
+    /// Accepts it, and sends back what comes on the connection.
+    Accepts,
+    /// Rejects it: it has not run.
+    Rejects,
+    /// Fails it: it may have run.
+    Fails,
+    /// Never answers.
+    Silent,
+    /// Closes the connection without an answer.
+    Disconnects,
+}
+
+/// All behaviors, in the order of their numbers.
+const BEHAVIORS: [HostBehavior; 5] = [
+    HostBehavior::Accepts,
+    HostBehavior::Rejects,
+    HostBehavior::Fails,
+    HostBehavior::Silent,
+    HostBehavior::Disconnects,
+];
+
+/// A request, as it reached a host.
+#[derive(Clone, Debug)]
+pub struct ObservedAttempt {
+    /// When it came.
+    pub at: Instant,
+    /// The host's number.
+    pub host: usize,
+    /// The request's id.
+    pub name: String,
+    /// What the host did with it.
+    pub behavior: HostBehavior,
+    /// When the node gave it up, where the host was silent.
+    pub left: Option<Instant>,
+}
+
+/// Hosts that act by themselves. Even and odd ones are two idempotency groups.
+pub struct Hosts {
+    /// Where each host listens.
+    pub addresses: Vec<SocketAddr>,
+    behaviors: Arc<Vec<AtomicU8>>,
+    /// Connections that are open at each host.
+    pub open: Arc<Vec<AtomicU32>>,
+}
+
+impl Hosts {
+    /// Starts so many hosts that accept all requests.
+    pub fn start(count: usize, checker: &InvariantChecker) -> Self {
+        let mut hosts = Hosts {
+            addresses: Vec::new(),
+            behaviors: Arc::new((0..count).map(|_| AtomicU8::new(0)).collect()),
+            open: Arc::new((0..count).map(|_| AtomicU32::new(0)).collect()),
+        };
+        for number in 0..count {
+            let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+            hosts.addresses.push(listener.local_addr().unwrap());
+            let host = Host {
+                number,
+                behaviors: hosts.behaviors.clone(),
+                open: hosts.open.clone(),
+                checker: checker.clone(),
+            };
+            thread::spawn(move || {
+                for stream in listener.incoming().flatten() {
+                    let host = host.clone();
+                    spawn_thread(move || host.serve(stream));
+                }
+            });
+        }
+        hosts
+    }
+
+    /// Sets what a host does from now on.
+    pub fn go(&self, host: usize, behavior: HostBehavior) {
+        self.behaviors[host].store(behavior as u8, SeqCst);
+    }
+
+    /// Connections that are open at each host.
+    pub fn standing(&self) -> Vec<u32> {
+        self.open.iter().map(|open| open.load(SeqCst)).collect()
+    }
+
+    /// A host as an entry of the endpoint list, in this phase.
+    pub fn member(&self, host: usize, phase: &str) -> Value {
+        json!({"id": format!("s-{host}"), "host_port": self.addresses[host].to_string(), "locality": "a",
+            "flavor": "m", "cell": host % 2, "phase": phase, "size": 1.0, "up_since_ms": 0})
+    }
+
+    /// All hosts as entries of the endpoint list, active.
+    pub fn members(&self) -> Value {
+        (0..self.addresses.len())
+            .map(|host| self.member(host, "active"))
+            .collect()
+    }
+}
+
+/// One host, as each of its connections knows it.
+#[derive(Clone)]
+struct Host {
+    number: usize,
+    behaviors: Arc<Vec<AtomicU8>>,
+    open: Arc<Vec<AtomicU32>>,
+    checker: InvariantChecker,
+}
+
+impl Host {
+    fn behavior(&self) -> HostBehavior {
+        let behavior = self.behaviors[self.number].load(SeqCst);
+        BEHAVIORS[usize::from(behavior) % BEHAVIORS.len()]
+    }
+
+    fn serve(&self, mut stream: TcpStream) {
+        let Some((mut reader, mut line)) = first_line(&stream) else {
+            return;
+        };
+        let (at, behavior) = (Instant::now(), self.behavior());
+        let Some(name) = line.split(' ').nth(1).map(str::to_string) else {
+            _ = stream.write_all(b"SYNTAX\r\n");
+            return;
+        };
+        let attempt = self.checker.note_attempt(ObservedAttempt {
+            at,
+            host: self.number,
+            name,
+            behavior,
+            left: None,
+        });
+        match behavior {
+            HostBehavior::Accepts => {
+                self.open[self.number].fetch_add(1, SeqCst);
+                if stream.write_all(b"UP 1\r\n").is_ok() {
+                    echo_lines(&mut reader, &mut stream);
+                }
+                self.open[self.number].fetch_sub(1, SeqCst);
+            }
+            HostBehavior::Rejects => _ = stream.write_all(b"BUSY\r\n"),
+            HostBehavior::Fails => _ = stream.write_all(b"ERR\r\n"),
+            HostBehavior::Silent => {
+                line.clear();
+                _ = reader.read_line(&mut line);
+                self.checker.note_abandoned(attempt);
+            }
+            HostBehavior::Disconnects => _ = stream.shutdown(Shutdown::Both),
+        }
+    }
+}
--- /dev/null
+++ b/testkit/src/simulated/invariants.rs
@@ -0,0 +1,233 @@
+//! The invariant checker: what hosts and clients saw, and the four rules over it. Must not know anything that a node says
+//! of itself.
+
+use super::{
+    ClientObservation, HostBehavior, ObservedAttempt, DRAIN_GRACE, REQUEST_TIMEOUT, SOCKET_SLACK,
+    WINDOW,
+};
+use std::collections::HashMap;
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+/// The index of requests with an idempotency key in [`CLASS_NAMES`](super::CLASS_NAMES).
+const CLASS_WITH_KEY: usize = 1;
+/// The index of requests that are not idempotent in [`CLASS_NAMES`](super::CLASS_NAMES).
+const CLASS_NON_IDEMPOTENT: usize = 2;
+
+/// Checks the rules by what hosts and clients saw.
+#[derive(Clone, Default)]
+pub struct InvariantChecker(Arc<Mutex<Record>>);
+
+#[derive(Default)]
+struct Record {
+    attempts: Vec<ObservedAttempt>,
+    observations: Vec<ClientObservation>,
+    /// By host: the last drain.
+    drains: HashMap<usize, Drain>,
+}
+
+struct Drain {
+    /// When the list service began to say so.
+    announced: Instant,
+    /// When it ceased to.
+    revoked: Option<Instant>,
+}
+
+impl InvariantChecker {
+    /// All attempts that reached hosts.
+    pub fn reached(&self) -> Vec<ObservedAttempt> {
+        self.0.lock().unwrap().attempts.clone()
+    }
+
+    /// What each client saw that has ended.
+    pub fn observations(&self) -> Vec<ClientObservation> {
+        self.0.lock().unwrap().observations.clone()
+    }
+
+    /// Notes an attempt, and returns its number.
+    pub(super) fn note_attempt(&self, attempt: ObservedAttempt) -> usize {
+        let mut record = self.0.lock().unwrap();
+        record.attempts.push(attempt);
+        record.attempts.len() - 1
+    }
+
+    /// Notes that the node has given up this attempt now.
+    pub(super) fn note_abandoned(&self, attempt: usize) {
+        self.0.lock().unwrap().attempts[attempt].left = Some(Instant::now());
+    }
+
+    pub(super) fn note_client(&self, observation: ClientObservation) {
+        self.0.lock().unwrap().observations.push(observation);
+    }
+
+    /// Notes that the list service was told that the host drains, or is back.
+    pub fn drains(&self, host: usize, drains: bool) {
+        let mut record = self.0.lock().unwrap();
+        if drains {
+            let drain = Drain {
+                announced: Instant::now(),
+                revoked: None,
+            };
+            record.drains.insert(host, drain);
+        } else if let Some(drain) = record.drains.get_mut(&host) {
+            drain.revoked = Some(Instant::now());
+        }
+    }
+
+    /// Each client, and how long its first attempt came after its request, where one reached a host.
+    pub fn first_attempts(&self) -> Vec<(ClientObservation, Option<Duration>)> {
+        let record = self.0.lock().unwrap();
+        let mut first: HashMap<&str, Instant> = HashMap::new();
+        for attempt in &record.attempts {
+            first
+                .entry(&attempt.name)
+                .and_modify(|at| *at = attempt.at.min(*at))
+                .or_insert(attempt.at);
+        }
+        let delay = |client: &ClientObservation| {
+            let first_attempt = first.get(client.name.as_str())?;
+            Some(first_attempt.saturating_duration_since(client.asked))
+        };
+        record
+            .observations
+            .iter()
+            .map(|client| (client.clone(), delay(client)))
+            .collect()
+    }
+
+    /// All violations of a rule, one a line. Clients that still waited when they were told to end do not count;
+    /// `busy` is what a busy machine may add to the news of a drain, and to when hosts note what they see.
+    pub fn broken(&self, busy: Duration) -> Vec<String> {
+        let record = self.0.lock().unwrap();
+        let slack = SOCKET_SLACK + busy;
+        let mut violations: Vec<String> = record
+            .attempts
+            .iter()
+            .filter_map(|attempt| record.check_drain(attempt, slack))
+            .collect();
+        let mut by_name: HashMap<&str, Vec<&ObservedAttempt>> = HashMap::new();
+        for attempt in &record.attempts {
+            by_name.entry(&attempt.name).or_default().push(attempt);
+        }
+        for client in &record.observations {
+            let mut attempts = by_name
+                .get(client.name.as_str())
+                .cloned()
+                .unwrap_or_default();
+            attempts.sort_by_key(|attempt| attempt.at);
+            violations.extend(check_answers(client, &attempts, slack));
+            violations.extend(check_echo(client));
+            violations.extend(check_repeats(client, &attempts, slack));
+            violations.extend(check_one_at_a_time(client, &attempts, slack));
+        }
+        violations
+    }
+}
+
+impl Record {
+    /// Rule 3: no attempt reaches a host that drains, beyond the grace.
+    fn check_drain(&self, attempt: &ObservedAttempt, slack: Duration) -> Option<String> {
+        let drain = self.drains.get(&attempt.host)?;
+        let violated =
+            attempt.at > drain.announced + DRAIN_GRACE + slack && drain.revoked.is_none();
+        violated.then(|| {
+            format!(
+                "rule 3: {} reached host {} {:?} after its drain",
+                attempt.name,
+                attempt.host,
+                attempt.at - drain.announced
+            )
+        })
+    }
+}
+
+/// Rule 1: each client has one answer, in time, and nothing is forwarded after it.
+fn check_answers(
+    client: &ClientObservation,
+    attempts: &[&ObservedAttempt],
+    slack: Duration,
+) -> Option<String> {
+    let name = &client.name;
+    match &client.answers[..] {
+        [] => Some(format!("rule 1: {name} had no answer")),
+        [(at, _)] if *at > client.asked + REQUEST_TIMEOUT + SOCKET_SLACK => Some(format!(
+            "rule 1: {name} was answered {:?} after it asked",
+            *at - client.asked
+        )),
+        [(at, answer)] => {
+            let late = attempts.iter().find(|attempt| attempt.at > *at + slack)?;
+            Some(format!(
+                "rule 1: {name} was sent on {:?} after {answer}",
+                late.at - *at
+            ))
+        }
+        several => Some(format!("rule 1: {name} had {} answers", several.len())),
+    }
+}
+
+/// Open connections pass on what is sent.
+fn check_echo(client: &ClientObservation) -> Option<String> {
+    (client.echoed == Some(false))
+        .then(|| format!("{}: its open connection passed nothing on", client.name))
+}
+
+/// Rule 2: a request that may have run is repeated only where, and for as long as, its class allows.
+fn check_repeats(
+    client: &ClientObservation,
+    attempts: &[&ObservedAttempt],
+    slack: Duration,
+) -> Option<String> {
+    let name = &client.name;
+    // Accepted, failed, unanswered and disconnected ones may have run; rejected ones never did.
+    let may_have_run: Vec<&ObservedAttempt> = attempts
+        .iter()
+        .copied()
+        .filter(|attempt| attempt.behavior != HostBehavior::Rejects)
+        .collect();
+    let first = may_have_run.first()?;
+    let rejected = client
+        .answers
+        .iter()
+        .any(|(_, answer)| answer.starts_with("BUSY"));
+    match client.class {
+        CLASS_NON_IDEMPOTENT if may_have_run.len() > 1 => Some(format!(
+            "rule 2: {name} may have run {} times",
+            may_have_run.len()
+        )),
+        CLASS_NON_IDEMPOTENT if rejected => Some(format!(
+            "rule 2: {name} was dismissed though it may have run"
+        )),
+        CLASS_WITH_KEY
+            if may_have_run
+                .iter()
+                .any(|one| one.host % 2 != first.host % 2) =>
+        {
+            Some(format!("rule 2: {name} left its circle"))
+        }
+        CLASS_WITH_KEY
+            if may_have_run
+                .iter()
+                .any(|one| one.at > first.at + WINDOW + slack) =>
+        {
+            Some(format!("rule 2: {name} went again out of its window"))
+        }
+        _ => None,
+    }
+}
+
+/// Rule 2: an attempt that is not answered is given up before the next one is sent.
+fn check_one_at_a_time(
+    client: &ClientObservation,
+    attempts: &[&ObservedAttempt],
+    slack: Duration,
+) -> Vec<String> {
+    attempts
+        .windows(2)
+        .filter(|pair| {
+            let (previous, next) = (pair[0], pair[1]);
+            previous.behavior == HostBehavior::Silent
+                && previous.left.is_none_or(|left| left > next.at + slack)
+        })
+        .map(|_| format!("rule 2: {} had two hand-offs out", client.name))
+        .collect()
+}
--- a/testkit/src/soak/clients.rs
+++ b/testkit/src/soak/clients.rs
@@ -2,7 +2,7 @@
 
 use super::process_group::ProcessSlots;
 use super::SoakSize;
-use crate::simulated::{small, InvariantChecker, CLASS_NAMES, REQUEST_TIMEOUT};
+use crate::simulated::{spawn_thread, InvariantChecker, CLASS_NAMES, REQUEST_TIMEOUT};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::io::{BufRead, BufReader, ErrorKind, Write};
@@ -86,7 +86,7 @@
                 };
                 let client = Client::draw(&mut rng, format!("{seed:x}-{number}"), slot, address);
                 let observations: Arc<Mutex<Vec<ClientObservation>>> = their_observations.clone();
-                running.push(small(move || {
+                running.push(spawn_thread(move || {
                     if let Some(one) = client.live() {
                         observations.lock().unwrap().push(one);
                     }
