--- a/testkit/src/soak/mod.rs
+++ b/testkit/src/soak/mod.rs
@@ -3,13 +3,14 @@
 
 mod clients;
 mod process_group;
+mod process_slot;
 mod soak_checker;
 pub mod soak_faults;
 
 use crate::two_tier::Report;
 use clients::ClientLoad;
 use process_group::ProcessGroup;
-use serde_json::{json, Map};
+use serde_json::{json, Map, Value};
 use soak_checker::SoakChecker;
 use soak_faults::SoakSchedule;
 use std::thread;
@@ -26,14 +27,14 @@
     pub span: Duration,
     /// Clients a second, over all processes.
     pub rate: f64,
-    /// Troubles at a time.
+    /// Faults at a time.
     pub overlap: usize,
 }
 
 /// How long the processes have to serve again once all faults are over.
-const RECOVERY: Duration = Duration::from_secs(8);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Plays one seed, and gives what broke a rule.
+/// Draws a schedule by this seed and plays it.
 pub fn play(seed: u64, size: &SoakSize) -> Report {
     let schedule = SoakSchedule::draw(seed, size);
     play_schedule(&schedule, size)
@@ -42,20 +43,15 @@
 /// Plays this schedule.
 pub fn play_schedule(schedule: &SoakSchedule, size: &SoakSize) -> Report {
     let mut process_group = ProcessGroup::start(schedule.seed, size);
-    let mut load = ClientLoad::start(
-        schedule.seed,
-        size,
-        process_group.slots(),
-        &process_group.checker,
-    );
-    let from = Instant::now();
+    let mut load = ClientLoad::start(schedule.seed, size, process_group.slots());
+    let start = Instant::now();
     for transition in schedule.transitions() {
-        thread::sleep((from + transition.at).saturating_duration_since(Instant::now()));
+        thread::sleep((start + transition.at).saturating_duration_since(Instant::now()));
         process_group.apply(transition);
     }
     load.end();
     process_group.clear_all_faults();
-    let mut broken = process_group.recovery_failures(RECOVERY);
+    let mut broken = process_group.recovery_failures(RECOVERY_TIMEOUT);
     broken.extend(process_group.violations());
     broken.extend(process_group.stop_all());
     let soak_checker = SoakChecker {
@@ -64,17 +60,20 @@
         slots: process_group.slots(),
         fault_history: &process_group.fault_history,
     };
-    broken.extend(soak_checker.broken());
+    broken.extend(soak_checker.violations());
     let mut figures = Map::new();
     figures.insert("clients".into(), json!(soak_checker.observations.len()));
     figures.insert("served".into(), json!(soak_checker.served()));
     figures.insert("attempts".into(), json!(soak_checker.reached.len()));
     figures.insert("troubles".into(), json!(schedule.planned.len()));
-    figures.insert("calls spoilt".into(), json!(process_group.spoilt()));
+    figures.insert(
+        "calls spoilt".into(),
+        json!(process_group.faulty_syscalls()),
+    );
     Report { figures, broken }
 }
 
-/// Plays so many seeds one after the other; what failed is printed with its schedule.
+/// Plays so many seeds one after the other; violations are printed with the schedule.
 pub fn measure(first: u64, count: u64, size: &SoakSize) -> Report {
     let (mut figures, mut broken) = (Map::new(), Vec::new());
     for seed in first..first + count {
@@ -91,14 +90,16 @@
         if !found.broken.is_empty() {
             eprint!("{}", SoakSchedule::draw(seed, size));
         }
-        for (name, value) in found.figures {
-            let sum = figures
-                .get(&name)
-                .and_then(|v: &serde_json::Value| v.as_u64())
-                .unwrap_or(0);
-            figures.insert(name, json!(sum + value.as_u64().unwrap_or(0)));
-        }
+        add_figures(&mut figures, found.figures);
     }
     figures.insert("seeds".into(), json!(count));
     Report { figures, broken }
 }
+
+/// Adds the counts of one seed to the sums.
+fn add_figures(sums: &mut Map<String, Value>, counts: Map<String, Value>) {
+    for (name, count) in counts {
+        let sum = sums.get(&name).and_then(Value::as_u64).unwrap_or(0);
+        sums.insert(name, json!(sum + count.as_u64().unwrap_or(0)));
+    }
+}
--- /dev/null
+++ b/testkit/src/soak/process_group/health.rs
@@ -0,0 +1,173 @@
+//! Whether the processes of a soak end, serve and count violations as they should, by their exit, their logs and their
+//! metrics.
+
+use super::{ProcessGroup, StoppingProcess};
+use crate::peers::Peer;
+use crate::program::Node;
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// How long a process that is told to stop may take, by the longest deadline.
+const MAX_STOP_TIME: Duration = Duration::from_millis(2700 + 600);
+/// Rules that a process may count as violated because it was suspended.
+const EXCUSED_BY_SUSPENSION: [&str; 2] = ["answered_late", "attempted_late"];
+/// How soon after a suspension the process has logged these violations.
+const MAX_REPORT_DELAY: Duration = Duration::from_millis(1000);
+/// Log lines that are shown of a process that does not serve, or that ended unexpectedly.
+const SHOWN_LOG_LINES: usize = 30;
+
+impl ProcessGroup {
+    /// Waits until all processes of a slot that were told to stop have ended.
+    pub(super) fn wait_for_stopped(&mut self, slot: usize) {
+        for StoppingProcess { mut node, since } in
+            std::mem::take(&mut self.processes[slot].stopping)
+        {
+            while node.runs() && since.elapsed() < MAX_STOP_TIME {
+                thread::sleep(Duration::from_millis(5));
+            }
+            if node.runs() {
+                self.failures.push(format!(
+                    "seat {slot}: still runs {:?} after it was told to stop",
+                    since.elapsed()
+                ));
+            } else if !node.wait().success() {
+                self.failures
+                    .push(format!("seat {slot}: ended with {}", node.wait()));
+            }
+            self.check_log(slot, &node);
+        }
+    }
+
+    /// Notes panics and violations in the log of a process. Returns the lines that are excused.
+    pub(super) fn check_log(&mut self, slot: usize, node: &Node) -> Vec<String> {
+        let mut excused = Vec::new();
+        for (at, line) in node.drain_log_timed() {
+            if !line.contains("panicked") && !line.contains("rule violated") {
+                continue;
+            }
+            if self.is_excused_by_suspension(slot, at, &line) {
+                excused.push(line);
+            } else {
+                self.failures.push(format!("seat {slot}: {line}"));
+            }
+        }
+        excused
+    }
+
+    /// Whether a process says with this line that it violated a rule because it was suspended: a call to send began in
+    /// time by the clock that was read before it, and was made when the process continued.
+    fn is_excused_by_suspension(&self, slot: usize, at: Instant, line: &str) -> bool {
+        let excusable = EXCUSED_BY_SUSPENSION.iter().any(|rule| line.contains(rule));
+        let slot = self.slots[slot].lock().unwrap();
+        excusable
+            && slot
+                .suspensions
+                .iter()
+                .any(|span| span.from <= at && at <= span.to + MAX_REPORT_DELAY)
+    }
+
+    /// Starts a process in each slot whose process has ended unexpectedly.
+    pub(super) fn restart_ended(&mut self) {
+        for slot in 0..self.processes.len() {
+            let Some(mut node) = self.processes[slot].node.take() else {
+                continue;
+            };
+            if self.ended_unexpectedly(slot, &mut node) {
+                self.start_process(slot);
+            } else {
+                self.processes[slot].node = Some(node);
+            }
+        }
+    }
+
+    /// Whether a process that nobody told to stop has ended, which is noted as a failure.
+    pub(super) fn ended_unexpectedly(&mut self, slot: usize, node: &mut Node) -> bool {
+        if node.runs() {
+            return false;
+        }
+        let log = last_lines(node);
+        self.failures.push(format!(
+            "seat {slot}: ended unasked with {}: {log:#?}",
+            node.wait()
+        ));
+        true
+    }
+
+    /// Which processes don't serve again within this time.
+    pub fn recovery_failures(&mut self, timeout: Duration) -> Vec<String> {
+        let deadline = Instant::now() + timeout;
+        (0..self.processes.len())
+            .filter_map(|slot| self.recovery_failure(slot, timeout, deadline))
+            .collect()
+    }
+
+    fn recovery_failure(
+        &self,
+        slot: usize,
+        timeout: Duration,
+        deadline: Instant,
+    ) -> Option<String> {
+        let mut attempt = 0;
+        loop {
+            let answer = self.request(slot, attempt);
+            if answer.starts_with("UP") {
+                return None;
+            }
+            attempt += 1;
+            if Instant::now() > deadline {
+                let log = self.processes[slot].node.as_ref().map(last_lines);
+                let log = log.unwrap_or_default().join("\n    ");
+                return Some(format!(
+                    "seat {slot}: does not serve {timeout:?} after all troubles are over, but says {answer} at try {attempt}\n    {log}"
+                ));
+            }
+            thread::sleep(Duration::from_millis(50));
+        }
+    }
+
+    /// The answer of the process in a slot to a request.
+    fn request(&self, slot: usize, attempt: usize) -> String {
+        let Some(node) = &self.processes[slot].node else {
+            return "no process".to_string();
+        };
+        let mut client = Peer::connect(node.address);
+        client.say(&format!("OPEN r{slot}-{attempt} 7f c=free,t=acme,d=1000"));
+        client.hear()
+    }
+
+    /// Violations that the processes themselves count, beyond those that their logs excuse.
+    pub fn violations(&mut self) -> Vec<String> {
+        let mut violations = Vec::new();
+        for slot in 0..self.processes.len() {
+            let Some(node) = self.processes[slot].node.take() else {
+                continue;
+            };
+            let excused = self.check_log(slot, &node);
+            let (_, metrics) = node.call("GET /status/metrics");
+            let unexcused = metrics
+                .lines()
+                .filter(|metric| exceeds_excused(metric, &excused));
+            violations.extend(unexcused.map(|metric| format!("seat {slot}: {metric}")));
+            self.processes[slot].node = Some(node);
+        }
+        violations
+    }
+}
+
+/// The last log lines of a process that were not read yet.
+fn last_lines(node: &Node) -> Vec<String> {
+    let mut log = node.drain_log();
+    log.split_off(log.len().saturating_sub(SHOWN_LOG_LINES))
+}
+
+/// Whether a metric counts a rule as violated more often than the excused log lines name it.
+fn exceeds_excused(metric: &str, excused: &[String]) -> bool {
+    let Some((rule, count)) = metric
+        .strip_prefix("app.violations.")
+        .and_then(|rest| rest.split_once(':'))
+    else {
+        return false;
+    };
+    let count = count.trim_end_matches("|c").parse().unwrap_or(usize::MAX);
+    count > excused.iter().filter(|line| line.contains(rule)).count()
+}
--- a/testkit/src/soak/soak_checker.rs
+++ b/testkit/src/soak/soak_checker.rs
@@ -2,24 +2,36 @@
 //! killed are excused, and so is lateness while a process was suspended; nothing else is.
 
 use super::clients::{ClientBehavior, ClientObservation, Received};
-use super::process_group::{FaultHistory, ProcessSlots};
+use super::process_slot::{FaultHistory, ProcessSlots};
 use crate::simulated::{
     HostBehavior, ObservedAttempt, DRAIN_GRACE, REQUEST_TIMEOUT, SOCKET_SLACK, WINDOW,
 };
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// How late what is seen here may be noted on a busy machine, and a process with calls that are held up may act.
-const BUSY: Duration = Duration::from_millis(350);
-/// When a change counts as told whatever the list service did, once it could be reached.
-const TOLD: Duration = Duration::from_secs(6);
-/// Within what time a node that was started without a call has to ask.
-const ASK_WITHIN: Duration = Duration::from_secs(1);
-/// Within what time bad clients are to have their error or their end.
-const BAD_CLIENTS: Duration = Duration::from_secs(3);
-/// How long after a client has gone an attempt may still begin.
-const GONE: Duration = Duration::from_millis(100);
+/// How late a busy machine may note what is seen here, and a process with delayed system calls may act.
+const BUSY_SLACK: Duration = Duration::from_millis(350);
+/// How soon after a fault of the list service, or of the calls to it, a process has the list again.
+const LIST_RECOVERY_TIME: Duration = Duration::from_secs(6);
+/// How soon after its start a process has the list.
+const FIRST_POLL_TIME: Duration = Duration::from_secs(1);
+/// How soon after a reload a process has the list of the other service.
+const RELOAD_TIME: Duration = Duration::from_secs(4);
+/// How soon misbehaving clients are to have their error or their end.
+const BAD_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long after a client has closed an attempt may still begin.
+const ABANDON_TIME: Duration = Duration::from_millis(100);
+/// How long before its request what happened to a process may still concern a client.
+const FAULT_LOOKBACK: Duration = Duration::from_secs(3);
+/// How long before its request a suspension may have kept a process from reading it.
+const READ_LOOKBACK: Duration = Duration::from_secs(1);
 
+/// The index of requests with an idempotency key in [`CLASS_NAMES`](crate::simulated::CLASS_NAMES).
+const CLASS_WITH_KEY: usize = 1;
+/// The index of requests that are not idempotent in [`CLASS_NAMES`](crate::simulated::CLASS_NAMES).
+const CLASS_NON_IDEMPOTENT: usize = 2;
+
+/// What was seen in a soak, and what was done in it.
 pub struct SoakChecker<'a> {
     pub observations: Vec<ClientObservation>,
     pub reached: Vec<ObservedAttempt>,
@@ -28,151 +40,126 @@
 }
 
 impl SoakChecker<'_> {
+    /// How many clients had their connection opened.
     pub fn served(&self) -> usize {
-        let up = |one: &&ClientObservation| matches!(&one.received, Received::Line(said) if said.starts_with("UP"));
-        self.observations.iter().filter(up).count()
+        self.observations
+            .iter()
+            .filter(|client| client.received.starts_with("UP"))
+            .count()
     }
 
-    /// What broke a rule, each in a line.
-    pub fn broken(&self) -> Vec<String> {
+    /// All violations of a rule, one a line.
+    pub fn violations(&self) -> Vec<String> {
         let mut by_name: HashMap<&str, Vec<&ObservedAttempt>> = HashMap::new();
-        for one in &self.reached {
-            by_name.entry(&one.name).or_default().push(one);
+        for attempt in &self.reached {
+            by_name.entry(&attempt.name).or_default().push(attempt);
         }
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         for client in &self.observations {
             let mut attempts = by_name
                 .get(client.name.as_str())
                 .cloned()
                 .unwrap_or_default();
-            attempts.sort_by_key(|one| one.at);
-            let (answer, repeats) = (self.answer(client), self.repeats(client, &attempts));
-            let wrong = [
-                answer,
-                repeats,
-                self.late(client, &attempts),
-                self.drained(client, &attempts),
+            attempts.sort_by_key(|attempt| attempt.at);
+            let found = [
+                self.check_answer(client),
+                check_repeats(client, &attempts),
+                self.check_late_attempt(client, &attempts),
+                self.check_drain(client, &attempts),
             ];
-            let of = |why| {
+            violations.extend(found.into_iter().flatten().map(|violation| {
                 format!(
-                    "{} at seat {}, {:?}, offering {}: {why}",
+                    "{} at seat {}, {:?}, offering {}: {violation}",
                     client.name, client.slot, client.behavior, client.class
                 )
-            };
-            broken.extend(wrong.into_iter().flatten().map(of));
+            }));
         }
-        broken
+        violations
     }
 
-    /// Whether a process of its slot was ended outright while it lived there.
-    fn excused(&self, client: &ClientObservation) -> bool {
+    /// Whether a process of its slot was killed while the client was there.
+    fn was_killed(&self, client: &ClientObservation) -> bool {
         let slot = self.slots[client.slot].lock().unwrap();
         let until = client.ended_at.unwrap_or(client.received_at);
         slot.killed
             .iter()
-            .any(|t| *t + BUSY > client.asked - Duration::from_secs(3) && *t < until + BUSY)
+            .any(|at| *at + BUSY_SLACK > client.asked - FAULT_LOOKBACK && *at < until + BUSY_SLACK)
     }
 
-    /// Until when the process of its slot stood still, after this.
-    fn stood_still(&self, client: &ClientObservation, from: Instant, to: Instant) -> bool {
+    /// Whether the process of its slot was suspended at any time between these.
+    fn was_suspended(&self, client: &ClientObservation, from: Instant, to: Instant) -> bool {
         let slot = self.slots[client.slot].lock().unwrap();
-        slot.pauses
+        slot.suspensions
             .iter()
-            .any(|(began, ended)| *began < to && *ended + BUSY > from)
+            .any(|span| span.from < to && span.to + BUSY_SLACK > from)
     }
 
     /// Rule 1: one final answer, in time.
-    fn answer(&self, client: &ClientObservation) -> Option<String> {
-        if client.behavior == ClientBehavior::Leaves || self.excused(client) {
+    fn check_answer(&self, client: &ClientObservation) -> Option<String> {
+        if client.behavior == ClientBehavior::Leaves || self.was_killed(client) {
             return None;
         }
         if let Some(second) = &client.second {
             return Some(format!("rule 1: {second} behind {:?}", client.received));
         }
         let took = client.received_at - client.asked;
-        let pauses = self.stood_still(
-            client,
-            client.asked - Duration::from_secs(3),
-            client.received_at,
-        );
-        let bad = matches!(
-            client.behavior,
-            ClientBehavior::Half | ClientBehavior::Pipelines
-        );
+        let suspended =
+            self.was_suspended(client, client.asked - FAULT_LOOKBACK, client.received_at);
         match &client.received {
-            Received::End if bad => {}
+            Received::End if client.behavior.is_bad() => {}
             Received::Line(_) => {}
-            // It gave up waiting while the process stood still, or right after.
+            // The client gave up waiting while the process was suspended, or right after.
             Received::Nothing
-                if self.stood_still(
+                if self.was_suspended(
                     client,
-                    client.received_at - BAD_CLIENTS,
+                    client.received_at - BAD_CLIENT_TIMEOUT,
                     client.received_at,
                 ) => {}
             other => return Some(format!("rule 1: no answer but {other:?} after {took:?}")),
         }
-        let within = if bad {
-            BAD_CLIENTS
+        let timeout = if client.behavior.is_bad() {
+            BAD_CLIENT_TIMEOUT
         } else {
             REQUEST_TIMEOUT + SOCKET_SLACK
-        } + BUSY;
-        if took > within && !pauses {
+        };
+        if took > timeout + BUSY_SLACK && !suspended {
             return Some(format!("rule 1: {:?} after {took:?}", client.received));
         }
         match &client.ended {
             None => None,
-            Some(Received::Line(said)) if said == "MOVE" => None,
-            Some(Received::Nothing) if pauses => None,
+            Some(Received::Line(line)) if line == "MOVE" => None,
+            Some(Received::Nothing) if suspended => None,
             Some(other) => Some(format!("an open connection ended with {other:?}")),
         }
     }
 
-    /// Rule 2: no effect twice.
-    fn repeats(&self, client: &ClientObservation, attempts: &[&ObservedAttempt]) -> Option<String> {
-        let ran: Vec<&&ObservedAttempt> = attempts
-            .iter()
-            .filter(|one| one.behavior != HostBehavior::Rejects)
-            .collect();
-        let dismissed =
-            matches!(&client.received, Received::Line(said) if said.starts_with("BUSY"));
-        let first = ran.first()?;
-        match client.class {
-            2 if ran.len() > 1 => Some(format!("rule 2: may have run {} times", ran.len())),
-            2 if dismissed => Some("rule 2: dismissed though it may have run".into()),
-            1 if ran.iter().any(|one| one.host % 2 != first.host % 2) => {
-                Some("rule 2: left its group".into())
-            }
-            1 if ran
-                .iter()
-                .any(|one| one.at > first.at + WINDOW + SOCKET_SLACK + BUSY) =>
-            {
-                Some("rule 2: repeated past its window".into())
-            }
-            _ => None,
-        }
-    }
-
-    /// Rule 1: nothing is sent after the answer or the deadline, nor for a client that has gone.
-    fn late(&self, client: &ClientObservation, attempts: &[&ObservedAttempt]) -> Option<String> {
+    /// Rule 1: nothing is sent after the answer or the deadline, nor for a client that has closed.
+    fn check_late_attempt(
+        &self,
+        client: &ClientObservation,
+        attempts: &[&ObservedAttempt],
+    ) -> Option<String> {
         let last = attempts.last()?;
-        if let Some(left) = client.left.filter(|left| last.at > *left + GONE + BUSY) {
+        if let Some(left) = client
+            .left
+            .filter(|left| last.at > *left + ABANDON_TIME + BUSY_SLACK)
+        {
             return Some(format!(
                 "attempted {:?} after its client had gone",
                 last.at - left
             ));
         }
-        let answered = matches!(client.received, Received::Line(_))
-            && last.at > client.received_at + SOCKET_SLACK + BUSY;
-        if answered {
+        let slack = SOCKET_SLACK + BUSY_SLACK;
+        if matches!(client.received, Received::Line(_)) && last.at > client.received_at + slack {
             return Some(format!(
                 "rule 1: attempted {:?} after its answer",
                 last.at - client.received_at
             ));
         }
-        // Its time counts from when it was read: a process that stood still had not read it.
-        let from = client.asked - Duration::from_secs(1);
-        if last.at > client.asked + REQUEST_TIMEOUT + SOCKET_SLACK + BUSY
-            && !self.stood_still(client, from, last.at)
+        // The time of a request counts from when it was read: a process that was suspended had not read it.
+        let from = client.asked - READ_LOOKBACK;
+        if last.at > client.asked + REQUEST_TIMEOUT + slack
+            && !self.was_suspended(client, from, last.at)
         {
             return Some(format!(
                 "rule 1: attempted {:?} after it asked",
@@ -182,35 +169,84 @@
         None
     }
 
-    /// Rule 3: nothing new to hosts that drain, beyond the grace.
-    fn drained(&self, client: &ClientObservation, attempts: &[&ObservedAttempt]) -> Option<String> {
-        attempts.iter().find_map(|one| {
-            let drains = self.fault_history.drains.get(&one.host)?;
-            let (since, _) = drains
-                .iter()
-                .find(|(since, back)| one.at > *since && back.is_none_or(|back| one.at < back))?;
-            let late = one.at - *since;
-            let told = self.told(client.slot, *since, one.at);
-            let allowed =
-                told.saturating_duration_since(*since) + DRAIN_GRACE + SOCKET_SLACK + BUSY;
-            (late > allowed)
-                .then(|| format!("rule 3: sent to host {} {late:?} after its drain", one.host))
+    /// Rule 3: no attempt reaches a host that drains, beyond the grace.
+    fn check_drain(
+        &self,
+        client: &ClientObservation,
+        attempts: &[&ObservedAttempt],
+    ) -> Option<String> {
+        attempts.iter().find_map(|attempt| {
+            let drains = self.fault_history.drains.get(&attempt.host)?;
+            let drain = drains.iter().find(|drain| {
+                attempt.at > drain.announced
+                    && drain.revoked.is_none_or(|revoked| attempt.at < revoked)
+            })?;
+            let late = attempt.at - drain.announced;
+            let notified = self.notified_at(client.slot, drain.announced, attempt.at);
+            let allowed = notified.saturating_duration_since(drain.announced)
+                + DRAIN_GRACE
+                + SOCKET_SLACK
+                + BUSY_SLACK;
+            (late > allowed).then(|| {
+                format!(
+                    "rule 3: sent to host {} {late:?} after its drain",
+                    attempt.host
+                )
+            })
         })
     }
 
-    /// When a process of this slot counts as told of what the list service had at `since`.
-    fn told(&self, slot: usize, since: Instant, at: Instant) -> Instant {
+    /// When, by `at`, a process of this slot has to know what the list services had at `announced`.
+    fn notified_at(&self, slot: usize, announced: Instant, at: Instant) -> Instant {
         let slot = self.slots[slot].lock().unwrap();
-        let started = slot.started.iter().copied().filter(|t| *t < at).max();
-        let mut told = since.max(started.map_or(since, |t| t + ASK_WITHIN));
-        // A call that failed, for whatever reason, or a change of the service that is followed.
-        let failed = self.fault_history.service.iter().chain(&slot.spoilt);
-        for (_, ended) in failed.filter(|(began, ended)| *began < at && *ended + TOLD > since) {
-            told = told.max((*ended).max(since) + TOLD);
+        let started = slot.started.iter().copied().filter(|start| *start < at);
+        let mut notified = match started.max() {
+            Some(start) => announced.max(start + FIRST_POLL_TIME),
+            None => announced,
+        };
+        // Faults by which a poll may have failed.
+        let faults = self
+            .fault_history
+            .service_faults
+            .iter()
+            .chain(&slot.syscall_faults);
+        for span in faults.filter(|span| span.from < at && span.to + LIST_RECOVERY_TIME > announced)
+        {
+            notified = notified.max(span.to.max(announced) + LIST_RECOVERY_TIME);
+        }
+        for reloaded in slot.reloaded.iter().filter(|reloaded| **reloaded < at) {
+            notified = notified.max(*reloaded + RELOAD_TIME);
+        }
+        notified
+    }
+}
+
+/// Rule 2: a request that may have run is repeated only where, and for as long as, its class allows.
+fn check_repeats(client: &ClientObservation, attempts: &[&ObservedAttempt]) -> Option<String> {
+    let may_have_run: Vec<&ObservedAttempt> = attempts
+        .iter()
+        .copied()
+        .filter(|attempt| attempt.behavior != HostBehavior::Rejects)
+        .collect();
+    let first = may_have_run.first()?;
+    let window_end = first.at + WINDOW + SOCKET_SLACK + BUSY_SLACK;
+    match client.class {
+        CLASS_NON_IDEMPOTENT if may_have_run.len() > 1 => {
+            Some(format!("rule 2: may have run {} times", may_have_run.len()))
+        }
+        CLASS_NON_IDEMPOTENT if client.received.starts_with("BUSY") => {
+            Some("rule 2: dismissed though it may have run".into())
+        }
+        CLASS_WITH_KEY
+            if may_have_run
+                .iter()
+                .any(|one| one.host % 2 != first.host % 2) =>
+        {
+            Some("rule 2: left its group".into())
         }
-        for reloaded in slot.reloaded.iter().filter(|t| **t < at) {
-            told = told.max(*reloaded + Duration::from_secs(4));
+        CLASS_WITH_KEY if may_have_run.iter().any(|one| one.at > window_end) => {
+            Some("rule 2: repeated past its window".into())
         }
-        told
+        _ => None,
     }
 }
