--- a/testkit/src/network_tests.rs
+++ b/testkit/src/network/network_tests.rs
@@ -1,6 +1,9 @@
 use super::*;
+use std::io::{Read, Write};
+use std::net::{Shutdown, TcpStream};
+use std::time::Instant;
 
-/// Guards: a fault that is told and does not happen, or happens on the way back too.
+/// Prevents a fault that is set and does not happen, or happens in the other direction too.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one case for each fault")]
 fn each_fault_happens_on_the_wire_and_one_way_alone() {
@@ -115,7 +118,7 @@
     end
 }
 
-/// Guards: connections between processes that faults pass by, or that lose what they are to carry whole.
+/// Prevents connections between processes that faults pass by, or that lose what they are to carry whole.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one case for each fault")]
 fn connections_pass_whole_and_are_cut_held_up_garbled_and_cut_short() {
