--- a/testkit/src/discovery.rs
+++ b/testkit/src/discovery.rs
@@ -6,37 +6,93 @@
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::{Arc, Condvar, Mutex};
+use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::thread;
 use std::time::{Duration, Instant};
 
-const TURNED_AWAY: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+const REJECTION: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+/// The beginning of an answer that never ends.
+const PARTIAL_ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n{\"revision\":";
 
 #[derive(Default)]
-struct Kept {
+struct State {
     revision: u64,
-    members: Vec<(u64, Value)>,
+    members: Vec<Member>,
     /// Answers given in place of the list, the next one last.
-    instead: Vec<String>,
-    /// When each watch was answered and when each call came.
+    other_answers: Vec<String>,
+    /// When each call was answered.
     answered: Vec<Instant>,
+    /// When each call came.
     called: Vec<Instant>,
     /// What each call asked for.
     asked: Vec<String>,
-    /// How long one call takes it, and how much work may wait before it turns calls away; when it is free.
-    work: Option<(Duration, Duration)>,
-    free: Option<Instant>,
+    /// When each rejected call came.
+    rejected: Vec<Instant>,
+    rate_limit: Option<RateLimit>,
+    /// When all accepted calls will have been worked off.
+    idle_from: Option<Instant>,
     down: bool,
-    /// Takes calls and answers none; with the head of an answer, or with nothing.
-    hangs: Option<bool>,
-    /// Of ten calls so many are turned away.
-    refuses: usize,
-    turned_away: Vec<Instant>,
-    /// Grows with each start: what was begun before ends. Grows whenever watches fall silent.
-    life: u64,
-    mute: u64,
-    /// The whole list as it was last written, and of which life and revision.
-    whole: Option<((u64, u64), Arc<str>)>,
+    hang: Option<Hang>,
+    /// Of ten calls so many are rejected.
+    rejected_of_ten: usize,
+    /// Grows with each start: what was begun before ends.
+    incarnation: u64,
+    /// Grows whenever watches fall silent.
+    silences: u64,
+    /// The answer to a poll for the whole list.
+    cached_list: Option<CachedList>,
+}
+
+struct Member {
+    /// The revision at which it changed last.
+    revision: u64,
+    entry: Value,
+}
+
+#[derive(Clone, Copy)]
+struct RateLimit {
+    time_per_call: Duration,
+    /// How long a call may wait before it is rejected.
+    max_wait: Duration,
+}
+
+/// Calls are accepted and not answered.
+#[derive(Clone, Copy, PartialEq)]
+enum Hang {
+    BeforeAnswer,
+    /// With the beginning of an answer.
+    WithinAnswer,
+}
+
+/// The whole list as it was last written.
+struct CachedList {
+    incarnation: u64,
+    revision: u64,
+    body: Arc<str>,
+}
+
+/// A poll, or a watch where it names the revision that the caller has.
+struct Call {
+    path: String,
+    from_revision: Option<u64>,
+    /// How long a watch waits for a change.
+    hold: Duration,
+}
+
+/// What becomes of a call.
+enum Reply {
+    Answer(String),
+    /// An answer that is not complete, behind which the connection ends.
+    BrokenAnswer(String),
+    /// The connection ends.
+    Close,
+    /// The service hangs, until it recovers or starts again.
+    Hang {
+        kind: Hang,
+        incarnation: u64,
+    },
+    /// Nothing, until the caller ends the connection.
+    Silence,
 }
 
 /// Discovery: keeps a list and answers watches on it.
@@ -44,7 +100,7 @@
 pub struct Discovery {
     /// Where it listens.
     pub address: SocketAddr,
-    kept: Arc<(Mutex<Kept>, Condvar)>,
+    shared: Arc<(Mutex<State>, Condvar)>,
 }
 
 impl Discovery {
@@ -53,225 +109,297 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let discovery = Discovery {
             address: listener.local_addr().unwrap(),
-            kept: Arc::default(),
+            shared: Arc::default(),
         };
-        let serving = discovery.clone();
+        let service = discovery.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let one = serving.clone();
-                thread::spawn(move || one.serve(stream));
+                let service = service.clone();
+                thread::spawn(move || service.serve(stream));
             }
         });
         discovery
     }
 
-    /// From now on it works calls off in turn, so many a second, and turns away what would wait longer than that.
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.shared.0.lock().unwrap()
+    }
+
+    fn changed(&self) -> &Condvar {
+        &self.shared.1
+    }
+
+    /// From now on it works calls off one by one, so many a second, and rejects those that would wait longer than this.
     pub fn bound(&self, a_second: f64, queue: Duration) {
-        self.kept.0.lock().unwrap().work = Some((Duration::from_secs_f64(1.0 / a_second), queue));
+        self.state().rate_limit = Some(RateLimit {
+            time_per_call: Duration::from_secs_f64(1.0 / a_second),
+            max_wait: queue,
+        });
+    }
+
+    /// From now on it works calls off as fast as it can.
+    pub fn unbound(&self) {
+        self.state().rate_limit = None;
     }
 
     /// It is down: watches end, and no call is answered.
     pub fn go_down(&self) {
-        let mut kept = self.kept.0.lock().unwrap();
-        (kept.down, kept.life) = (true, kept.life + 1);
-        self.kept.1.notify_all();
+        let mut state = self.state();
+        state.down = true;
+        state.incarnation += 1;
+        self.changed().notify_all();
     }
 
     /// Answers calls again after [`Discovery::go_down`].
     pub fn come_up(&self) {
-        self.kept.0.lock().unwrap().down = false;
+        self.state().down = false;
     }
 
-    /// From now on it takes calls and answers none, or begins an answer and goes silent; watches stand.
+    /// From now on it accepts calls and answers none, or begins an answer and goes silent; watches stay open.
     pub fn hang(&self, begins: bool) {
-        self.kept.0.lock().unwrap().hangs = Some(begins);
-    }
-
-    /// Watches that wait now are never answered, and stay open; later calls are.
-    pub fn fall_silent(&self) {
-        self.kept.0.lock().unwrap().mute += 1;
+        self.state().hang = Some(if begins {
+            Hang::WithinAnswer
+        } else {
+            Hang::BeforeAnswer
+        });
     }
 
-    /// It is well again: what hung ends.
+    /// Ends [`Discovery::hang`]: the connections of calls that hung are closed.
     pub fn stop_hanging(&self) {
-        let mut kept = self.kept.0.lock().unwrap();
-        kept.hangs = None;
-        self.kept.1.notify_all();
+        self.state().hang = None;
+        self.changed().notify_all();
     }
 
-    /// It works off calls as fast as it can again.
-    pub fn unbound(&self) {
-        self.kept.0.lock().unwrap().work = None;
+    /// Watches that wait now are never answered, and stay open; later calls are answered.
+    pub fn fall_silent(&self) {
+        self.state().silences += 1;
     }
 
-    /// Turns away so many of ten calls.
+    /// Rejects so many of ten calls.
     pub fn turn_away(&self, of_ten: usize) {
-        self.kept.0.lock().unwrap().refuses = of_ten;
+        self.state().rejected_of_ten = of_ten;
     }
 
-    /// It starts anew with this list at this revision: all watches end at one moment, which it gives.
+    /// It starts again with this list at this revision: all watches end at one moment, which is returned.
     pub fn restart(&self, revision: u64, members: &[Value]) -> Instant {
-        let mut kept = self.kept.0.lock().unwrap();
-        (kept.life, kept.revision) = (kept.life + 1, revision);
-        kept.members = members
+        let mut state = self.state();
+        state.incarnation += 1;
+        state.revision = revision;
+        state.members = members
             .iter()
-            .map(|member| (revision, member.clone()))
+            .map(|entry| Member {
+                revision,
+                entry: entry.clone(),
+            })
             .collect();
-        self.kept.1.notify_all();
+        self.changed().notify_all();
         Instant::now()
     }
 
-    /// When each call came, and when one was turned away.
+    /// When each call came, and when each rejected one did.
     pub fn seen(&self) -> (Vec<Instant>, Vec<Instant>) {
-        let kept = self.kept.0.lock().unwrap();
-        (kept.called.clone(), kept.turned_away.clone())
+        let state = self.state();
+        (state.called.clone(), state.rejected.clone())
     }
 
     /// What each call asked for.
     pub fn asked(&self) -> Vec<String> {
-        self.kept.0.lock().unwrap().asked.clone()
+        self.state().asked.clone()
     }
 
-    /// Changes one entry of the list, which watches are told of.
-    pub fn change(&self, member: Value) {
-        let mut kept = self.kept.0.lock().unwrap();
-        kept.revision += 1;
-        let revision = kept.revision;
-        kept.members.retain(|(_, m)| m["id"] != member["id"]);
-        kept.members.push((revision, member));
-        self.kept.1.notify_all();
+    /// Changes one entry of the list, and notifies watches.
+    pub fn change(&self, entry: Value) {
+        let mut state = self.state();
+        state.revision += 1;
+        let revision = state.revision;
+        state
+            .members
+            .retain(|member| member.entry["id"] != entry["id"]);
+        state.members.push(Member { revision, entry });
+        self.changed().notify_all();
     }
 
     /// Has the next calls answered so in place of the list.
     pub fn answer_instead(&self, answers: &[&str]) {
-        self.kept.0.lock().unwrap().instead = answers
-            .iter()
-            .rev()
-            .map(std::string::ToString::to_string)
-            .collect();
+        let answers = answers.iter().rev();
+        self.state().other_answers = answers.map(ToString::to_string).collect();
     }
 
     /// Waits until so many calls have come, and says how long after the last answer each followed.
     pub fn calls(&self, count: usize) -> Vec<Duration> {
-        let until = Instant::now() + MAX_WAIT;
-        let mut kept = self.kept.0.lock().unwrap();
-        while kept.called.len() < count {
-            let left = until
+        let deadline = Instant::now() + MAX_WAIT;
+        let mut state = self.state();
+        while state.called.len() < count {
+            let remaining = deadline
                 .checked_duration_since(Instant::now())
                 .expect("too few calls came");
-            kept = self.kept.1.wait_timeout(kept, left).unwrap().0;
+            state = self.changed().wait_timeout(state, remaining).unwrap().0;
         }
-        kept.called
+        state
+            .called
             .iter()
             .skip(1)
-            .zip(&kept.answered)
-            .map(|(c, a)| c.saturating_duration_since(*a))
+            .zip(&state.answered)
+            .map(|(called, answered)| called.saturating_duration_since(*answered))
             .collect()
     }
 
-    #[expect(
-        clippy::too_many_lines,
-        reason = "one call, in the order in which it passes through the service"
-    )]
     fn serve(&self, mut stream: TcpStream) {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
-        loop {
-            let mut request = String::new();
-            while !request.ends_with("\r\n\r\n") {
-                if !matches!(reader.read_line(&mut request), Ok(1..)) {
-                    return;
+        while let Some(call) = Call::read(&mut reader) {
+            match self.reply(&call) {
+                Reply::Answer(answer) => {
+                    if stream.write_all(answer.as_bytes()).is_err() {
+                        return;
+                    }
                 }
-            }
-            let path = request.split(' ').nth(1).unwrap();
-            let figure = |name: &str| -> Option<u64> {
-                path.split(['?', '&'])
-                    .find_map(|p| p.strip_prefix(name))
-                    .map(|v| v.parse().unwrap())
-            };
-            let (from, hold) = (figure("from="), figure("hold_ms=").unwrap_or(0));
-            let mut kept = self.kept.0.lock().unwrap();
-            let (came, life) = (Instant::now(), kept.life);
-            kept.called.push(came);
-            kept.asked.push(path.to_string());
-            self.kept.1.notify_all();
-            if kept.down {
-                return;
-            }
-            if let Some(begins) = kept.hangs {
-                if begins {
-                    _ = stream.write_all(
-                        b"HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n{\"revision\":",
-                    );
-                }
-                drop(
-                    self.kept
-                        .1
-                        .wait_while(kept, |k| k.hangs.is_some() && k.life == life),
-                );
-                return;
-            }
-            let refused = kept.called.len() % 10 < kept.refuses;
-            let (each, queue) = kept.work.unwrap_or_default();
-            let free = kept.free.unwrap_or(came).max(came);
-            if refused || free > came + queue {
-                kept.turned_away.push(came);
-                drop(kept);
-                if stream.write_all(TURNED_AWAY.as_bytes()).is_err() {
+                Reply::BrokenAnswer(answer) => {
+                    _ = stream.write_all(answer.as_bytes());
                     return;
                 }
-                continue;
-            }
-            if !each.is_zero() {
-                kept.free = Some(free + each);
-                drop(kept);
-                // Its work takes time; nobody waits here for anything else to happen.
-                thread::sleep((free + each).saturating_duration_since(Instant::now()));
-                kept = self.kept.0.lock().unwrap();
-            }
-            if let Some(instead) = kept.instead.pop() {
-                kept.answered.push(Instant::now());
-                drop(kept);
-                if stream.write_all(instead.as_bytes()).is_err() || !instead.contains("\r\n\r\n") {
-                    return;
+                Reply::Close => return,
+                Reply::Hang { kind, incarnation } => {
+                    if kind == Hang::WithinAnswer {
+                        _ = stream.write_all(PARTIAL_ANSWER);
+                    }
+                    return self.wait_while_hanging(incarnation);
                 }
-                continue;
-            }
-            if let Some(from) = from {
-                let wait = Duration::from_millis(hold);
-                let mute = kept.mute;
-                let same = |k: &mut Kept| k.revision <= from && k.life == life;
-                kept = self.kept.1.wait_timeout_while(kept, wait, same).unwrap().0;
-                if kept.mute != mute {
-                    drop(kept);
-                    // Whoever waits here is heard no more; the connection ends when the other side ends it.
-                    _ = reader.read_line(&mut request);
+                Reply::Silence => {
+                    _ = reader.read_line(&mut String::new());
                     return;
                 }
             }
-            if kept.life != life {
-                return;
-            }
-            let body = match (from, &kept.whole) {
-                (None, Some((of, body))) if *of == (kept.life, kept.revision) => body.clone(),
-                _ => {
-                    let news = kept
-                        .members
-                        .iter()
-                        .filter(|(r, _)| from.is_none_or(|from| *r > from));
-                    let members: Vec<&Value> = news.map(|(_, m)| m).collect();
-                    let list = json!({"revision": kept.revision, "complete": from.is_none(), "members": members});
-                    Arc::from(list.to_string())
-                }
+        }
+    }
+
+    fn wait_while_hanging(&self, incarnation: u64) {
+        let hangs = |state: &mut State| state.hang.is_some() && state.incarnation == incarnation;
+        drop(self.changed().wait_while(self.state(), hangs));
+    }
+
+    /// Waits for as long as a call takes, and says what becomes of it.
+    fn reply(&self, call: &Call) -> Reply {
+        let mut state = self.state();
+        let (now, incarnation) = (Instant::now(), state.incarnation);
+        state.called.push(now);
+        state.asked.push(call.path.clone());
+        self.changed().notify_all();
+        if state.down {
+            return Reply::Close;
+        }
+        if let Some(kind) = state.hang {
+            return Reply::Hang { kind, incarnation };
+        }
+        let Some(worked_off) = state.accept(now) else {
+            return Reply::Answer(REJECTION.into());
+        };
+        if worked_off > now {
+            drop(state);
+            thread::sleep(worked_off.saturating_duration_since(Instant::now()));
+            state = self.state();
+        }
+        if let Some(answer) = state.other_answers.pop() {
+            state.answered.push(Instant::now());
+            return if answer.contains("\r\n\r\n") {
+                Reply::Answer(answer)
+            } else {
+                Reply::BrokenAnswer(answer)
             };
-            if from.is_none() {
-                kept.whole = Some(((kept.life, kept.revision), body.clone()));
+        }
+        if let Some(from) = call.from_revision {
+            let silences = state.silences;
+            let unchanged =
+                |state: &mut State| state.revision <= from && state.incarnation == incarnation;
+            let waited = self
+                .changed()
+                .wait_timeout_while(state, call.hold, unchanged);
+            state = waited.unwrap().0;
+            if state.silences != silences {
+                return Reply::Silence;
             }
-            kept.answered.push(Instant::now());
-            drop(kept);
-            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-            if stream.write_all((head + &*body).as_bytes()).is_err() {
-                return;
+        }
+        if state.incarnation != incarnation {
+            return Reply::Close;
+        }
+        let body = state.list(call.from_revision);
+        state.answered.push(Instant::now());
+        drop(state);
+        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
+        Reply::Answer(head + &*body)
+    }
+}
+
+impl State {
+    /// Accepts a call, and returns when it will have been worked off; or notes that it is rejected.
+    fn accept(&mut self, now: Instant) -> Option<Instant> {
+        let in_turn = self.called.len() % 10 < self.rejected_of_ten;
+        let idle_from = self.idle_from.unwrap_or(now).max(now);
+        let max_wait = self
+            .rate_limit
+            .map_or(Duration::ZERO, |limit| limit.max_wait);
+        if in_turn || idle_from > now + max_wait {
+            self.rejected.push(now);
+            return None;
+        }
+        let Some(limit) = self.rate_limit else {
+            return Some(now);
+        };
+        let worked_off = idle_from + limit.time_per_call;
+        self.idle_from = Some(worked_off);
+        Some(worked_off)
+    }
+
+    /// The list, or what has changed in it since a revision.
+    fn list(&mut self, from_revision: Option<u64>) -> Arc<str> {
+        let Some(from) = from_revision else {
+            return self.whole_list();
+        };
+        let changed = self.members.iter().filter(|member| member.revision > from);
+        self.list_of(changed, false)
+    }
+
+    fn whole_list(&mut self) -> Arc<str> {
+        let current = |list: &&CachedList| {
+            (list.incarnation, list.revision) == (self.incarnation, self.revision)
+        };
+        if let Some(cached) = self.cached_list.as_ref().filter(current) {
+            return cached.body.clone();
+        }
+        let body = self.list_of(self.members.iter(), true);
+        self.cached_list = Some(CachedList {
+            incarnation: self.incarnation,
+            revision: self.revision,
+            body: body.clone(),
+        });
+        body
+    }
+
+    fn list_of<'a>(&self, members: impl Iterator<Item = &'a Member>, complete: bool) -> Arc<str> {
+        let entries: Vec<&Value> = members.map(|member| &member.entry).collect();
+        let list = json!({"revision": self.revision, "complete": complete, "members": entries});
+        Arc::from(list.to_string())
+    }
+}
+
+impl Call {
+    /// The next call on a connection, unless it ends.
+    fn read(reader: &mut BufReader<TcpStream>) -> Option<Call> {
+        let mut head = String::new();
+        while !head.ends_with("\r\n\r\n") {
+            if !matches!(reader.read_line(&mut head), Ok(1..)) {
+                return None;
             }
         }
+        let path = head.split(' ').nth(1).unwrap();
+        let parameter = |name: &str| -> Option<u64> {
+            path.split(['?', '&'])
+                .find_map(|part| part.strip_prefix(name))
+                .map(|value| value.parse().unwrap())
+        };
+        Some(Call {
+            from_revision: parameter("from="),
+            hold: Duration::from_millis(parameter("hold_ms=").unwrap_or(0)),
+            path: path.to_string(),
+        })
     }
 }
--- a/testkit/src/html_chart_tests.rs
+++ b/testkit/src/html_chart_tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Guards: a page that loads something from elsewhere, or leaves a count out.
+/// Prevents a page that loads something from elsewhere, or leaves a count out.
 #[test]
 fn every_count_is_on_a_page_that_needs_nothing_else() {
     let row = |name: &str, by_second: &[usize]| Row {
--- a/testkit/src/main.rs
+++ b/testkit/src/main.rs
@@ -2,11 +2,13 @@
 //! exit code: 0 where all that a measurement promises held, 1 where something fell short, 2 for wrong usage.
 
 use clap::{Args, Parser, Subcommand};
-use reedferry_testkit::schedule::{self, FaultSchedule};
+use reedferry_testkit::schedule::{self, FaultSchedule, ScheduleError};
 use reedferry_testkit::two_tier::{self, Report};
 use reedferry_testkit::{coldstart, fleet_view, html_chart, soak};
 use serde_json::json;
-use std::path::PathBuf;
+use std::fmt;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 /// Attachments a second at the most.
@@ -72,22 +74,19 @@
 }
 
 impl ScheduleOptions {
-    fn schedules(&self) -> Result<Vec<FaultSchedule>, String> {
-        let Some(path) = &self.replay else {
-            let drawn =
-                |n| FaultSchedule::draw(self.seed + n, self.size as usize, self.faults as usize);
-            return Ok((0..self.count).map(drawn).collect());
-        };
-        let in_file = |why: &dyn std::fmt::Display| format!("{}: {why}", path.display());
-        let text = std::fs::read_to_string(path).map_err(|why| in_file(&why))?;
-        let schedule = text
-            .parse()
-            .map_err(|why: schedule::ScheduleError| in_file(&why))?;
-        Ok(vec![schedule])
+    fn schedules(&self) -> Result<Vec<FaultSchedule>, ScheduleFileError> {
+        match &self.replay {
+            Some(path) => Ok(vec![read_schedule(path)?]),
+            None => Ok((0..self.count)
+                .map(|n| {
+                    FaultSchedule::draw(self.seed + n, self.size as usize, self.faults as usize)
+                })
+                .collect()),
+        }
     }
 
-    /// Plays them one after the other; one that fails is made smaller and printed.
-    fn play(&self) -> Result<Report, String> {
+    /// Plays all schedules one after the other; one that fails is shrunk and printed.
+    fn play(&self) -> Result<Report, ScheduleFileError> {
         let (mut figures, mut broken) = (serde_json::Map::new(), Vec::new());
         let schedules = self.schedules()?;
         figures.insert("schedules".into(), json!(schedules.len()));
@@ -114,6 +113,28 @@
     }
 }
 
+/// Why a file gives no schedule.
+enum ScheduleFileError {
+    Unreadable(PathBuf, io::Error),
+    Malformed(PathBuf, ScheduleError),
+}
+
+impl fmt::Display for ScheduleFileError {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            ScheduleFileError::Unreadable(path, why) => write!(out, "{}: {why}", path.display()),
+            ScheduleFileError::Malformed(path, why) => write!(out, "{}: {why}", path.display()),
+        }
+    }
+}
+
+fn read_schedule(path: &Path) -> Result<FaultSchedule, ScheduleFileError> {
+    let text = std::fs::read_to_string(path)
+        .map_err(|why| ScheduleFileError::Unreadable(path.into(), why))?;
+    text.parse()
+        .map_err(|why| ScheduleFileError::Malformed(path.into(), why))
+}
+
 #[derive(Args)]
 struct SoakOptions {
     /// What the first soak is drawn from; each further one from the next number.
--- a/testkit/src/network/network_tests.rs
+++ b/testkit/src/network/network_tests.rs
@@ -17,7 +17,7 @@
         end.set_read_timeout(Some(Duration::from_millis(200)))
             .unwrap();
     });
-    let hears = |end: usize| {
+    let received = |end: usize| {
         let mut space = [0; 64];
         let came = ends[end].recv_from(&mut space);
         came.ok()
@@ -34,12 +34,12 @@
         ends[0]
             .send_to(b"well met", network.public_addresses[1])
             .unwrap();
-        let there = hears(1);
+        let there = received(1);
         ends[1]
             .send_to(b"and you", network.public_addresses[0])
             .unwrap();
         assert_eq!(
-            hears(0),
+            received(0),
             Some((b"and you".to_vec(), network.public_addresses[1])),
             "the way back is spoilt"
         );
@@ -88,7 +88,7 @@
         ..well
     })
     .unwrap();
-    assert!(hears(1).is_some(), "not doubled");
+    assert!(received(1).is_some(), "not doubled");
     let passed = network.passed();
     assert_eq!(
         (
--- a/testkit/src/soak/soak_faults.rs
+++ b/testkit/src/soak/soak_faults.rs
@@ -12,23 +12,23 @@
 /// One fault, at a process by its slot, at a host, or at the list service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SoakFault {
-    /// Told to stop by a signal, and started again once it has.
+    /// Told to stop by a signal, and started again once it has stopped.
     Stop(usize),
-    /// Another process takes its place and its connections.
+    /// Another process takes over its listener and its connections.
     Replace(usize),
-    /// The same, while words between both fail most of the time at both.
+    /// The same, while messages between the two fail most of the time at both.
     ReplaceSpoilt(usize),
-    /// Ended outright, and started again.
+    /// Killed, and started again.
     Kill(usize),
-    /// Told to read its settings again, which name the other list service; and back.
+    /// Told to reload its settings, which name the other list service; and back.
     Reload(usize),
-    /// Stands still.
+    /// Suspended.
     StandStill(usize),
     /// The wall clock of its machine is stepped by so many seconds.
     StepClock(usize, i64),
     /// System calls of this family fail, fall short or are held up.
     Calls(usize, SyscallFaultFamily),
-    /// A host behaves so.
+    /// A host behaves in this way.
     Host(usize, HostBehavior),
     /// A host drains, and comes back.
     Drain(usize),
@@ -55,7 +55,7 @@
     Short,
     /// Sends are delayed.
     HeldUp,
-    /// Words between one process and the next, most of the time.
+    /// Messages between a process and its successor fail most of the time.
     Channel,
 }
 
@@ -137,10 +137,10 @@
 /// A fault with its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedFault {
-    /// When it begins, from the start.
-    pub at: Duration,
+    /// When it begins, from the start of the soak.
+    pub start: Duration,
     /// How long it lasts.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// What happens.
     pub fault: SoakFault,
 }
@@ -165,43 +165,46 @@
     pub planned: Vec<PlannedFault>,
 }
 
-/// How long a process takes to stop, by the longest deadline, in milliseconds.
-const STOPS: u64 = 2800;
-/// A quiet time at the start, and between two faults of one stream at the most.
-const QUIET: u64 = 500;
+/// How long a process takes to stop, by the longest deadline.
+const STOP_MILLIS: u64 = 2800;
+/// How long other faults last at the least.
+const MIN_DURATION_MILLIS: u64 = 200;
+/// How much longer than the least a fault may last.
+const DURATION_SPREAD_MILLIS: u64 = 2800;
+/// A quiet time at the start, and the longest one between two faults of one stream.
+const QUIET_MILLIS: u64 = 500;
 
 impl SoakSchedule {
     /// Draws a schedule; the same seed and size draw the same.
     pub fn draw(seed: u64, size: &SoakSize) -> SoakSchedule {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let span = size.span.as_millis() as u64;
+        let span_millis = size.span.as_millis() as u64;
         let mut planned = Vec::new();
         for _ in 0..size.overlap {
-            let mut at = QUIET + rng.random_range(0..QUIET);
-            while at < span {
-                let fault = SoakSchedule::fault(&mut rng, size);
+            let mut start_millis = QUIET_MILLIS + rng.random_range(0..QUIET_MILLIS);
+            while start_millis < span_millis {
+                let fault = SoakSchedule::draw_fault(&mut rng, size);
                 // A process that was told to stop takes its time, and nobody is to wait for it.
-                let least = if matches!(fault, SoakFault::Stop(_)) {
-                    STOPS
-                } else {
-                    200
+                let min_millis = match fault {
+                    SoakFault::Stop(_) => STOP_MILLIS,
+                    _ => MIN_DURATION_MILLIS,
                 };
-                let lasts = rng.random_range(least..least + 2800);
-                let (at_span, lasting) = (Duration::from_millis(at), Duration::from_millis(lasts));
+                let duration_millis =
+                    rng.random_range(min_millis..min_millis + DURATION_SPREAD_MILLIS);
                 planned.push(PlannedFault {
-                    at: at_span,
-                    lasts: lasting,
+                    start: Duration::from_millis(start_millis),
+                    duration: Duration::from_millis(duration_millis),
                     fault,
                 });
                 // The next may begin while this one lasts.
-                at += rng.random_range(100..=lasts + QUIET);
+                start_millis += rng.random_range(100..=duration_millis + QUIET_MILLIS);
             }
         }
-        planned.sort_by_key(|one| one.at);
+        planned.sort_by_key(|planned| planned.start);
         SoakSchedule { seed, planned }
     }
 
-    fn fault(rng: &mut ChaCha8Rng, size: &SoakSize) -> SoakFault {
+    fn draw_fault(rng: &mut ChaCha8Rng, size: &SoakSize) -> SoakFault {
         let slot = rng.random_range(0..size.processes);
         let host = rng.random_range(0..size.hosts);
         match rng.random_range(0..20) {
@@ -233,33 +236,32 @@
 
     /// All beginnings and ends in their order.
     pub fn transitions(&self) -> Vec<FaultTransition> {
-        let mut transitions = Vec::new();
-        for PlannedFault { at, lasts, fault } in &self.planned {
-            transitions.push(FaultTransition {
-                at: *at,
-                begins: true,
-                fault: fault.clone(),
-            });
-            transitions.push(FaultTransition {
-                at: *at + *lasts,
-                begins: false,
-                fault: fault.clone(),
-            });
-        }
+        let mut transitions: Vec<FaultTransition> = self
+            .planned
+            .iter()
+            .flat_map(PlannedFault::transitions)
+            .collect();
         transitions.sort_by_key(|transition| transition.at);
         transitions
     }
 }
 
+impl PlannedFault {
+    fn transitions(&self) -> [FaultTransition; 2] {
+        let end = self.start + self.duration;
+        [(self.start, true), (end, false)].map(|(at, begins)| FaultTransition {
+            at,
+            begins,
+            fault: self.fault.clone(),
+        })
+    }
+}
+
 impl fmt::Display for SoakSchedule {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for PlannedFault { at, lasts, fault } in &self.planned {
-            writeln!(
-                f,
-                "  at {} for {} {fault:?}",
-                at.as_millis(),
-                lasts.as_millis()
-            )?;
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for planned in &self.planned {
+            let (start, duration) = (planned.start.as_millis(), planned.duration.as_millis());
+            writeln!(out, "  at {start} for {duration} {:?}", planned.fault)?;
         }
         Ok(())
     }
--- a/testkit/src/soak/soak_faults_tests.rs
+++ b/testkit/src/soak/soak_faults_tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Guards: a failing seed that can't be played again, and troubles that never meet.
+/// Prevents a failing seed that can't be played again, and faults that never overlap.
 #[test]
-fn a_seed_draws_the_same_again_and_its_troubles_overlap() {
+fn a_seed_draws_the_same_again_and_its_faults_overlap() {
     let size = SoakSize {
         processes: 24,
         hosts: 8,
@@ -13,16 +13,17 @@
     for seed in 0..50 {
         let drawn = SoakSchedule::draw(seed, &size);
         assert_eq!(drawn, SoakSchedule::draw(seed, &size));
-        let meet =
-            |a: &PlannedFault, b: &PlannedFault| a.at < b.at + b.lasts && b.at < a.at + a.lasts;
-        let met = drawn
+        let overlap = |a: &PlannedFault, b: &PlannedFault| {
+            a.start < b.start + b.duration && b.start < a.start + a.duration
+        };
+        let overlaps = drawn
             .planned
             .windows(2)
-            .filter(|two| meet(&two[0], &two[1]))
+            .filter(|pair| overlap(&pair[0], &pair[1]))
             .count();
         assert!(
-            met * 2 > drawn.planned.len(),
-            "seed {seed}: {met} of {}",
+            overlaps * 2 > drawn.planned.len(),
+            "seed {seed}: {overlaps} of {}",
             drawn.planned.len()
         );
         assert_eq!(drawn.transitions().len(), 2 * drawn.planned.len());
