--- a/testkit/src/html_chart.rs
+++ b/testkit/src/html_chart.rs
@@ -13,8 +13,8 @@
 const WIDTH: usize = 900;
 const HEIGHT: usize = 120;
 
-/// What a page may not take for its own marks.
-fn plain(text: &str) -> String {
+/// Escapes what HTML would take for markup.
+fn escape(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
         .replace('>', "&gt;")
@@ -22,7 +22,7 @@
 
 /// All rows over the same seconds, each to its own height, with its counts as a table below.
 pub fn page(title: &str, rows: &[Row]) -> String {
-    let title = plain(title);
+    let title = escape(title);
     let seconds = rows
         .iter()
         .map(|row| row.by_second.len())
@@ -35,32 +35,32 @@
          </head><body><h1>{title}</h1>\n"
     );
     for row in rows {
-        let most = row.by_second.iter().max().copied().unwrap_or(0);
+        let max = row.by_second.iter().max().copied().unwrap_or(0);
         let sum: usize = row.by_second.iter().sum();
         _ = write!(
             page,
-            "<h2>{}: {sum}, {most} at most in a second</h2>\n<svg width=\"{WIDTH}\" ",
-            plain(&row.name)
+            "<h2>{}: {sum}, {max} at most in a second</h2>\n<svg width=\"{WIDTH}\" ",
+            escape(&row.name)
         );
         _ = writeln!(
             page,
             "height=\"{HEIGHT}\" viewBox=\"0 0 {WIDTH} {HEIGHT}\">"
         );
-        let wide = WIDTH as f64 / seconds as f64;
+        let width = WIDTH as f64 / seconds as f64;
         for (second, count) in row.by_second.iter().enumerate() {
-            let high = (count * HEIGHT) as f64 / most.max(1) as f64;
-            let (x, y) = (second as f64 * wide, HEIGHT as f64 - high);
+            let height = (count * HEIGHT) as f64 / max.max(1) as f64;
+            let (x, y) = (second as f64 * width, HEIGHT as f64 - height);
             _ = writeln!(
                 page,
-                "<rect x=\"{x:.1}\" y=\"{y:.1}\" width=\"{:.1}\" height=\"{high:.1}\"><title>second {second}: {count}</title></rect>",
-                wide * 0.9
+                "<rect x=\"{x:.1}\" y=\"{y:.1}\" width=\"{:.1}\" height=\"{height:.1}\"><title>second {second}: {count}</title></rect>",
+                width * 0.9
             );
         }
         page.push_str("</svg>\n");
     }
     page.push_str("<table><tr><th>second</th>");
     rows.iter()
-        .for_each(|row| _ = write!(page, "<th>{}</th>", plain(&row.name)));
+        .for_each(|row| _ = write!(page, "<th>{}</th>", escape(&row.name)));
     page.push_str("</tr>\n");
     for second in 0..seconds {
         _ = write!(page, "<tr><td>{second}</td>");
--- a/testkit/src/relay.rs
+++ b/testkit/src/relay.rs
@@ -8,19 +8,19 @@
 use std::thread;
 use std::time::Duration;
 
-/// What happens to the bytes of one way.
+/// The faults of one direction.
 #[derive(Default)]
 pub struct Lane {
-    /// They vanish, and neither side is told.
+    /// Bytes are dropped, and neither side learns it.
     pub cut: AtomicBool,
-    /// Each piece comes so many milliseconds late.
+    /// By how many milliseconds each piece is delayed.
     pub delay: AtomicU64,
-    /// The next piece has its first bytes turned over.
+    /// The next piece has its first bytes inverted.
     pub garble: AtomicBool,
 }
 
 impl Lane {
-    /// Takes all faults away.
+    /// Ends all faults.
     pub fn clear(&self) {
         self.cut.store(false, SeqCst);
         self.delay.store(0, SeqCst);
@@ -32,9 +32,9 @@
 pub struct Relay {
     /// Where it listens.
     pub address: SocketAddr,
-    /// From who connected to where it leads, and back.
+    /// The direction from who connected to where the relay leads.
     pub up: Arc<Lane>,
-    /// The way back.
+    /// The direction back.
     pub down: Arc<Lane>,
     to: Arc<Mutex<SocketAddr>>,
     open: Arc<Mutex<Vec<TcpStream>>>,
@@ -58,21 +58,21 @@
             relay.open.clone(),
         );
         thread::spawn(move || {
-            for near in listener.incoming().flatten() {
-                let Ok(far) = TcpStream::connect(*to.lock().unwrap()) else {
+            for caller in listener.incoming().flatten() {
+                let Ok(target) = TcpStream::connect(*to.lock().unwrap()) else {
                     continue;
                 };
-                let both = [&near, &far].map(|s| {
-                    _ = s.set_nodelay(true);
-                    s.try_clone().unwrap()
+                let ends = [&caller, &target].map(|stream| {
+                    _ = stream.set_nodelay(true);
+                    stream.try_clone().unwrap()
                 });
-                open.lock().unwrap().extend(both);
+                open.lock().unwrap().extend(ends);
                 pass(
-                    near.try_clone().unwrap(),
-                    far.try_clone().unwrap(),
+                    caller.try_clone().unwrap(),
+                    target.try_clone().unwrap(),
                     up.clone(),
                 );
-                pass(far, near, down.clone());
+                pass(target, caller, down.clone());
             }
         });
         relay
@@ -91,19 +91,22 @@
     }
 }
 
-fn pass(mut from: TcpStream, mut to: TcpStream, lane: Arc<Lane>) {
+/// Copies one direction of a connection, until either side ends.
+fn pass(mut from: TcpStream, mut to: TcpStream, direction: Arc<Lane>) {
     thread::spawn(move || {
         let mut bytes = vec![0; 1 << 16];
         while let Ok(count @ 1..) = from.read(&mut bytes) {
-            match lane.delay.load(SeqCst) {
+            match direction.delay.load(SeqCst) {
                 0 => {}
-                late => thread::sleep(Duration::from_millis(late)),
+                millis => thread::sleep(Duration::from_millis(millis)),
             }
-            if lane.cut.load(SeqCst) {
+            if direction.cut.load(SeqCst) {
                 continue;
             }
-            if lane.garble.swap(false, SeqCst) {
-                bytes[..count.min(8)].iter_mut().for_each(|b| *b = !*b);
+            if direction.garble.swap(false, SeqCst) {
+                bytes[..count.min(8)]
+                    .iter_mut()
+                    .for_each(|byte| *byte = !*byte);
             }
             if to.write_all(&bytes[..count]).is_err() {
                 break;
--- a/testkit/src/syscalls.rs
+++ b/testkit/src/syscalls.rs
@@ -62,10 +62,10 @@
     (Call::Read, &[libc::SYS_read]),
 ];
 
-/// How soon a process that is told to stand still does.
-const STOPS_WITHIN: Duration = Duration::from_secs(10);
-/// The longest path that is looked at.
-const LONGEST_PATH: usize = 4096;
+/// How soon a process is suspended.
+const MAX_SUSPEND_TIME: Duration = Duration::from_secs(10);
+/// How much of a path is read.
+const MAX_PATH_BYTES: usize = 4096;
 
 /// What becomes of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,12 +78,12 @@
     HeldUp(Duration),
 }
 
-/// Every so many calls of a kind come to this.
+/// One of so many calls of a kind has this outcome.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
     /// Which calls.
     pub call: Call,
-    /// What they come to.
+    /// What becomes of them.
     pub outcome: Outcome,
     /// One of so many.
     pub every: u64,
@@ -91,17 +91,24 @@
 
 #[derive(Default)]
 struct State {
-    faults: Vec<(Fault, u64)>,
-    spoilt: u64,
+    faults: Vec<CountedFault>,
+    faulty_calls: u64,
     /// How far the wall clock is off.
     step_nanos: i64,
+    /// Whether the process is to be suspended.
     paused: bool,
-    /// Whether it stands still for that.
-    stands: bool,
+    /// Whether it is.
+    suspended: bool,
     exited: Option<ExitStatus>,
 }
 
-/// What a test holds of a made faulty process: it says what happens to its calls from now on.
+/// A fault, and how many calls of its kind there were.
+struct CountedFault {
+    fault: Fault,
+    calls: u64,
+}
+
+/// How a test controls a traced process: which of its system calls are faulty, and its wall clock.
 #[derive(Clone, Default)]
 pub struct SyscallInjector(Arc<(Mutex<State>, Condvar)>);
 
@@ -112,7 +119,11 @@
 
     /// From now on these faults happen, and no others.
     pub fn set(&self, faults: &[Fault]) {
-        self.state().faults = faults.iter().map(|fault| (*fault, 0)).collect();
+        let counted = |fault: &Fault| CountedFault {
+            fault: *fault,
+            calls: 0,
+        };
+        self.state().faults = faults.iter().map(counted).collect();
     }
 
     /// From now on none happen.
@@ -122,7 +133,7 @@
 
     /// How many calls were made faulty so far.
     pub fn spoilt(&self) -> u64 {
-        self.state().spoilt
+        self.state().faulty_calls
     }
 
     /// Steps the wall clock of the process's machine.
@@ -130,11 +141,11 @@
         self.state().step_nanos += seconds * 1_000_000_000;
     }
 
-    /// Has the process stand still at its next system call, or go on.
+    /// Suspends the process at its next system call, or continues it.
     fn pause(&self, paused: bool) {
         let mut state = self.state();
         state.paused = paused;
-        state.stands &= paused;
+        state.suspended &= paused;
         drop(state);
         self.0 .1.notify_all();
     }
@@ -142,38 +153,35 @@
     fn outcome(&self, call: Call) -> Option<Outcome> {
         let mut state = self.state();
         let mut outcome = None;
-        for (fault, seen) in state
-            .faults
-            .iter_mut()
-            .filter(|(fault, _)| fault.call == call)
-        {
-            *seen += 1;
-            if seen.is_multiple_of(fault.every.max(1)) {
-                outcome = outcome.or(Some(fault.outcome));
+        let of_kind = |counted: &&mut CountedFault| counted.fault.call == call;
+        for counted in state.faults.iter_mut().filter(of_kind) {
+            counted.calls += 1;
+            if counted.calls.is_multiple_of(counted.fault.every.max(1)) {
+                outcome = outcome.or(Some(counted.fault.outcome));
             }
         }
-        state.spoilt += u64::from(outcome.is_some());
+        state.faulty_calls += u64::from(outcome.is_some());
         outcome
     }
 
-    /// Keeps the process stopped while it is to stand still.
+    /// Keeps the process stopped while it is to be suspended.
     fn wait_while_paused(&self) {
         let (_, changed) = &*self.0;
         let paused = |state: &mut State| {
-            state.stands = state.paused;
+            state.suspended = state.paused;
             changed.notify_all();
             state.paused
         };
         drop(changed.wait_while(self.state(), paused));
     }
 
-    /// Waits until the process stands still, or has ended.
-    fn wait_until_it_stands(&self) {
+    /// Waits until the process is suspended, or has ended.
+    fn wait_until_suspended(&self) {
         let (_, changed) = &*self.0;
-        let runs = |state: &mut State| !state.stands && state.exited.is_none();
-        let waited = changed.wait_timeout_while(self.state(), STOPS_WITHIN, runs);
-        let (_state, late) = waited.unwrap_or_else(PoisonError::into_inner);
-        assert!(!late.timed_out(), "the process does not stand still");
+        let runs = |state: &mut State| !state.suspended && state.exited.is_none();
+        let waited = changed.wait_timeout_while(self.state(), MAX_SUSPEND_TIME, runs);
+        let (_state, timeout) = waited.unwrap_or_else(PoisonError::into_inner);
+        assert!(!timeout.timed_out(), "the process does not stand still");
     }
 }
 
@@ -193,7 +201,7 @@
         injector: &SyscallInjector,
     ) -> io::Result<(TracedProcess, ChildStderr)> {
         let (sender, started) = channel();
-        let theirs = injector.clone();
+        let tracer_injector = injector.clone();
         thread::spawn(move || {
             let filter = filter();
             // SAFETY: only calls that are safe after a fork, on memory that was allocated before.
@@ -205,11 +213,11 @@
                     _ = sender.send(Ok((pid, stderr)));
                     Tracer {
                         pid,
-                        injector: theirs,
+                        injector: tracer_injector,
                     }
                     .run();
                 }
-                Err(e) => _ = sender.send(Err(e)),
+                Err(error) => _ = sender.send(Err(error)),
             }
         });
         let (pid, stderr) = started.recv().expect("the tracer ended")?;
@@ -251,12 +259,12 @@
         }
     }
 
-    /// Has it stand still. Returns once it does.
+    /// Suspends it. Returns once it is suspended.
     pub fn suspend(&self) {
         self.injector.pause(true);
         // SAFETY: as above. The tracer keeps it stopped where the signal meets it.
         unsafe { libc::kill(self.pid, libc::SIGSTOP) };
-        self.injector.wait_until_it_stands();
+        self.injector.wait_until_suspended();
     }
 
     /// Ends [`TracedProcess::suspend`].
@@ -296,19 +304,22 @@
     let load = |at| instruction(libc::BPF_LD | libc::BPF_W | libc::BPF_ABS, 0, 0, at);
     let equals =
         |value, jt, jf| instruction(libc::BPF_JMP | libc::BPF_JEQ | libc::BPF_K, jt, jf, value);
-    let ends = |value| instruction(libc::BPF_RET | libc::BPF_K, 0, 0, value);
-    let mut all = vec![load(NUMBER)];
+    let returns = |value| instruction(libc::BPF_RET | libc::BPF_K, 0, 0, value);
+    let mut instructions = vec![load(NUMBER)];
     for number in CALLS.iter().flat_map(|(_, numbers)| numbers.iter()) {
-        all.extend([equals(*number as u32, 0, 1), ends(libc::SECCOMP_RET_TRACE)]);
+        instructions.extend([
+            equals(*number as u32, 0, 1),
+            returns(libc::SECCOMP_RET_TRACE),
+        ]);
     }
-    all.extend([
+    instructions.extend([
         equals(libc::SYS_clock_gettime as u32, 0, 3),
         load(FIRST_ARGUMENT),
         equals(libc::CLOCK_REALTIME as u32, 0, 1),
-        ends(libc::SECCOMP_RET_TRACE),
-        ends(libc::SECCOMP_RET_ALLOW),
+        returns(libc::SECCOMP_RET_TRACE),
+        returns(libc::SECCOMP_RET_ALLOW),
     ]);
-    all
+    instructions
 }
 
 struct Tracer {
@@ -351,7 +362,7 @@
         }
     }
 
-    /// Waits until it is stopped; gives its status where it has ended instead.
+    /// Waits until it is stopped; returns its status where it has ended instead.
     fn stopped(&self) -> Option<ExitStatus> {
         let mut status = 0;
         // SAFETY: waits for this one process.
@@ -378,7 +389,7 @@
         unsafe { libc::ptrace(libc::PTRACE_SETREGS, self.pid, 0, registers) };
     }
 
-    /// Skips the call, which then gives this.
+    /// Skips the call, which then returns this.
     fn skip(&self, mut registers: libc::user_regs_struct, result: i64) {
         (registers.orig_rax, registers.rax) = (u64::MAX, result as u64);
         self.set_registers(&registers);
@@ -388,12 +399,12 @@
         let mut registers = self.registers();
         let number = registers.orig_rax as libc::c_long;
         if number == libc::SYS_clock_gettime {
-            return self.tell_time(registers);
+            return self.answer_clock_read(registers);
         }
         let Some((call, _)) = CALLS.iter().find(|(_, numbers)| numbers.contains(&number)) else {
             return;
         };
-        // What no longer watches a socket never fails for want of memory.
+        // Removals from an epoll set never fail for want of memory.
         if *call == Call::EpollAdd && registers.rsi == libc::EPOLL_CTL_DEL as u64 {
             return;
         }
@@ -411,15 +422,15 @@
         }
     }
 
-    /// Gives it the time of its own machine's wall clock.
-    fn tell_time(&self, registers: libc::user_regs_struct) {
+    /// Answers a read of the wall clock with the stepped time.
+    fn answer_clock_read(&self, registers: libc::user_regs_struct) {
         let real = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_nanos() as i64;
-        let told = (real + self.injector.state().step_nanos).max(0);
-        self.poke(registers.rsi, (told / 1_000_000_000) as u64);
-        self.poke(registers.rsi + 8, (told % 1_000_000_000) as u64);
+        let stepped = (real + self.injector.state().step_nanos).max(0);
+        self.poke(registers.rsi, (stepped / 1_000_000_000) as u64);
+        self.poke(registers.rsi + 8, (stepped % 1_000_000_000) as u64);
         self.skip(registers, 0);
     }
 
@@ -428,10 +439,10 @@
         unsafe { libc::ptrace(libc::PTRACE_PEEKDATA, self.pid, address, 0) as u64 }
     }
 
-    /// The text that stands there, up to its end.
+    /// The text at this address, up to its terminating zero.
     fn text(&self, mut address: u64) -> String {
         let mut bytes = Vec::new();
-        while bytes.len() < LONGEST_PATH {
+        while bytes.len() < MAX_PATH_BYTES {
             let word = self.peek(address).to_ne_bytes();
             bytes.extend(word.iter().take_while(|byte| **byte != 0));
             if word.contains(&0) {
