--- a/node/src/connections/sweep.rs
+++ b/node/src/connections/sweep.rs
@@ -44,7 +44,7 @@
                 self.reconnect(context, slot);
             }
             Stage::Closing(until) if now >= until => {
-                self.remove(context, slot, CloseReason::Answered)
+                self.remove(context, slot, CloseReason::Answered);
             }
             Stage::Closing(_) => {
                 connection.discarded = 0;
--- a/node/src/context/mod.rs
+++ b/node/src/context/mod.rs
@@ -28,7 +28,7 @@
 /// The token of a component that has one socket or timer.
 pub fn token(component: u8) -> PollToken {
     PollToken {
-        component: component,
+        component,
         slot: 0,
         generation: 0,
     }
@@ -132,7 +132,7 @@
         slot: usize,
     ) -> Result<PollToken, Errno> {
         let token = PollToken {
-            component: component,
+            component,
             slot: slot as u32,
             generation: self.next_generation(),
         };
--- a/node/tests/membership.rs
+++ b/node/tests/membership.rs
@@ -411,6 +411,10 @@
 /// Prevents quota of dead nodes that stays unused, more than the whole used by any partitions of a fleet, and cold hosts
 /// pushed over meanwhile.
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario, read from top to bottom"
+)]
 fn quota_of_the_dead_is_lent_under_a_majority_and_never_used_twice() {
     let _turn = one_test_at_a_time();
     let (service, hosts) = (Discovery::start(), WarmingHosts::new(FleetOptions::TRIAL));
--- a/testkit/src/schedule/play.rs
+++ b/testkit/src/schedule/play.rs
@@ -280,7 +280,7 @@
             ScheduledFault::Sluggish if begins => service.limit_rate(SLUGGISH_RATE, SLUGGISH_QUEUE),
             ScheduledFault::Sluggish => service.lift_rate_limit(),
             ScheduledFault::Refuse(of_ten) => {
-                service.reject_of_ten(if begins { *of_ten } else { 0 })
+                service.reject_of_ten(if begins { *of_ten } else { 0 });
             }
             ScheduledFault::Older if begins => {
                 let older_list = &self.list[..OLDER_REVISION as usize];
