--- a/node/src/operators/operator_config/keys_tests.rs
+++ b/node/src/operators/operator_config/keys_tests.rs
@@ -12,7 +12,7 @@
     let folder =
         std::env::temp_dir().join(format!("reedferry-keys-{}-{number}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/papers.example.json");
+    let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/node_config.example.json");
     let mut node_config: serde_json::Value =
         serde_json::from_slice(&std::fs::read(example).unwrap()).unwrap();
     node_config["settings"]["balancers"] = 4.into();
--- a/node/src/operators/operator_config/tests.rs
+++ b/node/src/operators/operator_config/tests.rs
@@ -32,7 +32,7 @@
 
 #[test]
 fn times_have_units_and_a_lease_is_under_the_grace() {
-    let head = "papers = \"papers.example.json\"\n[forward]\n";
+    let head = "papers = \"node_config.example.json\"\n[forward]\n";
     let role = |text: &str| read(&format!("{head}{text}{PLANNERS}")).map(|config| config.role);
     let usual = ForwarderOptions {
         lease: 250 * MILLI,
@@ -68,7 +68,7 @@
     let folder =
         std::env::temp_dir().join(format!("reedferry-articles-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/papers.example.json");
+    let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/node_config.example.json");
     let mut node_config: serde_json::Value =
         serde_json::from_slice(&std::fs::read(example).unwrap()).unwrap();
     node_config["settings"]["balancers"] = 4.into();
@@ -223,7 +223,7 @@
 
 #[test]
 fn contradictions_are_refused_at_their_line() {
-    let head = "papers = \"papers.example.json\"\n";
+    let head = "papers = \"node_config.example.json\"\n";
     assert_eq!(wrong(&format!("{head}[forward]\n")).0, 2);
     assert_eq!(wrong(&format!("{head}{PLANNERS}")).0, 2);
     assert_eq!(
--- a/node/tests/soak.rs
+++ b/node/tests/soak.rs
@@ -1,14 +1,14 @@
-//! The soak, in short: a dozen processes under troubles that overlap, judged by the rules. `reedferry-testkit soak` plays more
+//! The soak, in short: a dozen processes under faults that overlap, judged by the rules. `reedferry-testkit soak` plays more
 //! seeds, larger and longer.
 
 use reedferry_testkit::soak::soak_faults::SoakSchedule;
 use reedferry_testkit::soak::{play, SoakSize};
 use std::time::Duration;
 
-/// Guards: whatever breaks a rule where stops, reloads, replacements, failing calls, stepped clocks and peers that
+/// Prevents broken rules where stops, reloads, replacements, failing calls, stepped clocks and peers that
 /// misbehave meet.
 #[test]
-fn no_rule_is_broken_where_troubles_overlap() {
+fn no_rule_is_broken_where_faults_overlap() {
     let size = SoakSize {
         processes: 12,
         hosts: 6,
--- a/testkit/src/main.rs
+++ b/testkit/src/main.rs
@@ -149,7 +149,7 @@
     /// For how many seconds faults come.
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(1..=3600))]
     seconds: u64,
-    /// Troubles at a time.
+    /// Faults at a time.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=10))]
     overlap: u64,
     /// Clients a second.
--- a/testkit/src/two_tier_cluster.rs
+++ b/testkit/src/two_tier_cluster.rs
@@ -1,6 +1,6 @@
 //! Both tiers as processes on loopback: forwarders and planners, a relay between each pair, simulated hosts and
 //! discovery. It owns how they are started, and the faults that tests draw. It must never judge: that is the
-//! referee's.
+//! invariant checker's.
 
 use crate::program::Node;
 use crate::relay::Relay;
