--- a/node/tests/two_tier.rs
+++ b/node/tests/two_tier.rs
@@ -355,7 +355,10 @@
     );
     let text = std::fs::read_to_string(folder.join("forward.example.toml")).unwrap();
     let wrong = std::env::temp_dir().join(format!("reedferry-check-{}.toml", std::process::id()));
-    let node_config = folder.join("node_config.example.json").display().to_string();
+    let node_config = folder
+        .join("node_config.example.json")
+        .display()
+        .to_string();
     let text = text
         .replace("node_config.example.json", &node_config)
         .replace("lease = \"250ms\"", "lease = \"300ms\"");
