--- a/src/choice.rs
+++ b/src/choice.rs
@@ -95,7 +95,9 @@
         let turn = now / LOOK;
         let place = turn.wrapping_add((draw(self.id.0, 1) * 1e6) as u64);
         let nodes = u64::from(charter.nodes.max(1));
-        let mine = self.mine.unwrap_or(place % nodes == u64::from(charter.node) % nodes);
+        let mine = self
+            .mine
+            .unwrap_or(place % nodes == u64::from(charter.node) % nodes);
         self.ready() && turn != self.looked && mine
     }
 
@@ -114,7 +116,10 @@
         if now >= self.masked_until {
             self.strikes += 1;
             let (id, strikes, own, conns) = (self.id.0, self.strikes, self.own(), self.conns.len());
-            log!(out, "mask host={id:x} why={why} strikes={strikes} own={own:.2} conns={conns}");
+            log!(
+                out,
+                "mask host={id:x} why={why} strikes={strikes} own={own:.2} conns={conns}"
+            );
         }
         // Spread, so that nodes do not let a host back in step.
         self.masked_until = now + (length as f64 * (0.75 + 0.5 * chance)) as Nanos;
@@ -125,7 +130,10 @@
         let known = self.slow(now) * at.charter.shortest_message_time() as f64;
         // Guards: hosts taken for late one after the other while a store that all set-ups share is.
         let shared = at.desk.common() || at.ledger.long.is_some_and(|host| host != self.id);
-        if !shared && self.reported(now).is_none() && took as f64 > known.max(6.0 * at.ledger.set_up) {
+        if !shared
+            && self.reported(now).is_none()
+            && took as f64 > known.max(6.0 * at.ledger.set_up)
+        {
             self.late(now, took, at.charter);
         }
         at.post.push_back((To::Ledger, Note::SetUp(self.id, took)));
@@ -139,7 +147,9 @@
                     (self.newcomer, self.credit, self.turn) = (!first, 0.0, 0);
                     (self.masked_until, self.strikes, self.slowness) = (0, 0, 0.0);
                 }
-                if self.listing.standing != Standing::Draining || listing.standing != Standing::Draining {
+                if self.listing.standing != Standing::Draining
+                    || listing.standing != Standing::Draining
+                {
                     self.draining = now;
                 }
                 let group = |listing: &Listing| (listing.zone, listing.cell);
@@ -148,14 +158,19 @@
                 }
                 self.listed = listing.standing != Standing::Gone;
                 (self.gone_since, self.listing) = (now, listing);
-                self.listing.size = if listing.size > 0.0 { listing.size } else { 1.0 };
+                self.listing.size = if listing.size > 0.0 {
+                    listing.size
+                } else {
+                    1.0
+                };
             }
             Note::Unlisted => (self.listed, self.gone_since) = (false, now),
             Note::Sent(conn) => {
                 if self.cold(now, at.charter) {
                     (self.credit, self.turn) = self.credit_at(now, at.count, at.charter);
                     // Guards: a few connections of many times the usual load.
-                    self.credit -= at.ledger.load(conn.offering, conn.load) / at.ledger.unit.unwrap_or(1.0);
+                    self.credit -=
+                        at.ledger.load(conn.offering, conn.load) / at.ledger.unit.unwrap_or(1.0);
                 }
                 if !conn.begun {
                     (self.pending, self.sent) = (self.pending + 1, now);
@@ -168,37 +183,60 @@
                 self.count(self.conns.len() - 1, now, at.ledger);
             }
             Note::Begun { slot, took } => {
-                let Some(conn) = self.conns.iter_mut().find(|c| c.slot == slot) else { return };
+                let Some(conn) = self.conns.iter_mut().find(|c| c.slot == slot) else {
+                    return;
+                };
                 (conn.begun, conn.since) = (true, now);
                 self.unroutable = 0;
                 self.pending -= 1;
                 self.waited(now, took, at);
             }
             Note::Ended { slot, ending } => {
-                let Some(found) = self.conns.iter().position(|c| c.slot == slot) else { return };
+                let Some(found) = self.conns.iter().position(|c| c.slot == slot) else {
+                    return;
+                };
                 let conn = self.drop_conn(found);
                 let length = now.saturating_sub(conn.since);
-                let bore = conn.load.filter(|_| conn.begun).map(|load| Note::Bore { key: conn.key, load });
+                let bore = conn.load.filter(|_| conn.begun).map(|load| Note::Bore {
+                    key: conn.key,
+                    load,
+                });
                 at.post.extend(bore.map(|note| (To::Ledger, note)));
                 // Guards: clients that this node moved, taken for ones that never stay.
                 let moved = at.desk.slots[slot].as_ref().is_some_and(|a| a.moved);
                 if conn.begun && !moved && matches!(ending, Ending::Done | Ending::CalledOff) {
-                    at.post.push_back((To::Ledger, Note::Lived { key: conn.key, length }));
+                    at.post.push_back((
+                        To::Ledger,
+                        Note::Lived {
+                            key: conn.key,
+                            length,
+                        },
+                    ));
                     self.strikes = self.strikes.min(1);
                 }
                 if ending == Ending::TimedOut {
                     self.waited(now, length, at);
                 }
                 let broke = u32::from(conn.begun && ending == Ending::Broken);
-                self.broken = if self.conns.is_empty() { 0 } else { self.broken + broke };
+                self.broken = if self.conns.is_empty() {
+                    0
+                } else {
+                    self.broken + broke
+                };
                 // Guards: all hosts left out for a moment in which this machine had no route.
-                self.unroutable = if ending == Ending::Unroutable { self.unroutable + 1 } else { 0 };
+                self.unroutable = if ending == Ending::Unroutable {
+                    self.unroutable + 1
+                } else {
+                    0
+                };
                 if ending == Ending::Unroutable && self.unroutable < UNROUTABLE {
                     return;
                 }
                 // An error is the host's only once another host has taken the same: see `Blamed`.
-                if matches!(ending, Ending::Done | Ending::CalledOff | Ending::NeverSent | Ending::Error)
-                    || ending == Ending::PassedOn
+                if matches!(
+                    ending,
+                    Ending::Done | Ending::CalledOff | Ending::NeverSent | Ending::Error
+                ) || ending == Ending::PassedOn
                 {
                     return;
                 }
@@ -220,7 +258,8 @@
                 if let Some(found) = self.conns.iter().position(|c| c.slot == slot) {
                     self.conns[found].load = Some(load);
                     let offering = self.conns[found].offering;
-                    at.post.push_back((To::Ledger, Note::Weighed { offering, load }));
+                    at.post
+                        .push_back((To::Ledger, Note::Weighed { offering, load }));
                     self.count(found, now, at.ledger);
                 }
             }
@@ -235,7 +274,11 @@
             Note::Behind(seconds) => self.late(now, (seconds * SECOND as f64) as Nanos, at.charter),
             Note::Reported { load, heard } => {
                 (self.report, self.reported, self.since) = (load, now, self.since / 2.0);
-                let step = if load.max(self.told) > CROWDED { NEWS / 2.0 } else { NEWS };
+                let step = if load.max(self.told) > CROWDED {
+                    NEWS / 2.0
+                } else {
+                    NEWS
+                };
                 let news = (load - self.told).abs() > step || now > self.told_at + RETELL;
                 let message = word::encode(self.id, load);
                 let price = message.len() as f64 * f64::from(at.charter.nodes.saturating_sub(1));
@@ -250,14 +293,25 @@
             }
             Note::Step { mean } => {
                 self.newcomer &= self.own() < mean;
-                let spread = if mean > 0.0 { (self.own() / mean - 1.0).powi(2) } else { 0.0 };
+                let spread = if mean > 0.0 {
+                    (self.own() / mean - 1.0).powi(2)
+                } else {
+                    0.0
+                };
                 let longest = self.longest.saturating_sub(now) as f64;
                 let late = self.slow(now) >= LATE;
                 for conn in &mut self.conns {
                     if conn.begun && now >= conn.since + STEP {
                         if let Some(vector) = conn.vector.take() {
                             at.post.push_back((To::Desk, Note::Fared { late }));
-                            at.post.push_back((To::Helm, Note::Judged { vector, spread, longest }));
+                            at.post.push_back((
+                                To::Helm,
+                                Note::Judged {
+                                    vector,
+                                    spread,
+                                    longest,
+                                },
+                            ));
                         }
                     }
                 }
@@ -306,7 +360,14 @@
 
 impl Helm {
     fn read(&mut self, note: Note, rng: &mut ChaCha8Rng, out: &mut Vec<Action>) {
-        let Note::Judged { vector, spread, longest } = note else { return };
+        let Note::Judged {
+            vector,
+            spread,
+            longest,
+        } = note
+        else {
+            return;
+        };
         let v = &mut self.vectors[vector];
         (v.spread, v.longest, v.judged) = (v.spread + spread, v.longest + longest, v.judged + 1);
         if self.vectors.iter().any(|v| v.judged < JUDGED_AFTER) {
@@ -314,7 +375,11 @@
         }
         let old = self.vectors;
         let beaten = (0..4).find(|&b| (0..4).any(|a| old[a].dominates(&old[b])));
-        self.vectors = old.map(|v| Vector { balance: v.balance, gap: v.gap, ..Vector::default() });
+        self.vectors = old.map(|v| Vector {
+            balance: v.balance,
+            gap: v.gap,
+            ..Vector::default()
+        });
         let Some(beaten) = beaten else { return };
         // Two parents of the rest, crossed at one point; then each weight may mutate.
         let mother = (beaten + rng.random_range(1..4)) % 4;
@@ -323,13 +388,21 @@
         for weight in &mut weights {
             if rng.random::<f64>() < MUTATION.0 {
                 let (u, v): (f64, f64) = (rng.random(), rng.random());
-                *weight += MUTATION.1 * (-2.0 * (1.0 - u).ln()).sqrt() * (std::f64::consts::TAU * v).cos();
+                *weight +=
+                    MUTATION.1 * (-2.0 * (1.0 - u).ln()).sqrt() * (std::f64::consts::TAU * v).cos();
             }
         }
         let balance = weights[0].max(0.1);
         let gap = weights[1].clamp(0.0, balance);
-        self.vectors[beaten] = Vector { balance, gap, ..Vector::default() };
-        log!(out, "vector {beaten} replaced balance={balance:.2} gap={gap:.2}");
+        self.vectors[beaten] = Vector {
+            balance,
+            gap,
+            ..Vector::default()
+        };
+        log!(
+            out,
+            "vector {beaten} replaced balance={balance:.2} gap={gap:.2}"
+        );
     }
 }
 
@@ -353,10 +426,12 @@
                     log!(out, "roll followed again after failures={ended}");
                 }
             }
-            Note::Pulse { .. } => out.extend(self.calls.due(now, knows, pace).map(|call| match call {
-                Call::Ask => Action::AskRoll,
-                Call::Follow => Action::FollowRoll,
-            })),
+            Note::Pulse { .. } => {
+                out.extend(self.calls.due(now, knows, pace).map(|call| match call {
+                    Call::Ask => Action::AskRoll,
+                    Call::Follow => Action::FollowRoll,
+                }))
+            }
             _ => {}
         }
     }
@@ -368,7 +443,13 @@
         let before = self.common();
         self.trouble += (f64::from(u8::from(failed)) - self.trouble) / 8.0;
         if before != self.common() {
-            log!(out, "common trouble={} failing={:.2} held={}", !before, self.trouble, self.names.len());
+            log!(
+                out,
+                "common trouble={} failing={:.2} held={}",
+                !before,
+                self.trouble,
+                self.names.len()
+            );
         }
     }
 
@@ -380,7 +461,8 @@
     /// Whether the next attachment is handed off though others are dismissed. Guards: a node that refuses all for tens of
     /// seconds after its hosts are well again, as nothing it refuses can tell it so.
     fn tries_on(&self, now: Nanos) -> bool {
-        self.refused_since.is_some_and(|since| now >= since + LONGEST_REFUSAL)
+        self.refused_since
+            .is_some_and(|since| now >= since + LONGEST_REFUSAL)
     }
 
     /// Whether the hand-offs fail so often that no single host can be to blame.
@@ -414,21 +496,44 @@
 impl Balancer {
     pub fn new(charter: Charter, seed: u64, now: Nanos, out: &mut Vec<Action>) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let vectors = [0.0, 0.05, 0.1, 0.2].map(|gap| Vector { balance: 1.0, gap, ..Vector::default() });
+        let vectors = [0.0, 0.05, 0.1, 0.2].map(|gap| Vector {
+            balance: 1.0,
+            gap,
+            ..Vector::default()
+        });
         let usual = vec![None; charter.offerings.len()];
-        let set_up = charter.offerings.iter().map(|o| o.contract_time).min().unwrap_or(SECOND) as f64 / 12.0;
+        let set_up = charter
+            .offerings
+            .iter()
+            .map(|o| o.contract_time)
+            .min()
+            .unwrap_or(SECOND) as f64
+            / 12.0;
 
         // The first look-around comes at a moment of the node's own.
         let first = now + (PULSE as f64 * rng.random::<f64>()) as Nanos;
-        out.push(Action::WakeAt { time: first, mark: 0 });
+        out.push(Action::WakeAt {
+            time: first,
+            mark: 0,
+        });
         Balancer {
             charter,
             rng,
             hosts: Vec::new(),
             known: HashMap::new(),
-            desk: Desk { purse: FULL_PURSE, ..Desk::default() },
-            helm: Helm { vectors, ..Helm::default() },
-            ledger: Ledger { usual, set_up, ..Ledger::default() },
+            desk: Desk {
+                purse: FULL_PURSE,
+                ..Desk::default()
+            },
+            helm: Helm {
+                vectors,
+                ..Helm::default()
+            },
+            ledger: Ledger {
+                usual,
+                set_up,
+                ..Ledger::default()
+            },
             roll: Roll::default(),
             post: VecDeque::new(),
             pulses: 0,
@@ -438,10 +543,15 @@
 
     /// Takes one event in and appends what is to be done.
     pub fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
-        let slot = event.attachment().and_then(|id| self.desk.names.get(&id).copied());
+        let slot = event
+            .attachment()
+            .and_then(|id| self.desk.names.get(&id).copied());
         let host = event.host().and_then(|id| self.known.get(&id).copied());
         let attachment = slot.and_then(|s| self.desk.slots[s].as_ref());
-        let (at, begun) = (attachment.and_then(|a| a.at), attachment.is_some_and(|a| a.begun));
+        let (at, begun) = (
+            attachment.and_then(|a| a.at),
+            attachment.is_some_and(|a| a.begun),
+        );
         let mut post = |to, note| self.post.push_back((to, note));
         match (event, slot, host.or(at)) {
             (Event::Roll { kind, hosts }, ..) => self.list(now, kind, hosts),
@@ -453,9 +563,12 @@
             (Event::TakenUp(arrival, past), ..) => {
                 let known = |id: &HostId| self.known.get(id).copied();
                 // Guards: a repeat sent on where nobody knows any more which group would drop it.
-                let same_group = |host: &usize, sent| self.hosts[*host].regrouped.is_none_or(|at| at < sent);
+                let same_group =
+                    |host: &usize, sent| self.hosts[*host].regrouped.is_none_or(|at| at < sent);
                 let ran = past.ran.map(|(id, sent)| {
-                    known(&id).filter(|host| same_group(host, sent)).map_or((0, 0), |host| (host, sent))
+                    known(&id)
+                        .filter(|host| same_group(host, sent))
+                        .map_or((0, 0), |host| (host, sent))
                 });
                 let tried = past.tried.iter().filter_map(known).collect();
                 post(To::Desk, Note::TakenUp(arrival, past.hand_offs, ran, tried));
@@ -471,16 +584,21 @@
                 log!(out, "terms renewed offered={}", charter.offered().count());
                 if charter.tip_after != self.charter.tip_after {
                     let hosts = 0..self.hosts.len();
-                    self.post.extend(hosts.map(|host| (To::Host(host), Note::OtherTurns)));
+                    self.post
+                        .extend(hosts.map(|host| (To::Host(host), Note::OtherTurns)));
                 }
                 let turns = std::mem::take(&mut self.charter.turns);
                 self.charter = Charter { turns, ..*charter };
             }
             (Event::Successor(comes), ..) => post(To::Desk, Note::Successor(comes)),
             (Event::Inherited(mut legacy), ..) => {
-                let known = |one: Regard| Some((*self.known.get(&one.id)?, Note::Regarded(Box::new(one))));
-                let hosts = std::mem::take(&mut legacy.hosts).into_iter().filter_map(known);
-                self.post.extend(hosts.map(|(host, note)| (To::Host(host), note)));
+                let known =
+                    |one: Regard| Some((*self.known.get(&one.id)?, Note::Regarded(Box::new(one))));
+                let hosts = std::mem::take(&mut legacy.hosts)
+                    .into_iter()
+                    .filter_map(known);
+                self.post
+                    .extend(hosts.map(|(host, note)| (To::Host(host), note)));
                 self.post.push_back((To::Desk, Note::Inherited(legacy)));
             }
             (Event::Left { .. }, Some(slot), _) => post(To::Desk, Note::Left { slot }),
@@ -488,17 +606,30 @@
                 post(To::Host(host), Note::Begun { slot, took });
                 post(To::Desk, Note::Begun { slot, took });
             }
-            (Event::Ended { over, ending, gauges, .. }, slot, Some(host)) => {
+            (
+                Event::Ended {
+                    over,
+                    ending,
+                    gauges,
+                    ..
+                },
+                slot,
+                Some(host),
+            ) => {
                 self.gauge(host, &gauges, None);
                 if let Some(slot) = slot.filter(|_| at == Some(host)) {
-                    self.post.push_back((To::Host(host), Note::Ended { slot, ending }));
-                    self.post.push_back((To::Desk, Note::Returned { slot, over, ending }));
+                    self.post
+                        .push_back((To::Host(host), Note::Ended { slot, ending }));
+                    self.post
+                        .push_back((To::Desk, Note::Returned { slot, over, ending }));
                 }
             }
             (Event::LoadNow { load, .. }, Some(slot), Some(host)) => {
                 post(To::Host(host), Note::LoadNow { slot, load });
             }
-            (Event::MessageTime { time, .. }, _, Some(host)) => post(To::Host(host), Note::Slow(time)),
+            (Event::MessageTime { time, .. }, _, Some(host)) => {
+                post(To::Host(host), Note::Slow(time))
+            }
             (Event::Probed { ending, gauges, .. }, _, Some(host)) => {
                 // Too many probes at once, or a shaken line, say nothing of its load.
                 let silent = (ending == Ending::TimedOut).then_some(SILENT);
@@ -521,14 +652,28 @@
 
     /// What the process that takes this one's place is to know.
     pub fn leave(&self) -> Legacy {
-        let hosts = self.hosts.iter().filter(|h| h.listed).map(Host::regard).collect();
+        let hosts = self
+            .hosts
+            .iter()
+            .filter(|h| h.listed)
+            .map(Host::regard)
+            .collect();
         let (trouble, late) = (self.desk.trouble, self.desk.late);
-        Legacy { hosts, trouble, late, ..self.ledger.leave() }
+        Legacy {
+            hosts,
+            trouble,
+            late,
+            ..self.ledger.leave()
+        }
     }
 
     /// Whether any host is cold whose budget is shared by turns.
     pub fn shares_turns(&self, now: Nanos) -> bool {
-        !by_lot(&self.charter) && self.hosts.iter().any(|h| h.ready() && h.cold(now, &self.charter))
+        !by_lot(&self.charter)
+            && self
+                .hosts
+                .iter()
+                .any(|h| h.ready() && h.cold(now, &self.charter))
     }
 
     /// How many hosts the roll lists, and how many of those this node avoids now.
@@ -541,20 +686,31 @@
     fn gauge(&mut self, host: usize, values: &[f64], silent: Option<f64>) {
         let place = |what| self.charter.gauges.iter().position(|&g| g == what);
         let sane = |n: usize| values.get(n).copied().filter(|v| (0.0..1e3).contains(v));
-        let load = place(Gauge::Load).or(place(Gauge::Busy)).and_then(sane).or(silent);
+        let load = place(Gauge::Load)
+            .or(place(Gauge::Busy))
+            .and_then(sane)
+            .or(silent);
         let note = |note| (To::Host(host), note);
-        self.post.extend(load.map(|load| note(Note::Reported { load, heard: false })));
-        self.post.extend(place(Gauge::Backlog).and_then(sane).map(|behind| note(Note::Behind(behind))));
+        self.post
+            .extend(load.map(|load| note(Note::Reported { load, heard: false })));
+        self.post.extend(
+            place(Gauge::Backlog)
+                .and_then(sane)
+                .map(|behind| note(Note::Behind(behind))),
+        );
     }
 
     /// Takes in what another node tells, of hosts that the own roll names.
     fn hear(&mut self, message: &[u8]) {
-        let Some((tag, load)) = word::decode(message) else { return };
+        let Some((tag, load)) = word::decode(message) else {
+            return;
+        };
         let meant = |&n: &usize| self.hosts[n].listed && word::tag(self.hosts[n].id) == tag;
         let mut named = (0..self.hosts.len()).filter(meant);
         // Guards: a word on one host taken for another's where two tags are the same.
         if let (Some(host), None) = (named.next(), named.next()) {
-            self.post.push_back((To::Host(host), Note::Reported { load, heard: true }));
+            self.post
+                .push_back((To::Host(host), Note::Reported { load, heard: true }));
         }
     }
 
@@ -565,9 +721,16 @@
         }
         let (mut named, mut searched) = (vec![false; self.hosts.len()], 0);
         for listing in listings {
-            let host = record(&mut self.hosts, &mut self.known, listing.id, now, &mut searched);
+            let host = record(
+                &mut self.hosts,
+                &mut self.known,
+                listing.id,
+                now,
+                &mut searched,
+            );
             named.get_mut(host).into_iter().for_each(|n| *n = true);
-            self.post.push_back((To::Host(host), Note::Listed(listing, !self.listed_once)));
+            self.post
+                .push_back((To::Host(host), Note::Listed(listing, !self.listed_once)));
         }
         if kind != RollKind::Changes {
             for host in (0..named.len()).filter(|&h| !named[h]) {
@@ -578,14 +741,20 @@
     }
 
     fn pulse(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        out.push(Action::WakeAt { time: now + PULSE, mark: 0 });
+        out.push(Action::WakeAt {
+            time: now + PULSE,
+            mark: 0,
+        });
         self.pulses += 1;
         let view = self.survey(now);
         let (mean, refuge) = (view.mean, view.refuge);
-        self.post.push_back((To::Desk, Note::Pulse { mean, refuge }));
-        self.post.push_back((To::Ledger, Note::Open(self.desk.names.len() as f64)));
+        self.post
+            .push_back((To::Desk, Note::Pulse { mean, refuge }));
+        self.post
+            .push_back((To::Ledger, Note::Open(self.desk.names.len() as f64)));
         if self.charter.roll_on_request {
-            self.post.push_back((To::Roll, Note::Pulse { mean, refuge }));
+            self.post
+                .push_back((To::Roll, Note::Pulse { mean, refuge }));
         }
         self.lead_home(now, &view);
         for (n, host) in self.hosts.iter().enumerate() {
@@ -598,7 +767,8 @@
                 self.post.push_back((To::Host(n), Note::Step { mean }));
             }
             if !idle {
-                self.post.push_back((To::Host(n), Note::Pulse { mean, refuge }));
+                self.post
+                    .push_back((To::Host(n), Note::Pulse { mean, refuge }));
             }
         }
     }
@@ -609,7 +779,9 @@
     fn lead_home(&mut self, now: Nanos, view: &Survey) {
         let charter = &self.charter;
         let near = |h: &Host| h.listing.zone == charter.zone;
-        let young = |h: &&Host| h.ready() && now >= h.masked_until && h.cold(now, charter) && by_lot(charter);
+        let young = |h: &&Host| {
+            h.ready() && now >= h.masked_until && h.cold(now, charter) && by_lot(charter)
+        };
         let mut young: Vec<&Host> = self.hosts.iter().filter(young).collect();
         // To those elsewhere only from a zone that is short of warm hosts itself.
         let short = young.iter().any(|h| near(h));
@@ -617,10 +789,16 @@
         let share = |h: &Host| h.listing.size / if near(h) { view.near_size } else { view.size };
         let fair = |h: &Host, key| draw(key, h.id.0) < share(h);
         let turn = |h: &Host, key| fair(h, key) && h.drawn(now, Some(key), PULSE, view, charter);
-        for host in self.hosts.iter().filter(|h| !young.is_empty() && !h.cold(now, charter)) {
-            let turn = |c: &&Conn| c.begun && c.key.is_some_and(|key| young.iter().any(|h| turn(h, key)));
+        for host in self
+            .hosts
+            .iter()
+            .filter(|h| !young.is_empty() && !h.cold(now, charter))
+        {
+            let turn =
+                |c: &&Conn| c.begun && c.key.is_some_and(|key| young.iter().any(|h| turn(h, key)));
             let due = host.conns.iter().filter(turn);
-            self.post.extend(due.map(|c| (To::Desk, Note::Shift { slot: c.slot })));
+            self.post
+                .extend(due.map(|c| (To::Desk, Note::Shift { slot: c.slot })));
         }
     }
 
@@ -630,7 +808,8 @@
         let (mut all, mut zone) = (0.0, 0.0);
         let (mut own, mut counted, mut near, mut pressed, mut heard) = (0.0, 0.0, 0.0, 0.0, 1.0);
         let (mut new, mut newcomers) = (0.0, 0.0);
-        let (mut conns, mut size, mut warm, mut full, mut loaded, mut known) = (0.0, 0.0, 0.0, 0.0, 0.0, 0.0);
+        let (mut conns, mut size, mut warm, mut full, mut loaded, mut known) =
+            (0.0, 0.0, 0.0, 0.0, 0.0, 0.0);
         for host in self.hosts.iter().filter(|h| h.ready()) {
             let (masks, caps) = (now < host.masked_until, host.ceiling.is_some());
             let one = |b: bool| f64::from(u8::from(b));
@@ -640,7 +819,10 @@
                 (capped, ceilings) = (capped + 1.0, ceilings + ceiling / host.listing.size);
             }
             let report = host.reported(now);
-            (loaded, known) = (loaded + report.unwrap_or(0.0), known + one(report.is_some()));
+            (loaded, known) = (
+                loaded + report.unwrap_or(0.0),
+                known + one(report.is_some()),
+            );
             if !masks && !host.newcomer {
                 (own, counted) = (own + host.own(), counted + 1.0);
             } else if !masks {
@@ -656,11 +838,18 @@
                 (warm, full) = (warm + 1.0, full + one(caps));
             }
         }
-        let (others, unit) = (own / f64::max(counted, 1.0), self.ledger.unit.unwrap_or(1.0));
+        let (others, unit) = (
+            own / f64::max(counted, 1.0),
+            self.ledger.unit.unwrap_or(1.0),
+        );
         let unseen = |mean: f64| (unit * unit / mean.max(f64::MIN_POSITIVE)).min(UNSEEN * unit);
         // Newcomers count at the others' mean, and that stays as it is; the more a node sees, the more they
         // count as they are. Guards: hosts filled and filled beside new ones where two nodes see it all.
-        let blind = if self.charter.gathers { 1.0 } else { unseen(others) / (others + unseen(others)) };
+        let blind = if self.charter.gathers {
+            1.0
+        } else {
+            unseen(others) / (others + unseen(others))
+        };
         let new = blind * others * newcomers + (1.0 - blind) * new;
         let mean = (own + new) / f64::max(counted + newcomers, 1.0);
         let unseen = unseen(mean);
@@ -672,7 +861,11 @@
             blind,
             refuge: well / f64::max(ready, 1.0),
             near: f64::max(near, 1.0),
-            typical: if 2.0 * capped > ready { ceilings / capped } else { f64::INFINITY },
+            typical: if 2.0 * capped > ready {
+                ceilings / capped
+            } else {
+                f64::INFINITY
+            },
             crossing: CROSSING * self.charter.cross_zone_charge * relief,
             unit,
             ready,
@@ -695,17 +888,33 @@
                     deliver!(self.hosts[host].inbox, note, {
                         let chance = self.rng.random();
                         let (charter, ledger, post) = (&self.charter, &self.ledger, &mut self.post);
-                        let mut room = Room { charter, ledger, post, out, chance, count, desk: &self.desk };
+                        let mut room = Room {
+                            charter,
+                            ledger,
+                            post,
+                            out,
+                            chance,
+                            count,
+                            desk: &self.desk,
+                        };
                         self.hosts[host].read(note, now, &mut room);
                     })
                 }
                 To::Desk => deliver!(self.desk.inbox, note, self.attend(now, note, out)),
-                To::Helm => deliver!(self.helm.inbox, note, self.helm.read(note, &mut self.rng, out)),
+                To::Helm => deliver!(
+                    self.helm.inbox,
+                    note,
+                    self.helm.read(note, &mut self.rng, out)
+                ),
                 To::Ledger => deliver!(self.ledger.inbox, note, self.ledger.read(note, now)),
                 To::Roll => deliver!(self.roll.inbox, note, {
-                    let pace = Pace { ask_within: self.charter.ask_within, place: place(&self.charter) };
+                    let pace = Pace {
+                        ask_within: self.charter.ask_within,
+                        place: place(&self.charter),
+                    };
                     let knows = self.hosts.iter().any(Host::ready);
-                    self.roll.read(note, now, self.rng.random(), (knows, pace), out)
+                    self.roll
+                        .read(note, now, self.rng.random(), (knows, pace), out)
                 }),
             }
         }
@@ -723,38 +932,54 @@
                 let slot = self.desk.admit(now, arrival, &self.charter);
                 let first_run = |(host, sent): (usize, Nanos)| FirstRun {
                     host,
-                    listed: self.hosts.get(host).map(|host| host.listing).unwrap_or_default(),
+                    listed: self
+                        .hosts
+                        .get(host)
+                        .map(|host| host.listing)
+                        .unwrap_or_default(),
                     sent,
                 };
                 if let Some(attachment) = self.desk.slots[slot].as_mut() {
-                    (attachment.hand_offs, attachment.may_have_run, attachment.tried) =
-                        (hand_offs, ran.map(first_run), tried);
+                    (
+                        attachment.hand_offs,
+                        attachment.may_have_run,
+                        attachment.tried,
+                    ) = (hand_offs, ran.map(first_run), tried);
                 }
                 self.place(now, slot, out);
             }
             Note::Standing(arrival, host, since) => {
                 let slot = self.desk.admit(now, arrival, &self.charter);
-                let Some(attachment) = self.desk.slots[slot].as_mut() else { return };
+                let Some(attachment) = self.desk.slots[slot].as_mut() else {
+                    return;
+                };
                 (attachment.begun, attachment.answered, attachment.at) = (true, true, Some(host));
                 let conn = Conn::new(since, slot, &arrival, &self.ledger, &self.charter);
-                let conn = Conn { begun: true, ..conn };
+                let conn = Conn {
+                    begun: true,
+                    ..conn
+                };
                 self.post.push_back((To::Host(host), Note::Sent(conn)));
             }
             Note::Begun { slot, .. } => {
                 if let Some(attachment) = self.desk.slots[slot].as_mut() {
                     (attachment.begun, attachment.answered) = (true, true);
-                    self.post.extend(attachment.failed.map(|host| (To::Host(host), Note::Blamed)));
+                    self.post
+                        .extend(attachment.failed.map(|host| (To::Host(host), Note::Blamed)));
                 }
                 self.desk.set_up(false, out);
             }
             Note::Returned { slot, over, ending } => {
-                let Some(attachment) = self.desk.slots[slot].as_mut() else { return };
+                let Some(attachment) = self.desk.slots[slot].as_mut() else {
+                    return;
+                };
                 let (host, begun) = (attachment.at.take(), attachment.begun);
                 attachment.answered |= over;
                 let answered = attachment.answered;
                 // What is refused or not connected is the host's doing, no store's; what one attachment meets
                 // at host after host counts once. Guards: bad clients taken for a store that fails.
-                let fails = matches!(ending, Ending::Error | Ending::TimedOut) && attachment.tried.is_empty();
+                let fails = matches!(ending, Ending::Error | Ending::TimedOut)
+                    && attachment.tried.is_empty();
                 // What one host alone fails is its own. Guards: one that fails fast, and so draws clients,
                 // taken for a store that fails, and left in use.
                 if !begun && fails && std::mem::replace(&mut self.desk.failing, host) != host {
@@ -763,33 +988,49 @@
                 if answered {
                     return self.desk.forget(slot);
                 }
-                let Some(attachment) = self.desk.slots[slot].as_mut() else { return };
+                let Some(attachment) = self.desk.slots[slot].as_mut() else {
+                    return;
+                };
                 if let Some(host) = host {
                     attachment.tried.push(host);
                     if ending == Ending::Error {
-                        (attachment.errors, attachment.failed) = (attachment.errors + 1, Some(host));
+                        (attachment.errors, attachment.failed) =
+                            (attachment.errors + 1, Some(host));
                     }
                     if !ending.never_ran() {
                         let (listed, sent) = (attachment.sent_to, attachment.sent);
-                        attachment.may_have_run.get_or_insert(FirstRun { host, listed, sent });
+                        attachment
+                            .may_have_run
+                            .get_or_insert(FirstRun { host, listed, sent });
                     }
                 }
                 self.place(now, slot, out);
             }
             Note::Left { slot } => {
-                let Some(attachment) = self.desk.slots[slot].as_mut() else { return };
+                let Some(attachment) = self.desk.slots[slot].as_mut() else {
+                    return;
+                };
                 attachment.answered = true;
                 if attachment.at.is_none() {
                     self.desk.forget(slot);
                 } else if self.charter.may_call_off && !attachment.begun {
-                    out.push(Action::CallOff { id: attachment.id, hand_off: attachment.hand_offs - 1 });
+                    out.push(Action::CallOff {
+                        id: attachment.id,
+                        hand_off: attachment.hand_offs - 1,
+                    });
                 }
             }
             Note::Fared { late } => {
                 let before = self.desk.sheds();
                 self.desk.late += (f64::from(u8::from(late)) - self.desk.late) / 3.0;
                 if before != self.desk.sheds() {
-                    log!(out, "shed={} late={:.2} held={}", !before, self.desk.late, self.desk.names.len());
+                    log!(
+                        out,
+                        "shed={} late={:.2} held={}",
+                        !before,
+                        self.desk.late,
+                        self.desk.names.len()
+                    );
                 }
             }
             Note::Spent(bytes) => self.desk.purse -= bytes,
@@ -798,7 +1039,10 @@
             Note::Leaving { from, by } => {
                 (self.desk.leaving, self.desk.parts) = (Some(by), from);
                 log!(out, "leaving held={}", self.desk.names.len());
-                out.push(Action::WakeAt { time: from, mark: PART });
+                out.push(Action::WakeAt {
+                    time: from,
+                    mark: PART,
+                });
             }
             Note::Successor(comes) => self.desk.successor = comes,
             Note::Inherited(legacy) => {
@@ -810,9 +1054,14 @@
                 log!(out, "staying held={}", self.desk.names.len());
             }
             // Guards: clients of a node that was called back, sent away by an old timer; two paces at once.
-            Note::Part if self.desk.leaving.is_some() && now >= self.desk.parts => self.part(now, out),
+            Note::Part if self.desk.leaving.is_some() && now >= self.desk.parts => {
+                self.part(now, out)
+            }
             Note::Shift { slot } => {
-                if let Some(attachment) = self.desk.slots[slot].as_mut().filter(|a| a.begun && !a.moved) {
+                if let Some(attachment) = self.desk.slots[slot]
+                    .as_mut()
+                    .filter(|a| a.begun && !a.moved)
+                {
                     attachment.moved = true;
                     out.push(Action::Move { id: attachment.id });
                 }
@@ -824,38 +1073,70 @@
     /// Sends the clients of a node that stops away evenly. Guards: hosts and store stormed, clients cut off.
     fn part(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let left = self.desk.leaving.map_or(0, |by| by.saturating_sub(now));
-        let open = |slot: &usize| self.desk.slots[*slot].as_ref().is_some_and(|a| a.begun && !a.moved);
+        let open = |slot: &usize| {
+            self.desk.slots[*slot]
+                .as_ref()
+                .is_some_and(|a| a.begun && !a.moved)
+        };
         let slots: Vec<usize> = (0..self.desk.slots.len()).filter(open).collect();
-        let (count, share) = (slots.len(), slots.len().div_ceil((left / PARTING + 1) as usize));
-        self.post.extend(slots.into_iter().take(share).map(|slot| (To::Desk, Note::Shift { slot })));
+        let (count, share) = (
+            slots.len(),
+            slots.len().div_ceil((left / PARTING + 1) as usize),
+        );
+        self.post.extend(
+            slots
+                .into_iter()
+                .take(share)
+                .map(|slot| (To::Desk, Note::Shift { slot })),
+        );
         // Guards: a few that are all sent away in the first part of the time.
         self.desk.parts = now + (left / (count as u64 + 1)).clamp(PARTING, 4 * PARTING);
-        out.push(Action::WakeAt { time: self.desk.parts, mark: PART });
+        out.push(Action::WakeAt {
+            time: self.desk.parts,
+            mark: PART,
+        });
     }
 
     /// The final answer to what can be handed off no more: a dismissal where a retry is harmless.
     fn answer(&mut self, slot: usize, out: &mut Vec<Action>) {
-        let Some(attachment) = self.desk.slots[slot].as_ref() else { return };
+        let Some(attachment) = self.desk.slots[slot].as_ref() else {
+            return;
+        };
         let (id, ran) = (attachment.id, attachment.may_have_run.is_some());
         let harmless = may_dismiss(&self.charter.offerings[attachment.arrival.offering], ran);
         // Spread, so that the clients do not come back in step.
         let wait = self.charter.longest_advice as f64 * self.rng.random_range(0.25..1.0);
-        let dismissal = Action::Dismiss { id, wait: wait as Nanos };
-        out.push(if harmless { dismissal } else { Action::GiveUp { id } });
+        let dismissal = Action::Dismiss {
+            id,
+            wait: wait as Nanos,
+        };
+        out.push(if harmless {
+            dismissal
+        } else {
+            Action::GiveUp { id }
+        });
         self.desk.forget(slot);
     }
 
     /// Hands the attachment to the best host, or gives its final answer at once.
     fn place(&mut self, now: Nanos, slot: usize, out: &mut Vec<Action>) {
         let tie = self.rng.random();
-        let Some(attachment) = self.desk.slots[slot].as_ref() else { return };
+        let Some(attachment) = self.desk.slots[slot].as_ref() else {
+            return;
+        };
         let offering = &self.charter.offerings[attachment.arrival.offering];
         let ran = attachment.may_have_run;
         // Guards: one that has its answer only after the node that stops was ended from outside.
-        let last = attachment.expiry.min(self.desk.leaving.unwrap_or(Nanos::MAX));
+        let last = attachment
+            .expiry
+            .min(self.desk.leaving.unwrap_or(Nanos::MAX));
         let last = answer_by(last, attachment.arrival.time_left, self.charter.round);
         // Guards: a store that fails at once, asked five times over for each attachment.
-        let most = if self.desk.common() { 1 } else { attachment.most };
+        let most = if self.desk.common() {
+            1
+        } else {
+            attachment.most
+        };
         // Guards: what no host will have, as bad clients send it, offered to host after host.
         let late = now >= last || attachment.hand_offs >= most || attachment.errors >= UNWANTED;
         let by = repeat_deadline(offering, ran.map(|ran| ran.sent));
@@ -868,7 +1149,8 @@
                     let view = self.survey(now);
                     let blind = view.unseen / (view.mean + view.unseen);
                     // The less it pays for its load, the sooner.
-                    let worth = |n: usize| self.charter.offerings[n].payoff / self.ledger.load(n, None);
+                    let worth =
+                        |n: usize| self.charter.offerings[n].payoff / self.ledger.load(n, None);
                     let pays = |n| worth(n).max(f64::MIN_POSITIVE);
                     let offered = |n: &usize| self.charter.offerings[*n].offered;
                     let all = (0..self.charter.offerings.len()).filter(offered);
@@ -877,18 +1159,33 @@
                     draw(tie, 0) < SHED * blind * (self.desk.late - MANY) / (1.0 - MANY)
                 });
         let shed = shed && (self.desk.leaving.is_some() || !self.desk.tries_on(now));
-        let chosen = if late || now >= by || shed { None } else { self.choose(now, attachment, vector, tie) };
+        let chosen = if late || now >= by || shed {
+            None
+        } else {
+            self.choose(now, attachment, vector, tie)
+        };
         if shed {
             self.desk.refused_since.get_or_insert(now);
         }
-        let Some(host) = chosen else { return self.answer(slot, out) };
+        let Some(host) = chosen else {
+            return self.answer(slot, out);
+        };
         let patience = self.patience(now, offering);
-        let only = attachment.hand_offs + 1 >= attachment.most || offering.effect == Effect::Irreversible;
+        let only =
+            attachment.hand_offs + 1 >= attachment.most || offering.effect == Effect::Irreversible;
         let until = if only { last } else { last.min(now + patience) };
         self.helm.next = (vector + 1) % self.helm.vectors.len();
-        out.push(Action::HandOff { id: attachment.id, host: self.hosts[host].id, until, by });
+        out.push(Action::HandOff {
+            id: attachment.id,
+            host: self.hosts[host].id,
+            until,
+            by,
+        });
         let conn = Conn::new(now, slot, &attachment.arrival, &self.ledger, &self.charter);
-        let conn = Conn { vector: Some(vector), ..conn };
+        let conn = Conn {
+            vector: Some(vector),
+            ..conn
+        };
         self.post.push_back((To::Host(host), Note::Sent(conn)));
         if let Some(attachment) = self.desk.slots[slot].as_mut() {
             (attachment.hand_offs, attachment.at, attachment.sent) =
@@ -915,19 +1212,43 @@
     }
 
     /// The host with the lowest score of those that may and can take the attachment; ties at random.
-    fn choose(&self, now: Nanos, attachment: &Attachment, vector: usize, tie: u64) -> Option<usize> {
+    fn choose(
+        &self,
+        now: Nanos,
+        attachment: &Attachment,
+        vector: usize,
+        tie: u64,
+    ) -> Option<usize> {
         let arrival = &attachment.arrival;
         let length = self.ledger.length(arrival.key, now);
-        let known = arrival.usual_load.or(self.ledger.last_load(arrival.key, now));
+        let known = arrival
+            .usual_load
+            .or(self.ledger.last_load(arrival.key, now));
         let load = self.ledger.load(arrival.offering, known);
-        let steps = length.map_or(1.0, |l| (l / STEP as f64).ceil().clamp(1.0, STEPS as f64) / STEPS as f64);
+        let steps = length.map_or(1.0, |l| {
+            (l / STEP as f64).ceil().clamp(1.0, STEPS as f64) / STEPS as f64
+        });
         let groups = self.charter.groups && !self.charter.pass;
-        let home = if self.charter.pass { arrival.key } else { arrival.group.filter(|_| groups) };
-        let ask = Ask { attachment, load, ahead: load * steps, length, home };
+        let home = if self.charter.pass {
+            arrival.key
+        } else {
+            arrival.group.filter(|_| groups)
+        };
+        let ask = Ask {
+            attachment,
+            load,
+            ahead: load * steps,
+            length,
+            home,
+        };
         let view = self.survey(now);
         // First the node's set, then all ready hosts, then those masked or tried before.
         for (set, again) in [(true, false), (false, false), (false, true)] {
-            let lapsed = again && self.hosts.iter().all(|h| !h.ready() || now < h.masked_until);
+            let lapsed = again
+                && self
+                    .hosts
+                    .iter()
+                    .all(|h| !h.ready() || now < h.masked_until);
             let mut best: Option<(f64, f64, usize)> = None;
             for (n, host) in self.hosts.iter().enumerate() {
                 let open = host.ready() && (again || !attachment.tried.contains(&n));
@@ -961,14 +1282,19 @@
             _ => draw(u64::from(self.charter.node), host.id.0) < FEW / view.near,
         };
         let part = BUSY * (view.mean + view.unseen);
-        let busy = host.reported(now).map_or(host.own() + view.unseen > part, |load| load > CROWDED);
-        let busy = busy || host.ceiling.is_some() || now < host.masked_until || host.slow(now) >= LATE;
+        let busy = host
+            .reported(now)
+            .map_or(host.own() + view.unseen > part, |load| load > CROWDED);
+        let busy =
+            busy || host.ceiling.is_some() || now < host.masked_until || host.slow(now) >= LATE;
         used && !busy && (young || host.listing.zone == self.charter.zone)
     }
 
     /// What a host that does not hold its group would pay for the attachment beside its load.
     fn opening(&self, host: &Host, ask: &Ask) -> f64 {
-        let opens = ask.home.is_some_and(|g| !self.charter.pass && !host.groups.contains_key(&g));
+        let opens = ask
+            .home
+            .is_some_and(|g| !self.charter.pass && !host.groups.contains_key(&g));
         f64::from(u8::from(opens)) * self.ledger.group_price()
     }
 
@@ -984,7 +1310,10 @@
         let masked = now < host.masked_until;
         let trickle = host.pending == 0 && now >= host.sent + PULSE / 2;
         // Guards: a node whose own line was down, and that then takes all hosts for just started.
-        let old = host.listing.started.is_none_or(|t| now >= t.saturating_add(self.charter.cold));
+        let old = host
+            .listing
+            .started
+            .is_none_or(|t| now >= t.saturating_add(self.charter.cold));
         if masked && !(lapsed && trickle) {
             return false;
         }
@@ -1001,22 +1330,43 @@
     /// name in another; and one matched against the zone that has the place of the first one's in new terms.
     fn in_circle(&self, place: &Listing, attachment: &Attachment) -> bool {
         let offering = &self.charter.offerings[attachment.arrival.offering];
-        let Some(ran) = &attachment.may_have_run else { return true };
+        let Some(ran) = &attachment.may_have_run else {
+            return true;
+        };
         let places = [&ran.listed, &self.hosts[ran.host].listing];
-        places.into_iter().all(|first| may_repeat_at(offering, Some(first), place).is_ok())
+        places
+            .into_iter()
+            .all(|first| may_repeat_at(offering, Some(first), place).is_ok())
     }
 
     /// The design's two-part score, and the leanings to homes and to the own zone.
-    fn score(&self, now: Nanos, host: &Host, ask: &Ask, view: &Survey, vector: usize, luck: f64) -> f64 {
+    fn score(
+        &self,
+        now: Nanos,
+        host: &Host,
+        ask: &Ask,
+        view: &Survey,
+        vector: usize,
+        luck: f64,
+    ) -> f64 {
         let weights = &self.helm.vectors[vector];
         // Guards: a newcomer that stays empty at a planner, as of hosts in balance some are always just under
         // the mean: it counts as it is for twice its share of what comes.
         let share = f64::from(u8::from(self.charter.gathers)) * 2.0 / view.near;
         // What others can have placed at a host that started lately is little.
         let fresh = by_lot(&self.charter) && host.cold(now, &self.charter);
-        let filled = if fresh { host.filled(now, &self.charter) } else { 1.0 };
+        let filled = if fresh {
+            host.filled(now, &self.charter)
+        } else {
+            1.0
+        };
         let stays = host.newcomer && luck >= share && !fresh;
-        let own = host.own() + if stays { view.blind * (view.mean - host.own()).max(0.0) } else { 0.0 };
+        let own = host.own()
+            + if stays {
+                view.blind * (view.mean - host.own()).max(0.0)
+            } else {
+                0.0
+            };
         let with = own + (ask.ahead + self.opening(host, ask)) / host.listing.size;
         // Guards: new hosts taken for as full as the rest, where each node sees next to nothing of any.
         let unseen = view.unseen * filled;
@@ -1027,18 +1377,36 @@
         let balance = balance + STEEP * seen * seen * (balance - BUSY).max(0.0);
         // What a report tells of the host comes in place of what the node alone can see.
         let balance = host.reported(now).map_or(balance, |load| {
-            let part = view.loaded / (view.mean * f64::from(self.charter.nodes)).max(4.0 * view.unit);
-            let load = load + (host.since + ask.ahead + self.opening(host, ask)) / host.listing.size * part;
-            (load + BLUR + STEEP * (load - CROWDED).max(0.0)) * (1.0 + host.slow(now)) / (view.loaded + BLUR)
+            let part =
+                view.loaded / (view.mean * f64::from(self.charter.nodes)).max(4.0 * view.unit);
+            let load = load
+                + (host.since + ask.ahead + self.opening(host, ask)) / host.listing.size * part;
+            (load + BLUR + STEEP * (load - CROWDED).max(0.0)) * (1.0 + host.slow(now))
+                / (view.loaded + BLUR)
         });
-        let apart = |l: f64| ((host.longest.saturating_sub(now) as f64 - l).abs() / HORIZON).min(1.0);
+        let apart =
+            |l: f64| ((host.longest.saturating_sub(now) as f64 - l).abs() / HORIZON).min(1.0);
         let score = weights.balance * balance + weights.gap * ask.length.map_or(0.0, apart);
 
-        let crossing = if host.listing.zone == self.charter.zone { 0.0 } else { view.crossing * filled };
-        let away = ask.home.filter(|g| self.charter.pass || !host.groups.contains_key(g));
+        let crossing = if host.listing.zone == self.charter.zone {
+            0.0
+        } else {
+            view.crossing * filled
+        };
+        let away = ask
+            .home
+            .filter(|g| self.charter.pass || !host.groups.contains_key(g));
         // Midway packets go where every node would look for them.
-        let pull = if host.reported(now).is_some() { STEPWISE * view.ready } else { HOME };
-        let pull = if ask.attachment.arrival.midway { 1e6 } else { pull };
+        let pull = if host.reported(now).is_some() {
+            STEPWISE * view.ready
+        } else {
+            HOME
+        };
+        let pull = if ask.attachment.arrival.midway {
+            1e6
+        } else {
+            pull
+        };
         let homing = |g: u64| pull * (-draw(g, host.id.0).ln() / host.listing.size).min(1.0);
         score + crossing + away.map_or(0.0, homing)
     }
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -9,11 +9,14 @@
 
 impl Ledger {
     pub(crate) fn length(&self, key: Option<u64>, now: Nanos) -> Option<f64> {
-        self.client(key, now).and_then(|client| client.length).or(self.mean)
+        self.client(key, now)
+            .and_then(|client| client.length)
+            .or(self.mean)
     }
 
     fn client(&self, key: Option<u64>, now: Nanos) -> Option<&Client> {
-        key.and_then(|k| self.clients.get(&k)).filter(|client| now < client.seen + TABLE_AGE)
+        key.and_then(|k| self.clients.get(&k))
+            .filter(|client| now < client.seen + TABLE_AGE)
     }
 
     /// What the client's last connection weighed. Guards: heavy clients that a host sends away, all placed at the
@@ -26,8 +29,14 @@
     fn seen(&mut self, key: u64, now: Nanos) -> &mut Client {
         self.order.push_back((key, now));
         while self.order.len() > TABLE_SIZE {
-            let Some((old, seen)) = self.order.pop_front() else { break };
-            if self.clients.get(&old).is_some_and(|client| client.seen == seen) {
+            let Some((old, seen)) = self.order.pop_front() else {
+                break;
+            };
+            if self
+                .clients
+                .get(&old)
+                .is_some_and(|client| client.seen == seen)
+            {
                 self.clients.remove(&old);
             }
         }
@@ -52,7 +61,10 @@
     /// What it has learned, for the process that takes this one's place: of the clients seen last.
     pub(crate) fn leave(&self) -> Legacy {
         let seen = |&(key, seen): &(u64, Nanos)| {
-            let client = self.clients.get(&key).filter(|client| client.seen == seen)?;
+            let client = self
+                .clients
+                .get(&key)
+                .filter(|client| client.seen == seen)?;
             Some((key, *client))
         };
         Legacy {
@@ -69,11 +81,19 @@
     }
 
     fn inherit(&mut self, of: Legacy) {
-        self.order = of.clients.iter().take(TABLE_SIZE).map(|(key, client)| (*key, client.seen)).collect();
+        self.order = of
+            .clients
+            .iter()
+            .take(TABLE_SIZE)
+            .map(|(key, client)| (*key, client.seen))
+            .collect();
         self.clients = of.clients.into_iter().take(TABLE_SIZE).collect();
         (self.mean, self.lived, self.ended) = (of.mean, of.lived, of.ended);
         (self.unit, self.weighed, self.set_up) = (of.unit, of.weighed, of.set_up);
-        self.usual.iter_mut().zip(of.usual).for_each(|(mine, theirs)| *mine = theirs);
+        self.usual
+            .iter_mut()
+            .zip(of.usual)
+            .for_each(|(mine, theirs)| *mine = theirs);
     }
 
     pub(crate) fn read(&mut self, note: Note, now: Nanos) {
@@ -84,22 +104,37 @@
                 self.mean = Some(self.lived.max(length) / self.ended);
                 let Some(key) = key else { return };
                 let client = self.seen(key, now);
-                client.length = Some(client.length.map_or(length, |old| old + (length - old) / 2.0));
+                client.length = Some(
+                    client
+                        .length
+                        .map_or(length, |old| old + (length - old) / 2.0),
+                );
             }
-            Note::Bore { key: Some(key), load } => self.seen(key, now).load = Some(load),
+            Note::Bore {
+                key: Some(key),
+                load,
+            } => self.seen(key, now).load = Some(load),
             Note::Weighed { offering, load } => {
                 // Guards: a first load far from the usual, and every guess by it for dozens to come.
                 self.weighed = (self.weighed + 1).min(32);
-                let blend =
-                    |old: Option<f64>, n: u32| Some(old.map_or(load, |m| m + (load - m) / f64::from(n)));
+                let blend = |old: Option<f64>, n: u32| {
+                    Some(old.map_or(load, |m| m + (load - m) / f64::from(n)))
+                };
                 self.usual[offering] = blend(self.usual[offering], self.weighed);
                 self.unit = blend(self.unit, self.weighed);
             }
             // The time lived at all over the connections ended. Guards: the few that end soon after a start
             // taken for all, and what is placed then counted as next to nothing in own loads.
             Note::Open(count) => {
-                (self.lived, self.ended) = (FADE * self.lived + count * PULSE as f64, FADE * self.ended);
-                self.mean = self.mean.map(|m| if self.ended > 0.1 { self.lived / self.ended } else { m });
+                (self.lived, self.ended) =
+                    (FADE * self.lived + count * PULSE as f64, FADE * self.ended);
+                self.mean = self.mean.map(|m| {
+                    if self.ended > 0.1 {
+                        self.lived / self.ended
+                    } else {
+                        m
+                    }
+                });
             }
             Note::SetUp(host, took) => {
                 let long = took as f64 > 6.0 * self.set_up;
--- a/src/permission.rs
+++ b/src/permission.rs
@@ -76,7 +76,9 @@
 /// The part of the grace for draining hosts in which an attempt may still begin: what is left of it once the process may
 /// have been held up; half of it where it is shorter than twice that.
 pub fn usable_grace(drain_grace: Nanos) -> Nanos {
-    drain_grace.saturating_sub(LONGEST_STALL).max(drain_grace / 2)
+    drain_grace
+        .saturating_sub(LONGEST_STALL)
+        .max(drain_grace / 2)
 }
 
 /// Whether the first byte of an attempt may be written.
@@ -100,7 +102,10 @@
         return Err(Refusal::OutsideGroup);
     }
     let grace = usable_grace(at.drain_grace);
-    if at.leaving_since.is_some_and(|since| at.now > since.saturating_add(grace)) {
+    if at
+        .leaving_since
+        .is_some_and(|since| at.now > since.saturating_add(grace))
+    {
         return Err(Refusal::HostLeaving);
     }
     may_go_on(at.now, at.not_after)
@@ -138,7 +143,11 @@
 ///
 /// # Errors
 /// Why there may be none.
-pub fn may_repeat(offering: &Offering, first_sent: Option<Nanos>, now: Nanos) -> Result<(), Refusal> {
+pub fn may_repeat(
+    offering: &Offering,
+    first_sent: Option<Nanos>,
+    now: Nanos,
+) -> Result<(), Refusal> {
     if now < repeat_deadline(offering, first_sent) {
         return Ok(());
     }
@@ -152,8 +161,14 @@
 ///
 /// # Errors
 /// [`Refusal::OutsideGroup`] where it would not be dropped there.
-pub fn may_repeat_at(offering: &Offering, first: Option<&Listing>, other: &Listing) -> Result<(), Refusal> {
-    let Some(first) = first.filter(|_| offering.effect == Effect::Labelled) else { return Ok(()) };
+pub fn may_repeat_at(
+    offering: &Offering,
+    first: Option<&Listing>,
+    other: &Listing,
+) -> Result<(), Refusal> {
+    let Some(first) = first.filter(|_| offering.effect == Effect::Labelled) else {
+        return Ok(());
+    };
     let same_group = match offering.circle {
         Circle::All => true,
         Circle::Zone => first.zone == other.zone,
--- a/src/records.rs
+++ b/src/records.rs
@@ -137,12 +137,27 @@
 }
 
 impl Conn {
-    pub fn new(now: Nanos, slot: usize, arrival: &Arrival, ledger: &Ledger, charter: &Charter) -> Self {
+    pub fn new(
+        now: Nanos,
+        slot: usize,
+        arrival: &Arrival,
+        ledger: &Ledger,
+        charter: &Charter,
+    ) -> Self {
         let end = now + ledger.length(arrival.key, now).unwrap_or(HORIZON) as Nanos;
         let group = arrival.group.filter(|_| charter.groups && !charter.pass);
         let load = arrival.usual_load.or(ledger.last_load(arrival.key, now));
         let (offering, key) = (arrival.offering, arrival.key);
-        Conn { slot, offering, key, group, load, since: now, end, ..Conn::default() }
+        Conn {
+            slot,
+            offering,
+            key,
+            group,
+            load,
+            since: now,
+            end,
+            ..Conn::default()
+        }
     }
 }
 
@@ -217,8 +232,17 @@
 
     /// What a connection costs its host: its load, and its part of what its group is paid for.
     pub fn cost(&self, at: usize, ledger: &Ledger) -> f64 {
-        let held = self.conns[at].group.and_then(|g| self.groups.get(&g)).copied().unwrap_or(0);
-        self.conns[at].counted + if held > 0 { ledger.group_price() / f64::from(held) } else { 0.0 }
+        let held = self.conns[at]
+            .group
+            .and_then(|g| self.groups.get(&g))
+            .copied()
+            .unwrap_or(0);
+        self.conns[at].counted
+            + if held > 0 {
+                ledger.group_price() / f64::from(held)
+            } else {
+                0.0
+            }
     }
 
     /// How long ago it started, as far as is known: no earlier than it last took no connection. Guards: hosts
@@ -252,7 +276,10 @@
         let steps = ((conn.end - now).div_ceil(STEP)).min(STEPS);
         let load = ledger.load(conn.offering, conn.load);
         let ahead = load * steps as f64 / STEPS as f64;
-        (self.ahead, self.load) = (self.ahead + ahead - conn.ahead, self.load + load - conn.counted);
+        (self.ahead, self.load) = (
+            self.ahead + ahead - conn.ahead,
+            self.load + load - conn.counted,
+        );
         (conn.ahead, conn.counted) = (ahead, load);
         self.longest = self.longest.max(conn.end);
         self.shared = ledger.group_price() * self.groups.len() as f64;
@@ -290,7 +317,8 @@
     pub fn regarded(&mut self, by: Regard) {
         (self.newcomer, self.down, self.report, self.reported) =
             (by.newcomer, by.down, by.report, by.reported);
-        (self.draining, self.masked_until, self.strikes) = (by.draining, by.masked_until, by.strikes);
+        (self.draining, self.masked_until, self.strikes) =
+            (by.draining, by.masked_until, by.strikes);
         (self.slowness, self.slow_told, self.slowness_at_cut) =
             (by.slowness, by.slow_told, by.slowness_at_cut);
         (self.ceiling, self.good, self.cut) = (by.ceiling, by.good, by.cut);
@@ -383,10 +411,19 @@
 impl Desk {
     /// A record for an attachment that has come, under these terms.
     pub fn admit(&mut self, now: Nanos, mut arrival: Arrival, charter: &Charter) -> usize {
-        arrival.offering = arrival.offering.min(charter.offerings.len().saturating_sub(1));
+        arrival.offering = arrival
+            .offering
+            .min(charter.offerings.len().saturating_sub(1));
         let expiry = now.saturating_add(arrival.time_left);
         let (id, most) = (arrival.id, charter.most_hand_offs);
-        let attachment = Attachment { id, arrival, expiry, sent: now, most, ..Attachment::default() };
+        let attachment = Attachment {
+            id,
+            arrival,
+            expiry,
+            sent: now,
+            most,
+            ..Attachment::default()
+        };
         let slot = self.free.pop().unwrap_or_else(|| {
             self.slots.push(None);
             self.slots.len() - 1
@@ -436,7 +473,11 @@
     let spare = hosts.iter().skip(*searched).position(|h| h.forgotten(now));
     let spare = spare.map_or(hosts.len(), |n| *searched + n);
     *searched = spare;
-    let fresh = Host { id, gone_since: now, ..Host::default() };
+    let fresh = Host {
+        id,
+        gone_since: now,
+        ..Host::default()
+    };
     if let Some(old) = hosts.get_mut(spare) {
         known.remove(&std::mem::replace(old, fresh).id);
     } else {
@@ -476,9 +517,17 @@
 
 impl Vector {
     pub fn dominates(&self, other: &Vector) -> bool {
-        let spread = (self.spread / self.judged as f64, other.spread / other.judged as f64);
-        let longest = (self.longest / self.judged as f64, other.longest / other.judged as f64);
-        spread.0 <= spread.1 && longest.0 <= longest.1 && (spread.0 < spread.1 || longest.0 < longest.1)
+        let spread = (
+            self.spread / self.judged as f64,
+            other.spread / other.judged as f64,
+        );
+        let longest = (
+            self.longest / self.judged as f64,
+            other.longest / other.judged as f64,
+        );
+        spread.0 <= spread.1
+            && longest.0 <= longest.1
+            && (spread.0 < spread.1 || longest.0 < longest.1)
     }
 }
 
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -27,7 +27,13 @@
     /// Whether the budget of a cold host has room for one more from this node: by turns, or where these are
     /// fewer than the nodes, by lot. Guards: new hosts left idle, as the one node of many whose second it
     /// is has nobody to place in it.
-    pub(crate) fn cold_room(&self, now: Nanos, key: Option<u64>, view: &Survey, charter: &Charter) -> bool {
+    pub(crate) fn cold_room(
+        &self,
+        now: Nanos,
+        key: Option<u64>,
+        view: &Survey,
+        charter: &Charter,
+    ) -> bool {
         !self.cold(now, charter)
             || match by_lot(charter) {
                 true => self.drawn(now, key, view.lot, view, charter),
@@ -46,7 +52,9 @@
         charter: &Charter,
     ) -> bool {
         let nodes = f64::from(charter.nodes.max(1));
-        let place = key.map_or((f64::from(charter.node) + 0.5) / nodes, |key| draw(key, self.id.0));
+        let place = key.map_or((f64::from(charter.node) + 0.5) / nodes, |key| {
+            draw(key, self.id.0)
+        });
         // Alike for clients of all zones. Guards: a host pushed over where one zone has most of the clients.
         let share = BEARS * self.listing.size / view.size.max(self.listing.size);
         let come = |age: Nanos| {
@@ -76,14 +84,25 @@
         let turn = now / charter.tip_after.max(MILLI);
         let place = turn.wrapping_add((draw(self.id.0, 0) * 1e6) as u64);
         let in_turn = |of: u32| place % cycle == u64::from(of) % cycle;
-        let turns = charter.turns.iter().filter(|(of, _)| in_turn(*of)).map(|(_, share)| share);
+        let turns = charter
+            .turns
+            .iter()
+            .filter(|(of, _)| in_turn(*of))
+            .map(|(_, share)| share);
         let own = charter.turns.is_empty() && in_turn(charter.node);
         let share = if own { 1.0 } else { turns.sum() };
         if share <= 0.0 || turn == self.turn {
             return (if turn == self.turn { self.credit } else { 0.0 }, self.turn);
         }
-        let missed = if self.turn == 0 { 1 } else { ((turn - self.turn) / cycle).clamp(1, 8) };
-        ((self.credit.min(1.0) + part * share * missed as f64).min(part.max(1.0)), turn)
+        let missed = if self.turn == 0 {
+            1
+        } else {
+            ((turn - self.turn) / cycle).clamp(1, 8)
+        };
+        (
+            (self.credit.min(1.0) + part * share * missed as f64).min(part.max(1.0)),
+            turn,
+        )
     }
 
     /// Gives a cold host nothing in the turn that is now.
--- a/src/types.rs
+++ b/src/types.rs
@@ -49,7 +49,11 @@
 impl Offering {
     /// Whether it means the same, offered or not.
     pub fn same_terms(&self, other: &Offering) -> bool {
-        *self == Offering { offered: self.offered, ..other.clone() }
+        *self
+            == Offering {
+                offered: self.offered,
+                ..other.clone()
+            }
     }
 }
 
@@ -126,7 +130,10 @@
 
     /// The shortest time within which any offering wants a message.
     pub fn shortest_message_time(&self) -> Nanos {
-        self.offered().map(|o| o.message_time).min().unwrap_or(SECOND)
+        self.offered()
+            .map(|o| o.message_time)
+            .min()
+            .unwrap_or(SECOND)
     }
 }
 
@@ -296,7 +303,10 @@
 
     /// Whether this ending proves that the hand-off never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Ending::Refused | Ending::Unconnected | Ending::NeverSent | Ending::Unroutable)
+        matches!(
+            self,
+            Ending::Refused | Ending::Unconnected | Ending::NeverSent | Ending::Unroutable
+        )
     }
 }
 
@@ -385,9 +395,9 @@
     pub fn host(&self) -> Option<HostId> {
         match self {
             Event::Standing(_, host) | Event::PassedOn(_, host, _) => Some(*host),
-            Event::Ended { host, .. } | Event::MessageTime { host, .. } | Event::Probed { host, .. } => {
-                Some(*host)
-            }
+            Event::Ended { host, .. }
+            | Event::MessageTime { host, .. }
+            | Event::Probed { host, .. } => Some(*host),
             _ => None,
         }
     }
--- a/wards/src/lib.rs
+++ b/wards/src/lib.rs
@@ -41,7 +41,12 @@
     /// May this be the term from here on, and what is on record?
     Claim { key: u64, term: Term },
     /// Put this on record under that term.
-    Keep { key: u64, term: Term, seq: u32, record: Record },
+    Keep {
+        key: u64,
+        term: Term,
+        seq: u32,
+        record: Record,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -139,17 +144,30 @@
         let known = self.wards.get(&key);
         // Guards: a second hand-off of what is irreversible, as the guardian of the first has forgotten it.
         if self.fresh(now) || known.is_none() && self.wards.len() >= self.most {
-            return Answer::Refused { key, term, by: None };
+            return Answer::Refused {
+                key,
+                term,
+                by: None,
+            };
         }
         #[cfg(test)]
         let higher = known.filter(|ward| ward.promised > term && !self.takes_any_term);
         #[cfg(not(test))]
         let higher = known.filter(|ward| ward.promised > term);
         if let Some(ward) = higher {
-            return Answer::Refused { key, term, by: Some(ward.promised) };
+            return Answer::Refused {
+                key,
+                term,
+                by: Some(ward.promised),
+            };
         }
         let until = now.saturating_add(self.life);
-        let ward = self.wards.entry(key).or_insert(Ward { promised: term, kept: None, since: now, until });
+        let ward = self.wards.entry(key).or_insert(Ward {
+            promised: term,
+            kept: None,
+            since: now,
+            until,
+        });
         (ward.promised, ward.until) = (ward.promised.max(term), until);
         match question {
             Question::Claim { .. } => {
@@ -159,9 +177,17 @@
             }
             Question::Keep { seq, record, .. } if record.history.len() <= LONGEST_HISTORY => {
                 (ward.kept, ward.since) = (Some((term, record.clone())), now);
-                Answer::Kept { key, term, seq: *seq }
+                Answer::Kept {
+                    key,
+                    term,
+                    seq: *seq,
+                }
             }
-            Question::Keep { .. } => Answer::Refused { key, term, by: None },
+            Question::Keep { .. } => Answer::Refused {
+                key,
+                term,
+                by: None,
+            },
         }
     }
 }
@@ -170,7 +196,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     /// It is this member's under a term, with what was on record, and for how long at the guardian that said so.
-    Owned { key: u64, record: Record, age: Nanos },
+    Owned {
+        key: u64,
+        record: Record,
+        age: Nanos,
+    },
     /// What was to be put on record is with a majority.
     Written { key: u64 },
     /// A term that went before was higher: the claim by a new one is to go out.
@@ -183,9 +213,14 @@
 
 #[derive(Clone, Hash)]
 enum Stage {
-    Claiming { granted: BTreeMap<u32, Option<(Term, Record, Nanos)>> },
+    Claiming {
+        granted: BTreeMap<u32, Option<(Term, Record, Nanos)>>,
+    },
     Owned,
-    Writing { seq: u32, kept: Vec<u32> },
+    Writing {
+        seq: u32,
+        kept: Vec<u32>,
+    },
 }
 
 #[derive(Clone, Hash)]
@@ -237,9 +272,23 @@
     /// Wants a ward: the question to its guardians. One that is held already is claimed anew.
     pub fn claim(&mut self, now: Nanos, key: u64) -> Question {
         self.number += 1;
-        let term = Term { number: self.number, holder: self.me };
-        let stage = Stage::Claiming { granted: BTreeMap::new() };
-        self.held.insert(key, Held { term, stage, refused: Vec::new(), tries: 0, until: now + self.within });
+        let term = Term {
+            number: self.number,
+            holder: self.me,
+        };
+        let stage = Stage::Claiming {
+            granted: BTreeMap::new(),
+        };
+        self.held.insert(
+            key,
+            Held {
+                term,
+                stage,
+                refused: Vec::new(),
+                tries: 0,
+                until: now + self.within,
+            },
+        );
         Question::Claim { key, term }
     }
 
@@ -247,10 +296,24 @@
     pub fn keep(&mut self, now: Nanos, key: u64, record: Record) -> Option<Question> {
         self.seq = self.seq.wrapping_add(1);
         let (seq, until) = (self.seq, now + self.within);
-        let held = self.held.get_mut(&key).filter(|held| !matches!(held.stage, Stage::Claiming { .. }))?;
-        (held.stage, held.until) = (Stage::Writing { seq, kept: Vec::new() }, until);
+        let held = self
+            .held
+            .get_mut(&key)
+            .filter(|held| !matches!(held.stage, Stage::Claiming { .. }))?;
+        (held.stage, held.until) = (
+            Stage::Writing {
+                seq,
+                kept: Vec::new(),
+            },
+            until,
+        );
         held.refused.clear();
-        Some(Question::Keep { key, term: held.term, seq, record })
+        Some(Question::Keep {
+            key,
+            term: held.term,
+            seq,
+            record,
+        })
     }
 
     /// Wants it no more.
@@ -259,21 +322,33 @@
     }
 
     pub fn owns(&self, key: u64) -> bool {
-        self.held.get(&key).is_some_and(|held| !matches!(held.stage, Stage::Claiming { .. }))
+        self.held
+            .get(&key)
+            .is_some_and(|held| !matches!(held.stage, Stage::Claiming { .. }))
     }
 
     /// When the next one's time is over.
     pub fn next(&self) -> Option<Nanos> {
-        let waits = self.held.values().filter(|held| !matches!(held.stage, Stage::Owned));
+        let waits = self
+            .held
+            .values()
+            .filter(|held| !matches!(held.stage, Stage::Owned));
         waits.map(|held| held.until).min()
     }
 
     /// Those that no majority answered in time.
     pub fn due(&mut self, now: Nanos) -> Vec<Outcome> {
         let late = |held: &Held| !matches!(held.stage, Stage::Owned) && now >= held.until;
-        let keys: Vec<u64> = self.held.iter().filter(|(_, held)| late(held)).map(|(key, _)| *key).collect();
+        let keys: Vec<u64> = self
+            .held
+            .iter()
+            .filter(|(_, held)| late(held))
+            .map(|(key, _)| *key)
+            .collect();
         keys.iter().for_each(|key| _ = self.held.remove(key));
-        keys.into_iter().map(|key| Outcome::NoMajority { key }).collect()
+        keys.into_iter()
+            .map(|key| Outcome::NoMajority { key })
+            .collect()
     }
 
     /// A place has answered. What comes after its time, of another term or of no guardian, is nothing.
@@ -286,7 +361,10 @@
             self.number = self.number.max(by.number.min(self.number + 1024));
         }
         let guardians = guardians(key, self.roster);
-        let held = self.held.get_mut(&key).filter(|held| held.term == term && now < held.until)?;
+        let held = self
+            .held
+            .get_mut(&key)
+            .filter(|held| held.term == term && now < held.until)?;
         if !guardians.contains(&place) {
             return None;
         }
@@ -294,8 +372,13 @@
             (Answer::Granted { kept, .. }, Stage::Claiming { granted }) => {
                 granted.insert(place, kept);
                 let count = granted.len();
-                let latest = granted.values().flatten().max_by_key(|(term, _, age)| (*term, *age));
-                let (record, age) = latest.map(|(_, record, age)| (record.clone(), *age)).unwrap_or_default();
+                let latest = granted
+                    .values()
+                    .flatten()
+                    .max_by_key(|(term, _, age)| (*term, *age));
+                let (record, age) = latest
+                    .map(|(_, record, age)| (record.clone(), *age))
+                    .unwrap_or_default();
                 if !self.enough(key, count) {
                     return None;
                 }
@@ -314,13 +397,24 @@
                 Some(Outcome::Written { key })
             }
             // The one who was at it before may be gone; two that are at it together do not go on for ever.
-            (Answer::Refused { by: Some(_), .. }, Stage::Claiming { granted }) if held.tries < TRIES => {
+            (Answer::Refused { by: Some(_), .. }, Stage::Claiming { granted })
+                if held.tries < TRIES =>
+            {
                 granted.clear();
                 held.refused.clear();
                 held.tries += 1;
                 self.number += 1;
-                held.term = Term { number: self.number, holder: self.me };
-                Some(Outcome::Again { key, question: Question::Claim { key, term: held.term } })
+                held.term = Term {
+                    number: self.number,
+                    holder: self.me,
+                };
+                Some(Outcome::Again {
+                    key,
+                    question: Question::Claim {
+                        key,
+                        term: held.term,
+                    },
+                })
             }
             (Answer::Refused { by: Some(_), .. }, _) => {
                 self.held.remove(&key);
