--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs instances of the decision module on the bench's wire: batches of events on standard input, replies with actions on
-//! standard output.
+//! Runs instances of the decision module on the bench's wire: batches of events on standard input,
+//! replies with actions on standard output.
 
 mod batch;
 mod error;
@@ -67,8 +67,8 @@
     Header::decode(&bytes).map(Some)
 }
 
-/// Reads the body that a header announces. The buffer grows with what really arrives, so that a wrong length does not claim
-/// the memory at once.
+/// Reads the body that a header announces. The buffer grows with what really arrives, so that a
+/// wrong length does not claim the memory at once.
 fn read_body(
     input: &mut impl Read,
     header: &Header,
--- a/adapter/tests/size.rs
+++ b/adapter/tests/size.rs
@@ -90,7 +90,8 @@
     replies
 }
 
-/// Prevents lists and fleets from being cut off at some bound, and a node beyond one from being taken for another.
+/// Prevents lists and fleets from being cut off at some bound, and a node beyond one from being
+/// taken for another.
 #[test]
 fn eleven_hundred_hosts_and_nodes_are_all_known() {
     let settings = settings();
--- a/src/action.rs
+++ b/src/action.rs
@@ -42,7 +42,7 @@
         /// Which of its attempts, from 0.
         attempt: u32,
     },
-    /// Asks for [`Event::TimerFired`](crate::Event::TimerFired).
+    /// Requests [`Event::TimerFired`](crate::Event::TimerFired).
     SetTimer {
         /// When.
         time: Nanos,
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -1,11 +1,13 @@
 //! The balancer of one node: events in, actions out.
 //!
-//! How to use it: make one [`Balancer`] for each node, hand each event to [`Balancer::handle`] with the caller's clock, and
-//! carry out the actions that it appends, in their order. Why decisions are as they are is told in `docs/design.md`.
+//! How to use it: make one [`Balancer`] for each node, hand each event to [`Balancer::handle`] with
+//! the caller's clock, and carry out the actions that it appends, in their order. `docs/design.md`
+//! gives the reasons for the decisions.
 //!
-//! Each part (the host records, the request table, the weight optimizer, the connection history, the endpoint poller) owns
-//! its state. An event becomes messages to these parts, and handling a message may send more: [`Balancer`] handles them in
-//! order until none is left. A part may read another's state; only the part itself changes it.
+//! Each part (the host records, the request table, the weight optimizer, the connection history,
+//! the endpoint poller) owns its state. An event becomes messages to these parts, and handling a
+//! message may send more: [`Balancer`] handles them in order until none is left. A part may read
+//! another's state; only the part itself changes it.
 
 mod endpoints;
 mod fleet_estimate;
@@ -108,7 +110,7 @@
 
     /// Takes in one event and appends the actions that it calls for.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
-        self.take_in(now, event, actions);
+        self.dispatch(now, event, actions);
         while let Some(message) = self.messages.pop_front() {
             self.handle_message(now, message, actions);
         }
@@ -135,7 +137,7 @@
         }
     }
 
-    fn take_in(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
+    fn dispatch(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointsUpdated { kind, endpoints } => {
                 self.update_endpoints(now, kind, endpoints);
@@ -275,11 +277,11 @@
         match message {
             Message::Host(host, message) => self.handle_host(now, host, message, actions),
             Message::Request(message) => self.handle_request(now, message, actions),
-            Message::PlacementJudged {
+            Message::PlacementEvaluated {
                 vector,
                 load_spread,
                 longest_remaining,
-            } => self.weight_optimizer.placement_judged(
+            } => self.weight_optimizer.placement_evaluated(
                 vector,
                 load_spread,
                 longest_remaining,
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -53,7 +53,8 @@
     }
 }
 
-/// The node's position in a large fleet, from 0 to 1, over as much of that as there are more nodes than would be few.
+/// The node's position in a large fleet, from 0 to 1, over as much of that as there are more nodes
+/// than would be few.
 fn fleet_position(settings: &BalancerSettings) -> Option<f64> {
     let few = settings.warm_up as f64 / settings.overload_window.max(1) as f64;
     let nodes = f64::from(settings.node_count.max(1));
--- a/src/balancer/fleet_estimate.rs
+++ b/src/balancer/fleet_estimate.rs
@@ -1,5 +1,5 @@
-//! An estimate of the fleet's state from what this node knows of the ready hosts: one node of many sees but a sample of the
-//! load at each.
+//! An estimate of the fleet's state from what this node knows of the ready hosts: one node of many
+//! sees but a sample of the load at each.
 
 use super::Balancer;
 use crate::host::{FleetShare, Host, CLIENT_SLOT_TIME, WARM_CAPACITY_FACTOR};
@@ -7,7 +7,7 @@
 
 /// What a connection to another zone costs, in mean own loads.
 const CROSS_ZONE_PENALTY: f64 = 18.0;
-/// The most mean loads that what a node cannot see of a host is taken for.
+/// The upper bound, in mean loads, of the unseen load of a host.
 const MAX_UNSEEN_LOADS: f64 = 50.0;
 /// The least mean reported load that others are compared with.
 const MIN_REPORTED_LOAD: f64 = 0.05;
@@ -16,29 +16,31 @@
 pub(super) struct FleetEstimate {
     /// Mean own load of the hosts that are not ejected, newcomers as they count.
     pub mean_load: f64,
-    /// How much of the others' mean a newcomer counts at, in place of its own load.
+    /// How far a newcomer's load is replaced by the others' mean, from 0 to 1.
     pub newcomer_blend: f64,
-    /// What own loads are blurred by, as what a node of many holds is but a sample. Without this, hosts would be judged by a
-    /// connection or two.
+    /// What own loads are blurred by, as what a node of many holds is but a sample. Without this,
+    /// hosts would be judged by a connection or two.
     pub unseen_load: f64,
     /// The share of the hosts that are not ejected and whose messages are in time.
     pub healthy_share: f64,
     /// How many hosts stand in the own zone, at least 1, and their size.
     pub local_hosts: f64,
     pub local_size: f64,
-    /// What a host without a load limit bears, for each unit of size: where most have one, their mean. Without this, all
-    /// would fill the one that has none.
+    /// The load that a host without a load limit can sustain, for each unit of size: where most
+    /// hosts have a limit, the mean of these. Without this, all nodes would fill the one host that
+    /// has none.
     pub typical_limit: f64,
-    /// The price of another zone, lower where own hosts are under pressure. Without the latter, one zone would be filled and
-    /// filled.
+    /// The price of another zone, lower where own hosts are under pressure. Without the latter, one
+    /// zone would be filled and filled.
     pub cross_zone_penalty: f64,
     /// Mean reported load, and the mean load of a connection.
     pub mean_reported_load: f64,
     pub connection_load: f64,
     /// How many hosts are ready.
     pub ready_hosts: f64,
-    /// What the part of a warming host is computed from. A warm host bears [`WARM_CAPACITY_FACTOR`] times the mean, or nearer
-    /// it the more hosts have a load limit. Without the latter, the new hosts of a fleet that grows would stay idle.
+    /// The inputs of slow start. A warm host can sustain [`WARM_CAPACITY_FACTOR`] times the mean,
+    /// or less the more hosts have a load limit. Without the latter, new hosts of a growing fleet
+    /// would stay idle.
     pub share: FleetShare,
 }
 
@@ -65,7 +67,8 @@
     settled_load: f64,
     newcomers: f64,
     newcomer_load: f64,
-    /// Hosts of the own zone: all, ejected or limited, and those of which this node has a sign at all.
+    /// Hosts of the own zone: all, ejected or limited, and those of which this node has a sign at
+    /// all.
     local: f64,
     local_size: f64,
     local_pressed: f64,
@@ -144,8 +147,9 @@
             let unseen = connection_load * connection_load / mean.max(f64::MIN_POSITIVE);
             unseen.min(MAX_UNSEEN_LOADS * connection_load)
         };
-        // Newcomers count at the others' mean, and that stays as it is; the more a node sees, the more they count as they
-        // are. Without the latter, hosts would be filled and filled beside new ones where two nodes see it all.
+        // Newcomers count at the others' mean, and that stays as it is; the more a node sees, the
+        // more they count as they are. Without the latter, hosts would be filled and filled beside
+        // new ones where two nodes see it all.
         let settled_mean = sums.settled_load / f64::max(sums.settled, 1.0);
         let newcomer_blend = if self.settings.centralized {
             1.0
@@ -184,8 +188,9 @@
         }
     }
 
-    /// How long a client's slot lasts: [`CLIENT_SLOT_TIME`] where in that time no more requests arrive than are open. Without
-    /// this, a warming host would be overloaded as requests arrive so fast that the slots of two seconds are used up in one.
+    /// How long a client's slot lasts: [`CLIENT_SLOT_TIME`] where in that time no more requests
+    /// arrive than are open. Without this, a warming host would be overloaded as requests arrive so
+    /// fast that the slots of two seconds are used up in one.
     fn client_slot_time(&self, now: Nanos) -> Nanos {
         let longest = CLIENT_SLOT_TIME as f64;
         let arrivals = self.arrival_rate.within(now, CLIENT_SLOT_TIME);
--- a/src/balancer/inheritance.rs
+++ b/src/balancer/inheritance.rs
@@ -1,4 +1,5 @@
-//! Hot restart: the state that a process leaves to its successor, and takes over from its predecessor.
+//! Hot restart: the state that a process leaves to its successor, and takes over from its
+//! predecessor.
 
 use super::Balancer;
 use crate::endpoint::HostId;
@@ -52,8 +53,8 @@
     }
 
     pub(super) fn request_taken_over(&mut self, incoming: IncomingRequest, prior: &PriorAttempts) {
-        // Without this, a repeat would be sent where nobody knows any more which group would drop it: index 0 at time 0
-        // stands for a first attempt whose repeat is out of time.
+        // Without this, a repeat would be sent although the group that would drop it is unknown:
+        // index 0 at time 0 stands for a first attempt whose repeat window is over.
         let may_have_run = prior.may_have_run.map(|(id, sent_at)| {
             let known = self.hosts.index(id);
             known
--- a/src/balancer/load_reports.rs
+++ b/src/balancer/load_reports.rs
@@ -13,7 +13,7 @@
 const MAX_METRIC_VALUE: f64 = 1e3;
 
 impl Balancer {
-    /// Takes in the values of a load report; `default_load` counts where they tell no load.
+    /// Takes in the values of a load report; `default_load` is used where they contain no load.
     pub(super) fn load_report_received(
         &mut self,
         host: usize,
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -14,12 +14,13 @@
 
 /// Attempts that end with an error before no other host is tried.
 const MAX_ERRORS: u32 = 2;
-/// How much longer than its objective a set-up is waited for by a node of many that sees next to none. Where probes or
-/// connections tell how loaded hosts are, one that hangs is found out by that, and the wait is shorter.
+/// How much longer than its objective a node of a large fleet that sees hardly any set-ups waits
+/// for one. Where probes or connections report load, a hanging host is detected by that, and the
+/// wait is shorter.
 const EXTRA_SETUP_TIME: Nanos = 6 * SECOND;
 const EXTRA_SETUP_TIME_WITH_LOADS: Nanos = 2 * SECOND;
-/// Requests a second at which that extra time is halved.
-const TELLING_ARRIVAL_RATE: f64 = 5.0;
+/// The arrival rate, in requests per second, at which that extra time is halved.
+const HALVING_ARRIVAL_RATE: f64 = 5.0;
 /// How many times longer a set-up is waited for where all fail.
 const FAILURE_PATIENCE: f64 = 20.0;
 
@@ -80,8 +81,8 @@
         self.send_host(host, HostMessage::ConnectionAdded(connection));
     }
 
-    /// By when the request gets its answer. Without the shutdown's deadline, it might have one only after a node that stops was
-    /// ended from outside.
+    /// By when the request gets its answer. Without the shutdown's deadline, it might have one only
+    /// after a node that stops was ended from outside.
     fn answer_by(&self, request: &Request) -> Nanos {
         let shutdown_deadline = self.shutdown.deadline.unwrap_or(Nanos::MAX);
         answer_by(
@@ -91,9 +92,9 @@
         )
     }
 
-    /// Whether the request has failed too often to be attempted again. Without the first limit, a store that fails at once would
-    /// be asked five times over for each request; without the second, what no host accepts, as bad clients send it, would be
-    /// offered to host after host.
+    /// Whether the request has failed too often to be attempted again. Without the first limit, a
+    /// store that fails at once would be asked five times over for each request; without the
+    /// second, what no host accepts, as bad clients send it, would be offered to host after host.
     fn has_failed(&self, request: &Request) -> bool {
         let max_attempts = if self.setup_failures.are_common() {
             1
@@ -103,9 +104,9 @@
         request.attempts >= max_attempts || request.errors >= MAX_ERRORS
     }
 
-    /// Whether a request that has just arrived is rejected: all are in a shutdown; in an overload, the less a node sees of the
-    /// hosts, the more of what load limits might hold it rejects by chance. Prevents many nodes from filling hosts up again as
-    /// fast as each migrates its one connection there.
+    /// Whether a request that has just arrived is rejected: all are in a shutdown; in an overload,
+    /// requests are rejected at random, the more the less a node sees of the hosts. Prevents many
+    /// nodes from filling hosts up again as fast as each migrates its one connection there.
     fn should_shed(&self, now: Nanos, request: &Request, random: u64) -> bool {
         if request.attempts > 0 {
             return false;
@@ -117,26 +118,27 @@
             return false;
         }
         let unseen_share = self.estimate_fleet(now).unseen_share();
-        // The less it is worth for its load, the sooner.
+        // Requests of a low priority for their load are rejected first.
         let least = self
             .settings
             .classes
             .iter()
             .enumerate()
             .filter(|(_, class)| class.active)
-            .map(|(class, _)| self.worth_for_load(class))
+            .map(|(class, _)| self.priority_per_load(class))
             .fold(f64::INFINITY, f64::min);
-        let relative_worth = least / self.worth_for_load(request.incoming.class);
+        let relative_worth = least / self.priority_per_load(request.incoming.class);
         let unseen_share = unseen_share * relative_worth.sqrt();
         hash_to_unit_interval(random, 0) < self.load_shedding.rejected_share(unseen_share)
     }
 
-    fn worth_for_load(&self, class: usize) -> f64 {
+    fn priority_per_load(&self, class: usize) -> f64 {
         let worth = self.settings.classes[class].priority_weight / self.history.load(class, None);
         worth.max(f64::MIN_POSITIVE)
     }
 
-    /// The final answer to what cannot be attempted any more: a rejection where a retry is harmless.
+    /// The final answer to what cannot be attempted any more: a rejection where a retry is
+    /// harmless.
     fn give_final_answer(&mut self, slot: usize, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(slot) else {
             return;
@@ -155,9 +157,10 @@
         self.requests.remove(slot);
     }
 
-    /// How long a set-up is waited for before another host is tried. Without the longer waits, a store that all set-ups share
-    /// would give its answers when the node has asked anew already. The fewer set-ups a node sees, the less it can tell such a
-    /// store from a host that hangs, and the longer it waits.
+    /// How long a set-up is waited for before another host is tried. Without the longer waits, a
+    /// store that all set-ups share would answer when the node has already retried. The fewer
+    /// set-ups a node sees, the less it can distinguish such a store from a hanging host, and the
+    /// longer it waits.
     fn setup_timeout(&self, now: Nanos, class: &RequestClass) -> Nanos {
         let knows_loads = self.settings.load_from_probes || self.history.has_measured_loads();
         let max_extra = match (is_large_fleet(&self.settings), knows_loads) {
@@ -166,7 +169,7 @@
             (true, false) => EXTRA_SETUP_TIME,
         };
         let arrivals = self.arrival_rate.per_second(now);
-        let extra = max_extra as f64 / (1.0 + (arrivals / TELLING_ARRIVAL_RATE).powi(2));
+        let extra = max_extra as f64 / (1.0 + (arrivals / HALVING_ARRIVAL_RATE).powi(2));
         let usual = (class.latency_objective as f64 + extra).max(self.history.slow_setup_time());
         (usual * (1.0 + FAILURE_PATIENCE * self.setup_failures.rate())) as Nanos
     }
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -1,5 +1,5 @@
-//! What happens to requests: they are added, placed, answered and migrated. The final answers are given here and in
-//! `placement.rs`.
+//! What happens to requests: they are added, placed, answered and migrated. The final answers are
+//! given here and in `placement.rs`.
 
 use super::Balancer;
 use crate::action::Action;
@@ -47,9 +47,9 @@
             } => self.request_attempt_ended(now, slot, request_over, outcome, actions),
             RequestMessage::ClientLeft { slot } => self.client_left(slot, actions),
             RequestMessage::Migrate { slot } => self.migrate(slot, actions),
-            RequestMessage::MessagesJudged { late } => {
+            RequestMessage::LatencyObserved { late } => {
                 let requests = self.requests.len();
-                self.load_shedding.messages_judged(late, requests, actions);
+                self.load_shedding.latency_observed(late, requests, actions);
             }
             RequestMessage::GossipSent { bytes } => self.gossip_budget.spend(bytes),
             RequestMessage::ShutdownStarted { from, by } => {
@@ -135,8 +135,9 @@
         };
         let host = request.host.take();
         request.answered |= request_over;
-        // A host that rejects or is not connected to is its own fault, not that of a shared store; and what one request meets at
-        // host after host counts once. Without this, bad clients would be taken for a store that fails.
+        // A host that rejects or is not connected to is its own fault, not that of a shared store;
+        // and what one request meets at host after host counts once. Without this, bad clients
+        // would be taken for a store that fails.
         let first_failure = matches!(outcome, AttemptOutcome::Error | AttemptOutcome::TimedOut)
             && request.tried_hosts.is_empty();
         if !request.established && first_failure {
--- a/src/balancer/scoring.rs
+++ b/src/balancer/scoring.rs
@@ -1,5 +1,5 @@
-//! The score of a host for one request, the lower the better: the design's two parts, load balance and the gap between ends,
-//! and the preferences for the own zone and for a group's host.
+//! The score of a host for one request, the lower the better: the design's two parts, load balance
+//! and the gap between ends, and the preferences for the own zone and for a group's host.
 
 use super::fleet_estimate::FleetEstimate;
 use super::selection::{Demand, BUSY_FACTOR};
@@ -13,11 +13,11 @@
 const BUSY_STEEPNESS: f64 = 5.0;
 /// What reported loads are blurred by, as a report is old and noisy.
 const REPORT_BLUR: f64 = 1.0;
-/// What it costs to go far from the host that a group prefers.
+/// The cost of a host far from the one that a group prefers.
 const AFFINITY_COST: f64 = 4.0;
-/// What it costs to go one host further, where loads are reported.
+/// The cost of each host further from it, where loads are reported.
 const AFFINITY_STEP_COST: f64 = 0.15;
-/// In mid-stream, a connection goes where every node would look for it, whatever else.
+/// In mid-stream, the preferred host outweighs all else, as every node has to select the same one.
 const MID_STREAM_AFFINITY_COST: f64 = 1e6;
 
 impl Balancer {
@@ -39,7 +39,7 @@
         } else {
             1.0
         };
-        // What a report tells of the host comes in place of what the node alone can see.
+        // A load report replaces what this node can see itself.
         let balance = host.report.load(now).map_or_else(
             || {
                 let own_load = self.counted_load(host, fleet, recently_started, tie_breaker);
@@ -70,8 +70,9 @@
         recently_started: bool,
         tie_breaker: f64,
     ) -> f64 {
-        // Without this share, a newcomer would stay empty where one node decides for all, as of hosts in balance some are
-        // always just under the mean: it counts as it is for twice its share of requests.
+        // Without this share, a newcomer would stay empty where one node decides for all, as of
+        // hosts in balance some are always just under the mean: it counts as it is for twice its
+        // share of requests.
         let as_it_is = f64::from(u8::from(self.settings.centralized)) * 2.0 / fleet.local_hosts;
         let own_load = host.relative_load();
         let blended = host.newcomer && tie_breaker >= as_it_is && !recently_started;
@@ -94,13 +95,14 @@
     ) -> f64 {
         let added = demand.look_ahead_load + self.new_group_cost(host, demand);
         let load = own_load + added / host.endpoint.size;
-        // Without the filled share, new hosts would be taken for as full as the rest, where each node sees next to nothing of
-        // any.
+        // Without the filled share, new hosts would be taken for as full as the rest, where each
+        // node sees next to nothing of any.
         let unseen_load = fleet.unseen_load * filled_share;
         let fleet_load = fleet.mean_load + fleet.unseen_load;
         let balance = (load + unseen_load) * (1.0 + host.latency.ratio(now)) / fleet_load;
-        // Without this, hosts that groups and the own zone prefer would be filled past what they bear, where nothing tells of
-        // it until they shed load. The less a node sees of the hosts, the less it goes by that.
+        // Without this, hosts that groups and the own zone prefer would be filled past what they
+        // bear, where nothing reports that until they shed load. The less a node sees of the hosts,
+        // the less that counts.
         let seen_share = fleet.mean_load / fleet_load;
         let excess = (balance - BUSY_FACTOR).max(0.0);
         balance + BUSY_STEEPNESS * seen_share * seen_share * excess
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,4 +1,5 @@
-//! The selection of a host for one request: which hosts may and can take it. Scores are in `scoring.rs`.
+//! The selection of a host for one request: which hosts may and can take it. Scores are in
+//! `scoring.rs`.
 
 use super::fleet_estimate::FleetEstimate;
 use super::Balancer;
@@ -124,8 +125,8 @@
         best.map(|(_, _, index)| index)
     }
 
-    /// A node starts with few hosts and adds one whenever those are all busy: those of its zone at which it holds the group, or
-    /// anything, what is new, and a few by a hash of node and host.
+    /// A node starts with few hosts and adds one whenever those are all busy: those of its zone at
+    /// which it holds the group, or anything, what is new, and a few by a hash of node and host.
     fn is_in_used_set(
         &self,
         now: Nanos,
@@ -133,7 +134,8 @@
         demand: &Demand,
         fleet: &FleetEstimate,
     ) -> bool {
-        // Without this, a zone with most of the clients would be overloaded beside another whose hosts all are new and empty.
+        // Without this, a zone with most of the clients would be overloaded beside another whose
+        // hosts all are new and empty.
         let warming = host.is_warming_up(now, &self.settings) && uses_client_slots(&self.settings);
         let local = self.is_local(host);
         self.is_used(host, demand, fleet, warming)
@@ -142,7 +144,8 @@
     }
 
     fn is_used(&self, host: &Host, demand: &Demand, fleet: &FleetEstimate, warming: bool) -> bool {
-        // Without this, clients migrated to a new host by nodes that have just started would then look elsewhere.
+        // Without this, clients migrated to a new host by nodes that have just started would then
+        // look elsewhere.
         if warming {
             return true;
         }
@@ -168,7 +171,7 @@
             || host.latency.is_late(now)
     }
 
-    /// What a host that does not hold its group would pay for the request beside its load.
+    /// The cost of the request beside its load at a host that holds no connection of its group.
     pub(super) fn new_group_cost(&self, host: &Host, demand: &Demand) -> f64 {
         let is_new = demand
             .affinity
@@ -194,9 +197,10 @@
             self.shutdown.has_successor && host.is_warming_up(now, &self.settings);
         let load = demand.load + self.new_group_cost(host, demand);
         !left_to_successor
-            && host.can_bear(now, load, fleet.typical_limit)
+            && host.has_load_capacity(now, load, fleet.typical_limit)
             && (self.slow_start_allows(now, host, demand, fleet)
-                // By the list, as a node whose own network was down would take all hosts for just started.
+                // By the list, as a node whose own network was down would take all hosts for just
+                // started.
                 || matches!(candidates, Candidates::Any { .. })
                     && is_quiet
                     && host.is_listed_as_warm(now, &self.settings))
@@ -214,9 +218,10 @@
         host.has_slow_start_capacity(now, key, &fleet.share, &self.settings)
     }
 
-    /// Whether the host would drop a repeat of a request with an idempotency key that may have run: it is in the group in which
-    /// the first attempt ran, and in which that host is listed now. Prevents a repeat from leaving its group by a host that
-    /// came back under its id in another, or by a zone whose number means another zone under new settings.
+    /// Whether the host would drop a repeat of a request with an idempotency key that may have run:
+    /// it is in the group in which the first attempt ran, and in which that host is listed now.
+    /// Prevents a repeat from leaving its group by a host that came back under its id in another,
+    /// or by a zone whose number means another zone under new settings.
     fn is_in_idempotency_group(&self, host: &Host, request: &Request) -> bool {
         let class = &self.settings.classes[request.incoming.class];
         let Some(first_run) = &request.first_run else {
--- a/src/balancer/shutdown.rs
+++ b/src/balancer/shutdown.rs
@@ -46,10 +46,11 @@
         );
     }
 
-    /// Migrates clients evenly over the time left. Prevents hosts and the session store from being overloaded, and clients from
-    /// being cut off.
+    /// Migrates clients evenly over the time left. Prevents hosts and the session store from being
+    /// overloaded, and clients from being cut off.
     pub(super) fn migration_timer_fired(&mut self, now: Nanos, actions: &mut Vec<Action>) {
-        // Without this, an old timer would migrate clients of a node that was called back, or at two paces at once.
+        // Without this, an old timer would migrate clients of a node whose shutdown was cancelled,
+        // or from two sequences of timers.
         let Some(deadline) = self.shutdown.deadline else {
             return;
         };
--- a/src/balancer/tick.rs
+++ b/src/balancer/tick.rs
@@ -42,7 +42,7 @@
             return;
         }
         if self.ticks.is_multiple_of(LOOK_AHEAD_STEP / TICK_INTERVAL) {
-            self.send_host(index, HostMessage::JudgePlacements { mean_load });
+            self.send_host(index, HostMessage::EvaluatePlacements { mean_load });
         }
         self.send_host(
             index,
@@ -53,9 +53,10 @@
         );
     }
 
-    /// Migrates the clients whose slot at a warming host has just come: any node that they then come to places them there, until
-    /// the host has its share. Without this, a zone that came back, or hosts that replaced most others, would be idle for
-    /// minutes beside overloaded ones, as clients stay where they are.
+    /// Migrates the clients whose slot at a warming host has just come: any node that they then
+    /// come to places them there, until the host has its share. Without this, a zone that came
+    /// back, or hosts that replaced most others, would be idle for minutes beside overloaded ones,
+    /// as connections are long-lived.
     fn migrate_to_warming_hosts(&mut self, now: Nanos, fleet: &FleetEstimate) {
         let warming = self.warming_hosts(now);
         if warming.is_empty() {
@@ -95,7 +96,8 @@
         }
     }
 
-    /// The warming hosts to which clients are migrated: those elsewhere only from a zone that is short of warm hosts itself.
+    /// The warming hosts to which clients are migrated: those elsewhere only from a zone that is
+    /// short of warm hosts itself.
     fn warming_hosts(&self, now: Nanos) -> Vec<&Host> {
         if !uses_client_slots(&self.settings) {
             return Vec::new();
--- a/src/connection.rs
+++ b/src/connection.rs
@@ -24,7 +24,7 @@
     pub look_ahead_load: f64,
     /// Its load as counted in its host's.
     pub counted_load: f64,
-    /// The weight vector that it was placed by, until it has been judged.
+    /// The weight vector that it was placed by, until that has been evaluated.
     pub weight_vector: Option<usize>,
 }
 
--- a/src/connection_history.rs
+++ b/src/connection_history.rs
@@ -1,5 +1,6 @@
-//! What past connections have shown: how long each client's last, their load, and how long set-ups take. It owns
-//! these means, their fading, and the table of clients with its bound. It must never decide anything.
+//! What past connections have shown: how long each client's last, their load, and how long set-ups
+//! take. It owns these means, their fading, and the table of clients with its bound. It must never
+//! decide anything.
 
 use crate::endpoint::HostId;
 use crate::inherited_state::{ClientStatistics, InheritedState};
@@ -66,13 +67,14 @@
         (self.mean_duration.unwrap_or(LOOK_AHEAD_NANOS) as Nanos).max(LOOK_AHEAD_STEP)
     }
 
-    /// The load of the client's last connection. Prevents heavy clients that one host migrates from all being placed at
-    /// the next one as if they were like the rest.
+    /// The load of the client's last connection. Prevents heavy clients that one host migrates from
+    /// all being placed at the next one as if they were like the rest.
     pub fn last_load(&self, key: Option<u64>, now: Nanos) -> Option<f64> {
         self.client(key, now).and_then(|client| client.last_load)
     }
 
-    /// The load to count for a connection: its own where it is known, else the mean of its class, else of all.
+    /// The load to count for a connection: its own where it is known, else the mean of its class,
+    /// else of all.
     pub fn load(&self, class: usize, known: Option<f64>) -> f64 {
         known
             .or(self.class_loads[class])
@@ -127,8 +129,8 @@
 
     /// The load of an open connection was measured.
     pub fn load_measured(&mut self, class: usize, load: f64) {
-        // Blending from the first sample on: without this, a first load far from the usual would be every guess for
-        // dozens to come.
+        // Blending from the first sample on: without this, a first load far from the usual would be
+        // every guess for dozens to come.
         self.load_samples = (self.load_samples + 1).min(MAX_LOAD_SAMPLES);
         let samples = f64::from(self.load_samples);
         let blend =
@@ -144,8 +146,9 @@
         self.mean_setup_time += (took as f64 - self.mean_setup_time) / SETUP_TIME_SAMPLES;
     }
 
-    /// A tick with so many open requests. The mean duration is the time open at all over the connections ended: the few
-    /// that end soon after a start are not taken for all, and what is placed then does not count as next to nothing.
+    /// A tick with so many open requests. The mean duration is the time open at all over the
+    /// connections ended: the few that end soon after a start are not taken for all, and what is
+    /// placed then does not count as next to nothing.
     pub fn tick(&mut self, open_requests: f64) {
         self.open_time = FADE_PER_TICK * self.open_time + open_requests * TICK_INTERVAL as f64;
         self.ended_connections *= FADE_PER_TICK;
@@ -154,7 +157,7 @@
         }
     }
 
-    /// There are so many classes now, and these took the place of another.
+    /// There are so many classes now, and these replace others.
     pub fn classes_changed(&mut self, count: usize, replaced: Vec<usize>) {
         self.class_loads.resize(count, None);
         for class in replaced {
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -32,7 +32,7 @@
     pub state: HostState,
     /// Its capacity relative to other hosts; 0 where none is given.
     pub size: f64,
-    /// When it started, where discovery tells it.
+    /// When it started, where discovery reports that.
     pub started: Option<Nanos>,
 }
 
--- a/src/endpoint_poller.rs
+++ b/src/endpoint_poller.rs
@@ -1,19 +1,21 @@
-//! When a node polls or watches the endpoint list. It owns the moments of these calls, their spread over the fleet and the
-//! backoff after failures. It must never know what the list says, nor how a call is made.
+//! When a node polls or watches the endpoint list. It owns the moments of these calls, their spread
+//! over the fleet and the backoff after failures. It must never know what the list says, nor how a
+//! call is made.
 
 use crate::action::Action;
 use crate::endpoint::EndpointUpdate;
 use crate::time::{Nanos, SECOND};
 
-/// Within how long a node that knows no host polls first, and how long it waits after a call that failed, at the most,
-/// whatever the settings allow: nine in ten are to serve within 10 s of their start.
+/// Within how long a node that knows no host polls first, and how long it waits after a call that
+/// failed, at the most, whatever the settings allow: nine in ten are to serve within 10 s of their
+/// start.
 const MAX_FIRST_POLL_DELAY: Nanos = 5 * SECOND;
 const MAX_BACKOFF_WITHOUT_HOSTS: Nanos = 5 * SECOND / 2;
 /// What a backoff starts from, and how many times it doubles.
 const BASE_BACKOFF: Nanos = SECOND / 2;
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// A call that is due.
+/// A call to discovery that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointCall {
     /// The whole list once, at once.
@@ -29,7 +31,7 @@
     pub max_poll_interval: Nanos,
     /// Its position in the fleet, from 0 to 1, where that is large.
     pub position: Option<f64>,
-    /// Whether the node has hosts to place anything at.
+    /// Whether the node knows a ready host.
     pub has_hosts: bool,
 }
 
@@ -65,8 +67,9 @@
         })
     }
 
-    /// Nodes that start together poll in turn, within half of the time in which each has to poll by the settings, so that as
-    /// much is left for retries. Prevents hundreds from calling the service at once.
+    /// Nodes that start together poll in turn, within half of the time in which each has to poll by
+    /// the settings, so that as much is left for retries. Prevents hundreds from calling the
+    /// service at once.
     fn schedule_first_poll(&mut self, now: Nanos, schedule: PollSchedule) {
         let first = !std::mem::replace(&mut self.first_poll_scheduled, true);
         let Some(position) = schedule.position else {
@@ -78,15 +81,16 @@
         }
     }
 
-    /// A list has arrived, by the node's own call or unasked; returns how many failures this ends, if any.
+    /// A list has arrived, by the node's own call or unasked; returns how many failures this ends,
+    /// if any.
     pub fn received(&mut self, now: Nanos, schedule: PollSchedule) -> u32 {
         let called_at = self.called_at.take();
         let failures = std::mem::take(&mut self.failures);
         let first = !std::mem::replace(&mut self.has_received, true);
         let first_poll = first && !schedule.has_hosts && schedule.position.is_some();
         match called_at.filter(|_| first_poll) {
-            // The watch is called for as late as the settings allow. Without this, those who have a list would take up the
-            // service's time while others have none.
+            // The watch starts as late as the settings allow. Without this, those who have a list
+            // would take up the service's time while others have none.
             Some(at) => self.next_call = now.max(at + schedule.max_poll_interval / 8 * 7),
             None => self.watching = true,
         }
@@ -102,15 +106,16 @@
         self.watching = false;
         self.called_at = None;
         self.failures += 1;
-        // Spread and growing, so that the nodes do not overload the one service. Many are as far apart at once, and call in
-        // turn where a watch has ended, as it then has for all.
+        // Spread and growing, so that the nodes do not overload the one service. Many are as far
+        // apart at once, and call in turn where a watch has ended, as it then has for all.
         let doublings = if schedule.position.is_some() {
             MAX_BACKOFF_DOUBLINGS
         } else {
             self.failures.min(MAX_BACKOFF_DOUBLINGS)
         };
         let backoff = (BASE_BACKOFF << doublings).min(schedule.max_poll_interval / 4);
-        // Without this, a node that knows no host, under settings that leave it a minute, would be of no use for as long.
+        // Without this, a node that knows no host, under settings that leave it a minute, would be
+        // of no use for as long.
         let backoff = if schedule.has_hosts {
             backoff
         } else {
--- a/src/endpoint_poller_tests.rs
+++ b/src/endpoint_poller_tests.rs
@@ -37,8 +37,8 @@
     }
 }
 
-/// So many nodes that start at once beside a service that answers `rate` calls a second in turn, rejects those beyond a
-/// queue of one second, and is down until `down`.
+/// So many nodes that start at once beside a service that answers `rate` calls a second in turn,
+/// rejects those beyond a queue of one second, and is down until `down`.
 fn start(nodes: usize, rate: f64, down: Nanos) -> Start {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut pollers: Vec<EndpointPoller> = (0..nodes).map(|_| EndpointPoller::default()).collect();
@@ -88,11 +88,13 @@
     }
 }
 
-/// Prevents thousands of nodes from calling in the same second, and again and again while they are rejected.
+/// Prevents thousands of nodes from calling in the same second, and again and again while they are
+/// rejected.
 #[test]
 fn thousands_without_hosts_get_their_lists_in_turn() {
     for nodes in [200, 1000, 5000] {
-        // What the settings ask of the service is a call of each node within ten seconds; this one answers twice that.
+        // What the settings ask of the service is a call of each node within ten seconds; this one
+        // answers twice that.
         let start = start(nodes, nodes as f64 / 5.0, 0);
         let (calls, rejected) = (start.calls(), start.rejected);
         assert_eq!(start.lists_received.len(), nodes);
@@ -111,7 +113,8 @@
     }
 }
 
-/// Prevents those that were rejected from coming too late, behind the second calls of those that were not.
+/// Prevents those that were rejected from coming too late, behind the second calls of those that
+/// were not.
 #[test]
 fn a_service_of_less_capacity_gives_all_their_lists_before_it_is_watched() {
     let start = start(300, 40.0, 0);
@@ -127,7 +130,8 @@
     );
 }
 
-/// Prevents a service that was down for long from being called by all nodes at once when it is back.
+/// Prevents a service that was down for long from being called by all nodes at once when it is
+/// back.
 #[test]
 fn a_service_that_was_down_is_not_called_in_step() {
     let start = start(1000, 200.0, 20 * SECOND);
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,4 +1,4 @@
-//! The events that the decision module is told.
+//! The events that the caller reports to the decision module.
 
 use crate::endpoint::{Endpoint, EndpointUpdate, HostId};
 use crate::inherited_state::InheritedState;
@@ -70,8 +70,8 @@
         /// As given with the action.
         timer: u64,
     },
-    /// This node is asked to stop: new connections come to others after `from`, and its clients are to
-    /// be gone by `by`.
+    /// This node is asked to stop: new connections come to others after `from`, and its clients are
+    /// to be gone by `by`.
     ShutdownStarted {
         /// From when clients may be migrated.
         from: Nanos,
@@ -80,10 +80,11 @@
     },
     /// It is to stay after all, and to work as before.
     ShutdownCancelled,
-    /// New settings in place of the old, and the indices of classes that took the place of another. What is in
+    /// New settings in place of the old, and the indices of classes that replace others. What is in
     /// flight goes by its own class, which is still there, and keeps its attempt count.
     SettingsChanged(Box<BalancerSettings>, Vec<usize>),
-    /// Another process replaces this one: it has this one's state, and takes the clients; or has gone again.
+    /// Another process replaces this one: it has this one's state, and takes the clients; or has
+    /// gone again.
     SuccessorChanged(bool),
     /// What the previous process has learned.
     StateInherited(Box<InheritedState>),
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -1,5 +1,6 @@
-//! The byte form of the gossip that nodes exchange: one host's load. It owns the form and its bounds. It must
-//! never accept a message that is malformed, of another version or out of range, nor panic on any bytes.
+//! The byte form of the gossip that nodes exchange: one host's load. It owns the form and its
+//! bounds. It must never accept a message that is malformed, of another version or out of range,
+//! nor panic on any bytes.
 
 use crate::endpoint::HostId;
 
--- a/src/host.rs
+++ b/src/host.rs
@@ -1,5 +1,5 @@
-//! The record of one host: how it is listed, what this node has open there, and how it has behaved. It must never choose
-//! a host.
+//! The record of one host: how it is listed, what this node has open there, and how it has behaved.
+//! It must never choose a host.
 
 mod ejection;
 mod events;
@@ -88,7 +88,7 @@
         self.endpoint.size <= 0.0
     }
 
-    /// Whether its record may serve for another host.
+    /// Whether its record may be reused for another host.
     fn is_forgotten(&self, now: Nanos) -> bool {
         let forgotten_at = self.gone_since.saturating_add(RECORD_MAX_AGE);
         !self.listed && self.connections.is_empty() && now >= forgotten_at
@@ -100,8 +100,9 @@
             .is_none_or(|regrouped_at| regrouped_at < since)
     }
 
-    /// How long ago it started, as far as is known: no earlier than a connection to it last failed to open. Without this,
-    /// hosts that came back before the list told of it would be overloaded while they warm up.
+    /// How long ago it started, as far as is known: no earlier than a connection to it last failed
+    /// to open. Without this, hosts that came back before the endpoint list said so would be
+    /// overloaded while they warm up.
     fn age(&self, now: Nanos) -> Nanos {
         let started = self
             .endpoint
@@ -112,7 +113,7 @@
         started.map_or(Nanos::MAX, |started| now.saturating_sub(started))
     }
 
-    /// Whether its warm-up is over by what the list tells of its start alone.
+    /// Whether its warm-up is over by the start time in the endpoint list alone.
     pub fn is_listed_as_warm(&self, now: Nanos, settings: &BalancerSettings) -> bool {
         self.endpoint
             .started
@@ -139,8 +140,8 @@
         self.pending_attempts == 0 && now >= self.last_attempt_at + pause
     }
 
-    /// Whether a tick has nothing to do for it. Without this, hundreds of hosts that hold nothing of this node would cost it
-    /// time all the same.
+    /// Whether a tick has nothing to do for it. Without this, hundreds of hosts that hold nothing
+    /// of this node would cost it time all the same.
     pub fn is_idle(&self) -> bool {
         self.connections.is_empty() && !self.load_limit.is_set()
     }
@@ -222,7 +223,8 @@
     fn count_load(&mut self, index: usize, now: Nanos, history: &ConnectionHistory) {
         let connection = &mut self.connections[index];
         if connection.expected_end <= now {
-            // It outlived its prediction: what lasts tends to last, so the mean again.
+            // It outlived its prediction. Connections that last tend to go on, so another mean
+            // duration is expected.
             connection.expected_end = now + history.expected_remaining_duration();
         }
         let remaining = connection.expected_end - now;
@@ -237,8 +239,8 @@
         self.group_load = history.group_cost() * self.groups.len() as f64;
     }
 
-    /// Counts all connections anew. Without this, what was placed before any load was known would count at that guess for
-    /// steps to come.
+    /// Counts all connections anew. Without this, what was placed before any load was known would
+    /// count at that guess for steps to come.
     fn recount_loads(&mut self, now: Nanos, history: &ConnectionHistory) {
         self.look_ahead_load = 0.0;
         self.current_load = 0.0;
--- a/src/host/events.rs
+++ b/src/host/events.rs
@@ -1,5 +1,5 @@
-//! What a host's record does with each message: it follows the list, connections, measurements and reports, and ejects the
-//! host after a failure that is its own.
+//! What a host's record does with each message: it follows the list, connections, measurements and
+//! reports, and ejects the host after a failure that is its own.
 
 use super::slow_start::uses_client_slots;
 use super::Host;
@@ -31,7 +31,8 @@
     pub actions: &'a mut Vec<Action>,
     /// A random number from 0 to 1 for this message.
     pub random: f64,
-    /// Own connections for each unit of size that a warm host bears; computed for a warming host only.
+    /// Own connections that a warm host can sustain for each unit of size; computed for a warming
+    /// host only.
     pub connections_per_size: f64,
 }
 
@@ -81,13 +82,14 @@
             }
             HostMessage::SnapshotInherited(snapshot) => {
                 self.restore(&snapshot);
-                // Without this, a warming host would be overloaded by two processes that each use this slot.
+                // Without this, a warming host would be overloaded by two processes that each use
+                // this slot.
                 self.skip_current_slot(now, context.settings);
             }
             // Without this, a budget would be given twice, as the same moment has another number.
             HostMessage::SlotLengthChanged => self.skip_current_slot(now, context.settings),
-            HostMessage::JudgePlacements { mean_load } => {
-                self.judge_placements(mean_load, now, context);
+            HostMessage::EvaluatePlacements { mean_load } => {
+                self.evaluate_placements(mean_load, now, context);
             }
             HostMessage::ProbeAssigned(assigned) => self.probes.assign(now, assigned),
             HostMessage::Probe => {
@@ -132,7 +134,8 @@
 
     fn connection_added(&mut self, connection: Connection, now: Nanos, context: &mut HostContext) {
         if self.is_warming_up(now, context.settings) {
-            // In mean loads: without this, a few connections of many times the mean would overload the host.
+            // Counted in mean loads. Without this, a few connections of many times the mean would
+            // overload the host.
             let load = context.history.load(connection.class, connection.load);
             let loads = load / context.history.mean_load();
             let connections_per_size = context.connections_per_size;
@@ -181,7 +184,8 @@
         } else {
             self.broken_connections + u32::from(lost)
         };
-        // Without this, all hosts would be left out for a moment in which this machine had no route.
+        // Without this, all hosts would be left out for a moment in which this machine had no
+        // route.
         self.no_route_in_a_row = if outcome == AttemptOutcome::NoRoute {
             self.no_route_in_a_row + 1
         } else {
@@ -204,7 +208,8 @@
         if let Some(load) = connection.load {
             context.tell_history(HistoryMessage::FinalLoad { key, load });
         }
-        // Without this, clients that this node has migrated would be taken for ones that never stay.
+        // Without this, clients that this node has migrated would be taken for ones that never
+        // stay.
         let migrated = context
             .requests
             .get(connection.slot)
@@ -219,11 +224,12 @@
         }
     }
 
-    /// Takes a slow set-up for late messages. Without this, clients would be left at a host whose messages tell nothing.
+    /// Takes a slow set-up for late messages. Without this, clients would be left at a slow host
+    /// whose messages are not measured.
     fn setup_took(&mut self, took: Nanos, now: Nanos, context: &mut HostContext) {
         let objective = context.settings.shortest_message_latency_objective();
         let known_latency = self.latency.ratio(now) * objective as f64;
-        // Without this, hosts would be taken for late one after the other while a store that all set-ups share is.
+        // Without this, hosts would count as late one after the other while a shared store is slow.
         let shared_cause =
             context.setup_failures.are_common() || context.history.slow_elsewhere(self.id);
         let slow = took as f64 > known_latency.max(context.history.slow_setup_time());
@@ -234,26 +240,28 @@
         context.tell_history(HistoryMessage::SetupTook { host, took });
     }
 
-    /// Ejects the host where the outcome of an attempt is its own fault. An error is that only once another host has taken the
-    /// same request: see [`HostMessage::ErrorConfirmed`].
+    /// Ejects the host where the outcome of an attempt is its own fault. An error is that only once
+    /// another host has taken the same request: see [`HostMessage::ErrorConfirmed`].
     fn eject_after(&mut self, outcome: AttemptOutcome, now: Nanos, context: &mut HostContext) {
         let no_connection = match outcome {
             AttemptOutcome::NoRoute if self.no_route_in_a_row < MAX_NO_ROUTE => return,
             AttemptOutcome::ConnectFailed | AttemptOutcome::NoRoute => true,
             AttemptOutcome::Rejected | AttemptOutcome::ConnectionLost => false,
-            // Where most attempts fail, the cause is not the host's: its ejection would leave the rest all.
+            // Where most attempts fail, the cause is not the host's: its ejection would give the
+            // rest all requests.
             AttemptOutcome::TimedOut if !context.setup_failures.are_common() => false,
             _ => return,
         };
-        // Only a large fleet can overload it by its retries; in a small one this spares the last host.
+        // Only a large fleet can overload it by its retries; a small fleet must not lose its last
+        // host by this.
         if no_connection && uses_client_slots(context.settings) {
             self.connect_failed_at = Some(now);
         }
         self.eject(outcome.as_str(), now, context);
     }
 
-    /// Without this, a host that fails fast would look empty and draw the clients. Set-ups that fail everywhere eject none: hosts
-    /// are not left out for what bad clients send there.
+    /// Without this, a host that fails fast would look empty and attract clients. Where set-ups
+    /// fail everywhere no host is ejected for the errors of malformed requests.
     fn error_confirmed(&mut self, now: Nanos, context: &mut HostContext) {
         if !context.setup_failures.are_common() {
             self.eject(AttemptOutcome::Error.as_str(), now, context);
@@ -289,7 +297,8 @@
         self.latency.measured(now, latency, objective);
     }
 
-    /// Takes a load report in, and gossips it where it is this node's own, is news, and the budget allows it.
+    /// Records a load report, and gossips one that this node received itself if the load has
+    /// changed and the budget allows it.
     fn load_reported(
         &mut self,
         load: f64,
@@ -303,7 +312,7 @@
         let bytes = message.len() as f64 * f64::from(receivers);
         let gossips = !from_gossip
             && context.settings.gossip_enabled
-            && self.report.is_news(now, load)
+            && self.report.should_gossip(now, load)
             && context.gossip_budget.allows(bytes);
         if gossips {
             context.actions.push(Action::Gossip { message });
@@ -315,8 +324,8 @@
         }
     }
 
-    /// Judges the weight vectors by the connections that have been open for a step.
-    fn judge_placements(&mut self, mean_load: f64, now: Nanos, context: &mut HostContext) {
+    /// Evaluates the weight vectors by the connections that have been open for a step.
+    fn evaluate_placements(&mut self, mean_load: f64, now: Nanos, context: &mut HostContext) {
         self.newcomer &= self.relative_load() < mean_load;
         let load_spread = if mean_load > 0.0 {
             (self.relative_load() / mean_load - 1.0).powi(2)
@@ -330,9 +339,9 @@
                 continue;
             }
             if let Some(vector) = connection.weight_vector.take() {
-                let judged = RequestMessage::MessagesJudged { late };
+                let judged = RequestMessage::LatencyObserved { late };
                 context.messages.push_back(Message::Request(judged));
-                context.messages.push_back(Message::PlacementJudged {
+                context.messages.push_back(Message::PlacementEvaluated {
                     vector,
                     load_spread,
                     longest_remaining,
--- a/src/host/limiting.rs
+++ b/src/host/limiting.rs
@@ -1,5 +1,6 @@
-//! What a host can bear, and which of its connections are migrated: off a draining host, and off one whose messages come
-//! late until the node's own load there is within its limit. A host with queued work serves nobody.
+//! The load that a host can sustain, and which of its connections are migrated: off a draining
+//! host, and off one whose messages come late until the node's own load there is within its limit.
+//! A host with queued work answers nobody in time.
 
 use super::load_limit::Overload;
 use super::load_report::{CROWDED_LOAD, FULL_LOAD};
@@ -8,14 +9,15 @@
 use crate::messages::{Message, RequestMessage};
 use crate::time::{Nanos, SECOND};
 
-/// A host that broke more than one in so many of its connections since the last tick counts as late.
+/// A host that broke more than one in so many of its connections since the last tick counts as
+/// late.
 const BROKEN_PART: usize = 8;
-/// What a connection is worth at the least when costs are divided by it.
+/// The least priority weight that costs are divided by.
 const MIN_PRIORITY_WEIGHT: f64 = 1e-6;
 
 impl Host {
-    /// Whether `load` more fits under what the host has shown to bear; `typical_limit` is for each unit of size.
-    pub(crate) fn can_bear(&self, now: Nanos, load: f64, typical_limit: f64) -> bool {
+    /// Whether the host can sustain `load` more; `typical_limit` is for each unit of size.
+    pub(crate) fn has_load_capacity(&self, now: Nanos, load: f64, typical_limit: f64) -> bool {
         let limit = self
             .load_limit
             .effective(typical_limit * self.endpoint.size);
@@ -29,8 +31,8 @@
         !self.latency.is_late(now) && fits
     }
 
-    /// Migrates connections off a draining host; decreases the limit where messages come late, and raises it while they do
-    /// not.
+    /// Migrates connections off a draining host; decreases the limit where messages come late, and
+    /// raises it while they do not.
     pub(super) fn adjust_load(
         &mut self,
         now: Nanos,
@@ -41,8 +43,8 @@
         if self.is_draining() {
             return self.migrate_off_draining(now, context);
         }
-        // Without this, clients would be left at a host that sheds load: it breaks many connections and keeps some, while one
-        // that died has none.
+        // Without this, clients would be left at a host that sheds load: it breaks many connections
+        // and keeps some, while one that died has none.
         let broken = std::mem::take(&mut self.broken_connections) as usize;
         if BROKEN_PART * broken > self.connections.len() {
             self.latency_measured(now, SECOND, context);
@@ -57,8 +59,9 @@
         }
     }
 
-    /// Migrates evenly over the longest that the host can still owe an answer: a hundred nodes that each migrate one at once
-    /// would overload hosts and the session store. Prevents connections from being cut off when the host goes away.
+    /// Migrates evenly over the longest that the host can still owe an answer: a hundred nodes that
+    /// each migrate one at once would overload hosts and the session store. Prevents connections
+    /// from being cut off when the host goes away.
     fn migrate_off_draining(&self, now: Nanos, context: &mut HostContext) {
         let drained_share = now.saturating_sub(self.draining_since) as f64
             / context.settings.max_request_timeout.max(1) as f64;
@@ -101,33 +104,36 @@
         self.migrate_down_to(limit, context);
     }
 
-    /// Migrates connections, the most costly for their worth first, until the node's own load is within the limit.
+    /// Migrates connections, those with the highest cost per priority first, until the node's own
+    /// load is within the limit.
     fn migrate_down_to(&mut self, limit: f64, context: &mut HostContext) {
         let random = context.random.to_bits();
         let mut load = self.own_load();
         let mut judged = false;
-        for index in self.by_cost_for_worth(random, context) {
-            // Without this, many nodes would each migrate one whole connection where a tenth of one was meant.
+        for index in self.by_cost_per_priority(random, context) {
+            // Without this, many nodes would each migrate one whole connection where a tenth of one
+            // was meant.
             let cost = self.connection_cost(index, context.history);
             if load - limit < 0.5 * cost * hash_to_unit_interval(!random, index as u64) {
                 break;
             }
             load -= cost;
-            // A connection that was judged before counts too, where it is the only one: without this, a day overloaded from
-            // its start would go unnoticed. One counts for each decrease: without this, all new requests would be rejected
-            // because a single host hangs.
+            // A connection that was evaluated before counts too, where it is the only one: without
+            // this, a day overloaded from its start would go unnoticed. One counts for each
+            // decrease: without this, all new requests would be rejected because a single host
+            // hangs.
             let not_judged = self.connections[index].weight_vector.take().is_some();
             let counts = not_judged || self.connections.len() == 1;
             if counts && !std::mem::replace(&mut judged, true) {
-                let message = RequestMessage::MessagesJudged { late: true };
+                let message = RequestMessage::LatencyObserved { late: true };
                 context.messages.push_back(Message::Request(message));
             }
             context.migrate(self.connections[index].slot);
         }
     }
 
-    /// The indices of open connections by cost over worth and chance, the highest first.
-    fn by_cost_for_worth(&self, random: u64, context: &HostContext) -> Vec<usize> {
+    /// The indices of open connections by cost per priority and chance, the highest first.
+    fn by_cost_per_priority(&self, random: u64, context: &HostContext) -> Vec<usize> {
         let rank = |index: usize| {
             let class = &context.settings.classes[self.connections[index].class];
             self.connection_cost(index, context.history)
--- a/src/host/load_limit.rs
+++ b/src/host/load_limit.rs
@@ -1,5 +1,6 @@
-//! The load limit of a host: how much of its own load a node leaves at a host whose messages come late. It owns how a
-//! limit is decreased, and how it rises again while the host is well. It must never choose a host.
+//! The load limit of a host: how much of its own load a node leaves at a host whose messages come
+//! late. It owns how a limit is decreased, and how it rises again while the host is well. It must
+//! never choose a host.
 
 use crate::intervals::TICK_INTERVAL;
 use crate::time::{Nanos, SECOND};
@@ -20,7 +21,8 @@
 const DRAIN_SECONDS: f64 = 2.0;
 /// The smallest part by which a limit is decreased.
 const MIN_DECREASE: f64 = 0.05;
-/// The share of healthy hosts beyond which a limit may be decreased to nothing, and the largest decrease below it.
+/// The share of healthy hosts beyond which a limit may be decreased to nothing, and the largest
+/// decrease below it.
 const MANY_HEALTHY: f64 = 0.7;
 const MAX_DECREASE_WHEN_FEW_HEALTHY: f64 = 0.5;
 
@@ -28,7 +30,7 @@
 #[derive(Default)]
 pub(crate) struct LoadLimit {
     pub limit: Option<f64>,
-    /// The highest recent load that the host bore with messages in time.
+    /// The highest recent load that the host sustained with messages in time.
     pub sustained_load: f64,
     pub decreased_at: Nanos,
     pub latency_ratio_at_decrease: f64,
@@ -55,20 +57,22 @@
         self.limit.is_some()
     }
 
-    /// The limit; where none is set, `typical`, or near what the host has sustained. Without the latter, a host that bears
-    /// its load well would be kept from more by limits that others have earned.
+    /// The limit; where none is set, `typical`, or near what the host has sustained. Without the
+    /// latter, a host that sustains its load well would be restricted by the limits of others.
     pub fn effective(&self, typical: f64) -> f64 {
         self.limit
             .unwrap_or(typical.max(SUSTAINED_LOAD_SHARE * self.sustained_load))
     }
 
-    /// Raises the limit, the faster the longer the host has been well; `least` is half the mean load of its size.
+    /// Raises the limit, the faster the longer the host has been well; `least` is half the mean
+    /// load of its size.
     pub fn raise(&mut self, now: Nanos, load: f64, latency_measured_at: Nanos, least: f64) {
         let well_since = self.decreased_at.max(latency_measured_at).min(now);
         let well_seconds = (now - well_since) as f64 / SECOND as f64;
         let rise = RISE_PER_SECOND * well_seconds.min(MAX_RISING_SECONDS) * TICK_INTERVAL as f64
             / SECOND as f64;
-        // Without this, a host whose limit fell in a short fault of all hosts would stay nearly empty long after it.
+        // Without this, a host whose limit fell in a short fault of all hosts would stay nearly
+        // empty long after it.
         self.sustained_load = (SUSTAINED_LOAD_FADE * self.sustained_load).max(load);
         let raised = self
             .limit
@@ -76,16 +80,16 @@
         self.limit = raised.filter(|&limit| limit < 4.0 * load + least);
     }
 
-    /// Whether the last decrease has had its time. Prevents a host from being limited to what is left there once its clients
-    /// have gone, by the message for which it was limited before.
+    /// Whether the last decrease has had its time. Prevents a host from being limited to what is
+    /// left there once its clients have gone, by the message for which it was limited before.
     pub fn may_decrease(&self, now: Nanos, latency_measured_at: Nanos) -> bool {
         self.latency_ratio_at_decrease <= 0.0
             || now >= self.decreased_at + DECREASE_INTERVAL
                 && latency_measured_at > self.decreased_at
     }
 
-    /// Decreases the limit and returns it, unless the load is next to nothing: a late message then would limit the host to
-    /// that for long after it is well.
+    /// Decreases the limit and returns it, unless the load is next to nothing: a late message then
+    /// would limit the host to that for long after it is well.
     pub fn decrease(&mut self, now: Nanos, overload: &Overload) -> Option<f64> {
         let greatest = if overload.healthy_share > MANY_HEALTHY {
             1.0
@@ -94,8 +98,8 @@
         };
         let queued_seconds = overload.latency_ratio * overload.objective_seconds;
         let part = (queued_seconds / DRAIN_SECONDS).clamp(MIN_DECREASE, greatest);
-        // Without this, a host would be limited to nothing by what other nodes placed there, and stay empty long after it
-        // is well.
+        // Without this, a host would be limited to nothing by what other nodes placed there, and
+        // stay empty long after it is well.
         let least = if part < 1.0 {
             MIN_LIMIT_SHARE * overload.mean_load * overload.size
         } else {
--- a/src/host/load_report.rs
+++ b/src/host/load_report.rs
@@ -1,4 +1,5 @@
-//! The load that a host reports: how long a report counts, when this node probes for one, and when it gossips one.
+//! The load that a host reports: how long a report counts, when this node probes for one, and when
+//! it gossips one.
 
 use crate::endpoint::HostId;
 use crate::hashing::hash_to_unit_interval;
@@ -9,7 +10,7 @@
 const PROBE_INTERVAL: Nanos = 2 * SECOND;
 /// How long a report counts.
 const MAX_AGE: Nanos = 40 * SECOND;
-/// After which time a load is gossiped again though it has hardly changed.
+/// The interval after which an unchanged load is gossiped again.
 const GOSSIP_INTERVAL: Nanos = 15 * SECOND;
 /// By how much a load must have changed to be gossiped; half as much where the host is crowded.
 const GOSSIP_THRESHOLD: f64 = 0.2;
@@ -25,7 +26,7 @@
     pub reported_at: Nanos,
     /// The load that this node has sent there since.
     pub sent_since: f64,
-    /// What all nodes were last told, and when.
+    /// What was last gossiped to all nodes, and when.
     gossiped_load: f64,
     gossiped_at: Nanos,
 }
@@ -42,8 +43,8 @@
         self.sent_since /= 2.0;
     }
 
-    /// Whether this load is worth gossiping.
-    pub fn is_news(&self, now: Nanos, load: f64) -> bool {
+    /// Whether this load differs enough from the last gossip.
+    pub fn should_gossip(&self, now: Nanos, load: f64) -> bool {
         let threshold = if load.max(self.gossiped_load) > CROWDED_LOAD {
             GOSSIP_THRESHOLD / 2.0
         } else {
@@ -78,7 +79,8 @@
     }
 
     pub fn assign(&mut self, now: Nanos, assigned: bool) {
-        // Without this, a host would be probed by two nodes in one round, and by its new one at once again in the next.
+        // Without this, a host would be probed by two nodes in one round, and by its new one at
+        // once again in the next.
         if assigned && self.assigned == Some(false) {
             self.last_round = now / PROBE_INTERVAL;
         }
--- a/src/host/slow_start.rs
+++ b/src/host/slow_start.rs
@@ -1,15 +1,16 @@
-//! Slow start: what a host that has just started may be sent, so that all nodes together do not overload it. It owns the
-//! budget of a warming host and this node's part of it: by slots, in which the nodes take turns, or in a large fleet by the
-//! clients' own slots. It must never choose a host.
+//! Slow start: what a host that has just started may be sent, so that all nodes together do not
+//! overload it. It owns the budget of a warming host and this node's part of it: slots in which the
+//! nodes take turns, or in a large fleet slots of the clients. It must never choose a host.
 
 use super::Host;
 use crate::hashing::hash_to_unit_interval;
 use crate::settings::BalancerSettings;
 use crate::time::{Nanos, MILLI, SECOND};
 
-/// How long a client's slot at a warming host lasts, where requests do not arrive too fast for that.
+/// How long a client's slot at a warming host lasts, where requests do not arrive too fast for
+/// that.
 pub(crate) const CLIENT_SLOT_TIME: Nanos = 2 * SECOND;
-/// What a warm host bears, over the mean.
+/// The load that a warm host can sustain, over the mean.
 pub(crate) const WARM_CAPACITY_FACTOR: f64 = 4.0;
 /// How many slots that a node has missed are made up for.
 const MAX_MISSED_SLOTS: u64 = 8;
@@ -19,7 +20,7 @@
     u64::from(settings.node_count).saturating_mul(settings.overload_window) > settings.warm_up
 }
 
-/// Whether warming hosts are given to clients by their own slots: many nodes, and no report tells who is new.
+/// Whether clients have their own slots at warming hosts: in a large fleet without load reports.
 pub(crate) fn uses_client_slots(settings: &BalancerSettings) -> bool {
     is_large_fleet(settings) && !settings.load_from_probes
 }
@@ -33,7 +34,7 @@
 pub(crate) struct FleetShare {
     /// The size of all ready hosts.
     pub total_size: f64,
-    /// Own connections for each unit of size that a warm host bears.
+    /// Own connections that a warm host can sustain for each unit of size.
     pub connections_per_size: f64,
     /// How long a client's slot lasts.
     pub client_slot_time: Nanos,
@@ -60,7 +61,8 @@
         self.age(now) < settings.warm_up
     }
 
-    /// The share that other nodes may have placed at it since its start, of what they hold at a warm one.
+    /// The share that other nodes may have placed at it since its start, of what they hold at a
+    /// warm one.
     pub(crate) fn filled_share(&self, now: Nanos, settings: &BalancerSettings) -> f64 {
         (self.age(now) as f64 / settings.warm_up.max(1) as f64).min(1.0)
     }
@@ -71,8 +73,9 @@
             + (1.0 - settings.warm_up_initial_share) * self.filled_share(now, settings)
     }
 
-    /// Whether a host that is warm, or the budget of a warming one, has room for one more from this node. Client slots prevent
-    /// new hosts from staying idle, as the one node of many whose slot it is has nobody to place in it.
+    /// Whether a host that is warm, or the budget of a warming one, has room for one more from this
+    /// node. Client slots prevent new hosts from staying idle, as the one node of many whose slot
+    /// it is has no request in it.
     pub(crate) fn has_slow_start_capacity(
         &self,
         now: Nanos,
@@ -91,8 +94,9 @@
             >= 1.0
     }
 
-    /// Whether a client's slot at this warming host came within the last `span`. Each client has one while the host warms up, by
-    /// a hash that all nodes compute alike, at the pace of half the budget; one without a key has its node's.
+    /// Whether a client's slot at this warming host came within the last `span`. Each client has
+    /// one while the host warms up, by a hash that all nodes compute alike, at the pace of half the
+    /// budget; one without a key has its node's.
     pub(crate) fn client_slot_came(
         &self,
         now: Nanos,
@@ -105,7 +109,8 @@
         let position = key.map_or((f64::from(settings.node_index) + 0.5) / nodes, |key| {
             hash_to_unit_interval(key, self.id.0)
         });
-        // The same for clients of all zones. Without this, a host is overloaded where one zone has most of the clients.
+        // The same for clients of all zones. Without this, a host is overloaded where one zone has
+        // most of the clients.
         let size_share =
             WARM_CAPACITY_FACTOR * self.endpoint.size / share.total_size.max(self.endpoint.size);
         let came_by = |age: Nanos| {
@@ -136,9 +141,10 @@
             / 2.0
     }
 
-    /// What this node may send a warming host in the slot that is now. Nodes take turns by number, in another order for each
-    /// host, as many at once as the budget has mean loads for. Each has half the budget: this prevents a host from being
-    /// overloaded at the seam of two slots, and from staying idle where a round of hundreds outlasts the warm-up.
+    /// What this node may send a warming host in the slot that is now. Nodes take turns by number,
+    /// in another order for each host, as many at once as the budget has mean loads for. Each has
+    /// half the budget: this prevents a host from being overloaded at the seam of two slots, and
+    /// from staying idle where a round of hundreds outlasts the warm-up.
     fn accrued_credit(
         &self,
         now: Nanos,
--- a/src/host/table.rs
+++ b/src/host/table.rs
@@ -31,8 +31,9 @@
         self.hosts.iter()
     }
 
-    /// The index of a host's record, a new one where there is none. The record of a host long gone serves again, as a node
-    /// runs for months; none before `search_from` does, which moves on to the record taken.
+    /// The index of a host's record, a new one where there is none. The record of a host long gone
+    /// is reused, as a node runs for months. The search starts at `search_from`, which moves on to
+    /// the record taken.
     pub fn find_or_insert(&mut self, id: HostId, now: Nanos, search_from: &mut usize) -> usize {
         if let Some(index) = self.index(id) {
             return index;
--- a/src/inherited_state.rs
+++ b/src/inherited_state.rs
@@ -63,7 +63,7 @@
     pub latency_measured_at: Nanos,
     /// The load limit, where one is set.
     pub load_limit: Option<f64>,
-    /// The highest recent load that it bore with messages in time.
+    /// The highest recent load that it sustained with messages in time.
     pub sustained_load: f64,
     /// When the limit was last decreased.
     pub limit_decreased_at: Nanos,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! The library takes [`Event`]s in and gives [`Action`]s out. It does no I/O, keeps no clock and
 //! knows no protocol; whoever speaks a protocol translates it to these types. Hosts are chosen in
-//! `balancer`; whether a request may be attempted, repeated or dismissed at all is decided in [`permission`]; the rest is the
-//! interface: settings, events and actions.
+//! `balancer`; whether a request may be attempted, repeated or rejected at all is decided in
+//! [`permission`]; the rest is the interface: settings, events and actions.
 //!
 //! ```
 //! use reedferry::{Action, Balancer, BalancerSettings, Endpoint, EndpointUpdate, Event, HostId};
--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -1,4 +1,5 @@
-//! Load shedding: how much of what arrives is rejected because recent connections met late messages.
+//! Load shedding: how much of what arrives is rejected because recent connections met late
+//! messages.
 
 use crate::action::Action;
 use crate::intervals::FADE_PER_TICK;
@@ -31,18 +32,20 @@
         self.late_rate = late_rate;
     }
 
-    /// Whether so many recent connections met late messages that some requests are better not placed.
+    /// Whether so many recent connections met late messages that some requests are rejected.
     pub fn is_active(&self) -> bool {
         self.late_rate > MIN_LATE_RATE
     }
 
-    /// The share of requests to reject, by how little of the hosts' load this node sees (from 0 to 1).
+    /// The share of requests to reject, by how little of the hosts' load this node sees (from 0 to
+    /// 1).
     pub fn rejected_share(&self, unseen_share: f64) -> f64 {
         SHED_FACTOR * unseen_share * (self.late_rate - MIN_LATE_RATE) / (1.0 - MIN_LATE_RATE)
     }
 
-    /// Whether the next request is placed though others are rejected. Prevents a node from rejecting all for tens of seconds
-    /// after its hosts have recovered, as nothing that it rejects can tell it so.
+    /// Whether the next request is placed though others are rejected. Prevents a node from
+    /// rejecting all for tens of seconds after its hosts have recovered, as rejected requests never
+    /// show that.
     pub fn should_try(&self, now: Nanos) -> bool {
         self.rejecting_since
             .is_some_and(|since| now >= since + MAX_REJECTING)
@@ -57,7 +60,7 @@
     }
 
     /// A connection met late messages, or none, at its host.
-    pub fn messages_judged(&mut self, late: bool, requests: usize, actions: &mut Vec<Action>) {
+    pub fn latency_observed(&mut self, late: bool, requests: usize, actions: &mut Vec<Action>) {
         let before = self.is_active();
         self.late_rate += (f64::from(u8::from(late)) - self.late_rate) / SAMPLES;
         if before != self.is_active() {
--- a/src/messages.rs
+++ b/src/messages.rs
@@ -1,5 +1,6 @@
-//! The messages that the parts of a balancer send each other while it handles one event. They are handled in the order in
-//! which they are sent, after the event that caused them: so no part sees another in the middle of a change.
+//! The messages that the parts of a balancer send each other while it handles one event. They are
+//! handled in the order in which they are sent, after the event that caused them: so no part sees
+//! another in the middle of a change.
 
 use crate::connection::Connection;
 use crate::endpoint::{Endpoint, EndpointUpdate, HostId};
@@ -18,7 +19,7 @@
     /// To the request table and the parts around it.
     Request(RequestMessage),
     /// To the weight optimizer.
-    PlacementJudged {
+    PlacementEvaluated {
         vector: usize,
         load_spread: f64,
         longest_remaining: f64,
@@ -64,8 +65,8 @@
     SnapshotInherited(Box<HostSnapshot>),
     /// Slow-start slots have another length, and so other numbers, from now on.
     SlotLengthChanged,
-    /// Connections that have been open for a step are judged.
-    JudgePlacements {
+    /// Connections that have been open for a step are evaluated.
+    EvaluatePlacements {
         mean_load: f64,
     },
     Probe,
@@ -108,7 +109,7 @@
         slot: usize,
     },
     /// A connection has met late messages at its host, or none in its first step.
-    MessagesJudged {
+    LatencyObserved {
         late: bool,
     },
     /// Gossip of that many bytes, over all receivers, was sent.
@@ -126,7 +127,7 @@
     Tick,
 }
 
-/// What the connection history is told.
+/// Updates of the connection history.
 pub(crate) enum HistoryMessage {
     ConnectionEnded { key: Option<u64>, duration: Nanos },
     FinalLoad { key: Option<u64>, load: f64 },
@@ -137,7 +138,7 @@
     Tick { open_requests: f64 },
 }
 
-/// What the endpoint poller is told.
+/// Updates of the endpoint poller.
 pub(crate) enum PollerMessage {
     Updated(EndpointUpdate),
     Tick,
--- a/src/permission.rs
+++ b/src/permission.rs
@@ -1,17 +1,20 @@
-//! Permission: the one place that decides whether a request may be attempted, repeated or rejected now.
+//! Permission: the one place that decides whether a request may be attempted, repeated or rejected
+//! now.
 //!
-//! Everything here is a pure function of what is known of the request, the terms of its class and the caller's clock.
-//! The balancer asks when it chooses a host, a forwarder when a planner is silent, and the socket layer once more right
-//! before the first byte of an attempt, as the clock and the world have moved on in between. A refusal names its reason,
-//! which the caller counts and logs.
+//! Everything here is a pure function of what is known of the request, the terms of its class and
+//! the caller's clock. The balancer asks when it chooses a host, a forwarder when a planner is
+//! silent, and the socket layer once more right before the first byte of an attempt, as the clock
+//! and the world have moved on in between. A refusal names its reason, which the caller counts and
+//! logs.
 
 use crate::{Endpoint, Idempotency, IdempotencyGroup, Nanos, RequestClass, MILLI};
 
-/// How long a process may stall between reading its clock and writing. The grace of a draining host has to cover it.
+/// How long a process may stall between reading its clock and writing. The grace of a draining host
+/// has to cover it.
 pub const LONGEST_STALL: Nanos = 150 * MILLI;
 
-/// What part of the time it had a request is answered before its deadline at the latest, and the most of that: a busy machine
-/// wakes a process late.
+/// What part of the time it had a request is answered before its deadline at the latest, and the
+/// most of that: a busy machine wakes a process late.
 const RESERVED_PART: Nanos = 20;
 const MAX_RESERVE: Nanos = 50 * MILLI;
 
@@ -67,16 +70,18 @@
     pub leaving_since: Option<Nanos>,
     /// The grace for draining hosts, as the settings give it.
     pub drain_grace: Nanos,
-    /// Whether the endpoint list may be stale, so that a drain may be in force that this node does not know of.
+    /// Whether the endpoint list may be stale, so that a drain may be in force that this node does
+    /// not know of.
     pub list_unheard: bool,
     /// Whether its host has been listed at another address since it was chosen.
     pub host_moved: bool,
-    /// Whether it may repeat one that ran, and its host has been listed in another group since it was chosen.
+    /// Whether it may repeat one that ran, and its host has been listed in another group since it
+    /// was chosen.
     pub group_changed: bool,
 }
 
-/// The part of the grace for draining hosts in which an attempt may still begin: what is left of it after a stall of the
-/// process; half of it where it is shorter than twice that.
+/// The part of the grace for draining hosts in which an attempt may still begin: what is left of it
+/// after a stall of the process; half of it where it is shorter than twice that.
 pub fn usable_grace(drain_grace: Nanos) -> Nanos {
     drain_grace
         .saturating_sub(LONGEST_STALL)
@@ -113,14 +118,16 @@
     may_go_on(at.now, at.not_after)
 }
 
-/// When a request that has had no success gets its final answer at the latest: early enough before its deadline for two messages
-/// that take a `round` each, and for a process that is woken late. `time_left` is what it had when it arrived.
+/// When a request that has had no success gets its final answer at the latest: early enough before
+/// its deadline for two messages that take a `round` each, and for a process that is woken late.
+/// `time_left` is what it had when it arrived.
 pub fn answer_by(deadline: Nanos, time_left: Nanos, round: Nanos) -> Nanos {
     let reserve = (time_left / RESERVED_PART).min(MAX_RESERVE);
     deadline.saturating_sub(reserve.max(2 * round))
 }
 
-/// Whether what is left of an attempt that has begun may still be written: a repeat counts by its last byte.
+/// Whether what is left of an attempt that has begun may still be written: a repeat counts by its
+/// last byte.
 ///
 /// # Errors
 /// [`Refusal::OutsideWindow`] once it may not.
@@ -131,8 +138,8 @@
     Ok(())
 }
 
-/// The latest moment at which an attempt may be written, where the first one that may have run was sent at `first_sent`; there
-/// is no such limit where no attempt can have run.
+/// The latest moment at which an attempt may be written, where the first one that may have run was
+/// sent at `first_sent`; there is no such limit where no attempt can have run.
 pub fn repeat_deadline(class: &RequestClass, first_sent: Option<Nanos>) -> Nanos {
     match (class.idempotency, first_sent) {
         (Idempotency::NonIdempotent, Some(_)) => 0,
@@ -141,7 +148,8 @@
     }
 }
 
-/// Whether there may be another attempt anywhere, where the first one that may have run was sent at `first_sent`.
+/// Whether there may be another attempt anywhere, where the first one that may have run was sent at
+/// `first_sent`.
 ///
 /// # Errors
 /// Why there may be none.
--- a/src/permission_tests.rs
+++ b/src/permission_tests.rs
@@ -61,7 +61,8 @@
     assert_eq!(may_begin(&last_moment), Ok(()));
 }
 
-/// Prevents a request from being written after the grace, by a process that stalls after it was allowed in the last moment.
+/// Prevents a request from being written after the grace, by a process that stalls after it was
+/// allowed in the last moment.
 #[test]
 fn the_grace_covers_a_process_that_stalls_before_it_writes() {
     for grace in [100 * MILLI, 300 * MILLI, 500 * MILLI, SECOND] {
@@ -157,7 +158,8 @@
     }
 }
 
-/// Without this, requests with little time would get no attempt, and a process woken 70 ms late would answer too late.
+/// Without this, requests with little time would get no attempt, and a process woken 70 ms late
+/// would answer too late.
 #[test]
 fn the_reserve_before_a_deadline_grows_with_the_time_there_was_and_is_bounded() {
     let deadline = 100 * SECOND;
--- a/src/request_table.rs
+++ b/src/request_table.rs
@@ -1,5 +1,5 @@
-//! The requests that this node has not yet brought to their end. It owns their records and the slots that these take. It
-//! must never choose a host.
+//! The requests that this node has not yet brought to their end. It owns their records and the
+//! slots that these take. It must never choose a host.
 
 use crate::endpoint::Endpoint;
 use crate::request::{AttemptOutcome, IncomingRequest, RequestId};
@@ -31,7 +31,7 @@
     pub established: bool,
     /// It has its final answer.
     pub answered: bool,
-    /// Its client has been told to reconnect elsewhere.
+    /// Its client has been asked to reconnect elsewhere.
     pub migrating: bool,
     pub first_run: Option<FirstRun>,
     /// When the last attempt was sent, and how its host was listed then.
@@ -95,7 +95,7 @@
         self.slots[slot].as_mut()
     }
 
-    /// The slots of open connections whose clients have not been told to reconnect.
+    /// The slots of open connections whose clients have not been asked to reconnect.
     pub fn connected_slots(&self) -> Vec<usize> {
         let connected = |slot: &usize| {
             self.get(*slot)
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -36,7 +36,7 @@
     pub idempotency_group: IdempotencyGroup,
     /// How long that group remembers an idempotency key.
     pub idempotency_window: Nanos,
-    /// How much serving one of its requests is worth.
+    /// The priority of its requests relative to other classes.
     pub priority_weight: f64,
     /// Within what time a connection is to be set up.
     pub latency_objective: Nanos,
@@ -76,7 +76,7 @@
 pub enum LoadMetric {
     /// Demanded load over capacity.
     Load,
-    /// Core utilization, which cannot tell full from overloaded.
+    /// Core utilization, which does not distinguish full from overloaded.
     Utilization,
     /// Seconds of queued work.
     Backlog,
@@ -115,7 +115,8 @@
     pub warm_up: Nanos,
     /// The share of its capacity that a host has at its start.
     pub warm_up_initial_share: f64,
-    /// By how much more than its share a warming host may be sent within a window before it is overloaded.
+    /// By how much more than its share a warming host may be sent within a window before it is
+    /// overloaded.
     pub overload_factor: f64,
     /// The window within which that is measured.
     pub overload_window: Nanos,
@@ -133,7 +134,8 @@
     pub load_from_probes: bool,
     /// Nodes may gossip.
     pub gossip_enabled: bool,
-    /// Whose slow-start slots this node may use, and how much of each; its own alone where none are assigned.
+    /// Whose slow-start slots this node may use, and how much of each; its own alone where none are
+    /// assigned.
     pub slow_start_slots: Vec<(u32, f64)>,
 }
 
--- a/src/setup_failures.rs
+++ b/src/setup_failures.rs
@@ -1,5 +1,5 @@
-//! How often connection set-ups fail, whatever the host: where most do, the cause is what all set-ups share, such as a
-//! session store, and no single host is to blame.
+//! How often connection set-ups fail, whatever the host: where most do, the cause is what all
+//! set-ups share, such as a session store, and no single host is to blame.
 
 use crate::action::Action;
 
@@ -34,8 +34,8 @@
         self.record(0.0, requests, actions);
     }
 
-    /// What one host alone fails is its own fault. Without this, one that fails fast, and so draws clients, would be taken
-    /// for a store that fails, and left in use.
+    /// What one host alone fails is its own fault. Without this, one that fails fast, and so draws
+    /// clients, would be taken for a store that fails, and left in use.
     pub fn setup_failed(
         &mut self,
         host: Option<usize>,
--- a/src/weight_optimizer.rs
+++ b/src/weight_optimizer.rs
@@ -1,13 +1,14 @@
-//! The weights of the host score: four vectors take turns, each is judged by the placements made with it, and one that
-//! another dominates is replaced by an offspring of the rest. It must never choose a host.
+//! The weights of the host score: four vectors are used in turn, each is evaluated by the
+//! placements made with it, and one that another dominates is replaced by an offspring of the rest.
+//! It must never choose a host.
 
 use crate::action::Action;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
 const VECTORS: usize = 4;
-/// Placements by each vector that must be judged before vectors are compared.
-const MIN_JUDGED_PLACEMENTS: u32 = 12;
+/// Placements by each vector that must be evaluated before vectors are compared.
+const MIN_EVALUATED_PLACEMENTS: u32 = 12;
 const MUTATION_PROBABILITY: f64 = 0.25;
 const MUTATION_DEVIATION: f64 = 0.05;
 /// The weight of load balance never falls below this.
@@ -22,7 +23,7 @@
     pub end_gap: f64,
     load_spread: f64,
     longest_remaining: f64,
-    judged_placements: u32,
+    evaluated_placements: u32,
 }
 
 impl WeightVector {
@@ -37,7 +38,7 @@
     /// Whether it is no worse in either objective, and better in one.
     fn dominates(&self, other: &WeightVector) -> bool {
         let mean = |vector: &WeightVector| {
-            let placements = vector.judged_placements as f64;
+            let placements = vector.evaluated_placements as f64;
             (
                 vector.load_spread / placements,
                 vector.longest_remaining / placements,
@@ -78,8 +79,9 @@
         self.next = (self.next + 1) % VECTORS;
     }
 
-    /// A placement by `vector` is judged; the vectors are compared once each has been judged often enough.
-    pub fn placement_judged(
+    /// A placement by `vector` was evaluated; the vectors are compared once each has enough of
+    /// these.
+    pub fn placement_evaluated(
         &mut self,
         vector: usize,
         load_spread: f64,
@@ -90,8 +92,9 @@
         let judged = &mut self.vectors[vector];
         judged.load_spread += load_spread;
         judged.longest_remaining += longest_remaining;
-        judged.judged_placements += 1;
-        let enough = |vector: &WeightVector| vector.judged_placements >= MIN_JUDGED_PLACEMENTS;
+        judged.evaluated_placements += 1;
+        let enough =
+            |vector: &WeightVector| vector.evaluated_placements >= MIN_EVALUATED_PLACEMENTS;
         if self.vectors.iter().all(enough) {
             self.replace_dominated(rng, actions);
         }
--- a/tests/fleet/discovery.rs
+++ b/tests/fleet/discovery.rs
@@ -9,7 +9,8 @@
     node: usize,
 }
 
-/// The calls of a hundred nodes to a service that answers each after a second, with a failure until `recovery`.
+/// The calls of a hundred nodes to a service that answers each after a second, with a failure until
+/// `recovery`.
 fn calls(recovery: Nanos, end: Nanos) -> Vec<Call> {
     let mut fleet = Fleet::new(100, |node| settings(node, 100));
     fleet.update_endpoints(EndpointUpdate::Cached, &[host(1), host(2)]);
@@ -42,7 +43,8 @@
     calls
 }
 
-/// Prevents a hundred nodes that discovery rejects from each calling again within a second for ever.
+/// Prevents a hundred nodes that discovery rejects from each calling again within a second for
+/// ever.
 #[test]
 fn all_nodes_together_call_discovery_at_a_bounded_rate() {
     let calls = calls(60 * SECOND, 70 * SECOND);
@@ -53,7 +55,8 @@
         steady <= 30,
         "{steady} calls a second while all are rejected"
     );
-    // Each still calls within the ten seconds that the rule on draining hosts allows, and watches soon after.
+    // Each still calls within the ten seconds that the rule on draining hosts allows, and watches
+    // soon after.
     for node in 0..100 {
         let own = calls.iter().filter(|call| call.node == node);
         let own: Vec<Nanos> = own.map(|call| call.at).collect();
--- a/tests/fleet/draining.rs
+++ b/tests/fleet/draining.rs
@@ -3,8 +3,8 @@
 use crate::simulation::{host, is_migration, settings, Fleet};
 use reedferry::*;
 
-/// Prevents a hundred nodes from migrating the clients of a draining host in one half second, one each, which would overload
-/// the remaining hosts and the store that all set-ups share.
+/// Prevents a hundred nodes from migrating the clients of a draining host in one half second, one
+/// each, which would overload the remaining hosts and the store that all set-ups share.
 #[test]
 fn the_clients_of_a_draining_host_are_migrated_evenly() {
     let mut fleet = Fleet::new(100, |node| settings(node, 100));
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! Many nodes of the module with the same events, and assertions on their sums: what is harmless at one node may not be when a
-//! hundred do it.
+//! Many nodes of the module with the same events, and assertions on their sums: what is harmless at
+//! one node may not be when a hundred do it.
 
 mod discovery;
 mod draining;
--- a/tests/fleet/restarts.rs
+++ b/tests/fleet/restarts.rs
@@ -8,8 +8,9 @@
 use rand_chacha::ChaCha8Rng;
 use reedferry::*;
 
-/// Rule 4 over a node that is replaced while it runs. Prevents a warming host from being overloaded by the two processes that
-/// are one node, as the successor thinks that nothing of the slot is spent, and the predecessor goes on.
+/// Rule 4 over a node that is replaced while it runs. Prevents a warming host from being overloaded
+/// by the two processes that are one node, as the successor thinks that nothing of the slot is
+/// spent, and the predecessor goes on.
 #[test]
 fn a_warming_host_is_not_overloaded_by_a_process_and_its_successor() {
     let hosts = [host(1), host(2), host(3), host(4)];
@@ -45,7 +46,8 @@
     );
 }
 
-/// Starts a successor of the last process of node 0, with its state and a hundred of its connections.
+/// Starts a successor of the last process of node 0, with its state and a hundred of its
+/// connections.
 fn add_successor(fleet: &mut Fleet, step: u64, endpoints: &[Endpoint]) {
     let predecessor = fleet.nodes.len() - 1 - usize::from(fleet.nodes.len() == 2);
     let state = Box::new(fleet.nodes[predecessor].export_state());
@@ -64,8 +66,9 @@
     }
 }
 
-/// Prevents clients from being migrated to new hosts by one node and placed elsewhere by the next, which has started after
-/// those hosts, finds them in its first list and so takes them for hosts like the rest, of which it uses few.
+/// Prevents clients from being migrated to new hosts by one node and placed elsewhere by the next,
+/// which has started after those hosts, finds them in its first list and so takes them for hosts
+/// like the rest, of which it uses few.
 #[test]
 fn clients_are_migrated_to_new_hosts_by_nodes_that_started_after_these() {
     let mut fleet = Fleet::new(100, |node| settings(node, 100));
@@ -111,11 +114,11 @@
     }
 }
 
-/// Rule 4 over the sum of all processes, also of those that were killed and started again. What the settings allow in a window
-/// is N; beyond that only two roots of N and two are chance.
+/// Rule 4 over the sum of all processes, also of those that were killed and started again. What the
+/// settings allow in a window is N; beyond that only two roots of N and two are chance.
 ///
-/// Prevents a warming host from being overloaded by twenty or thirty nodes, each of which keeps to its own part; on both sides
-/// of the border between node slots and client slots.
+/// Prevents a warming host from being overloaded by twenty or thirty nodes, each of which keeps to
+/// its own part; on both sides of the border between node slots and client slots.
 #[test]
 fn the_sum_of_all_processes_stays_within_a_warming_hosts_budget_and_chance() {
     let mut exceeded: Vec<String> = Vec::new();
--- a/tests/fleet/simulation.rs
+++ b/tests/fleet/simulation.rs
@@ -1,4 +1,5 @@
-//! A fleet of nodes on a simulated clock. It must never model a host or a network beyond what a test says of them.
+//! A fleet of nodes on a simulated clock. It must never model a host or a network beyond what a
+//! test says of them.
 
 use reedferry::*;
 use std::collections::{HashMap, VecDeque};
@@ -9,8 +10,8 @@
 const FIRST_SEED: u64 = 77;
 /// How long a set-up takes.
 const SETUP_TIME: Nanos = 20 * MILLI;
-/// After which time a migrated client reconnects, and how many nodes further on: one of the same zone, where nodes take
-/// zones in turn.
+/// After which time a migrated client reconnects, and how many nodes further on: one of the same
+/// zone, where nodes take zones in turn.
 const RECONNECT_DELAY: Nanos = 100 * MILLI;
 const RECONNECT_NODES: usize = 36;
 /// Spreads the keys of clients.
@@ -328,15 +329,15 @@
     matches!(action, Action::Migrate { .. })
 }
 
-/// How many connections a second do not yet overload a host of these settings that started so many seconds ago, and that
-/// holds so many when it is warm: it takes on its share of these within 20 s, at its start a tenth as fast; three times as
-/// much overloads it.
+/// How many connections a second do not yet overload a host of these settings that started so many
+/// seconds ago, and that holds so many when it is warm: it takes on its share of these within 20 s,
+/// at its start a tenth as fast; three times as much overloads it.
 pub fn overload_budget(age_seconds: f64, warm_connections: f64) -> f64 {
     3.0 * (0.1 + 0.9 * age_seconds / 20.0) * warm_connections / 20.0
 }
 
-/// What a host of size 2 holds when it is warm: what the fleet holds on four hosts of that size is taken for a quarter of
-/// what they bear.
+/// What a host of size 2 holds when it is warm: what the fleet holds on four hosts of that size is
+/// taken for a quarter of what they bear.
 pub fn warm_connections(open: f64) -> f64 {
     (4.0 * open / 8.0) * 2.0
 }
--- a/tests/fleet/slow_start.rs
+++ b/tests/fleet/slow_start.rs
@@ -5,8 +5,8 @@
 };
 use reedferry::*;
 
-/// Hosts 1 to 4 warm and with two clients a node, then host 9 comes back and warms up; `clients` says to which nodes new
-/// ones come in each of the `steps` of 50 ms.
+/// Hosts 1 to 4 warm and with two clients a node, then host 9 comes back and warms up; `clients`
+/// says to which nodes new ones come in each of the `steps` of 50 ms.
 fn warming_host(nodes: u32, steps: u64, clients: impl Fn(u64) -> Vec<usize>) -> Fleet {
     let mut fleet = Fleet::new(nodes as usize, |node| settings(node, nodes));
     let hosts = [host(1), host(2), host(3), host(4)];
@@ -27,7 +27,8 @@
     fleet
 }
 
-/// Prevents a new host from staying idle where each node sees too few clients to have one in its own slot.
+/// Prevents a new host from staying idle where each node sees too few clients to have one in its
+/// own slot.
 #[test]
 fn a_warming_host_is_filled_by_a_fleet_that_sees_few_clients_each() {
     // Ten clients a second over a hundred nodes, for twenty seconds.
@@ -43,8 +44,8 @@
     assert!(all >= 40, "{all} clients in twenty seconds");
 }
 
-/// Rule 4 over the fleet. Prevents a warming host from being overloaded by a burst that no node could see coming, also where
-/// most nodes are dead and all their clients come to the rest.
+/// Rule 4 over the fleet. Prevents a warming host from being overloaded by a burst that no node
+/// could see coming, also where most nodes are dead and all their clients come to the rest.
 #[test]
 fn no_burst_overloads_a_warming_host() {
     for (name, clients) in [
@@ -80,8 +81,9 @@
     }
 }
 
-/// Prevents a zone that came back from staying idle beside overloaded hosts, as clients stay where they are: each is migrated
-/// once, when its slot at the new host comes, and whichever node it comes to next places it there.
+/// Prevents a zone that came back from staying idle beside overloaded hosts, as clients stay where
+/// they are: each is migrated once, when its slot at the new host comes, and whichever node it
+/// comes to next places it there.
 #[test]
 fn clients_are_migrated_to_a_host_that_came_back_until_it_has_its_share() {
     let mut fleet = warming_host(100, 0, |_| Vec::new());
@@ -99,8 +101,8 @@
     );
 }
 
-/// Prevents hosts that died and came back before the list told of it from being overloaded by a hundred nodes that each try
-/// them again.
+/// Prevents hosts that died and came back before the list told of it from being overloaded by a
+/// hundred nodes that each try them again.
 #[test]
 fn a_host_to_which_connections_failed_warms_up_when_it_takes_them_again() {
     let mut fleet = Fleet::new(100, |node| settings(node, 100));
@@ -119,7 +121,8 @@
         fleet.pass(10 * MILLI);
     }
     let attempts = fleet.count_since(before, attempt_at(3));
-    // Eight seconds after connections to it last failed, the fleet's budget for it is over twenty a second.
+    // Eight seconds after connections to it last failed, the fleet's budget for it is over twenty a
+    // second.
     assert!(attempts <= 20, "{attempts} clients within a second");
 }
 
@@ -137,7 +140,8 @@
     }
 }
 
-/// Prevents one zone with most clients from being overloaded beside another whose hosts are all new and stay empty.
+/// Prevents one zone with most clients from being overloaded beside another whose hosts are all new
+/// and stay empty.
 #[test]
 fn a_zone_whose_hosts_are_all_new_takes_clients_of_the_others() {
     let mut fleet = Fleet::new(100, |node| BalancerSettings {
@@ -163,9 +167,9 @@
     assert!(placed >= 10, "{placed} of 200 clients in ten seconds");
 }
 
-/// Prevents the new hosts of a release in all zones from staying nearly empty beside overloaded ones, as each is given clients
-/// of its own zone alone, which holds a few of all. And rule 4 with it, a third of all clients reconnecting at once; also
-/// where one of six zones has all clients.
+/// Prevents the new hosts of a release in all zones from staying nearly empty beside overloaded
+/// ones, as each is given clients of its own zone alone, which holds a few of all. And rule 4 with
+/// it, a third of all clients reconnecting at once; also where one of six zones has all clients.
 #[test]
 fn new_hosts_of_a_release_are_given_clients_of_all_zones() {
     for zones in [6, 1] {
@@ -173,7 +177,8 @@
     }
 }
 
-/// A release that replaces half of the hosts in six zones, with clients in the first `zones` of them.
+/// A release that replaces half of the hosts in six zones, with clients in the first `zones` of
+/// them.
 fn check_release(zones: u64) {
     let zone = |n: u64| (n % 6) as u16;
     let mut fleet = Fleet::new(300, |node| BalancerSettings {
@@ -220,8 +225,8 @@
     );
 }
 
-/// Prevents clients from being migrated to new hosts, though these fill as it is, in fleets in which reports tell loads or that
-/// have few nodes.
+/// Prevents clients from being migrated to new hosts, though these fill as it is, in fleets in
+/// which reports tell loads or that have few nodes.
 #[test]
 fn nobody_is_migrated_where_reports_tell_loads_or_the_nodes_are_few() {
     for (nodes, reported, migrates) in [(100, false, true), (100, true, false), (11, false, false)]
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -1,6 +1,6 @@
-//! The module under random events: endpoint lists, clients, hosts, new settings, hot restarts and a process that stalls
-//! come in every order, and each action is checked against the rules. A seed that fails is named, and can be played alone
-//! with `RANDOM_EVENTS_SEED`.
+//! The module under random events: endpoint lists, clients, hosts, new settings, hot restarts and a
+//! process that stalls come in every order, and each action is checked against the rules. A seed
+//! that fails is named, and can be played alone with `RANDOM_EVENTS_SEED`.
 
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
--- a/tests/regression.rs
+++ b/tests/regression.rs
@@ -85,7 +85,8 @@
     bench(4, "more/bin/lbreal", "");
 }
 
-/// Prevents a regression from passing while a gate fails, a rule is broken, a node crashes or nothing was played.
+/// Prevents a regression from passing while a gate fails, a rule is broken, a node crashes or
+/// nothing was played.
 #[test]
 fn what_went_wrong_fails_the_regression() {
     let broken = r#"{"name": "roll", "rules": {"dup": 0, "lost": 2}, "fault": null}"#;
--- a/tests/scenario_player/mod.rs
+++ b/tests/scenario_player/mod.rs
@@ -1,4 +1,5 @@
-//! Plays the steps of a scenario: a node, its hosts and clients, and the rules that hold in every scenario.
+//! Plays the steps of a scenario: a node, its hosts and clients, and the rules that hold in every
+//! scenario.
 
 mod expectations;
 mod parsing;
--- a/tests/single_node/load_limit.rs
+++ b/tests/single_node/load_limit.rs
@@ -1,4 +1,5 @@
-//! A host whose messages came late once: it is limited for that once, and gets its share again when it is well.
+//! A host whose messages came late once: it is limited for that once, and gets its share again when
+//! it is well.
 
 use crate::node::{endpoint, Node};
 use reedferry::*;
@@ -41,8 +42,8 @@
     }
 }
 
-/// Prevents a host from being limited a second time for the same late message when its clients have left, to next to nothing,
-/// and kept nearly empty for long after it is well.
+/// Prevents a host from being limited a second time for the same late message when its clients have
+/// left, to next to nothing, and kept nearly empty for long after it is well.
 #[test]
 fn a_host_is_limited_once_for_one_late_message() {
     let mut node = start();
@@ -65,7 +66,8 @@
     );
 }
 
-/// Prevents the one connection of a nearly empty host that was late once from being taken for all that the host bears.
+/// Prevents the one connection of a nearly empty host that was late once from being taken for all
+/// that the host bears.
 #[test]
 fn a_nearly_empty_host_is_not_limited_to_the_little_that_it_has() {
     for left in [0, 1] {
--- a/tests/single_node/settings_change.rs
+++ b/tests/single_node/settings_change.rs
@@ -1,4 +1,5 @@
-//! New settings while hosts warm up: their budgets are counted in slots, whose length is one of the settings.
+//! New settings while hosts warm up: their budgets are counted in slots, whose length is one of the
+//! settings.
 
 use crate::node::{endpoint, Node};
 use reedferry::*;
@@ -33,8 +34,8 @@
     node.connections_at(WARMING_HOST).len() - before
 }
 
-/// Prevents a budget from being spent twice in one moment, and a count of slots from running backwards, as new settings give
-/// slots another length.
+/// Prevents a budget from being spent twice in one moment, and a count of slots from running
+/// backwards, as new settings give slots another length.
 #[test]
 fn new_settings_give_a_warming_host_no_second_budget() {
     for (before, after) in [(SECOND, 2 * SECOND), (2 * SECOND, SECOND), (SECOND, SECOND)] {
--- a/tests/single_node/setup_timeout.rs
+++ b/tests/single_node/setup_timeout.rs
@@ -1,5 +1,5 @@
-//! How long a node waits for a set-up before it tries another host: a store that all set-ups share is late for all of them, and
-//! trying again makes that worse.
+//! How long a node waits for a set-up before it tries another host: a store that all set-ups share
+//! is late for all of them, and trying again makes that worse.
 
 use crate::node::{completed, endpoint, Node, START};
 use reedferry::*;
@@ -27,7 +27,8 @@
     Node::start(settings, endpoints)
 }
 
-/// How long the set-up of a request that arrives at `time` is waited for; it succeeds, and the client leaves.
+/// How long the set-up of a request that arrives at `time` is waited for; it succeeds, and the
+/// client leaves.
 fn setup_timeout(node: &mut Node, time: Nanos) -> Nanos {
     node.now = time;
     let incoming = node.new_request(REQUEST_TIMEOUT);
@@ -45,8 +46,8 @@
     timeout
 }
 
-/// Prevents a store that is late for all from being asked three times over for each request by nodes that see too few set-ups
-/// to notice that all are late.
+/// Prevents a store that is late for all from being asked three times over for each request by
+/// nodes that see too few set-ups to notice that all are late.
 #[test]
 fn a_node_that_sees_few_set_ups_waits_long_before_it_tries_another_host() {
     for (probes, least) in [
@@ -64,7 +65,8 @@
     }
 }
 
-/// Prevents requests from waiting long at a host that hangs, by a node that sees from many others that set-ups are quick.
+/// Prevents requests from waiting long at a host that hangs, by a node that sees from many others
+/// that set-ups are quick.
 #[test]
 fn a_node_that_sees_many_set_ups_soon_tries_another_host() {
     for probes in [true, false] {
