--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -223,8 +223,8 @@
         load_metrics: &[f64],
     ) {
         let current = self.slot_and_host(id);
-        let named = self.hosts.index(host);
-        let Some(host) = named.or(current.map(|(_, host)| host)) else {
+        let reported_host = self.hosts.index(host);
+        let Some(host) = reported_host.or(current.map(|(_, host)| host)) else {
             return;
         };
         self.load_report_received(host, load_metrics, None);
@@ -304,7 +304,7 @@
         actions: &mut Vec<Action>,
     ) {
         let connections_per_size = if self.hosts[host].is_warming_up(now, &self.settings) {
-            self.estimate_fleet(now).share.connections_per_size
+            self.estimate_fleet(now).slow_start.connections_per_size
         } else {
             0.0
         };
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -21,14 +21,14 @@
             return;
         }
         let first_list = !self.received_endpoints;
-        let mut named = vec![false; self.hosts.len()];
+        let mut listed = vec![false; self.hosts.len()];
         let mut search_from = 0;
         for endpoint in endpoints {
             let host = self
                 .hosts
                 .find_or_insert(endpoint.id, now, &mut search_from);
-            if let Some(named) = named.get_mut(host) {
-                *named = true;
+            if let Some(listed) = listed.get_mut(host) {
+                *listed = true;
             }
             let listed = HostMessage::Listed {
                 endpoint,
@@ -37,7 +37,7 @@
             self.send_host(host, listed);
         }
         if kind != EndpointUpdate::Delta {
-            for host in (0..named.len()).filter(|&host| !named[host]) {
+            for host in (0..listed.len()).filter(|&host| !listed[host]) {
                 self.send_host(host, HostMessage::Unlisted);
             }
         }
@@ -56,8 +56,9 @@
 /// The node's position in a large fleet, from 0 to 1, over as much of that as there are more nodes
 /// than would be few.
 fn fleet_position(settings: &BalancerSettings) -> Option<f64> {
-    let few = settings.warm_up as f64 / settings.overload_window.max(1) as f64;
+    let max_small_fleet_nodes = settings.warm_up as f64 / settings.overload_window.max(1) as f64;
     let nodes = f64::from(settings.node_count.max(1));
-    let position = (f64::from(settings.node_index) + 0.5) / nodes * (1.0 - (few / nodes).powi(2));
+    let position = (f64::from(settings.node_index) + 0.5) / nodes
+        * (1.0 - (max_small_fleet_nodes / nodes).powi(2));
     is_large_fleet(settings).then_some(position)
 }
--- a/src/balancer/fleet_estimate.rs
+++ b/src/balancer/fleet_estimate.rs
@@ -2,7 +2,7 @@
 //! sees but a sample of the load at each.
 
 use super::Balancer;
-use crate::host::{FleetShare, Host, CLIENT_SLOT_TIME, WARM_CAPACITY_FACTOR};
+use crate::host::{Host, SlowStartInputs, CLIENT_SLOT_TIME, WARM_CAPACITY_FACTOR};
 use crate::time::Nanos;
 
 /// What a connection to another zone costs, in mean own loads.
@@ -41,7 +41,7 @@
     /// The inputs of slow start. A warm host can sustain [`WARM_CAPACITY_FACTOR`] times the mean,
     /// or less the more hosts have a load limit. Without the latter, new hosts of a growing fleet
     /// would stay idle.
-    pub share: FleetShare,
+    pub slow_start: SlowStartInputs,
 }
 
 impl FleetEstimate {
@@ -71,7 +71,7 @@
     /// all.
     local: f64,
     local_size: f64,
-    local_pressed: f64,
+    local_under_pressure: f64,
     local_observed: f64,
     warm: f64,
     warm_size: f64,
@@ -108,7 +108,7 @@
         if is_local {
             self.local += 1.0;
             self.local_size += size;
-            self.local_pressed += one_if(ejected || limited);
+            self.local_under_pressure += one_if(ejected || limited);
             self.local_observed += one_if(ejected || limited || !host.connections.is_empty());
         }
         if is_warm {
@@ -162,9 +162,9 @@
             (sums.settled_load + newcomer_load) / f64::max(sums.settled + sums.newcomers, 1.0);
         let unseen_load = unseen_at(mean_load);
         // The less a node sees, the more a sign of its own zone weighs.
-        let pressure = (1.0 + unseen_load / (mean_load + unseen_load)) * sums.local_pressed
+        let pressure = (1.0 + unseen_load / (mean_load + unseen_load)) * sums.local_under_pressure
             / (1.0 + sums.local_observed);
-        let relief = (1.0 - pressure).max(0.0);
+        let zone_penalty_factor = (1.0 - pressure).max(0.0);
         FleetEstimate {
             mean_load,
             newcomer_blend,
@@ -173,14 +173,16 @@
             local_hosts: f64::max(sums.local, 1.0),
             local_size: f64::max(sums.local_size, f64::MIN_POSITIVE),
             typical_limit: sums.typical_limit(),
-            cross_zone_penalty: CROSS_ZONE_PENALTY * self.settings.cross_zone_cost * relief,
+            cross_zone_penalty: CROSS_ZONE_PENALTY
+                * self.settings.cross_zone_cost
+                * zone_penalty_factor,
             mean_reported_load: f64::max(
                 sums.reported_load / f64::max(sums.reporting, 1.0),
                 MIN_REPORTED_LOAD,
             ),
             connection_load,
             ready_hosts: sums.ready,
-            share: FleetShare {
+            slow_start: SlowStartInputs {
                 total_size: sums.size,
                 connections_per_size: sums.connections_per_size(),
                 client_slot_time: self.client_slot_time(now),
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -22,7 +22,7 @@
 /// The arrival rate, in requests per second, at which that extra time is halved.
 const HALVING_ARRIVAL_RATE: f64 = 5.0;
 /// How many times longer a set-up is waited for where all fail.
-const FAILURE_PATIENCE: f64 = 20.0;
+const FAILURE_TIMEOUT_FACTOR: f64 = 20.0;
 
 impl Balancer {
     /// Sends the request to the best host, or gives its final answer at once.
@@ -34,10 +34,11 @@
         let class = &self.settings.classes[request.incoming.class];
         let answer_by = self.answer_by(request);
         let write_by = repeat_deadline(class, request.first_run.map(|first| first.sent_at));
-        let shed = self.should_shed(now, request, random) || self.is_in_vain(now, answer_by);
-        let out_of_attempts = now >= answer_by || now >= write_by || self.has_failed(request);
+        let shed = self.should_shed(now, request, random) || self.would_time_out(now, answer_by);
+        let attempt_ruled_out =
+            now >= answer_by || now >= write_by || self.has_exhausted_attempts(request);
         let vector = self.weight_optimizer.current();
-        let host = if out_of_attempts || shed {
+        let host = if attempt_ruled_out || shed {
             None
         } else {
             self.select_host(now, request, vector, random)
@@ -95,7 +96,7 @@
     /// Whether the request has failed too often to be attempted again. Without the first limit, a
     /// store that fails at once would be asked five times over for each request; without the
     /// second, what no host accepts, as bad clients send it, would be offered to host after host.
-    fn has_failed(&self, request: &Request) -> bool {
+    fn has_exhausted_attempts(&self, request: &Request) -> bool {
         let max_attempts = if self.setup_failures.are_common() {
             1
         } else {
@@ -119,7 +120,7 @@
         }
         let unseen_share = self.estimate_fleet(now).unseen_share();
         // Requests of a low priority for their load are rejected first.
-        let least = self
+        let lowest_priority = self
             .settings
             .classes
             .iter()
@@ -127,8 +128,8 @@
             .filter(|(_, class)| class.active)
             .map(|(class, _)| self.priority_per_load(class))
             .fold(f64::INFINITY, f64::min);
-        let relative_worth = least / self.priority_per_load(request.incoming.class);
-        let unseen_share = unseen_share * relative_worth.sqrt();
+        let relative_priority = lowest_priority / self.priority_per_load(request.incoming.class);
+        let unseen_share = unseen_share * relative_priority.sqrt();
         hash_to_unit_interval(random, 0) < self.load_shedding.rejected_share(unseen_share)
     }
 
@@ -136,7 +137,7 @@
     /// this, a class with a short deadline would get nothing from a slow store and take its time
     /// from all others: the store works on what its client has given up. A small fleet sees enough
     /// set-ups to wait for each.
-    fn is_in_vain(&self, now: Nanos, answer_by: Nanos) -> bool {
+    fn would_time_out(&self, now: Nanos, answer_by: Nanos) -> bool {
         let shortest = self.recent_setups.shortest(now);
         is_large_fleet(&self.settings)
             && shortest.is_some_and(|shortest| now + shortest >= answer_by)
@@ -144,8 +145,9 @@
     }
 
     fn priority_per_load(&self, class: usize) -> f64 {
-        let worth = self.settings.classes[class].priority_weight / self.history.load(class, None);
-        worth.max(f64::MIN_POSITIVE)
+        let priority =
+            self.settings.classes[class].priority_weight / self.history.load(class, None);
+        priority.max(f64::MIN_POSITIVE)
     }
 
     /// The final answer to what cannot be attempted any more: a rejection where a retry is
@@ -155,11 +157,11 @@
             return;
         };
         let class = &self.settings.classes[request.incoming.class];
-        let harmless = may_reject(class, request.first_run.is_some());
+        let may_be_rejected = may_reject(class, request.first_run.is_some());
         let id = request.id;
         // Spread, so that the clients do not come back in step.
         let wait = self.settings.max_retry_after as f64 * self.rng.random_range(0.25..1.0);
-        actions.push(if harmless {
+        actions.push(if may_be_rejected {
             let retry_after = wait as Nanos;
             Action::Reject { id, retry_after }
         } else {
@@ -182,6 +184,6 @@
         let arrivals = self.arrival_rate.per_second(now);
         let extra = max_extra as f64 / (1.0 + (arrivals / HALVING_ARRIVAL_RATE).powi(2));
         let usual = (class.latency_objective as f64 + extra).max(self.history.slow_setup_time());
-        (usual * (1.0 + FAILURE_PATIENCE * self.setup_failures.rate())) as Nanos
+        (usual * (1.0 + FAILURE_TIMEOUT_FACTOR * self.setup_failures.rate())) as Nanos
     }
 }
--- a/src/balancer/scoring.rs
+++ b/src/balancer/scoring.rs
@@ -5,14 +5,14 @@
 use super::selection::{Demand, BUSY_FACTOR};
 use super::Balancer;
 use crate::hashing::hash_to_unit_interval;
-use crate::host::{uses_client_slots, Host, CROWDED_LOAD};
+use crate::host::{uses_client_slots, Host, HIGH_LOAD};
 use crate::intervals::LOOK_AHEAD_NANOS;
 use crate::time::Nanos;
 
 /// How many times steeper the balance counts at a busy or crowded host.
-const BUSY_STEEPNESS: f64 = 5.0;
+const EXCESS_LOAD_FACTOR: f64 = 5.0;
 /// What reported loads are blurred by, as a report is old and noisy.
-const REPORT_BLUR: f64 = 1.0;
+const REPORT_SMOOTHING: f64 = 1.0;
 /// The cost of a host far from the one that a group prefers.
 const AFFINITY_COST: f64 = 4.0;
 /// The cost of each host further from it, where loads are reported.
@@ -73,10 +73,11 @@
         // Without this share, a newcomer would stay empty where one node decides for all, as of
         // hosts in balance some are always just under the mean: it counts as it is for twice its
         // share of requests.
-        let as_it_is = f64::from(u8::from(self.settings.centralized)) * 2.0 / fleet.local_hosts;
+        let unblended_share =
+            f64::from(u8::from(self.settings.centralized)) * 2.0 / fleet.local_hosts;
         let own_load = host.relative_load();
-        let blended = host.newcomer && tie_breaker >= as_it_is && !recently_started;
-        if blended {
+        let is_blended = host.newcomer && tie_breaker >= unblended_share && !recently_started;
+        if is_blended {
             own_load + fleet.newcomer_blend * (fleet.mean_load - own_load).max(0.0)
         } else {
             own_load + 0.0
@@ -105,7 +106,7 @@
         // the less that counts.
         let seen_share = fleet.mean_load / fleet_load;
         let excess = (balance - BUSY_FACTOR).max(0.0);
-        balance + BUSY_STEEPNESS * seen_share * seen_share * excess
+        balance + EXCESS_LOAD_FACTOR * seen_share * seen_share * excess
     }
 
     /// The host's load with the request over the mean, by the last report.
@@ -124,9 +125,9 @@
         let added =
             host.report.sent_since + demand.look_ahead_load + self.new_group_cost(host, demand);
         let load = reported + added / host.endpoint.size * reported_per_own;
-        let excess = (load - CROWDED_LOAD).max(0.0);
-        (load + REPORT_BLUR + BUSY_STEEPNESS * excess) * (1.0 + host.latency.ratio(now))
-            / (fleet.mean_reported_load + REPORT_BLUR)
+        let excess = (load - HIGH_LOAD).max(0.0);
+        (load + REPORT_SMOOTHING + EXCESS_LOAD_FACTOR * excess) * (1.0 + host.latency.ratio(now))
+            / (fleet.mean_reported_load + REPORT_SMOOTHING)
     }
 
     /// What it costs to place a request at a host that its group does not prefer and is not at.
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -4,14 +4,14 @@
 use super::fleet_estimate::FleetEstimate;
 use super::Balancer;
 use crate::hashing::hash_to_unit_interval;
-use crate::host::{uses_client_slots, Host, CROWDED_LOAD};
+use crate::host::{uses_client_slots, Host, HIGH_LOAD};
 use crate::intervals::{LOOK_AHEAD_STEP, LOOK_AHEAD_STEPS, TICK_INTERVAL};
 use crate::permission::may_repeat_at;
 use crate::request_table::Request;
 use crate::time::Nanos;
 
 /// How many hosts a node starts with.
-const INITIAL_HOSTS: f64 = 3.0;
+const INITIAL_SUBSET_SIZE: f64 = 3.0;
 /// The own load over the mean from which a host counts as busy.
 pub(super) const BUSY_FACTOR: f64 = 1.2;
 
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Candidates {
     /// The few that this node uses.
-    UsedSet,
+    Subset,
     /// All that are ready and were not tried before.
     Untried,
     /// Also those tried before, and if all are ejected, those.
@@ -73,7 +73,7 @@
                 .all(|host| !host.is_ready() || host.ejection.is_active(now))
         };
         let best = |candidates| self.best_host(now, &demand, &fleet, candidates, vector, random);
-        best(Candidates::UsedSet)
+        best(Candidates::Subset)
             .or_else(|| best(Candidates::Untried))
             .or_else(|| {
                 best(Candidates::Any {
@@ -121,7 +121,7 @@
             let tried = demand.request.tried_hosts.contains(&index);
             let is_candidate = host.is_ready()
                 && match candidates {
-                    Candidates::UsedSet => !tried && self.is_in_used_set(now, host, demand, fleet),
+                    Candidates::Subset => !tried && self.is_in_subset(now, host, demand, fleet),
                     Candidates::Untried => !tried,
                     Candidates::Any { .. } => true,
                 };
@@ -129,13 +129,13 @@
                 continue;
             }
             let tie_breaker = hash_to_unit_interval(random, index as u64);
-            let scored = ScoredHost {
+            let candidate = ScoredHost {
                 index,
                 score: self.score(now, host, demand, fleet, vector, tie_breaker),
                 tie_breaker,
             };
-            if best.as_ref().is_none_or(|best| scored.is_better(best)) {
-                best = Some(scored);
+            if best.as_ref().is_none_or(|best| candidate.is_better(best)) {
+                best = Some(candidate);
             }
         }
         best.map(|best| best.index)
@@ -143,7 +143,7 @@
 
     /// A node starts with few hosts and adds one whenever those are all busy: those of its zone at
     /// which it holds the group, or anything, what is new, and a few by a hash of node and host.
-    fn is_in_used_set(
+    fn is_in_subset(
         &self,
         now: Nanos,
         host: &Host,
@@ -172,16 +172,16 @@
             return true;
         }
         let node = u64::from(self.settings.node_index);
-        hash_to_unit_interval(node, host.id.0) < INITIAL_HOSTS / fleet.local_hosts
+        hash_to_unit_interval(node, host.id.0) < INITIAL_SUBSET_SIZE / fleet.local_hosts
     }
 
     fn is_busy(&self, now: Nanos, host: &Host, fleet: &FleetEstimate) -> bool {
         let busy_load = BUSY_FACTOR * (fleet.mean_load + fleet.unseen_load);
-        let loaded = host.report.load(now).map_or(
+        let is_overloaded = host.report.load(now).map_or(
             host.relative_load() + fleet.unseen_load > busy_load,
-            |reported| reported > CROWDED_LOAD,
+            |reported| reported > HIGH_LOAD,
         );
-        loaded
+        is_overloaded
             || host.load_limit.is_set()
             || host.ejection.is_active(now)
             || host.latency.is_late(now)
@@ -204,9 +204,9 @@
         fleet: &FleetEstimate,
         candidates: Candidates,
     ) -> bool {
-        let is_quiet = host.is_quiet(now, TICK_INTERVAL / 2);
+        let has_no_recent_attempt = host.has_no_recent_attempt(now, TICK_INTERVAL / 2);
         let all_ejected = candidates == Candidates::Any { all_ejected: true };
-        if host.ejection.is_active(now) && !(all_ejected && is_quiet) {
+        if host.ejection.is_active(now) && !(all_ejected && has_no_recent_attempt) {
             return false;
         }
         let left_to_successor =
@@ -218,7 +218,7 @@
                 // By the list, as a node whose own network was down would take all hosts for just
                 // started.
                 || matches!(candidates, Candidates::Any { .. })
-                    && is_quiet
+                    && has_no_recent_attempt
                     && host.is_listed_as_warm(now, &self.settings))
             && self.is_in_idempotency_group(host, demand.request)
     }
@@ -231,7 +231,7 @@
         fleet: &FleetEstimate,
     ) -> bool {
         let key = demand.request.incoming.key;
-        host.has_slow_start_capacity(now, key, &fleet.share, &self.settings)
+        host.has_slow_start_capacity(now, key, &fleet.slow_start, &self.settings)
     }
 
     /// Whether the host would drop a repeat of a request with an idempotency key that may have run:
--- a/src/balancer/tick.rs
+++ b/src/balancer/tick.rs
@@ -62,20 +62,20 @@
         if warming.is_empty() {
             return;
         }
-        let slot_came = |host: &Host, key: u64| {
+        let slot_started = |host: &Host, key: u64| {
             let zone_size = if self.is_local(host) {
                 fleet.local_size
             } else {
-                fleet.share.total_size
+                fleet.slow_start.total_size
             };
             let fair_share = host.endpoint.size / zone_size;
             let key_share = hash_to_unit_interval(key, host.id.0);
             key_share < fair_share
-                && host.client_slot_came(
+                && host.client_slot_started(
                     now,
                     Some(key),
                     TICK_INTERVAL,
-                    &fleet.share,
+                    &fleet.slow_start,
                     &self.settings,
                 )
         };
@@ -86,7 +86,7 @@
                 let Some(key) = connection.key.filter(|_| connection.established) else {
                     continue;
                 };
-                if warming.iter().any(|host| slot_came(host, key)) {
+                if warming.iter().any(|host| slot_started(host, key)) {
                     due.push(connection.slot);
                 }
             }
--- a/src/host.rs
+++ b/src/host.rs
@@ -12,9 +12,9 @@
 mod table;
 
 pub(crate) use context::HostContext;
-pub(crate) use load_report::CROWDED_LOAD;
+pub(crate) use load_report::HIGH_LOAD;
 pub(crate) use slow_start::{
-    is_large_fleet, uses_client_slots, FleetShare, CLIENT_SLOT_TIME, WARM_CAPACITY_FACTOR,
+    is_large_fleet, uses_client_slots, SlowStartInputs, CLIENT_SLOT_TIME, WARM_CAPACITY_FACTOR,
 };
 pub(crate) use table::HostTable;
 
@@ -137,7 +137,7 @@
     }
 
     /// Whether nothing is in flight there, and nothing was sent there for a while.
-    pub fn is_quiet(&self, now: Nanos, pause: Nanos) -> bool {
+    pub fn has_no_recent_attempt(&self, now: Nanos, pause: Nanos) -> bool {
         self.pending_attempts == 0 && now >= self.last_attempt_at + pause
     }
 
--- a/src/host/events.rs
+++ b/src/host/events.rs
@@ -76,17 +76,17 @@
     }
 
     fn was_listed(&mut self, mut endpoint: Endpoint, first_list: bool, now: Nanos) {
-        let started_anew = !self.listed || endpoint.started != self.endpoint.started;
-        if started_anew && endpoint.state == HostState::Ready {
+        let has_restarted = !self.listed || endpoint.started != self.endpoint.started;
+        if has_restarted && endpoint.state == HostState::Ready {
             self.newcomer = !first_list;
             self.slow_start.clear();
             self.ejection.until = 0;
             self.ejection.count = 0;
             self.latency.ratio = 0.0;
         }
-        let drains_on =
+        let is_still_draining =
             self.endpoint.state == HostState::Draining && endpoint.state == HostState::Draining;
-        if !drains_on {
+        if !is_still_draining {
             self.draining_since = now;
         }
         let group = |endpoint: &Endpoint| (endpoint.zone, endpoint.cell);
@@ -215,7 +215,7 @@
     /// Ejects the host where the outcome of an attempt is its own fault. An error is that only once
     /// another host has taken the same request: see [`HostMessage::ErrorConfirmed`].
     fn eject_after(&mut self, outcome: AttemptOutcome, now: Nanos, context: &mut HostContext) {
-        let no_connection = match outcome {
+        let failed_to_connect = match outcome {
             AttemptOutcome::NoRoute if self.no_route_in_a_row < MAX_NO_ROUTE => return,
             AttemptOutcome::ConnectFailed | AttemptOutcome::NoRoute => true,
             AttemptOutcome::Rejected | AttemptOutcome::ConnectionLost => false,
@@ -226,7 +226,7 @@
         };
         // Only a large fleet can overload it by its retries; a small fleet must not lose its last
         // host by this.
-        if no_connection && uses_client_slots(context.settings) {
+        if failed_to_connect && uses_client_slots(context.settings) {
             self.connect_failed_at = Some(now);
         }
         self.eject(outcome.as_str(), now, context);
--- a/src/host/limiting.rs
+++ b/src/host/limiting.rs
@@ -4,7 +4,7 @@
 
 use super::context::HostContext;
 use super::load_limit::Overload;
-use super::load_report::{CROWDED_LOAD, FULL_LOAD};
+use super::load_report::{FULL_LOAD, HIGH_LOAD};
 use super::Host;
 use crate::hashing::hash_to_unit_interval;
 use crate::messages::RequestMessage;
@@ -12,7 +12,7 @@
 
 /// A host that broke more than one in so many of its connections since the last tick counts as
 /// late.
-const BROKEN_PART: usize = 8;
+const BROKEN_CONNECTIONS_DIVISOR: usize = 8;
 /// The least priority weight that costs are divided by.
 const MIN_PRIORITY_WEIGHT: f64 = 1e-6;
 
@@ -24,7 +24,7 @@
             .effective(typical_limit * self.endpoint.size);
         let limited = self.load_limit.is_set();
         let fits = self.own_load() + load <= limit;
-        let max_reported = if limited { CROWDED_LOAD } else { FULL_LOAD };
+        let max_reported = if limited { HIGH_LOAD } else { FULL_LOAD };
         let fits = self
             .report
             .load(now)
@@ -47,14 +47,14 @@
         // Without this, clients would be left at a host that sheds load: it breaks many connections
         // and keeps some, while one that died has none.
         let broken = std::mem::take(&mut self.broken_connections) as usize;
-        if BROKEN_PART * broken > self.connections.len() {
+        if BROKEN_CONNECTIONS_DIVISOR * broken > self.connections.len() {
             self.latency_measured(now, SECOND, context);
         }
         let measured_at = self.latency.measured_at;
         if !self.latency.is_late(now) {
             let load = self.own_load();
-            let least = mean_load * self.endpoint.size / 2.0;
-            self.load_limit.raise(now, load, measured_at, least);
+            let min_limit = mean_load * self.endpoint.size / 2.0;
+            self.load_limit.raise(now, load, measured_at, min_limit);
         } else if self.load_limit.may_decrease(now, measured_at) {
             self.decrease_limit(now, mean_load, healthy_share, context);
         }
--- a/src/host/load_limit.rs
+++ b/src/host/load_limit.rs
@@ -10,7 +10,7 @@
 /// For how many seconds that a host is well the rise grows.
 const MAX_RISING_SECONDS: f64 = 10.0;
 /// What each tick leaves of the sustained load.
-const SUSTAINED_LOAD_FADE: f64 = 0.995;
+const SUSTAINED_LOAD_DECAY: f64 = 0.995;
 /// What share of the sustained load a host without a limit is always counted on for.
 const SUSTAINED_LOAD_SHARE: f64 = 0.9;
 /// What a decrease leaves of the mean load.
@@ -23,7 +23,7 @@
 const MIN_DECREASE: f64 = 0.05;
 /// The share of healthy hosts beyond which a limit may be decreased to nothing, and the largest
 /// decrease below it.
-const MANY_HEALTHY: f64 = 0.7;
+const HEALTHY_MAJORITY_SHARE: f64 = 0.7;
 const MAX_DECREASE_WHEN_FEW_HEALTHY: f64 = 0.5;
 
 /// The load limit of a host, and what it rests on.
@@ -66,18 +66,18 @@
 
     /// Raises the limit, the faster the longer the host has been well; `least` is half the mean
     /// load of its size.
-    pub fn raise(&mut self, now: Nanos, load: f64, latency_measured_at: Nanos, least: f64) {
-        let well_since = self.decreased_at.max(latency_measured_at).min(now);
-        let well_seconds = (now - well_since) as f64 / SECOND as f64;
-        let rise = RISE_PER_SECOND * well_seconds.min(MAX_RISING_SECONDS) * TICK_INTERVAL as f64
+    pub fn raise(&mut self, now: Nanos, load: f64, latency_measured_at: Nanos, min_limit: f64) {
+        let healthy_since = self.decreased_at.max(latency_measured_at).min(now);
+        let healthy_seconds = (now - healthy_since) as f64 / SECOND as f64;
+        let rise = RISE_PER_SECOND * healthy_seconds.min(MAX_RISING_SECONDS) * TICK_INTERVAL as f64
             / SECOND as f64;
         // Without this, a host whose limit fell in a short fault of all hosts would stay nearly
         // empty long after it.
-        self.sustained_load = (SUSTAINED_LOAD_FADE * self.sustained_load).max(load);
+        self.sustained_load = (SUSTAINED_LOAD_DECAY * self.sustained_load).max(load);
         let raised = self
             .limit
-            .map(|limit| limit + rise * limit.max(least).max(self.sustained_load));
-        self.limit = raised.filter(|&limit| limit < 4.0 * load + least);
+            .map(|limit| limit + rise * limit.max(min_limit).max(self.sustained_load));
+        self.limit = raised.filter(|&limit| limit < 4.0 * load + min_limit);
     }
 
     /// Whether the last decrease has had its time. Prevents a host from being limited to what is
@@ -91,25 +91,25 @@
     /// Decreases the limit and returns it, unless the load is next to nothing: a late message then
     /// would limit the host to that for long after it is well.
     pub fn decrease(&mut self, now: Nanos, overload: &Overload) -> Option<f64> {
-        let greatest = if overload.healthy_share > MANY_HEALTHY {
+        let max_decrease = if overload.healthy_share > HEALTHY_MAJORITY_SHARE {
             1.0
         } else {
             MAX_DECREASE_WHEN_FEW_HEALTHY
         };
         let queued_seconds = overload.latency_ratio * overload.objective_seconds;
-        let part = (queued_seconds / DRAIN_SECONDS).clamp(MIN_DECREASE, greatest);
+        let decrease_share = (queued_seconds / DRAIN_SECONDS).clamp(MIN_DECREASE, max_decrease);
         // Without this, a host would be limited to nothing by what other nodes placed there, and
         // stay empty long after it is well.
-        let least = if part < 1.0 {
+        let min_limit = if decrease_share < 1.0 {
             MIN_LIMIT_SHARE * overload.mean_load * overload.size
         } else {
             0.0
         };
-        if overload.load <= least {
+        if overload.load <= min_limit {
             return None;
         }
         let current = self.limit.unwrap_or(overload.load).min(overload.load);
-        let limit = (current * (1.0 - part)).max(least);
+        let limit = (current * (1.0 - decrease_share)).max(min_limit);
         self.limit = Some(limit);
         self.decreased_at = now;
         self.latency_ratio_at_decrease = overload.latency_ratio;
--- a/src/host/load_report.rs
+++ b/src/host/load_report.rs
@@ -15,7 +15,7 @@
 /// By how much a load must have changed to be gossiped; half as much where the host is crowded.
 const GOSSIP_THRESHOLD: f64 = 0.2;
 /// The reported load from which a host is crowded.
-pub(crate) const CROWDED_LOAD: f64 = 0.7;
+pub(crate) const HIGH_LOAD: f64 = 0.7;
 /// The reported load at which a host is full.
 pub(crate) const FULL_LOAD: f64 = 0.9;
 
@@ -45,7 +45,7 @@
 
     /// Whether this load differs enough from the last gossip.
     pub fn should_gossip(&self, now: Nanos, load: f64) -> bool {
-        let threshold = if load.max(self.gossiped_load) > CROWDED_LOAD {
+        let threshold = if load.max(self.gossiped_load) > HIGH_LOAD {
             GOSSIP_THRESHOLD / 2.0
         } else {
             GOSSIP_THRESHOLD
--- a/src/host/slow_start.rs
+++ b/src/host/slow_start.rs
@@ -31,7 +31,7 @@
 }
 
 /// What a node knows of the fleet when it computes the part of a warming host that is due.
-pub(crate) struct FleetShare {
+pub(crate) struct SlowStartInputs {
     /// The size of all ready hosts.
     pub total_size: f64,
     /// Own connections that a warm host can sustain for each unit of size.
@@ -80,16 +80,16 @@
         &self,
         now: Nanos,
         key: Option<u64>,
-        share: &FleetShare,
+        inputs: &SlowStartInputs,
         settings: &BalancerSettings,
     ) -> bool {
         if !self.is_warming_up(now, settings) {
             return true;
         }
         if uses_client_slots(settings) {
-            return self.client_slot_came(now, key, share.client_slot_time, share, settings);
+            return self.client_slot_started(now, key, inputs.client_slot_time, inputs, settings);
         }
-        self.accrued_credit(now, share.connections_per_size, settings)
+        self.accrued_credit(now, inputs.connections_per_size, settings)
             .credit
             >= 1.0
     }
@@ -97,12 +97,12 @@
     /// Whether a client's slot at this warming host came within the last `span`. Each client has
     /// one while the host warms up, by a hash that all nodes compute alike, at the pace of half the
     /// budget; one without a key has its node's.
-    pub(crate) fn client_slot_came(
+    pub(crate) fn client_slot_started(
         &self,
         now: Nanos,
         key: Option<u64>,
         span: Nanos,
-        share: &FleetShare,
+        inputs: &SlowStartInputs,
         settings: &BalancerSettings,
     ) -> bool {
         let nodes = f64::from(settings.node_count.max(1));
@@ -111,17 +111,18 @@
         });
         // The same for clients of all zones. Without this, a host is overloaded where one zone has
         // most of the clients.
-        let size_share =
-            WARM_CAPACITY_FACTOR * self.endpoint.size / share.total_size.max(self.endpoint.size);
-        let came_by = |age: Nanos| {
+        let capacity_share =
+            WARM_CAPACITY_FACTOR * self.endpoint.size / inputs.total_size.max(self.endpoint.size);
+        let last_started_position = |age: Nanos| {
             let age = age as f64 / settings.warm_up.max(1) as f64;
             let warmed = settings.warm_up_initial_share * age
                 + (1.0 - settings.warm_up_initial_share) * age * age / 2.0;
-            settings.overload_factor * size_share * warmed / 2.0
+            settings.overload_factor * capacity_share * warmed / 2.0
         };
         let age = self.age(now);
-        let came = position < came_by(age) && position >= came_by(age.saturating_sub(span));
-        came && (key.is_some() || now >= self.last_attempt_at + CLIENT_SLOT_TIME)
+        let slot_started = position < last_started_position(age)
+            && position >= last_started_position(age.saturating_sub(span));
+        slot_started && (key.is_some() || now >= self.last_attempt_at + CLIENT_SLOT_TIME)
     }
 
     /// Half the budget of one slot, in mean loads: two slots may meet in one overload window.
@@ -152,18 +153,19 @@
         settings: &BalancerSettings,
     ) -> SlowStartCredit {
         let nodes = u64::from(settings.node_count.max(1));
-        let half = self.half_budget(now, connections_per_size, settings);
-        let at_once = (half as u64).min(nodes / 4).max(1);
-        let (cycle, part) = (nodes.div_ceil(at_once), half / at_once as f64);
+        let half_budget = self.half_budget(now, connections_per_size, settings);
+        let concurrent = (half_budget as u64).min(nodes / 4).max(1);
+        let (cycle, budget_per_node) =
+            (nodes.div_ceil(concurrent), half_budget / concurrent as f64);
         let slot = current_slot(now, settings);
         let turn = slot.wrapping_add((hash_to_unit_interval(self.id.0, 0) * 1e6) as u64);
-        let has_turn = |node: u32| turn % cycle == u64::from(node) % cycle;
+        let is_turn_of = |node: u32| turn % cycle == u64::from(node) % cycle;
         let assigned = settings
             .slow_start_slots
             .iter()
-            .filter(|(node, _)| has_turn(*node))
+            .filter(|(node, _)| is_turn_of(*node))
             .map(|(_, share)| share);
-        let own = settings.slow_start_slots.is_empty() && has_turn(settings.node_index);
+        let own = settings.slow_start_slots.is_empty() && is_turn_of(settings.node_index);
         let share = if own { 1.0 } else { assigned.sum() };
         let last = self.slow_start;
         if slot == last.slot {
@@ -175,14 +177,14 @@
                 slot: last.slot,
             };
         }
-        let missed = if last.slot == 0 {
+        let accrued_turns = if last.slot == 0 {
             1
         } else {
             ((slot - last.slot) / cycle).clamp(1, MAX_MISSED_SLOTS)
         };
-        let credit = last.credit.min(1.0) + part * share * missed as f64;
+        let credit = last.credit.min(1.0) + budget_per_node * share * accrued_turns as f64;
         SlowStartCredit {
-            credit: credit.min(part.max(1.0)),
+            credit: credit.min(budget_per_node.max(1.0)),
             slot,
         }
     }
--- a/tests/fleet/discovery.rs
+++ b/tests/fleet/discovery.rs
@@ -16,7 +16,7 @@
     fleet.update_endpoints(EndpointUpdate::Cached, &[host(1), host(2)]);
     let (mut seen, mut calls) = (0, Vec::new());
     while fleet.now < START + end {
-        fleet.pass(100 * MILLI);
+        fleet.advance(100 * MILLI);
         for logged in &fleet.log[seen..] {
             if logged.action == Action::WatchEndpoints {
                 let (at, node) = (logged.at - START, logged.node);
--- a/tests/fleet/draining.rs
+++ b/tests/fleet/draining.rs
@@ -12,16 +12,16 @@
     for node in 0..100 {
         assert_eq!(fleet.new_client(node), Some(HostId(1)));
     }
-    fleet.pass(SECOND);
+    fleet.advance(SECOND);
     let draining = Endpoint {
         state: HostState::Draining,
         ..host(1)
     };
     fleet.update_endpoints(EndpointUpdate::Delta, &[draining]);
-    fleet.pass(2 * SECOND);
+    fleet.advance(2 * SECOND);
     // A draining host is listed again now and then.
     fleet.update_endpoints(EndpointUpdate::Delta, &[draining]);
-    fleet.pass(1600 * MILLI);
+    fleet.advance(1600 * MILLI);
     assert_eq!(
         fleet.nodes_with(is_migration),
         100,
--- a/tests/fleet/restarts.rs
+++ b/tests/fleet/restarts.rs
@@ -17,7 +17,7 @@
     let mut fleet = Fleet::new(2, |node| settings(node, 2));
     fleet.update_endpoints(EndpointUpdate::Cached, &hosts);
     fleet.new_clients(200);
-    fleet.pass(20 * SECOND);
+    fleet.advance(20 * SECOND);
     let warming = Endpoint {
         started: Some(fleet.now - SECOND),
         ..host(9)
@@ -32,10 +32,10 @@
         for node in 0..fleet.nodes.len() {
             // They come and go, so that the number of connections stays the same.
             for _ in 0..5 {
-                fleet.brief_client(node);
+                fleet.short_lived_client(node);
             }
         }
-        fleet.pass(50 * MILLI);
+        fleet.advance(50 * MILLI);
     }
     let all = fleet.max_within(60 * SECOND, attempt_at(9));
     let max = fleet.max_within(SECOND, attempt_at(9));
@@ -75,7 +75,7 @@
     let mut hosts: Vec<Endpoint> = (1..=20).map(host).collect();
     fleet.update_endpoints(EndpointUpdate::Cached, &hosts);
     fleet.new_clients(1000);
-    fleet.pass(10 * SECOND);
+    fleet.advance(10 * SECOND);
     hosts.extend((21..=40).map(|id| Endpoint {
         started: Some(fleet.now),
         ..host(id)
@@ -84,7 +84,7 @@
         replace_process(&mut fleet, node, &hosts);
     }
     let before = fleet.log.len();
-    fleet.pass(12 * SECOND);
+    fleet.advance(12 * SECOND);
     let migrated = fleet.count_since(before, is_migration);
     let at_new_host = |a: &Action| matches!(a, Action::StartAttempt { host, .. } if host.0 > 20);
     let placed = fleet.count_since(before, at_new_host);
@@ -124,7 +124,7 @@
     let mut exceeded: Vec<String> = Vec::new();
     let mut windows = 0;
     for seed in 0..143 {
-        let run = RandomRestarts::new(seed).play();
+        let run = RandomRestarts::new(seed).run();
         windows += run.windows;
         exceeded.extend(run.exceeded);
     }
@@ -149,7 +149,7 @@
 }
 
 /// How a run went.
-struct Run {
+struct RunResult {
     /// How many windows of a second there were.
     windows: usize,
     /// Those that were over the budget and chance.
@@ -185,8 +185,8 @@
         }
     }
 
-    fn play(mut self) -> Run {
-        self.fleet.pass(10 * SECOND);
+    fn run(mut self) -> RunResult {
+        self.fleet.advance(10 * SECOND);
         let warming = Endpoint {
             started: Some(self.fleet.now),
             ..host(9)
@@ -200,21 +200,21 @@
         let mean_clients = (self.open as f64 * busy * 0.05).max(1.0) as usize;
         for _ in 0..120 {
             for _ in 0..self.rng.random_range(0..=2 * mean_clients) {
-                self.brief_client();
+                self.short_lived_client();
             }
             if self.rng.random_range(0..8) == 0 {
                 self.restart_node();
             }
-            self.fleet.pass(50 * MILLI);
+            self.fleet.advance(50 * MILLI);
         }
-        self.judge(start)
+        self.check_windows(start)
     }
 
-    fn brief_client(&mut self) {
+    fn short_lived_client(&mut self) {
         let node = self.rng.random_range(0..self.nodes as usize);
         let crowded = self.rng.random_range(0..3) == 0;
         self.fleet
-            .brief_client(if crowded { node % 5 } else { node });
+            .short_lived_client(if crowded { node % 5 } else { node });
     }
 
     /// One is killed and started again, with nothing learned but the list.
@@ -229,7 +229,7 @@
         }
     }
 
-    fn judge(&self, start: Nanos) -> Run {
+    fn check_windows(&self, start: Nanos) -> RunResult {
         let times = self.fleet.times(attempt_at(9));
         let mut exceeded = Vec::new();
         for (index, first) in times.iter().enumerate() {
@@ -243,7 +243,7 @@
                 ));
             }
         }
-        Run {
+        RunResult {
             windows: times.len(),
             exceeded,
         }
--- a/tests/fleet/simulation.rs
+++ b/tests/fleet/simulation.rs
@@ -128,7 +128,7 @@
     }
 
     /// Lets time pass: timers fire, and migrated clients reconnect.
-    pub fn pass(&mut self, span: Nanos) {
+    pub fn advance(&mut self, span: Nanos) {
         let end = self.now + span;
         while let Some(next) = (0..self.timers.len()).min_by_key(|&n| self.timers[n].time) {
             if self.timers[next].time > end {
@@ -204,7 +204,7 @@
     }
 
     /// A new client comes to a node and leaves at once.
-    pub fn brief_client(&mut self, node: usize) {
+    pub fn short_lived_client(&mut self, node: usize) {
         if let Some(host) = self.new_client(node) {
             self.end(node, self.last_request(), host, AttemptOutcome::Completed);
         }
--- a/tests/fleet/slow_start.rs
+++ b/tests/fleet/slow_start.rs
@@ -12,7 +12,7 @@
     let hosts = [host(1), host(2), host(3), host(4)];
     fleet.update_endpoints(EndpointUpdate::Cached, &hosts);
     fleet.new_clients(2 * nodes as usize);
-    fleet.pass(20 * SECOND);
+    fleet.advance(20 * SECOND);
     let warming = Endpoint {
         started: Some(fleet.now - SECOND),
         ..host(9)
@@ -22,7 +22,7 @@
         for node in clients(step) {
             fleet.new_client(node);
         }
-        fleet.pass(50 * MILLI);
+        fleet.advance(50 * MILLI);
     }
     fleet
 }
@@ -88,7 +88,7 @@
 fn clients_are_migrated_to_a_host_that_came_back_until_it_has_its_share() {
     let mut fleet = warming_host(100, 0, |_| Vec::new());
     let before = fleet.log.len();
-    fleet.pass(20 * SECOND);
+    fleet.advance(20 * SECOND);
     let migrated = fleet.count_since(before, is_migration);
     // 200 clients on five hosts of one size.
     assert!((25..=55).contains(&migrated), "{migrated} of 200 migrated");
@@ -114,11 +114,11 @@
     let nodes = fleet.nodes_with(attempt_at(3));
     assert!(nodes >= 80, "only {nodes} nodes tried it");
     // It is back, and the list has not told of anything; the ejections are over.
-    fleet.pass(8 * SECOND);
+    fleet.advance(8 * SECOND);
     let before = fleet.log.len();
     for step in 0..100 {
         fleet.new_client(step * 37 % 100);
-        fleet.pass(10 * MILLI);
+        fleet.advance(10 * MILLI);
     }
     let attempts = fleet.count_since(before, attempt_at(3));
     // Eight seconds after connections to it last failed, the fleet's budget for it is over twenty a
@@ -150,7 +150,7 @@
     });
     fleet.update_endpoints(EndpointUpdate::Cached, &[host(1), host(2)]);
     fleet.new_clients(200);
-    fleet.pass(10 * SECOND);
+    fleet.advance(10 * SECOND);
     let started = Some(fleet.now);
     let new = [7, 8, 9].map(|id| Endpoint {
         started,
@@ -160,7 +160,7 @@
     fleet.update_endpoints(EndpointUpdate::Delta, &new);
     for step in 0..200 {
         fleet.new_client(step * 37 % 100);
-        fleet.pass(50 * MILLI);
+        fleet.advance(50 * MILLI);
     }
     let placed = [7, 8, 9].map(|id| fleet.count_since(0, attempt_at(id)));
     let placed: usize = placed.iter().sum();
@@ -193,7 +193,7 @@
     let mut hosts: Vec<Endpoint> = (1..=60).map(in_zone).collect();
     fleet.update_endpoints(EndpointUpdate::Cached, &hosts);
     fleet.new_clients(1800);
-    fleet.pass(10 * SECOND);
+    fleet.advance(10 * SECOND);
     for old in &mut hosts[30..] {
         old.state = HostState::Gone;
     }
@@ -204,7 +204,7 @@
     }));
     fleet.update_endpoints(EndpointUpdate::Delta, &hosts);
     let before = fleet.log.len();
-    fleet.pass(9 * SECOND);
+    fleet.advance(9 * SECOND);
     let at_new_host = |a: &Action| matches!(a, Action::StartAttempt { host, .. } if host.0 > 60);
     let placed = fleet.count_since(before, at_new_host);
     assert!(
@@ -242,11 +242,11 @@
         });
         fleet.update_endpoints(EndpointUpdate::Cached, &[host(1), host(2)]);
         fleet.new_clients(2 * nodes as usize);
-        fleet.pass(5 * SECOND);
+        fleet.advance(5 * SECOND);
         let started = Some(fleet.now);
         let new = Endpoint { started, ..host(9) };
         fleet.update_endpoints(EndpointUpdate::Delta, &[new]);
-        fleet.pass(15 * SECOND);
+        fleet.advance(15 * SECOND);
         let migrating = fleet.nodes_with(is_migration);
         assert_eq!(
             migrating > 0,
@@ -268,5 +268,5 @@
     let started = Some(fleet.now);
     let new = Endpoint { started, ..host(9) };
     fleet.update_endpoints(EndpointUpdate::Delta, &[new]);
-    fleet.pass(SECOND);
+    fleet.advance(SECOND);
 }
--- a/tests/single_node/load_limit.rs
+++ b/tests/single_node/load_limit.rs
@@ -28,8 +28,8 @@
     Node::start(settings, HOSTS.map(endpoint).to_vec())
 }
 
-fn one_message_is_late(node: &mut Node) {
-    node.handle_and_follow(Event::MessageLatency {
+fn report_late_message(node: &mut Node) {
+    node.handle_and_execute(Event::MessageLatency {
         host: ONCE_LATE,
         latency: LATE,
     });
@@ -49,15 +49,15 @@
     let mut node = start();
     node.connect(60);
     assert_eq!(node.connections_at(ONCE_LATE).len(), 20);
-    one_message_is_late(&mut node);
-    node.pass(SECOND);
+    report_late_message(&mut node);
+    node.advance(SECOND);
     let limited = node.connections_at(ONCE_LATE).len();
     assert!(
         (16..20).contains(&limited),
         "not limited, or by much: {limited}"
     );
     end_all_but(&mut node, 0);
-    node.pass(LATE_FOR);
+    node.advance(LATE_FOR);
     node.connect(16);
     let open = node.connections_at(ONCE_LATE).len();
     assert!(
@@ -74,8 +74,8 @@
         let mut node = start();
         node.connect(60);
         end_all_but(&mut node, left);
-        one_message_is_late(&mut node);
-        node.pass(LATE_FOR);
+        report_late_message(&mut node);
+        node.advance(LATE_FOR);
         node.connect(16);
         let open = node.connections_at(ONCE_LATE).len();
         assert!(
--- a/tests/single_node/node.rs
+++ b/tests/single_node/node.rs
@@ -26,13 +26,13 @@
             timers: Vec::new(),
             connections: HashMap::new(),
         };
-        node.follow(actions);
+        node.execute(actions);
         node.update_endpoints(EndpointUpdate::Full, endpoints);
         node
     }
 
     pub fn update_endpoints(&mut self, kind: EndpointUpdate, endpoints: Vec<Endpoint>) {
-        self.handle_and_follow(Event::EndpointsUpdated { kind, endpoints });
+        self.handle_and_execute(Event::EndpointsUpdated { kind, endpoints });
     }
 
     /// Hands an event to the module, and returns what it orders.
@@ -43,19 +43,19 @@
     }
 
     /// Hands an event to the module, and does what it orders.
-    pub fn handle_and_follow(&mut self, event: Event) {
+    pub fn handle_and_execute(&mut self, event: Event) {
         let actions = self.handle(event);
-        self.follow(actions);
+        self.execute(actions);
     }
 
     /// Each attempt is accepted at once, and each migrated client leaves.
-    fn follow(&mut self, actions: Vec<Action>) {
+    fn execute(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::StartAttempt { id, host, .. } => {
                     self.connections.insert(id, host);
                     let took = MILLI;
-                    self.handle_and_follow(Event::ConnectionEstablished { id, took });
+                    self.handle_and_execute(Event::ConnectionEstablished { id, took });
                 }
                 Action::Migrate { id } => self.end(id),
                 Action::SetTimer { time, timer } => self.timers.push((time, timer)),
@@ -67,7 +67,7 @@
     /// A connection ends, if it is open.
     pub fn end(&mut self, id: RequestId) {
         if let Some(host) = self.connections.remove(&id) {
-            self.handle_and_follow(completed(id, host));
+            self.handle_and_execute(completed(id, host));
         }
     }
 
@@ -85,7 +85,7 @@
     pub fn connect(&mut self, count: usize) {
         for _ in 0..count {
             let incoming = self.new_request(2 * SECOND);
-            self.handle_and_follow(Event::RequestArrived(incoming));
+            self.handle_and_execute(Event::RequestArrived(incoming));
         }
     }
 
@@ -98,13 +98,13 @@
     }
 
     /// Lets time pass, in which timers fire.
-    pub fn pass(&mut self, span: Nanos) {
+    pub fn advance(&mut self, span: Nanos) {
         let until = self.now + span;
         let next = |timers: &[(Nanos, u64)]| timers.iter().copied().min();
         while let Some(due) = next(&self.timers).filter(|(time, _)| *time <= until) {
             self.timers.retain(|timer| *timer != due);
             self.now = self.now.max(due.0);
-            self.handle_and_follow(Event::TimerFired { timer: due.1 });
+            self.handle_and_execute(Event::TimerFired { timer: due.1 });
         }
         self.now = until;
     }
--- a/tests/single_node/settings_change.rs
+++ b/tests/single_node/settings_change.rs
@@ -56,7 +56,7 @@
             "the budget of this slot is spent"
         );
         let changed = Event::SettingsChanged(Box::new(settings(after)), vec![0]);
-        node.handle_and_follow(changed);
+        node.handle_and_execute(changed);
         assert_eq!(
             placed_at_warming_host(&mut node, 50),
             0,
--- a/tests/single_node/slow_store.rs
+++ b/tests/single_node/slow_store.rs
@@ -43,7 +43,7 @@
 }
 
 /// A request whose set-up takes so long, and whose client leaves then.
-fn set_up(node: &mut Node, took: Nanos) -> HostId {
+fn complete_setup(node: &mut Node, took: Nanos) -> HostId {
     let (id, host, _) = request(node, LONG_TIMEOUT);
     let host = host.expect("it is sent to a host");
     node.now += took;
@@ -53,9 +53,9 @@
 }
 
 /// Set-ups that take so long, until several hosts have shown it.
-fn set_up_at_several_hosts(node: &mut Node, took: Nanos) {
-    let first = set_up(node, took);
-    while set_up(node, took) == first {}
+fn complete_setups_at_several_hosts(node: &mut Node, took: Nanos) {
+    let first = complete_setup(node, took);
+    while complete_setup(node, took) == first {}
 }
 
 /// Guards against a class with a short deadline that gets nothing from a slow store, and takes the store's time from
@@ -63,7 +63,7 @@
 #[test]
 fn what_a_slow_store_cannot_set_up_in_time_is_rejected_at_once() {
     let mut node = start(300);
-    set_up_at_several_hosts(&mut node, SLOW_SETUP);
+    complete_setups_at_several_hosts(&mut node, SLOW_SETUP);
     let (_, host, actions) = request(&mut node, SHORT_TIMEOUT);
     assert_eq!(host, None, "{actions:?}");
     let rejected = |action: &Action| matches!(action, Action::Reject { .. });
@@ -76,12 +76,12 @@
 #[test]
 fn a_class_that_was_rejected_is_tried_again_after_a_while_and_served_once_set_ups_are_quick() {
     let mut node = start(300);
-    set_up_at_several_hosts(&mut node, SLOW_SETUP);
+    complete_setups_at_several_hosts(&mut node, SLOW_SETUP);
     assert_eq!(request(&mut node, SHORT_TIMEOUT).1, None);
     node.now += 2 * SECOND;
     assert!(request(&mut node, SHORT_TIMEOUT).1.is_some());
     assert_eq!(request(&mut node, SHORT_TIMEOUT).1, None);
-    set_up(&mut node, QUICK_SETUP);
+    complete_setup(&mut node, QUICK_SETUP);
     assert!(request(&mut node, SHORT_TIMEOUT).1.is_some());
 }
 
@@ -89,10 +89,10 @@
 #[test]
 fn one_slow_host_or_a_small_fleet_rejects_nothing() {
     let mut node = start(300);
-    set_up(&mut node, SLOW_SETUP);
+    complete_setup(&mut node, SLOW_SETUP);
     assert!(request(&mut node, SHORT_TIMEOUT).1.is_some());
     let mut node = start(3);
-    set_up_at_several_hosts(&mut node, SLOW_SETUP);
+    complete_setups_at_several_hosts(&mut node, SLOW_SETUP);
     assert!(request(&mut node, SHORT_TIMEOUT).1.is_some());
 }
 
