--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -1,13 +1,13 @@
-//! The balancer of one node: events in, actions out.
+//! The balancer of one node: it takes events and returns the actions that they require.
 //!
-//! How to use it: make one [`Balancer`] for each node, hand each event to [`Balancer::handle`] with
-//! the caller's clock, and carry out the actions that it appends, in their order. `docs/design.md`
-//! gives the reasons for the decisions.
+//! The caller creates one [`Balancer`] for each node, passes each event to [`Balancer::handle`]
+//! with the time of its own clock, and carries out the appended actions in their order.
+//! `docs/design.md` gives the reasons for the decisions.
 //!
 //! Each part (the host records, the request table, the weight optimizer, the connection history,
 //! the endpoint poller) owns its state. An event becomes messages to these parts, and handling a
-//! message may send more: [`Balancer`] handles them in order until none is left. A part may read
-//! another's state; only the part itself changes it.
+//! message may send more messages. [`Balancer`] handles them in order until the queue is empty. A
+//! part may read the state of another part, but only the owner changes it.
 
 mod endpoints;
 mod fleet_estimate;
@@ -44,21 +44,21 @@
 use rand_chacha::ChaCha8Rng;
 use shutdown::Shutdown;
 
-/// The timer of [`Action::SetTimer`] that makes a tick due.
+/// The id of the [`Action::SetTimer`] timer that triggers a tick.
 const TICK_TIMER: u64 = 0;
-/// The timer that makes the next migration of a shutdown due.
+/// The id of the timer that triggers the next migrations of a shutdown.
 const MIGRATION_TIMER: u64 = 1;
 
-/// How many hosts a node knows, and how many of them it avoids.
+/// The number of hosts that a node knows and the number that it avoids.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostCounts {
-    /// Hosts in the endpoint list.
+    /// The number of hosts in the endpoint list.
     pub listed: usize,
-    /// Listed hosts that are not ready, ejected, or late with messages.
+    /// The number of listed hosts that are not ready, are ejected, or deliver messages late.
     pub avoided: usize,
 }
 
-/// All decisions of one node.
+/// Makes all decisions of one node.
 pub struct Balancer {
     settings: BalancerSettings,
     rng: ChaCha8Rng,
@@ -79,7 +79,7 @@
 }
 
 impl Balancer {
-    /// A balancer that knows no host yet. `seed` decides all its random choices.
+    /// Creates a balancer that knows no host yet. All its random choices derive from `seed`.
     pub fn new(
         settings: BalancerSettings,
         seed: u64,
@@ -87,7 +87,8 @@
         actions: &mut Vec<Action>,
     ) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        // The first tick comes at a moment of the node's own, so that nodes do not tick in step.
+        // The first tick comes after a random part of the interval, so that nodes do not tick in
+        // step.
         let time = now + (TICK_INTERVAL as f64 * rng.random::<f64>()) as Nanos;
         let timer = TICK_TIMER;
         actions.push(Action::SetTimer { time, timer });
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Takes in one event and appends the actions that it calls for.
+    /// Handles one event and appends the actions that it requires.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.dispatch(now, event, actions);
         while let Some(message) = self.messages.pop_front() {
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Whether any host is warming up whose budget the nodes share by slots.
+    /// Returns whether the nodes share the budget of any warming host by node slots.
     pub fn uses_slow_start_slots(&self, now: Nanos) -> bool {
         !uses_client_slots(&self.settings)
             && self
@@ -128,7 +129,7 @@
                 .any(|host| host.is_ready() && host.is_warming_up(now, &self.settings))
     }
 
-    /// How many hosts are listed, and how many of those this node avoids now.
+    /// Returns the number of listed hosts, and the number of those that this node avoids now.
     pub fn host_counts(&self, now: Nanos) -> HostCounts {
         let listed = self.hosts.iter().filter(|host| host.listed);
         let avoided = listed.clone().filter(|host| {
@@ -228,7 +229,7 @@
             return;
         };
         self.load_report_received(host, load_metrics, None);
-        // An attempt that is no longer the current one changes nothing else.
+        // If the attempt is no longer the current one, only its load report is used.
         if let Some((slot, _)) = current.filter(|(_, current)| *current == host) {
             self.send_host(host, HostMessage::ConnectionEnded { slot, outcome });
             self.send_request(RequestMessage::AttemptEnded {
@@ -262,7 +263,8 @@
         };
     }
 
-    /// The slot of a known request, and the host of its attempt in flight or open connection.
+    /// Returns the slot of a known request and the host of its attempt in flight or open
+    /// connection.
     fn slot_and_host(&self, id: RequestId) -> Option<(usize, usize)> {
         let slot = self.requests.slot(id)?;
         Some((slot, self.requests.get(slot)?.host?))
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list, and the schedule on which it is polled.
+//! Applies updates of the endpoint list and computes the schedule on which it is polled.
 
 use super::Balancer;
 use crate::endpoint::{Endpoint, EndpointUpdate};
@@ -53,8 +53,9 @@
     }
 }
 
-/// The node's position in a large fleet, from 0 to 1, over as much of that as there are more nodes
-/// than would be few.
+/// Returns the node's position in a large fleet, from 0 to 1, and `None` in a small fleet. Just
+/// above the size of a small fleet the positions cover only a small part of that range; they cover
+/// nearly all of it as the fleet grows.
 fn fleet_position(settings: &BalancerSettings) -> Option<f64> {
     let max_small_fleet_nodes = settings.warm_up as f64 / settings.overload_window.max(1) as f64;
     let nodes = f64::from(settings.node_count.max(1));
--- a/src/balancer/fleet_estimate.rs
+++ b/src/balancer/fleet_estimate.rs
@@ -1,74 +1,76 @@
-//! An estimate of the fleet's state from what this node knows of the ready hosts: one node of many
-//! sees but a sample of the load at each.
+//! Estimates the state of the fleet from what this node knows of the ready hosts. In a large fleet,
+//! one node sees only a sample of the load at each host.
 
 use super::Balancer;
 use crate::host::{Host, SlowStartInputs, CLIENT_SLOT_TIME, WARM_CAPACITY_FACTOR};
 use crate::time::Nanos;
 
-/// What a connection to another zone costs, in mean own loads.
+/// The cost of a connection to another zone, in mean own loads.
 const CROSS_ZONE_PENALTY: f64 = 18.0;
-/// The upper bound, in mean loads, of the unseen load of a host.
+/// The upper bound of a host's unseen load, in mean connection loads.
 const MAX_UNSEEN_LOADS: f64 = 50.0;
-/// The least mean reported load that others are compared with.
+/// The lower bound of the mean reported load, to which the loads of single hosts are compared.
 const MIN_REPORTED_LOAD: f64 = 0.05;
 
-/// What a node estimates of the ready hosts.
+/// A node's estimate of the state of the ready hosts.
 pub(super) struct FleetEstimate {
-    /// Mean own load of the hosts that are not ejected, newcomers as they count.
+    /// The mean own load of the hosts that are not ejected. Newcomers count with their blended
+    /// load.
     pub mean_load: f64,
-    /// How far a newcomer's load is replaced by the others' mean, from 0 to 1.
+    /// The share of a newcomer's load that is replaced by the mean of the other hosts, from 0 to 1.
     pub newcomer_blend: f64,
-    /// What own loads are blurred by, as what a node of many holds is but a sample. Without this,
-    /// hosts would be judged by a connection or two.
+    /// The load added to each host's own load before loads are compared, because own connections
+    /// are only a sample of a host's load. Without it, one or two connections would decide the
+    /// comparison.
     pub unseen_load: f64,
-    /// The share of the hosts that are not ejected and whose messages are in time.
+    /// The share of the ready hosts that are not ejected and deliver messages in time.
     pub healthy_share: f64,
-    /// How many hosts stand in the own zone, at least 1, and their size.
+    /// The number of ready hosts in this node's zone, at least 1, and their total size.
     pub local_hosts: f64,
     pub local_size: f64,
-    /// The load that a host without a load limit can sustain, for each unit of size: where most
-    /// hosts have a limit, the mean of these. Without this, all nodes would fill the one host that
-    /// has none.
+    /// The load per unit of size that a host without a load limit can sustain: the mean of the
+    /// limits if most hosts have one, otherwise infinite. Without it, all nodes would fill the one
+    /// host that has no limit.
     pub typical_limit: f64,
-    /// The price of another zone, lower where own hosts are under pressure. Without the latter, one
-    /// zone would be filled and filled.
+    /// The cost of placing a connection in another zone. It decreases while hosts of this node's
+    /// zone are ejected or limited; otherwise that zone would be filled far beyond its capacity.
     pub cross_zone_penalty: f64,
-    /// Mean reported load, and the mean load of a connection.
+    /// The mean reported load of the hosts that report one, and the mean load of a connection.
     pub mean_reported_load: f64,
     pub connection_load: f64,
-    /// How many hosts are ready.
+    /// The number of ready hosts.
     pub ready_hosts: f64,
     /// The inputs of slow start. A warm host can sustain [`WARM_CAPACITY_FACTOR`] times the mean,
-    /// or less the more hosts have a load limit. Without the latter, new hosts of a growing fleet
-    /// would stay idle.
+    /// and less the more hosts have a load limit. Without that reduction, the new hosts of a
+    /// growing fleet would stay idle.
     pub slow_start: SlowStartInputs,
 }
 
 impl FleetEstimate {
-    /// How much of the hosts' load this node does not see, from 0 to 1.
+    /// Returns the share of the hosts' load that this node does not see, from 0 to 1.
     pub fn unseen_share(&self) -> f64 {
         self.unseen_load / (self.mean_load + self.unseen_load)
     }
 }
 
-/// Sums over the ready hosts; hosts are counted in `f64` as they enter ratios only.
+/// Sums over the ready hosts. Counts are `f64` because they are used only in ratios.
 #[derive(Default)]
 struct Sums {
     ready: f64,
     healthy: f64,
     size: f64,
     limited: f64,
-    /// Load limits for each unit of size.
+    /// The sum of the load limits per unit of size.
     limits: f64,
     reporting: f64,
     reported_load: f64,
-    /// Hosts that are not ejected, and their own load.
+    /// The number of hosts that are neither ejected nor newcomers, and their own load.
     settled: f64,
     settled_load: f64,
     newcomers: f64,
     newcomer_load: f64,
-    /// Hosts of the own zone: all, ejected or limited, and those of which this node has a sign at
-    /// all.
+    /// Hosts in this node's zone: their number, their size, the number that are ejected or limited,
+    /// and the number that are ejected, limited or have a connection of this node.
     local: f64,
     local_size: f64,
     local_under_pressure: f64,
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Load limits for each unit of size, where most hosts have one.
+    /// Returns the mean load limit per unit of size if most hosts have a limit, otherwise infinity.
     fn typical_limit(&self) -> f64 {
         if 2.0 * self.limited > self.ready {
             self.limits / self.limited
@@ -147,9 +149,10 @@
             let unseen = connection_load * connection_load / mean.max(f64::MIN_POSITIVE);
             unseen.min(MAX_UNSEEN_LOADS * connection_load)
         };
-        // Newcomers count at the others' mean, and that stays as it is; the more a node sees, the
-        // more they count as they are. Without the latter, hosts would be filled and filled beside
-        // new ones where two nodes see it all.
+        // Newcomers count with the mean of the other hosts, so that they do not change it. The more
+        // load a node sees, the more newcomers count with their own load. Without that, in a fleet
+        // of two nodes that see all load, the other hosts would be filled beside nearly empty new
+        // ones.
         let settled_mean = sums.settled_load / f64::max(sums.settled, 1.0);
         let newcomer_blend = if self.settings.centralized {
             1.0
@@ -161,7 +164,8 @@
         let mean_load =
             (sums.settled_load + newcomer_load) / f64::max(sums.settled + sums.newcomers, 1.0);
         let unseen_load = unseen_at(mean_load);
-        // The less a node sees, the more a sign of its own zone weighs.
+        // The smaller the share of the load that a node sees, the more each ejected or limited host
+        // of its zone weighs.
         let pressure = (1.0 + unseen_load / (mean_load + unseen_load)) * sums.local_under_pressure
             / (1.0 + sums.local_observed);
         let zone_penalty_factor = (1.0 - pressure).max(0.0);
@@ -190,9 +194,9 @@
         }
     }
 
-    /// How long a client's slot lasts: [`CLIENT_SLOT_TIME`] where in that time no more requests
-    /// arrive than are open. Without this, a warming host would be overloaded as requests arrive so
-    /// fast that the slots of two seconds are used up in one.
+    /// Returns how long a client's slot lasts: [`CLIENT_SLOT_TIME`], shortened if more requests
+    /// arrive in that time than are open. Otherwise, at a high arrival rate, the slots of two
+    /// seconds would be used up in one second and a warming host would be overloaded.
     fn client_slot_time(&self, now: Nanos) -> Nanos {
         let longest = CLIENT_SLOT_TIME as f64;
         let arrivals = self.arrival_rate.within(now, CLIENT_SLOT_TIME);
--- a/src/balancer/inheritance.rs
+++ b/src/balancer/inheritance.rs
@@ -1,5 +1,5 @@
-//! Hot restart: the state that a process leaves to its successor, and takes over from its
-//! predecessor.
+//! Hot restart: exports the state that a process leaves to its successor, and inherits the state of
+//! its predecessor.
 
 use super::Balancer;
 use crate::endpoint::HostId;
@@ -10,7 +10,7 @@
 use crate::time::Nanos;
 
 impl Balancer {
-    /// What the process that replaces this one is to know.
+    /// Returns the state that the successor of this process inherits.
     pub fn export_state(&self) -> InheritedState {
         let listed = self.hosts.iter().filter(|host| host.listed);
         InheritedState {
@@ -53,8 +53,9 @@
     }
 
     pub(super) fn request_taken_over(&mut self, incoming: IncomingRequest, prior: &PriorAttempts) {
-        // Without this, a repeat would be sent although the group that would drop it is unknown:
-        // index 0 at time 0 stands for a first attempt whose repeat window is over.
+        // If the group of the first host is unknown, the request gets host index 0 and time 0,
+        // which stand for a first attempt whose repeat window is over. Otherwise a repeat might be
+        // sent to a host outside the group that would drop it.
         let may_have_run = prior.may_have_run.map(|(id, sent_at)| {
             let known = self.hosts.index(id);
             known
--- a/src/balancer/load_reports.rs
+++ b/src/balancer/load_reports.rs
@@ -1,4 +1,4 @@
-//! Load reports of hosts: in responses, by probes, and in the gossip of other nodes.
+//! Handles load reports of hosts, which arrive in responses, probes, and the gossip of other nodes.
 
 use super::Balancer;
 use crate::endpoint::HostId;
@@ -7,13 +7,13 @@
 use crate::request::AttemptOutcome;
 use crate::settings::LoadMetric;
 
-/// The load that a host which does not answer a probe counts as.
+/// The load assumed for a host that does not answer a probe.
 const UNRESPONSIVE_LOAD: f64 = 2.0;
-/// A reported value is out of range from here on.
+/// The exclusive upper bound of a valid value in a load report.
 const MAX_METRIC_VALUE: f64 = 1e3;
 
 impl Balancer {
-    /// Takes in the values of a load report; `default_load` is used where they contain no load.
+    /// Handles the values of a load report. `default_load` is used if they contain no valid load.
     pub(super) fn load_report_received(
         &mut self,
         host: usize,
@@ -48,13 +48,14 @@
         let Some(host) = self.hosts.index(host) else {
             return;
         };
-        // Too many probes at once, or a broken connection, say nothing of the host's load.
+        // Only a timeout says something about the host's load: a probe may also fail because too
+        // many run at once or because a connection broke.
         let unresponsive = outcome == AttemptOutcome::TimedOut;
         let default_load = unresponsive.then_some(UNRESPONSIVE_LOAD);
         self.load_report_received(host, load_metrics, default_load);
     }
 
-    /// Takes in the load that another node gossips, for a host that the own list names.
+    /// Handles the load that another node gossips about a host in this node's endpoint list.
     pub(super) fn gossip_received(&mut self, message: &[u8]) {
         let Some((tag, load)) = gossip::decode(message) else {
             return;
@@ -64,7 +65,7 @@
             host.listed && gossip::host_tag(host.id) == tag
         };
         let mut matching = (0..self.hosts.len()).filter(has_tag);
-        // Where two hosts have the same tag, a message about one could be taken for the other's.
+        // A message is ignored if two hosts have its tag, because it could be about either of them.
         if let (Some(host), None) = (matching.next(), matching.next()) {
             let from_gossip = true;
             self.send_host(host, HostMessage::LoadReported { load, from_gossip });
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -1,4 +1,4 @@
-//! The placement of one request: it is sent to the best host, or gets its final answer at once.
+//! Places one request: sends it to the best host, or gives its final answer at once.
 
 use super::Balancer;
 use crate::action::Action;
@@ -12,16 +12,16 @@
 use crate::time::{Nanos, SECOND};
 use rand::Rng;
 
-/// Attempts that end with an error before no other host is tried.
+/// The number of attempts ending with an error after which no other host is tried.
 const MAX_ERRORS: u32 = 2;
-/// How much longer than its objective a node of a large fleet that sees hardly any set-ups waits
-/// for one. Where probes or connections report load, a hanging host is detected by that, and the
-/// wait is shorter.
+/// How much longer than the latency objective a node of a large fleet waits for a set-up when it
+/// sees hardly any. If probes or connections report load, a hanging host is detected by its load,
+/// and the extra time is shorter.
 const EXTRA_SETUP_TIME: Nanos = 6 * SECOND;
 const EXTRA_SETUP_TIME_WITH_LOADS: Nanos = 2 * SECOND;
 /// The arrival rate, in requests per second, at which that extra time is halved.
 const HALVING_ARRIVAL_RATE: f64 = 5.0;
-/// How many times longer a set-up is waited for where all fail.
+/// The increase of the set-up timeout when all set-ups fail, as a multiple of the usual timeout.
 const FAILURE_TIMEOUT_FACTOR: f64 = 20.0;
 
 impl Balancer {
@@ -82,8 +82,8 @@
         self.send_host(host, HostMessage::ConnectionAdded(connection));
     }
 
-    /// By when the request gets its answer. Without the shutdown's deadline, it might have one only
-    /// after a node that stops was ended from outside.
+    /// Returns the time by which the request gets its answer. It is no later than the shutdown
+    /// deadline: otherwise a stopping node might be killed before it answers.
     fn answer_by(&self, request: &Request) -> Nanos {
         let shutdown_deadline = self.shutdown.deadline.unwrap_or(Nanos::MAX);
         answer_by(
@@ -93,9 +93,10 @@
         )
     }
 
-    /// Whether the request has failed too often to be attempted again. Without the first limit, a
-    /// store that fails at once would be asked five times over for each request; without the
-    /// second, what no host accepts, as bad clients send it, would be offered to host after host.
+    /// Returns whether the request has failed too often to be attempted again. While set-up
+    /// failures are common, one attempt is the limit: otherwise a session store that fails at once
+    /// would get five set-ups for each request. The limit of errors keeps requests that no host
+    /// accepts, such as malformed ones, from being sent to host after host.
     fn has_exhausted_attempts(&self, request: &Request) -> bool {
         let max_attempts = if self.setup_failures.are_common() {
             1
@@ -105,9 +106,10 @@
         request.attempts >= max_attempts || request.errors >= MAX_ERRORS
     }
 
-    /// Whether a request that has just arrived is rejected: all are in a shutdown; in an overload,
-    /// requests are rejected at random, the more the less a node sees of the hosts. Prevents many
-    /// nodes from filling hosts up again as fast as each migrates its one connection there.
+    /// Returns whether a request that has just arrived is rejected. In a shutdown, all are. In an
+    /// overload, requests are rejected at random, and more of them the less load this node sees.
+    /// This prevents many nodes from refilling hosts as fast as each migrates its one connection
+    /// away.
     fn should_shed(&self, now: Nanos, request: &Request, random: u64) -> bool {
         if request.attempts > 0 {
             return false;
@@ -119,7 +121,7 @@
             return false;
         }
         let unseen_share = self.estimate_fleet(now).unseen_share();
-        // Requests of a low priority for their load are rejected first.
+        // Classes with a low priority per unit of load are rejected first.
         let lowest_priority = self
             .settings
             .classes
@@ -133,10 +135,11 @@
         hash_to_unit_interval(random, 0) < self.load_shedding.rejected_share(unseen_share)
     }
 
-    /// Whether an attempt would be given up before a set-up can end, as the last ones show. Without
-    /// this, a class with a short deadline would get nothing from a slow store and take its time
-    /// from all others: the store works on what its client has given up. A small fleet sees enough
-    /// set-ups to wait for each.
+    /// Returns whether, judging by recent set-ups, the request would expire before a set-up can
+    /// end. Without this check, a class with a short deadline would get nothing from a slow session
+    /// store and would also take its time from the other classes, because the store goes on with
+    /// set-ups that the client has given up. A small fleet sees enough set-ups and waits for each
+    /// of them.
     fn would_time_out(&self, now: Nanos, answer_by: Nanos) -> bool {
         let shortest = self.recent_setups.shortest(now);
         is_large_fleet(&self.settings)
@@ -150,8 +153,8 @@
         priority.max(f64::MIN_POSITIVE)
     }
 
-    /// The final answer to what cannot be attempted any more: a rejection where a retry is
-    /// harmless.
+    /// Gives the final answer to a request that is not attempted again: a rejection if the client
+    /// may safely retry, otherwise a failure.
     fn give_final_answer(&mut self, slot: usize, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(slot) else {
             return;
@@ -159,7 +162,7 @@
         let class = &self.settings.classes[request.incoming.class];
         let may_be_rejected = may_reject(class, request.first_run.is_some());
         let id = request.id;
-        // Spread, so that the clients do not come back in step.
+        // The wait is random, so that the clients do not come back in step.
         let wait = self.settings.max_retry_after as f64 * self.rng.random_range(0.25..1.0);
         actions.push(if may_be_rejected {
             let retry_after = wait as Nanos;
@@ -170,10 +173,10 @@
         self.requests.remove(slot);
     }
 
-    /// How long a set-up is waited for before another host is tried. Without the longer waits, a
-    /// store that all set-ups share would answer when the node has already retried. The fewer
-    /// set-ups a node sees, the less it can distinguish such a store from a hanging host, and the
-    /// longer it waits.
+    /// Returns how long a set-up may take before another host is tried. A node that sees few
+    /// set-ups cannot tell a slow shared session store from a hanging host and therefore waits
+    /// longer. Without the longer timeouts, a slow store would answer only after the node has
+    /// already retried.
     fn setup_timeout(&self, now: Nanos, class: &RequestClass) -> Nanos {
         let knows_loads = self.settings.load_from_probes || self.history.has_measured_loads();
         let max_extra = match (is_large_fleet(&self.settings), knows_loads) {
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -1,5 +1,5 @@
-//! What happens to requests: they are added, placed, answered and migrated. The final answers are
-//! given here and in `placement.rs`.
+//! Handles messages about requests: they are added, placed, answered and migrated. Final answers
+//! are given here and in `placement.rs`.
 
 use super::Balancer;
 use crate::action::Action;
@@ -135,9 +135,9 @@
         };
         let host = request.host.take();
         request.answered |= request_over;
-        // A host that rejects or is not connected to is its own fault, not that of a shared store;
-        // and what one request meets at host after host counts once. Without this, bad clients
-        // would be taken for a store that fails.
+        // Rejections and failures to connect are faults of the host, not of a shared session store,
+        // and a request that fails at several hosts counts once. Without this, malformed requests
+        // would look like a failing store.
         let first_failure = matches!(outcome, AttemptOutcome::Error | AttemptOutcome::TimedOut)
             && request.tried_hosts.is_empty();
         if !request.established && first_failure {
--- a/src/balancer/scoring.rs
+++ b/src/balancer/scoring.rs
@@ -1,5 +1,6 @@
-//! The score of a host for one request, the lower the better: the design's two parts, load balance
-//! and the gap between ends, and the preferences for the own zone and for a group's host.
+//! The score of a host for one request; the lowest score is best. It consists of the load balance,
+//! the gap between connection ends, the cost of another zone, and the cost of leaving the preferred
+//! host of a group.
 
 use super::fleet_estimate::FleetEstimate;
 use super::selection::{Demand, BUSY_FACTOR};
@@ -9,15 +10,17 @@
 use crate::intervals::LOOK_AHEAD_NANOS;
 use crate::time::Nanos;
 
-/// How many times steeper the balance counts at a busy or crowded host.
+/// How much each unit of load above [`BUSY_FACTOR`] or [`HIGH_LOAD`] adds to the balance, in
+/// addition to the unit itself.
 const EXCESS_LOAD_FACTOR: f64 = 5.0;
-/// What reported loads are blurred by, as a report is old and noisy.
+/// The load added to reported loads before they are compared, because reports are old and noisy.
 const REPORT_SMOOTHING: f64 = 1.0;
-/// The cost of a host far from the one that a group prefers.
+/// The cost of a host at the largest hash distance from the one that a group prefers.
 const AFFINITY_COST: f64 = 4.0;
-/// The cost of each host further from it, where loads are reported.
+/// The cost of each further host in the order of hash distance, used if the host reports its load.
 const AFFINITY_STEP_COST: f64 = 0.15;
-/// In mid-stream, the preferred host outweighs all else, as every node has to select the same one.
+/// The cost in mid-stream. It outweighs all other costs, because every node has to select the same
+/// host.
 const MID_STREAM_AFFINITY_COST: f64 = 1e6;
 
 impl Balancer {
@@ -31,7 +34,7 @@
         tie_breaker: f64,
     ) -> f64 {
         let weights = self.weight_optimizer.weights(vector);
-        // What others can have placed at a host that started lately is little.
+        // Other nodes can have placed only little at a host that has started recently.
         let recently_started =
             uses_client_slots(&self.settings) && host.is_warming_up(now, &self.settings);
         let filled_share = if recently_started {
@@ -39,7 +42,7 @@
         } else {
             1.0
         };
-        // A load report replaces what this node can see itself.
+        // A load report replaces the load that this node sees itself.
         let balance = host.report.load(now).map_or_else(
             || {
                 let own_load = self.counted_load(host, fleet, recently_started, tie_breaker);
@@ -62,7 +65,7 @@
             + self.affinity_cost(now, host, demand, fleet)
     }
 
-    /// The own load at the host; a newcomer's is blended with the mean.
+    /// Returns this node's own load at the host. The load of a newcomer is blended with the mean.
     fn counted_load(
         &self,
         host: &Host,
@@ -70,9 +73,9 @@
         recently_started: bool,
         tie_breaker: f64,
     ) -> f64 {
-        // Without this share, a newcomer would stay empty where one node decides for all, as of
-        // hosts in balance some are always just under the mean: it counts as it is for twice its
-        // share of requests.
+        // If one node decides for the whole fleet, a newcomer counts with its own load for twice
+        // its share of requests. Otherwise it would stay empty, because in a balanced fleet some
+        // hosts are always just under the mean.
         let unblended_share =
             f64::from(u8::from(self.settings.centralized)) * 2.0 / fleet.local_hosts;
         let own_load = host.relative_load();
@@ -84,7 +87,7 @@
         }
     }
 
-    /// The host's load with the request over the mean, by what this node sees itself.
+    /// Returns the host's load with the request, relative to the mean, as this node sees it.
     fn own_balance(
         &self,
         now: Nanos,
@@ -96,20 +99,22 @@
     ) -> f64 {
         let added = demand.look_ahead_load + self.new_group_cost(host, demand);
         let load = own_load + added / host.endpoint.size;
-        // Without the filled share, new hosts would be taken for as full as the rest, where each
-        // node sees next to nothing of any.
+        // The unseen load is scaled by the filled share. Otherwise nodes that each see almost no
+        // load would treat new hosts as being as full as the others.
         let unseen_load = fleet.unseen_load * filled_share;
         let fleet_load = fleet.mean_load + fleet.unseen_load;
         let balance = (load + unseen_load) * (1.0 + host.latency.ratio(now)) / fleet_load;
-        // Without this, hosts that groups and the own zone prefer would be filled past what they
-        // bear, where nothing reports that until they shed load. The less a node sees of the hosts,
-        // the less that counts.
+        // Load above `BUSY_FACTOR` weighs more, scaled by the share of the load that this node
+        // sees. Without this, hosts that a group or the own zone prefers would be filled beyond
+        // their capacity; if they report no load, the node would notice that only when they shed
+        // load.
         let seen_share = fleet.mean_load / fleet_load;
         let excess = (balance - BUSY_FACTOR).max(0.0);
         balance + EXCESS_LOAD_FACTOR * seen_share * seen_share * excess
     }
 
-    /// The host's load with the request over the mean, by the last report.
+    /// Returns the host's load with the request, relative to the mean, according to the last
+    /// report.
     fn reported_balance(
         &self,
         now: Nanos,
@@ -118,7 +123,7 @@
         fleet: &FleetEstimate,
         reported: f64,
     ) -> f64 {
-        // What one unit of own load adds to a reported load.
+        // The increase of a host's reported load for one unit of this node's own load.
         let reported_per_own = fleet.mean_reported_load
             / (fleet.mean_load * f64::from(self.settings.node_count))
                 .max(4.0 * fleet.connection_load);
@@ -130,7 +135,9 @@
             / (fleet.mean_reported_load + REPORT_SMOOTHING)
     }
 
-    /// What it costs to place a request at a host that its group does not prefer and is not at.
+    /// Returns the cost of placing the request at a host that its group does not prefer. It is 0
+    /// for a request without affinity, and outside passthrough at a host that holds a connection of
+    /// the group.
     fn affinity_cost(
         &self,
         now: Nanos,
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,4 +1,4 @@
-//! The selection of a host for one request: which hosts may and can take it. Scores are in
+//! Selects a host for one request: decides which hosts may and can take it. Scores are computed in
 //! `scoring.rs`.
 
 use super::fleet_estimate::FleetEstimate;
@@ -10,41 +10,43 @@
 use crate::request_table::Request;
 use crate::time::Nanos;
 
-/// How many hosts a node starts with.
+/// The average number of hosts of its zone that a node without connections uses.
 const INITIAL_SUBSET_SIZE: f64 = 3.0;
-/// The own load over the mean from which a host counts as busy.
+/// The ratio of own load to mean load above which a host counts as busy.
 pub(super) const BUSY_FACTOR: f64 = 1.2;
 
-/// What a request asks of a host.
+/// What a request requires of a host.
 pub(super) struct Demand<'a> {
     pub request: &'a Request,
-    /// Its load, and the part of that within the look-ahead steps.
+    /// The load of the request, and its part within the look-ahead steps.
     pub load: f64,
     pub look_ahead_load: f64,
-    /// How long the connection is expected to last, in nanoseconds.
+    /// How long the connection is expected to last, in nanoseconds; `None` if unknown.
     pub duration: Option<f64>,
-    /// By which it prefers a host: its group, or in mid-stream its key.
+    /// The value that determines its preferred host: the key in passthrough, otherwise the group,
+    /// if groups are enabled.
     pub affinity: Option<u64>,
 }
 
-/// From which hosts one is selected.
+/// The hosts among which one is selected.
 #[derive(Clone, Copy, PartialEq)]
 enum Candidates {
-    /// The few that this node uses.
+    /// The few hosts that this node uses.
     Subset,
-    /// All that are ready and were not tried before.
+    /// All ready hosts that the request has not tried.
     Untried,
-    /// Also those tried before, and if all are ejected, those.
+    /// All ready hosts, including those already tried. Ejected hosts are included only if all are
+    /// ejected.
     Any {
-        /// All ready hosts are ejected.
+        /// Whether all ready hosts are ejected.
         all_ejected: bool,
     },
 }
 
-/// A host that can take the request, and how well it suits.
+/// A host that can take the request, and its score.
 struct ScoredHost {
     index: usize,
-    /// The lower the better.
+    /// The lowest score is best.
     score: f64,
     tie_breaker: f64,
 }
@@ -57,7 +59,8 @@
 }
 
 impl Balancer {
-    /// The host with the lowest score of those that may and can take the request; ties at random.
+    /// Returns the host with the lowest score among those that may and can take the request, or
+    /// `None` if there is none. Ties are broken at random.
     pub(super) fn select_host(
         &self,
         now: Nanos,
@@ -141,8 +144,10 @@
         best.map(|best| best.index)
     }
 
-    /// A node starts with few hosts and adds one whenever those are all busy: those of its zone at
-    /// which it holds the group, or anything, what is new, and a few by a hash of node and host.
+    /// Returns whether the host is in the subset that this node uses and is not busy. The subset
+    /// consists of the hosts of its zone where it has a connection, newcomers, and a few chosen by
+    /// a hash of node and host; for a request with an affinity, of those that hold its group. If
+    /// all of these are busy, one more host is used.
     fn is_in_subset(
         &self,
         now: Nanos,
@@ -150,8 +155,8 @@
         demand: &Demand,
         fleet: &FleetEstimate,
     ) -> bool {
-        // Without this, a zone with most of the clients would be overloaded beside another whose
-        // hosts all are new and empty.
+        // Warming hosts of all zones are included. Without this, a zone that has most of the
+        // clients would be overloaded while the hosts of another zone are all new and empty.
         let warming = host.is_warming_up(now, &self.settings) && uses_client_slots(&self.settings);
         let local = self.is_local(host);
         self.is_used(host, demand, fleet, warming)
@@ -160,8 +165,8 @@
     }
 
     fn is_used(&self, host: &Host, demand: &Demand, fleet: &FleetEstimate, warming: bool) -> bool {
-        // Without this, clients migrated to a new host by nodes that have just started would then
-        // look elsewhere.
+        // Any node uses a warming host. Otherwise clients migrated to a new host would be placed
+        // elsewhere by nodes that have just started.
         if warming {
             return true;
         }
@@ -187,7 +192,8 @@
             || host.latency.is_late(now)
     }
 
-    /// The cost of the request beside its load at a host that holds no connection of its group.
+    /// Returns the cost, in addition to its load, of a request at a host that holds no connection
+    /// of its group.
     pub(super) fn new_group_cost(&self, host: &Host, demand: &Demand) -> f64 {
         let is_new = demand
             .affinity
@@ -195,7 +201,7 @@
         f64::from(u8::from(is_new)) * self.history.group_cost()
     }
 
-    /// Whether a ready host may and can take the request.
+    /// Returns whether a ready host may and can take the request.
     fn can_take(
         &self,
         now: Nanos,
@@ -215,8 +221,8 @@
         !left_to_successor
             && host.has_load_capacity(now, load, fleet.typical_limit)
             && (self.slow_start_allows(now, host, demand, fleet)
-                // By the list, as a node whose own network was down would take all hosts for just
-                // started.
+                // The warm-up is judged by the endpoint list alone, because a node whose own
+                // network was down would take all hosts for just started.
                 || matches!(candidates, Candidates::Any { .. })
                     && has_no_recent_attempt
                     && host.is_listed_as_warm(now, &self.settings))
@@ -234,10 +240,11 @@
         host.has_slow_start_capacity(now, key, &fleet.slow_start, &self.settings)
     }
 
-    /// Whether the host would drop a repeat of a request with an idempotency key that may have run:
-    /// it is in the group in which the first attempt ran, and in which that host is listed now.
-    /// Prevents a repeat from leaving its group by a host that came back under its id in another,
-    /// or by a zone whose number means another zone under new settings.
+    /// Returns whether the host may get a repeat of the request. If an earlier attempt of a request
+    /// with an idempotency key may have run, the host has to be in the group in which that attempt
+    /// ran and in which its host is listed now. Otherwise a repeat could leave its group if that
+    /// host came back under its id in another group, or if new settings give a zone number another
+    /// meaning.
     fn is_in_idempotency_group(&self, host: &Host, request: &Request) -> bool {
         let class = &self.settings.classes[request.incoming.class];
         let Some(first_run) = &request.first_run else {
--- a/src/balancer/shutdown.rs
+++ b/src/balancer/shutdown.rs
@@ -1,22 +1,22 @@
-//! Graceful shutdown: the clients of a node that stops are migrated evenly over the time it has.
+//! Graceful shutdown: the clients of a stopping node are migrated evenly over the time that it has.
 
 use super::{Balancer, MIGRATION_TIMER};
 use crate::action::Action;
 use crate::messages::RequestMessage;
 use crate::time::{Nanos, SECOND};
 
-/// The least time between two migrations, and the most as a multiple of that.
+/// The shortest time between two rounds of migrations, and the longest as a multiple of it.
 const MIGRATION_INTERVAL: Nanos = SECOND / 20;
 const MAX_MIGRATION_INTERVALS: Nanos = 4;
 
-/// Whether this node stops.
+/// The state of a shutdown.
 #[derive(Default)]
 pub(super) struct Shutdown {
-    /// By when its clients are to be gone, if it stops.
+    /// The time by which all clients are to be migrated; `None` if the node is not stopping.
     pub deadline: Option<Nanos>,
-    /// When clients are next migrated.
+    /// The time of the next round of migrations.
     next_migration: Nanos,
-    /// Another process has this one's state.
+    /// Whether a successor process has inherited this node's state.
     pub has_successor: bool,
 }
 
@@ -46,11 +46,11 @@
         );
     }
 
-    /// Migrates clients evenly over the time left. Prevents hosts and the session store from being
-    /// overloaded, and clients from being cut off.
+    /// Migrates clients evenly over the time left, so that hosts and the session store are not
+    /// overloaded and no client is cut off.
     pub(super) fn migration_timer_fired(&mut self, now: Nanos, actions: &mut Vec<Action>) {
-        // Without this, an old timer would migrate clients of a node whose shutdown was cancelled,
-        // or from two sequences of timers.
+        // Ignores outdated timers. Without this, a timer of a cancelled shutdown would migrate
+        // clients, and after a second shutdown two sequences of timers would run.
         let Some(deadline) = self.shutdown.deadline else {
             return;
         };
@@ -64,7 +64,8 @@
         for slot in slots.into_iter().take(count.div_ceil(rounds_left)) {
             self.send_request(RequestMessage::Migrate { slot });
         }
-        // Without this, a few clients would all be migrated in the first part of the time.
+        // The interval grows if few clients are left. Otherwise they would all be migrated in the
+        // first part of the time.
         let interval = (time_left / (count as u64 + 1)).clamp(
             MIGRATION_INTERVAL,
             MAX_MIGRATION_INTERVALS * MIGRATION_INTERVAL,
--- a/src/balancer/tick.rs
+++ b/src/balancer/tick.rs
@@ -1,4 +1,4 @@
-//! What a balancer does regularly, without an event from outside.
+//! The regular work of a balancer, which no event from outside triggers.
 
 use super::fleet_estimate::FleetEstimate;
 use super::{Balancer, TICK_TIMER};
@@ -53,10 +53,10 @@
         );
     }
 
-    /// Migrates the clients whose slot at a warming host has just come: any node that they then
-    /// come to places them there, until the host has its share. Without this, a zone that came
-    /// back, or hosts that replaced most others, would be idle for minutes beside overloaded ones,
-    /// as connections are long-lived.
+    /// Migrates the clients whose slot at a warming host has just started. Any node to which they
+    /// reconnect places them there until the host has its share. Without this, connections being
+    /// long-lived, a zone that came back, or hosts that replaced most others, would be idle for
+    /// minutes beside overloaded ones.
     fn migrate_to_warming_hosts(&mut self, now: Nanos, fleet: &FleetEstimate) {
         let warming = self.warming_hosts(now);
         if warming.is_empty() {
@@ -96,8 +96,8 @@
         }
     }
 
-    /// The warming hosts to which clients are migrated: those elsewhere only from a zone that is
-    /// short of warm hosts itself.
+    /// Returns the warming hosts to which clients are migrated: those of all zones if a host of
+    /// this node's own zone is warming up, so that the zone is short of warm hosts, otherwise none.
     fn warming_hosts(&self, now: Nanos) -> Vec<&Host> {
         if !uses_client_slots(&self.settings) {
             return Vec::new();
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Whether the host stands in this node's zone.
+    /// Returns whether the host is in this node's zone.
     pub(super) fn is_local(&self, host: &Host) -> bool {
         host.endpoint.zone == self.settings.zone
     }
--- a/src/host.rs
+++ b/src/host.rs
@@ -1,5 +1,5 @@
-//! The record of one host: how it is listed, what this node has open there, and how it has behaved.
-//! It must never choose a host.
+//! The record of one host: how it is listed, which connections this node has there, and how it has
+//! behaved. It never chooses a host.
 
 mod context;
 mod ejection;
@@ -32,39 +32,40 @@
 use slow_start::SlowStartCredit;
 use std::collections::HashMap;
 
-/// What a node knows of one host.
+/// What a node knows about one host.
 #[derive(Default)]
 pub(crate) struct Host {
     pub id: HostId,
     pub endpoint: Endpoint,
     pub listed: bool,
     gone_since: Nanos,
-    /// Since when it is listed as draining, where it is.
+    /// When it was first listed as draining; meaningful only while it is draining.
     draining_since: Nanos,
-    /// When it was last listed in another zone or cell than before.
+    /// When it was last listed in a zone or cell other than before; `None` if that never happened.
     regrouped_at: Option<Nanos>,
-    /// When a connection to it last failed to open.
+    /// When a connection to it last failed to open; recorded in large fleets only.
     connect_failed_at: Option<Nanos>,
-    /// Attempts in a row for which this machine had no route to it.
+    /// The number of consecutive attempts for which this machine had no route to it.
     no_route_in_a_row: u32,
-    /// Counts at the others' mean until its own load reaches that.
+    /// Whether it was listed, or started again, after the node's first endpoint list and its load
+    /// has not reached the mean since. Its load is blended with the mean of the other hosts.
     pub newcomer: bool,
 
-    /// The connections open there, and the attempts in flight.
+    /// The open connections and the attempts in flight at this host.
     pub connections: Vec<Connection>,
-    /// How many of them belong to each group.
+    /// The number of these connections and attempts in each group.
     pub groups: HashMap<u64, u32>,
-    /// Their load over the look-ahead steps, and now.
+    /// Their total load: the mean over the look-ahead steps, and the current load.
     look_ahead_load: f64,
     current_load: f64,
-    /// What holding these groups costs it.
+    /// The cost of holding these groups.
     group_load: f64,
-    /// When the last of them is expected to end.
+    /// The latest expected end of these connections; 0 if there are none.
     longest_end: Nanos,
-    /// Attempts in flight, and when the last was sent.
+    /// The number of attempts in flight, and when the last one was sent.
     pending_attempts: u32,
     last_attempt_at: Nanos,
-    /// Open connections that it broke since the last tick.
+    /// The number of open connections that it broke since the last tick.
     broken_connections: u32,
 
     pub ejection: Ejection,
@@ -84,26 +85,26 @@
         self.listed && self.endpoint.state == HostState::Draining
     }
 
-    /// Whether no list has named it so far.
+    /// Returns whether no endpoint list has contained it so far.
     fn never_listed(&self) -> bool {
         self.endpoint.size <= 0.0
     }
 
-    /// Whether its record may be reused for another host.
+    /// Returns whether its record may be reused for another host.
     fn is_forgotten(&self, now: Nanos) -> bool {
         let forgotten_at = self.gone_since.saturating_add(RECORD_MAX_AGE);
         !self.listed && self.connections.is_empty() && now >= forgotten_at
     }
 
-    /// Whether it has been in the same zone and cell since then.
+    /// Returns whether it has been listed in the same zone and cell since then.
     pub fn same_group_since(&self, since: Nanos) -> bool {
         self.regrouped_at
             .is_none_or(|regrouped_at| regrouped_at < since)
     }
 
-    /// How long ago it started, as far as is known: no earlier than a connection to it last failed
-    /// to open. Without this, hosts that came back before the endpoint list said so would be
-    /// overloaded while they warm up.
+    /// Returns how long ago it started, or `Nanos::MAX` if that is unknown. A failure to connect
+    /// counts as a sign that the host has not started before it. Without this, hosts that came back
+    /// before the endpoint list says so would be overloaded while they warm up.
     fn age(&self, now: Nanos) -> Nanos {
         let started = self
             .endpoint
@@ -114,35 +115,37 @@
         started.map_or(Nanos::MAX, |started| now.saturating_sub(started))
     }
 
-    /// Whether its warm-up is over by the start time in the endpoint list alone.
+    /// Returns whether its warm-up is over according to the start time in the endpoint list alone.
     pub fn is_listed_as_warm(&self, now: Nanos, settings: &BalancerSettings) -> bool {
         self.endpoint
             .started
             .is_none_or(|started| now >= started.saturating_add(settings.warm_up))
     }
 
-    /// The load that this node has placed there, over the look-ahead steps and its size.
+    /// Returns the load that this node has placed there, averaged over the look-ahead steps and
+    /// divided by the host's size.
     pub fn relative_load(&self) -> f64 {
         (self.look_ahead_load + self.group_load) / self.endpoint.size
     }
 
-    /// The load that this node has placed there, as it is now.
+    /// Returns the current load that this node has placed there.
     fn own_load(&self) -> f64 {
         self.current_load + self.group_load
     }
 
-    /// How long, in nanoseconds, until the last connection there is expected to end.
+    /// Returns the time in nanoseconds until the last connection there is expected to end.
     pub fn longest_remaining(&self, now: Nanos) -> f64 {
         self.longest_end.saturating_sub(now) as f64
     }
 
-    /// Whether nothing is in flight there, and nothing was sent there for a while.
+    /// Returns whether no attempt is in flight there and the last one was sent at least `pause`
+    /// ago.
     pub fn has_no_recent_attempt(&self, now: Nanos, pause: Nanos) -> bool {
         self.pending_attempts == 0 && now >= self.last_attempt_at + pause
     }
 
-    /// Whether a tick has nothing to do for it. Without this, hundreds of hosts that hold nothing
-    /// of this node would cost it time all the same.
+    /// Returns whether a tick may skip it. Without this, a tick would spend time on hundreds of
+    /// hosts where this node has no connection.
     pub fn is_idle(&self) -> bool {
         self.connections.is_empty() && !self.load_limit.is_set()
     }
@@ -157,7 +160,8 @@
             .position(|connection| connection.slot == slot)
     }
 
-    /// What a connection costs its host: its load, and its part of the cost of its group.
+    /// Returns the cost of a connection for the host: its load, and its share of the cost of its
+    /// group.
     fn connection_cost(&self, index: usize, history: &ConnectionHistory) -> f64 {
         let connection = &self.connections[index];
         let members = connection
@@ -173,7 +177,7 @@
             }
     }
 
-    /// Adds a connection to the record.
+    /// Adds a connection or an attempt to the record and its sums.
     fn add_connection(&mut self, connection: Connection, now: Nanos, history: &ConnectionHistory) {
         if !connection.established {
             self.pending_attempts += 1;
@@ -187,7 +191,7 @@
         self.count_load(self.connections.len() - 1, now, history);
     }
 
-    /// Removes a connection from the record.
+    /// Removes a connection or an attempt from the record and its sums.
     fn remove_connection(&mut self, index: usize) -> Connection {
         let connection = self.connections.swap_remove(index);
         self.look_ahead_load -= connection.look_ahead_load;
@@ -220,12 +224,13 @@
         }
     }
 
-    /// Counts a connection's load, now and over the look-ahead steps, in its host's sums.
+    /// Updates the host's sums with the load of a connection, both current and over the look-ahead
+    /// steps.
     fn count_load(&mut self, index: usize, now: Nanos, history: &ConnectionHistory) {
         let connection = &mut self.connections[index];
         if connection.expected_end <= now {
-            // It outlived its prediction. Connections that last tend to go on, so another mean
-            // duration is expected.
+            // The connection has outlived its prediction. Connections that last tend to go on, so
+            // another mean duration is expected.
             connection.expected_end = now + history.expected_remaining_duration();
         }
         let remaining = connection.expected_end - now;
@@ -240,8 +245,8 @@
         self.group_load = history.group_cost() * self.groups.len() as f64;
     }
 
-    /// Counts all connections anew. Without this, what was placed before any load was known would
-    /// count at that guess for steps to come.
+    /// Recomputes the sums over all connections. Without this, connections placed before any load
+    /// was known would count with the initial guess for several look-ahead steps.
     fn recount_loads(&mut self, now: Nanos, history: &ConnectionHistory) {
         self.look_ahead_load = 0.0;
         self.current_load = 0.0;
@@ -253,7 +258,7 @@
         }
     }
 
-    /// What a successor is to know of this host.
+    /// Returns what a successor inherits about this host.
     pub fn snapshot(&self) -> HostSnapshot {
         HostSnapshot {
             id: self.id,
--- a/src/host/context.rs
+++ b/src/host/context.rs
@@ -1,4 +1,4 @@
-//! What a host's record can use of the rest of the node while it handles a message.
+//! The parts of the node that a host's record may use while it handles a message.
 
 use crate::action::Action;
 use crate::connection_history::ConnectionHistory;
@@ -8,7 +8,7 @@
 use crate::settings::BalancerSettings;
 use crate::setup_failures::SetupFailures;
 
-/// The rest of the node, to read and to send messages to.
+/// The rest of the node: the parts to read, and the queues for messages and actions.
 pub(crate) struct HostContext<'a> {
     pub settings: &'a BalancerSettings,
     pub history: &'a ConnectionHistory,
@@ -19,8 +19,8 @@
     pub actions: &'a mut Vec<Action>,
     /// A random number from 0 to 1 for this message.
     pub random: f64,
-    /// Own connections that a warm host can sustain for each unit of size; computed for a warming
-    /// host only.
+    /// The number of this node's connections that a warm host can sustain per unit of size; 0
+    /// unless the host is warming up.
     pub connections_per_size: f64,
 }
 
--- a/src/host/ejection.rs
+++ b/src/host/ejection.rs
@@ -1,15 +1,15 @@
-//! Ejection of a host: for how long it is left out after a failure.
+//! The ejection of a host: how long it receives no requests after a failure.
 
 use crate::time::{Nanos, SECOND};
 
-/// The length of a first ejection; later ones in a row are twice as long.
+/// The mean length of a first ejection. Further ones in a row are twice as long.
 const EJECTION_TIME: Nanos = 3 * SECOND;
 
-/// Whether a host is ejected.
+/// The ejection state of a host.
 #[derive(Default)]
 pub(crate) struct Ejection {
     pub until: Nanos,
-    /// How many times in a row.
+    /// The number of ejections in a row.
     pub count: u32,
 }
 
@@ -18,19 +18,21 @@
         now < self.until
     }
 
-    /// Ejects the host, or prolongs its ejection. Returns whether it was in use until now.
+    /// Starts an ejection or prolongs a running one. Returns whether the host was in use before.
     pub fn start(&mut self, now: Nanos, random: f64) -> bool {
         let length = EJECTION_TIME << self.count.min(1);
         let was_in_use = !self.is_active(now);
         if was_in_use {
             self.count += 1;
         }
-        // Spread, so that nodes do not take a host back in step.
+        // The length is random within a quarter of its mean, so that nodes do not use the host
+        // again in step.
         self.until = now + (length as f64 * (0.75 + 0.5 * random)) as Nanos;
         was_in_use
     }
 
-    /// A connection has ended well: the next ejection is no longer than a second one in a row.
+    /// Records that a connection ended well: the next ejection counts at most as the second in a
+    /// row.
     pub fn connection_succeeded(&mut self) {
         self.count = self.count.min(1);
     }
--- a/src/host/events.rs
+++ b/src/host/events.rs
@@ -1,5 +1,5 @@
-//! What a host's record does with each message: it follows the list, connections, measurements and
-//! reports, and ejects the host after a failure that is its own.
+//! Handles the messages to a host's record: it follows the endpoint list, connections, measurements
+//! and load reports, and ejects the host after a failure that is its own fault.
 
 use super::context::HostContext;
 use super::slow_start::uses_client_slots;
@@ -13,7 +13,7 @@
 use crate::request::AttemptOutcome;
 use crate::time::{Nanos, SECOND};
 
-/// Attempts in a row without a route from which that is taken for the host's fault.
+/// The number of consecutive attempts without a route from which the host is considered at fault.
 const MAX_NO_ROUTE: u32 = 3;
 
 impl Host {
@@ -51,11 +51,12 @@
             }
             HostMessage::SnapshotInherited(snapshot) => {
                 self.restore(&snapshot);
-                // Without this, a warming host would be overloaded by two processes that each use
-                // this slot.
+                // The rest of the current slot is skipped, because predecessor and successor could
+                // otherwise both use its budget and overload a warming host.
                 self.skip_current_slot(now, context.settings);
             }
-            // Without this, a budget would be given twice, as the same moment has another number.
+            // With another length, the current moment gets another slot number. The slot is
+            // skipped, because its budget could otherwise be used twice.
             HostMessage::SlotLengthChanged => self.skip_current_slot(now, context.settings),
             HostMessage::EvaluatePlacements { mean_load } => {
                 self.evaluate_placements(mean_load, now, context);
@@ -103,8 +104,8 @@
 
     fn connection_added(&mut self, connection: Connection, now: Nanos, context: &mut HostContext) {
         if self.is_warming_up(now, context.settings) {
-            // Counted in mean loads. Without this, a few connections of many times the mean would
-            // overload the host.
+            // The credit is counted in mean loads. Without this, a few connections of many times
+            // the mean load would overload the host.
             let load = context.history.load(connection.class, connection.load);
             let loads = load / context.history.mean_load();
             let connections_per_size = context.connections_per_size;
@@ -153,8 +154,8 @@
         } else {
             self.broken_connections + u32::from(lost)
         };
-        // Without this, all hosts would be left out for a moment in which this machine had no
-        // route.
+        // A host is at fault only after several attempts in a row without a route. Without this,
+        // all hosts would be ejected as soon as this machine has no route for a moment.
         self.no_route_in_a_row = if outcome == AttemptOutcome::NoRoute {
             self.no_route_in_a_row + 1
         } else {
@@ -177,8 +178,8 @@
         if let Some(load) = connection.load {
             context.update_history(HistoryMessage::FinalLoad { key, load });
         }
-        // Without this, clients that this node has migrated would be taken for ones that never
-        // stay.
+        // Migrated connections are excluded from the history. Otherwise their clients would be
+        // expected to stay only briefly.
         let migrated = context
             .requests
             .get(connection.slot)
@@ -193,12 +194,13 @@
         }
     }
 
-    /// Takes a slow set-up for late messages. Without this, clients would be left at a slow host
+    /// Treats a slow set-up as a late message. Without this, clients would stay at a slow host
     /// whose messages are not measured.
     fn setup_ended(&mut self, took: Nanos, timed_out: bool, now: Nanos, context: &mut HostContext) {
         let objective = context.settings.shortest_message_latency_objective();
         let known_latency = self.latency.ratio(now) * objective as f64;
-        // Without this, hosts would count as late one after the other while a shared store is slow.
+        // Slow set-ups at several hosts are attributed to a shared cause. Otherwise hosts would
+        // count as late one after the other while a shared session store is slow.
         let shared_cause =
             context.setup_failures.are_common() || context.history.slow_elsewhere(self.id);
         let slow = took as f64 > known_latency.max(context.history.slow_setup_time());
@@ -212,28 +214,29 @@
         });
     }
 
-    /// Ejects the host where the outcome of an attempt is its own fault. An error is that only once
-    /// another host has taken the same request: see [`HostMessage::ErrorConfirmed`].
+    /// Ejects the host if the outcome of an attempt shows a fault of its own. An error shows that
+    /// only once another host has taken the same request: see [`HostMessage::ErrorConfirmed`].
     fn eject_after(&mut self, outcome: AttemptOutcome, now: Nanos, context: &mut HostContext) {
         let failed_to_connect = match outcome {
             AttemptOutcome::NoRoute if self.no_route_in_a_row < MAX_NO_ROUTE => return,
             AttemptOutcome::ConnectFailed | AttemptOutcome::NoRoute => true,
             AttemptOutcome::Rejected | AttemptOutcome::ConnectionLost => false,
-            // Where most attempts fail, the cause is not the host's: its ejection would give the
-            // rest all requests.
+            // A timeout is not the host's fault while set-up failures are common. Ejecting it would
+            // move all its requests to the remaining hosts.
             AttemptOutcome::TimedOut if !context.setup_failures.are_common() => false,
             _ => return,
         };
-        // Only a large fleet can overload it by its retries; a small fleet must not lose its last
-        // host by this.
+        // The host is treated as just started, but only in a large fleet: retries of a small one
+        // cannot overload the host, and a small fleet must not lose its last host this way.
         if failed_to_connect && uses_client_slots(context.settings) {
             self.connect_failed_at = Some(now);
         }
         self.eject(outcome.as_str(), now, context);
     }
 
-    /// Without this, a host that fails fast would look empty and attract clients. Where set-ups
-    /// fail everywhere no host is ejected for the errors of malformed requests.
+    /// Ejects the host for an error that another host did not return for the same request. Without
+    /// this, a host that fails fast would look empty and attract clients. While set-up failures are
+    /// common, no host is ejected, because the errors may come from malformed requests.
     fn error_confirmed(&mut self, now: Nanos, context: &mut HostContext) {
         if !context.setup_failures.are_common() {
             self.eject(AttemptOutcome::Error.as_str(), now, context);
@@ -269,8 +272,8 @@
         self.latency.measured(now, latency, objective);
     }
 
-    /// Records a load report, and gossips one that this node received itself if the load has
-    /// changed and the budget allows it.
+    /// Records a load report. A report that this node received itself is gossiped if the load has
+    /// changed enough or was last gossiped long ago, and the budget allows it.
     fn load_reported(
         &mut self,
         load: f64,
@@ -295,7 +298,7 @@
         }
     }
 
-    /// Evaluates the weight vectors by the connections that have been open for a step.
+    /// Evaluates the weight vectors of connections that have been open for one look-ahead step.
     fn evaluate_placements(&mut self, mean_load: f64, now: Nanos, context: &mut HostContext) {
         self.newcomer &= self.relative_load() < mean_load;
         let load_spread = if mean_load > 0.0 {
--- a/src/host/limiting.rs
+++ b/src/host/limiting.rs
@@ -1,6 +1,6 @@
-//! The load that a host can sustain, and which of its connections are migrated: off a draining
-//! host, and off one whose messages come late until the node's own load there is within its limit.
-//! A host with queued work answers nobody in time.
+//! Decides how much load a host can sustain, and which of its connections are migrated: those of a
+//! draining host, and those of a host with late messages until this node's load there is within its
+//! limit. A host with queued work delays the messages of all its connections.
 
 use super::context::HostContext;
 use super::load_limit::Overload;
@@ -10,14 +10,15 @@
 use crate::messages::RequestMessage;
 use crate::time::{Nanos, SECOND};
 
-/// A host that broke more than one in so many of its connections since the last tick counts as
-/// late.
+/// A host counts as late if it broke more than one in this many of its connections since the last
+/// tick.
 const BROKEN_CONNECTIONS_DIVISOR: usize = 8;
-/// The least priority weight that costs are divided by.
+/// The lower bound of a priority weight in a division.
 const MIN_PRIORITY_WEIGHT: f64 = 1e-6;
 
 impl Host {
-    /// Whether the host can sustain `load` more; `typical_limit` is for each unit of size.
+    /// Returns whether the host can sustain `load` in addition to this node's current load.
+    /// `typical_limit` is per unit of size.
     pub(crate) fn has_load_capacity(&self, now: Nanos, load: f64, typical_limit: f64) -> bool {
         let limit = self
             .load_limit
@@ -32,8 +33,8 @@
         !self.latency.is_late(now) && fits
     }
 
-    /// Migrates connections off a draining host; decreases the limit where messages come late, and
-    /// raises it while they do not.
+    /// Migrates connections away from a draining host. At other hosts, decreases the limit while
+    /// messages are late and raises it while they are not.
     pub(super) fn adjust_load(
         &mut self,
         now: Nanos,
@@ -44,8 +45,9 @@
         if self.is_draining() {
             return self.migrate_off_draining(now, context);
         }
-        // Without this, clients would be left at a host that sheds load: it breaks many connections
-        // and keeps some, while one that died has none.
+        // A host that breaks many connections counts as late. It sheds load and keeps some
+        // connections, while a dead host has none left. Without this, clients would stay at a host
+        // that sheds load.
         let broken = std::mem::take(&mut self.broken_connections) as usize;
         if BROKEN_CONNECTIONS_DIVISOR * broken > self.connections.len() {
             self.latency_measured(now, SECOND, context);
@@ -60,9 +62,9 @@
         }
     }
 
-    /// Migrates evenly over the longest that the host can still owe an answer: a hundred nodes that
-    /// each migrate one at once would overload hosts and the session store. Prevents connections
-    /// from being cut off when the host goes away.
+    /// Migrates the connections evenly over the longest time for which the host can still owe an
+    /// answer, so that none is cut off when the host goes away. If a hundred nodes each migrated
+    /// one connection at once, they would overload other hosts and the session store.
     fn migrate_off_draining(&self, now: Nanos, context: &mut HostContext) {
         let drained_share = now.saturating_sub(self.draining_since) as f64
             / context.settings.max_request_timeout.max(1) as f64;
@@ -105,24 +107,25 @@
         self.migrate_down_to(limit, context);
     }
 
-    /// Migrates connections, those with the highest cost per priority first, until the node's own
-    /// load is within the limit.
+    /// Migrates connections, in the order of their cost per priority, until this node's load at the
+    /// host is within the limit.
     fn migrate_down_to(&mut self, limit: f64, context: &mut HostContext) {
         let random = context.random.to_bits();
         let mut load = self.own_load();
         let mut observed = false;
         for index in self.by_cost_per_priority(random, context) {
-            // Without this, many nodes would each migrate one whole connection where a tenth of one
-            // was meant.
+            // Stops once the load above the limit is less than a random part of half the
+            // connection's cost. Without this, many nodes would each migrate a whole connection
+            // where a tenth of one is above the limit.
             let cost = self.connection_cost(index, context.history);
             if load - limit < 0.5 * cost * hash_to_unit_interval(!random, index as u64) {
                 break;
             }
             load -= cost;
-            // A connection that was evaluated before counts too, where it is the only one: without
-            // this, a day overloaded from its start would go unnoticed. One counts for each
-            // decrease: without this, all new requests would be rejected because a single host
-            // hangs.
+            // An already evaluated connection counts too if it is the only one. Without this, an
+            // overload that begins with the first connections would go unnoticed. Only one counts
+            // for each decrease: otherwise a single hanging host would cause all new requests to be
+            // rejected.
             let not_evaluated = self.connections[index].weight_vector.take().is_some();
             let counts = not_evaluated || self.connections.len() == 1;
             if counts && !std::mem::replace(&mut observed, true) {
@@ -132,7 +135,8 @@
         }
     }
 
-    /// The indices of open connections by cost per priority and chance, the highest first.
+    /// Returns the indices of the open connections, ordered by cost per priority multiplied by a
+    /// random factor, the highest first.
     fn by_cost_per_priority(&self, random: u64, context: &HostContext) -> Vec<usize> {
         let rank = |index: usize| {
             let class = &context.settings.classes[self.connections[index].class];
--- a/src/host/load_report.rs
+++ b/src/host/load_report.rs
@@ -1,22 +1,23 @@
-//! The load that a host reports: how long a report counts, when this node probes for one, and when
-//! it gossips one.
+//! The load that a host reports: how long a report is valid, when this node probes the host, and
+//! when it gossips the load.
 
 use crate::endpoint::HostId;
 use crate::hashing::hash_to_unit_interval;
 use crate::settings::BalancerSettings;
 use crate::time::{Nanos, SECOND};
 
-/// How often some node probes each host.
+/// The interval at which each host is probed by one of the nodes.
 const PROBE_INTERVAL: Nanos = 2 * SECOND;
-/// How long a report counts.
+/// How long a report is valid.
 const MAX_AGE: Nanos = 40 * SECOND;
 /// The interval after which an unchanged load is gossiped again.
 const GOSSIP_INTERVAL: Nanos = 15 * SECOND;
-/// By how much a load must have changed to be gossiped; half as much where the host is crowded.
+/// The change of a load above which it is gossiped; half of it if the old or new load is above
+/// [`HIGH_LOAD`].
 const GOSSIP_THRESHOLD: f64 = 0.2;
-/// The reported load from which a host is crowded.
+/// The reported load above which a host counts as highly loaded.
 pub(crate) const HIGH_LOAD: f64 = 0.7;
-/// The reported load at which a host is full.
+/// The reported load from which a host is full.
 pub(crate) const FULL_LOAD: f64 = 0.9;
 
 /// The last load report of a host.
@@ -24,15 +25,15 @@
 pub(crate) struct LoadReport {
     pub load: f64,
     pub reported_at: Nanos,
-    /// The load that this node has sent there since.
+    /// The load that this node has sent there, halved with each report.
     pub sent_since: f64,
-    /// What was last gossiped to all nodes, and when.
+    /// The load that was last gossiped to all nodes, and when.
     gossiped_load: f64,
     gossiped_at: Nanos,
 }
 
 impl LoadReport {
-    /// The reported load, unless the report is too old.
+    /// Returns the reported load, or `None` if there is no report or it is too old.
     pub fn load(&self, now: Nanos) -> Option<f64> {
         (self.reported_at > 0 && now < self.reported_at + MAX_AGE).then_some(self.load)
     }
@@ -43,7 +44,7 @@
         self.sent_since /= 2.0;
     }
 
-    /// Whether this load differs enough from the last gossip.
+    /// Returns whether this load differs enough from the last gossiped one, or that is long ago.
     pub fn should_gossip(&self, now: Nanos, load: f64) -> bool {
         let threshold = if load.max(self.gossiped_load) > HIGH_LOAD {
             GOSSIP_THRESHOLD / 2.0
@@ -59,17 +60,18 @@
     }
 }
 
-/// When this node probes a host.
+/// The schedule on which this node probes a host.
 #[derive(Default)]
 pub(crate) struct ProbeSchedule {
-    /// The round in which this node last probed it.
+    /// The number of the interval in which this node last probed it.
     last_round: u64,
-    /// Whether this node is to probe it, where that was assigned.
+    /// Whether this node was assigned to probe it; `None` if nothing was assigned.
     assigned: Option<bool>,
 }
 
 impl ProbeSchedule {
-    /// Whether it is this node's turn: as assigned, or by number, in another order for each host.
+    /// Returns whether it is this node's turn to probe the host: as assigned, or else by node
+    /// number, in a different order for each host.
     pub fn is_due(&self, now: Nanos, id: HostId, settings: &BalancerSettings) -> bool {
         let round = now / PROBE_INTERVAL;
         let turn = round.wrapping_add((hash_to_unit_interval(id.0, 1) * 1e6) as u64);
@@ -79,8 +81,8 @@
     }
 
     pub fn assign(&mut self, now: Nanos, assigned: bool) {
-        // Without this, a host would be probed by two nodes in one round, and by its new one at
-        // once again in the next.
+        // A newly assigned host is not probed in the current interval. Without this, two nodes
+        // would probe it in one interval, and the new one again at the start of the next.
         if assigned && self.assigned == Some(false) {
             self.last_round = now / PROBE_INTERVAL;
         }
--- a/src/host/message_latency.rs
+++ b/src/host/message_latency.rs
@@ -1,14 +1,14 @@
-//! How late messages at a host are, by the last measurement.
+//! The latency of messages at a host, according to the last measurement.
 
 use crate::intervals::TICK_INTERVAL;
 use crate::time::Nanos;
 
 /// The ratio of measured latency to its objective from which messages count as late.
 const LATE_RATIO: f64 = 0.6;
-/// How long a measurement counts.
+/// How long a measurement is valid.
 const MAX_AGE: Nanos = 5 * TICK_INTERVAL;
 
-/// The last measured message latency over its objective.
+/// The last measured message latency, as a ratio to its objective.
 #[derive(Default)]
 pub(crate) struct MessageLatency {
     pub ratio: f64,
@@ -16,7 +16,7 @@
 }
 
 impl MessageLatency {
-    /// The ratio, or 0 where its measurement is too old.
+    /// Returns the ratio, or 0 if the measurement is too old.
     pub fn ratio(&self, now: Nanos) -> f64 {
         f64::from(u8::from(now < self.measured_at + MAX_AGE)) * self.ratio
     }
--- a/src/host/slow_start.rs
+++ b/src/host/slow_start.rs
@@ -1,56 +1,57 @@
-//! Slow start: what a host that has just started may be sent, so that all nodes together do not
-//! overload it. It owns the budget of a warming host and this node's part of it: slots in which the
-//! nodes take turns, or in a large fleet slots of the clients. It must never choose a host.
+//! Slow start: limits what a host that has just started may be sent, so that all nodes together do
+//! not overload it. It computes the budget of a warming host and this node's part of it. The nodes
+//! take turns in slots; in a large fleet, each client has a slot instead. It never chooses a host.
 
 use super::Host;
 use crate::hashing::hash_to_unit_interval;
 use crate::settings::BalancerSettings;
 use crate::time::{Nanos, MILLI, SECOND};
 
-/// How long a client's slot at a warming host lasts, where requests do not arrive too fast for
-/// that.
+/// The length of a client's slot at a warming host; it is shorter if requests arrive too fast for
+/// it.
 pub(crate) const CLIENT_SLOT_TIME: Nanos = 2 * SECOND;
-/// The load that a warm host can sustain, over the mean.
+/// The load that a warm host can sustain, as a multiple of the mean.
 pub(crate) const WARM_CAPACITY_FACTOR: f64 = 4.0;
-/// How many slots that a node has missed are made up for.
-const MAX_MISSED_SLOTS: u64 = 8;
+/// The maximum number of a node's turns for which credit accrues at once.
+const MAX_ACCRUED_TURNS: u64 = 8;
 
-/// Whether the fleet has more nodes than the warm-up of a host has slots.
+/// Returns whether the fleet has more nodes than a warm-up has slots.
 pub(crate) fn is_large_fleet(settings: &BalancerSettings) -> bool {
     u64::from(settings.node_count).saturating_mul(settings.overload_window) > settings.warm_up
 }
 
-/// Whether clients have their own slots at warming hosts: in a large fleet without load reports.
+/// Returns whether clients have their own slots at warming hosts: in a large fleet without load
+/// reports.
 pub(crate) fn uses_client_slots(settings: &BalancerSettings) -> bool {
     is_large_fleet(settings) && !settings.load_from_probes
 }
 
-/// The number of the slot that is now.
+/// Returns the number of the current slot.
 fn current_slot(now: Nanos, settings: &BalancerSettings) -> u64 {
     now / settings.overload_window.max(MILLI)
 }
 
-/// What a node knows of the fleet when it computes the part of a warming host that is due.
+/// What a node needs to know of the fleet to compute the budget of a warming host.
 pub(crate) struct SlowStartInputs {
-    /// The size of all ready hosts.
+    /// The total size of all ready hosts.
     pub total_size: f64,
-    /// Own connections that a warm host can sustain for each unit of size.
+    /// The number of this node's connections that a warm host can sustain per unit of size.
     pub connections_per_size: f64,
-    /// How long a client's slot lasts.
+    /// The length of a client's slot.
     pub client_slot_time: Nanos,
 }
 
-/// What this node may still send a warming host.
+/// The load that this node may still send to a warming host.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SlowStartCredit {
-    /// In mean loads.
+    /// The load, in mean loads.
     credit: f64,
-    /// The slot up to which that was counted.
+    /// The number of the slot in which that was computed.
     slot: u64,
 }
 
 impl SlowStartCredit {
-    /// Nothing, as of a slot long ago.
+    /// Removes all credit. The next turn accrues credit as if it were the first.
     pub fn clear(&mut self) {
         *self = SlowStartCredit::default();
     }
@@ -61,21 +62,21 @@
         self.age(now) < settings.warm_up
     }
 
-    /// The share that other nodes may have placed at it since its start, of what they hold at a
-    /// warm one.
+    /// Returns how much other nodes may have placed at the host since its start, as a share of what
+    /// they hold at a warm host.
     pub(crate) fn filled_share(&self, now: Nanos, settings: &BalancerSettings) -> f64 {
         (self.age(now) as f64 / settings.warm_up.max(1) as f64).min(1.0)
     }
 
-    /// The share of its size that a host can be counted on to have reached since its start.
+    /// Returns the share of its capacity that a host has reached since its start.
     fn warmed_share(&self, now: Nanos, settings: &BalancerSettings) -> f64 {
         settings.warm_up_initial_share
             + (1.0 - settings.warm_up_initial_share) * self.filled_share(now, settings)
     }
 
-    /// Whether a host that is warm, or the budget of a warming one, has room for one more from this
-    /// node. Client slots prevent new hosts from staying idle, as the one node of many whose slot
-    /// it is has no request in it.
+    /// Returns whether the host can take one more connection from this node: it is warm, or its
+    /// slow-start budget allows it. Client slots keep new hosts from staying idle when the node
+    /// whose turn it is has no request in its slot.
     pub(crate) fn has_slow_start_capacity(
         &self,
         now: Nanos,
@@ -94,9 +95,10 @@
             >= 1.0
     }
 
-    /// Whether a client's slot at this warming host came within the last `span`. Each client has
-    /// one while the host warms up, by a hash that all nodes compute alike, at the pace of half the
-    /// budget; one without a key has its node's.
+    /// Returns whether a client's slot at this warming host started within the last `span`. Each
+    /// client has one slot while the host warms up, given by a hash that all nodes compute alike.
+    /// The slots start at the pace of half the budget. A client without a key uses the slot of its
+    /// node.
     pub(crate) fn client_slot_started(
         &self,
         now: Nanos,
@@ -109,8 +111,8 @@
         let position = key.map_or((f64::from(settings.node_index) + 0.5) / nodes, |key| {
             hash_to_unit_interval(key, self.id.0)
         });
-        // The same for clients of all zones. Without this, a host is overloaded where one zone has
-        // most of the clients.
+        // The share is the same for clients of all zones. Otherwise a host would be overloaded if
+        // one zone has most of the clients.
         let capacity_share =
             WARM_CAPACITY_FACTOR * self.endpoint.size / inputs.total_size.max(self.endpoint.size);
         let last_started_position = |age: Nanos| {
@@ -125,7 +127,8 @@
         slot_started && (key.is_some() || now >= self.last_attempt_at + CLIENT_SLOT_TIME)
     }
 
-    /// Half the budget of one slot, in mean loads: two slots may meet in one overload window.
+    /// Returns half the budget of one slot, in mean loads, because one overload window may overlap
+    /// two slots.
     fn half_budget(
         &self,
         now: Nanos,
@@ -142,10 +145,11 @@
             / 2.0
     }
 
-    /// What this node may send a warming host in the slot that is now. Nodes take turns by number,
-    /// in another order for each host, as many at once as the budget has mean loads for. Each has
-    /// half the budget: this prevents a host from being overloaded at the seam of two slots, and
-    /// from staying idle where a round of hundreds outlasts the warm-up.
+    /// Returns what this node may send to a warming host in the current slot. Nodes take turns by
+    /// number, in a different order for each host, and one slot is shared by as many nodes as half
+    /// its budget has mean loads, up to a quarter of all. Only half the budget is used, so that two
+    /// adjacent slots together do not overload the host. Sharing keeps the host from staying idle
+    /// if one turn of each of hundreds of nodes takes longer than the warm-up.
     fn accrued_credit(
         &self,
         now: Nanos,
@@ -180,7 +184,7 @@
         let accrued_turns = if last.slot == 0 {
             1
         } else {
-            ((slot - last.slot) / cycle).clamp(1, MAX_MISSED_SLOTS)
+            ((slot - last.slot) / cycle).clamp(1, MAX_ACCRUED_TURNS)
         };
         let credit = last.credit.min(1.0) + budget_per_node * share * accrued_turns as f64;
         SlowStartCredit {
@@ -189,7 +193,7 @@
         }
     }
 
-    /// This node has sent a warming host so much, in mean loads.
+    /// Subtracts the load, in mean loads, that this node has sent to a warming host.
     pub(super) fn spend_slow_start_credit(
         &mut self,
         now: Nanos,
@@ -201,7 +205,7 @@
         self.slow_start.credit -= loads;
     }
 
-    /// Sends a warming host nothing in the slot that is now.
+    /// Uses up the credit of the current slot.
     pub(super) fn skip_current_slot(&mut self, now: Nanos, settings: &BalancerSettings) {
         self.slow_start = SlowStartCredit {
             credit: 0.0,
--- a/src/host/table.rs
+++ b/src/host/table.rs
@@ -1,4 +1,4 @@
-//! The records of all hosts, by index and by id.
+//! The table of all host records, by index and by id.
 
 use super::Host;
 use crate::endpoint::HostId;
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::ops::{Index, IndexMut};
 
-/// The records of all hosts. A record keeps its index for as long as it is that of the same host.
+/// The records of all hosts. A host keeps its index until its record is reused for another host.
 #[derive(Default)]
 pub(crate) struct HostTable {
     hosts: Vec<Host>,
@@ -14,7 +14,7 @@
 }
 
 impl HostTable {
-    /// The index of a known host's record.
+    /// Returns the index of a host's record, or `None` if the host is unknown.
     pub fn index(&self, id: HostId) -> Option<usize> {
         self.index_by_id.get(&id).copied()
     }
@@ -31,9 +31,9 @@
         self.hosts.iter()
     }
 
-    /// The index of a host's record, a new one where there is none. The record of a host long gone
-    /// is reused, as a node runs for months. The search starts at `search_from`, which moves on to
-    /// the record taken.
+    /// Returns the index of a host's record, and creates the record if there is none. Records of
+    /// hosts that are long gone are reused, because a node runs for months. The search for one
+    /// starts at `search_from`, which is set to the index of the record used.
     pub fn find_or_insert(&mut self, id: HostId, now: Nanos, search_from: &mut usize) -> usize {
         if let Some(index) = self.index(id) {
             return index;
