--- a/src/balancer/tick.rs
+++ b/src/balancer/tick.rs
@@ -69,8 +69,8 @@
                 fleet.slow_start.total_size
             };
             let fair_share = host.endpoint.size / zone_size;
-            let key_share = hash_to_unit_interval(key, host.id.0);
-            key_share < fair_share
+            let key_position = hash_to_unit_interval(key, host.id.0);
+            key_position < fair_share
                 && host.client_slot_started(
                     now,
                     Some(key),
--- a/src/host.rs
+++ b/src/host.rs
@@ -38,11 +38,11 @@
     pub id: HostId,
     pub endpoint: Endpoint,
     pub listed: bool,
-    gone_since: Nanos,
+    last_listed_at: Nanos,
     /// When it was first listed as draining; meaningful only while it is draining.
     draining_since: Nanos,
     /// When it was last listed in a zone or cell other than before; `None` if that never happened.
-    regrouped_at: Option<Nanos>,
+    group_changed_at: Option<Nanos>,
     /// When a connection to it last failed to open; recorded in large fleets only.
     connect_failed_at: Option<Nanos>,
     /// The number of consecutive attempts for which this machine had no route to it.
@@ -91,15 +91,15 @@
     }
 
     /// Returns whether its record may be reused for another host.
-    fn is_forgotten(&self, now: Nanos) -> bool {
-        let forgotten_at = self.gone_since.saturating_add(RECORD_MAX_AGE);
-        !self.listed && self.connections.is_empty() && now >= forgotten_at
+    fn is_reusable(&self, now: Nanos) -> bool {
+        let reusable_at = self.last_listed_at.saturating_add(RECORD_MAX_AGE);
+        !self.listed && self.connections.is_empty() && now >= reusable_at
     }
 
     /// Returns whether it has been listed in the same zone and cell since then.
     pub fn same_group_since(&self, since: Nanos) -> bool {
-        self.regrouped_at
-            .is_none_or(|regrouped_at| regrouped_at < since)
+        self.group_changed_at
+            .is_none_or(|group_changed_at| group_changed_at < since)
     }
 
     /// Returns how long ago it started, or `Nanos::MAX` if that is unknown. A failure to connect
--- a/src/host/events.rs
+++ b/src/host/events.rs
@@ -23,10 +23,10 @@
             HostMessage::Listed {
                 endpoint,
                 first_list,
-            } => self.was_listed(endpoint, first_list, now),
+            } => self.endpoint_updated(endpoint, first_list, now),
             HostMessage::Unlisted => {
                 self.listed = false;
-                self.gone_since = now;
+                self.last_listed_at = now;
             }
             HostMessage::ConnectionAdded(connection) => {
                 self.connection_added(connection, now, context);
@@ -76,7 +76,7 @@
         }
     }
 
-    fn was_listed(&mut self, mut endpoint: Endpoint, first_list: bool, now: Nanos) {
+    fn endpoint_updated(&mut self, mut endpoint: Endpoint, first_list: bool, now: Nanos) {
         let has_restarted = !self.listed || endpoint.started != self.endpoint.started;
         if has_restarted && endpoint.state == HostState::Ready {
             self.newcomer = !first_list;
@@ -92,13 +92,13 @@
         }
         let group = |endpoint: &Endpoint| (endpoint.zone, endpoint.cell);
         if !self.never_listed() && group(&endpoint) != group(&self.endpoint) {
-            self.regrouped_at = Some(now);
+            self.group_changed_at = Some(now);
         }
         if endpoint.size <= 0.0 || endpoint.size.is_nan() {
             endpoint.size = 1.0;
         }
         self.listed = endpoint.state != HostState::Gone;
-        self.gone_since = now;
+        self.last_listed_at = now;
         self.endpoint = endpoint;
     }
 
--- a/src/host/table.rs
+++ b/src/host/table.rs
@@ -38,16 +38,16 @@
         if let Some(index) = self.index(id) {
             return index;
         }
-        let forgotten = self
+        let reusable = self
             .hosts
             .iter()
             .skip(*search_from)
-            .position(|host| host.is_forgotten(now));
-        let index = forgotten.map_or(self.hosts.len(), |offset| *search_from + offset);
+            .position(|host| host.is_reusable(now));
+        let index = reusable.map_or(self.hosts.len(), |offset| *search_from + offset);
         *search_from = index;
         let record = Host {
             id,
-            gone_since: now,
+            last_listed_at: now,
             ..Host::default()
         };
         if let Some(old) = self.hosts.get_mut(index) {
--- a/tests/fleet/discovery.rs
+++ b/tests/fleet/discovery.rs
@@ -1,16 +1,16 @@
-//! Calls for the endpoint list by a fleet whose discovery service fails.
+//! How a fleet calls discovery for the endpoint list while the discovery service fails.
 
 use crate::simulation::{host, settings, Fleet, START};
 use reedferry::*;
 
-/// A call for the endpoint list, and when it was made since the start.
+/// A call for the endpoint list; `at` is the time since the start.
 struct Call {
     at: Nanos,
     node: usize,
 }
 
-/// The calls of a hundred nodes to a service that answers each after a second, with a failure until
-/// `recovery`.
+/// Returns the calls that a hundred nodes make until `end`. The service answers each call after one
+/// second, and with a failure until `recovery`.
 fn calls(recovery: Nanos, end: Nanos) -> Vec<Call> {
     let mut fleet = Fleet::new(100, |node| settings(node, 100));
     fleet.update_endpoints(EndpointUpdate::Cached, &[host(1), host(2)]);
@@ -43,8 +43,8 @@
     calls
 }
 
-/// Prevents a hundred nodes that discovery rejects from each calling again within a second for
-/// ever.
+/// Guards against a hundred nodes that each call again within a second for as long as discovery
+/// rejects their calls.
 #[test]
 fn all_nodes_together_call_discovery_at_a_bounded_rate() {
     let calls = calls(60 * SECOND, 70 * SECOND);
@@ -53,20 +53,20 @@
     let steady = steady.count() / 40;
     assert!(
         steady <= 30,
-        "{steady} calls a second while all are rejected"
+        "{steady} calls per second while all are rejected"
     );
-    // Each still calls within the ten seconds that the rule on draining hosts allows, and watches
-    // soon after.
+    // Each node still calls at least every ten seconds, the longest time for which it may neither
+    // watch nor poll the list, and watches the list soon after the recovery.
     for node in 0..100 {
         let own = calls.iter().filter(|call| call.node == node);
         let own: Vec<Nanos> = own.map(|call| call.at).collect();
         assert!(
             own.windows(2).all(|pair| pair[1] - pair[0] <= 10 * SECOND),
-            "node {node} was silent too long"
+            "node {node} made no call for more than ten seconds"
         );
         assert!(
             own.iter().any(|at| *at >= 58 * SECOND),
-            "node {node} watches no more"
+            "node {node} made no call near the recovery"
         );
     }
 }
--- a/tests/fleet/draining.rs
+++ b/tests/fleet/draining.rs
@@ -1,10 +1,11 @@
-//! A draining host: its clients are migrated evenly over the fleet.
+//! Draining of a host: its clients are migrated evenly over time by all nodes together.
 
 use crate::simulation::{host, is_migration, settings, Fleet};
 use reedferry::*;
 
-/// Prevents a hundred nodes from migrating the clients of a draining host in one half second, one
-/// each, which would overload the remaining hosts and the store that all set-ups share.
+/// Guards against a hundred nodes that each migrate a client of a draining host within the same
+/// half second, which would overload the remaining hosts and the session store that all set-ups
+/// share.
 #[test]
 fn the_clients_of_a_draining_host_are_migrated_evenly() {
     let mut fleet = Fleet::new(100, |node| settings(node, 100));
@@ -19,14 +20,14 @@
     };
     fleet.update_endpoints(EndpointUpdate::Delta, &[draining]);
     fleet.advance(2 * SECOND);
-    // A draining host is listed again now and then.
+    // The draining host is listed again, which must not restart the migration.
     fleet.update_endpoints(EndpointUpdate::Delta, &[draining]);
     fleet.advance(1600 * MILLI);
     assert_eq!(
         fleet.nodes_with(is_migration),
         100,
-        "clients left to be cut off"
+        "not all nodes migrated their client"
     );
     let max = fleet.max_within(SECOND, is_migration);
-    assert!(max <= 50, "{max} clients migrated within a second");
+    assert!(max <= 50, "{max} clients migrated within one second");
 }
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! Many nodes of the module with the same events, and assertions on their sums: what is harmless at
-//! one node may not be when a hundred do it.
+//! Tests of many nodes that get the same events. They check the sums over all nodes, because an
+//! action that is harmless at one node may overload a host if a hundred nodes take it.
 
 mod discovery;
 mod draining;
--- a/tests/fleet/restarts.rs
+++ b/tests/fleet/restarts.rs
@@ -8,9 +8,8 @@
 use rand_chacha::ChaCha8Rng;
 use reedferry::*;
 
-/// Rule 4 over a node that is replaced while it runs. Prevents a warming host from being overloaded
-/// by the two processes that are one node, as the successor thinks that nothing of the slot is
-/// spent, and the predecessor goes on.
+/// A warming host must not be overloaded during the hot restart of a node. Guards against a
+/// successor that assumes the whole budget of the current slot while the predecessor still uses it.
 #[test]
 fn a_warming_host_is_not_overloaded_by_a_process_and_its_successor() {
     let hosts = [host(1), host(2), host(3), host(4)];
@@ -25,12 +24,12 @@
     fleet.update_endpoints(EndpointUpdate::Delta, &[warming]);
     let endpoints = [&hosts[..], &[warming]].concat();
     for step in 0..100 {
-        // A successor of node 0 in the middle of each second; both processes then take clients.
+        // Node 0 gets a successor in the middle of each second; both processes then take clients.
         if step % 20 == 10 {
             add_successor(&mut fleet, step, &endpoints);
         }
         for node in 0..fleet.nodes.len() {
-            // They come and go, so that the number of connections stays the same.
+            // The clients leave at once, so that the number of connections stays the same.
             for _ in 0..5 {
                 fleet.short_lived_client(node);
             }
@@ -42,12 +41,11 @@
     let budget = overload_budget(6.0, warm_connections(200.0));
     assert!(
         all > 0 && max as f64 <= budget,
-        "{max} of {all} within a second, {budget:.0} at most"
+        "{max} of {all} attempts within one second, the budget is {budget:.0}"
     );
 }
 
-/// Starts a successor of the last process of node 0, with its state and a hundred of its
-/// connections.
+/// Starts a successor of the last process of node 0, with its state and a hundred connections.
 fn add_successor(fleet: &mut Fleet, step: u64, endpoints: &[Endpoint]) {
     let predecessor = fleet.nodes.len() - 1 - usize::from(fleet.nodes.len() == 2);
     let state = Box::new(fleet.nodes[predecessor].export_state());
@@ -66,11 +64,11 @@
     }
 }
 
-/// Prevents clients from being migrated to new hosts by one node and placed elsewhere by the next,
-/// which has started after those hosts, finds them in its first list and so takes them for hosts
-/// like the rest, of which it uses few.
+/// Guards against clients that one node migrates to new hosts and the next node places elsewhere. A
+/// node that started after those hosts finds them in its first list and would treat them as any
+/// other hosts, of which it uses only a few.
 #[test]
-fn clients_are_migrated_to_new_hosts_by_nodes_that_started_after_these() {
+fn clients_are_migrated_to_new_hosts_by_nodes_that_started_after_them() {
     let mut fleet = Fleet::new(100, |node| settings(node, 100));
     let mut hosts: Vec<Endpoint> = (1..=20).map(host).collect();
     fleet.update_endpoints(EndpointUpdate::Cached, &hosts);
@@ -90,11 +88,11 @@
     let placed = fleet.count_since(before, at_new_host);
     assert!(
         migrated >= 200 && 10 * placed >= 9 * migrated,
-        "{placed} of {migrated} placed there"
+        "{placed} of {migrated} migrated clients placed at new hosts"
     );
 }
 
-/// Replaces a process by one that finds the connections of its predecessor.
+/// Replaces a node by a new process that takes over the connections of its predecessor.
 fn replace_process(fleet: &mut Fleet, node: usize, endpoints: &[Endpoint]) {
     let own = fleet.log.iter().filter(|logged| logged.node == node);
     let open = own.filter_map(|logged| match logged.action {
@@ -114,13 +112,15 @@
     }
 }
 
-/// Rule 4 over the sum of all processes, also of those that were killed and started again. What the
-/// settings allow in a window is N; beyond that only two roots of N and two are chance.
+/// A warming host must not be overloaded by the sum of all processes, including those that were
+/// killed and restarted. The settings allow N attempts in a window; at most 2 * sqrt(N) + 2 more
+/// are attributed to chance.
 ///
-/// Prevents a warming host from being overloaded by twenty or thirty nodes, each of which keeps to
-/// its own part; on both sides of the border between node slots and client slots.
+/// Guards against twenty or thirty nodes that together overload the host although each stays within
+/// its own part. The fleet sizes lie on both sides of the border between node slots and client
+/// slots.
 #[test]
-fn the_sum_of_all_processes_stays_within_a_warming_hosts_budget_and_chance() {
+fn all_processes_together_stay_within_the_budget_of_a_warming_host() {
     let mut exceeded: Vec<String> = Vec::new();
     let mut windows = 0;
     for seed in 0..143 {
@@ -128,31 +128,31 @@
         windows += run.windows;
         exceeded.extend(run.exceeded);
     }
-    assert!(windows > 1000, "too tame: {windows}");
+    assert!(windows > 1000, "only {windows} windows had attempts");
     assert!(
         exceeded.is_empty(),
-        "{} windows of {windows} over, such as {:#?}",
+        "{} of {windows} windows exceed the budget, such as {:#?}",
         exceeded.len(),
         &exceeded[..exceeded.len().min(20)]
     );
 }
 
-/// A fleet whose nodes are killed and started again at random beside a warming host.
+/// A fleet whose nodes are killed and restarted at random while a host warms up.
 struct RandomRestarts {
     seed: u64,
     rng: ChaCha8Rng,
     nodes: u32,
-    /// Connections before the warming host is listed.
+    /// The number of connections before the warming host is listed.
     open: usize,
     fleet: Fleet,
     endpoints: Vec<Endpoint>,
 }
 
-/// How a run went.
+/// The result of a run.
 struct RunResult {
-    /// How many windows of a second there were.
+    /// The number of windows of one second that were checked.
     windows: usize,
-    /// Those that were over the budget and chance.
+    /// Descriptions of the windows that exceeded the budget by more than chance.
     exceeded: Vec<String>,
 }
 
@@ -164,7 +164,7 @@
         } else {
             [12, 19, 20, 21, 30, 48, 120][seed as usize % 7]
         };
-        // Of hosts that bear little, and much.
+        // Even seeds have few connections for each node, odd seeds have many.
         let open = if seed.is_multiple_of(2) {
             rng.random_range(1..4)
         } else {
@@ -196,7 +196,7 @@
         self.endpoints.push(warming);
         let start = self.fleet.now;
         let busy = self.rng.random_range(0.05..1.0);
-        // Clients come and go; some nodes get several times the mean.
+        // Clients come and go; some nodes get several times the mean number.
         let mean_clients = (self.open as f64 * busy * 0.05).max(1.0) as usize;
         for _ in 0..120 {
             for _ in 0..self.rng.random_range(0..=2 * mean_clients) {
@@ -212,12 +212,12 @@
 
     fn short_lived_client(&mut self) {
         let node = self.rng.random_range(0..self.nodes as usize);
-        let crowded = self.rng.random_range(0..3) == 0;
+        let at_busy_nodes = self.rng.random_range(0..3) == 0;
         self.fleet
-            .short_lived_client(if crowded { node % 5 } else { node });
+            .short_lived_client(if at_busy_nodes { node % 5 } else { node });
     }
 
-    /// One is killed and started again, with nothing learned but the list.
+    /// Kills a random node and restarts it with the endpoint list and no other state.
     fn restart_node(&mut self) {
         let node = self.rng.random_range(0..self.nodes as usize);
         let seed = self.rng.random();
@@ -238,7 +238,7 @@
             let budget = overload_budget(age, warm_connections(self.open as f64));
             if attempts > budget + 2.0 * budget.sqrt() + 2.0 {
                 exceeded.push(format!(
-                    "seed {}, {} nodes, {} open: {attempts} of {budget:.1} at {age:.1} s",
+                    "seed {}, {} nodes, {} open: {attempts} attempts for a budget of {budget:.1} at {age:.1} s",
                     self.seed, self.nodes, self.open
                 ));
             }
--- a/tests/fleet/simulation.rs
+++ b/tests/fleet/simulation.rs
@@ -1,30 +1,30 @@
-//! A fleet of nodes on a simulated clock. It must never model a host or a network beyond what a
-//! test says of them.
+//! A simulated fleet of nodes on a simulated clock. Hosts and the network behave only as a test
+//! specifies.
 
 use reedferry::*;
 use std::collections::{HashMap, VecDeque};
 
-/// The clock has no special starting value: a day is as good as zero.
+/// The time at which each test starts. It is far from 0 because the clock may start at any value.
 pub const START: Nanos = 86_400 * SECOND;
-/// The seed of the first node; each further node has the next.
+/// The seed of the first node; each further node has the next higher seed.
 const FIRST_SEED: u64 = 77;
-/// How long a set-up takes.
+/// The duration of a set-up.
 const SETUP_TIME: Nanos = 20 * MILLI;
-/// After which time a migrated client reconnects, and how many nodes further on: one of the same
-/// zone, where nodes take zones in turn.
+/// The time after which a migrated client reconnects, and how many nodes further on. If nodes
+/// are assigned to six zones in turn, that node is in the same zone.
 const RECONNECT_DELAY: Nanos = 100 * MILLI;
 const RECONNECT_NODES: usize = 36;
-/// Spreads the keys of clients.
+/// The multiplier that spreads the keys of clients over the range of `u64`.
 const KEY_FACTOR: u64 = 0x9E37_79B9;
 
-/// What one node ordered, and when.
+/// An action of one node, and its time.
 pub struct LoggedAction {
     pub at: Nanos,
     pub node: usize,
     pub action: Action,
 }
 
-/// A migrated client that is to reconnect.
+/// A migrated client that will reconnect.
 #[derive(Clone, Copy)]
 struct Reconnect {
     at: Nanos,
@@ -39,14 +39,14 @@
     timer: u64,
 }
 
-/// Many nodes.
+/// The nodes of the fleet, the log of their actions, and their clients.
 pub struct Fleet {
     pub nodes: Vec<Balancer>,
     pub now: Nanos,
     pub log: Vec<LoggedAction>,
     timers: Vec<Timer>,
     next_request: u64,
-    /// The clients' keys by their requests.
+    /// The clients' keys by request.
     keys: HashMap<RequestId, u64>,
     reconnects: VecDeque<Reconnect>,
 }
@@ -68,7 +68,7 @@
         fleet
     }
 
-    /// Starts one more node, and returns its index.
+    /// Starts one more node and returns its index.
     pub fn add_node(&mut self, settings: BalancerSettings, seed: u64) -> usize {
         let mut actions = Vec::new();
         let balancer = Balancer::new(settings, seed, self.now, &mut actions);
@@ -120,14 +120,14 @@
         self.handle(node, Event::EndpointsUpdated { kind, endpoints });
     }
 
-    /// Updates the list of all nodes.
+    /// Updates the endpoint list of all nodes.
     pub fn update_endpoints(&mut self, kind: EndpointUpdate, endpoints: &[Endpoint]) {
         for node in 0..self.nodes.len() {
             self.update_endpoints_of(node, kind, endpoints);
         }
     }
 
-    /// Lets time pass: timers fire, and migrated clients reconnect.
+    /// Advances the clock: timers fire, and migrated clients reconnect.
     pub fn advance(&mut self, span: Nanos) {
         let end = self.now + span;
         while let Some(next) = (0..self.timers.len()).min_by_key(|&n| self.timers[n].time) {
@@ -158,7 +158,7 @@
     }
 
     fn migrate(&mut self, node: usize, id: RequestId) {
-        // Every host whose connections end in these tests is host 1 where that matters.
+        // In the tests in which the host of an ended connection matters, it is host 1.
         self.end(node, id, HostId(1), AttemptOutcome::Cancelled);
         self.reconnects.push_back(Reconnect {
             at: self.now + RECONNECT_DELAY,
@@ -167,7 +167,7 @@
         });
     }
 
-    /// A connection ends, and its request with it.
+    /// Ends a connection and its request.
     pub fn end(&mut self, node: usize, id: RequestId, host: HostId, ending: AttemptOutcome) {
         self.attempt_ended(node, id, host, ending, true);
     }
@@ -191,26 +191,26 @@
         self.handle(node, event);
     }
 
-    /// A new client comes to a node, and its set-up succeeds at once; returns its host.
+    /// Lets a new client connect to a node; its set-up succeeds at once. Returns its host.
     pub fn new_client(&mut self, node: usize) -> Option<HostId> {
         self.client_arrives(node, key(self.next_request))
     }
 
-    /// So many new clients come to the nodes in turn.
+    /// Lets the given number of new clients connect to the nodes in turn.
     pub fn new_clients(&mut self, count: usize) {
         for client in 0..count {
             self.new_client(client % self.nodes.len());
         }
     }
 
-    /// A new client comes to a node and leaves at once.
+    /// Lets a new client connect to a node and leave at once.
     pub fn short_lived_client(&mut self, node: usize) {
         if let Some(host) = self.new_client(node) {
             self.end(node, self.last_request(), host, AttemptOutcome::Completed);
         }
     }
 
-    /// A client comes to a node, and its set-up succeeds at once; returns its host.
+    /// Lets a client connect to a node; its set-up succeeds at once. Returns its host.
     pub fn client_arrives(&mut self, node: usize, key: u64) -> Option<HostId> {
         let id = self.next_request_id();
         self.keys.insert(id, key);
@@ -220,7 +220,7 @@
         Some(host)
     }
 
-    /// A request arrives at a node; returns the host of its first attempt.
+    /// Passes a request to a node and returns the host of its first attempt, if any.
     pub fn request(&mut self, node: usize, id: RequestId, key: u64) -> Option<HostId> {
         let incoming = IncomingRequest {
             id,
@@ -245,23 +245,23 @@
         RequestId(self.next_request - 1)
     }
 
-    /// How many requests there were.
+    /// Returns the number of requests so far.
     pub fn request_count(&self) -> u64 {
         self.next_request - 1
     }
 
-    /// The key of a request's client.
+    /// Returns the key of a request's client.
     pub fn client_key(&self, id: RequestId) -> u64 {
         self.keys[&id]
     }
 
-    /// The moments of such actions.
+    /// Returns the times of the actions that are counted.
     pub fn times(&self, is_counted: impl Fn(&Action) -> bool) -> Vec<Nanos> {
         let counted = self.log.iter().filter(|logged| is_counted(&logged.action));
         counted.map(|logged| logged.at).collect()
     }
 
-    /// The most such actions within any window of this length.
+    /// Returns the maximum number of counted actions within any window of this length.
     pub fn max_within(&self, window: Nanos, is_counted: impl Fn(&Action) -> bool) -> usize {
         let times = self.times(is_counted);
         let starts = 0..times.len();
@@ -271,13 +271,13 @@
             .unwrap_or(0)
     }
 
-    /// How many such actions there were from this position of the log on.
+    /// Returns the number of counted actions from this position of the log on.
     pub fn count_since(&self, position: usize, is_counted: impl Fn(&Action) -> bool) -> usize {
         let logged = self.log[position..].iter();
         logged.filter(|logged| is_counted(&logged.action)).count()
     }
 
-    /// How many nodes ordered such actions.
+    /// Returns the number of nodes that took counted actions.
     pub fn nodes_with(&self, is_counted: impl Fn(&Action) -> bool) -> usize {
         let counted = self.log.iter().filter(|logged| is_counted(&logged.action));
         let mut nodes: Vec<usize> = counted.map(|logged| logged.node).collect();
@@ -287,12 +287,12 @@
     }
 }
 
-/// The key of a client by its number.
+/// Returns the key of a client by its number.
 pub fn key(number: u64) -> u64 {
     number * KEY_FACTOR
 }
 
-/// How many of these moments are within a window that starts with the first.
+/// Returns how many of these times are within the window that starts with the first.
 pub fn count_within(times: &[Nanos], window: Nanos) -> usize {
     let end = times[0] + window;
     times.iter().take_while(|&&time| time < end).count()
@@ -320,7 +320,7 @@
     }
 }
 
-/// Whether an action is an attempt at this host.
+/// Returns a predicate for attempts at this host.
 pub fn attempt_at(host: u64) -> impl Fn(&Action) -> bool {
     move |action| matches!(action, Action::StartAttempt { host: at, .. } if at.0 == host)
 }
@@ -329,15 +329,16 @@
     matches!(action, Action::Migrate { .. })
 }
 
-/// How many connections a second do not yet overload a host of these settings that started so many
-/// seconds ago, and that holds so many when it is warm: it takes on its share of these within 20 s,
-/// at its start a tenth as fast; three times as much overloads it.
+/// Returns the number of connections per second that do not yet overload a host of these settings.
+/// `age_seconds` is the time since its start, and `warm_connections` what it holds when it is warm.
+/// A host takes on its share within 20 s, at first at a tenth of the full rate, and three times
+/// that rate overloads it.
 pub fn overload_budget(age_seconds: f64, warm_connections: f64) -> f64 {
     3.0 * (0.1 + 0.9 * age_seconds / 20.0) * warm_connections / 20.0
 }
 
-/// What a host of size 2 holds when it is warm: what the fleet holds on four hosts of that size is
-/// taken for a quarter of what they bear.
+/// Returns the number of connections that a host of size 2 can hold when it is warm. The `open`
+/// connections on four hosts of that size are assumed to be a quarter of what they can hold.
 pub fn warm_connections(open: f64) -> f64 {
     (4.0 * open / 8.0) * 2.0
 }
--- a/tests/fleet/slow_start.rs
+++ b/tests/fleet/slow_start.rs
@@ -1,12 +1,13 @@
-//! Slow start of hosts over a whole fleet: they are filled, and never overloaded.
+//! Slow start of hosts across a fleet: warming hosts are filled and never overloaded.
 
 use crate::simulation::{
     attempt_at, host, is_migration, key, overload_budget, settings, warm_connections, Fleet,
 };
 use reedferry::*;
 
-/// Hosts 1 to 4 warm and with two clients a node, then host 9 comes back and warms up; `clients`
-/// says to which nodes new ones come in each of the `steps` of 50 ms.
+/// Runs a fleet in which hosts 1 to 4 are warm and host 9 comes back and warms up. There are two
+/// clients per node; `clients` returns the nodes to which new clients connect in each of the
+/// `steps` of 50 ms.
 fn warming_host(nodes: u32, steps: u64, clients: impl Fn(u64) -> Vec<usize>) -> Fleet {
     let mut fleet = Fleet::new(nodes as usize, |node| settings(node, nodes));
     let hosts = [host(1), host(2), host(3), host(4)];
@@ -27,11 +28,11 @@
     fleet
 }
 
-/// Prevents a new host from staying idle where each node sees too few clients to have one in its
-/// own slot.
+/// Guards against a new host that stays idle because each node sees too few clients to have one in
+/// its own slot.
 #[test]
 fn a_warming_host_is_filled_by_a_fleet_that_sees_few_clients_each() {
-    // Ten clients a second over a hundred nodes, for twenty seconds.
+    // Ten clients per second over a hundred nodes for twenty seconds.
     let clients = |step: u64| {
         if step.is_multiple_of(2) {
             vec![(step / 2 * 37 % 100) as usize]
@@ -41,16 +42,16 @@
     };
     let fleet = warming_host(100, 400, clients);
     let all = fleet.max_within(60 * SECOND, attempt_at(9));
-    assert!(all >= 40, "{all} clients in twenty seconds");
+    assert!(all >= 40, "{all} clients placed in twenty seconds");
 }
 
-/// Rule 4 over the fleet. Prevents a warming host from being overloaded by a burst that no node
-/// could see coming, also where most nodes are dead and all their clients come to the rest.
+/// A warming host must not be overloaded by all nodes together. Guards against bursts that no
+/// single node can foresee, also when most nodes are dead and their clients connect to the rest.
 #[test]
 fn no_burst_overloads_a_warming_host() {
     for (name, clients) in [
         (
-            "one at every node at once",
+            "one client at every node at once",
             (|s| if s == 0 { (0..100).collect() } else { vec![] }) as fn(u64) -> _,
         ),
         ("all clients within a second", |s| {
@@ -67,7 +68,7 @@
                 vec![]
             }
         }),
-        ("a hundred a second for long", |s| {
+        ("a hundred clients per second for five seconds", |s| {
             (0..100).skip(s as usize % 20).step_by(20).collect()
         }),
     ] {
@@ -76,35 +77,38 @@
         let open = fleet.request_count() as f64;
         assert!(
             max as f64 <= overload_budget(6.0, warm_connections(open)),
-            "{name}: {max} within a second"
+            "{name}: {max} attempts within one second"
         );
     }
 }
 
-/// Prevents a zone that came back from staying idle beside overloaded hosts, as clients stay where
-/// they are: each is migrated once, when its slot at the new host comes, and whichever node it
-/// comes to next places it there.
+/// Guards against a zone that came back and stays idle beside overloaded hosts because its clients
+/// stay where they are. Each client is migrated once, when its slot at the new host starts, and the
+/// next node places it there, whichever it is.
 #[test]
 fn clients_are_migrated_to_a_host_that_came_back_until_it_has_its_share() {
     let mut fleet = warming_host(100, 0, |_| Vec::new());
     let before = fleet.log.len();
     fleet.advance(20 * SECOND);
     let migrated = fleet.count_since(before, is_migration);
-    // 200 clients on five hosts of one size.
-    assert!((25..=55).contains(&migrated), "{migrated} of 200 migrated");
+    // Five hosts of the same size share the 200 clients.
+    assert!(
+        (25..=55).contains(&migrated),
+        "{migrated} of 200 clients migrated"
+    );
     let max = fleet.max_within(SECOND, is_migration);
-    assert!(max <= 20, "{max} migrated within a second");
+    assert!(max <= 20, "{max} clients migrated within one second");
     let placed = fleet.count_since(before, attempt_at(9));
     assert!(
         10 * placed >= 9 * migrated,
-        "{placed} of {migrated} placed there"
+        "{placed} of {migrated} migrated clients placed at the new host"
     );
 }
 
-/// Prevents hosts that died and came back before the list told of it from being overloaded by a
-/// hundred nodes that each try them again.
+/// Guards against hosts that died and came back before the endpoint list shows it being overloaded
+/// by a hundred nodes that each try them again.
 #[test]
-fn a_host_to_which_connections_failed_warms_up_when_it_takes_them_again() {
+fn a_host_that_refused_connections_warms_up_when_it_accepts_them_again() {
     let mut fleet = Fleet::new(100, |node| settings(node, 100));
     fleet.update_endpoints(EndpointUpdate::Cached, &[host(1), host(2), host(3)]);
     fleet.new_clients(200);
@@ -112,8 +116,8 @@
         fail_to_connect(&mut fleet, node, HostId(3));
     }
     let nodes = fleet.nodes_with(attempt_at(3));
-    assert!(nodes >= 80, "only {nodes} nodes tried it");
-    // It is back, and the list has not told of anything; the ejections are over.
+    assert!(nodes >= 80, "only {nodes} nodes tried the host");
+    // The host is back, the endpoint list has not changed, and the ejections are over.
     fleet.advance(8 * SECOND);
     let before = fleet.log.len();
     for step in 0..100 {
@@ -121,12 +125,12 @@
         fleet.advance(10 * MILLI);
     }
     let attempts = fleet.count_since(before, attempt_at(3));
-    // Eight seconds after connections to it last failed, the fleet's budget for it is over twenty a
-    // second.
-    assert!(attempts <= 20, "{attempts} clients within a second");
+    // Eight seconds after the last failure to connect, the budget of the fleet for this host is
+    // more than twenty connections per second.
+    assert!(attempts <= 20, "{attempts} clients within one second");
 }
 
-/// The node finds that no connection to the host opens: requests come until one is sent there.
+/// Sends requests to a node until one attempt at this host fails to connect.
 fn fail_to_connect(fleet: &mut Fleet, node: usize, host: HostId) {
     for _ in 0..20 {
         let id = fleet.next_request_id();
@@ -140,8 +144,8 @@
     }
 }
 
-/// Prevents one zone with most clients from being overloaded beside another whose hosts are all new
-/// and stay empty.
+/// Guards against an overloaded zone with most of the clients while the hosts of another zone are
+/// all new and stay empty.
 #[test]
 fn a_zone_whose_hosts_are_all_new_takes_clients_of_the_others() {
     let mut fleet = Fleet::new(100, |node| BalancerSettings {
@@ -164,12 +168,16 @@
     }
     let placed = [7, 8, 9].map(|id| fleet.count_since(0, attempt_at(id)));
     let placed: usize = placed.iter().sum();
-    assert!(placed >= 10, "{placed} of 200 clients in ten seconds");
+    assert!(
+        placed >= 10,
+        "{placed} of 200 clients placed at new hosts in ten seconds"
+    );
 }
 
-/// Prevents the new hosts of a release in all zones from staying nearly empty beside overloaded
-/// ones, as each is given clients of its own zone alone, which holds a few of all. And rule 4 with
-/// it, a third of all clients reconnecting at once; also where one of six zones has all clients.
+/// Guards against the new hosts of a release in all zones staying nearly empty beside overloaded
+/// ones because each gets only the few clients of its own zone. Also checks that no new host is
+/// overloaded while a third of all clients reconnect at once, and when one of six zones has all
+/// clients.
 #[test]
 fn new_hosts_of_a_release_are_given_clients_of_all_zones() {
     for zones in [6, 1] {
@@ -177,8 +185,8 @@
     }
 }
 
-/// A release that replaces half of the hosts in six zones, with clients in the first `zones` of
-/// them.
+/// Checks a release that replaces half of the hosts in six zones, with clients in the first `zones`
+/// of them.
 fn check_release(zones: u64) {
     let zone = |n: u64| (n % 6) as u16;
     let mut fleet = Fleet::new(300, |node| BalancerSettings {
@@ -209,7 +217,7 @@
     let placed = fleet.count_since(before, at_new_host);
     assert!(
         placed >= 350,
-        "{placed} of 1800 clients at half of the hosts after nine seconds"
+        "{placed} of 1800 clients placed at the new half of the hosts after nine seconds"
     );
     for client in 0..600 {
         fleet.client_arrives(client % 300, key(client as u64 + 1));
@@ -221,14 +229,14 @@
         .unwrap_or(0);
     assert!(
         max as f64 <= budget,
-        "{zones} zones: {max} at a host within a second, {budget:.1} at most"
+        "{zones} zones: {max} attempts at a host within one second, the budget is {budget:.1}"
     );
 }
 
-/// Prevents clients from being migrated to new hosts, though these fill as it is, in fleets in
-/// which reports tell loads or that have few nodes.
+/// Guards against migrating clients to new hosts in fleets where these fill anyway: with load
+/// reports, or with few nodes.
 #[test]
-fn nobody_is_migrated_where_reports_tell_loads_or_the_nodes_are_few() {
+fn no_client_is_migrated_if_hosts_report_load_or_nodes_are_few() {
     for (nodes, reported, migrates) in [(100, false, true), (100, true, false), (11, false, false)]
     {
         let mut fleet = Fleet::new(nodes as usize, |node| BalancerSettings {
@@ -251,14 +259,14 @@
         assert_eq!(
             migrating > 0,
             migrates,
-            "{nodes} nodes, reports {reported}: {migrating} migrated clients"
+            "{nodes} nodes, load reports {reported}: {migrating} nodes migrated clients"
         );
     }
 }
 
-/// Prevents an extreme setting from ending a node.
+/// Guards against an extreme setting that crashes a node.
 #[test]
-fn an_overload_window_of_centuries_ends_no_node() {
+fn an_overload_window_of_centuries_does_not_crash_a_node() {
     let mut fleet = Fleet::new(2, |node| BalancerSettings {
         overload_window: 9_000_000_000_000_000_000,
         ..settings(node, 100)
--- a/tests/single_node/load_limit.rs
+++ b/tests/single_node/load_limit.rs
@@ -1,5 +1,5 @@
-//! A host whose messages came late once: it is limited for that once, and gets its share again when
-//! it is well.
+//! The load limit of a host that delivered one message late: the host is limited once for it, and
+//! gets its share again when it is healthy.
 
 use crate::node::{endpoint, Node};
 use reedferry::*;
@@ -8,7 +8,7 @@
 const ONCE_LATE: HostId = HOSTS[2];
 const LATENCY_OBJECTIVE: Nanos = 100 * MILLI;
 const LATE: Nanos = 63 * MILLI;
-/// Messages count as late for no longer than this after the last that was.
+/// How long messages count as late after the last late one.
 const LATE_FOR: Nanos = 3 * SECOND;
 
 fn start() -> Node {
@@ -35,15 +35,15 @@
     });
 }
 
-/// All but so many of the host's connections end.
+/// Ends all connections at the host but the given number.
 fn end_all_but(node: &mut Node, left: usize) {
     for id in node.connections_at(ONCE_LATE).into_iter().skip(left) {
         node.end(id);
     }
 }
 
-/// Prevents a host from being limited a second time for the same late message when its clients have
-/// left, to next to nothing, and kept nearly empty for long after it is well.
+/// Guards against a second limit for the same late message once the clients of the host have left.
+/// It would be next to 0 and keep the host nearly empty long after it is healthy.
 #[test]
 fn a_host_is_limited_once_for_one_late_message() {
     let mut node = start();
@@ -54,7 +54,7 @@
     let limited = node.connections_at(ONCE_LATE).len();
     assert!(
         (16..20).contains(&limited),
-        "not limited, or by much: {limited}"
+        "{limited} of 20 connections are left: not limited, or limited too far"
     );
     end_all_but(&mut node, 0);
     node.advance(LATE_FOR);
@@ -62,14 +62,14 @@
     let open = node.connections_at(ONCE_LATE).len();
     assert!(
         open >= 12,
-        "{open} of 16 at a host that is well and holds nothing, beside two with 20 each"
+        "{open} of 16 clients at a healthy host without connections, beside two with 20 each"
     );
 }
 
-/// Prevents the one connection of a nearly empty host that was late once from being taken for all
-/// that the host bears.
+/// Guards against a late message at a nearly empty host being taken as a sign that its one
+/// connection is all that it can sustain.
 #[test]
-fn a_nearly_empty_host_is_not_limited_to_the_little_that_it_has() {
+fn a_nearly_empty_host_is_not_limited_to_its_few_connections() {
     for left in [0, 1] {
         let mut node = start();
         node.connect(60);
@@ -80,7 +80,7 @@
         let open = node.connections_at(ONCE_LATE).len();
         assert!(
             open >= 12,
-            "with {left} before: {open} of 16 at a host that is well, beside two with 20 each"
+            "with {left} left: {open} of 16 clients at a healthy host, beside two with 20 each"
         );
     }
 }
--- a/tests/single_node/main.rs
+++ b/tests/single_node/main.rs
@@ -1,4 +1,4 @@
-//! One node of the module beside hosts that accept every attempt at once.
+//! Tests of one node whose hosts accept every attempt at once.
 
 mod load_limit;
 mod node;
--- a/tests/single_node/node.rs
+++ b/tests/single_node/node.rs
@@ -1,12 +1,12 @@
-//! A node on a simulated clock.
+//! A test harness that runs one node on a simulated clock.
 
 use reedferry::*;
 use std::collections::HashMap;
 
-/// The clock has no special starting value: a day is as good as zero.
+/// The time at which each test starts. It is far from 0 because the clock may start at any value.
 pub const START: Nanos = 86_400 * SECOND;
 
-/// One node, its connections by their host, and its timers.
+/// One node, the hosts of its connections, and its timers.
 pub struct Node {
     pub now: Nanos,
     balancer: Balancer,
@@ -16,7 +16,7 @@
 }
 
 impl Node {
-    /// A node that knows these endpoints.
+    /// Starts a node that knows these endpoints.
     pub fn start(settings: BalancerSettings, endpoints: Vec<Endpoint>) -> Self {
         let mut actions = Vec::new();
         let mut node = Node {
@@ -35,20 +35,20 @@
         self.handle_and_execute(Event::EndpointsUpdated { kind, endpoints });
     }
 
-    /// Hands an event to the module, and returns what it orders.
+    /// Passes an event to the balancer and returns the actions that it appends.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         actions
     }
 
-    /// Hands an event to the module, and does what it orders.
+    /// Passes an event to the balancer and carries out the actions that it appends.
     pub fn handle_and_execute(&mut self, event: Event) {
         let actions = self.handle(event);
         self.execute(actions);
     }
 
-    /// Each attempt is accepted at once, and each migrated client leaves.
+    /// Carries out actions: each attempt is accepted at once, and each migrated client leaves.
     fn execute(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
@@ -64,14 +64,14 @@
         }
     }
 
-    /// A connection ends, if it is open.
+    /// Ends a connection if it is open.
     pub fn end(&mut self, id: RequestId) {
         if let Some(host) = self.connections.remove(&id) {
             self.handle_and_execute(completed(id, host));
         }
     }
 
-    /// A new request, with this time left.
+    /// Returns a new request with this time left.
     pub fn new_request(&mut self, time_left: Nanos) -> IncomingRequest {
         self.next_request += 1;
         IncomingRequest {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// So many clients connect now.
+    /// Lets the given number of clients connect now.
     pub fn connect(&mut self, count: usize) {
         for _ in 0..count {
             let incoming = self.new_request(2 * SECOND);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The connections at a host, the oldest first.
+    /// Returns the connections at a host, the oldest first.
     pub fn connections_at(&self, host: HostId) -> Vec<RequestId> {
         let at_host = self.connections.iter().filter(|(_, at)| **at == host);
         let mut ids: Vec<RequestId> = at_host.map(|(id, _)| *id).collect();
@@ -97,7 +97,7 @@
         ids
     }
 
-    /// Lets time pass, in which timers fire.
+    /// Advances the clock and fires the timers that are due.
     pub fn advance(&mut self, span: Nanos) {
         let until = self.now + span;
         let next = |timers: &[(Nanos, u64)]| timers.iter().copied().min();
@@ -110,7 +110,7 @@
     }
 }
 
-/// The first attempt of a request, or the connection that it became, ends well.
+/// Returns the event that the first attempt of a request, or its connection, has completed.
 pub fn completed(id: RequestId, host: HostId) -> Event {
     Event::AttemptEnded {
         id,
--- a/tests/single_node/settings_change.rs
+++ b/tests/single_node/settings_change.rs
@@ -1,5 +1,5 @@
-//! New settings while hosts warm up: their budgets are counted in slots, whose length is one of the
-//! settings.
+//! A change of settings while a host warms up. The budget of the host is counted in slots whose
+//! length depends on the settings.
 
 use crate::node::{endpoint, Node};
 use reedferry::*;
@@ -27,15 +27,16 @@
     }
 }
 
-/// How many of so many clients that connect now are placed at the warming host.
+/// Lets the given number of clients connect and returns how many of them are placed at the warming
+/// host.
 fn placed_at_warming_host(node: &mut Node, clients: usize) -> usize {
     let before = node.connections_at(WARMING_HOST).len();
     node.connect(clients);
     node.connections_at(WARMING_HOST).len() - before
 }
 
-/// Prevents a budget from being spent twice in one moment, and a count of slots from running
-/// backwards, as new settings give slots another length.
+/// Guards against the budget of a warming host being used twice when new settings change the length
+/// of slots, and against slot numbers that decrease.
 #[test]
 fn new_settings_give_a_warming_host_no_second_budget() {
     for (before, after) in [(SECOND, 2 * SECOND), (2 * SECOND, SECOND), (SECOND, SECOND)] {
@@ -49,20 +50,23 @@
         node.update_endpoints(EndpointUpdate::Delta, vec![warming]);
         node.now += 3 * SECOND;
         let first = placed_at_warming_host(&mut node, 200);
-        assert!(first > 0, "too tame");
+        assert!(first > 0, "no client was placed at the warming host");
         assert_eq!(
             placed_at_warming_host(&mut node, 50),
             0,
-            "the budget of this slot is spent"
+            "placed although the budget of this slot is used up"
         );
         let changed = Event::SettingsChanged(Box::new(settings(after)), vec![0]);
         node.handle_and_execute(changed);
         assert_eq!(
             placed_at_warming_host(&mut node, 50),
             0,
-            "from slots of {before} to slots of {after}: {first} before"
+            "slots changed from {before} to {after} ns after {first} clients"
         );
         node.now += 2 * after.max(before);
-        assert!(placed_at_warming_host(&mut node, 50) > 0, "left idle");
+        assert!(
+            placed_at_warming_host(&mut node, 50) > 0,
+            "the warming host stays idle in its next slots"
+        );
     }
 }
--- a/tests/single_node/setup_timeout.rs
+++ b/tests/single_node/setup_timeout.rs
@@ -1,5 +1,5 @@
-//! How long a node waits for a set-up before it tries another host: a store that all set-ups share
-//! is late for all of them, and trying again makes that worse.
+//! How long a node waits for a set-up before it tries another host. A slow session store that all
+//! set-ups share delays all of them, and retries increase its load.
 
 use crate::node::{completed, endpoint, Node, START};
 use reedferry::*;
@@ -8,7 +8,7 @@
 const REQUEST_TIMEOUT: Nanos = 3 * SECOND;
 const HOSTS: u64 = 20;
 
-/// One node of a fleet.
+/// Starts one node of a large fleet.
 fn start(load_from_probes: bool) -> Node {
     let class = RequestClass {
         latency_objective: LATENCY_OBJECTIVE,
@@ -27,7 +27,7 @@
     Node::start(settings, endpoints)
 }
 
-/// How long the set-up of a request that arrives at `time` is waited for; it succeeds, and the
+/// Returns the set-up timeout of a request that arrives at `time`. The set-up succeeds and the
 /// client leaves.
 fn setup_timeout(node: &mut Node, time: Nanos) -> Nanos {
     node.now = time;
@@ -38,7 +38,7 @@
         Action::StartAttempt { until, host, .. } => Some((until - time, *host)),
         _ => None,
     });
-    let (timeout, host) = attempt.expect("it is sent to a host");
+    let (timeout, host) = attempt.expect("the request is sent to a host");
     node.now += MILLI;
     let took = MILLI;
     node.handle(Event::ConnectionEstablished { id, took });
@@ -46,8 +46,8 @@
     timeout
 }
 
-/// Prevents a store that is late for all from being asked three times over for each request by
-/// nodes that see too few set-ups to notice that all are late.
+/// Guards against each request asking a slow session store three times, because nodes that see few
+/// set-ups do not notice that all of them are late.
 #[test]
 fn a_node_that_sees_few_set_ups_waits_long_before_it_tries_another_host() {
     for (probes, least) in [
@@ -59,14 +59,14 @@
             let timeout = setup_timeout(&mut node, START + second * SECOND);
             assert!(
                 timeout >= least && timeout < REQUEST_TIMEOUT,
-                "{timeout} ns with probes {probes}"
+                "timeout of {timeout} ns with load_from_probes={probes}"
             );
         }
     }
 }
 
-/// Prevents requests from waiting long at a host that hangs, by a node that sees from many others
-/// that set-ups are quick.
+/// Guards against requests that wait long at a hanging host although many other set-ups show that
+/// the store is quick.
 #[test]
 fn a_node_that_sees_many_set_ups_soon_tries_another_host() {
     for probes in [true, false] {
@@ -76,7 +76,7 @@
             .collect();
         assert!(
             timeouts[399] < 2 * LATENCY_OBJECTIVE,
-            "{} ns with probes {probes}",
+            "timeout of {} ns with load_from_probes={probes}",
             timeouts[399]
         );
     }
--- a/tests/single_node/slow_store.rs
+++ b/tests/single_node/slow_store.rs
@@ -1,5 +1,5 @@
-//! What a node of a large fleet does with requests whose set-ups take longer than they have left, as a store that all set-ups
-//! share is slow.
+//! How a node of a large fleet handles requests that have less time left than a set-up takes while
+//! the session store that all set-ups share is slow.
 
 use crate::node::{completed, endpoint, Node, START};
 use reedferry::*;
@@ -7,11 +7,11 @@
 const HOSTS: u64 = 20;
 const SHORT_TIMEOUT: Nanos = 1800 * MILLI;
 const LONG_TIMEOUT: Nanos = 3000 * MILLI;
-/// How long the slow store takes: longer than the short timeout leaves.
+/// The set-up time of the slow store, which is longer than the short timeout.
 const SLOW_SETUP: Nanos = 2200 * MILLI;
 const QUICK_SETUP: Nanos = 20 * MILLI;
 
-/// One node of a fleet of so many.
+/// Starts one node of a fleet with the given number of nodes.
 fn start(node_count: u32) -> Node {
     let class = RequestClass {
         latency_objective: 300 * MILLI,
@@ -31,7 +31,8 @@
     node
 }
 
-/// A request with this time left: where it was sent, if it was sent anywhere.
+/// Lets a request with this time left arrive; returns its id, its host if it was sent to one, and
+/// the actions.
 fn request(node: &mut Node, timeout: Nanos) -> (RequestId, Option<HostId>, Vec<Action>) {
     let incoming = node.new_request(timeout);
     let actions = node.handle(Event::RequestArrived(incoming));
@@ -42,26 +43,27 @@
     (incoming.id, host, actions)
 }
 
-/// A request whose set-up takes so long, and whose client leaves then.
+/// Completes a request whose set-up takes the given time and whose client then leaves; returns its
+/// host.
 fn complete_setup(node: &mut Node, took: Nanos) -> HostId {
     let (id, host, _) = request(node, LONG_TIMEOUT);
-    let host = host.expect("it is sent to a host");
+    let host = host.expect("the request is sent to a host");
     node.now += took;
     node.handle(Event::ConnectionEstablished { id, took });
     node.handle(completed(id, host));
     host
 }
 
-/// Set-ups that take so long, until several hosts have shown it.
+/// Completes set-ups that take the given time, until at least two hosts have had one.
 fn complete_setups_at_several_hosts(node: &mut Node, took: Nanos) {
     let first = complete_setup(node, took);
     while complete_setup(node, took) == first {}
 }
 
-/// Guards against a class with a short deadline that gets nothing from a slow store, and takes the store's time from
-/// all others.
+/// Guards against a class with a short deadline that gets nothing from a slow store and takes the
+/// store's time from the other classes.
 #[test]
-fn what_a_slow_store_cannot_set_up_in_time_is_rejected_at_once() {
+fn requests_that_a_slow_store_cannot_set_up_in_time_are_rejected_at_once() {
     let mut node = start(300);
     complete_setups_at_several_hosts(&mut node, SLOW_SETUP);
     let (_, host, actions) = request(&mut node, SHORT_TIMEOUT);
@@ -72,9 +74,10 @@
     assert!(host.is_some());
 }
 
-/// Guards against a class that is rejected on and on, as nobody shows that the store is quick again.
+/// Guards against a class that is rejected forever because no set-up shows that the store is quick
+/// again.
 #[test]
-fn a_class_that_was_rejected_is_tried_again_after_a_while_and_served_once_set_ups_are_quick() {
+fn rejected_requests_are_tried_again_later_and_served_once_set_ups_are_quick() {
     let mut node = start(300);
     complete_setups_at_several_hosts(&mut node, SLOW_SETUP);
     assert_eq!(request(&mut node, SHORT_TIMEOUT).1, None);
@@ -85,7 +88,8 @@
     assert!(request(&mut node, SHORT_TIMEOUT).1.is_some());
 }
 
-/// Guards against requests rejected for one host that hangs, or by a node of a small fleet, which sees enough set-ups.
+/// Guards against rejections because of one hanging host, and in a small fleet, which sees enough
+/// set-ups to wait for each.
 #[test]
 fn one_slow_host_or_a_small_fleet_rejects_nothing() {
     let mut node = start(300);
@@ -96,14 +100,15 @@
     assert!(request(&mut node, SHORT_TIMEOUT).1.is_some());
 }
 
-/// Guards against a store whose time-outs show a class nothing, as each request has a moment more than the one that timed out.
+/// Guards against ignoring timed-out set-ups: the next request of the class has slightly more time
+/// left than the one that timed out and would always seem to have enough.
 #[test]
-fn set_ups_that_timed_out_count_for_longer_than_they_were_waited_for() {
+fn timed_out_set_ups_count_as_longer_than_their_timeout() {
     let mut node = start(300);
     let mut hosts = Vec::new();
     while hosts.len() < 2 {
         let (id, host, _) = request(&mut node, SHORT_TIMEOUT - MILLI);
-        let host = host.expect("it is sent to a host");
+        let host = host.expect("the request is sent to a host");
         node.now += SHORT_TIMEOUT - MILLI;
         node.handle(Event::AttemptEnded {
             id,
