--- a/src/host.rs
+++ b/src/host.rs
@@ -38,6 +38,7 @@
     pub id: HostId,
     pub endpoint: Endpoint,
     pub listed: bool,
+    /// When it was last in an endpoint list, or when its record was created if it never was.
     last_listed_at: Nanos,
     /// When it was first listed as draining; meaningful only while it is draining.
     draining_since: Nanos,
--- a/src/host/limiting.rs
+++ b/src/host/limiting.rs
@@ -127,8 +127,8 @@
             // for each decrease: otherwise a single hanging host would cause all new requests to be
             // rejected.
             let not_evaluated = self.connections[index].weight_vector.take().is_some();
-            let counts = not_evaluated || self.connections.len() == 1;
-            if counts && !std::mem::replace(&mut observed, true) {
+            let is_counted = not_evaluated || self.connections.len() == 1;
+            if is_counted && !std::mem::replace(&mut observed, true) {
                 context.send_request(RequestMessage::LatencyObserved { late: true });
             }
             context.migrate(self.connections[index].slot);
--- a/src/host/load_limit.rs
+++ b/src/host/load_limit.rs
@@ -29,10 +29,12 @@
 /// The load limit of a host, and the state from which it is computed.
 #[derive(Default)]
 pub(crate) struct LoadLimit {
+    /// The upper bound of this node's load at the host; `None` if there is none.
     pub limit: Option<f64>,
     /// The highest recent load that the host sustained while its messages were in time.
     pub sustained_load: f64,
     pub decreased_at: Nanos,
+    /// The message latency divided by its objective at the last decrease; 0 before the first.
     pub latency_ratio_at_decrease: f64,
 }
 
@@ -81,9 +83,9 @@
         self.limit = raised.filter(|&limit| limit < 4.0 * load + min_limit);
     }
 
-    /// Returns whether the last decrease has had time to take effect and messages were late again
-    /// since. Without this, once its clients have left, a host would be limited to the little load
-    /// that remains, by the late message that already caused the last decrease.
+    /// Returns whether the last decrease has had time to take effect and the latency was measured
+    /// again since. Without this, once its clients have left, a host would be limited to the little
+    /// load that remains, by the late message that already caused the last decrease.
     pub fn may_decrease(&self, now: Nanos, latency_measured_at: Nanos) -> bool {
         self.latency_ratio_at_decrease <= 0.0
             || now >= self.decreased_at + DECREASE_INTERVAL
--- a/src/host/slow_start.rs
+++ b/src/host/slow_start.rs
@@ -169,8 +169,8 @@
             .iter()
             .filter(|(node, _)| is_turn_of(*node))
             .map(|(_, share)| share);
-        let own = settings.slow_start_slots.is_empty() && is_turn_of(settings.node_index);
-        let share = if own { 1.0 } else { assigned.sum() };
+        let is_own_turn = settings.slow_start_slots.is_empty() && is_turn_of(settings.node_index);
+        let share = if is_own_turn { 1.0 } else { assigned.sum() };
         let last = self.slow_start;
         if slot == last.slot {
             return last;
