--- a/membership/src/model_tests.rs
+++ b/membership/src/model_tests.rs
@@ -1,42 +1,43 @@
-//! Walks what can happen to three members: every order of messages that arrive, are lost or arrive twice, and a restart.
+//! Model checks three members: explores every order in which messages arrive, are lost or are duplicated, with one
+//! restart or death.
 
 use crate::member_table::member_id;
 use crate::message::{self, MessageWriter};
 use crate::simulation::*;
 use crate::*;
-use reedferry_model_checker::{fingerprint, walk, Bounds, InFlight, World};
+use reedferry_model_checker::{explore, fingerprint, Bounds, InFlight, Model};
 use xxhash_rust::xxh3::Xxh3;
 
 const MEMBERS: usize = 3;
-/// Messages in flight of which any may arrive next; there are rarely more.
+/// How many of the messages in flight may arrive next. There are rarely more.
 const MAX_REORDERED: usize = 3;
-/// Convergence is checked in one of so many states.
+/// Convergence is checked in one of this many states.
 const CONVERGENCE_SAMPLING: u64 = 48;
-/// Events and periods after which tables must have converged.
+/// The number of events, and of periods, after which tables must have converged.
 const MAX_EVENTS: usize = 4000;
 const MAX_PERIODS: Nanos = 40;
 
-/// What the tests break on purpose.
+/// A bug that a test injects to show that the search finds it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum PlantedBreak {
-    Nothing,
-    /// A member does not hear what others say of it.
+enum InjectedBug {
+    None,
+    /// A member does not receive claims about itself.
     NeverRefutes,
     /// A suspicion never expires.
     NeverDeclaresDead,
 }
 
-/// Three members, what is under way between them, and how many faults may still happen.
+/// Three members, the messages in flight between them, and the number of faults that may still happen.
 #[derive(Clone)]
 struct Fleet {
     now: Nanos,
-    planted: PlantedBreak,
+    bug: InjectedBug,
     nodes: Vec<Option<Membership>>,
     in_flight: Vec<InFlight<Vec<u8>>>,
     losses: u32,
     duplicates: u32,
     restarts: u32,
-    /// The latest version that each (first index) has known of each.
+    /// The latest version of each member (second index) that each other one (first index) has known.
     latest: [[MemberVersion; MEMBERS]; MEMBERS],
     violation: Option<String>,
 }
@@ -51,8 +52,8 @@
     Kill(usize),
 }
 
-/// The message without the claims on its receiver.
-fn without_claims_on(receiver: usize, bytes: &[u8]) -> Vec<u8> {
+/// Returns the message without the claims about its receiver.
+fn without_claims_about(receiver: usize, bytes: &[u8]) -> Vec<u8> {
     let receiver = member_id(&info(receiver).name);
     let (header, claims) = message::read(bytes).unwrap();
     let mut writer = MessageWriter::new(&header);
@@ -65,10 +66,10 @@
 }
 
 impl Fleet {
-    fn new(planted: PlantedBreak) -> Fleet {
+    fn new(bug: InjectedBug) -> Fleet {
         Fleet {
             now: 0,
-            planted,
+            bug,
             nodes: Simulation::new(MEMBERS, true, 1).nodes,
             in_flight: Vec::new(),
             losses: 4,
@@ -83,7 +84,7 @@
         let Some(member) = &mut self.nodes[node] else {
             return;
         };
-        if self.planted == PlantedBreak::NeverDeclaresDead {
+        if self.bug == InjectedBug::NeverDeclaresDead {
             member.table.suspicions.postpone(Nanos::MAX);
         }
         let mut out = Vec::new();
@@ -101,7 +102,9 @@
             let subject = node_named(&other.info.name);
             let latest = &mut self.latest[node][subject];
             if other.version < *latest {
-                self.violation = Some(format!("n{node} knows n{subject} by an older version"));
+                self.violation = Some(format!(
+                    "n{node} replaced its entry of n{subject} by an older version"
+                ));
             }
             *latest = other.version;
         }
@@ -115,8 +118,8 @@
 
     fn deliver(&mut self, index: usize) {
         let InFlight { from, to, message } = self.in_flight.remove(index);
-        let bytes = match self.planted {
-            PlantedBreak::NeverRefutes => without_claims_on(to, &message),
+        let bytes = match self.bug {
+            InjectedBug::NeverRefutes => without_claims_about(to, &message),
             _ => message,
         };
         let event = Event::MessageReceived {
@@ -126,14 +129,14 @@
         self.handle(to, event);
     }
 
-    /// The member that is to be woken first.
+    /// Returns the running member with the earliest wakeup.
     fn next_to_wake(&self) -> Option<usize> {
         (0..MEMBERS)
             .filter(|node| self.nodes[*node].is_some())
             .min_by_key(|node| self.nodes[*node].as_ref().map(Membership::next_wakeup))
     }
 
-    /// Lets time pass without any further faults.
+    /// Runs the members without any further faults.
     fn run_without_faults(&mut self) {
         let until = self.now + MAX_PERIODS * PERIOD;
         for _ in 0..MAX_EVENTS {
@@ -168,11 +171,11 @@
                 .collect::<Vec<_>>()
         };
         let known: Vec<_> = running.iter().map(known).collect();
-        Some(format!("tables differ for ever: {known:?}"))
+        Some(format!("tables do not converge: {known:?}"))
     }
 }
 
-impl World for Fleet {
+impl Model for Fleet {
     type Step = Step;
 
     fn steps(&self) -> Vec<Step> {
@@ -188,7 +191,7 @@
         steps
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match *step {
             Step::Wake(node) => self.wake(node),
             Step::Deliver(index) => self.deliver(index),
@@ -219,36 +222,37 @@
         fingerprint::<Xxh3>(&(&self.nodes, &self.in_flight, faults))
     }
 
-    /// Whatever has happened: if all messages arrive from here on, the members that run know each other to be alive and
-    /// the others to be dead, and their tables converge.
+    /// Requires eventual convergence from every state: if all messages arrive from here on, the running members know
+    /// each other as alive and the others as dead, and their tables converge.
     fn violation(&self) -> Option<String> {
         if self.violation.is_some() || !self.fingerprint().is_multiple_of(CONVERGENCE_SAMPLING) {
             return self.violation.clone();
         }
-        let mut world = self.clone();
-        world.run_without_faults();
-        world.divergence()
+        let mut fleet = self.clone();
+        fleet.run_without_faults();
+        fleet.divergence()
     }
 }
 
 const BOUNDS: Bounds = Bounds {
     max_depth: 14,
-    max_worlds: 30_000,
+    max_states: 30_000,
 };
 
-/// Prevents a running member declared dead for ever, versions that run back, tables that exchange all and differ.
+/// Guards against a running member that stays declared dead, against versions that decrease, and against tables that
+/// never converge.
 #[test]
-fn no_order_of_losses_duplicates_and_a_restart_keeps_three_members_apart() {
-    match walk(Fleet::new(PlantedBreak::Nothing), BOUNDS) {
-        Ok(coverage) => assert!(coverage.worlds >= 20_000, "{coverage:?}"),
+fn three_members_converge_after_any_losses_duplicates_and_a_restart() {
+    match explore(Fleet::new(InjectedBug::None), BOUNDS) {
+        Ok(coverage) => assert!(coverage.states >= 20_000, "{coverage:?}"),
         Err(found) => panic!("{}: {:?}", found.violation, found.steps),
     }
 }
 
-/// Prevents a search that finds nothing whatever is broken.
+/// Guards against a search that finds no violation whatever is broken.
 #[test]
-fn planted_breaks_are_found() {
-    for planted in [PlantedBreak::NeverRefutes, PlantedBreak::NeverDeclaresDead] {
-        assert!(walk(Fleet::new(planted), BOUNDS).is_err(), "{planted:?}");
+fn injected_bugs_are_found() {
+    for bug in [InjectedBug::NeverRefutes, InjectedBug::NeverDeclaresDead] {
+        assert!(explore(Fleet::new(bug), BOUNDS).is_err(), "{bug:?}");
     }
 }
--- a/membership/src/quota_leases_model_tests.rs
+++ b/membership/src/quota_leases_model_tests.rs
@@ -1,26 +1,26 @@
-//! Walks what can happen to leases on one share that two members want and a third decides: every order of messages
-//! that arrive late, are lost or arrive twice, and a restart.
+//! Model checks the leases on one share that two members want and a third one votes on: explores every order in which
+//! messages are delayed, lost or duplicated, with one restart.
 
 use super::*;
-use reedferry_model_checker::{fingerprint, walk, Bounds, InFlight, World};
+use reedferry_model_checker::{explore, fingerprint, Bounds, InFlight, Model};
 use xxhash_rust::xxh3::Xxh3;
 
 const CLUSTER_SIZE: u32 = 3;
 const LENGTH: Nanos = 48;
-/// The share that is wanted, the first members that want it, and the one that decides.
+/// The contested share, the number of members that want it (the first ones), and the index of the member that votes.
 const SHARE: u32 = 0;
 const CONTENDERS: u32 = 2;
 const DECIDER: usize = 2;
-/// Messages in flight of which any may arrive next.
+/// How many of the messages in flight may arrive next.
 const MAX_REORDERED: usize = 5;
 
-/// What the tests break on purpose.
+/// A bug that a test injects to show that the search finds it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum PlantedBreak {
-    Nothing,
-    /// A member that restarts grants at once.
+enum InjectedBug {
+    None,
+    /// A restarted member grants leases at once.
     GrantsAfterRestart,
-    /// A grant is counted from the answer.
+    /// A lease is counted from the answer instead of the request.
     CountsFromAnswer,
 }
 
@@ -30,11 +30,11 @@
     Grant { sequence: u32, shares: Vec<u32> },
 }
 
-/// Three members, with what is under way between them and a clock that steps.
+/// Three members, the messages in flight between them, and a clock that advances in steps.
 #[derive(Clone)]
 struct Cluster {
     now: Nanos,
-    planted: PlantedBreak,
+    bug: InjectedBug,
     members: Vec<QuotaLeases>,
     in_flight: Vec<InFlight<Message>>,
     restarts: u32,
@@ -43,8 +43,8 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Time passes; members send the requests that are due.
-    Pass,
+    /// Advances the clock; members send the requests that are due.
+    AdvanceTime,
     Deliver(usize),
     Duplicate(usize),
     Restart(usize),
@@ -59,8 +59,8 @@
 }
 
 impl Cluster {
-    /// Long after the members started.
-    fn new(planted: PlantedBreak) -> Cluster {
+    /// Creates a cluster whose members started long ago, so that they grant leases.
+    fn new(bug: InjectedBug) -> Cluster {
         let mut members: Vec<QuotaLeases> =
             (0..CLUSTER_SIZE).map(|n| new_leases(n, 1, 0)).collect();
         for member in &mut members[..CONTENDERS as usize] {
@@ -68,7 +68,7 @@
         }
         Cluster {
             now: 10 * LENGTH,
-            planted,
+            bug,
             members,
             in_flight: Vec::new(),
             restarts: 1,
@@ -76,11 +76,11 @@
         }
     }
 
-    fn pass(&mut self) {
+    fn advance_time(&mut self) {
         self.now += LENGTH / 2;
         for from in 0..self.members.len() {
             if let Some(request) = self.members[from].take_due_request(self.now) {
-                // Each has its own vote; the third member decides.
+                // Each contender has its own vote, so the third member's decides.
                 self.in_flight.push(InFlight {
                     from,
                     to: DECIDER,
@@ -111,7 +111,7 @@
             }
             Message::Grant { sequence, shares } => {
                 let requested_at = member.requested_at.get_mut(&sequence);
-                if self.planted == PlantedBreak::CountsFromAnswer {
+                if self.bug == InjectedBug::CountsFromAnswer {
                     requested_at.into_iter().for_each(|at| *at = self.now);
                 }
                 member.on_grant(from as u32, sequence, &shares);
@@ -120,8 +120,8 @@
     }
 
     fn restart(&mut self, member: usize) {
-        let started_at = match self.planted {
-            PlantedBreak::GrantsAfterRestart => 0,
+        let started_at = match self.bug {
+            InjectedBug::GrantsAfterRestart => 0,
             _ => self.now,
         };
         self.members[member] = new_leases(member as u32, 2, started_at);
@@ -129,11 +129,11 @@
     }
 }
 
-impl World for Cluster {
+impl Model for Cluster {
     type Step = Step;
 
     fn steps(&self) -> Vec<Step> {
-        let mut steps = vec![Step::Pass];
+        let mut steps = vec![Step::AdvanceTime];
         for index in 0..self.in_flight.len().min(MAX_REORDERED) {
             steps.push(Step::Deliver(index));
             steps.extend((self.duplicates > 0).then_some(Step::Duplicate(index)));
@@ -142,9 +142,9 @@
         steps
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match *step {
-            Step::Pass => self.pass(),
+            Step::AdvanceTime => self.advance_time(),
             Step::Deliver(index) => {
                 let message = self.in_flight.remove(index);
                 self.deliver(message);
@@ -166,31 +166,32 @@
     fn violation(&self) -> Option<String> {
         let holds = |member: &&QuotaLeases| member.held(self.now).any(|share| share == SHARE);
         let holders = self.members.iter().filter(holds).count();
-        (holders > 1).then(|| format!("{holders} hold one share"))
+        (holders > 1).then(|| format!("{holders} members hold one share"))
     }
 }
 
 const BOUNDS: Bounds = Bounds {
     max_depth: 13,
-    max_worlds: 40_000,
+    max_states: 40_000,
 };
 
-/// Prevents a share of the slow-start quota used by two, by any order of losses, duplicates, delays and a restart.
+/// Guards against a share of the slow-start quota that two members use at once, in any order of losses, duplicates,
+/// delays and a restart.
 #[test]
-fn no_share_is_ever_leased_to_two() {
-    match walk(Cluster::new(PlantedBreak::Nothing), BOUNDS) {
-        Ok(coverage) => assert!(coverage.worlds >= 30_000, "{coverage:?}"),
+fn no_share_is_ever_leased_to_two_members() {
+    match explore(Cluster::new(InjectedBug::None), BOUNDS) {
+        Ok(coverage) => assert!(coverage.states >= 30_000, "{coverage:?}"),
         Err(found) => panic!("{}: {:?}", found.violation, found.steps),
     }
 }
 
-/// Prevents a search that does not find a member that forgets its grants, or one that counts them from the answer.
+/// Guards against a search that misses a member that forgets its grants, or one that counts a lease from the answer.
 #[test]
-fn planted_breaks_are_found() {
-    for planted in [
-        PlantedBreak::GrantsAfterRestart,
-        PlantedBreak::CountsFromAnswer,
+fn injected_bugs_are_found() {
+    for bug in [
+        InjectedBug::GrantsAfterRestart,
+        InjectedBug::CountsFromAnswer,
     ] {
-        assert!(walk(Cluster::new(planted), BOUNDS).is_err(), "{planted:?}");
+        assert!(explore(Cluster::new(bug), BOUNDS).is_err(), "{bug:?}");
     }
 }
--- a/model-checker/src/lib.rs
+++ b/model-checker/src/lib.rs
@@ -1,111 +1,112 @@
-//! An explicit-state model checker: explores what can happen to a world of state machines, step by step in every order
-//! up to a bound, and gives the shortest trace to the first violation. It owns the order of the search and the states
-//! seen. It must never know what a world is made of.
+//! An explicit-state model checker. It explores every order of steps from an initial state breadth first, up to a
+//! bound, and returns the shortest trace to a violation. It keeps the search queue and the set of visited states, and
+//! is independent of what a model consists of.
 
 use std::collections::{HashSet, VecDeque};
 use std::fmt::Debug;
 use std::hash::{Hash, Hasher};
 
-/// A state of the system under test, and what can happen to it.
-pub trait World: Clone {
-    /// One thing that can happen.
+/// A state of the system under test, with the steps that may follow.
+pub trait Model: Clone {
+    /// A single state transition.
     type Step: Clone + Debug;
 
-    /// What may happen next; in an order that is the same for the same world.
+    /// Returns the steps that are possible in this state. Equal states must return them in the same order.
     fn steps(&self) -> Vec<Self::Step>;
 
-    /// Lets one of these happen.
-    fn take(&mut self, step: &Self::Step);
+    /// Applies one of these steps.
+    fn apply(&mut self, step: &Self::Step);
 
-    /// Equal for worlds from which the same can happen.
+    /// Returns a hash that is equal for states with the same possible futures.
     fn fingerprint(&self) -> u64;
 
-    /// The invariant that is broken here, if one is.
+    /// Describes the invariant that this state violates, or returns `None`.
     fn violation(&self) -> Option<String>;
 }
 
-/// How far a search goes.
+/// The bounds of a search.
 #[derive(Clone, Copy)]
 pub struct Bounds {
-    /// Steps from the start.
+    /// The maximum number of steps from the initial state (inclusive).
     pub max_depth: usize,
-    /// Worlds looked at.
-    pub max_worlds: usize,
+    /// The maximum number of distinct states to visit (inclusive).
+    pub max_states: usize,
 }
 
-/// What a search without a violation has seen.
+/// What a search without a violation has covered.
 #[derive(Debug, PartialEq)]
 pub struct Coverage {
-    /// Worlds looked at.
-    pub worlds: usize,
-    /// Steps from the start to the last of them.
+    /// The number of states visited.
+    pub states: usize,
+    /// The number of steps from the initial state to the last visited one.
     pub depth: usize,
-    /// Whether nothing was left out but what lies deeper than the bound.
+    /// Whether no state within the depth bound was left out.
     pub complete: bool,
 }
 
 /// The shortest trace to a violation.
 #[derive(Debug)]
 pub struct Counterexample<S> {
-    /// The steps from the start.
+    /// The steps from the initial state.
     pub steps: Vec<S>,
-    /// What is broken after them.
+    /// The invariant that is violated after them.
     pub violation: String,
 }
 
-/// A message under way between two members of a world; one that is never delivered is lost.
+/// A message in transit between two members of a model. A message that is never delivered is lost.
 #[derive(Clone, Debug, Hash)]
 pub struct InFlight<M> {
     /// The index of the sender.
     pub from: usize,
     /// The index of the receiver.
     pub to: usize,
-    /// What is sent.
+    /// The message.
     pub message: M,
 }
 
-/// The hash of a state, for [`World::fingerprint`].
+/// Returns the hash of a state, for [`Model::fingerprint`].
 pub fn fingerprint<H: Hasher + Default>(state: &impl Hash) -> u64 {
     let mut hasher = H::default();
     state.hash(&mut hasher);
     hasher.finish()
 }
 
-/// How a world was reached: the index of the one before, and the step from there.
+/// How a state was reached: the index of the previous visit and the step from there, or `None` for the initial state.
 struct Visit<S> {
     from: Option<(usize, S)>,
 }
 
-/// Looks at every world that can be reached, the nearest first.
+/// Visits every reachable state within the bounds, breadth first.
 ///
 /// # Errors
-/// The trace to the first violation.
-pub fn walk<W: World>(start: W, bounds: Bounds) -> Result<Coverage, Counterexample<W::Step>> {
+///
+/// Returns the shortest trace to the first violation found.
+pub fn explore<M: Model>(initial: M, bounds: Bounds) -> Result<Coverage, Counterexample<M::Step>> {
     let mut visits = vec![Visit { from: None }];
-    let mut seen = HashSet::from([start.fingerprint()]);
-    let mut queue = VecDeque::from([(0, 0, start)]);
+    let mut seen = HashSet::from([initial.fingerprint()]);
+    let mut queue = VecDeque::from([(0, 0, initial)]);
     let mut coverage = Coverage {
-        worlds: 0,
+        states: 0,
         depth: 0,
         complete: true,
     };
-    while let Some((index, depth, world)) = queue.pop_front() {
-        coverage.worlds += 1;
+    while let Some((index, depth, model)) = queue.pop_front() {
+        coverage.states += 1;
         coverage.depth = depth;
-        if let Some(violation) = world.violation() {
+        if let Some(violation) = model.violation() {
             let steps = trace(&visits, index);
             return Err(Counterexample { steps, violation });
         }
         if depth >= bounds.max_depth {
             continue;
         }
-        for step in world.steps() {
-            let mut next = world.clone();
-            next.take(&step);
+        for step in model.steps() {
+            let mut next = model.clone();
+            next.apply(&step);
             if !seen.insert(next.fingerprint()) {
                 continue;
             }
-            if visits.len() >= bounds.max_worlds {
+            if visits.len() >= bounds.max_states {
                 coverage.complete = false;
                 continue;
             }
@@ -121,9 +122,9 @@
 fn trace<S: Clone>(visits: &[Visit<S>], last: usize) -> Vec<S> {
     let mut steps = Vec::new();
     let mut index = last;
-    while let Some((before, step)) = &visits[index].from {
+    while let Some((previous, step)) = &visits[index].from {
         steps.push(step.clone());
-        index = *before;
+        index = *previous;
     }
     steps.reverse();
     steps
--- a/model-checker/src/lib_tests.rs
+++ b/model-checker/src/lib_tests.rs
@@ -1,8 +1,8 @@
-//! The search finds a lost update by the shortest trace, and says what it left out.
+//! Tests that the search finds a lost update by the shortest trace, and reports what it left out.
 
 use super::*;
 
-/// Two writers that each read a counter, then write what they read and one more.
+/// Two writers, each of which reads a counter and then writes the value plus one.
 #[derive(Clone)]
 struct Counters {
     value: u64,
@@ -18,7 +18,7 @@
     Write(usize),
 }
 
-impl World for Counters {
+impl Model for Counters {
     type Step = Step;
 
     fn steps(&self) -> Vec<Step> {
@@ -32,7 +32,7 @@
         read.chain(write).collect()
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match *step {
             Step::Read(writer) => {
                 (self.read[writer], self.lock) = (Some(self.value), Some(writer));
@@ -57,7 +57,7 @@
 
 const BOUNDS: Bounds = Bounds {
     max_depth: 10,
-    max_worlds: 1000,
+    max_states: 1000,
 };
 
 fn start(locked: bool) -> Counters {
@@ -70,31 +70,31 @@
     }
 }
 
-/// Prevents a search that leaves an order out, and one that finds nothing whatever happens.
+/// Guards against a search that skips an order of steps, and against one that never finds a violation.
 #[test]
-fn a_lost_update_is_found_by_the_shortest_trace_and_none_where_there_is_a_lock() {
-    let found = walk(start(false), BOUNDS).unwrap_err();
+fn a_lost_update_is_found_by_the_shortest_trace_and_none_with_a_lock() {
+    let found = explore(start(false), BOUNDS).unwrap_err();
     assert_eq!(
         found.steps,
         [Step::Read(0), Step::Read(1), Step::Write(0), Step::Write(1)]
     );
     assert_eq!(found.violation, "counted 1");
     assert_eq!(
-        walk(start(true), BOUNDS).unwrap(),
+        explore(start(true), BOUNDS).unwrap(),
         Coverage {
-            worlds: 9,
+            states: 9,
             depth: 4,
             complete: true
         }
     );
-    let few_worlds = Bounds {
-        max_worlds: 4,
+    let few_states = Bounds {
+        max_states: 4,
         ..BOUNDS
     };
-    assert!(!walk(start(true), few_worlds).unwrap().complete);
+    assert!(!explore(start(true), few_states).unwrap().complete);
     let shallow = Bounds {
         max_depth: 3,
         ..BOUNDS
     };
-    assert_eq!(walk(start(false), shallow).unwrap().depth, 3);
+    assert_eq!(explore(start(false), shallow).unwrap().depth, 3);
 }
--- a/replication/src/model_tests.rs
+++ b/replication/src/model_tests.rs
@@ -1,27 +1,28 @@
-//! Walks what can happen to one non-idempotent request that its client brings to two members, with three replicas that
-//! are members too: every order of messages that arrive, are lost or arrive twice, one restart from nothing, one pause.
+//! Model checks one non-idempotent request that its client sends to two members, with three replicas that are members
+//! as well: explores every order in which messages arrive, are lost or are duplicated, with one restart without state
+//! and one pause.
 
 use super::*;
 use reedferry_membership::Nanos;
-use reedferry_model_checker::{fingerprint, walk, Bounds, InFlight, World};
+use reedferry_model_checker::{explore, fingerprint, Bounds, InFlight, Model};
 use xxhash_rust::xxh3::Xxh3;
 
 const KEY: u64 = 5;
 const CLUSTER_SIZE: u32 = 3;
 const RETENTION: Nanos = 1000;
 const MAJORITY_TIMEOUT: Nanos = 100;
-/// Requests in flight of which any may arrive next.
+/// How many of the requests in flight may arrive next.
 const MAX_REORDERED: usize = 6;
 
-/// What the tests break on purpose.
+/// A bug that a test injects to show that it is found.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum PlantedBreak {
-    Nothing,
-    /// A replica that restarts votes at once.
+enum InjectedBug {
+    None,
+    /// A restarted replica votes at once.
     VotesAfterRestart,
     /// A replica accepts any ballot.
     ForgetsPromises,
-    /// A coordinator takes one response for those of all replicas.
+    /// A coordinator counts one response as those of all replicas.
     NeedsNoMajority,
 }
 
@@ -29,7 +30,7 @@
 struct Member {
     coordinator: Coordinator,
     replica: Replica,
-    /// Its record is committed and it has not sent the request yet: it may pause there.
+    /// Whether its record is committed and the request is not sent yet. The member may pause in this state.
     may_send: bool,
 }
 
@@ -41,7 +42,7 @@
     Coordinator::new(me, CLUSTER_SIZE, MAJORITY_TIMEOUT)
 }
 
-/// How many faults may still happen.
+/// The number of faults that may still happen.
 #[derive(Clone, Copy, Debug, Hash)]
 struct Faults {
     losses: u32,
@@ -58,10 +59,10 @@
 #[derive(Clone)]
 struct Cluster {
     now: Nanos,
-    planted: PlantedBreak,
+    bug: InjectedBug,
     members: Vec<Member>,
     in_flight: Vec<InFlight<ReplicaRequest>>,
-    /// How often the client may still bring the request, by member.
+    /// How many more times the client may send the request to each member.
     arrivals: [u32; 2],
     faults: Faults,
     sent: u32,
@@ -69,21 +70,21 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// The client brings the request to a member.
+    /// The client sends the request to a member.
     Arrive(usize),
     /// A replica handles a request, and its response arrives.
     Deliver(usize),
-    /// The same, but the response is lost.
+    /// A replica handles a request, and its response is lost.
     LoseResponse(usize),
-    /// The same, but the request arrives once more later.
+    /// A replica handles a request and its response arrives, and the request will arrive once more.
     Duplicate(usize),
-    /// A member that may, sends the request to a host.
+    /// A member whose record is committed sends the request to a host.
     Send(usize),
     Restart(usize),
 }
 
 impl Cluster {
-    fn new(faults: Faults, planted: PlantedBreak) -> Cluster {
+    fn new(faults: Faults, bug: InjectedBug) -> Cluster {
         let member = |member_index: u32| Member {
             coordinator: coordinator(member_index, 1),
             replica: Replica::new(0, RETENTION, 100),
@@ -91,7 +92,7 @@
         };
         Cluster {
             now: 10 * RETENTION,
-            planted,
+            bug,
             members: (0..CLUSTER_SIZE).map(member).collect(),
             in_flight: Vec::new(),
             arrivals: [1, 1],
@@ -124,7 +125,7 @@
                     self.broadcast(at, &request);
                 }
             }
-            // It may have run: it is given up.
+            // The request may have run already, so this member gives it up.
             Some(Outcome::Acquired { .. }) => self.members[at].coordinator.release(KEY),
             Some(Outcome::Committed { .. }) => self.members[at].may_send = true,
             Some(Outcome::Retry { request, .. }) => self.broadcast(at, &request),
@@ -134,15 +135,15 @@
 
     fn handle_at_replica(&mut self, message: &InFlight<ReplicaRequest>) -> ReplicaResponse {
         let replica = &mut self.members[message.to].replica;
-        if self.planted == PlantedBreak::ForgetsPromises {
+        if self.bug == InjectedBug::ForgetsPromises {
             replica.forget_promises();
         }
         replica.handle(self.now, &message.message)
     }
 
     fn deliver_response(&mut self, message: &InFlight<ReplicaRequest>, response: &ReplicaResponse) {
-        let responders = match self.planted {
-            PlantedBreak::NeedsNoMajority => 0..CLUSTER_SIZE,
+        let responders = match self.bug {
+            InjectedBug::NeedsNoMajority => 0..CLUSTER_SIZE,
             _ => message.to as u32..message.to as u32 + 1,
         };
         for responder in responders {
@@ -153,8 +154,8 @@
     }
 
     fn restart(&mut self, at: usize) {
-        let started_at = match self.planted {
-            PlantedBreak::VotesAfterRestart => 0,
+        let started_at = match self.bug {
+            InjectedBug::VotesAfterRestart => 0,
             _ => self.now,
         };
         self.members[at] = Member {
@@ -163,12 +164,12 @@
             may_send: false,
         };
         self.faults.restarts = 0;
-        // Its client comes again, there or elsewhere.
+        // The client sends the request again, to this member or another one.
         self.arrivals[at.min(1)] += 1;
     }
 }
 
-impl World for Cluster {
+impl Model for Cluster {
     type Step = Step;
 
     fn steps(&self) -> Vec<Step> {
@@ -188,7 +189,7 @@
         steps
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match *step {
             Step::Arrive(at) => {
                 self.arrivals[at] -= 1;
@@ -220,35 +221,35 @@
     }
 
     fn fingerprint(&self) -> u64 {
-        // In whichever order they went: any may arrive first.
+        // The order in which requests were sent is left out, as any of them may arrive first.
         let mut in_flight: Vec<u64> = self.in_flight.iter().map(fingerprint::<Xxh3>).collect();
         in_flight.sort_unstable();
-        let left = (self.arrivals, self.faults, self.sent);
-        fingerprint::<Xxh3>(&(self.now, &self.members, in_flight, left))
+        let remaining = (self.arrivals, self.faults, self.sent);
+        fingerprint::<Xxh3>(&(self.now, &self.members, in_flight, remaining))
     }
 
     fn violation(&self) -> Option<String> {
-        (self.sent > 1).then(|| format!("handed off {} times", self.sent))
+        (self.sent > 1).then(|| format!("sent {} times", self.sent))
     }
 }
 
 const BOUNDS: Bounds = Bounds {
     max_depth: 40,
-    max_worlds: 60_000,
+    max_states: 60_000,
 };
 
-/// Prevents an effect that is had twice, by any order of two prepares, requests and responses lost, a request that
-/// arrives twice, a restart from nothing and a pause between the commit and the attempt.
+/// Guards against a request that takes effect twice, in any order of two prepares, lost requests and responses, a
+/// duplicated request, a restart without state, and a pause between the commit and the attempt.
 #[test]
-fn what_is_not_idempotent_is_sent_once_whatever_happens() {
+fn a_non_idempotent_request_is_sent_at_most_once() {
     for (losses, duplicates, restarts) in [(0, 0, 0), (1, 0, 0), (0, 1, 0), (0, 0, 1)] {
         let faults = Faults {
             losses,
             duplicates,
             restarts,
         };
-        match walk(Cluster::new(faults, PlantedBreak::Nothing), BOUNDS) {
-            // Two attempts take twelve steps where nothing is lost; one more with a restart, which is tried apart.
+        match explore(Cluster::new(faults, InjectedBug::None), BOUNDS) {
+            // Two attempts take twelve steps without losses, and one more with a restart, which is tested separately.
             Ok(coverage) => assert!(
                 coverage.complete || coverage.depth >= 10,
                 "{faults:?}: {coverage:?}"
@@ -258,9 +259,10 @@
     }
 }
 
-/// One member sends by the votes of some replicas; then, after a restart of a replica, the other tries with some.
-fn one_after_the_other(
-    planted: PlantedBreak,
+/// Lets one member send the request with the votes of some replicas, then optionally restarts a replica, and then lets
+/// another member try with the votes of other replicas. Returns how many times the request was sent.
+fn send_from_two_members(
+    bug: InjectedBug,
     first: &[usize],
     restart: Option<usize>,
     second: &[usize],
@@ -269,41 +271,41 @@
         restarts: 1,
         ..NO_FAULTS
     };
-    let mut cluster = Cluster::new(faults, planted);
+    let mut cluster = Cluster::new(faults, bug);
     let replicas = replicas_of(KEY, CLUSTER_SIZE);
     let run = |cluster: &mut Cluster, member: usize, reachable: &[usize]| {
         cluster.arrivals = [1, 1];
-        cluster.take(&Step::Arrive(member));
+        cluster.apply(&Step::Arrive(member));
         let arrives = |message: &InFlight<ReplicaRequest>| {
             reachable
                 .iter()
                 .any(|n| replicas[*n] as usize == message.to)
         };
         while let Some(index) = cluster.in_flight.iter().position(arrives) {
-            cluster.take(&Step::Deliver(index));
+            cluster.apply(&Step::Deliver(index));
         }
         if cluster.members[member].may_send {
-            cluster.take(&Step::Send(member));
+            cluster.apply(&Step::Send(member));
         }
         cluster.in_flight.clear();
     };
     run(&mut cluster, 0, first);
     if let Some(replica) = restart {
-        cluster.take(&Step::Restart(replicas[replica] as usize));
+        cluster.apply(&Step::Restart(replicas[replica] as usize));
     }
     run(&mut cluster, 1, second);
     cluster.sent
 }
 
-/// Prevents a proof that holds whatever is broken.
+/// Guards against tests that pass whatever is broken.
 #[test]
-fn planted_breaks_are_found() {
-    let sent = |planted, restart| one_after_the_other(planted, &[0, 1], restart, &[1, 2]);
-    assert_eq!(sent(PlantedBreak::Nothing, None), 1);
-    assert_eq!(sent(PlantedBreak::Nothing, Some(1)), 1);
-    assert_eq!(sent(PlantedBreak::VotesAfterRestart, Some(1)), 2);
-    for planted in [PlantedBreak::NeedsNoMajority, PlantedBreak::ForgetsPromises] {
-        let found = walk(Cluster::new(NO_FAULTS, planted), BOUNDS);
-        assert!(found.is_err(), "{planted:?}: {found:?}");
+fn injected_bugs_are_found() {
+    let sent = |bug, restart| send_from_two_members(bug, &[0, 1], restart, &[1, 2]);
+    assert_eq!(sent(InjectedBug::None, None), 1);
+    assert_eq!(sent(InjectedBug::None, Some(1)), 1);
+    assert_eq!(sent(InjectedBug::VotesAfterRestart, Some(1)), 2);
+    for bug in [InjectedBug::NeedsNoMajority, InjectedBug::ForgetsPromises] {
+        let found = explore(Cluster::new(NO_FAULTS, bug), BOUNDS);
+        assert!(found.is_err(), "{bug:?}: {found:?}");
     }
 }
