--- a/membership/src/anti_entropy.rs
+++ b/membership/src/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: members whose tables differ exchange the partitions that do, and lost members are pinged from time to
-//! time, so that partitions of the network find together again.
+//! Anti-entropy: members whose tables differ exchange the differing partitions, and lost members are pinged
+//! periodically, so that partitions of the network merge again.
 
 use crate::event::Action;
 use crate::member::Nanos;
@@ -8,16 +8,16 @@
 use crate::table_digest::partition_of;
 use std::net::SocketAddr;
 
-/// Table pages sent in a period.
+/// The maximum number of table pages that are sent in a period.
 pub(crate) const PAGES_PER_PERIOD: u32 = 12;
-/// A lost member is pinged each so many gossip rounds.
+/// The number of gossip rounds between two pings to lost members.
 const ROUNDS_PER_LOST_PING: u32 = 4;
 
 #[derive(Clone, Hash)]
 pub(crate) struct AntiEntropy {
-    /// Pages that may still be sent in this period.
+    /// The number of pages that may still be sent before the next gossip round.
     pub page_budget: u32,
-    /// When digests were sent last.
+    /// When digests were last sent, or `None` if never.
     digests_sent_at: Option<Nanos>,
 }
 
@@ -29,15 +29,16 @@
         }
     }
 
-    /// Another period begins; a member that lags has less to send.
+    /// Refills the page budget for the next gossip round. A member that lags may send less.
     pub fn refill(&mut self, lag: u32) {
         self.page_budget = PAGES_PER_PERIOD / (1 + lag);
     }
 }
 
 impl Membership {
-    /// Pings a member that is dead, or a seed that is no member, which may be there after all: each so many rounds, and
-    /// in each where nobody else is there.
+    /// Pings a lost member, chosen at random, as it may be reachable again. A lost member is a dead one, or a seed
+    /// address at which no live member is known. This happens every [`ROUNDS_PER_LOST_PING`] rounds, and in every round
+    /// while no other member is alive.
     pub(crate) fn ping_lost_member(&mut self, round: u32, out: &mut Vec<Action>) {
         let is_alone = self.table.alive_count() == 1;
         if !is_alone && !round.is_multiple_of(ROUNDS_PER_LOST_PING) {
@@ -55,7 +56,7 @@
         self.send_to(address, ping, id, out);
     }
 
-    /// Their addresses, and the ids of those that are known.
+    /// Returns the addresses of all lost members, with the ids of those that are known.
     fn lost_members(&self) -> Vec<(SocketAddr, Option<u64>)> {
         let table = &self.table;
         let is_lost = |seed: &&SocketAddr| {
@@ -70,7 +71,7 @@
             .collect()
     }
 
-    /// Sends this member's digests to one whose table differs, at most twice in a period.
+    /// Sends this member's partition digests to a member whose table differs, at most twice in a period in total.
     pub(crate) fn send_digests(
         &mut self,
         now: Nanos,
@@ -90,7 +91,7 @@
         out.push(Action::Send { to, bytes });
     }
 
-    /// Sends and requests the partitions that differ.
+    /// Compares received digests with this member's own, and sends and requests the partitions that differ.
     pub(crate) fn on_digests(
         &mut self,
         from: SocketAddr,
@@ -104,7 +105,8 @@
         self.send_pages(from, differing, differing, out);
     }
 
-    /// Sends the members of these partitions, the dead too, and requests the receiver's; both are bit masks.
+    /// Sends the members in `partitions`, dead ones included, and asks the receiver for its members in `requested`.
+    /// Both are bit masks.
     pub(crate) fn send_pages(
         &mut self,
         to: SocketAddr,
@@ -121,7 +123,7 @@
         }
         let mut request = Some(requested).filter(|mask| *mask != 0);
         let mut ids = ids.into_iter().peekable();
-        // One page at least where partitions are requested.
+        // At least one page is sent if partitions are requested, even if there are no members to send.
         while self.anti_entropy.page_budget > 0 && (request.is_some() || ids.peek().is_some()) {
             self.anti_entropy.page_budget -= 1;
             let header = self.header(MessageBody::TablePage {
--- a/membership/src/event.rs
+++ b/membership/src/event.rs
@@ -1,93 +1,93 @@
-//! What the state machine is told, and what it asks of its caller.
+//! The inputs of the state machine ([`Event`]) and its outputs ([`Action`]).
 
 use crate::member::{MemberState, Nanos};
 use crate::message::MessageError;
 use std::net::SocketAddr;
 
-/// How a member takes part in its fleet.
+/// The configuration of a member.
 pub struct MembershipConfig {
-    /// The protocol period, the unit of all times here.
+    /// The protocol period, in nanoseconds. All protocol timeouts scale with it.
     pub period: Nanos,
-    /// Members to contact first, and from time to time.
+    /// The addresses of members to contact on startup, and again periodically while no live member is known there.
     pub seeds: Vec<SocketAddr>,
-    /// The most members that are tracked.
+    /// The maximum number of other members to track, dead ones included.
     pub max_members: usize,
-    /// Tells fleets apart that can reach each other.
+    /// The fleet's id. Messages with another id are dropped, which separates fleets that can reach each other.
     pub fleet_id: u32,
 }
 
-/// What happened.
+/// An input of the state machine.
 pub enum Event<'a> {
-    /// The time of [`crate::Membership::next_wakeup`] has come.
+    /// The time that [`crate::Membership::next_wakeup`] returned has been reached.
     TimerFired,
-    /// A datagram has arrived.
+    /// A datagram was received.
     MessageReceived {
         /// The sender's address.
         from: SocketAddr,
-        /// The whole datagram.
+        /// The complete datagram.
         bytes: &'a [u8],
     },
-    /// The state that this member announces of itself.
+    /// This member announces this state of itself. Ignored unless the state is one that a running member may announce.
     StateChanged(MemberState),
-    /// This member's place by its settings.
+    /// This member's configured position in the cluster has changed.
     PlacementChanged {
-        /// Its index.
+        /// This member's index in the cluster, from 0.
         member_index: u32,
-        /// The number of members.
+        /// The configured number of members.
         cluster_size: u32,
     },
-    /// The members to contact first.
+    /// Replaces the list of seed addresses; see [`MembershipConfig::seeds`].
     SeedsChanged(Vec<SocketAddr>),
-    /// Whether the slow-start quota of dead members is of use now.
+    /// Whether this member currently needs leases on slow-start quota, its own and that of dead members.
     QuotaLendingChanged(bool),
-    /// This member's process ends.
+    /// This member's process is shutting down.
     Shutdown,
 }
 
-/// What the caller is to do or to report.
+/// An instruction to the caller, or an event to report.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a datagram.
     Send {
-        /// Its destination.
+        /// The destination address.
         to: SocketAddr,
-        /// The whole datagram.
+        /// The complete datagram.
         bytes: Vec<u8>,
     },
-    /// The state of a member has changed.
+    /// Another member is new or has changed its state.
     MemberChanged {
-        /// Its name.
+        /// The member's name.
         name: String,
-        /// Its address.
+        /// The member's address.
         address: SocketAddr,
-        /// The state before; none where the member is new.
+        /// The previous state, or `None` if the member is new.
         previous: Option<MemberState>,
-        /// The state now.
+        /// The new state.
         state: MemberState,
     },
-    /// A later incarnation of a member has another address.
+    /// A later incarnation of a member has a different address.
     MemberMoved {
-        /// Its name.
+        /// The member's name.
         name: String,
-        /// The address before.
+        /// The previous address.
         from: SocketAddr,
-        /// The address now.
+        /// The new address.
         to: SocketAddr,
     },
-    /// Others took this member for dead, and its leases are void.
+    /// Other members declared this member dead, which voids the leases it holds.
     DeclaredDead,
-    /// This member did not run for so long, and others may have taken over its shards.
+    /// This member was not run for this long, in nanoseconds, so others may have taken over its shards.
     Stalled(Nanos),
-    /// Another process has this member's name and counts; this one takes no part any more.
+    /// Another process with this member's name takes precedence. This process stops participating.
     Superseded {
-        /// That process's address.
+        /// The address of the other process.
         by: SocketAddr,
     },
-    /// A message, or what it says of a member, was dropped.
+    /// A message, or one of its claims, was dropped.
     MessageDropped {
-        /// What is wrong with it.
+        /// The reason for dropping it.
         reason: MessageError,
-        /// Whose it is.
+        /// The sender's address, or for a single claim the address in that claim.
         from: SocketAddr,
     },
 }
--- a/membership/src/failure_detector.rs
+++ b/membership/src/failure_detector.rs
@@ -1,4 +1,5 @@
-//! Failure detection: probe rounds, indirect probes through other members, and this member's local health.
+//! Failure detection: probe rounds, indirect probes through other members, and this member's local health. A member
+//! that neither answers a ping nor is reached by a helper becomes suspect.
 
 use crate::event::Action;
 use crate::member::{MemberState, Nanos};
@@ -7,36 +8,37 @@
 use crate::message::{MemberClaim, MessageBody};
 use std::net::SocketAddr;
 
-/// The worst local health.
+/// The worst value of the local health multiplier; 0 is healthy.
 const MAX_LOCAL_HEALTH: u32 = 3;
-/// Members that are asked to ping one that has not answered.
+/// The number of members that are asked to ping one that has not answered.
 pub(crate) const INDIRECT_PROBES: usize = 3;
-/// Members pinged for others at a time.
+/// The maximum number of concurrent pings on behalf of others.
 const MAX_PING_REQUESTS: usize = 64;
-/// Members probed in a round by one that hears nobody.
-const MAX_PROBES: usize = 64;
-/// More suspects allow for so many more probes in a round.
+/// The maximum number of members that an isolated member probes in a round.
+const MAX_ISOLATED_PROBES: usize = 64;
+/// The maximum number of probes added to a round while members are suspect, one for every [`SUSPECTS_PER_EXTRA_PROBE`]
+/// suspects.
 const MAX_EXTRA_PROBES: usize = 3;
 const SUSPECTS_PER_EXTRA_PROBE: usize = 4;
-/// After so many periods without any message a member is isolated.
+/// A member that received no message for longer than this is isolated; in periods.
 const ISOLATION_PERIODS: u64 = 2;
-/// How many members of the fleet look into a suspicion at once, on average.
-const SUSPICION_CHECKS: f64 = 5.0;
+/// How many members of the fleet check a new suspicion with a probe of their own, on average.
+const MEAN_SUSPICION_CHECKS: f64 = 5.0;
 
-/// A member that has been pinged in this round.
+/// A ping sent in the current round.
 #[derive(Clone, Hash)]
 struct Probe {
     target: u64,
     sequence: u32,
     sent_at: Nanos,
-    /// Whether others were asked to ping it, too.
+    /// Whether helpers were asked to ping the target as well.
     is_indirect: bool,
-    /// Those of them that have not reported yet.
+    /// The helpers that have not reported yet.
     helpers: Vec<u64>,
     answered: bool,
 }
 
-/// A member that is pinged for another.
+/// A ping sent on behalf of another member.
 #[derive(Clone, Hash)]
 struct PingRequest {
     requester: SocketAddr,
@@ -48,15 +50,15 @@
 
 #[derive(Clone, Hash)]
 pub(crate) struct FailureDetector {
-    /// The members to probe in turn, in a random order, and how far that is done.
+    /// The members to probe in the current pass, in random order; those before `position` are done.
     probe_order: Vec<u64>,
     position: usize,
     probes: Vec<Probe>,
     ping_requests: Vec<PingRequest>,
-    /// When anybody was heard last.
+    /// When the last valid message was received.
     pub last_heard: Nanos,
     pub next_round: Nanos,
-    /// 0 is healthy.
+    /// Lifeguard's local health multiplier, from 0 (healthy) to [`MAX_LOCAL_HEALTH`].
     pub local_health: u32,
     sequence: u32,
 }
@@ -75,12 +77,12 @@
         }
     }
 
-    /// How long the answer to a direct ping may take.
+    /// Returns how long the answer to a direct ping may take: 0.3 periods, and 0.15 more per step of local health.
     fn ping_timeout(&self, period: Nanos) -> Nanos {
         period * 3 / 10 * Nanos::from(2 + self.local_health) / 2
     }
 
-    /// When the next probe round, or something within one, is due.
+    /// Returns when the next probe round, ping timeout or ping request deadline is due.
     pub fn earliest_timer(&self, period: Nanos) -> Option<Nanos> {
         let direct = self.probes.iter().filter(|p| !p.answered && !p.is_indirect);
         let timeout = self.ping_timeout(period);
@@ -98,7 +100,8 @@
         self.local_health = self.local_health.saturating_sub(1);
     }
 
-    /// This process did not run for a while: what it waited for is void.
+    /// Discards the open probes after a stall, as their answers may have arrived unread, and starts a new round at
+    /// once.
     pub fn on_stall(&mut self, now: Nanos) {
         self.probes.clear();
         self.degrade_local_health(1);
@@ -106,12 +109,12 @@
     }
 
     fn next_sequence(&mut self) -> u32 {
-        // 0 is for pings whose answer does not matter.
+        // 0 marks pings whose answer is ignored.
         self.sequence = self.sequence.wrapping_add(1).max(1);
         self.sequence
     }
 
-    /// The indexes of the probes that were not answered in time.
+    /// Returns the indexes of the direct probes that were not answered in time.
     fn late_probes(&self, now: Nanos, period: Nanos) -> Vec<usize> {
         let timeout = self.ping_timeout(period);
         let is_late =
@@ -136,24 +139,24 @@
         self.position = 0;
     }
 
-    /// A new member is probed within the pass that is under way: its place may be any from here on.
-    pub fn places_left(&self) -> std::ops::RangeInclusive<usize> {
+    /// Returns the positions at which a new member may be inserted, so that it is still probed in the current pass.
+    pub fn remaining_positions(&self) -> std::ops::RangeInclusive<usize> {
         let first = self.position.min(self.probe_order.len());
         first..=self.probe_order.len()
     }
 
-    pub fn insert_into_pass(&mut self, place: usize, id: u64) {
-        self.probe_order.insert(place, id);
+    pub fn insert_into_probe_order(&mut self, position: usize, id: u64) {
+        self.probe_order.insert(position, id);
     }
 
     fn probe_next(&mut self, id: u64) {
-        let place = self.position.min(self.probe_order.len());
-        self.probe_order.insert(place, id);
+        let position = self.position.min(self.probe_order.len());
+        self.probe_order.insert(position, id);
     }
 }
 
 impl Membership {
-    /// Has others ping those that have not answered in time.
+    /// Asks helpers to ping the members that have not answered in time.
     pub(crate) fn request_indirect_probes(&mut self, now: Nanos, out: &mut Vec<Action>) {
         for index in self.detector.late_probes(now, self.period) {
             let (target, sequence) = {
@@ -171,7 +174,7 @@
         }
     }
 
-    /// Reports members that have not answered to those that asked for them.
+    /// Reports failed pings on behalf of others to their requesters.
     pub(crate) fn expire_ping_requests(&mut self, now: Nanos, out: &mut Vec<Action>) {
         for request in self.detector.take_late_ping_requests(now) {
             self.report_ping_result(&request, false, out);
@@ -186,14 +189,15 @@
         self.send_to(request.requester, body, None, out);
     }
 
-    /// Suspects those that have not answered in the round.
+    /// Ends the probe round: suspects the members that have not answered, and adjusts the local health.
     pub(crate) fn finish_probe_round(&mut self, now: Nanos, out: &mut Vec<Action>) {
         for probe in std::mem::take(&mut self.detector.probes) {
             if probe.answered {
                 self.detector.improve_local_health();
                 continue;
             }
-            // Healthy helpers that said nothing either: it may be this member that hears nobody.
+            // Helpers that are known as healthy but did not report either suggest that this member is the one that
+            // receives nothing.
             let is_healthy = |id: &&u64| self.table.is_healthy(**id);
             let silent = probe.helpers.iter().filter(is_healthy).count() as u32;
             self.detector
@@ -202,14 +206,14 @@
         }
     }
 
-    /// Suspects a member, or confirms the suspicion of others.
+    /// Suspects a member, or confirms an existing suspicion. Dead and unknown members are ignored.
     fn suspect(&mut self, now: Nanos, id: u64, out: &mut Vec<Action>) {
         if self.table.is_alive(id) {
             self.declare(now, id, MemberState::Suspect, out);
         }
     }
 
-    /// Concludes by itself that a member is in this state.
+    /// Merges this member's own conclusion that a member is in this state.
     pub(crate) fn declare(
         &mut self,
         now: Nanos,
@@ -227,10 +231,10 @@
         }
     }
 
-    /// Pings the next members in turn.
+    /// Starts a probe round: pings the next members of the pass.
     pub(crate) fn start_probe_round(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let is_isolated = now > self.detector.last_heard + ISOLATION_PERIODS * self.period;
-        // An isolated member probes more of them at a time, to know whether anybody is left.
+        // An isolated member probes more members at once, to find out sooner whether any are reachable.
         let half_periods = if is_isolated {
             2
         } else {
@@ -244,7 +248,7 @@
         let extra = self.table.suspicions.len() / SUSPECTS_PER_EXTRA_PROBE;
         let usual = 1 + extra.min(MAX_EXTRA_PROBES);
         let count = if is_isolated {
-            (self.detector.probe_order.len() / 4).clamp(usual, MAX_PROBES)
+            (self.detector.probe_order.len() / 4).clamp(usual, MAX_ISOLATED_PROBES)
         } else {
             usual
         };
@@ -272,7 +276,7 @@
         self.ping(target, sequence, out);
     }
 
-    /// Pings a member. A suspect hears of the suspicion before all else, so that it can refute it.
+    /// Pings a member. A suspect is told of the suspicion before any other update, so that it can refute it.
     fn ping(&mut self, target: u64, sequence: u32, out: &mut Vec<Action>) {
         let suspicion = Some(target).filter(|id| self.table.suspicions.contains(*id));
         self.send(
@@ -283,7 +287,7 @@
         );
     }
 
-    /// A member has answered a ping.
+    /// Handles the answer to a ping, which may have been sent on behalf of another member.
     pub(crate) fn on_ack(&mut self, sender: u64, sequence: u32, out: &mut Vec<Action>) {
         let probes = &mut self.detector.probes;
         let probe = probes
@@ -302,7 +306,7 @@
         }
     }
 
-    /// Pings a member for another.
+    /// Pings a member on behalf of another, unless the member is unknown or too many such pings are open.
     pub(crate) fn on_ping_request(
         &mut self,
         now: Nanos,
@@ -326,7 +330,7 @@
         self.ping(target, sequence, out);
     }
 
-    /// A helper reports whether the target of a probe has answered it.
+    /// Handles a helper's report of whether the target of a probe has answered.
     pub(crate) fn on_ping_result(
         &mut self,
         now: Nanos,
@@ -345,17 +349,17 @@
         let probe = &mut probes[index];
         probe.answered |= answered;
         probe.helpers.retain(|id| *id != helper);
-        // It has answered none of the helpers either.
+        // All helpers have reported, and none of them received an answer either.
         if !probe.answered && probe.helpers.is_empty() {
             let probe = probes.swap_remove(index);
             self.suspect(now, probe.target, out);
         }
     }
 
-    /// A few of those that hear of a suspicion probe the suspect next, to find out by themselves.
+    /// Lets a few of the members that learn of a suspicion probe the suspect next, so that they judge for themselves.
     pub(crate) fn maybe_check_suspect(&mut self, id: u64) {
         let others = self.table.alive_count().saturating_sub(2).max(1) as f64;
-        let is_chosen = self.random.fraction() < SUSPICION_CHECKS / others;
+        let is_chosen = self.random.fraction() < MEAN_SUSPICION_CHECKS / others;
         let is_probed = self.detector.probes.iter().any(|probe| probe.target == id);
         if is_chosen && !is_probed {
             self.detector.probe_next(id);
--- a/membership/src/gossip.rs
+++ b/membership/src/gossip.rs
@@ -1,5 +1,5 @@
-//! Dissemination: each message carries news of members; what it says is merged into the table, and what is wrong of
-//! this member itself is refuted.
+//! Dissemination: every message carries updates about members. Received claims are merged into the member table, and
+//! false claims about this member itself are refuted.
 
 use crate::event::Action;
 use crate::failure_detector::INDIRECT_PROBES;
@@ -9,20 +9,20 @@
 use crate::message::{self, MemberClaim, MessageBody, MessageError, MessageHeader, MessageWriter};
 use std::net::SocketAddr;
 
-/// Members that news is sent to in a gossip round, beside those that are probed.
+/// The number of members that updates are sent to in a gossip round, besides those that are probed.
 const GOSSIP_FANOUT: usize = 2;
 
 impl Membership {
-    /// Sends what is news to a few.
-    pub(crate) fn spread_news(&mut self, out: &mut Vec<Action>) {
-        if self.table.has_news() {
+    /// Sends pending updates to a few random members.
+    pub(crate) fn send_updates(&mut self, out: &mut Vec<Action>) {
+        if self.table.has_updates() {
             for id in self.random_members(GOSSIP_FANOUT, None) {
                 self.send(id, MessageBody::Gossip, None, out);
             }
         }
     }
 
-    /// So many healthy members, at random.
+    /// Returns up to `count` healthy members other than `except`, chosen at random.
     pub(crate) fn random_members(&mut self, count: usize, except: Option<u64>) -> Vec<u64> {
         let members = self.table.members.iter();
         let healthy = members
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Sends a message with the news that fits; the claim on `first` before all else.
+    /// Sends a message with as many pending updates as fit, after the claim about `first` if that is given.
     pub(crate) fn send_to(
         &mut self,
         to: SocketAddr,
@@ -57,7 +57,7 @@
         if let Some(claim) = &first {
             writer.push(claim);
         }
-        for id in self.table.news() {
+        for id in self.table.updates() {
             let Some(claim) = self.table.claim(id) else {
                 continue;
             };
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Handles a datagram.
+    /// Handles a received datagram.
     pub(crate) fn on_message(
         &mut self,
         now: Nanos,
@@ -110,7 +110,8 @@
             let is_stale = outcome == MergeOutcome::Stale;
             self.on_body(now, from, &header, is_stale, out);
         } else if header.body != MessageBody::Gossip {
-            // An older process of the same name: it hears of this one.
+            // An older process of the same name sent this. It is told of this one, so that it learns that it is
+            // superseded.
             self.send_to(from, MessageBody::Gossip, None, out);
         }
     }
@@ -131,8 +132,9 @@
         Ok((header, claims))
     }
 
-    /// What others concluded elsewhere, maybe in another partition of the network, is checked here. Without this, the
-    /// members of one partition are declared dead by the other when the two merge.
+    /// Merges a claim from a message. A death in a table page, which the sender may have concluded in another partition
+    /// of the network, becomes a suspicion that is checked here. Without this, the members of one partition would be
+    /// declared dead by the other when the two merge.
     fn merge_received(
         &mut self,
         now: Nanos,
@@ -147,8 +149,8 @@
         self.merge(now, &claim, out);
     }
 
-    /// `is_stale`: the sender is known to be dead or suspect, or by a later version. It hears of that, so that it can
-    /// refute it.
+    /// Handles the body of a message. `is_stale` means that the sender is known to be dead or suspect, or under a later
+    /// version; the answer tells it so, so that it can refute this.
     fn on_body(
         &mut self,
         now: Nanos,
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Takes in what is said of any member.
+    /// Merges a claim about any member, and reports or answers what follows from it.
     pub(crate) fn merge(
         &mut self,
         now: Nanos,
@@ -231,8 +233,10 @@
         out: &mut Vec<Action>,
     ) {
         if previous.is_none() {
-            let place = self.random.index_inclusive(self.detector.places_left());
-            self.detector.insert_into_pass(place, id);
+            let position = self
+                .random
+                .index_inclusive(self.detector.remaining_positions());
+            self.detector.insert_into_probe_order(position, id);
         }
         if claim.state == MemberState::Suspect && previous != Some(MemberState::Suspect) {
             self.maybe_check_suspect(id);
@@ -247,7 +251,7 @@
         }
     }
 
-    /// Somebody says something of this member itself.
+    /// Handles a claim about this member itself, which may stem from another process of the same name.
     fn on_claim_about_self(&mut self, now: Nanos, claim: &MemberClaim, out: &mut Vec<Action>) {
         let me = &self.table.me;
         let address = claim.info.address;
@@ -257,7 +261,8 @@
         if incarnation == mine && same_address {
             self.on_claim_about_this_incarnation(now, claim, out);
         } else if incarnation >= mine && (same_address || is_dead) {
-            // An incarnation before this one, as the clock ran back since; or one that another process had and lost.
+            // An earlier run of this process had an incarnation that is not lower, as the system clock was set back
+            // since; or another process had it and is dead. This member moves on to a higher incarnation.
             self.table.announce(now, |me| {
                 me.version = MemberVersion {
                     incarnation,
@@ -288,7 +293,7 @@
         }
     }
 
-    /// Announces a later version, to the accuser first: the suspicion's timeout runs.
+    /// Refutes a claim by announcing a later version. The accuser is told first, as the suspicion's timeout is running.
     fn refute(&mut self, now: Nanos, claim: &MemberClaim, out: &mut Vec<Action>) {
         self.detector.degrade_local_health(1);
         self.table.announce(now, |me| {
--- a/membership/src/gossip_queue.rs
+++ b/membership/src/gossip_queue.rs
@@ -1,18 +1,19 @@
-//! Which members there is news of, and how often that news has been sent: what was sent least often goes first.
+//! The queue of updates to gossip: which members have a pending update, and how often each was sent. The update sent
+//! least often goes first.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// News that is still to be sent, by the member it is about.
+/// The updates that still have to be sent, by the id of the member that they are about.
 #[derive(Clone, Default, Hash)]
 pub(crate) struct GossipQueue {
     times_sent: BTreeMap<u64, u32>,
-    /// The same in the order of sending. Without it, the cost of a message grows with all news, of which it holds a
-    /// little.
+    /// The same entries in sending order. Without this index, the cost of writing a message would grow with the number
+    /// of all pending updates, of which it holds only a few.
     by_times_sent: BTreeSet<(u32, u64)>,
 }
 
 impl GossipQueue {
-    /// There is something new of this member.
+    /// Queues an update about a member, replacing a pending one.
     pub fn push(&mut self, member: u64) {
         self.remove(member);
         self.insert(member, 0);
@@ -24,7 +25,7 @@
         }
     }
 
-    /// The news of this member went out in a message; it leaves the queue after `max_times_sent`.
+    /// Records that the update about a member was sent. It leaves the queue when it was sent `max_times_sent` times.
     pub fn mark_sent(&mut self, member: u64, max_times_sent: u32) {
         let Some(times_sent) = self.times_sent.get(&member).copied() else {
             return;
@@ -35,7 +36,7 @@
         }
     }
 
-    /// The members in the order of sending.
+    /// Iterates over the members in sending order.
     pub fn iter(&self) -> impl Iterator<Item = u64> + '_ {
         self.by_times_sent.iter().map(|(_, member)| *member)
     }
--- a/membership/src/gossip_queue_tests.rs
+++ b/membership/src/gossip_queue_tests.rs
@@ -1,4 +1,4 @@
-//! The order in which news is sent, and how often.
+//! Tests of the order in which updates are sent, and how often.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn what_was_sent_least_often_goes_first_and_leaves_after_its_last_time() {
+fn the_least_sent_update_goes_first_until_it_was_sent_often_enough() {
     let mut queue = GossipQueue::default();
     for member in [3, 1, 2] {
         queue.push(member);
@@ -24,9 +24,9 @@
     assert!(queue.is_empty());
 }
 
-/// Prevents later news of a member that is sent less often, as earlier news of it was sent.
+/// Guards against an update that is sent fewer times because an earlier one about the same member was sent.
 #[test]
-fn later_news_of_a_member_starts_anew() {
+fn a_later_update_about_a_member_starts_over() {
     let mut queue = GossipQueue::default();
     queue.push(1);
     queue.push(2);
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,10 +1,13 @@
-//! Membership of a fleet: who is alive, as one member knows it.
+//! Fleet membership: this member's view of which other members are alive.
 //!
-//! SWIM's failure detection with suspicion and incarnations (Das, Gupta, Motivala, "SWIM", DSN 2002), Lifeguard's local
-//! health and suspicion timeouts (Dadgar, Phillips, Currey, "Lifeguard", 2017), and anti-entropy between whole member
-//! tables, so that partitions of the fleet merge again. On top of it: which member owns which shard, and leases on the
-//! slow-start quota of dead members. [`Membership`] is a state machine: events and the caller's clock go in, actions
-//! come out, and its random numbers follow from a given seed. It must never do I/O, nor act on what it knows of others.
+//! Implements SWIM failure detection with suspicion and incarnations (Das, Gupta, Motivala, "SWIM", DSN 2002),
+//! Lifeguard's local health multiplier and dynamic suspicion timeouts (Dadgar, Phillips, Currey, "Lifeguard", 2017),
+//! and anti-entropy between whole member tables, so that the views of a partitioned fleet merge again. Two services
+//! build on it: shard ownership, and leases on the slow-start quota of dead members.
+//!
+//! [`Membership`] is a deterministic state machine: it takes events and the caller's clock and returns actions, and it
+//! draws all random numbers from a given seed. It performs no I/O. What other members' states mean for the caller's own
+//! work is left to the caller.
 
 mod anti_entropy;
 mod event;
--- a/membership/src/member.rs
+++ b/membership/src/member.rs
@@ -1,37 +1,37 @@
-//! What a fleet's members are. It must never decide anything.
+//! The data types that describe a member: its identity, role, state and version. They contain no protocol logic.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Steady time of the caller, in nanoseconds.
+/// A point on the caller's monotonic clock, or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// One second.
+/// One second, in nanoseconds.
 pub const SECOND: Nanos = 1_000_000_000;
 
-/// The longest datagram, in bytes.
+/// The maximum length of a datagram, in bytes (inclusive).
 pub const MAX_MESSAGE_BYTES: usize = 1200;
-/// The longest name, zone and build of a member, in bytes.
+/// The maximum length of a member's name, zone and build, in bytes each (inclusive).
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// The state of a member. It announces the first three itself; others conclude the last two. The order is the wire
-/// format.
+/// The state of a member. A member announces `Active`, `Standby` and `Leaving` itself, and `Dead` when it shuts down;
+/// others infer `Suspect` and `Dead`. The order of the variants is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It serves.
+    /// The member serves requests.
     Active,
-    /// It runs, and another process serves in its place.
+    /// The member runs while another process serves in its place.
     Standby,
-    /// It shuts down gracefully.
+    /// The member is shutting down gracefully.
     Leaving,
-    /// It does not answer probes.
+    /// The member does not answer probes.
     Suspect,
-    /// It left or failed.
+    /// The member has left or failed.
     Dead,
 }
 
 impl MemberState {
-    /// Of two states under one version the one of higher severity counts.
+    /// Ranks states: of two claims with equal versions, the one with the more severe state wins.
     pub(crate) fn severity(self) -> u8 {
         match self {
             MemberState::Active | MemberState::Standby | MemberState::Leaving => 0,
@@ -40,17 +40,17 @@
         }
     }
 
-    /// Whether a member may announce it of itself while it runs.
+    /// Whether a running member may announce this state of itself.
     pub(crate) fn is_healthy(self) -> bool {
         self.severity() == 0
     }
 
-    /// Whether the member counts for the ownership of shards: a suspect one does until it is dead.
+    /// Whether a member in this state owns shards. A suspect keeps its shards until it is declared dead.
     pub(crate) fn owns_shards(self) -> bool {
         matches!(self, MemberState::Active | MemberState::Suspect)
     }
 
-    /// The word that operators see.
+    /// Returns the name shown to operators.
     pub fn label(self) -> &'static str {
         match self {
             MemberState::Active => "at work",
@@ -62,19 +62,19 @@
     }
 }
 
-/// What a member is in its fleet. The order is the wire format.
+/// The role of a member in its fleet. The order of the variants is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Role {
-    /// A node that decides and forwards by itself.
+    /// A node that makes its own placement decisions and forwards requests.
     Node,
-    /// Forwards as a planner decides.
+    /// Forwards requests according to a planner's decisions.
     Forwarder,
-    /// Decides for forwarders.
+    /// Makes placement decisions for forwarders.
     Planner,
 }
 
 impl Role {
-    /// The word that operators see.
+    /// Returns the name shown to operators.
     pub fn label(self) -> &'static str {
         match self {
             Role::Node => "node",
@@ -84,19 +84,20 @@
     }
 }
 
-/// Orders what is said of one member: the later version counts.
+/// The version of a claim about a member. Of two claims about one member, the one with the higher version wins.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct MemberVersion {
-    /// The run of its process: the system's clock at the start, in milliseconds.
+    /// Identifies the run of the member's process: the system clock at its start, in milliseconds since the Unix epoch.
     pub incarnation: u64,
-    /// Counts what it announced of itself in that run.
+    /// The number of the member's announcement within this incarnation.
     pub sequence: u32,
 }
 
 impl MemberVersion {
-    /// The version of the next announcement.
+    /// Returns the version of the next announcement. When the sequence number is exhausted, the incarnation is
+    /// increased.
     pub(crate) fn next(self) -> MemberVersion {
         match self.sequence.checked_add(1) {
             Some(sequence) => MemberVersion { sequence, ..self },
@@ -108,30 +109,31 @@
     }
 }
 
-/// What a member says of itself that rarely changes. The order of the fields is the wire format.
+/// The properties of a member that rarely change, as announced by the member. The order of the fields is the wire
+/// format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberInfo {
-    /// Unique in the fleet.
+    /// The name, unique in the fleet.
     pub name: String,
-    /// Where it receives messages.
+    /// The address at which the member receives messages.
     pub address: SocketAddr,
-    /// What it is.
+    /// The role in the fleet.
     pub role: Role,
-    /// Its zone.
+    /// The zone in which the member runs.
     pub zone: String,
-    /// Its version of the software.
+    /// The version of the member's software.
     pub build: String,
-    /// Its index by its settings.
+    /// The configured index of the member in the cluster, from 0.
     pub member_index: u32,
-    /// The number of members by its settings; 0 once it has left.
+    /// The configured number of members in the cluster; 0 once the member has left.
     pub cluster_size: u32,
 }
 
-/// One run of a member's process. The order of the fields is the wire format.
+/// Identifies one run of a member's process as the holder of a lease. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseHolder {
     /// The member's index in the cluster.
     pub member_index: u32,
-    /// Tells one run of its process from another; a later run has a higher one.
+    /// The incarnation of the process; a later run has a higher one.
     pub incarnation: u64,
 }
--- a/membership/src/member_table.rs
+++ b/membership/src/member_table.rs
@@ -1,5 +1,6 @@
-//! What one member knows of all others: who there is, in which state, under which version, and what of it is news. It
-//! owns what counts where two claims differ. It must never send anything.
+//! The table of all members known to this one: their info, versions and states, and the updates that still have to be
+//! gossiped. It resolves conflicting claims: the higher version wins, and for equal versions the more severe state. It
+//! sends no messages itself.
 
 use crate::gossip_queue::GossipQueue;
 use crate::member::{MemberInfo, MemberState, MemberVersion, Nanos, MAX_MESSAGE_BYTES};
@@ -11,41 +12,42 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How far in the future an incarnation may lie, in milliseconds: clocks differ.
+/// The maximum distance of an incarnation into the future, in milliseconds. It allows for differences between the
+/// members' system clocks.
 const MAX_CLOCK_SKEW_MS: u64 = 24 * 3600 * 1000;
-/// A lower bound of what a claim takes in a message, in bytes.
+/// The minimum encoded size of a claim in a message, in bytes.
 const MIN_CLAIM_BYTES: usize = 16;
 
-/// The id that a member's name stands for.
+/// Returns the id of the member with this name: a hash of the name.
 pub(crate) fn member_id(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// Another member, as this one knows it.
+/// What this member knows of another member.
 #[derive(Clone, Debug, Hash)]
 pub struct Member {
-    /// What it said of itself.
+    /// The properties that the member announced.
     pub info: Arc<MemberInfo>,
-    /// The version of that.
+    /// The version of the latest claim about the member.
     pub version: MemberVersion,
-    /// Its state.
+    /// The member's state.
     pub state: MemberState,
-    /// Since when it has been in that state.
+    /// When the member entered that state, on this member's clock.
     pub since: Nanos,
 }
 
-/// What came of a claim.
+/// The result of merging a claim into the table.
 #[derive(Debug, PartialEq)]
 pub(crate) enum MergeOutcome {
-    /// It says what is known.
+    /// The claim contains nothing new.
     Unchanged,
-    /// It is older than what is known.
+    /// The claim is older than the table's entry, or has the same version and a less severe state.
     Stale,
-    /// It counts from now on; with the state before, none for a new member.
+    /// The claim replaced the table's entry. Contains the previous state, or `None` for a new member.
     Changed(Option<MemberState>),
-    /// It is about this member itself.
+    /// The claim is about this member itself and was not merged.
     AboutSelf,
-    /// It cannot be true.
+    /// The claim contradicts the table or exceeds a limit.
     Invalid(MessageError),
 }
 
@@ -56,13 +58,14 @@
     pub members: BTreeMap<u64, Member>,
     pub suspicions: Suspicions,
     pub dead: BTreeSet<u64>,
-    news: GossipQueue,
-    /// How often this member's claim on itself has been sent.
+    updates: GossipQueue,
+    /// How many times this member's claim about itself has been sent since it last changed.
     own_times_sent: u32,
-    /// How many members go by each cluster size. Without it, every member is looked at in each turn of the program.
+    /// The number of known members for each configured cluster size. Without this count, every pass of the event loop
+    /// would have to scan all members.
     cluster_sizes: BTreeMap<u32, usize>,
     digest: TableDigest,
-    /// Since when nothing has changed.
+    /// The time of the last change to any entry, or of the start.
     pub unchanged_since: Nanos,
     max_members: usize,
 }
@@ -87,7 +90,7 @@
             members: BTreeMap::new(),
             suspicions: Suspicions::default(),
             dead: BTreeSet::new(),
-            news: GossipQueue::default(),
+            updates: GossipQueue::default(),
             own_times_sent: 0,
             cluster_sizes: BTreeMap::new(),
             digest,
@@ -104,7 +107,7 @@
         self.digest.whole()
     }
 
-    /// How many members are not dead, this one among them.
+    /// Returns the number of members that are not dead, including this one.
     pub fn alive_count(&self) -> usize {
         self.members.len() + 1 - self.dead.len()
     }
@@ -113,17 +116,17 @@
         self.members.get(&id)
     }
 
-    /// Whether a member is known and not dead.
+    /// Whether the member is known and not dead.
     pub fn is_alive(&self, id: u64) -> bool {
         self.get(id).is_some_and(|m| m.state != MemberState::Dead)
     }
 
-    /// Whether a member is known and neither suspect nor dead.
+    /// Whether the member is known and neither suspect nor dead.
     pub fn is_healthy(&self, id: u64) -> bool {
         self.get(id).is_some_and(|m| m.state.is_healthy())
     }
 
-    /// The member that is not dead at this address.
+    /// Returns the id of the other member at this address that is not dead, or `None` if there is none.
     pub fn alive_at(&self, address: SocketAddr) -> Option<u64> {
         self.members
             .iter()
@@ -131,13 +134,13 @@
             .map(|(id, _)| *id)
     }
 
-    /// Whether the member of a claim is known to be alive, under that version.
+    /// Whether the table has the claim's member under the same version and not as dead.
     pub fn knows_alive(&self, claim: &MemberClaim) -> bool {
         self.get(member_id(&claim.info.name))
             .is_some_and(|m| m.state != MemberState::Dead && m.version == claim.version)
     }
 
-    /// Announces something else of this member, under a new version.
+    /// Applies a change to this member's claim about itself and announces it under the next version.
     pub fn announce(&mut self, now: Nanos, change: impl FnOnce(&mut MemberClaim)) {
         let id = self.my_id;
         self.digest.remove(id, self.me.version, self.me.state);
@@ -148,7 +151,7 @@
         self.unchanged_since = now;
     }
 
-    /// Takes in what is said of a member. `clock` is the system's clock, in milliseconds.
+    /// Merges a claim into the table. `clock` is the system clock, in milliseconds since the Unix epoch.
     pub fn merge(&mut self, now: Nanos, claim: &MemberClaim, clock: u64) -> MergeOutcome {
         let id = member_id(&claim.info.name);
         if id == self.my_id {
@@ -195,8 +198,8 @@
             return MergeOutcome::Invalid(MessageError::TwoAddresses);
         }
         let severity = known.state.severity();
-        let is_graver = claim.version == known.version && claim.state.severity() > severity;
-        if is_newer || is_graver {
+        let is_more_severe = claim.version == known.version && claim.state.severity() > severity;
+        if is_newer || is_more_severe {
             let previous = known.state;
             self.apply(now, id, claim);
             return MergeOutcome::Changed(Some(previous));
@@ -204,9 +207,9 @@
         if claim.version < known.version {
             return MergeOutcome::Stale;
         }
-        // Another member that suspects it by itself is news.
+        // A suspicion by a further accuser shortens the timeout, so it is gossiped as an update.
         if claim.state == MemberState::Suspect && self.suspicions.confirm(id, claim.accuser) {
-            self.news.push(id);
+            self.updates.push(id);
         }
         if severity > claim.state.severity() {
             MergeOutcome::Stale
@@ -221,7 +224,7 @@
         self.members.insert(id, member);
     }
 
-    /// A claim counts from now on.
+    /// Replaces a member's entry with the claim, and updates the digest, the update queue and the suspicion to match.
     fn apply(&mut self, now: Nanos, id: u64, claim: &MemberClaim) {
         let Some(member) = self.members.get_mut(&id) else {
             return;
@@ -240,7 +243,7 @@
         self.count_cluster_size(claim.info.cluster_size);
         self.digest.remove(id, version, state);
         self.digest.add(id, claim.version, claim.state);
-        self.news.push(id);
+        self.updates.push(id);
         self.unchanged_since = now;
         if claim.state == MemberState::Suspect {
             self.suspicions.start(now, id, claim.accuser);
@@ -266,7 +269,8 @@
         }
     }
 
-    /// Whether all known members, the dead too, go by this member's cluster size; those that left do not count.
+    /// Whether all known members, dead ones included, use this member's cluster size. Members that have left are
+    /// ignored.
     pub fn agrees_on_cluster_size(&self) -> bool {
         let mine = self.me.info.cluster_size;
         self.cluster_sizes
@@ -274,7 +278,7 @@
             .all(|size| *size == mine || *size == 0)
     }
 
-    /// What is known of a member, to pass it on.
+    /// Returns the current claim about a member, for sending to others, or `None` for an unknown id.
     pub fn claim(&self, id: u64) -> Option<MemberClaim> {
         if id == self.my_id {
             return Some(self.me.clone());
@@ -288,45 +292,45 @@
         })
     }
 
-    /// How often a piece of news is sent.
+    /// Returns how many times an update is sent: with n live members, 2 * ceil(log2(n + 1)) + 2.
     fn max_times_sent(&self) -> u32 {
         2 * (self.alive_count() as f64 + 1.0).log2().ceil() as u32 + 2
     }
 
-    /// The members there is news of, in the order of sending, no more than fit in a message.
-    pub fn news(&self) -> Vec<u64> {
-        self.news
+    /// Returns the members with pending updates in sending order, at most as many as can fit in one message.
+    pub fn updates(&self) -> Vec<u64> {
+        self.updates
             .iter()
             .take(MAX_MESSAGE_BYTES / MIN_CLAIM_BYTES)
             .collect()
     }
 
-    pub fn has_news(&self) -> bool {
-        !self.news.is_empty() || self.own_times_sent < self.max_times_sent()
+    pub fn has_updates(&self) -> bool {
+        !self.updates.is_empty() || self.own_times_sent < self.max_times_sent()
     }
 
-    /// The news of a member went out in a message.
+    /// Records that the update about a member was sent once more.
     pub fn mark_sent(&mut self, id: u64) {
         let max_times_sent = self.max_times_sent();
-        self.news.mark_sent(id, max_times_sent);
+        self.updates.mark_sent(id, max_times_sent);
     }
 
-    /// This member's claim on itself went out, as it does in each message.
+    /// Records that this member's claim about itself was sent, which every message includes.
     pub fn mark_self_sent(&mut self) {
         self.own_times_sent = self.own_times_sent.saturating_add(1);
     }
 
-    /// When the first suspicion expires.
+    /// Returns when the earliest suspicion expires, or `None` if nobody is suspected.
     pub fn next_suspicion_expiry(&self, period: Nanos) -> Option<Nanos> {
         self.suspicions.next_expiry(self.alive_count(), period)
     }
 
-    /// The suspects whose suspicion has expired.
+    /// Returns the suspects whose suspicion has expired.
     pub fn expired_suspects(&self, now: Nanos, period: Nanos) -> Vec<u64> {
         self.suspicions.expired(now, self.alive_count(), period)
     }
 
-    /// Forgets the members that have been dead since then or longer.
+    /// Removes the members that have been dead since this time or earlier.
     pub fn forget_dead_since(&mut self, since: Nanos) {
         let is_old = |id: &&u64| self.get(**id).is_none_or(|member| member.since <= since);
         let old: Vec<u64> = self.dead.iter().filter(is_old).copied().collect();
@@ -335,7 +339,7 @@
         }
     }
 
-    /// Makes room for a new member; gives whether it could.
+    /// Removes the member that has been dead for the longest time. Returns whether there was one.
     fn forget_oldest_dead(&mut self) -> bool {
         let died_at = |id: &&u64| self.get(**id).map(|member| member.since);
         let oldest = self.dead.iter().min_by_key(died_at).copied();
@@ -348,7 +352,7 @@
     fn forget(&mut self, id: u64) {
         if let Some(member) = self.members.remove(&id) {
             self.uncount_cluster_size(member.info.cluster_size);
-            self.news.remove(id);
+            self.updates.remove(id);
         }
         self.dead.remove(&id);
     }
--- a/membership/src/member_table_test_support.rs
+++ b/membership/src/member_table_test_support.rs
@@ -1,9 +1,9 @@
-//! A table that tests start from.
+//! Test support: preloads a member table.
 
 use super::*;
 
 impl MemberTable {
-    /// Has known these members for long, so that there is no news.
+    /// Adds these members as if they had been known for a long time, with no update pending.
     pub(crate) fn preload(&mut self, members: &[(Arc<MemberInfo>, MemberVersion)]) {
         for (info, version) in members {
             let id = member_id(&info.name);
--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The state machine of one member: what it is told is dealt out to the parts of the protocol.
+//! The state machine of one member. It dispatches events to the parts of the protocol and runs their timers.
 
 use crate::anti_entropy::AntiEntropy;
 use crate::event::{Action, Event, MembershipConfig};
@@ -10,16 +10,17 @@
 use crate::random::Random;
 use std::net::SocketAddr;
 
-/// Members that hear directly that this one leaves.
+/// The number of members that this one notifies directly when it leaves.
 const LEAVE_FANOUT: usize = 4;
-/// For how many periods a dead member is remembered.
+/// How long a dead member is remembered, in periods.
 const DEAD_RETENTION_PERIODS: u64 = 1800;
-/// After a stall this member owns no shards for so many periods: the word that others took them over may be under way.
+/// How long this member owns no shards after a stall, in periods: notice that others took its shards over may still be
+/// in transit.
 const STALL_HOLD_OFF_PERIODS: u64 = 3;
-/// A lag may stretch the time between two gossip rounds by so many periods.
+/// The maximum lag, in periods added to the interval between two gossip rounds.
 const MAX_LAG: u32 = 3;
 
-/// One member of a fleet.
+/// One member of a fleet, with its view of all others.
 #[derive(Clone, Hash)]
 pub struct Membership {
     pub(crate) table: MemberTable,
@@ -28,28 +29,30 @@
     pub(crate) fleet_id: u32,
     pub(crate) random: Random,
     started_at: Nanos,
-    /// The system's clock at the start, in milliseconds.
+    /// The system clock at the start, in milliseconds since the Unix epoch.
     started_at_unix_ms: u64,
     pub(crate) detector: FailureDetector,
     pub(crate) anti_entropy: AntiEntropy,
     pub(crate) quota: QuotaLending,
-    /// When gossip goes out by itself.
+    /// When the next gossip round is due.
     pub(crate) next_gossip_round: Nanos,
     gossip_rounds: u32,
-    /// How late it was woken of late; each step adds a period between two gossip rounds.
+    /// How many periods are added to the interval between two gossip rounds, as this member was recently woken late. A
+    /// stall raises it by two; every gossip round lowers it by one.
     lag: u32,
-    /// Until when it owns no shards.
+    /// This member owns no shards before this time, as it has stalled.
     hold_off_until: Nanos,
-    /// It takes no part any more: it has left, or another process took its name.
+    /// Whether this member has stopped participating, because it left or another process took its name.
     pub(crate) is_inactive: bool,
-    /// The latest of its versions that others took for dead.
+    /// The highest version of this member that others declared dead in its current incarnation.
     pub(crate) declared_dead: Option<MemberVersion>,
     next_suspicion_expiry: Nanos,
     next_wakeup: Nanos,
 }
 
 impl Membership {
-    /// Starts a member; `unix_ms` is the system's clock, in milliseconds.
+    /// Creates a member that starts at `now`. `unix_ms` is the system clock, in milliseconds since the Unix epoch, and
+    /// becomes the member's incarnation. All random numbers follow from `seed`.
     pub fn new(
         info: MemberInfo,
         config: MembershipConfig,
@@ -64,9 +67,9 @@
             max_members,
             fleet_id,
         } = config;
-        // Members that start together do not probe in step.
+        // A random offset keeps members that start together from probing in lockstep.
         let first_round = now + (period as f64 / 4.0 * random.fraction()) as Nanos;
-        let sequence = random.number();
+        let sequence = random.next_u32();
         let quota = QuotaLending::new(&info, unix_ms, period, now);
         Membership {
             table: MemberTable::new(info, unix_ms, now, max_members),
@@ -90,57 +93,57 @@
         }
     }
 
-    /// When it is to be woken by [`Event::TimerFired`].
+    /// Returns when the caller must next pass [`Event::TimerFired`].
     pub fn next_wakeup(&self) -> Nanos {
         self.next_wakeup
     }
 
-    /// What this member says of itself.
+    /// Returns the properties that this member announces.
     pub fn info(&self) -> &MemberInfo {
         &self.table.me.info
     }
 
-    /// The version of that.
+    /// Returns the version of this member's latest announcement.
     pub fn version(&self) -> MemberVersion {
         self.table.me.version
     }
 
-    /// The state that it announces.
+    /// Returns the state that this member announces.
     pub fn state(&self) -> MemberState {
         self.table.me.state
     }
 
-    /// All others that it knows.
+    /// Iterates over all other known members, dead ones included.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.table.members.values()
     }
 
-    /// Equal for members that agree on all members.
+    /// Returns a digest of the member table. Members whose tables agree have equal digests.
     pub fn digest(&self) -> u64 {
         self.table.digest()
     }
 
-    /// Since when nothing has changed.
+    /// Returns the time of the last change to the member table.
     pub fn unchanged_since(&self) -> Nanos {
         self.table.unchanged_since
     }
 
-    /// Lifeguard's local health multiplier: each step makes a probe round half a period longer.
+    /// Returns Lifeguard's local health multiplier; 0 is healthy. Each step makes a probe round half a period longer.
     pub fn local_health(&self) -> u32 {
         self.detector.local_health
     }
 
-    /// Whether it takes no part any more, as another process took its name; also once it has left.
+    /// Whether this member has stopped participating, because another process took its name or because it left.
     pub fn superseded(&self) -> bool {
         self.is_inactive
     }
 
-    /// Whether it owns no shards for now, as it has stalled.
+    /// Whether this member currently owns no shards because it has stalled.
     pub fn holds_off(&self, now: Nanos) -> bool {
         now < self.hold_off_until
     }
 
-    /// Handles an event; what is to be done is added to `out`.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
         if self.is_inactive {
             return;
@@ -199,8 +202,8 @@
         self.is_inactive = true;
     }
 
-    /// This process may not have run for a while. Without this, it accuses others of not answering while it did not
-    /// listen.
+    /// Detects that this process was not run for a while. Without this, the member would accuse others of not answering
+    /// while it was not listening itself.
     fn detect_stall(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let late = now.saturating_sub(self.next_wakeup);
         if late > self.period / 2 {
@@ -242,7 +245,8 @@
     }
 
     fn expire_suspicions(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        // A suspicion that has come since has not expired yet.
+        // `next_suspicion_expiry` is the value from the end of the previous event. A suspicion that started since
+        // cannot have expired yet.
         if now < self.next_suspicion_expiry {
             return;
         }
@@ -251,10 +255,10 @@
         }
     }
 
-    /// What each period brings beside the probe round.
+    /// Runs the periodic work besides the probe round: gossip, expiry of dead members, and a ping to a lost member.
     fn run_gossip_round(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        // Without the lag, members of one busy machine are late since all of them are, and keep each other so by what
-        // they send beside their probe rounds.
+        // Without the lag, members on one overloaded machine would stay late: what each sends besides its probe rounds
+        // keeps the others from being run in time.
         self.next_gossip_round = now + self.period * Nanos::from(1 + self.lag);
         self.anti_entropy.refill(self.lag);
         self.gossip_rounds += 1;
@@ -262,10 +266,11 @@
         let forget = now.saturating_sub(DEAD_RETENTION_PERIODS * self.period);
         self.table.forget_dead_since(forget);
         self.ping_lost_member(self.gossip_rounds, out);
-        self.spread_news(out);
+        self.send_updates(out);
     }
 
-    /// The system's clock, as it goes on steadily since the start.
+    /// Returns the current Unix time in milliseconds, derived from the system clock at the start and the monotonic
+    /// clock.
     pub(crate) fn unix_ms(&self, now: Nanos) -> u64 {
         self.started_at_unix_ms + now.saturating_sub(self.started_at) / 1_000_000
     }
--- a/membership/src/message.rs
+++ b/membership/src/message.rs
@@ -1,5 +1,5 @@
-//! The wire format of what members send each other: one datagram each, of bounded length, with a version first. It must
-//! never let anything through that has no bound.
+//! The wire format of membership messages. Each is one datagram of bounded length that starts with a version.
+//! Everything that is read is checked against its bounds before it is passed on.
 
 use crate::member::{MemberInfo, MemberState, MemberVersion, MAX_MESSAGE_BYTES, MAX_NAME_BYTES};
 use serde::{Deserialize, Serialize};
@@ -7,93 +7,93 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 const VERSION: u8 = 1;
-/// The version and the checksum, in bytes.
-const FRONT_BYTES: usize = 5;
-/// Partitions of the member table that are compared by a digest each.
+/// The length of the version and the checksum, in bytes.
+const PREFIX_BYTES: usize = 5;
+/// The number of partitions of the member table, each of which has a digest.
 pub(crate) const TABLE_PARTITIONS: usize = 32;
 
-/// Why a message, or what it says of a member, is dropped.
+/// The reason why a message or one of its claims was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum MessageError {
-    /// Longer than [`MAX_MESSAGE_BYTES`].
-    #[error("a message that is too long")]
+    /// The message is longer than [`MAX_MESSAGE_BYTES`].
+    #[error("message exceeds the maximum datagram length")]
     TooLong,
-    /// Not of this version.
-    #[error("another version, or no message")]
+    /// The message does not start with the supported version.
+    #[error("unsupported version, or not a membership message")]
     Version,
-    /// Cut short, or changed on its way.
-    #[error("a garbled message")]
-    Garbled,
-    /// Fields out of their bounds.
-    #[error("a message out of bounds")]
+    /// The message is truncated or corrupt.
+    #[error("message is truncated or corrupt")]
+    Corrupt,
+    /// A field exceeds its bounds.
+    #[error("field out of bounds")]
     OutOfBounds,
-    /// Of a fleet of another name.
-    #[error("a message of another fleet")]
+    /// The message has another fleet id.
+    #[error("message from another fleet")]
     OtherFleet,
-    /// Its sender's address is not where it came from.
-    #[error("a member that speaks for another address")]
+    /// The sender announces another address than the one that the message came from, or announces itself as suspect.
+    #[error("sender address does not match the announced address")]
     WrongAddress,
-    /// Its receiver is not this member.
-    #[error("a message for another member")]
+    /// The message is addressed to another member.
+    #[error("message for another member")]
     OtherMember,
-    /// An incarnation that the system's clock does not allow.
-    #[error("an incarnation of the far future")]
+    /// The incarnation lies too far ahead of the system clock.
+    #[error("incarnation too far in the future")]
     FarFuture,
     /// The member table is full.
-    #[error("more members than may be kept")]
+    #[error("member table is full")]
     TooManyMembers,
-    /// Two names with one id.
-    #[error("two names of one id")]
+    /// Two names have the same id.
+    #[error("two member names with the same id")]
     IdCollision,
-    /// Two addresses in one incarnation.
+    /// A member has two addresses in one incarnation.
     #[error("two addresses in one incarnation")]
     TwoAddresses,
 }
 
-/// What is said of a member. The order of the fields is the wire format.
+/// A statement about a member, made by itself or by another. The order of the fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Hash, Serialize, Deserialize)]
 pub(crate) struct MemberClaim {
     pub info: MemberInfo,
     pub version: MemberVersion,
     pub state: MemberState,
-    /// The id of the member that found it out, where it is suspect.
+    /// The id of the member that raised the suspicion or concluded the death; 0 if it is unknown, and in other states.
     pub accuser: u64,
 }
 
-/// The order of the variants is the wire format.
+/// The kind of a message and its fields. The order of the variants is the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum MessageBody {
-    /// A probe of the member with this id, or with 0 of any member.
+    /// A probe of the member with the id `target`, or of any member if that is 0.
     Ping { sequence: u32, target: u64 },
     /// The answer to a ping.
     Ack { sequence: u32 },
     /// Asks the receiver to ping another member.
     PingRequest { sequence: u32, target: u64 },
-    /// The answer to that: whether the other member has answered.
+    /// The answer to a ping request: whether the other member has answered.
     PingResult { sequence: u32, answered: bool },
-    /// Claims alone.
+    /// Carries only claims.
     Gossip,
-    /// The digest of each partition of the sender's table.
+    /// The digests of all partitions of the sender's table.
     Digests { partitions: Vec<u32> },
-    /// Asks for leases on these members' quota.
+    /// Asks for leases on the quota of the members with these indexes.
     LeaseRequest { sequence: u32, shares: Vec<u32> },
-    /// The answer to that: the leases that are granted.
+    /// The answer to a lease request: the shares that are granted.
     LeaseGrant { sequence: u32, shares: Vec<u32> },
-    /// Members of the sender's table; the receiver's partitions in this bit mask are requested.
+    /// Carries members of the sender's table as claims, and requests the receiver's partitions in this bit mask.
     TablePage { requested: u32 },
 }
 
-/// The start of each message. The order of the fields is the wire format.
+/// The header of every message. The order of the fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct MessageHeader {
     pub fleet_id: u32,
     pub sender: MemberClaim,
-    /// The digest of the sender's whole table.
+    /// The digest of the sender's whole member table.
     pub digest: u64,
     pub body: MessageBody,
 }
 
-/// Writes a message: version and checksum, the header, then claims to the end.
+/// Writes a message: version, checksum, header, then claims up to the end.
 pub(crate) struct MessageWriter(Vec<u8>);
 
 impl MessageWriter {
@@ -103,7 +103,7 @@
         MessageWriter(bytes)
     }
 
-    /// Adds a claim; gives whether it fits.
+    /// Appends a claim. Returns whether it fits.
     pub fn push(&mut self, claim: &MemberClaim) -> bool {
         let Ok(bytes) = postcard::to_allocvec(claim) else {
             return false;
@@ -116,13 +116,14 @@
     }
 
     pub fn finish(mut self) -> Vec<u8> {
-        let checksum = checksum(&self.0[FRONT_BYTES..]);
-        self.0[1..FRONT_BYTES].copy_from_slice(&checksum);
+        let checksum = checksum(&self.0[PREFIX_BYTES..]);
+        self.0[1..PREFIX_BYTES].copy_from_slice(&checksum);
         self.0
     }
 }
 
-/// The checksum of a message's rest. Without it, a flipped bit in a name, an address or a version is believed.
+/// Returns the checksum of everything that follows it in a message. Without it, a flipped bit in a name, an address or
+/// a version would be accepted.
 pub fn checksum(bytes: &[u8]) -> [u8; 4] {
     (xxh3_64(bytes) as u32).to_le_bytes()
 }
@@ -139,29 +140,30 @@
         && !info.address.ip().is_unspecified()
 }
 
-/// Reads a whole message.
+/// Decodes and validates a complete message.
 ///
 /// # Errors
-/// What is wrong with it.
+///
+/// Returns the reason for which the message must be dropped.
 pub(crate) fn read(bytes: &[u8]) -> Result<(MessageHeader, Vec<MemberClaim>), MessageError> {
     match bytes.first() {
         _ if bytes.len() > MAX_MESSAGE_BYTES => return Err(MessageError::TooLong),
         Some(&VERSION) => {}
         _ => return Err(MessageError::Version),
     }
-    let garbled = |_| MessageError::Garbled;
-    let (Some(sent), Some(rest)) = (bytes.get(1..FRONT_BYTES), bytes.get(FRONT_BYTES..)) else {
-        return Err(MessageError::Garbled);
+    let corrupt = |_| MessageError::Corrupt;
+    let (Some(sent), Some(rest)) = (bytes.get(1..PREFIX_BYTES), bytes.get(PREFIX_BYTES..)) else {
+        return Err(MessageError::Corrupt);
     };
     if sent != checksum(rest) {
-        return Err(MessageError::Garbled);
+        return Err(MessageError::Corrupt);
     }
     let (header, mut rest): (MessageHeader, &[u8]) =
-        postcard::take_from_bytes(rest).map_err(garbled)?;
+        postcard::take_from_bytes(rest).map_err(corrupt)?;
     let mut claims = Vec::new();
     while !rest.is_empty() {
         let (claim, after): (MemberClaim, &[u8]) =
-            postcard::take_from_bytes(rest).map_err(garbled)?;
+            postcard::take_from_bytes(rest).map_err(corrupt)?;
         claims.push(claim);
         rest = after;
     }
--- a/membership/src/message_bytes_tests.rs
+++ b/membership/src/message_bytes_tests.rs
@@ -1,4 +1,4 @@
-//! The exact bytes of what members send each other, of every kind: an older and a newer process share a fleet.
+//! Pins the encoding of every kind of membership message, as older and newer processes share a fleet.
 
 use super::*;
 use crate::member::Role;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_message_with_claims_keeps_its_bytes() {
+fn a_message_with_claims_keeps_its_encoding() {
     let claims = [
         claim(MemberState::Standby, Role::Forwarder),
         claim(MemberState::Leaving, Role::Planner),
@@ -67,18 +67,18 @@
     );
 }
 
-/// What is behind the claim of the sender is all that differs.
+/// Compares only what follows the sender's claim and the digest; the rest is the same for all kinds.
 #[test]
-fn each_kind_of_body_keeps_its_bytes() {
+fn each_kind_of_body_keeps_its_encoding() {
     let tail = |body: MessageBody| {
-        let front = postcard::to_allocvec(&(
+        let prefix = postcard::to_allocvec(&(
             9u32,
             claim(MemberState::Active, Role::Node),
             0x1122_3344_5566_7788u64,
         ));
         let written = bytes(body, &[]);
-        hex(written[FRONT_BYTES..]
-            .strip_prefix(front.unwrap().as_slice())
+        hex(written[PREFIX_BYTES..]
+            .strip_prefix(prefix.unwrap().as_slice())
             .unwrap())
     };
     assert_eq!(
--- a/membership/src/quota.rs
+++ b/membership/src/quota.rs
@@ -1,5 +1,5 @@
-//! Lending of slow-start quota: each member has an equal share of it, keeps a part of its own whatever happens, and uses
-//! the rest, and the shares of dead members, under leases that a majority granted.
+//! Lending of slow-start quota. Every member has an equal share. It always keeps a fixed fraction of its own; the rest,
+//! and the shares of dead members, may only be used under a lease that a majority has granted.
 
 use crate::event::Action;
 use crate::member::{LeaseHolder, MemberInfo, MemberState, Nanos};
@@ -9,26 +9,26 @@
 use crate::rendezvous::owner;
 use std::collections::BTreeSet;
 
-/// For how many periods a share is leased.
+/// The length of a lease, in periods.
 const LEASE_PERIODS: u64 = 3;
-/// The part of a member's share that is never lent.
-const OWN_PART: f64 = 0.5;
+/// The fraction of a member's share that is never lent.
+const RESERVED_FRACTION: f64 = 0.5;
 
-/// How much of a member's quota this one may use.
+/// A fraction of a member's quota that this member may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaShare {
-    /// The index of the member whose quota it is.
+    /// The index of the member to which the quota belongs.
     pub member_index: u32,
-    /// How much of that, up to 1.
+    /// The usable fraction of that quota, from 0 to 1.
     pub fraction: f64,
 }
 
 #[derive(Clone, Hash)]
 pub(crate) struct QuotaLending {
     leases: QuotaLeases,
-    /// Whether lending is of use now.
+    /// Whether this member requests leases; see [`crate::Event::QuotaLendingChanged`].
     pub lending: bool,
-    /// The cluster size before the one that counts now, until all go by that.
+    /// The cluster size before the latest change, or `None` if it has not changed since all members last agreed on it.
     previous_cluster_size: Option<u32>,
 }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// This member has another place: all leases are void.
+    /// Starts over after a change of this member's index or of the cluster size, which voids all leases.
     pub fn restart(
         &mut self,
         info: &MemberInfo,
@@ -68,7 +68,8 @@
 }
 
 impl Membership {
-    /// Asks all members for leases on this member's own share and on those of dead members that are its to take over.
+    /// Requests leases from all members when they are due: on the lendable part of this member's own share, and on the
+    /// shares of those dead members that are assigned to it.
     pub(crate) fn request_leases(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let mut shares = BTreeSet::new();
         if self.agrees_on_cluster_size() && self.table.me.state == MemberState::Active {
@@ -110,7 +111,7 @@
         shares
     }
 
-    /// Which members' quota this member may use now.
+    /// Returns the quota that this member may use now, by the member to which it belongs.
     pub fn quota_shares(&self, now: Nanos) -> Vec<QuotaShare> {
         let me = &self.table.me.info;
         if self.is_inactive {
@@ -123,45 +124,46 @@
             .filter(|share| *share < me.cluster_size)
             .map(|member_index| QuotaShare {
                 member_index,
-                fraction: 1.0 - OWN_PART,
+                fraction: 1.0 - RESERVED_FRACTION,
             })
             .collect();
-        let own_part = self.own_part();
+        let reserved_fraction = self.reserved_fraction();
         match shares
             .iter_mut()
             .find(|share| share.member_index == me.member_index)
         {
-            Some(share) => share.fraction += own_part,
+            Some(share) => share.fraction += reserved_fraction,
             None => shares.push(QuotaShare {
                 member_index: me.member_index,
-                fraction: own_part,
+                fraction: reserved_fraction,
             }),
         }
         shares
     }
 
-    /// The part of its own share that this member uses without a lease. Where cluster sizes differ, no more of the whole
-    /// than by either.
-    fn own_part(&self) -> f64 {
+    /// Returns the fraction of its own share that this member uses without a lease. While members disagree on the
+    /// cluster size, it uses no more of the total quota than under the size before its latest change, and none if its
+    /// own size has not changed.
+    fn reserved_fraction(&self) -> f64 {
         if self.agrees_on_cluster_size() {
-            return OWN_PART;
+            return RESERVED_FRACTION;
         }
         let cluster_size = self.table.me.info.cluster_size;
         match self.quota.previous_cluster_size {
             Some(previous) => {
-                OWN_PART * (f64::from(cluster_size) / f64::from(previous.max(1))).min(1.0)
+                RESERVED_FRACTION * (f64::from(cluster_size) / f64::from(previous.max(1))).min(1.0)
             }
             None => 0.0,
         }
     }
 
-    /// Whether a sender goes by this member's cluster size, and is another member of it.
+    /// Whether the sender uses this member's cluster size and has another index.
     fn is_other_member(&self, sender: &MemberInfo) -> bool {
         let me = &self.table.me.info;
         sender.cluster_size == me.cluster_size && sender.member_index != me.member_index
     }
 
-    /// A member asks for leases.
+    /// Handles a member's request for leases.
     pub(crate) fn on_lease_request(
         &mut self,
         now: Nanos,
@@ -181,7 +183,7 @@
         }
     }
 
-    /// A member has granted leases.
+    /// Handles leases that a member has granted.
     pub(crate) fn on_lease_grant(&mut self, sender: &MemberClaim, sequence: u32, shares: &[u32]) {
         if self.is_other_member(&sender.info) {
             let member_index = sender.info.member_index;
--- a/membership/src/quota_leases.rs
+++ b/membership/src/quota_leases.rs
@@ -1,13 +1,13 @@
-//! Leases on quota that one member may use at a time, granted by a majority of a cluster of fixed size. It owns what
-//! this member has granted to others and what others have granted to it, each by its own steady clock. It must never
-//! know what the quota is of, nor who is alive.
+//! Leases on quota shares, each held by at most one member at a time and granted by a majority of a cluster of fixed
+//! size. Each member tracks the grants that it gave and received by its own monotonic clock. This module is independent
+//! of what the quota is for and of which members are alive.
 
 use crate::member::{LeaseHolder, Nanos};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The clocks of two machines drift apart by less than one part in so many.
+/// The inverse of the maximum clock drift: the clocks of two machines drift apart by less than one part in 16.
 const MAX_CLOCK_DRIFT: Nanos = 16;
-/// A lease is renewed so many times in its length.
+/// How many times a lease is renewed within its length.
 const RENEWALS_PER_LEASE: Nanos = 3;
 
 #[derive(Clone, Hash)]
@@ -16,26 +16,27 @@
     expires_at: Nanos,
 }
 
-/// A request to all members for leases.
+/// A request for leases, to be sent to all members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseRequest {
     pub sequence: u32,
     pub shares: Vec<u32>,
 }
 
-/// One member's side of all leases. A share is named by the index of the member whose quota it is.
+/// One member's side of all leases, as holder and as grantor. A share is identified by the index of the member to which
+/// the quota belongs.
 #[derive(Clone, Hash)]
 pub struct QuotaLeases {
     me: LeaseHolder,
     cluster_size: u32,
     length: Nanos,
-    /// What this member granted before then it does not know.
+    /// When this member started. It does not know of grants that it gave before.
     started_at: Nanos,
-    /// Grants to others and to itself, by share.
+    /// The grants that this member gave to others and to itself, by share.
     granted: BTreeMap<u32, Grant>,
-    /// The shares that this member wants, and until when each member has granted them.
+    /// The shares that this member wants, and when each member's grant of them expires.
     wanted: BTreeMap<u32, BTreeMap<u32, Nanos>>,
-    /// When each request was sent, by its sequence number.
+    /// When each recent request was sent, by its sequence number.
     requested_at: BTreeMap<u32, Nanos>,
     sequence: u32,
     next_request_at: Nanos,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Wants these shares from here on, and releases others.
+    /// Replaces the set of wanted shares and releases the others.
     pub fn set_wanted(&mut self, shares: &BTreeSet<u32>) {
         self.wanted.retain(|share, _| shares.contains(share));
         for share in shares {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// The request to all members that is due now, if one is.
+    /// Returns the request that is due now, or `None`.
     pub fn take_due_request(&mut self, now: Nanos) -> Option<LeaseRequest> {
         if self.wanted.is_empty() || now < self.next_request_at {
             return None;
@@ -76,7 +77,7 @@
         self.requested_at
             .retain(|_, sent| now < sent.saturating_add(length));
         let shares: Vec<u32> = self.wanted.keys().copied().collect();
-        // Its own vote counts like any other.
+        // This member's own vote counts like any other.
         let granted = self.on_request(now, self.me, &shares);
         self.on_grant(self.me.member_index, self.sequence, &granted);
         Some(LeaseRequest {
@@ -85,15 +86,16 @@
         })
     }
 
-    /// When the next request is due.
+    /// Returns when the next request is due, or `None` if no shares are wanted.
     pub fn next_request_at(&self) -> Option<Nanos> {
         (!self.wanted.is_empty()).then_some(self.next_request_at)
     }
 
-    /// A member asks for leases on these shares; gives those that are granted.
+    /// Handles a request for leases on these shares. Returns the shares that are granted.
     pub fn on_request(&mut self, now: Nanos, holder: LeaseHolder, shares: &[u32]) -> Vec<u32> {
         let may_have_forgotten = now < self.started_at.saturating_add(self.length);
-        // Without this, a share is granted twice as this member has forgotten the first grant.
+        // Without this check, a share could be leased to two members after a restart, as the earlier grant is
+        // forgotten.
         if may_have_forgotten || holder.member_index >= self.cluster_size {
             return Vec::new();
         }
@@ -111,13 +113,13 @@
         granted
     }
 
-    /// A member has granted these shares.
+    /// Handles a member's grant of these shares. Unknown sequence numbers are ignored.
     pub fn on_grant(&mut self, member_index: u32, sequence: u32, shares: &[u32]) {
         let Some(&requested_at) = self.requested_at.get(&sequence) else {
             return;
         };
-        // Counted from the request, which was sent before the grant began. Without this, a late answer is used when the
-        // grant has expired.
+        // The lease is counted from the request, which was sent before the grant began, and shortened by the clock
+        // drift. Without this, a late answer would extend the lease beyond the end of the grant.
         let expires_at = requested_at + self.length - self.length / MAX_CLOCK_DRIFT;
         for share in shares.iter().filter(|_| member_index < self.cluster_size) {
             if let Some(grants) = self.wanted.get_mut(share) {
@@ -127,7 +129,7 @@
         }
     }
 
-    /// The shares that a majority has granted to this member now.
+    /// Returns the shares that a majority has currently granted to this member.
     pub fn held(&self, now: Nanos) -> impl Iterator<Item = u32> + '_ {
         let valid = move |grants: &BTreeMap<u32, Nanos>| {
             grants.values().filter(|expiry| now < **expiry).count()
--- a/membership/src/quota_tests.rs
+++ b/membership/src/quota_tests.rs
@@ -1,4 +1,4 @@
-//! Lending of quota in fleets in simulated time.
+//! Tests of quota lending in simulated fleets.
 
 use crate::simulation::*;
 use crate::*;
@@ -13,14 +13,15 @@
     }
 }
 
-/// Prevents shares of dead members that stay unused, and more than the whole used in any partition of a fleet, whatever it believes.
+/// Guards against shares of dead members that stay unused, and against members that together use more than the whole
+/// quota in any partition of the fleet, whatever they believe about each other.
 #[test]
-fn shares_of_the_dead_are_lent_and_never_more_than_the_whole_is_used() {
+fn shares_of_the_dead_are_lent_and_the_whole_quota_is_never_exceeded() {
     let mut simulation = Simulation::new(6, true, 21);
     for member in simulation.nodes.iter_mut().flatten() {
         member.table.me.info.cluster_size = 6;
     }
-    let part_used = |simulation: &Simulation| -> f64 {
+    let fraction_used = |simulation: &Simulation| -> f64 {
         let used = |member: &Membership| {
             member
                 .quota_shares(simulation.now)
@@ -34,37 +35,37 @@
     let mut run = |simulation: &mut Simulation, periods: u64| {
         for _ in 0..periods * 10 {
             simulation.run(simulation.now + PERIOD / 10);
-            max_used = max_used.max(part_used(simulation));
+            max_used = max_used.max(fraction_used(simulation));
         }
-        part_used(simulation)
+        fraction_used(simulation)
     };
     run(&mut simulation, 6);
-    // They all learn of the cluster size that they share.
+    // All members announce the shared cluster size.
     change_cluster_size(&mut simulation, 6, 7);
     change_cluster_size(&mut simulation, 6, 6);
     for node in 0..6 {
         simulation.handle(node, Event::QuotaLendingChanged(true));
     }
-    let near = |share: f64, expected: f64| {
+    let assert_near = |share: f64, expected: f64| {
         assert!(
             (share - expected).abs() < 1e-9,
             "{share} used, not {expected}"
         );
     };
-    near(run(&mut simulation, 12), 1.0);
+    assert_near(run(&mut simulation, 12), 1.0);
     simulation.kill(2);
-    near(run(&mut simulation, 20), 0.5 * 5.0 / 6.0 + 0.5);
-    // The smaller partition uses its own halves alone; the larger one what is lent, too.
+    assert_near(run(&mut simulation, 20), 0.5 * 5.0 / 6.0 + 0.5);
+    // The smaller partition only uses its reserved halves; the larger one also uses what is lent.
     simulation.partition = vec![0, 0, 0, 1, 1, 1];
-    near(run(&mut simulation, 20), 0.5 * 5.0 / 6.0);
+    assert_near(run(&mut simulation, 20), 0.5 * 5.0 / 6.0);
     simulation.partition = vec![0, 0, 0, 0, 0, 1];
-    near(run(&mut simulation, 30), 0.5 * 5.0 / 6.0 + 0.5);
+    assert_near(run(&mut simulation, 30), 0.5 * 5.0 / 6.0 + 0.5);
     simulation.partition = vec![0; 6];
     run(&mut simulation, 15);
-    // One that goes on after six periods has its lease run out on its own clock.
+    // A member that stalls for six periods finds its lease expired by its own clock.
     simulation.stalled_until[4] = simulation.now + 6 * PERIOD;
     run(&mut simulation, 12);
-    // A cluster that shrinks in a partition, and grows again.
+    // The cluster shrinks in one partition, and grows again.
     simulation.partition = vec![0, 0, 0, 0, 1, 1];
     run(&mut simulation, 5);
     change_cluster_size(&mut simulation, 2, 4);
@@ -74,6 +75,6 @@
     run(&mut simulation, 30);
     assert!(
         max_used <= 1.0 + 1e-9,
-        "{max_used} of the whole were used at a time"
+        "{max_used} of the whole quota was used at once"
     );
 }
--- a/membership/src/random.rs
+++ b/membership/src/random.rs
@@ -1,11 +1,11 @@
-//! Random numbers that follow from a seed.
+//! A seeded random number generator.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::hash::{Hash, Hasher};
 use std::ops::{Range, RangeInclusive};
 
-/// A generator that can be hashed by its position, as model checking tells states apart.
+/// A generator that hashes by its position, so that a model checker can tell states apart.
 #[derive(Clone)]
 pub(crate) struct Random(ChaCha8Rng);
 
@@ -20,12 +20,12 @@
         Random(ChaCha8Rng::seed_from_u64(seed))
     }
 
-    /// From 0 up to, but not including, 1.
+    /// Returns a number from 0 (inclusive) to 1 (exclusive).
     pub fn fraction(&mut self) -> f64 {
         self.0.random()
     }
 
-    pub fn number(&mut self) -> u32 {
+    pub fn next_u32(&mut self) -> u32 {
         self.0.random()
     }
 
@@ -37,7 +37,7 @@
         self.0.random_range(range)
     }
 
-    /// Puts all in a random order.
+    /// Shuffles a slice.
     pub fn shuffle<T>(&mut self, all: &mut [T]) {
         for n in (1..all.len()).rev() {
             let other = self.index_inclusive(0..=n);
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Keeps so many of all, in a random order.
+    /// Returns `count` random elements in random order, or all of them if there are fewer.
     pub fn choose<T>(&mut self, mut all: Vec<T>, count: usize) -> Vec<T> {
         let count = count.min(all.len());
         for n in 0..count {
--- a/membership/src/rendezvous_tests.rs
+++ b/membership/src/rendezvous_tests.rs
@@ -1,10 +1,10 @@
-//! How shards are dealt out to members.
+//! Tests of the distribution of shards among members.
 
 use super::*;
 
-/// Prevents shards that move between members that stay, and members that own far more than others.
+/// Guards against shards that move between remaining members, and against members that own far more than others.
 #[test]
-fn a_death_moves_its_own_shards_alone_and_they_are_dealt_out_evenly() {
+fn a_death_moves_only_its_own_shards_and_shards_are_spread_evenly() {
     let members: Vec<u64> = (1..=20).map(|n| n * 0x9e37_79b9).collect();
     let owners = |members: &[u64]| -> Vec<u64> {
         (0..4000)
--- a/membership/src/sharding.rs
+++ b/membership/src/sharding.rs
@@ -1,4 +1,4 @@
-//! Which shards this member owns, and where the member of an index is.
+//! Shard ownership, and lookups between member indexes and addresses.
 
 use crate::member::{MemberState, Nanos};
 use crate::member_table::Member;
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 impl Membership {
-    /// The ids of the members that may own shards, this one among them.
+    /// Returns the ids of the members that may own shards, including this one if it is eligible.
     pub(crate) fn shard_owners(&self) -> Vec<u64> {
         let me = Some(self.table.my_id)
             .filter(|_| self.table.me.state == MemberState::Active && !self.is_inactive);
@@ -20,7 +20,7 @@
             .collect()
     }
 
-    /// Of these shards, those that this member owns.
+    /// Returns those of the given shards that this member owns; none while it holds off after a stall.
     pub fn owned_shards(&self, now: Nanos, shards: impl Iterator<Item = u64>) -> Vec<u64> {
         if self.holds_off(now) {
             return Vec::new();
@@ -31,7 +31,8 @@
             .collect()
     }
 
-    /// Where the member of an index receives messages, unless it is dead.
+    /// Returns the address of the member with this index, or `None` if it is unknown, dead or uses another cluster
+    /// size.
     pub fn address_of(&self, member_index: u32) -> Option<SocketAddr> {
         self.peers()
             .find(|member| {
@@ -40,21 +41,23 @@
             .map(|member| member.info.address)
     }
 
-    /// The index of the member that receives messages at this address.
+    /// Returns the index of the member at this address, or `None` if it is unknown or uses another cluster size. Dead
+    /// members are included.
     pub fn member_index_at(&self, address: SocketAddr) -> Option<u32> {
         self.peers()
             .find(|member| member.info.address == address)
             .map(|member| member.info.member_index)
     }
 
-    /// The members that go by this one's cluster size.
+    /// Iterates over the members that use this member's cluster size.
     fn peers(&self) -> impl Iterator<Item = &Member> {
         let cluster_size = self.table.me.info.cluster_size;
         self.others()
             .filter(move |member| member.info.cluster_size == cluster_size)
     }
 
-    /// Whether all known members, the dead too, go by this member's cluster size; those that left do not count.
+    /// Whether all known members, dead ones included, use this member's cluster size. Members that have left are
+    /// ignored.
     pub fn agrees_on_cluster_size(&self) -> bool {
         self.table.agrees_on_cluster_size()
     }
--- a/membership/src/simulation.rs
+++ b/membership/src/simulation.rs
@@ -1,5 +1,5 @@
-//! A fleet of members in simulated time, for tests: a network between them that loses, duplicates and delays messages
-//! and can be cut, and processes that end and stall.
+//! Simulates a fleet for tests: members in simulated time, a network that loses, duplicates and delays messages and can
+//! be partitioned, and processes that end and stall.
 
 use crate::*;
 use rand::{Rng, SeedableRng};
@@ -9,9 +9,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The protocol period of simulated members.
+/// The protocol period of simulated members, in nanoseconds.
 pub(crate) const PERIOD: Nanos = SECOND;
-/// The system's clock when the simulation starts, in milliseconds.
+/// The system clock at the start of the simulation, in milliseconds since the Unix epoch.
 pub(crate) const START_UNIX_MS: u64 = 1_790_000_000_000;
 const FIRST_PORT: u16 = 1000;
 const MILLISECOND: Nanos = SECOND / 1000;
@@ -51,7 +51,7 @@
     Membership::new(info(node), config, now, unix_ms, node as u64 + now)
 }
 
-/// A message under way; the soonest comes first.
+/// A message in transit. The derived order puts the message that arrives first in front.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct InFlight {
     arrives_at: Nanos,
@@ -61,7 +61,7 @@
     bytes: Vec<u8>,
 }
 
-/// A change of state that a member has seen.
+/// A change of a member's state, as seen by another member.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Observation {
     pub time: Nanos,
@@ -70,18 +70,18 @@
     pub state: MemberState,
 }
 
-/// In periods after a death.
+/// How long the detection of a death took, in periods.
 pub(crate) struct Detection {
-    /// When anyone first suspected it.
+    /// Until any member suspected it.
     pub first: f64,
-    /// When all knew of it.
+    /// Until all members had declared it dead.
     pub all: f64,
 }
 
 pub(crate) struct Simulation {
     pub now: Nanos,
     pub nodes: Vec<Option<Membership>>,
-    /// Until when each node stalls.
+    /// The time at which each node's stall ends; 0 if it never stalled.
     pub stalled_until: Vec<Nanos>,
     wakeups: BinaryHeap<Reverse<(Nanos, usize)>>,
     in_flight: BinaryHeap<Reverse<InFlight>>,
@@ -89,9 +89,9 @@
     pub loss: f64,
     pub duplication: f64,
     pub max_delay: Nanos,
-    /// The partition of the network that each node is in.
+    /// The network partition that each node is in. Messages between partitions are lost.
     pub partition: Vec<usize>,
-    /// Links that are cut, one way each.
+    /// Links that are cut, in the direction from the first node to the second.
     pub cut_links: Vec<(usize, usize)>,
     pub sent: u64,
     pub observed: Vec<Observation>,
@@ -99,12 +99,13 @@
 }
 
 impl Simulation {
-    /// Members that know each other already, or each its seeds alone.
-    pub fn new(count: usize, settled: bool, seed: u64) -> Simulation {
+    /// Creates `count` members. They all know each other already if `settled` is true; otherwise each knows only its
+    /// seeds.
+    pub fn new(count: usize, preloaded: bool, seed: u64) -> Simulation {
         let mut nodes: Vec<Membership> = (0..count)
             .map(|node| new_member(node, 0, &[0, 1, 2]))
             .collect();
-        if settled {
+        if preloaded {
             let all: Vec<_> = nodes
                 .iter()
                 .map(|member| (Arc::new(member.info().clone()), member.version()))
@@ -136,12 +137,12 @@
         }
     }
 
-    /// A node that runs.
+    /// Returns a running node.
     pub fn member(&self, node: usize) -> &Membership {
         self.nodes[node].as_ref().unwrap()
     }
 
-    /// The nodes that run.
+    /// Iterates over the running nodes.
     pub fn running(&self) -> impl Iterator<Item = &Membership> {
         self.nodes.iter().flatten()
     }
@@ -235,7 +236,7 @@
         let member = self.nodes[node].as_ref();
         let due = member.map_or(Nanos::MAX, Membership::next_wakeup);
         if self.stalled_until[node] > at && due == at {
-            // What has arrived is read first when it goes on.
+            // After a stall, the messages that have arrived are handled before the timer.
             let later = self.stalled_until[node] + 1;
             self.wakeups.push(Reverse((later, node)));
         } else if due <= at {
@@ -247,7 +248,7 @@
         self.nodes[node] = None;
     }
 
-    /// Starts a node from nothing.
+    /// Starts a node without any state.
     pub fn start(&mut self, node: usize, member: Membership) {
         self.nodes[node] = Some(member);
         self.handle(node, Event::TimerFired);
@@ -259,13 +260,13 @@
         digests.all(|digest| Some(digest) == first)
     }
 
-    /// Whether all nodes that run know of so many that are not dead.
+    /// Whether each running node counts `alive` members that are not dead, itself included.
     pub fn all_know_of(&self, alive: usize) -> bool {
         self.running()
             .all(|member| member.table.alive_count() == alive)
     }
 
-    /// Runs until all tables agree; gives how many periods that took.
+    /// Runs until all tables agree, and returns how many periods that took.
     pub fn run_until_converged(&mut self, max_periods: u64) -> f64 {
         let from = self.now;
         while !self.has_converged() {
@@ -278,7 +279,7 @@
         (self.now - from) as f64 / PERIOD as f64
     }
 
-    /// Who declared a node dead that runs.
+    /// Returns the observations that declared a running node dead.
     pub fn false_deaths(&self) -> Vec<Observation> {
         let is_false = |seen: &&Observation| {
             seen.state == MemberState::Dead && self.nodes[seen.subject].is_some()
@@ -286,7 +287,7 @@
         self.observed.iter().filter(is_false).copied().collect()
     }
 
-    /// How long a death took to be detected; all nodes that run must know of it.
+    /// Returns how long the detection of a death took. Panics unless every running node has declared it dead.
     pub fn detection(&self, dead: usize, at: Nanos) -> Detection {
         let observations = |states: &[MemberState]| -> Vec<Observation> {
             let seen = self.observed.iter();
--- a/membership/src/simulation_tests.rs
+++ b/membership/src/simulation_tests.rs
@@ -1,17 +1,18 @@
-//! Fleets in simulated time: detection of deaths, partitions, stalls, restarts and graceful leaves.
+//! Tests of fleets in simulated time: detection of deaths, partitions, stalls, restarts and graceful leaves.
 
 use crate::anti_entropy::PAGES_PER_PERIOD;
 use crate::simulation::*;
 use crate::*;
 
-/// Runs of one kind, each by a seed of its own.
+/// The number of runs of one scenario, each with its own seed.
 const SEEDS: u64 = 2;
 
-/// Prevents a death that is found late, known late to some, or that has others declared dead as well.
+/// Guards against deaths that are detected late, that some members learn of late, or that lead to other members being
+/// declared dead as well.
 #[test]
-fn a_death_is_found_soon_and_known_to_all_as_the_fleet_grows() {
+fn a_death_is_detected_soon_and_known_to_all_as_the_fleet_grows() {
     for count in sizes(&[20, 60, 200, 1000]) {
-        let mut found = Vec::new();
+        let mut detected = Vec::new();
         for seed in 0..if count > 200 { 1 } else { 7 } {
             let mut simulation = Simulation::new(count, true, seed);
             simulation.run(3 * PERIOD + seed * PERIOD / 7);
@@ -26,19 +27,19 @@
                 "{count}: {:?}",
                 simulation.false_deaths()
             );
-            println!("{count}: found after {first:.1}, known to all after {all:.1}");
-            found.push(first);
+            println!("{count}: detected after {first:.1}, known to all after {all:.1}");
+            detected.push(first);
         }
-        found.sort_by(f64::total_cmp);
+        detected.sort_by(f64::total_cmp);
         assert!(
-            found[found.len() / 2] <= 2.0,
-            "{count}: found after {found:?}"
+            detected[detected.len() / 2] <= 2.0,
+            "{count}: detected after {detected:?}"
         );
     }
 }
 
-/// The sizes that a test plays, and those that `REEDFERRY_MEMBERS` names beside: `REEDFERRY_MEMBERS=5000 cargo test
-/// --release -p reedferry-membership death -- --nocapture`, which takes gigabytes.
+/// Returns the fleet sizes to test: the usual ones and those listed in `REEDFERRY_MEMBERS`, for example with
+/// `REEDFERRY_MEMBERS=5000 cargo test --release -p reedferry-membership death -- --nocapture`, which takes gigabytes.
 fn sizes(usual: &[usize]) -> Vec<usize> {
     let more = std::env::var("REEDFERRY_MEMBERS").unwrap_or_default();
     usual
@@ -48,7 +49,7 @@
         .collect()
 }
 
-/// Prevents tables that take longer and longer to agree as the fleet grows.
+/// Guards against a convergence time that grows with the size of the fleet.
 #[test]
 fn tables_converge_soon_after_a_partition_as_the_fleet_grows() {
     for count in sizes(&[20, 60, 200]) {
@@ -61,16 +62,17 @@
         let took = simulation.run_until_converged(60);
         let messages = (simulation.sent - before) as f64 / took / count as f64;
         println!(
-            "{count}: converged after {took:.1} periods, {messages:.1} messages a member and period"
+            "{count}: converged after {took:.1} periods, {messages:.1} messages per member and period"
         );
         assert!(took <= 10.0 || count > 200, "{count}: {took}");
     }
 }
 
-/// Prevents a cost that grows with the fleet, and one that goes on though nothing happens.
+/// Guards against a message rate per member that grows with the fleet, and against traffic that continues while nothing
+/// changes.
 #[test]
-fn messages_per_member_are_constant_while_nothing_happens() {
-    let a_member = |count: usize| {
+fn messages_per_member_do_not_grow_with_the_size_of_an_idle_fleet() {
+    let messages_per_member = |count: usize| {
         let mut simulation = Simulation::new(count, true, 1);
         simulation.run(4 * PERIOD);
         let before = simulation.sent;
@@ -78,15 +80,15 @@
         assert!(simulation.observed.is_empty() && simulation.has_converged());
         (simulation.sent - before) as f64 / 20.0 / count as f64
     };
-    let (few, many) = (a_member(20), a_member(200));
+    let (few, many) = (messages_per_member(20), messages_per_member(200));
     assert!(
         (few / many - 1.0).abs() < 0.1 && many < 2.5,
-        "{few} and {many} messages a period"
+        "{few} and {many} messages per period"
     );
 }
 
 #[test]
-fn half_are_killed_at_once_then_all_but_one_and_they_come_back() {
+fn a_fleet_recovers_after_half_and_then_all_but_one_are_killed() {
     let mut simulation = Simulation::new(20, true, 2);
     simulation.run(3 * PERIOD);
     (0..10).for_each(|node| simulation.kill(node * 2));
@@ -109,9 +111,10 @@
     assert!(simulation.has_converged() && simulation.all_know_of(20));
 }
 
-/// Prevents partitions that stay apart once the network is whole, or that declare each other's members dead when they merge.
+/// Guards against partitions that do not merge after the network has recovered, and against partitions that declare
+/// each other's members dead when they merge.
 #[test]
-fn partitions_settle_on_themselves_and_merge_afterwards() {
+fn partitions_converge_separately_and_merge_afterwards() {
     let splits: [fn(usize) -> usize; 3] = [|n| n / 10, |n| usize::from(n == 19), |n| n % 3];
     for (number, split) in splits.into_iter().enumerate() {
         for (periods, seed) in [2, 30]
@@ -157,9 +160,9 @@
     }
 }
 
-/// Prevents members declared dead because two do not hear each other, or one does not hear another.
+/// Guards against deaths that are declared because two members cannot reach each other, or only in one direction.
 #[test]
-fn a_pair_that_is_cut_and_a_one_way_link_declare_nobody_dead() {
+fn a_cut_pair_and_a_one_way_link_declare_nobody_dead() {
     let mut simulation = Simulation::new(20, true, 4);
     simulation.cut_links = vec![(3, 4), (4, 3), (7, 8)];
     simulation.run(60 * PERIOD);
@@ -171,7 +174,7 @@
 }
 
 #[test]
-fn a_stall_shorter_than_the_suspicion_timeout_is_tolerated_and_a_longer_one_refuted() {
+fn a_short_stall_is_tolerated_and_a_death_declared_in_a_long_one_is_refuted() {
     let mut simulation = Simulation::new(20, true, 5);
     simulation.run(3 * PERIOD);
     simulation.stalled_until[5] = simulation.now + 3 * PERIOD;
@@ -193,22 +196,23 @@
     assert_eq!(
         owned(&simulation),
         0,
-        "it goes on with shards that others have taken over"
+        "it still owns shards that others have taken over"
     );
     assert!(simulation.run_until_converged(20) <= 10.0);
     simulation.run(simulation.now + 10 * PERIOD);
     assert!(
         simulation.has_converged() && simulation.false_deaths().is_empty(),
-        "it accused nobody when it went on: {:?}",
+        "it declared others dead after the stall: {:?}",
         simulation.false_deaths()
     );
     assert!(owned(&simulation) > 0);
     assert!(simulation.member(5).version() > before && simulation.declared_dead == [5]);
 }
 
-/// Prevents a minute in which a fifth is lost, some duplicated, all out of order, that has a member declared dead.
+/// Guards against deaths that are declared while a fifth of the messages is lost, some are duplicated and all are
+/// reordered.
 #[test]
-fn a_lossy_minute_declares_nobody_dead() {
+fn a_lossy_network_declares_nobody_dead() {
     for (count, seed) in (0..SEEDS).map(|s| (20, 6 + s)).chain([(60, 8)]) {
         let mut simulation = Simulation::new(count, true, seed);
         simulation.loss = 0.2;
@@ -241,7 +245,7 @@
 }
 
 #[test]
-fn a_member_that_restarts_from_nothing_is_the_same_member_at_once() {
+fn a_member_that_restarts_without_state_is_known_again_at_once() {
     let mut simulation = Simulation::new(20, true, 10);
     simulation.run(3 * PERIOD);
     simulation.kill(8);
@@ -255,17 +259,17 @@
         "{:?}",
         simulation.false_deaths()
     );
-    // With a clock that ran back, too.
+    // The same with a system clock that was set back.
     simulation.kill(8);
     simulation.run(simulation.now + 2 * PERIOD);
-    let mut back = new_member(8, simulation.now, &[0, 1, 2]);
-    back.table.announce(simulation.now, |me| {
+    let mut restarted = new_member(8, simulation.now, &[0, 1, 2]);
+    restarted.table.announce(simulation.now, |me| {
         me.version = MemberVersion {
             incarnation: START_UNIX_MS - 1000,
             sequence: 0,
         }
     });
-    simulation.start(8, back);
+    simulation.start(8, restarted);
     assert!(simulation.run_until_converged(20) <= 10.0);
     simulation.run(simulation.now + 30 * PERIOD);
     assert!(
@@ -285,14 +289,14 @@
     assert!(simulation.all_know_of(198), "after {took}");
     assert!(
         took <= 14.0 && simulation.false_deaths().is_empty(),
-        "settled after {took} periods"
+        "converged after {took} periods"
     );
 }
 
-/// Prevents members of one busy machine that are late since all of them are, and keep each other so by what they send beside
-/// their rounds.
+/// Guards against members on one overloaded machine that stay late, because what each sends besides its probe rounds
+/// keeps the others from being run in time.
 #[test]
-fn a_member_that_is_woken_late_sends_less_until_it_is_woken_in_time() {
+fn a_member_that_is_woken_late_sends_less_until_woken_on_time() {
     let mut simulation = Simulation::new(10, true, 3);
     let mut member = simulation.nodes[0].take().unwrap();
     let period = member.period;
@@ -317,13 +321,14 @@
     assert_eq!(
         rounds.last(),
         Some(&(period, PAGES_PER_PERIOD)),
-        "late for ever"
+        "the lag never ends"
     );
 }
 
-/// Prevents a member that leaves taken for one that failed, and one whose state others do not learn.
+/// Guards against a leaving member that is taken for a failed one, and against state changes that do not reach all
+/// members.
 #[test]
-fn what_a_member_announces_is_known_to_all() {
+fn announced_states_reach_all_members() {
     let mut simulation = Simulation::new(20, true, 12);
     simulation.run(3 * PERIOD);
     simulation.handle(4, Event::StateChanged(MemberState::Standby));
@@ -351,17 +356,17 @@
     assert_eq!(count(5, MemberState::Suspect), 0);
 }
 
-/// Prevents two processes under one name that supersede each other for ever.
+/// Guards against two processes with one name that supersede each other without end.
 #[test]
-fn of_two_processes_under_one_name_the_later_one_counts() {
+fn of_two_processes_with_one_name_the_later_one_remains() {
     let mut simulation = Simulation::new(21, true, 13);
     simulation.kill(20);
     simulation.run(20 * PERIOD);
-    let mut twin = new_member(3, simulation.now, &[0, 1]);
-    twin.table.announce(simulation.now, |me| {
+    let mut second = new_member(3, simulation.now, &[0, 1]);
+    second.table.announce(simulation.now, |me| {
         (me.info.address, me.version.sequence) = (address(20), u32::MAX);
     });
-    simulation.start(20, twin);
+    simulation.start(20, second);
     simulation.run(simulation.now + 20 * PERIOD);
     assert!(simulation.member(3).superseded() && !simulation.member(20).superseded());
     let known = |member: &Membership| {
--- a/membership/src/suspicion.rs
+++ b/membership/src/suspicion.rs
@@ -1,12 +1,12 @@
-//! Which members are suspected of having failed, by whom, and for how long: the more members suspect it by themselves,
-//! the sooner a suspect is declared dead (Lifeguard's dynamic suspicion timeout).
+//! Suspicions: which members are suspected of having failed, by whom and since when. The more members suspect one
+//! independently, the sooner it is declared dead (Lifeguard's dynamic suspicion timeout).
 
 use crate::member::Nanos;
 use std::collections::BTreeMap;
 
-/// Members that confirm a suspicion until it needs no more of them.
+/// The number of confirmations after which further ones no longer shorten the timeout.
 const MAX_CONFIRMATIONS: usize = 3;
-/// The longest timeout, in the shortest ones.
+/// The ratio of the longest suspicion timeout to the shortest.
 const MAX_TIMEOUT_FACTOR: f64 = 4.0;
 
 #[derive(Clone, Debug, Hash)]
@@ -15,7 +15,7 @@
     accusers: Vec<u64>,
 }
 
-/// All suspicions, by the suspect's id.
+/// All current suspicions, by the suspect's id.
 #[derive(Clone, Default, Hash)]
 pub(crate) struct Suspicions {
     by_member: BTreeMap<u64, Suspicion>,
@@ -34,7 +34,8 @@
         self.by_member.remove(&member);
     }
 
-    /// Another member suspects it too; gives whether that is new and counts.
+    /// Records that another member suspects this one as well. Returns whether the accuser is new and counts towards the
+    /// timeout.
     pub fn confirm(&mut self, member: u64, accuser: u64) -> bool {
         let Some(suspicion) = self.by_member.get_mut(&member) else {
             return false;
@@ -55,7 +56,7 @@
         self.by_member.len()
     }
 
-    /// The member that suspected this one last; 0 where none does.
+    /// Returns the id of the latest accuser, or 0 if the member is not suspected.
     pub fn last_accuser(&self, member: u64) -> u64 {
         let suspicion = self.by_member.get(&member);
         suspicion
@@ -63,17 +64,17 @@
             .unwrap_or(0)
     }
 
-    /// When a suspicion expires, in a fleet of so many members that are not dead.
+    /// Returns a function that computes when a suspicion expires, for `alive` members that are not dead.
     fn expiry(&self, alive: usize, period: Nanos) -> impl Fn(&Suspicion) -> Nanos {
         let min_timeout = (2.0 + (alive as f64).log2() / 4.0) * period as f64;
-        // Those that can confirm it: this member does not wait for the suspects.
+        // The number of members that can still confirm a suspicion. Suspects are not waited for.
         let confirmers = MAX_CONFIRMATIONS.min(alive.saturating_sub(self.len() + 1)) as f64;
         let timeout = move |confirmations: usize| {
             if confirmers == 0.0 {
                 return min_timeout as Nanos;
             }
-            let part = ((confirmations as f64 + 1.0).ln() / (confirmers + 1.0).ln()).min(1.0);
-            (min_timeout * (MAX_TIMEOUT_FACTOR - (MAX_TIMEOUT_FACTOR - 1.0) * part)) as Nanos
+            let fraction = ((confirmations as f64 + 1.0).ln() / (confirmers + 1.0).ln()).min(1.0);
+            (min_timeout * (MAX_TIMEOUT_FACTOR - (MAX_TIMEOUT_FACTOR - 1.0) * fraction)) as Nanos
         };
         let timeouts: [Nanos; MAX_CONFIRMATIONS + 1] = std::array::from_fn(timeout);
         move |suspicion| {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// When the first suspicion expires.
+    /// Returns when the earliest suspicion expires, or `None` if there is none.
     pub fn next_expiry(&self, alive: usize, period: Nanos) -> Option<Nanos> {
         self.by_member
             .values()
@@ -91,7 +92,7 @@
             .min()
     }
 
-    /// The suspects whose suspicion has expired.
+    /// Returns the ids of the suspects whose suspicion has expired.
     pub fn expired(&self, now: Nanos, alive: usize, period: Nanos) -> Vec<u64> {
         let expiry = self.expiry(alive, period);
         self.by_member
@@ -101,7 +102,8 @@
             .collect()
     }
 
-    /// This member did not run for so long, and could not hear what the suspects answered.
+    /// Extends all suspicions by the length of a stall, during which this member could not receive the suspects'
+    /// answers.
     pub fn postpone(&mut self, by: Nanos) {
         for suspicion in self.by_member.values_mut() {
             suspicion.since = suspicion.since.saturating_add(by);
--- a/membership/src/suspicion_tests.rs
+++ b/membership/src/suspicion_tests.rs
@@ -1,11 +1,11 @@
-//! How long suspicions last.
+//! Tests of the duration of suspicions.
 
 use super::*;
 
 const PERIOD: Nanos = 1000;
 const SUSPECT: u64 = 7;
 const ALIVE: usize = 16;
-/// Two periods, and a quarter of the logarithm of the fleet's size.
+/// The shortest timeout: two periods plus a quarter of the binary logarithm of the fleet's size.
 const MIN_TIMEOUT: Nanos = 3 * PERIOD;
 
 fn expiry(suspicions: &Suspicions) -> Option<Nanos> {
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_suspicion_that_nobody_confirms_lasts_longest_and_each_confirmation_shortens_it() {
+fn each_confirmation_shortens_a_suspicion() {
     let mut suspicions = Suspicions::default();
     assert_eq!(expiry(&suspicions), None);
     suspicions.start(100, SUSPECT, 1);
@@ -31,7 +31,8 @@
     assert_eq!(expired(100 + MIN_TIMEOUT), [SUSPECT]);
 }
 
-/// Prevents a suspicion that one accuser confirms twice, or of a member that nobody suspects.
+/// Guards against an accuser that confirms a suspicion twice, and against confirmations for members that are not
+/// suspected.
 #[test]
 fn each_accuser_counts_once_and_only_for_a_suspect() {
     let mut suspicions = Suspicions::default();
--- a/membership/src/table_digest.rs
+++ b/membership/src/table_digest.rs
@@ -1,12 +1,12 @@
-//! Digests that tell two member tables apart, one for each partition and one for all. Their values are the wire format:
-//! members of two builds compare them.
+//! Digests by which members detect that their tables differ: one for each partition and one for the whole table. Their
+//! values are part of the wire format, as members of different builds compare them.
 
 use crate::member::{MemberState, MemberVersion};
 use crate::message::TABLE_PARTITIONS;
 use std::hash::{Hash, Hasher};
 use xxhash_rust::xxh3::Xxh3;
 
-/// A sum of hashes for each partition, so that entries can be taken out again.
+/// A sum of entry hashes for each partition. A sum allows entries to be removed again.
 #[derive(Clone, Default, Hash)]
 pub(crate) struct TableDigest {
     partitions: [u32; TABLE_PARTITIONS],
@@ -18,13 +18,13 @@
     hasher.finish() as u32
 }
 
-/// The partition of a member's id.
+/// Returns the partition that a member's id belongs to.
 pub(crate) fn partition_of(member: u64) -> usize {
     member as usize % TABLE_PARTITIONS
 }
 
 impl TableDigest {
-    /// Dead members are left out, as each member forgets them by itself.
+    /// Adds an entry. Dead members are excluded, as each member forgets them at a different time.
     pub fn add(&mut self, member: u64, version: MemberVersion, state: MemberState) {
         if state != MemberState::Dead {
             let partition = &mut self.partitions[partition_of(member)];
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Takes out what was added with the same values.
+    /// Removes an entry that was added with the same values.
     pub fn remove(&mut self, member: u64, version: MemberVersion, state: MemberState) {
         if state != MemberState::Dead {
             let partition = &mut self.partitions[partition_of(member)];
@@ -44,7 +44,7 @@
         &self.partitions
     }
 
-    /// The digest of all partitions.
+    /// Returns the digest of the whole table.
     pub fn whole(&self) -> u64 {
         let mut hasher = Xxh3::new();
         self.partitions.hash(&mut hasher);
--- a/membership/src/table_digest_tests.rs
+++ b/membership/src/table_digest_tests.rs
@@ -1,4 +1,4 @@
-//! The exact digests: members of two builds compare them.
+//! Pins the digest values, as members of different builds compare them.
 
 use super::*;
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn what_is_added_and_removed_leaves_nothing_and_the_dead_do_not_count() {
+fn removal_undoes_addition_and_dead_members_do_not_count() {
     let mut digest = TableDigest::default();
     let empty = digest.whole();
     digest.add(1, VERSION, MemberState::Dead);
--- a/membership/src/untrusted_input_tests.rs
+++ b/membership/src/untrusted_input_tests.rs
@@ -1,4 +1,4 @@
-//! What strangers, noise and other versions can do to a member: nothing but have it drop a message.
+//! Tests of untrusted input: noise, and messages of strangers or of other versions, may only lead to dropped messages.
 
 use crate::message::{MemberClaim, MessageBody, MessageWriter};
 use crate::simulation::*;
@@ -7,8 +7,8 @@
 use rand_chacha::ChaCha8Rng;
 
 const MAX_MEMBERS: usize = 4;
-/// The node that is a member, and whose messages are valid.
-const FRIEND: usize = 1;
+/// The node that is a member and sends valid messages.
+const PEER: usize = 1;
 
 fn receiver() -> Membership {
     let config = MembershipConfig {
@@ -20,15 +20,15 @@
     Membership::new(info(0), config, 0, START_UNIX_MS, 1)
 }
 
-/// One that has heard of its friend.
-fn receiver_with_friend() -> Membership {
+/// Returns a receiver that already knows the peer.
+fn receiver_with_peer() -> Membership {
     let mut me = receiver();
-    assert_eq!(dropped(&mut me, FRIEND, &valid_message()), 0);
+    assert_eq!(dropped(&mut me, PEER, &valid_message()), 0);
     me
 }
 
-fn friend() -> Membership {
-    new_member(FRIEND, 0, &[])
+fn peer() -> Membership {
+    new_member(PEER, 0, &[])
 }
 
 fn claim_of(node: usize) -> MemberClaim {
@@ -52,10 +52,10 @@
         sequence: 1,
         target: 0,
     };
-    message(&friend(), ping, &[])
+    message(&peer(), ping, &[])
 }
 
-/// How much is dropped of a datagram.
+/// Passes a datagram to the member and returns how many messages and claims were dropped.
 fn dropped(me: &mut Membership, from: usize, bytes: &[u8]) -> usize {
     let mut out = Vec::new();
     let event = Event::MessageReceived {
@@ -68,9 +68,9 @@
         .count()
 }
 
-/// Prevents members declared dead, or taken in, by noise.
+/// Guards against corrupt or foreign input that adds members or declares them dead.
 #[test]
-fn noise_and_messages_that_are_cut_short_garbled_or_of_another_version_are_dropped() {
+fn noise_and_truncated_corrupt_or_other_version_messages_are_dropped() {
     let mut random = ChaCha8Rng::seed_from_u64(14);
     let mut me = receiver();
     for _ in 0..500 {
@@ -82,64 +82,65 @@
     let valid = valid_message();
     for length in 0..valid.len() {
         assert_eq!(
-            dropped(&mut me, FRIEND, &valid[..length]),
+            dropped(&mut me, PEER, &valid[..length]),
             1,
-            "cut short at {length}"
+            "truncated to {length}"
         );
     }
     assert_eq!(dropped(&mut me, 2, &valid), 1, "from another address");
     for bit in 0..valid.len() * 8 {
-        let mut garbled = valid.clone();
-        garbled[bit / 8] ^= 1 << (bit % 8);
-        assert_eq!(dropped(&mut me, FRIEND, &garbled), 1, "bit {bit} flipped");
+        let mut corrupt = valid.clone();
+        corrupt[bit / 8] ^= 1 << (bit % 8);
+        assert_eq!(dropped(&mut me, PEER, &corrupt), 1, "bit {bit} flipped");
     }
     let mut newer = valid.clone();
     newer[0] += 1;
-    assert_eq!(dropped(&mut me, FRIEND, &newer), 1, "another version");
+    assert_eq!(dropped(&mut me, PEER, &newer), 1, "another version");
     assert_eq!(me.table.alive_count(), 1);
-    assert_eq!(dropped(&mut me, FRIEND, &valid), 0);
+    assert_eq!(dropped(&mut me, PEER, &valid), 0);
 }
 
-/// Prevents a version that no member can exceed: another incarnation does, and one of the far future is not believed.
+/// Guards against a version that its member cannot exceed. The member moves on to the next incarnation, and an
+/// incarnation in the far future is rejected.
 #[test]
-fn the_highest_version_is_exceeded_and_the_far_future_is_not_believed() {
-    let mut me = receiver_with_friend();
-    let mut leap = me.table.me.clone();
-    leap.version.sequence = u32::MAX;
-    leap.state = MemberState::Dead;
+fn the_highest_version_is_exceeded_and_a_far_future_one_is_rejected() {
+    let mut me = receiver_with_peer();
+    let mut highest = me.table.me.clone();
+    highest.version.sequence = u32::MAX;
+    highest.state = MemberState::Dead;
     let mut future = claim_of(2);
     future.version.incarnation += 7 * 24 * 3600 * 1000;
-    let bytes = gossip(&friend(), &[leap.clone(), future]);
-    assert_eq!(dropped(&mut me, FRIEND, &bytes), 1);
-    assert!(me.table.me.version > leap.version && me.table.me.state == MemberState::Active);
+    let bytes = gossip(&peer(), &[highest.clone(), future]);
+    assert_eq!(dropped(&mut me, PEER, &bytes), 1);
+    assert!(me.table.me.version > highest.version && me.table.me.state == MemberState::Active);
 }
 
-/// Prevents memory that strangers fill.
+/// Guards against memory use that strangers can increase without bound.
 #[test]
-fn beyond_the_bound_nobody_is_kept_but_in_place_of_a_dead_member() {
-    let mut me = receiver_with_friend();
+fn a_full_table_accepts_a_member_only_in_place_of_a_dead_one() {
+    let mut me = receiver_with_peer();
     for node in 10..20 {
-        dropped(&mut me, FRIEND, &gossip(&friend(), &[claim_of(node)]));
+        dropped(&mut me, PEER, &gossip(&peer(), &[claim_of(node)]));
     }
     assert_eq!(me.table.members.len(), MAX_MEMBERS);
     let mut dead = claim_of(11);
     dead.state = MemberState::Dead;
-    let bytes = gossip(&friend(), &[dead, claim_of(30)]);
-    dropped(&mut me, FRIEND, &bytes);
+    let bytes = gossip(&peer(), &[dead, claim_of(30)]);
+    dropped(&mut me, PEER, &bytes);
     assert_eq!(me.table.members.len(), MAX_MEMBERS);
     assert!(me.others().any(|member| member.info.name == "n30"));
 }
 
-/// Prevents a message that comes an hour late from changing what is known now.
+/// Guards against changes by a message that arrives an hour late.
 #[test]
-fn what_was_said_of_an_earlier_version_changes_nothing() {
-    let mut me = receiver_with_friend();
-    let mut later = friend();
+fn a_claim_under_an_earlier_version_changes_nothing() {
+    let mut me = receiver_with_peer();
+    let mut later = peer();
     later.table.announce(1, |_| {});
-    dropped(&mut me, FRIEND, &gossip(&later, &[]));
-    let mut suspected = friend().table.me.clone();
+    dropped(&mut me, PEER, &gossip(&later, &[]));
+    let mut suspected = peer().table.me.clone();
     suspected.state = MemberState::Suspect;
     let before = me.digest();
-    dropped(&mut me, FRIEND, &gossip(&friend(), &[suspected]));
+    dropped(&mut me, PEER, &gossip(&peer(), &[suspected]));
     assert_eq!(me.digest(), before);
 }
