--- a/replication/src/coordinator.rs
+++ b/replication/src/coordinator.rs
@@ -1,46 +1,46 @@
-//! The coordinator's side (the proposer of Paxos): the requests that this member owns or wants to own.
+//! The coordinator (the proposer of Paxos): the requests that this member owns or is trying to own.
 
 use crate::messages::{AcceptedRecord, Ballot, ReplicaRequest, ReplicaResponse, RequestRecord};
 use crate::placement::replicas_of;
 use reedferry_membership::{LeaseHolder, Nanos};
 use std::collections::BTreeMap;
 
-/// How often a request is prepared anew after a rejection by a higher ballot. Bounded, so that two members that want
-/// the same request do not outbid each other for ever.
+/// The maximum number of retries of a prepare that was rejected because of a higher ballot. The limit keeps two members
+/// that want the same request from outbidding each other without end.
 const MAX_RETRIES: u32 = 2;
-/// How far one rejection may raise the ballot number, so that one member cannot use the numbers up.
+/// The maximum increase of the ballot number by one rejection. It keeps one member from using up the numbers.
 const MAX_BALLOT_ADVANCE: u64 = 1024;
 
-/// What came of a request that this member wants.
+/// The result of preparing or committing a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// This member owns it.
+    /// This member owns the request.
     Acquired {
         /// The request's key.
         key: u64,
-        /// The record accepted last.
+        /// The record that was accepted last, or the default record if there is none.
         record: RequestRecord,
-        /// How long ago a replica accepted that record.
+        /// How long ago a replica accepted that record, in nanoseconds; 0 if there is none.
         age: Nanos,
     },
-    /// The record is with a majority.
+    /// A majority has accepted the record.
     Committed {
         /// The request's key.
         key: u64,
     },
-    /// A higher ballot came first: send this to the replicas.
+    /// A higher ballot was promised to another member; send this request to the replicas.
     Retry {
         /// The request's key.
         key: u64,
-        /// The next attempt to prepare.
+        /// The prepare request under a new ballot.
         request: ReplicaRequest,
     },
-    /// Another member owns it by a higher ballot.
+    /// Another member took over the request, or outbid every retry, with a higher ballot.
     Lost {
         /// The request's key.
         key: u64,
     },
-    /// No majority answered in time.
+    /// No majority answered in time, or too few replicas are able to.
     NoMajority {
         /// The request's key.
         key: u64,
@@ -63,7 +63,7 @@
 struct Proposal {
     ballot: Ballot,
     phase: Phase,
-    /// Replicas that have no capacity or may not vote yet.
+    /// The replicas that rejected the ballot because they have no capacity or may not vote yet.
     unavailable: Vec<u32>,
     retries: u32,
     deadline: Nanos,
@@ -79,12 +79,12 @@
     }
 }
 
-/// The requests that one member owns or wants to own.
+/// The requests that one member owns or is trying to own.
 #[derive(Clone, Hash)]
 pub struct Coordinator {
     me: LeaseHolder,
     cluster_size: u32,
-    /// How long a majority may take.
+    /// How long a majority may take to answer, in nanoseconds.
     majority_timeout: Nanos,
     proposals: BTreeMap<u64, Proposal>,
     /// The sequence number of the last record sent.
@@ -94,7 +94,7 @@
 }
 
 impl Coordinator {
-    /// A coordinator that owns nothing yet.
+    /// Creates a coordinator that owns no requests. `majority_timeout` is in nanoseconds.
     pub fn new(me: LeaseHolder, cluster_size: u32, majority_timeout: Nanos) -> Coordinator {
         Coordinator {
             me,
@@ -114,7 +114,8 @@
         }
     }
 
-    /// Wants to own a request, which may be one that it owns already; gives what to send to its replicas.
+    /// Starts to acquire a request, which this member may own already. Returns the message to send to the request's
+    /// replicas.
     pub fn prepare(&mut self, now: Nanos, key: u64) -> ReplicaRequest {
         let ballot = self.next_ballot();
         let proposal = Proposal {
@@ -130,8 +131,8 @@
         ReplicaRequest::Prepare { key, ballot }
     }
 
-    /// Records something of a request before anything runs by it; gives what to send to its replicas, or nothing where
-    /// this member does not own the request.
+    /// Commits a record of a request, before anything runs on the strength of it. Returns the message to send to the
+    /// request's replicas, or `None` if this member does not own the request.
     pub fn commit(
         &mut self,
         now: Nanos,
@@ -155,29 +156,29 @@
         })
     }
 
-    /// Gives a request up; what replicas hold of it stays until it expires.
+    /// Gives up a request. The replicas keep their records until these expire.
     pub fn release(&mut self, key: u64) {
         self.proposals.remove(&key);
     }
 
-    /// Whether this member owns a request.
+    /// Whether this member owns the request.
     pub fn owns(&self, key: u64) -> bool {
         self.proposals.get(&key).is_some_and(Proposal::is_prepared)
     }
 
-    /// The next deadline.
+    /// Returns the earliest deadline of a prepare or commit, or `None` if none is pending.
     pub fn next_deadline(&self) -> Option<Nanos> {
         let pending = self.proposals.values().filter(|p| p.is_pending());
         pending.map(|proposal| proposal.deadline).min()
     }
 
-    /// Gives up the requests that no majority answered in time.
+    /// Gives up the requests for which no majority answered in time, and returns their outcomes.
     pub fn expire(&mut self, now: Nanos) -> Vec<Outcome> {
-        let late = |proposal: &Proposal| proposal.is_pending() && now >= proposal.deadline;
+        let is_late = |proposal: &Proposal| proposal.is_pending() && now >= proposal.deadline;
         let keys: Vec<u64> = self
             .proposals
             .iter()
-            .filter(|(_, proposal)| late(proposal))
+            .filter(|(_, proposal)| is_late(proposal))
             .map(|(key, _)| *key)
             .collect();
         for key in &keys {
@@ -188,7 +189,8 @@
             .collect()
     }
 
-    /// Takes in a member's response. One that is late, of another ballot or of no replica is ignored.
+    /// Handles a member's response. Responses that are late, for another ballot or not from a replica of the request
+    /// are ignored.
     pub fn handle(
         &mut self,
         now: Nanos,
@@ -228,7 +230,8 @@
         }
     }
 
-    /// The member that came first may be gone by now, so a prepare is retried; a commit is lost.
+    /// Handles a rejection by a higher ballot. A prepare is retried, as the member with that ballot may be gone by now;
+    /// a commit is lost.
     fn on_higher_ballot(&mut self, key: u64) -> Outcome {
         let may_retry =
             |proposal: &&mut Proposal| !proposal.is_prepared() && proposal.retries < MAX_RETRIES;
@@ -246,7 +249,7 @@
         }
     }
 
-    /// Too few may be left for a majority.
+    /// Records that a replica cannot vote, and gives up once too few are left for a majority.
     fn on_unavailable(&mut self, key: u64, member_index: u32, replicas: usize) -> Option<Outcome> {
         let unavailable = &mut self.proposals.get_mut(&key)?.unavailable;
         if !unavailable.contains(&member_index) {
@@ -290,7 +293,7 @@
         &mut self,
         key: u64,
         member_index: u32,
-        of_sequence: u32,
+        accepted_sequence: u32,
         replicas: usize,
     ) -> Option<Outcome> {
         let Phase::Committing {
@@ -300,7 +303,7 @@
         else {
             return None;
         };
-        if of_sequence != *sequence {
+        if accepted_sequence != *sequence {
             return None;
         }
         if !accepted_by.contains(&member_index) {
--- a/replication/src/lib.rs
+++ b/replication/src/lib.rs
@@ -1,11 +1,11 @@
-//! Replicated request records: what is known of one request, by its key, survives the node that serves it.
+//! Replicated request records: what is known of a request, identified by its key, survives the node that serves it.
 //!
 //! Three replicas, chosen from a cluster of fixed size by the key alone, hold each record in memory, each by its own
-//! clock. A member owns a request under a ballot that a majority of the replicas promised, and a record is with a
-//! majority before anything runs by it (Lamport, "Paxos Made Simple", 2001: [`ReplicaRequest::Prepare`] is the first
-//! phase, [`ReplicaRequest::Accept`] the second). The replica's and the coordinator's side are state machines without
-//! I/O: messages go in, messages and outcomes come out. This package must never look into a history, nor decide what
-//! becomes of a request.
+//! clock. A member owns a request under a ballot that a majority of the replicas has promised, and a record must be
+//! accepted by a majority before anything runs on the strength of it (Lamport, "Paxos Made Simple", 2001:
+//! [`ReplicaRequest::Prepare`] is the first phase, [`ReplicaRequest::Accept`] the second). Replica and coordinator are
+//! state machines without I/O: messages go in, messages and outcomes come out. This crate treats the history in a
+//! record as opaque; what happens to a request is decided by the caller.
 
 mod coordinator;
 mod messages;
--- a/replication/src/messages.rs
+++ b/replication/src/messages.rs
@@ -1,92 +1,94 @@
-//! What coordinators and replicas send each other. The order of variants and fields is the wire format: an older and a
-//! newer process hold records for each other.
+//! The messages between coordinators and replicas. The order of variants and fields is the wire format, as older and
+//! newer processes hold records for each other.
 
 use reedferry_membership::{LeaseHolder, Nanos};
 use serde::{Deserialize, Serialize};
 
-/// The longest history that a replica accepts, in bytes.
+/// The maximum length of a history that a replica accepts, in bytes (inclusive).
 pub const MAX_HISTORY_BYTES: usize = 256;
 
-/// Under which a member owns a request; of two ballots the higher one counts.
+/// The ballot under which a member owns a request. Of two ballots, the higher one takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Chosen by the holder, above every number that it has seen.
+    /// The ballot number, chosen by the holder above every number that it has seen.
     pub number: u64,
-    /// Who owns the request by it.
+    /// The member that owns the request under this ballot.
     pub holder: LeaseHolder,
 }
 
-/// What is known of a request.
+/// The replicated state of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RequestRecord {
-    /// Its attempts, encoded by the caller.
+    /// The request's attempts, encoded by the caller.
     pub history: Vec<u8>,
-    /// Whether it has had its final answer.
+    /// Whether the request has received its final answer.
     pub finished: bool,
 }
 
-/// A record as a replica holds it.
+/// A record as held by a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AcceptedRecord {
-    /// The ballot under which it was accepted.
+    /// The ballot under which the record was accepted.
     pub ballot: Ballot,
-    /// The record itself.
+    /// The record.
     pub record: RequestRecord,
-    /// How long ago the replica accepted it, by the replica's clock.
+    /// How long ago the replica accepted the record by its own clock, in nanoseconds.
     pub age: Nanos,
 }
 
-/// From a coordinator to a replica.
+/// A message from a coordinator to a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ReplicaRequest {
-    /// Asks for the promise to accept nothing under a lower ballot, and for the record accepted last.
+    /// Asks the replica to promise to accept nothing under a lower ballot, and to return the record that it accepted
+    /// last.
     Prepare {
         /// The request's key.
         key: u64,
         /// The ballot to promise.
         ballot: Ballot,
     },
-    /// Asks to accept a record.
+    /// Asks the replica to accept a record.
     Accept {
         /// The request's key.
         key: u64,
         /// The ballot that was prepared.
         ballot: Ballot,
-        /// Sent back with the response.
+        /// A sequence number that the response repeats.
         sequence: u32,
-        /// What to accept.
+        /// The record to accept.
         record: RequestRecord,
     },
 }
 
-/// From a replica to a coordinator.
+/// A message from a replica to a coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ReplicaResponse {
-    /// The ballot is promised.
+    /// The replica has promised the ballot.
     Promised {
         /// The request's key.
         key: u64,
         /// The promised ballot.
         ballot: Ballot,
-        /// What this replica accepted last.
+        /// The record that this replica accepted last, or `None` if there is none.
         accepted: Option<AcceptedRecord>,
     },
-    /// The record is accepted.
+    /// The replica has accepted the record.
     Accepted {
         /// The request's key.
         key: u64,
         /// The ballot of the accepted record.
         ballot: Ballot,
-        /// The sequence number of the request.
+        /// The sequence number of the accept request.
         sequence: u32,
     },
-    /// Neither promised nor accepted.
+    /// The replica has neither promised nor accepted the ballot.
     Rejected {
         /// The request's key.
         key: u64,
-        /// The ballot that was rejected.
+        /// The rejected ballot.
         ballot: Ballot,
-        /// The higher ballot that counts. None where the replica has no capacity or may not vote yet.
+        /// The higher ballot that the replica has promised, or `None` if the replica has no capacity, may not vote yet,
+        /// or the history is too long.
         promised: Option<Ballot>,
     },
 }
--- a/replication/src/placement.rs
+++ b/replication/src/placement.rs
@@ -1,12 +1,12 @@
-//! Which members are the replicas of a request.
+//! The choice of the members that are the replicas of a request.
 
 use reedferry_membership::owner;
 
-/// Replicas of a request, where the cluster has as many members.
+/// The number of replicas of a request, if the cluster has at least that many members.
 const REPLICATION_FACTOR: usize = 3;
 
-/// The member indexes of a request's replicas. They follow from the key and the cluster's size alone, so that all
-/// members choose the same.
+/// Returns the member indexes of a request's replicas. They depend only on the key and the size of the cluster, so that
+/// all members choose the same.
 pub fn replicas_of(key: u64, cluster_size: u32) -> Vec<u32> {
     let mut candidates: Vec<u64> = (0..u64::from(cluster_size)).collect();
     let mut replicas = Vec::new();
--- a/replication/src/placement_tests.rs
+++ b/replication/src/placement_tests.rs
@@ -1,20 +1,21 @@
-//! How requests are dealt out to replicas.
+//! Tests of the distribution of requests among replicas.
 
 use super::*;
 
-/// Prevents records that all lie with a few members, or with other replicas for each member that asks.
+/// Guards against records that are concentrated on a few members, and against members that choose different replicas
+/// for one key.
 #[test]
-fn every_key_has_three_replicas_and_all_members_hold_their_part() {
+fn every_key_has_three_replicas_spread_evenly_over_all_members() {
     let mut held = [0; 20];
     for key in 0..4000u64 {
-        let three = replicas_of(key, 20);
+        let replicas = replicas_of(key, 20);
         assert!(
-            three.len() == 3
-                && three[0] != three[1]
-                && three[1] != three[2]
-                && three[0] != three[2]
+            replicas.len() == 3
+                && replicas[0] != replicas[1]
+                && replicas[1] != replicas[2]
+                && replicas[0] != replicas[2]
         );
-        for member_index in three {
+        for member_index in replicas {
             held[member_index as usize] += 1;
         }
     }
--- a/replication/src/replica.rs
+++ b/replication/src/replica.rs
@@ -1,4 +1,4 @@
-//! The replica's side (the acceptor of Paxos): what one member has promised and accepted for others, in memory alone.
+//! The replica (the acceptor of Paxos): what one member has promised and accepted for others, kept in memory only.
 
 use crate::messages::{
     AcceptedRecord, Ballot, ReplicaRequest, ReplicaResponse, RequestRecord, MAX_HISTORY_BYTES,
@@ -18,14 +18,15 @@
 #[derive(Clone, Hash)]
 pub struct Replica {
     started_at: Nanos,
-    /// How long a record matters after the last message on it.
+    /// How long a record is kept after the last message about it, in nanoseconds.
     retention: Nanos,
     max_records: usize,
     entries: BTreeMap<u64, Entry>,
 }
 
 impl Replica {
-    /// A replica that starts at `now` without any records.
+    /// Creates a replica that starts at `now` without records. `retention` is in nanoseconds, and `max_records` is the
+    /// maximum number of records (inclusive).
     pub fn new(now: Nanos, retention: Nanos, max_records: usize) -> Replica {
         Replica {
             started_at: now,
@@ -35,7 +36,7 @@
         }
     }
 
-    /// How many records it holds.
+    /// Returns the number of records held.
     pub fn count(&self) -> usize {
         self.entries.len()
     }
@@ -45,12 +46,13 @@
         self.entries.retain(|_, entry| now < entry.expires_at);
     }
 
-    /// Whether it may have forgotten something that still matters: the process before it had promises of its own.
+    /// Whether records that are still relevant may be missing, because an earlier process of this member gave promises
+    /// that were lost with its memory.
     fn may_have_forgotten(&self, now: Nanos) -> bool {
         now < self.started_at.saturating_add(self.retention)
     }
 
-    /// Answers a coordinator.
+    /// Handles a coordinator's message and returns the response.
     pub fn handle(&mut self, now: Nanos, request: &ReplicaRequest) -> ReplicaResponse {
         let (key, ballot) = request.key_and_ballot();
         let reject = |promised| ReplicaResponse::Rejected {
@@ -59,9 +61,10 @@
             promised,
         };
         let known = self.entries.get(&key);
-        let full = known.is_none() && self.entries.len() >= self.max_records;
-        // Without this, a non-idempotent request runs twice when a replica has forgotten its first attempt.
-        if self.may_have_forgotten(now) || full {
+        let is_full = known.is_none() && self.entries.len() >= self.max_records;
+        // Without this check, a non-idempotent request could run twice after a replica has lost the record of its first
+        // attempt.
+        if self.may_have_forgotten(now) || is_full {
             return reject(None);
         }
         if let Some(entry) = known.filter(|entry| entry.promised > ballot) {
--- a/replication/src/replica_tests.rs
+++ b/replication/src/replica_tests.rs
@@ -1,4 +1,4 @@
-//! The bounds of a replica's memory, and the breaks that the model's tests plant.
+//! Tests of the bounds of a replica's memory, and a bug that the model tests inject.
 
 use super::*;
 use reedferry_membership::LeaseHolder;
@@ -13,7 +13,7 @@
     Ballot { number, holder }
 }
 
-/// A planted break: promises that are not kept.
+/// An injected bug: promises that are not kept.
 impl Replica {
     pub(crate) fn forget_promises(&mut self) {
         for entry in self.entries.values_mut() {
@@ -42,13 +42,14 @@
     matches!(response, ReplicaResponse::Rejected { promised: None, .. })
 }
 
-/// Prevents a replica whose memory fills without end, and one that drops what it promised for what is new.
+/// Guards against a replica whose memory grows without bound, and against one that drops promises in favour of new
+/// records.
 #[test]
-fn a_full_replica_rejects_what_is_new_and_keeps_what_it_has_until_it_expires() {
+fn a_full_replica_rejects_new_records_and_keeps_old_ones_until_they_expire() {
     let mut replica = Replica::new(0, RETENTION, 2);
     assert!(
         rejected(&replica.handle(10, &prepare(1, 1))),
-        "it has just started"
+        "a replica that has just started must reject"
     );
     let now = RETENTION + 1;
     let record = RequestRecord {
--- a/replication/tests/bytes.rs
+++ b/replication/tests/bytes.rs
@@ -1,4 +1,5 @@
-//! The exact bytes of questions and answers about records: an older and a newer process keep records for each other.
+//! Pins the encoding of requests to replicas and their responses, as older and newer processes hold records for each
+//! other.
 
 use reedferry_replication::{
     replicas_of, AcceptedRecord, Ballot, LeaseHolder, ReplicaRequest, ReplicaResponse,
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn questions_keep_their_bytes() {
+fn requests_keep_their_encoding() {
     let record = RequestRecord {
         history: vec![1, 2, 255],
         finished: true,
@@ -50,12 +51,12 @@
 }
 
 #[test]
-fn answers_keep_their_bytes() {
+fn responses_keep_their_encoding() {
     let record = RequestRecord {
         history: vec![7; 3],
         finished: false,
     };
-    let granted = ReplicaResponse::Promised {
+    let promised = ReplicaResponse::Promised {
         key: KEY,
         ballot: ballot(3, 2),
         accepted: Some(AcceptedRecord {
@@ -65,7 +66,7 @@
         }),
     };
     assert_eq!(
-        hex(&granted),
+        hex(&promised),
         "00ef9bafcdf8acd19101030280d095ffbc3101020180d095ffbc3103070707008794ebdc03"
     );
     assert_eq!(
@@ -102,12 +103,13 @@
     );
 }
 
-/// Who keeps a record follows from its key alone: two builds that choose otherwise would share no majority.
+/// The replicas of a record must follow from its key alone: two builds that choose differently would not share a
+/// majority.
 #[test]
-fn the_members_that_keep_a_record_stay_the_same() {
-    let chosen = |key, cluster_size| replicas_of(key, cluster_size);
-    assert_eq!(chosen(KEY, 0), [0; 0]);
-    assert_eq!(chosen(KEY, 2), [1, 0]);
-    assert_eq!(chosen(KEY, 5), [3, 2, 4]);
-    assert_eq!(chosen(1, 300), [167, 141, 274]);
+fn the_replicas_of_a_record_stay_the_same() {
+    let replicas = |key, cluster_size| replicas_of(key, cluster_size);
+    assert_eq!(replicas(KEY, 0), [0; 0]);
+    assert_eq!(replicas(KEY, 2), [1, 0]);
+    assert_eq!(replicas(KEY, 5), [3, 2, 4]);
+    assert_eq!(replicas(1, 300), [167, 141, 274]);
 }
