--- a/membership/src/quota.rs
+++ b/membership/src/quota.rs
@@ -28,7 +28,8 @@
     leases: QuotaLeases,
     /// Whether this member requests leases; see [`crate::Event::QuotaLendingChanged`].
     pub lending: bool,
-    /// The cluster size before the latest change, or `None` if it has not changed since all members last agreed on it.
+    /// The cluster size before this member's latest change of placement, or `None` if all members have agreed on the
+    /// cluster size since.
     previous_cluster_size: Option<u32>,
 }
 
