--- a/membership/src/model_tests.rs
+++ b/membership/src/model_tests.rs
@@ -20,7 +20,7 @@
 /// A bug that a test injects to show that the search finds it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum InjectedBug {
-    None,
+    NoBug,
     /// A member does not receive claims about itself.
     NeverRefutes,
     /// A suspicion never expires.
@@ -243,7 +243,7 @@
 /// never converge.
 #[test]
 fn three_members_converge_after_any_losses_duplicates_and_a_restart() {
-    match explore(Fleet::new(InjectedBug::None), BOUNDS) {
+    match explore(Fleet::new(InjectedBug::NoBug), BOUNDS) {
         Ok(coverage) => assert!(coverage.states >= 20_000, "{coverage:?}"),
         Err(found) => panic!("{}: {:?}", found.violation, found.steps),
     }
--- a/membership/src/quota_leases_model_tests.rs
+++ b/membership/src/quota_leases_model_tests.rs
@@ -17,7 +17,7 @@
 /// A bug that a test injects to show that the search finds it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum InjectedBug {
-    None,
+    NoBug,
     /// A restarted member grants leases at once.
     GrantsAfterRestart,
     /// A lease is counted from the answer instead of the request.
@@ -179,7 +179,7 @@
 /// delays and a restart.
 #[test]
 fn no_share_is_ever_leased_to_two_members() {
-    match explore(Cluster::new(InjectedBug::None), BOUNDS) {
+    match explore(Cluster::new(InjectedBug::NoBug), BOUNDS) {
         Ok(coverage) => assert!(coverage.states >= 30_000, "{coverage:?}"),
         Err(found) => panic!("{}: {:?}", found.violation, found.steps),
     }
--- a/replication/src/model_tests.rs
+++ b/replication/src/model_tests.rs
@@ -17,7 +17,7 @@
 /// A bug that a test injects to show that it is found.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum InjectedBug {
-    None,
+    NoBug,
     /// A restarted replica votes at once.
     VotesAfterRestart,
     /// A replica accepts any ballot.
@@ -248,7 +248,7 @@
             duplicates,
             restarts,
         };
-        match explore(Cluster::new(faults, InjectedBug::None), BOUNDS) {
+        match explore(Cluster::new(faults, InjectedBug::NoBug), BOUNDS) {
             // Two attempts take twelve steps without losses, and one more with a restart, which is tested separately.
             Ok(coverage) => assert!(
                 coverage.complete || coverage.depth >= 10,
@@ -301,8 +301,8 @@
 #[test]
 fn injected_bugs_are_found() {
     let sent = |bug, restart| send_from_two_members(bug, &[0, 1], restart, &[1, 2]);
-    assert_eq!(sent(InjectedBug::None, None), 1);
-    assert_eq!(sent(InjectedBug::None, Some(1)), 1);
+    assert_eq!(sent(InjectedBug::NoBug, None), 1);
+    assert_eq!(sent(InjectedBug::NoBug, Some(1)), 1);
     assert_eq!(sent(InjectedBug::VotesAfterRestart, Some(1)), 2);
     for bug in [InjectedBug::NeedsNoMajority, InjectedBug::ForgetsPromises] {
         let found = explore(Cluster::new(NO_FAULTS, bug), BOUNDS);
