--- a/node/src/roles/forward.rs
+++ b/node/src/roles/forward.rs
@@ -1,7 +1,7 @@
-//! The forwarder role: clients' connections, with planners in place of a decision core of its own. It owns the
-//! sockets to planners and the order of a turn: wait for what is ready, take in what planners say, hand the
-//! connections' events to the [`Forwarder`], carry out its actions, send what is to go. It must never decide
-//! anything, nor follow discovery: hosts are known as planners report them.
+//! The forwarder role: serves clients' connections, and follows planners instead of running a decision core of its own.
+//! This module owns the sockets to planners and the order of a turn: wait for readiness, read the planners' messages, hand
+//! the connections' events to the [`Forwarder`], carry out its actions, send the queued bytes. It makes no decisions and
+//! does not use discovery: it knows the hosts that planners report.
 
 use crate::connections::link::{ClosedConnections, LinkConnection, LinkConnections};
 use crate::connections::Connections;
@@ -17,12 +17,12 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The process of a forwarder.
+/// The state of a forwarder process.
 struct ForwarderProcess {
     context: Context,
     forwarder: Forwarder,
     connections: Connections,
-    /// The connections to planners, by the forwarder's number for each.
+    /// The connections to planners, by the connection number that the [`Forwarder`] uses.
     planner_sockets: LinkConnections,
     listener: Socket,
     stop_signal: Signal,
@@ -30,18 +30,19 @@
     config_path: PathBuf,
     role_config: ForwarderOptions,
     planners: Vec<PlannerAddress>,
-    /// The deadline of the forwarder that the poller last was given.
+    /// The deadline for which the poller's timer was last set; 0 if it was never set.
     armed_deadline: Nanos,
+    /// The actions that are not carried out yet.
     actions: Vec<ForwarderAction>,
     ready: Ready,
 }
 
-/// Runs a forwarder until it has shut down.
+/// Runs a forwarder until it has shut down. Returns an error if it cannot start or cannot use the poller.
 pub fn run(config_path: &Path, start: Signals) -> Result<(), String> {
     let clock = Clock::start();
     let (mut process, backlog) = ForwarderProcess::start(config_path, start, &clock)?;
     loop {
-        process.turn();
+        process.run_turn();
         backlog.drain();
         if process.has_shut_down() {
             info!(process.context.log, "stopped");
@@ -68,7 +69,10 @@
         } = OperatorConfig::read(config_path)?;
         let Role::Forward(role_config) = role else {
             let path = config_path.display();
-            return Err(format!("{path} is for `reedferry {}`", role.command()));
+            return Err(format!(
+                "{path} is for `reedferry {}`, not for `reedferry forward`",
+                role.command()
+            ));
         };
         let (mut context, backlog) = Context::open(&node_config, clock, &start)?;
         let listener = context.listen(&node_config.listen, context::LISTENER)?;
@@ -108,7 +112,7 @@
         Ok((process, backlog))
     }
 
-    /// Whether it was asked to stop and holds no connection any more that is worth waiting for.
+    /// Whether this process was asked to stop, the earliest time to end has come and no connection is left.
     fn has_shut_down(&self) -> bool {
         let now = self.context.now;
         self.context
@@ -117,7 +121,7 @@
             && self.connections.count() == 0
     }
 
-    /// Waits until something is ready or due, and hands it to whom it concerns.
+    /// Waits until a socket is ready or a timer is due, and dispatches both to their handlers.
     fn wait(&mut self, clock: &Clock) -> Result<(), Errno> {
         self.arm_deadline();
         let mut ready = Vec::new();
@@ -140,9 +144,9 @@
             self.connections
                 .resume_runnable(&mut self.context, Some(&self.listener));
         }
-        while let Some((token, word)) = self.context.poller.pop_expired(self.context.now) {
+        while let Some((token, timer)) = self.context.poller.pop_expired(self.context.now) {
             match token.component {
-                context::HOST => self.connections.on_timer(&mut self.context, token, word),
+                context::HOST => self.connections.on_timer(&mut self.context, token, timer),
                 context::SWEEP => self.sweep(),
                 context::CONNECTION_RETRY => self.connections.retry(&mut self.context),
                 _ => {}
@@ -151,7 +155,7 @@
         Ok(())
     }
 
-    /// Has the poller wake this process at the forwarder's next deadline.
+    /// Sets the poller's timer for the forwarder's next deadline.
     fn arm_deadline(&mut self) {
         let deadline = self.forwarder.next_deadline();
         if deadline < self.armed_deadline || self.armed_deadline <= self.context.now {
@@ -174,7 +178,7 @@
         }
     }
 
-    /// Looks over everything at regular intervals, whatever the poller has reported.
+    /// Checks the signals and serves all connections at a fixed interval, regardless of what the poller has reported.
     fn sweep(&mut self) {
         self.shut_down_if_asked();
         self.reload_config_if_asked();
@@ -215,20 +219,20 @@
             .connection_lost(self.context.now, connection, why, &mut self.actions);
     }
 
-    fn planner_connections_lost(&mut self, ended: ClosedConnections) {
-        for (connection, why) in ended {
+    fn planner_connections_lost(&mut self, closed: ClosedConnections) {
+        for (connection, why) in closed {
             self.planner_connection_lost(connection, why);
         }
     }
 
-    /// All of a turn behind the wait.
-    fn turn(&mut self) {
+    /// Processes one turn after the wait: reads planners, handles events, carries out actions and writes to planners.
+    fn run_turn(&mut self) {
         let now = self.context.now;
         let (forwarder, actions) = (&mut self.forwarder, &mut self.actions);
-        let ended = self
+        let closed = self
             .planner_sockets
             .read(|connection, bytes| forwarder.receive(now, connection, bytes, actions));
-        self.planner_connections_lost(ended);
+        self.planner_connections_lost(closed);
         for event in std::mem::take(&mut self.context.events) {
             self.forwarder.handle_event(now, event, &mut self.actions);
         }
@@ -237,12 +241,12 @@
             self.carry_out(action);
         }
         let forwarder = &mut self.forwarder;
-        let ended = self.planner_sockets.write(|connection, socket| {
+        let closed = self.planner_sockets.write(|connection, socket| {
             let count = socket.write(forwarder.outgoing(connection))?;
             forwarder.mark_sent(connection, count);
             Ok(())
         });
-        self.planner_connections_lost(ended);
+        self.planner_connections_lost(closed);
     }
 
     fn carry_out(&mut self, action: ForwarderAction) {
@@ -275,7 +279,7 @@
     fn connect_planner(&mut self, connection: u32, address: SocketAddr) {
         let context = &mut self.context;
         let opened = context.budget.connect(&address).and_then(|(socket, _)| {
-            // The poller reports whether it is connected, in either case.
+            // The poller reports when the connection is established or has failed, even if that happened at once.
             let token = PollToken {
                 component: LINK,
                 slot: connection,
@@ -299,13 +303,13 @@
         }
     }
 
-    /// Reads the operator's file anew: of a running forwarder, only the planners may change.
+    /// Reloads the operator's file if a signal asks for it. Only the list of planners can change while a forwarder runs.
     fn reload_config_if_asked(&mut self) {
         if !self.reload_signal.take() {
             return;
         }
         let log = self.context.log.clone();
-        // Without the checks, a file that is half written or wrong would lead a forwarder astray.
+        // Rejects a file that is invalid or only partly written, which could lead the forwarder to the wrong planners.
         let config = match OperatorConfig::read(&self.config_path) {
             Ok(config) => config,
             Err(why) => return warn!(log, "configuration not reloaded"; "why" => why),
@@ -314,7 +318,7 @@
             warn!(log, "kept until the next start"; "parts" => config.role.command());
         }
         if config.planners.is_empty() {
-            return warn!(log, "configuration not reloaded"; "why" => "no planner is named");
+            return warn!(log, "configuration not reloaded"; "why" => "no planner is configured");
         }
         info!(log, "configuration reloaded"; "planners" => config.planners.len());
         if config.planners != self.planners {
--- a/node/src/roles/hot_restart/messages.rs
+++ b/node/src/roles/hot_restart/messages.rs
@@ -1,4 +1,4 @@
-//! The messages between a process and its successor. This module owns their encoding, which must never change without a new
+//! The messages between a process and its successor, and their encoding. Any change to the encoding requires a new
 //! [`VERSION`].
 
 use crate::connections::ConnectionHandover;
@@ -7,48 +7,49 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The version of the protocol. Both processes must speak the same one, or the successor starts without inherited state.
+/// The protocol version. If the two processes speak different versions, the successor starts without inherited state.
 pub(super) const VERSION: u16 = 3;
 
 /// A message from the successor to its predecessor.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum FromSuccessor {
-    /// The successor is connected and speaks this version.
+    /// The first message, which requests the state and holds the successor's protocol version.
     Hello(u16),
-    /// Whether the successor adopted the oldest connection in transit.
+    /// Whether the successor adopted the connection that was sent first among those not acknowledged yet.
     Adopted(bool),
 }
 
-/// A message from a predecessor to its successor.
+/// A message from the predecessor to its successor.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum FromPredecessor {
-    /// The next part of the encoded [`TransferredState`], and whether it is the last.
+    /// The next part of the encoded [`TransferredState`], and whether it is the last part.
     StateChunk(Vec<u8>, bool),
-    /// A connection, whose sockets travel with the message.
+    /// A connection, whose sockets are passed as descriptors of the same message.
     Connection(Box<ConnectionHandover>),
 }
 
 /// The state that a process transfers to its successor.
 #[derive(Serialize, Deserialize)]
 pub struct TransferredState {
-    /// The discovery service whose endpoint list the predecessor watched.
+    /// The address of the discovery service whose endpoint list the predecessor watched.
     pub discovery: SocketAddr,
-    /// How far the predecessor's clock is ahead of the machine's monotonic clock.
+    /// How far the predecessor's clock is ahead of the machine's monotonic clock, in nanoseconds.
     pub clock_ahead: Nanos,
-    /// The revision of the endpoint list.
+    /// The revision of the endpoint list, or `None` if the predecessor has received no list.
     pub revision: Option<u64>,
     /// The hosts of the endpoint list.
     pub members: Vec<Member>,
-    /// The names of the request classes, in the order of the indices that the rest uses.
+    /// The names of the request classes, in the order to which the class indices in `inherited` refer.
     pub classes: Vec<String>,
-    /// The request classes that connections refer to, by name.
+    /// The request classes in use by open connections, with their names.
     pub referenced_classes: Vec<(String, RequestClass)>,
-    /// The state of the decision core.
+    /// The exported state of the decision core.
     pub inherited: InheritedState,
 }
 
 impl TransferredState {
-    /// The same state with its class indices mapped to this order of classes.
+    /// Returns the state with its class indices mapped to this order of classes. A class that the predecessor does not
+    /// know has no load.
     pub fn with_classes(mut self, classes: &[String]) -> TransferredState {
         let load_of = |name: &String| {
             let index = self.classes.iter().position(|class| class == name)?;
@@ -60,7 +61,7 @@
     }
 }
 
-/// The bytes of a message.
+/// Encodes a message.
 pub(super) fn encode(message: &impl Serialize) -> Vec<u8> {
     postcard::to_allocvec(message).unwrap_or_default()
 }
--- a/node/src/roles/hot_restart/messages_bytes_tests.rs
+++ b/node/src/roles/hot_restart/messages_bytes_tests.rs
@@ -1,4 +1,4 @@
-//! The exact bytes of the messages of a hot restart, except for the handed-over connections.
+//! Tests of the exact bytes of the hot restart messages, except for `FromPredecessor::Connection`.
 
 use super::*;
 use reedferry::{ClientStatistics, HostId, HostSnapshot, HostState, Idempotency, IdempotencyGroup};
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn greetings_and_state_chunks_keep_their_bytes() {
+fn hello_adopted_and_state_chunk_messages_keep_their_bytes() {
     assert_eq!(hex(&FromSuccessor::Hello(VERSION)), "0003");
     assert_eq!(hex(&FromSuccessor::Adopted(true)), "0101");
     assert_eq!(
--- a/node/src/roles/hot_restart/mod.rs
+++ b/node/src/roles/hot_restart/mod.rs
@@ -1,7 +1,8 @@
-//! Hot restart: one process replaces another without loss of connections. This module owns the listener that the platform
-//! holds open for both, who of them accepts new clients, and the channel over which the old process transfers its state
-//! and its connections to the new one. It must never trust what it receives, nor wait long for it: without a
-//! predecessor a node starts as usual, and without a successor it migrates its clients as usual.
+//! Hot restart: a new process replaces a running one without losing connections. This module owns the listener for
+//! clients, which the platform may hold open for both processes, decides which of them accepts clients, and owns the
+//! channel over which the old process transfers its state and its connections to the new one. It validates everything
+//! that it receives, and every wait for the other process is bounded: without a predecessor a node starts with no
+//! inherited state, and without a successor it migrates its clients when it stops.
 
 mod messages;
 mod predecessor;
@@ -21,27 +22,27 @@
 use std::path::PathBuf;
 use successor::Successor;
 
-/// The name of the local socket at which a process listens for its successor.
+/// The file name of the Unix socket on which a process listens for its successor.
 const SOCKET_NAME: &str = "reedferry.next";
-/// The pause between two attempts to listen for a successor.
+/// The interval between two attempts to listen for a successor.
 const LISTEN_RETRY_INTERVAL: Nanos = 1000 * MILLI;
 
 /// Why a message could not be sent or received.
 #[derive(Debug)]
 enum ChannelError {
-    /// The channel is full or empty, or the machine is short of something for a moment.
+    /// The channel is full or empty, or the machine temporarily lacks a resource such as memory or descriptors.
     Transient {
         error: Errno,
         system_call: &'static str,
     },
-    /// The other process is gone.
+    /// The other process has closed the channel.
     Closed,
-    /// The other process sent what the protocol does not allow.
+    /// The other process sent a message that the protocol does not allow.
     InvalidMessage,
 }
 
 impl ChannelError {
-    /// What an error of a system call on the channel means.
+    /// Classifies the error that a system call on the channel returned.
     fn of(error: Errno, system_call: &'static str) -> Self {
         if classify_io(error) == IoFailure::Disconnected {
             ChannelError::Closed
@@ -51,34 +52,37 @@
     }
 }
 
-/// This process's part in a hot restart, as the successor of one process and the predecessor of another.
+/// The state of this process's hot restarts, both as the successor of one process and as the predecessor of another.
 #[derive(Default)]
 pub struct HotRestart {
+    /// The listener for clients; `None` once this process has stopped accepting them.
     listener: Option<Socket>,
-    /// Other processes accept clients at the listener too.
+    /// Whether the platform holds the listener, so that other processes accept clients at it too.
     listener_is_shared: bool,
-    /// Where a successor connects, and at which path.
+    /// The socket to which a successor connects; `None` if this process does not listen for one.
     successor_listener: Option<Socket>,
+    /// The path of that socket.
     successor_path: PathBuf,
     successor: Option<Successor>,
     predecessor: Option<Predecessor>,
-    /// When to try again to listen for a successor, where that failed.
+    /// The time of the next attempt to listen for a successor after a failed one.
     next_listen_attempt: Nanos,
-    /// A timer is set for the retry of what failed for a moment.
+    /// Whether the timer is set that retries operations on the channels after a temporary shortage.
     retry_scheduled: bool,
 }
 
 impl HotRestart {
-    /// Takes the listener that the platform holds, where it names one, and otherwise opens one of the node's own.
+    /// Inherits the listener that the platform names in `GW_ACCEPT_FD`. If that variable is not set, opens a listener on the
+    /// configured address.
     pub fn open(context: &mut Context, node_config: &NodeConfig) -> Result<HotRestart, FatalError> {
-        let Ok(named) = std::env::var("GW_ACCEPT_FD") else {
+        let Ok(value) = std::env::var("GW_ACCEPT_FD") else {
             let listener = context.listen(&node_config.listen, context::LISTENER)?;
             return Ok(HotRestart {
                 listener: Some(listener),
                 ..HotRestart::default()
             });
         };
-        let descriptor = named.parse().map_err(|_| FatalError::NoDescriptor(named))?;
+        let descriptor = value.parse().map_err(|_| FatalError::NoDescriptor(value))?;
         Ok(HotRestart {
             listener: Some(context.inherit(descriptor)?),
             listener_is_shared: true,
@@ -86,24 +90,27 @@
         })
     }
 
-    /// The listener, while this process accepts clients.
+    /// Returns the listener for clients, or `None` once this process has stopped accepting them.
     pub fn listener(&self) -> Option<&Socket> {
         self.listener.as_ref()
     }
 
-    /// Asks the predecessor for its state, if there is one, and listens for a successor.
+    /// Requests the state of the predecessor, if there is one, and starts to listen for a successor. Does nothing if the
+    /// listener is not shared or `TMPDIR` names no folder. Returns `None` if there is no predecessor or its state did not
+    /// arrive in time.
     pub fn take_over(&mut self, context: &mut Context, clock: &Clock) -> Option<TransferredState> {
         let folder = std::env::var_os("TMPDIR").filter(|_| self.listener_is_shared)?;
         self.successor_path = PathBuf::from(folder).join(SOCKET_NAME);
-        let greeted = match context.budget.connect_unix(&self.successor_path) {
-            Ok(channel) => Predecessor::greet(context, clock, channel),
+        let handshake = match context.budget.connect_unix(&self.successor_path) {
+            Ok(channel) => Predecessor::handshake(context, clock, channel),
             Err(_) => None,
         };
-        let (predecessor, state) = greeted.unzip();
+        let (predecessor, state) = handshake.unzip();
         self.predecessor = predecessor;
         let state = state.flatten();
         if let Some(state) = &state {
-            // Times pass between both processes. Without this they would be wrong where the wall clock was stepped in between.
+            // Aligns this clock with the predecessor's, because the transferred state contains times. Otherwise those times
+            // would be wrong if the wall clock was stepped between the two starts.
             clock.set_offset(state.clock_ahead);
             (context.now, context.start) = (clock.read(), clock.read());
         }
@@ -111,7 +118,7 @@
         state
     }
 
-    /// Listens for a successor, in place of whichever process did.
+    /// Listens for a successor at the path, and replaces any process that listened there before.
     fn listen_for_successor(&mut self, context: &Context) {
         match context.budget.listen_unix(&self.successor_path) {
             Ok(listener)
@@ -124,14 +131,19 @@
             }
             other => {
                 self.next_listen_attempt = context.now + LISTEN_RETRY_INTERVAL;
-                let why = other.err().map_or("cannot poll".into(), |e| e.to_string());
+                let why = other
+                    .err()
+                    .map_or("cannot register the listener with the poller".into(), |e| {
+                        e.to_string()
+                    });
                 warn!(context.log, "cannot listen for a successor"; "why" => why);
             }
         }
     }
 
-    /// Serves the channels whatever the poller has reported, and listens for a successor where that failed before. Without the
-    /// latter, clients would be migrated that could have been handed over, after a moment in which the folder took no file.
+    /// Serves the channels regardless of what the poller has reported, and retries to listen for a successor if that failed.
+    /// Without the retry, one failure to create the socket file would leave this process without a successor, and clients that
+    /// could have been handed over would be migrated.
     pub fn sweep(&mut self, context: &mut Context, connections: &mut Connections) {
         self.serve_channels(context, connections);
         if self.listener_is_shared
@@ -143,21 +155,21 @@
         }
     }
 
-    /// Retries what failed for a moment.
+    /// Serves the channels again after a temporary shortage of resources.
     pub fn retry(&mut self, context: &mut Context, connections: &mut Connections) {
         self.retry_scheduled = false;
         self.serve_channels(context, connections);
     }
 
-    /// Serves all channels. Without this, messages that could not be sent or received for a moment would stay where they are, as
-    /// the poller reports them only once.
+    /// Serves all channels. The poller reports each readiness only once, so without this call messages that could not be sent
+    /// or received because of a temporary shortage would never be processed.
     fn serve_channels(&mut self, context: &mut Context, connections: &mut Connections) {
         self.accept_successors(context, connections);
         self.adopt_connections(context, connections);
         self.serve_successor(context, connections);
     }
 
-    /// Sets the timer for a retry, where the machine was short of something.
+    /// Sets the timer for a retry if the error is a shortage of resources on this machine.
     fn schedule_retry(&mut self, context: &mut Context, error: Errno, system_call: &'static str) {
         if classify_io(error) != IoFailure::LocalResources {
             return;
@@ -172,7 +184,7 @@
         }
     }
 
-    /// Handles what the poller reports of the channels and their listener.
+    /// Handles a readiness report for one of the channels or for the listener for successors.
     pub fn on_ready(
         &mut self,
         context: &mut Context,
@@ -182,14 +194,19 @@
         let token = ready.token;
         match token.component {
             SUCCESSOR_LISTENER => self.accept_successors(context, connections),
-            SUCCESSOR if self.successor.as_ref().is_some_and(|s| s.is_marked(token)) => {
+            SUCCESSOR
+                if self
+                    .successor
+                    .as_ref()
+                    .is_some_and(|s| s.matches_token(token)) =>
+            {
                 self.serve_successor(context, connections);
             }
             PREDECESSOR
                 if self
                     .predecessor
                     .as_ref()
-                    .is_some_and(|p| p.is_marked(token)) =>
+                    .is_some_and(|p| p.matches_token(token)) =>
             {
                 self.adopt_connections(context, connections);
             }
@@ -197,7 +214,7 @@
         }
     }
 
-    /// Adopts the connections that the predecessor hands over.
+    /// Adopts the connections that the predecessor has handed over.
     fn adopt_connections(&mut self, context: &mut Context, connections: &mut Connections) {
         let Some(predecessor) = &mut self.predecessor else {
             return;
@@ -211,7 +228,8 @@
         }
     }
 
-    /// Accepts the processes that connect; the last one is the successor.
+    /// Accepts the processes that connect; the last one accepted becomes the successor. A process is rejected while messages
+    /// of the previous successor are still unread.
     fn accept_successors(&mut self, context: &mut Context, connections: &mut Connections) {
         while let Some(Ok(channel)) = self
             .successor_listener
@@ -222,7 +240,7 @@
             if self.successor.is_some() {
                 warn!(
                     context.log,
-                    "successor rejected: another one's messages cannot be read now"
+                    "successor rejected: messages of the previous successor are still unread"
                 );
                 continue;
             }
@@ -230,7 +248,7 @@
         }
     }
 
-    /// Sends what is queued for the successor and handles what it has sent.
+    /// Sends the messages queued for the successor and handles those that it has sent.
     fn serve_successor(&mut self, context: &mut Context, connections: &mut Connections) {
         self.flush_successor(context, connections);
         self.read_successor(context, connections);
@@ -264,15 +282,15 @@
         }
     }
 
-    /// Ends the handover and handles what the successor has sent until now. Without the latter, both processes would go on with a
-    /// connection whose acknowledgement comes at this moment or lies unread.
+    /// Ends the handover and handles the messages that the successor has sent so far. If they were ignored, both processes would
+    /// serve a connection whose acknowledgement is still unread or arrives at this moment.
     fn abandon_successor(&mut self, context: &mut Context, connections: &mut Connections) {
         if self.successor.as_mut().is_some_and(Successor::abandon) {
             self.read_successor(context, connections);
         }
     }
 
-    /// The successor is gone, if there was one: this process goes on with what it had not adopted.
+    /// Removes the successor, if there is one, and resumes the connections that it has not acknowledged.
     fn lose_successor(&mut self, context: &mut Context, connections: &mut Connections) {
         let Some(successor) = self.successor.take() else {
             return;
@@ -280,13 +298,15 @@
         warn!(context.log, "successor disconnected"; "kept" => successor.in_transit());
         successor.take_back(context, connections);
         context.events.push(Event::SuccessorChanged(false));
-        // The one that is gone may have listened at the path already, where the next one would connect in vain.
+        // The lost successor may already have replaced this process's socket file with its own, so that the next successor
+        // could not connect.
         if context.may_end_at.is_none() {
             self.listen_for_successor(context);
         }
     }
 
-    /// Stops accepting clients at a shared listener, as this process is asked to stop: the successor accepts them.
+    /// Stops accepting clients if the listener is shared, because the successor accepts them. Called when this process is asked
+    /// to stop.
     pub fn stop_accepting(&mut self, context: &Context) {
         if self.listener_is_shared {
             if let Some(listener) = self.listener.take() {
@@ -295,24 +315,24 @@
         }
     }
 
-    /// Whether another process goes on with what this one hands over.
+    /// Whether a successor is connected, to which this process can hand over its connections.
     pub fn has_successor(&self) -> bool {
         self.successor.is_some()
     }
 
-    /// Whether no client comes any more, neither from the listener nor from a predecessor.
-    pub fn is_over(&self) -> bool {
+    /// Whether this process can receive no more clients, neither from a shared listener nor from a predecessor.
+    pub fn receives_no_more_clients(&self) -> bool {
         self.listener_is_shared && self.listener.is_none() && self.predecessor.is_none()
     }
 
-    /// Whether the successor has asked for this process's state since this was called last.
+    /// Whether the successor has requested this process's state since the last call.
     pub fn take_state_request(&mut self) -> bool {
         self.successor
             .as_mut()
             .is_some_and(Successor::take_state_request)
     }
 
-    /// Sends the state to the successor.
+    /// Queues the state for the successor and starts to send it.
     pub fn send_state(
         &mut self,
         context: &mut Context,
@@ -328,16 +348,17 @@
         self.flush_successor(context, connections);
     }
 
-    /// Hands over the connections that can be, as many at a time as the successor takes.
+    /// Hands over connections to the successor, as many as the limit of connections in transit and the channel allow. Ends the
+    /// handover if the successor is overdue.
     pub fn hand_over(&mut self, context: &mut Context, connections: &mut Connections) {
         let Some(successor) = &mut self.successor else {
             return;
         };
-        // Without this, the clients of a process that ends would be left with a successor that stands still.
+        // Otherwise this process would end while a stalled successor still holds clients that could have been migrated.
         if successor.is_overdue(context) {
             return self.abandon_successor(context, connections);
         }
-        // A full channel is reported by the poller when it takes more, and a closed one at once.
+        // Other errors need no handling: the poller reports when a full channel is writable again, and a closed one at once.
         if let Err(ChannelError::Transient { error, system_call }) =
             successor.hand_over(context, connections)
         {
--- a/node/src/roles/hot_restart/predecessor.rs
+++ b/node/src/roles/hot_restart/predecessor.rs
@@ -1,5 +1,5 @@
-//! The channel to the predecessor, in the process that replaces it. It must never trust what it receives, nor go on with a
-//! connection before the predecessor can learn that it does.
+//! The channel to the predecessor, in the process that replaces it. It validates every message, and resumes an adopted
+//! connection only after the acknowledgement to the predecessor was sent, so that only one process serves a connection.
 
 use super::messages::{encode, FromPredecessor, FromSuccessor, TransferredState, VERSION};
 use super::ChannelError;
@@ -11,42 +11,46 @@
 use slog::{info, warn};
 use std::time::Duration;
 
-/// How long this process tries to send its greeting.
+/// The maximum time for sending the first message, [`FromSuccessor::Hello`].
 const HELLO_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long this process waits for the state.
+/// The maximum time to wait for the complete state.
 const STATE_TIMEOUT: Nanos = 1500 * MILLI;
-/// The longest encoded state.
+/// The maximum length of the encoded state, in bytes.
 const MAX_STATE_BYTES: usize = 4 << 20;
-/// Connections adopted in one turn.
+/// The maximum number of messages that are read in one turn, each of which hands over one connection.
 const MAX_ADOPTED_PER_TURN: usize = 64;
-/// A connection comes with its client's and its host's.
+/// The maximum number of descriptors of a connection: the client's socket and the host's.
 const MAX_DESCRIPTORS_PER_CONNECTION: usize = 2;
 
 /// How the wait for the state ended.
 enum StateTransfer {
     Complete(Box<TransferredState>),
     TimedOut,
-    /// The predecessor ended, or speaks another version.
+    /// The predecessor closed the channel or sent an invalid message or too long a state; it may speak another protocol
+    /// version.
     Failed,
 }
 
-/// What became of the connection that came last, where the predecessor has not been told yet.
+/// The outcome of the last connection received, which was not sent to the predecessor yet.
 #[derive(Clone, Copy)]
 struct PendingReply {
-    /// The connection's id in this process, where it was adopted.
+    /// The connection's id in this process, or `None` if it was not adopted.
     adopted: Option<RequestId>,
 }
 
 /// The process that this one replaces.
 pub(super) struct Predecessor {
     channel: Socket,
-    stamp: u32,
+    /// The generation of the channel's poll token, which tells it from earlier channels.
+    generation: u32,
+    /// `None` if every connection received was replied to.
     pending_reply: Option<PendingReply>,
 }
 
 impl Predecessor {
-    /// Asks the process at the other end for its state, and waits for it for a bounded time.
-    pub fn greet(
+    /// Requests the state of the process at the other end and waits for it for at most [`STATE_TIMEOUT`]. Returns `None` if
+    /// the channel can't be used. The state is `None` if it did not arrive in time; connections can be adopted without it.
+    pub fn handshake(
         context: &mut Context,
         clock: &Clock,
         channel: Socket,
@@ -65,14 +69,14 @@
         };
         let predecessor = Predecessor {
             channel,
-            stamp: context.next_generation(),
+            generation: context.next_generation(),
             pending_reply: None,
         };
         let watched = context
             .poller
             .register(&predecessor.channel, predecessor.token());
         if watched.is_err() {
-            // The sweep reads from it.
+            // The sweep serves the channel without the poller's reports.
             context.record_transient_failure("epoll_ctl");
         }
         info!(context.log, "predecessor connected"; "state" => state.is_some());
@@ -83,16 +87,16 @@
         PollToken {
             component: PREDECESSOR,
             slot: 0,
-            generation: self.stamp,
+            generation: self.generation,
         }
     }
 
-    /// Whether the poller's mark is for this channel.
-    pub fn is_marked(&self, token: PollToken) -> bool {
-        self.stamp == token.generation
+    /// Whether a poll token belongs to this channel.
+    pub fn matches_token(&self, token: PollToken) -> bool {
+        self.generation == token.generation
     }
 
-    /// Adopts the connections that have come, up to a number per turn.
+    /// Adopts the connections that have arrived. Reads at most [`MAX_ADOPTED_PER_TURN`] messages per call.
     pub fn adopt_connections(
         &mut self,
         context: &mut Context,
@@ -116,7 +120,7 @@
                 }
             };
             let adopted = match postcard::from_bytes(&buffer[..length]) {
-                // The state comes too late.
+                // The wait for the state has already timed out.
                 Ok(FromPredecessor::StateChunk(..)) => continue,
                 Ok(FromPredecessor::Connection(handed_over)) => {
                     connections.adopt(context, *handed_over, sockets)
@@ -132,7 +136,7 @@
         Ok(())
     }
 
-    /// Tells the predecessor what became of the connection that came last.
+    /// Tells the predecessor whether the last connection was adopted, and resumes it once that message was sent.
     fn reply(
         &mut self,
         context: &mut Context,
@@ -148,7 +152,8 @@
             .map_err(|error| ChannelError::of(error, "sendmsg"));
         match (&sent, adopted) {
             (Ok(()), Some(id)) => connections.resume_connection(context, id),
-            // The predecessor keeps what it was not told of; without this, two processes would serve one connection.
+            // The predecessor resumes every connection that was not acknowledged. Drops this one here, because otherwise
+            // both processes would serve it.
             (Err(ChannelError::Closed), Some(id)) => connections.abandon_adopted(context, id),
             _ => {}
         }
@@ -159,7 +164,7 @@
     }
 }
 
-/// Waits for the whole state.
+/// Waits for all chunks of the state and decodes it.
 fn receive_state(context: &mut Context, clock: &Clock, channel: &Socket) -> StateTransfer {
     let deadline = clock.read() + STATE_TIMEOUT;
     let mut buffer = vec![0; channel::MAX_MESSAGE_BYTES];
--- a/node/src/roles/hot_restart/successor.rs
+++ b/node/src/roles/hot_restart/successor.rs
@@ -1,5 +1,5 @@
-//! The channel to the successor, in the process that is being replaced. It owns the connections in transit, of which it
-//! must never lose one: each goes on either in the successor or here.
+//! The channel to the successor, in the process that is being replaced. It owns the connections in transit and loses none of
+//! them: each one is either adopted by the successor or resumed in this process.
 
 use super::messages::{encode, FromPredecessor, FromSuccessor, TransferredState, VERSION};
 use super::ChannelError;
@@ -10,18 +10,18 @@
 use reedferry_runtime::{PollToken, Socket};
 use std::collections::VecDeque;
 
-/// How much of the encoded state goes into one message.
+/// The maximum number of bytes of the encoded state in one message.
 const STATE_CHUNK_BYTES: usize = 32 << 10;
-/// The longest message of a successor.
+/// The maximum length of a message from the successor, in bytes.
 const MAX_MESSAGE_BYTES: usize = 64;
-/// Connections in transit at a time.
+/// The maximum number of connections in transit at the same time.
 const MAX_IN_TRANSIT: usize = 32;
-/// How long the successor may take to acknowledge a connection.
+/// The maximum time that the successor may take to acknowledge a connection.
 const ACKNOWLEDGE_TIMEOUT: Nanos = 1500 * MILLI;
-/// How long before this process must hold no client any more the handover ends, so that the rest can be migrated.
+/// How long before the shutdown deadline the handover ends, so that the remaining clients can still be migrated.
 const MIGRATION_RESERVE: Nanos = 400 * MILLI;
 
-/// A connection that has been sent to the successor and is not acknowledged yet.
+/// A connection that was sent to the successor and is not acknowledged yet.
 struct InTransit {
     id: RequestId,
     sent_at: Nanos,
@@ -30,19 +30,20 @@
 /// The process that is to replace this one.
 pub(super) struct Successor {
     channel: Socket,
-    stamp: u32,
-    /// Messages that the channel has not taken yet.
+    /// The generation of the channel's poll token, which tells it from earlier channels.
+    generation: u32,
+    /// The encoded messages that are not sent yet.
     outgoing: VecDeque<Vec<u8>>,
-    /// In the order in which they were sent.
+    /// The unacknowledged connections, in the order in which they were sent.
     in_transit: VecDeque<InTransit>,
-    /// Nothing it sends from now on can reach this process; what it has sent before is still read.
+    /// Whether the handover has ended: the channel is shut down for reading, but messages sent before are still read.
     abandoned: bool,
-    /// It has asked for the state and has not been sent it yet.
+    /// Whether the successor has requested the state since [`Successor::take_state_request`] was last called.
     state_requested: bool,
 }
 
 impl Successor {
-    /// The process at the other end of a channel that has just been accepted.
+    /// Creates the successor at the other end of a newly accepted channel, and registers the channel with the poller.
     pub fn new(context: &mut Context, channel: Socket) -> Self {
         let token = PollToken {
             component: SUCCESSOR,
@@ -50,12 +51,12 @@
             generation: context.next_generation(),
         };
         if context.poller.register(&channel, token).is_err() {
-            // The sweep reads from it.
+            // The sweep serves the channel without the poller's reports.
             context.record_transient_failure("epoll_ctl");
         }
         Successor {
             channel,
-            stamp: token.generation,
+            generation: token.generation,
             outgoing: VecDeque::new(),
             in_transit: VecDeque::new(),
             abandoned: false,
@@ -63,17 +64,17 @@
         }
     }
 
-    /// Whether the poller's mark is for this channel, not for an earlier successor's.
-    pub fn is_marked(&self, token: PollToken) -> bool {
-        self.stamp == token.generation
+    /// Whether a poll token belongs to this channel and not to that of an earlier successor.
+    pub fn matches_token(&self, token: PollToken) -> bool {
+        self.generation == token.generation
     }
 
-    /// Whether it has asked for the state since this was called last.
+    /// Whether the successor has requested the state since the last call.
     pub fn take_state_request(&mut self) -> bool {
         std::mem::take(&mut self.state_requested)
     }
 
-    /// Queues the state in chunks, and returns its length in bytes.
+    /// Queues the encoded state in chunks, and returns its total length in bytes.
     pub fn queue_state(&mut self, state: &TransferredState) -> usize {
         let bytes = encode(state);
         let chunks = bytes.chunks(STATE_CHUNK_BYTES);
@@ -85,7 +86,7 @@
         bytes.len()
     }
 
-    /// Sends what is queued.
+    /// Sends the queued messages until the queue is empty or the channel returns an error.
     pub fn flush(&mut self) -> Result<(), ChannelError> {
         while let Some(message) = self.outgoing.front() {
             self.channel
@@ -96,7 +97,7 @@
         Ok(())
     }
 
-    /// Handles all messages that have come, and returns what ended that.
+    /// Handles all messages that have arrived, and returns the error that ended the reading.
     pub fn receive(
         &mut self,
         context: &mut Context,
@@ -113,7 +114,7 @@
                 Err(error) if classify_io(error) != IoFailure::Disconnected => {
                     return ChannelError::of(error, "recvmsg");
                 }
-                // Messages may lie behind the error that reports the other end's reset.
+                // The first error may be the peer's reset, with unread messages queued behind it.
                 Err(_) if !std::mem::replace(&mut error_seen, true) => continue,
                 _ => return ChannelError::Closed,
             };
@@ -129,7 +130,8 @@
         }
     }
 
-    /// The successor has adopted the oldest connection in transit, or could not.
+    /// Ends the transit of the oldest connection in transit: completes its handover if the successor adopted it, and
+    /// otherwise resumes it here.
     fn acknowledge(&mut self, context: &mut Context, connections: &mut Connections, adopted: bool) {
         let Some(InTransit { id, .. }) = self.in_transit.pop_front() else {
             return;
@@ -141,8 +143,8 @@
         }
     }
 
-    /// Ends the handover: nothing more is sent, and what the successor has not said by now it can't say any more. Returns
-    /// whether that is new.
+    /// Ends the handover: discards the queued messages and shuts the channel down for reading, so that the successor can
+    /// acknowledge nothing more. Returns `false` if the handover had already ended.
     pub fn abandon(&mut self) -> bool {
         if self.abandoned {
             return false;
@@ -153,19 +155,20 @@
         true
     }
 
-    /// Takes the connections in transit back.
+    /// Resumes all connections in transit in this process.
     pub fn take_back(self, context: &mut Context, connections: &mut Connections) {
         for InTransit { id, .. } in self.in_transit {
             connections.resume_connection(context, id);
         }
     }
 
-    /// How many connections are in transit.
+    /// Returns the number of connections in transit.
     pub fn in_transit(&self) -> usize {
         self.in_transit.len()
     }
 
-    /// Hands over as many connections as the window and the channel take.
+    /// Hands over as many connections as [`MAX_IN_TRANSIT`] and the channel allow. Hands over none while messages are queued
+    /// or after the handover has ended.
     pub fn hand_over(
         &mut self,
         context: &mut Context,
@@ -195,7 +198,8 @@
         Ok(())
     }
 
-    /// Whether it takes too long to acknowledge a connection, or the time for handing over has ended.
+    /// Whether the successor took too long to acknowledge a connection, or the remaining time before the shutdown deadline is
+    /// reserved for migrations.
     pub fn is_overdue(&self, context: &Context) -> bool {
         let unacknowledged = self
             .in_transit
--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -1,7 +1,7 @@
-//! The planner role: the [`Planner`] with its decision cores, and discovery. It owns the sockets of forwarders and
-//! the order of a turn: read forwarders, then discovery, then decide, then send. That order keeps the drain
-//! guarantee: what a forwarder asked for before it could know of a drain is never decided by an endpoint list
-//! that is older than the heartbeat which the decision answers. It must never take a client.
+//! The planner role: runs the [`Planner`] with its decision cores, and discovery. This module owns the sockets of forwarders
+//! and the order of a turn: read forwarders, read discovery, decide, send. That order keeps the drain guarantee: the
+//! endpoint list behind a decision is never older than the heartbeat which the decision answers, so a drain that was
+//! written before that heartbeat is known. A planner accepts no clients.
 
 use crate::connections::link::{ClosedConnections, LinkConnection, LinkConnections};
 use crate::connections::probe::Probes;
@@ -18,35 +18,38 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// How long a planner that shuts down waits for its forwarders to follow another.
+/// The maximum time that a planner waits during shutdown until its forwarders follow another planner.
 const SHUTDOWN_TIMEOUT: Nanos = 700 * MILLI;
-/// The most forwarders accepted at once.
-const MAX_ACCEPTS: usize = 64;
+/// The maximum number of forwarders accepted per readiness report.
+const MAX_ACCEPTS_PER_READINESS: usize = 64;
 
-/// The process of a planner.
+/// The state of a planner process.
 struct PlannerProcess {
     context: Context,
     planner: Planner,
     discovery: DiscoveryClient,
     probes: Probes,
-    /// The connections of forwarders, by the planner's number for each.
+    /// The connections of forwarders, by the connection number that the [`Planner`] uses.
     forwarder_sockets: LinkConnections,
     listener: Socket,
     stop_signal: Signal,
     reload_signal: Signal,
     config_path: PathBuf,
     role_config: PlannerOptions,
+    /// The number of configured planners.
     planner_count: usize,
+    /// The address of the discovery service in use.
     discovery_address: SocketAddr,
+    /// The actions that are not carried out yet.
     actions: Vec<PlannerAction>,
 }
 
-/// Runs a planner until it has shut down.
+/// Runs a planner until it has shut down. Returns an error if it cannot start or cannot use the poller.
 pub fn run(config_path: &Path, start: Signals) -> Result<(), String> {
     let clock = Clock::start();
     let (mut process, backlog) = PlannerProcess::start(config_path, start, &clock)?;
     loop {
-        process.turn();
+        process.run_turn();
         backlog.drain();
         if process.has_shut_down() {
             info!(process.context.log, "stopped"; "requests" => process.planner.request_count());
@@ -59,7 +62,7 @@
     }
 }
 
-/// The planner's own part of the configuration.
+/// Returns the configuration of the [`Planner`].
 fn planner_config(
     node_config: &NodeConfig,
     role_config: &PlannerOptions,
@@ -92,7 +95,10 @@
         } = OperatorConfig::read(config_path)?;
         let Role::Plan(role_config) = role else {
             let path = config_path.display();
-            return Err(format!("{path} is for `reedferry {}`", role.command()));
+            return Err(format!(
+                "{path} is for `reedferry {}`, not for `reedferry plan`",
+                role.command()
+            ));
         };
         let (mut context, backlog) = Context::open(&node_config, clock, &start)?;
         let listener = context.listen(&role_config.listen, context::LINK_LISTENER)?;
@@ -132,16 +138,17 @@
         Ok((process, backlog))
     }
 
-    /// Whether it was asked to stop, and no forwarder follows it any more or it has waited long enough.
+    /// Whether this process was asked to stop, and either no forwarder follows it any more or [`SHUTDOWN_TIMEOUT`] has passed.
     fn has_shut_down(&self) -> bool {
         let now = self.context.now;
-        let is_alone = now >= self.context.start && self.planner.follower_count() == 0;
+        let has_no_followers = now >= self.context.start && self.planner.follower_count() == 0;
         self.context
             .may_end_at
-            .is_some_and(|latest| now >= latest || is_alone)
+            .is_some_and(|latest| now >= latest || has_no_followers)
     }
 
-    /// Waits until something is ready or due, and hands it to whom it concerns.
+    /// Waits until a socket is ready or a timer is due, and dispatches the ready sockets. [`PlannerProcess::run_turn`] handles
+    /// the timers.
     fn wait(&mut self, clock: &Clock) -> Result<(), Errno> {
         let deadline = self.planner.next_deadline(self.context.now);
         self.context
@@ -167,7 +174,7 @@
     }
 
     fn accept_forwarders(&mut self) {
-        for _ in 0..MAX_ACCEPTS {
+        for _ in 0..MAX_ACCEPTS_PER_READINESS {
             let context = &mut self.context;
             if !context.budget.has_capacity(1) {
                 return;
@@ -175,20 +182,21 @@
             let Ok(socket) = context.budget.accept(&self.listener) else {
                 return;
             };
-            let stamp = context.next_generation();
+            let connection = context.next_generation();
             let token = PollToken {
                 component: LINK,
                 slot: 0,
-                generation: stamp,
+                generation: connection,
             };
             if context.poller.register(&socket, token).is_err() {
-                // The forwarder connects again.
+                // The socket is closed, and the forwarder reconnects.
                 context.record_transient_failure("epoll_ctl");
                 continue;
             }
-            let socket = LinkConnection::new(socket, stamp, true);
-            self.forwarder_sockets.by_line.insert(stamp, socket);
-            self.planner.accept(context.now, stamp, &mut self.actions);
+            let socket = LinkConnection::new(socket, connection, true);
+            self.forwarder_sockets.by_line.insert(connection, socket);
+            self.planner
+                .accept(context.now, connection, &mut self.actions);
         }
     }
 
@@ -208,46 +216,47 @@
             .connection_lost(connection, why, &mut self.actions);
     }
 
-    fn connections_lost(&mut self, ended: ClosedConnections) {
-        for (connection, why) in ended {
+    fn connections_lost(&mut self, closed: ClosedConnections) {
+        for (connection, why) in closed {
             self.connection_lost(connection, why);
         }
     }
 
-    /// All of a turn behind the wait.
-    fn turn(&mut self) {
+    /// Processes one turn after the wait: reads forwarders and discovery, decides, writes to forwarders and carries out actions.
+    fn run_turn(&mut self) {
         let now = self.context.now;
         let (planner, actions) = (&mut self.planner, &mut self.actions);
-        let ended = self
+        let closed = self
             .forwarder_sockets
             .read(|connection, bytes| planner.receive(now, connection, bytes, actions));
-        // Behind the forwarders' heartbeats. Otherwise a decision that answers a heartbeat could miss a drain that was
-        // written before that heartbeat was sent.
+        // Reads discovery after the forwarders' heartbeats. Otherwise a decision that answers a heartbeat could miss a drain
+        // that was written before that heartbeat was sent.
         self.discovery.read_all(&mut self.context);
         for event in std::mem::take(&mut self.context.events) {
             self.handle_event(event);
         }
         self.handle_due_timers(now);
         self.planner.decide(now, &mut self.actions);
-        self.connections_lost(ended);
+        self.connections_lost(closed);
         let planner = &mut self.planner;
-        let ended = self.forwarder_sockets.write(|connection, socket| {
+        let closed = self.forwarder_sockets.write(|connection, socket| {
             let count = socket.write(planner.outgoing(connection))?;
             planner.mark_sent(connection, count);
             Ok(())
         });
-        self.connections_lost(ended);
+        self.connections_lost(closed);
         for action in std::mem::take(&mut self.actions) {
             self.carry_out(action);
         }
     }
 
     fn handle_due_timers(&mut self, now: Nanos) {
-        while let Some((due, word)) = self.context.poller.pop_expired(now) {
+        while let Some((due, timer)) = self.context.poller.pop_expired(now) {
             match due.component {
                 context::BALANCER_TIMER => {
                     let zone = due.slot as u16;
-                    self.planner.timer_fired(now, zone, word, &mut self.actions);
+                    self.planner
+                        .timer_fired(now, zone, timer, &mut self.actions);
                 }
                 context::PROBE => self.probes.on_timeout(&mut self.context, due),
                 context::SWEEP => {
@@ -262,7 +271,7 @@
         }
     }
 
-    /// Hands the planner an event of discovery or of a probe.
+    /// Passes an event of discovery or of a probe to the planner.
     fn handle_event(&mut self, event: Event) {
         let now = self.context.now;
         match event {
@@ -278,7 +287,7 @@
         }
     }
 
-    /// A host as it is sent to forwarders.
+    /// Returns the entry of a host that is sent to forwarders, or `None` if the host is unknown.
     fn host_entry(&self, endpoint: &Endpoint) -> Option<HostEntry> {
         let hosts = &self.context.hosts;
         let record = hosts.record(hosts.index(endpoint.id)?);
@@ -318,7 +327,8 @@
         }
     }
 
-    /// Reads the operator's file anew: of a running planner, only the address of discovery may change.
+    /// Reloads the operator's file if a signal asks for it. Only the address of the discovery service can change while a planner
+    /// runs.
     fn reload_config_if_asked(&mut self) {
         if !self.reload_signal.take() {
             return;
--- a/node/src/roles/standalone/config_source.rs
+++ b/node/src/roles/standalone/config_source.rs
@@ -1,4 +1,4 @@
-//! Where a standalone node finds its configuration.
+//! The sources of a standalone node's configuration, and the errors of loading it.
 
 use crate::operators::config_files::MayBeTransient;
 use crate::operators::node_config::{NodeConfig, NodeConfigError};
@@ -8,51 +8,52 @@
 use crate::peers::GossipConfig;
 use std::path::{Path, PathBuf};
 
-/// Where a node finds its configuration.
+/// The source of a node's configuration.
 pub enum ConfigSource<'a> {
-    /// In the file that the environment names, as the platform has it.
+    /// The file that an environment variable of the platform names.
     Environment,
-    /// In the file that an operator's file names.
+    /// The operator's file at this path, which names the file of the node.
     OperatorFile(&'a Path),
 }
 
-/// A node's configuration, and the peers that it exchanges messages with.
+/// A node's configuration and its peers.
 pub(super) struct LoadedConfig {
     pub node_config: NodeConfig,
+    /// The peers with which the node exchanges messages; `None` if it has none.
     pub gossip_config: Option<GossipConfig>,
 }
 
-/// Why a node's configuration can't be used.
+/// The reason why a node's configuration can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// The file that the environment names can't be read or used.
+    /// The file that the environment names can't be read or is invalid.
     #[error(transparent)]
     NodeConfig(#[from] NodeConfigError),
-    /// That file needs peers, which only an operator's file can name.
+    /// The settings in that file enable gossip, which needs peers that only an operator's file can name.
     #[error(transparent)]
     Peers(#[from] PeerListError),
-    /// The operator's file can't be read or used.
+    /// The operator's file can't be read or is invalid.
     #[error(transparent)]
     OperatorConfig(#[from] OperatorConfigError),
     /// The operator's file is for another role.
-    #[error("{} is for `reedferry {role}`", path.display())]
+    #[error("{} is for `reedferry {role}`, not for `reedferry node`", path.display())]
     WrongRole {
         /// The operator's file.
         path: PathBuf,
-        /// The command that the file is for.
+        /// The `reedferry` command for which the file is.
         role: &'static str,
     },
 }
 
 impl MayBeTransient for LoadError {
-    /// Only the file that the environment names is read again.
+    /// Only errors in reading the file that the environment names can be transient.
     fn is_transient(&self) -> bool {
         matches!(self, LoadError::NodeConfig(error) if error.is_transient())
     }
 }
 
 impl ConfigSource<'_> {
-    /// Reads the configuration.
+    /// Reads and validates the configuration.
     pub(super) fn load(&self) -> Result<LoadedConfig, LoadError> {
         match self {
             ConfigSource::Environment => {
--- a/node/src/roles/standalone/event_loop.rs
+++ b/node/src/roles/standalone/event_loop.rs
@@ -1,4 +1,4 @@
-//! One turn of a standalone node: events are gathered, the balancer decides, its actions are carried out.
+//! One turn of a standalone node: collects events, passes them to the balancer and carries out its actions.
 
 use super::Node;
 use crate::context::{self, token};
@@ -11,8 +11,9 @@
 use slog::info;
 
 impl Node<'_> {
-    /// Gathers what has come since the last turn.
-    pub(super) fn gather(&mut self, clock: &Clock) -> Result<(), Errno> {
+    /// Waits for the poller, then serves the ready sockets, the operators' requests and the due timers. The resulting events
+    /// wait in the context until [`Node::decide`].
+    pub(super) fn collect_events(&mut self, clock: &Clock) -> Result<(), Errno> {
         let previous_turn = self.poll(clock)?;
         self.order_ready();
         if self.context.now > previous_turn + 2 * SWEEP {
@@ -36,14 +37,19 @@
         Ok(())
     }
 
-    /// Waits for the poller, and returns when the turn before began.
+    /// Waits for the poller, and returns the time at which the previous turn began.
     fn poll(&mut self, clock: &Clock) -> Result<Nanos, Errno> {
-        let behind = self.ready.is_behind();
-        let at_once = behind || !self.context.events.is_empty() || self.connections.has_runnable();
+        let is_behind = self.ready.is_behind();
+        let at_once =
+            is_behind || !self.context.events.is_empty() || self.connections.has_runnable();
         let mut ready = Vec::new();
-        let wait_began = clock.read();
-        self.context.poller.wait(wait_began, at_once, &mut ready)?;
-        let previous_turn = self.context.begin_turn(wait_began, clock.read(), behind);
+        let wait_started = clock.read();
+        self.context
+            .poller
+            .wait(wait_started, at_once, &mut ready)?;
+        let previous_turn = self
+            .context
+            .begin_turn(wait_started, clock.read(), is_behind);
         self.ready.add(ready);
         if let Some(fleet) = &mut self.fleet {
             fleet.refresh_quota(&mut self.context);
@@ -51,8 +57,9 @@
         Ok(previous_turn)
     }
 
-    /// Puts discovery and operators first. Without this, an operator would wait behind a crowd of clients, and clients would be
-    /// sent to a draining host by an older endpoint list after the process stood still.
+    /// Moves discovery to the front of the ready sockets, followed by operators. Otherwise operators would wait behind a large
+    /// number of clients, and after a stall of the process clients would be sent to a draining host because of an outdated
+    /// endpoint list.
     fn order_ready(&mut self) {
         self.ready.order_by(|ready| match ready.token.component {
             context::DISCOVERY => 0,
@@ -132,8 +139,8 @@
         }
     }
 
-    /// Transfers the state to a successor, and the connections when this node stops; without a successor the balancer migrates
-    /// the clients.
+    /// Transfers the state to a successor that has requested it, and the connections once this node stops. Without a successor,
+    /// passes the shutdown event on, so that the balancer migrates the clients.
     fn hand_over(&mut self) {
         let context = &mut self.context;
         if self.hot_restart.take_state_request() {
@@ -157,7 +164,7 @@
         }
     }
 
-    /// Hands what was gathered to the balancer and carries out its actions.
+    /// Passes the collected events to the balancer and carries out its actions.
     pub(super) fn decide(&mut self) {
         self.feed_events();
         for action in std::mem::take(&mut self.actions) {
@@ -224,12 +231,12 @@
                 }
             }
             Action::Log(text) => info!(context.log, "{}", text),
-            // The connections have carried out the rest.
+            // All other actions were carried out by `Connections::perform`.
             _ => {}
         }
     }
 
-    /// Carries out the actions whose record is replicated now, and sends what the replication asks of others.
+    /// Exchanges replication messages with other nodes, and carries out the actions that this releases.
     pub(super) fn replicate(&mut self) {
         let (Some(replication), Some(fleet)) = (&mut self.replication, &mut self.fleet) else {
             return;
@@ -240,7 +247,7 @@
         }
     }
 
-    /// Looks after everything at a fixed interval, whatever the poller has reported of it.
+    /// Checks the signals and serves every part of the node at a fixed interval, regardless of what the poller has reported.
     fn sweep(&mut self) {
         self.stop_if_asked();
         self.reload_if_asked();
@@ -280,20 +287,21 @@
         self.announce(MemberState::Leaving);
     }
 
-    /// Whether this node was asked to stop and serves nobody any more.
+    /// Whether this node was asked to stop, has no connections left and either may end by now or can receive no more clients.
     pub(super) fn has_stopped(&self) -> bool {
-        let may_end = |from: Nanos| self.context.now >= from || self.hot_restart.is_over();
+        let may_end =
+            |from: Nanos| self.context.now >= from || self.hot_restart.receives_no_more_clients();
         self.context.may_end_at.is_some_and(may_end) && self.connections.count() == 0
     }
 
-    /// Tells the fleet the state of this node.
+    /// Announces this node's state to the fleet, if it belongs to one.
     pub(super) fn announce(&mut self, state: MemberState) {
         if let Some(fleet) = &mut self.fleet {
             fleet.announce(&mut self.context, state);
         }
     }
 
-    /// Tells the fleet that this process ends.
+    /// Leaves the fleet, if this node belongs to one, because the process ends.
     pub(super) fn leave_fleet(&mut self) {
         if let Some(fleet) = &mut self.fleet {
             fleet.leave(&mut self.context);
--- a/node/src/roles/standalone/mod.rs
+++ b/node/src/roles/standalone/mod.rs
@@ -1,6 +1,6 @@
-//! The standalone role: a node that decides for itself. This module owns the node's state and the order in which a turn of
-//! its event loop goes: gather what is ready, hand it to the balancer in one go with one reading of the clock, carry out
-//! the balancer's actions. It must never decide anything that the balancer decides, nor wait for anything but the poller.
+//! The standalone role: a node with its own balancer. This module owns the node's state and the order of a turn of its event
+//! loop: collect events from everything that is ready, pass them to the balancer as one batch with one clock reading, carry
+//! out the balancer's actions. It makes no balancing decisions, and while it runs it blocks only in the poller.
 
 mod config_source;
 mod event_loop;
@@ -28,38 +28,41 @@
 use reedferry_runtime::{Clock, Signal};
 use slog::info;
 
-/// A standalone node while it runs.
+/// The state of a running standalone node.
 struct Node<'a> {
     config_source: ConfigSource<'a>,
     node_config: NodeConfig,
+    /// The peers that this node was started with; `None` if it has none.
     gossip_config: Option<GossipConfig>,
     context: Context,
     balancer: Balancer,
-    /// What the balancer has ordered and is not carried out yet.
+    /// The balancer's actions that are not carried out yet.
     actions: Vec<Action>,
     /// Whether every event and action of the balancer is logged.
     trace: bool,
     connections: Connections,
     discovery: DiscoveryClient,
     probes: Probes,
+    /// The peers for gossip that the operator's file lists; `None` if there are none or the node belongs to a fleet.
     peers: Option<StaticPeers>,
     fleet: Option<Fleet>,
     replication: Option<RequestReplication>,
     hot_restart: HotRestart,
-    /// The event with which the balancer moves the clients of a node that stops, held back while a successor takes them.
+    /// The event that makes the balancer migrate the clients of a node that stops. It is held back while a successor can adopt
+    /// them.
     pending_shutdown: Option<Event>,
     operator_api: Option<OperatorApi>,
     stop_signal: Signal,
     reload_signal: Signal,
-    /// The configuration could not be read for a moment when it was to be reloaded.
+    /// Whether a reload is to be retried at the next sweep because of a transient read error.
     reload_pending: bool,
     ready: Ready,
 }
 
-/// Runs a standalone node until it is asked to stop.
+/// Runs a standalone node until it is asked to stop and has no connections left.
 ///
 /// # Errors
-/// Why it could not start, or not go on.
+/// Returns why the node could not start, or why it could not continue.
 pub fn run(config_source: ConfigSource, signals: Signals) -> Result<(), FatalError> {
     let config = config_files::retry_at_start(START_TIMEOUT, || config_source.load())?;
     let clock = Clock::start();
@@ -74,6 +77,6 @@
             backlog.drain();
             return Ok(());
         }
-        node.gather(&clock).map_err(FatalError::Poll)?;
+        node.collect_events(&clock).map_err(FatalError::Poll)?;
     }
 }
--- a/node/src/roles/standalone/operator_calls.rs
+++ b/node/src/roles/standalone/operator_calls.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a standalone node, and how it answers.
+//! The responses of a standalone node to the requests of its operator API.
 
 use super::Node;
 use crate::operators::api::{ApiRequest, ApiResponse};
@@ -7,7 +7,7 @@
 use reedferry_membership::MemberState;
 
 impl Node<'_> {
-    /// Does what operators ask for, and returns the response.
+    /// Carries out an operator's request and returns the response.
     pub(super) fn answer(&mut self, request: ApiRequest) -> ApiResponse {
         let is_stopping = self.context.may_end_at.is_some();
         match request {
@@ -42,7 +42,8 @@
         })
     }
 
-    /// Whether this node takes new clients.
+    /// Returns status 200 if this node accepts new clients, and 503 with the reason if it is stopping, standing by or knows no
+    /// hosts.
     fn status(&self) -> ApiResponse {
         let hosts_known = self.balancer.host_counts(self.context.now).listed;
         if self.context.may_end_at.is_some() {
--- a/node/src/roles/standalone/reload.rs
+++ b/node/src/roles/standalone/reload.rs
@@ -1,4 +1,5 @@
-//! The reload of a running node's configuration: discovery and settings may change, the rest holds until the next start.
+//! The reload of a running node's configuration: the discovery address, the settings and parts of the fleet configuration take
+//! effect; changes to everything else take effect at the next start.
 
 use super::config_source::{LoadError, LoadedConfig};
 use super::Node;
@@ -11,29 +12,29 @@
 use reedferry_settings::{reload, Settings};
 use slog::{info, warn};
 
-/// Why a configuration is not taken up.
+/// The reason why a configuration is not applied.
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
-    /// It can't be read or used.
+    /// The configuration can't be read or is invalid.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// It is incomplete.
+    /// The configuration lacks a key that the current one has.
     #[error(transparent)]
     MissingKey(#[from] MissingKey),
 }
 
 impl Node<'_> {
-    /// Reloads the configuration where a signal asks for it, or where it could not be read for a moment before.
+    /// Reloads the configuration if a signal asks for it, or if the previous reload failed because of a transient error.
     pub(super) fn reload_if_asked(&mut self) {
         if !self.reload_signal.take() && !std::mem::take(&mut self.reload_pending) {
             return;
         }
         let loaded = match self.config_source.load() {
-            // Without this, settings would never be taken up whose file could not be read for a moment.
+            // Retries after a transient error, because otherwise the new settings would never be applied.
             Err(error) if error.is_transient() => return self.postpone_reload(&error),
             other => other.map_err(ReloadError::from),
         };
-        // Without the check, a node would be ended or led astray by a file that is half written or wrong.
+        // Rejects a file that is incomplete or invalid, because a partly written file could end the node or misconfigure it.
         let checked = loaded.and_then(|loaded| {
             self.node_config.check_complete(&loaded.node_config)?;
             Ok(loaded)
@@ -55,14 +56,14 @@
         self.reload_pending = true;
     }
 
-    /// Takes up a configuration that has been checked.
+    /// Applies a configuration that has been checked.
     fn apply(&mut self, loaded: LoadedConfig) {
         let LoadedConfig {
             mut node_config,
             gossip_config,
         } = loaded;
         let mut kept = self.node_config.parts_kept_until_restart(&node_config);
-        if !self.takes_up_peers(gossip_config.as_ref(), &node_config) {
+        if !self.apply_peers(gossip_config.as_ref(), &node_config) {
             kept.push("peers");
             node_config.balancer_settings.gossip_enabled =
                 self.node_config.balancer_settings.gossip_enabled;
@@ -80,8 +81,9 @@
         }
     }
 
-    /// Takes up what may change of the peers, and returns whether that is all that has changed.
-    fn takes_up_peers(
+    /// Applies the changes to the peers that a running node supports, and returns whether the whole peer configuration is in
+    /// effect.
+    fn apply_peers(
         &mut self,
         gossip_config: Option<&GossipConfig>,
         node_config: &NodeConfig,
@@ -99,7 +101,7 @@
         )
     }
 
-    /// Takes up other settings. What is under way keeps its request class.
+    /// Applies new settings. Requests in flight keep their request class. Sets the settings in `fresh` to those in effect.
     fn apply_settings(&mut self, fresh: &mut NodeConfig) {
         let NodeConfig {
             balancer_settings,
@@ -133,13 +135,14 @@
             changed_classes,
         ));
         if zones_changed {
-            self.list_hosts_again();
+            self.reapply_endpoint_list();
         }
     }
 
-    /// Lists all hosts by the new order of zones, those that are gone too while anything may refer to them. Without the latter, a
-    /// retry would be matched against the zone that now has the index of the one in which the request may have run.
-    fn list_hosts_again(&mut self) {
+    /// Applies the endpoint list again, with the new zone indices. It includes former hosts to which requests may still refer:
+    /// otherwise the zone in which a request may have run would keep its old index, and a retry would be matched against the
+    /// zone that has this index now.
+    fn reapply_endpoint_list(&mut self) {
         let context = &mut self.context;
         let members = [context.hosts.members(), context.hosts.former_members()].concat();
         let list = EndpointList {
--- a/node/src/roles/standalone/startup.rs
+++ b/node/src/roles/standalone/startup.rs
@@ -1,4 +1,4 @@
-//! The start of a standalone node: what is opened, in which order, and what it takes over from a predecessor.
+//! The start of a standalone node: opens its sockets and applies the state that it inherits from a predecessor.
 
 use super::config_source::{ConfigSource, LoadedConfig};
 use super::Node;
@@ -23,7 +23,7 @@
 use reedferry_settings::reload;
 use slog::info;
 
-/// The sockets to other nodes, and what is kept by their means.
+/// The parts of a node that communicate with other nodes; each is `None` if it is not configured.
 struct PeerLinks {
     peers: Option<StaticPeers>,
     fleet: Option<Fleet>,
@@ -31,7 +31,7 @@
 }
 
 impl<'a> Node<'a> {
-    /// Opens everything and takes over from a predecessor.
+    /// Opens all sockets, applies the state of a predecessor if there is one, and requests the endpoint list.
     pub(super) fn start(
         config_source: ConfigSource<'a>,
         config: LoadedConfig,
@@ -61,7 +61,7 @@
         );
         let mut revision = context.load_known_endpoints(&node_config)?;
         if let Some(state) = inherited {
-            revision = inherit(&mut context, &node_config, state);
+            revision = apply_inherited_state(&mut context, &node_config, state);
         }
         log_start(&context, &node_config, &hot_restart, revision);
         let discovery = DiscoveryClient::new(
@@ -93,14 +93,14 @@
             reload_pending: false,
             ready: Ready::default(),
         };
-        node.begin();
+        node.start_discovery();
         Ok((node, backlog))
     }
 
     /// Requests the endpoint list and sets the timer of the first sweep.
-    fn begin(&mut self) {
-        // What a pushed list says counts as told from the start of the process. Without this, clients would be sent to draining
-        // hosts by a process that requests the list only at its first sweep.
+    fn start_discovery(&mut self) {
+        // Requests the endpoint list now instead of at the first timer, because the drain grace for changes in a pushed list
+        // counts from the start of the process. Otherwise clients would be sent to draining hosts.
         self.discovery.sweep(&mut self.context);
         let context = &mut self.context;
         context
@@ -149,7 +149,8 @@
     }
 }
 
-/// Adds the request classes that the predecessor's connections refer to, and maps the state to the order of classes here.
+/// Adds the request classes that the predecessor's connections refer to, and returns the state mapped to this node's order of
+/// classes.
 fn keep_referenced_classes(
     context: &mut Context,
     node_config: &mut NodeConfig,
@@ -165,13 +166,14 @@
     state.with_classes(&node_config.node_settings.classes)
 }
 
-/// Takes over the predecessor's hosts and statistics, and returns the revision from which the endpoint list is watched.
-fn inherit(
+/// Applies the predecessor's hosts and statistics, and returns the revision from which the endpoint list is watched. Returns
+/// `None` if the predecessor had no revision or used another discovery service.
+fn apply_inherited_state(
     context: &mut Context,
     node_config: &NodeConfig,
     state: TransferredState,
 ) -> Option<u64> {
-    // What the predecessor was told last is newer than what this process was started with.
+    // The predecessor's endpoint list is newer than the one in this process's configuration.
     let list = EndpointList {
         revision: state.revision.unwrap_or(0),
         complete: true,
@@ -193,7 +195,7 @@
     hot_restart: &HotRestart,
     revision: Option<u64>,
 ) {
-    // The system assigns the port where none is configured.
+    // Logs the bound address, because the system assigns the port if the configured one is 0.
     let listen = hot_restart
         .listener()
         .and_then(Socket::local_address)
