--- a/node/src/peers/assignments.rs
+++ b/node/src/peers/assignments.rs
@@ -1,5 +1,5 @@
-//! What the fleet assigns to this node: a part of the slow-start quota, and hosts to probe. It owns what the balancer was
-//! told last.
+//! The fleet's assignments to this node: shares of the slow-start quota, and hosts to probe. This module remembers what the
+//! balancer was told last, and tells it only of changes.
 
 use crate::context::Context;
 use crate::peers::Fleet;
@@ -7,27 +7,31 @@
 use reedferry_membership as membership;
 use slog::info;
 
-/// What the balancer was told last.
+/// The assignments that the balancer was told last.
 #[derive(Default)]
 pub struct Assignments {
-    /// The members whose quota this node uses, and how much of each.
+    /// The indices of the members whose quota this node uses, and the fraction of each.
     pub quota: Vec<(u32, f64)>,
-    /// The hosts that this node probes.
+    /// The ids of the hosts that this node probes.
     pub probe_targets: Vec<u64>,
-    assigned_by: Option<AssignedBy>,
-    lending: bool,
+    /// The inputs from which the probe targets were computed; `None` if they must be computed again.
+    probe_inputs: Option<ProbeTargetInputs>,
+    /// Whether this node last requested leases on slow-start quota.
+    shares_quota: bool,
 }
 
-/// What probe targets follow from.
+/// The inputs that determine the probe targets.
 #[derive(Clone, Copy, PartialEq)]
-struct AssignedBy {
+struct ProbeTargetInputs {
+    /// The digest of the member table.
     members_digest: u64,
-    endpoint_lists: u64,
+    /// The number of endpoint lists applied so far.
+    list_count: u64,
 }
 
 impl Fleet {
-    /// Before anything is decided in a turn: tells the balancer of its quota. Without this, a node that stood still goes
-    /// on with quota that others have taken over.
+    /// Tells the balancer of its slow-start quota if that has changed. Called in each turn before any decision, because a
+    /// node that was stalled would otherwise still use quota that other members have taken over.
     pub fn refresh_quota(&mut self, context: &mut Context) {
         if context.now > self.membership.next_wakeup() {
             self.handle(context, membership::Event::TimerFired);
@@ -41,7 +45,7 @@
         if quota == self.assignments.quota {
             return;
         }
-        if self.lines.allow(context.now) {
+        if self.log_limit.allow(context.now) {
             info!(context.log, "slow-start quota"; "of" => format!("{quota:?}"));
         }
         context
@@ -50,32 +54,33 @@
         self.assignments.quota = quota;
     }
 
-    /// Whether any quota is shared now, and whether this node probes hosts for their load.
+    /// Updates the quota leases and the probe targets. `shares_quota` tells whether this node currently needs leases on
+    /// slow-start quota, and `probes` whether it probes hosts for their load.
     pub fn update_assignments(&mut self, context: &mut Context, shares_quota: bool, probes: bool) {
-        let lent_before = std::mem::replace(&mut self.assignments.lending, shares_quota);
-        if lent_before != shares_quota {
+        let shared_before = std::mem::replace(&mut self.assignments.shares_quota, shares_quota);
+        if shared_before != shares_quota {
             let event = membership::Event::QuotaLendingChanged(shares_quota);
             self.handle(context, event);
         }
-        let assigned_by = (!self.membership.holds_off(context.now)).then(|| AssignedBy {
+        let probe_inputs = (!self.membership.holds_off(context.now)).then(|| ProbeTargetInputs {
             members_digest: self.membership.digest(),
-            endpoint_lists: context.hosts.list_count,
+            list_count: context.hosts.list_count,
         });
-        let is_unchanged = assigned_by.is_some() && assigned_by == self.assignments.assigned_by;
+        let is_unchanged = probe_inputs.is_some() && probe_inputs == self.assignments.probe_inputs;
         if probes && !is_unchanged {
             let targets = self
                 .membership
                 .owned_shards(context.now, context.hosts.ids());
             self.assign_probe_targets(context, targets);
-            self.assignments.assigned_by = assigned_by;
+            self.assignments.probe_inputs = probe_inputs;
         }
     }
 
     pub(super) fn assign_probe_targets(&mut self, context: &mut Context, targets: Vec<u64>) {
-        let assigned_by = self.assignments.assigned_by;
+        let probe_inputs = self.assignments.probe_inputs;
         let lists_changed =
-            assigned_by.is_none_or(|by| by.endpoint_lists != context.hosts.list_count);
-        // The balancer hears of new hosts though none of them is this node's to probe.
+            probe_inputs.is_none_or(|inputs| inputs.list_count != context.hosts.list_count);
+        // Also tells the balancer after a new endpoint list, even if no new host is assigned to this node.
         if targets != self.assignments.probe_targets || lists_changed {
             let hosts = targets.iter().copied().map(HostId).collect();
             context.events.push(Event::ProbeTargetsAssigned(hosts));
--- a/node/src/peers/attempt_history.rs
+++ b/node/src/peers/attempt_history.rs
@@ -1,44 +1,44 @@
-//! The attempts of one request: what of them is replicated, and what this node alone knows of them.
+//! The attempts of one request: the history that is replicated, and what only this node knows about them.
 
 use reedferry::Nanos;
 use serde::{Deserialize, Serialize};
 
-/// Hosts tried that a history names.
+/// The maximum number of tried hosts in a history.
 const MAX_TRIED_HOSTS: usize = 16;
 
-/// The attempts of a request as its replicas hold them. The order of the fields is the wire format.
+/// The attempts of a request, as stored at its replicas. The order of the fields is the wire format.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct AttemptHistory {
-    /// How many attempts were started.
+    /// The number of attempts started.
     pub attempts: u32,
-    /// The first attempt that may have run.
+    /// The first attempt that may have run, or `None` if no attempt can have run.
     pub may_have_run: Option<PossibleRun>,
-    /// The hosts tried, the first few.
+    /// The ids of the first hosts tried, at most [`MAX_TRIED_HOSTS`].
     pub tried_hosts: Vec<u64>,
 }
 
 /// An attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PossibleRun {
-    /// The host it went to.
+    /// The id of the host to which it was sent.
     pub host: u64,
-    /// How long ago that was when the history was written.
+    /// The time from the start of the attempt until the history was written, in nanoseconds.
     pub age: Nanos,
 }
 
-/// A history with what this node knows of it.
+/// A history, together with what only this node knows about it.
 #[derive(Default)]
 pub struct AttemptTracker {
-    /// What is replicated.
+    /// The history that is replicated.
     pub history: AttemptHistory,
-    /// When the first attempt that may have run was started, by this node's clock.
+    /// The start time of the first attempt that may have run, by this node's clock.
     pub possible_run_at: Nanos,
-    /// Which attempt that is; 0 for one of another node.
+    /// The number of that attempt, counted from 1; 0 if another node started it or there is none.
     possible_run_attempt: u32,
 }
 
 impl AttemptTracker {
-    /// A tracker without any attempts.
+    /// Creates a tracker without attempts.
     pub fn new(now: Nanos) -> AttemptTracker {
         AttemptTracker {
             possible_run_at: now,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// An attempt is started at a host.
+    /// Records that an attempt is started at a host.
     pub fn on_attempt_started(&mut self, now: Nanos, host: u64) {
         let history = &mut self.history;
         history.attempts += 1;
@@ -63,8 +63,8 @@
         }
     }
 
-    /// The last attempt ended and never ran. An earlier attempt at the same host may have run: without the comparison
-    /// of attempts it would be forgotten as a later one did not.
+    /// Records that the last attempt, at this host, ended without having run. Clears `may_have_run` only if it stands for
+    /// this attempt: an earlier attempt at the same host may have run and must not be forgotten.
     pub fn on_attempt_never_ran(&mut self, host: u64) {
         let history = &mut self.history;
         let at_this_host = history.may_have_run.is_some_and(|run| run.host == host);
--- a/node/src/peers/attempt_history_tests.rs
+++ b/node/src/peers/attempt_history_tests.rs
@@ -1,12 +1,12 @@
-//! What a history remembers of attempts that may have run.
+//! Tests of how a history records attempts that may have run.
 
 use super::*;
 use reedferry::SECOND;
 
-/// Prevents a request with an idempotency key that may have run at a host from being sent outside its idempotency
-/// group, as a second attempt there was rejected.
+/// Guards against a possible run that is forgotten because a later attempt at the same host was rejected: a request with an
+/// idempotency key would then be sent outside its idempotency group.
 #[test]
-fn what_may_have_run_is_not_forgotten_by_a_later_attempt_that_did_not() {
+fn a_later_attempt_that_never_ran_does_not_clear_a_possible_run() {
     let mut tracker = AttemptTracker::new(0);
     tracker.on_attempt_started(SECOND, 5);
     tracker.on_attempt_never_ran(5);
--- a/node/src/peers/config.rs
+++ b/node/src/peers/config.rs
@@ -1,45 +1,45 @@
-//! What the operator's file says of a node's peers. It must never decide anything.
+//! The configuration of a node's peers, as the operator's file contains it.
 
 use reedferry::Nanos;
 use std::net::SocketAddr;
 
-/// Where gossip comes and goes.
+/// The configuration of gossip.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GossipConfig {
-    /// Where this node listens.
+    /// The address on which this node listens for gossip.
     pub listen: SocketAddr,
-    /// The peers named one by one; none where there is a fleet.
+    /// The addresses of the peers listed in the file; empty if the node belongs to a fleet.
     pub peers: Vec<SocketAddr>,
-    /// Where the node takes part in a fleet: its members are the peers.
+    /// The configuration of the fleet whose members are the peers; `None` if the peers are listed in the file.
     pub fleet: Option<FleetConfig>,
 }
 
-/// How a node takes part in a fleet.
+/// The configuration of a node's membership in a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
-    /// Where others reach this node.
+    /// The address at which other members reach this node.
     pub address: SocketAddr,
-    /// Where it listens.
+    /// The address on which this node listens.
     pub listen: SocketAddr,
     /// The fleet's name.
     pub name: String,
-    /// Members to contact first.
+    /// The addresses of the members to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// How often each member probes another.
+    /// The interval at which each member probes another one, in nanoseconds.
     pub period: Nanos,
-    /// The most members that are tracked.
+    /// The maximum number of members that are tracked.
     pub max_members: usize,
-    /// Where requests in flight are to survive their node.
+    /// The configuration of the replication of requests in flight; `None` if they are not replicated.
     pub replication: Option<ReplicationConfig>,
 }
 
-/// How requests in flight are replicated.
+/// The configuration of the replication of requests in flight, which lets another node take them over.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicationConfig {
-    /// How long a record matters.
+    /// How long a replica keeps a record after the last message about it, in nanoseconds.
     pub retention: Nanos,
-    /// How long a majority may take.
+    /// The maximum time to wait for the responses of a majority of replicas, in nanoseconds.
     pub majority_timeout: Nanos,
-    /// The most records held for others.
+    /// The maximum number of records held for other nodes.
     pub max_records: usize,
 }
--- a/node/src/peers/error.rs
+++ b/node/src/peers/error.rs
@@ -1,15 +1,15 @@
-//! Why a node cannot take part among its peers.
+//! The errors of opening the sockets to other nodes.
 
 use reedferry_runtime::Errno;
 use std::fmt;
 use std::net::SocketAddr;
 
-/// A socket that cannot be opened at the start.
+/// A socket that cannot be opened at the start, with its address and the error of the system.
 #[derive(Debug)]
 pub enum PeersError {
-    /// The fleet's.
+    /// The socket for membership of a fleet.
     Membership(SocketAddr, Errno),
-    /// The one for gossip with named peers.
+    /// The socket for gossip with the peers listed in the operator's file.
     Gossip(SocketAddr, Errno),
 }
 
@@ -17,9 +17,11 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             PeersError::Membership(address, e) => {
-                write!(f, "cannot take letters on {address}: {e}")
+                write!(f, "cannot open the membership socket on {address}: {e}")
+            }
+            PeersError::Gossip(address, e) => {
+                write!(f, "cannot open the gossip socket on {address}: {e}")
             }
-            PeersError::Gossip(address, e) => write!(f, "cannot take messages on {address}: {e}"),
         }
     }
 }
--- a/node/src/peers/membership.rs
+++ b/node/src/peers/membership.rs
@@ -1,6 +1,7 @@
-//! Membership of the fleet, on a socket: the messages of `reedferry_membership` come and go here, and so do gossip on
-//! loads and messages about replicated records. It owns that socket and the log lines on members, bounded when hundreds
-//! change at once. It must never decide who is alive, nor take in more of a flood than a turn's worth.
+//! The socket of the fleet: sends and receives the messages of `reedferry_membership`, gossip about loads and replication
+//! messages. This module owns that socket and the log lines about members, whose rate is limited because hundreds of
+//! members may change at once. It reads a bounded number of datagrams per turn, and leaves every decision about who is
+//! alive to `reedferry_membership`.
 
 use crate::context::{token, Context, FLEET_TIMER, PEERS, START_TIMEOUT};
 use crate::operators::node_config::NodeConfig;
@@ -20,32 +21,33 @@
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Datagrams read in one turn.
+/// The maximum number of datagrams read in one turn.
 const MAX_DATAGRAMS_PER_TURN: usize = 256;
-/// Messages about replicated records taken in in one turn.
+/// The maximum number of replication messages kept in one turn; further ones are discarded.
 const MAX_REPLICATION_MESSAGES_PER_TURN: usize = 1024;
-/// Lines on members in a second; the rest is counted.
-const MAX_LINES_PER_SECOND: u32 = 32;
-/// How often each kind of dropped message is logged.
+/// The maximum number of log lines about members and quota per second; further ones are counted instead.
+const MAX_LOG_LINES_PER_SECOND: u32 = 32;
+/// The minimum interval between two log lines for the same reason of dropping, in nanoseconds.
 const DROP_LOG_INTERVAL: Nanos = 60 * SECOND;
-/// The first byte of gossip on loads, which no membership message begins with.
+/// The first byte of a datagram with gossip about loads. No membership message begins with it.
 const GOSSIP_TAG: u8 = 0xff;
-/// The same for messages about replicated records; a checksum of the rest follows.
+/// The first byte of a datagram with a replication message, followed by the checksum of the message. No membership message
+/// begins with it.
 const REPLICATION_TAG: u8 = 0xfe;
 
-/// A message about replicated records.
+/// A received replication message.
 pub struct ReplicationDatagram {
-    /// The sender's index.
+    /// The member index of the sender.
     pub from: u32,
-    /// The message.
+    /// The encoded message.
     pub bytes: Vec<u8>,
 }
 
-/// Why a datagram is dropped.
+/// The reason why a datagram is dropped.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum DropReason {
     Membership(MessageError),
-    GossipOfStranger,
+    GossipFromNonMember,
     Replication,
 }
 
@@ -53,41 +55,47 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             DropReason::Membership(error) => error.fmt(f),
-            DropReason::GossipOfStranger => f.write_str("gossip of no member"),
-            DropReason::Replication => {
-                f.write_str("a replication message of no member, or garbled")
+            DropReason::GossipFromNonMember => {
+                f.write_str("gossip from an address of no live member, or too long")
             }
+            DropReason::Replication => f.write_str(
+                "replication message from an address of no member, or with a wrong checksum",
+            ),
         }
     }
 }
 
-/// Dropped messages of one kind.
+/// The log state for one reason of dropping.
 #[derive(Default)]
 struct DropLog {
+    /// The time of the last log line, or `None` if there was none.
     logged_at: Option<Nanos>,
-    /// How many there were since.
+    /// The number of messages dropped since then.
     count: u32,
 }
 
-/// The fleet that this node takes part in.
+/// The fleet to which this node belongs.
 pub struct Fleet {
     pub(super) membership: Membership,
     config: FleetConfig,
-    /// None while a process before this one still has it.
+    /// `None` while the predecessor still has the address.
     socket: Option<Socket>,
-    /// The earliest timer that the poller has.
+    /// The earliest timer set at the poller, or `None` if none is set.
     timer_at: Option<Nanos>,
-    pub(super) lines: LogRateLimit,
+    /// The limit of log lines about members and quota.
+    pub(super) log_limit: LogRateLimit,
     dropped: BTreeMap<DropReason, DropLog>,
     pub(super) assignments: Assignments,
+    /// The replication messages that were not taken yet.
     replication_inbox: Vec<ReplicationDatagram>,
 }
 
 impl Fleet {
-    /// Listens for other members, or will as soon as the process before this one has left the address.
+    /// Joins the fleet and opens its socket. If the address is still in use by a predecessor, [`Fleet::sweep`] retries to open
+    /// it.
     ///
     /// # Errors
-    /// The address cannot be listened on.
+    /// Returns the address and the error of the system if the socket cannot be opened for any other reason.
     pub fn open(
         context: &mut Context,
         config: &FleetConfig,
@@ -114,7 +122,7 @@
             config: config.clone(),
             socket: None,
             timer_at: None,
-            lines: LogRateLimit::new(MAX_LINES_PER_SECOND),
+            log_limit: LogRateLimit::new(MAX_LOG_LINES_PER_SECOND),
             dropped: BTreeMap::new(),
             assignments: Assignments::default(),
             replication_inbox: Vec::new(),
@@ -131,7 +139,7 @@
         })?;
         retry_for(timeout, || context.poller.register(&socket, token(PEERS)))?;
         let (seeds, period_ms) = (self.config.seeds.len(), self.config.period / 1_000_000);
-        info!(context.log, "fleet"; "address" => %self.config.address, "seeds" => seeds, "period_ms" => period_ms);
+        info!(context.log, "listening for membership messages"; "address" => %self.config.address, "seeds" => seeds, "period_ms" => period_ms);
         self.socket = Some(socket);
         self.handle(context, membership::Event::TimerFired);
         Ok(())
@@ -158,22 +166,22 @@
                 address,
                 previous,
                 state,
-            } if self.lines.allow(context.now) => {
+            } if self.log_limit.allow(context.now) => {
                 let before = previous.map_or("unknown", MemberState::label);
                 info!(context.log, "member {}", state.label(); "name" => name, "address" => %address, "before" => before);
             }
-            Action::MemberMoved { name, from, to } if self.lines.allow(context.now) => {
+            Action::MemberMoved { name, from, to } if self.log_limit.allow(context.now) => {
                 info!(context.log, "member moved"; "name" => name, "from" => %from, "to" => %to);
             }
-            // Counted by the limit.
+            // The rate limit counts the suppressed lines.
             Action::MemberChanged { .. } | Action::MemberMoved { .. } => {}
             Action::DeclaredDead => warn!(context.log, "other members declared this node dead"),
             Action::Stalled(span) => {
-                warn!(context.log, "stalled"; "ms" => span / 1_000_000);
+                warn!(context.log, "process stalled"; "ms" => span / 1_000_000);
                 self.assign_probe_targets(context, Vec::new());
             }
             Action::Superseded { by } => {
-                warn!(context.log, "another process has this node's name and started later; out of the fleet"; "at" => %by);
+                warn!(context.log, "another process has this node's name and started later; this process has left the fleet"; "at" => %by);
             }
             Action::MessageDropped { reason, from } => {
                 self.on_dropped(context, DropReason::Membership(reason), from);
@@ -181,7 +189,7 @@
         }
     }
 
-    /// A member that cannot be reached is found out by its silence.
+    /// Sends a datagram and ignores errors: a member that cannot be reached is detected by its silence.
     fn send(&self, to: &SocketAddr, bytes: &[u8]) {
         if let Some(socket) = &self.socket {
             _ = socket.send_to(bytes, to);
@@ -200,7 +208,7 @@
         }
     }
 
-    /// Reads what has arrived.
+    /// Reads the datagrams that have arrived, at most [`MAX_DATAGRAMS_PER_TURN`].
     pub fn on_readable(&mut self, context: &mut Context) {
         let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
@@ -208,11 +216,11 @@
             match socket.receive_from(&mut buffer) {
                 Ok((length, Some(from))) => self.on_datagram(context, from, &buffer[..length]),
                 Err(Errno::AGAIN) => return,
-                // What a member that is away has the system say of an earlier message.
+                // The system reports that an earlier message could not be delivered to a member.
                 Ok((_, None)) | Err(_) => {}
             }
         }
-        // Without this, the rest of a flood is left lying, as the poller reports each arrival once.
+        // Has the poller report the remaining datagrams again. It reports each arrival only once, so they would stay unread.
         if let Some(socket) = &self.socket {
             _ = context.poller.update_registration(socket, token(PEERS));
         }
@@ -236,7 +244,7 @@
                 message: message.to_vec(),
             });
         } else {
-            self.on_dropped(context, DropReason::GossipOfStranger, from);
+            self.on_dropped(context, DropReason::GossipFromNonMember, from);
         }
     }
 
@@ -256,13 +264,13 @@
         }
     }
 
-    /// The time that the membership asked for, or an earlier one, has come.
+    /// Handles a timer set for [`Membership::next_wakeup`], which may fire earlier than needed.
     pub fn on_timer(&mut self, context: &mut Context) {
         self.timer_at = None;
         self.handle(context, membership::Event::TimerFired);
     }
 
-    /// Sends gossip to all members that are active.
+    /// Sends a gossip message to all members that are active or suspect.
     pub fn broadcast_gossip(&self, message: &[u8]) {
         let datagram = [&[GOSSIP_TAG], message].concat();
         let is_active =
@@ -272,12 +280,12 @@
         }
     }
 
-    /// What others sent about replicated records.
+    /// Takes the replication messages received since the last call.
     pub fn take_replication_messages(&mut self) -> Vec<ReplicationDatagram> {
         std::mem::take(&mut self.replication_inbox)
     }
 
-    /// Sends a message about replicated records to the member of an index, if there is one.
+    /// Sends a replication message to the member with this index, if there is one.
     pub fn send_replication_message(&self, to: u32, bytes: &[u8]) {
         if let Some(address) = self.membership.address_of(to) {
             let datagram = [&[REPLICATION_TAG], &checksum(bytes)[..], bytes].concat();
@@ -285,13 +293,13 @@
         }
     }
 
-    /// Whether all known members go by this cluster size.
+    /// Whether this node and all known members are configured with this cluster size.
     pub fn agrees_on_cluster_size(&self, cluster_size: u32) -> bool {
         self.membership.info().cluster_size == cluster_size
             && self.membership.agrees_on_cluster_size()
     }
 
-    /// The run of this process.
+    /// Returns the incarnation of this process.
     pub fn incarnation(&self) -> u64 {
         self.membership.version().incarnation
     }
@@ -306,8 +314,8 @@
         self.handle(context, membership::Event::Shutdown);
     }
 
-    /// Takes up other seeds and another place; the rest stays until the next start. Gives whether the whole
-    /// configuration is in effect.
+    /// Applies new seeds, a new member index and a new cluster size; all other changes take effect at the next start. Returns
+    /// whether the whole configuration is in effect.
     pub fn reload(
         &mut self,
         context: &mut Context,
@@ -330,13 +338,13 @@
         self.config == *config
     }
 
-    /// What is done from time to time.
+    /// Retries to open the socket if it is not open, and logs the number of suppressed log lines. Called at a fixed interval.
     pub fn sweep(&mut self, context: &mut Context) {
         if self.socket.is_none() {
             _ = self.bind(context, Duration::ZERO);
         }
-        if let Some(count) = self.lines.take_suppressed(context.now) {
-            info!(context.log, "more members changed"; "count" => count);
+        if let Some(count) = self.log_limit.take_suppressed(context.now) {
+            info!(context.log, "membership log lines suppressed"; "count" => count);
         }
     }
 }
--- a/node/src/peers/membership_status.rs
+++ b/node/src/peers/membership_status.rs
@@ -1,4 +1,4 @@
-//! The fleet as operators see it: the JSON of `/status/fleet`, whose keys are an interface.
+//! The JSON of `/status/fleet`, which shows operators this node's view of the fleet. Its keys are a public interface.
 
 use crate::peers::Fleet;
 use reedferry::Nanos;
@@ -6,7 +6,8 @@
 use serde_json::{json, Value};
 
 impl Fleet {
-    /// One line of JSON; `replication` is what [`crate::peers::RequestReplication`] says of itself.
+    /// Returns the status as one line of JSON. `replication` is the result of
+    /// [`crate::peers::RequestReplication::status`], or `None` if requests are not replicated.
     pub fn status(&self, now: Nanos, replication: Option<Value>) -> String {
         let membership = &self.membership;
         let (me, version) = (membership.info(), membership.version());
--- a/node/src/peers/mod.rs
+++ b/node/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! What nodes tell each other: gossip on loads, membership of the fleet, and replicated records of requests. It must
-//! never depend on any message arriving.
+//! The communication between nodes: gossip about loads, fleet membership, and replicated records of requests. Messages
+//! are datagrams, and nothing here may depend on the delivery of any one of them.
 
 mod assignments;
 mod attempt_history;
--- a/node/src/peers/replication.rs
+++ b/node/src/peers/replication.rs
@@ -1,7 +1,7 @@
-//! Replication of requests in flight, around the state machines of `reedferry_replication`. A request that is not
-//! idempotent waits here for its lease before the balancer hears of it, and each of its attempts for its record before
-//! a byte of it leaves. It owns what waits. It must never hold up idempotent requests, nor decide what becomes of a
-//! request whose lease it has.
+//! Replication of requests in flight, on top of the state machines of `reedferry_replication`. A request that is not
+//! idempotent waits here for its lease before the balancer learns of it, and each of its attempts waits until its record
+//! is committed before any byte of it is sent. This module owns the waiting requests and attempts. It never delays
+//! idempotent requests, and leaves the decisions about a request whose lease this node holds to the balancer.
 
 use crate::context::{token, Context, REPLICATION_TIMER};
 use crate::peers::attempt_history::{AttemptHistory, AttemptTracker};
@@ -20,59 +20,68 @@
 use slog::warn;
 use std::collections::{HashMap, HashSet};
 
-/// When a client that can't be served now may come back.
+/// How long a client whose request is rejected here is asked to wait before it retries, in nanoseconds.
 const RETRY_AFTER: Nanos = SECOND;
 
-/// What nodes send each other. The order of the variants is the wire format.
+/// A message between nodes about replicated records. The order of the variants is the wire format.
 #[derive(Serialize, Deserialize)]
 enum ReplicationMessage {
     Request(ReplicaRequest),
     Response(ReplicaResponse),
 }
 
-/// A request that this node owns or wants to own.
+/// A request whose lease this node holds or is acquiring.
 struct ReplicatedRequest {
     id: RequestId,
     incoming: IncomingRequest,
     arrived_at: Nanos,
     attempts: AttemptTracker,
+    /// The attempt that waits for its record; `None` if there is none.
     uncommitted: Option<UncommittedAttempt>,
 }
 
-/// An attempt that waits for its record.
+/// An attempt that is not started until its record is committed.
 struct UncommittedAttempt {
     action: Action,
+    /// When the commit of the record started.
     since: Nanos,
 }
 
-/// Counts since the start.
+/// Counters since the start of this process.
 #[derive(Default)]
 struct Counters {
+    /// Attempts whose record was committed.
     committed: u64,
+    /// Requests acquired after attempts of another node or an earlier process.
     taken_over: u64,
+    /// Requests rejected here.
     rejected: u64,
 }
 
-/// The requests that this node replicates, and the records that it holds for others.
+/// The requests that this node replicates, and the records that it holds as a replica.
 pub struct RequestReplication {
     config: ReplicationConfig,
     coordinator: Coordinator,
     replica: Replica,
     member_index: u32,
     cluster_size: u32,
+    /// The requests by record key.
     requests: HashMap<u64, ReplicatedRequest>,
+    /// The record keys of those requests by request id.
     keys: HashMap<RequestId, u64>,
-    /// Answered here, and not to be attempted by what the balancer orders in the same turn.
-    refused: HashSet<RequestId>,
+    /// Requests abandoned in this turn, whose attempts that the balancer starts in the same turn are discarded.
+    abandoned: HashSet<RequestId>,
+    /// The messages to send, each with the member index of its receiver.
     outbox: Vec<(u32, ReplicationMessage)>,
+    /// Actions that are ready to be carried out without passing through the balancer again.
     released: Vec<Action>,
     counters: Counters,
-    /// Whether a majority was missing last.
+    /// Whether a majority of replicas was missing since a record was last committed, so that the failure is logged only once.
     majority_missing: bool,
 }
 
 impl RequestReplication {
-    /// Starts without any records.
+    /// Creates a replication without requests or records.
     pub fn new(
         context: &Context,
         config: &ReplicationConfig,
@@ -92,7 +101,7 @@
             cluster_size,
             requests: HashMap::new(),
             keys: HashMap::new(),
-            refused: HashSet::new(),
+            abandoned: HashSet::new(),
             outbox: Vec::new(),
             released: Vec::new(),
             counters: Counters::default(),
@@ -100,7 +109,7 @@
         }
     }
 
-    /// What operators see.
+    /// Returns the part of `/status/fleet` about replication.
     pub fn status(&self) -> serde_json::Value {
         json!({"kept_for_others": self.replica.count(), "held": self.requests.len(),
             "written_ahead": self.counters.committed, "taken_over": self.counters.taken_over,
@@ -118,7 +127,8 @@
             .set_timer(deadline, token(REPLICATION_TIMER), 0);
     }
 
-    /// An event on its way to the balancer; none where the request waits for its lease first.
+    /// Processes an event before the balancer does, and returns it. Returns `None` for an arriving request that must wait for its
+    /// lease or is rejected.
     pub fn intercept_event(
         &mut self,
         context: &mut Context,
@@ -133,7 +143,7 @@
             }
             Event::ConnectionEstablished { id, .. } => self.finish(context, *id),
             Event::ClientLeft { id } => {
-                // Its record stays with the replicas: it may come again.
+                // The replicas keep the record, because the client may send the request again.
                 if let Some(key) = self.keys.remove(id) {
                     self.requests.remove(&key);
                     self.coordinator.release(key);
@@ -152,8 +162,8 @@
         Some(event)
     }
 
-    /// Wants to own a request that has arrived. Gives whether it may go on to the balancer at once: without a key no
-    /// client can bring it again, and one whose lease has come is known here by its id.
+    /// Starts to acquire the lease of a request that has arrived. Returns `true` if the balancer may handle the request at
+    /// once: either it has no key, so that no client can send it again, or its id is recorded because its lease was acquired.
     fn acquire(&mut self, context: &mut Context, incoming: IncomingRequest) -> bool {
         let id = incoming.id;
         let Some(client_key) = incoming.key.filter(|_| !self.keys.contains_key(&id)) else {
@@ -178,10 +188,11 @@
         false
     }
 
-    /// An action on its way out; none where an attempt waits for its record first.
+    /// Processes an action of the balancer before it is carried out, and returns it. Returns `None` for an attempt that must
+    /// wait for its record or whose request was abandoned in this turn.
     pub fn intercept_action(&mut self, context: &mut Context, action: Action) -> Option<Action> {
         match &action {
-            Action::StartAttempt { id, .. } if self.refused.contains(id) => return None,
+            Action::StartAttempt { id, .. } if self.abandoned.contains(id) => return None,
             Action::StartAttempt { id, host, .. } => {
                 let Some(&key) = self.keys.get(id) else {
                     return Some(action);
@@ -215,7 +226,7 @@
         }
     }
 
-    /// It has had its final answer: what comes under its key from here on is another request.
+    /// Records that a request has received its final answer. From now on its key stands for a new request.
     fn finish(&mut self, context: &mut Context, id: RequestId) {
         let Some(key) = self.keys.remove(&id) else {
             return;
@@ -230,7 +241,7 @@
         }
     }
 
-    /// Answers a request that the balancer knows nothing of.
+    /// Rejects a request without involving the balancer.
     fn reject(&mut self, id: RequestId) {
         self.counters.rejected += 1;
         self.released.push(Action::Reject {
@@ -239,7 +250,8 @@
         });
     }
 
-    /// This node cannot own the request, so no attempt follows: one that has not run is rejected, any other fails.
+    /// Gives up a request whose lease this node cannot acquire or keep, so that no further attempt starts. Rejects the request
+    /// if it can't have run, and fails it otherwise.
     fn abandon(&mut self, context: &mut Context, key: u64) {
         let Some(request) = self.requests.remove(&key) else {
             return;
@@ -258,9 +270,9 @@
                 load_metrics: Vec::new(),
             });
             context.events.push(Event::ClientLeft { id });
-            self.refused.insert(id);
+            self.abandoned.insert(id);
         }
-        // The attempt that waits for its record has not run; one before it may have.
+        // The attempt that waits for its record has not run, but an earlier one may have.
         if history.attempts > 1 && history.may_have_run.is_some() {
             self.released.push(Action::Fail { id: request.id });
         } else {
@@ -287,7 +299,7 @@
         }
     }
 
-    /// This node owns a request: the balancer hears of it, with the attempts that others made.
+    /// Passes a request whose lease was acquired to the balancer, together with its earlier attempts from the record.
     fn on_acquired(&mut self, context: &mut Context, key: u64, record: &RequestRecord, age: Nanos) {
         let Some(request) = self.requests.get_mut(&key) else {
             return;
@@ -297,18 +309,19 @@
             time_left: request.incoming.time_left.saturating_sub(waited),
             ..request.incoming
         };
-        let known = (!record.finished)
+        let recorded = (!record.finished)
             .then(|| postcard::from_bytes::<AttemptHistory>(&record.history).ok())
             .flatten();
-        request.attempts.history = known.unwrap_or_default();
+        request.attempts.history = recorded.unwrap_or_default();
         let history = &request.attempts.history;
         if history.attempts == 0 {
             return context.events.push(Event::RequestArrived(incoming));
         }
         self.counters.taken_over += 1;
-        // No two clocks are compared: its age when it was written, since then at the replica, and on the way here.
-        let age_then = history.may_have_run.map_or(0, |run| run.age);
-        let run_age = age_then + age + self.config.majority_timeout;
+        // Adds up durations instead of comparing the clocks of two nodes: the run's age when the record was written, the
+        // record's age at the replica, and the longest time that the response may have taken.
+        let age_at_write = history.may_have_run.map_or(0, |run| run.age);
+        let run_age = age_at_write + age + self.config.majority_timeout;
         let run_at = context.now.saturating_sub(run_age);
         request.attempts.possible_run_at = run_at;
         let prior = PriorAttempts {
@@ -328,7 +341,7 @@
         let Some(attempt) = request.uncommitted.take() else {
             return;
         };
-        // Without this, a node that stood still attempts what another has taken over.
+        // Abandons a commit that took too long: if this node was stalled, another one may have taken the request over.
         if context.now >= attempt.since + self.config.majority_timeout {
             request.uncommitted = Some(attempt);
             return self.abandon(context, key);
@@ -338,7 +351,7 @@
         self.released.push(attempt.action);
     }
 
-    /// Handles what other nodes sent, and what this node sends to itself; sends what is to go.
+    /// Handles the messages received from other nodes, sends the queued ones, and handles directly those to this node.
     pub fn exchange_messages(&mut self, context: &mut Context, fleet: &mut Fleet) {
         for ReplicationDatagram { from, bytes } in fleet.take_replication_messages() {
             match postcard::from_bytes(&bytes) {
@@ -350,11 +363,12 @@
                 Ok(ReplicationMessage::Response(response)) => {
                     self.on_response(context, from, response);
                 }
-                // The checksum was right: another version.
+                // The checksum was correct, so the message is of another version. It is ignored.
                 Err(_) => {}
             }
         }
-        // Without this, the replicas by two cluster sizes each make a majority.
+        // Sends nothing while members disagree on the cluster size. Otherwise the two sets of replicas that follow from two
+        // sizes could each form a majority.
         if !fleet.agrees_on_cluster_size(self.cluster_size) {
             return self.outbox.clear();
         }
@@ -380,7 +394,7 @@
         }
     }
 
-    /// A deadline may have passed.
+    /// Gives up the requests whose deadline has passed, and drops expired records.
     pub fn on_timer(&mut self, context: &mut Context) {
         for outcome in self.coordinator.expire(context.now) {
             self.on_outcome(context, outcome);
@@ -388,14 +402,16 @@
         self.replica.sweep(context.now);
     }
 
-    /// What is to be carried out now, past the balancer.
+    /// Takes the actions that are ready to be carried out. Also forgets the requests abandoned in this turn, whose attempts
+    /// have been discarded by now.
     pub fn take_released_actions(&mut self) -> Vec<Action> {
-        self.refused.clear();
+        self.abandoned.clear();
         std::mem::take(&mut self.released)
     }
 }
 
-/// A request's key among the replicas: two classes may use one idempotency key.
+/// Returns the key of a request's record. It depends on the class as well, because two classes may use the same idempotency
+/// key.
 fn record_key(client_key: u64, class: usize) -> u64 {
     client_key.rotate_left(17) ^ (class as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
--- a/node/src/peers/replication_bytes_tests.rs
+++ b/node/src/peers/replication_bytes_tests.rs
@@ -1,4 +1,4 @@
-//! The exact bytes of what passes between nodes about records, and of a history as it is replicated.
+//! Tests of the exact bytes of replication messages and of a replicated attempt history.
 
 use super::*;
 use crate::peers::attempt_history::PossibleRun;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn requests_and_responses_keep_their_bytes() {
+fn replication_messages_keep_their_bytes() {
     let ballot = Ballot {
         number: 3,
         holder: LeaseHolder {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_history_keeps_its_bytes() {
+fn attempt_history_keeps_its_bytes() {
     let history = AttemptHistory {
         attempts: 3,
         may_have_run: Some(PossibleRun {
--- a/node/src/peers/static_peers.rs
+++ b/node/src/peers/static_peers.rs
@@ -1,6 +1,6 @@
-//! Gossip between nodes that the operator's file names one by one: one datagram a message, to them and from them alone,
-//! known by their addresses. It owns that socket. It must never take in what a stranger sends or what is longer than a
-//! message, hold a turn up over a flood, nor care whether a message arrives.
+//! Gossip with the peers that are listed in the operator's file. Each message is one datagram. This module owns the socket,
+//! and accepts messages only from the addresses of these peers and only up to the maximum length. It reads a bounded
+//! number of datagrams per turn, and does not depend on the delivery of any message.
 
 use crate::context::{token, Context, PEERS, START_TIMEOUT};
 use crate::peers::{GossipConfig, PeersError};
@@ -11,22 +11,22 @@
 use slog::{info, warn};
 use std::net::SocketAddr;
 
-/// Datagrams read in one turn.
+/// The maximum number of datagrams read in one turn.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
 
-/// The peers that are named one by one.
+/// The peers that are listed in the operator's file, and the socket for gossip with them.
 pub struct StaticPeers {
     socket: Socket,
     peers: Vec<SocketAddr>,
-    /// A message that was dropped has been logged.
+    /// Whether a dropped message was logged; only the first one is.
     drop_logged: bool,
 }
 
 impl StaticPeers {
-    /// Listens for gossip.
+    /// Opens the socket and registers it with the poller.
     ///
     /// # Errors
-    /// The address cannot be listened on.
+    /// Returns the address and the error of the system if the socket cannot be opened or registered.
     pub fn open(context: &mut Context, config: &GossipConfig) -> Result<StaticPeers, PeersError> {
         let failed = |e: Errno| PeersError::Gossip(config.listen, e);
         let socket = retry_for(START_TIMEOUT, || {
@@ -38,7 +38,7 @@
         })
         .map_err(failed)?;
         let address = socket.local_address().unwrap_or(config.listen);
-        info!(context.log, "messages"; "at" => %address, "peers" => config.peers.len());
+        info!(context.log, "listening for gossip"; "at" => %address, "peers" => config.peers.len());
         Ok(StaticPeers {
             socket,
             peers: config.peers.clone(),
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Sends gossip to all of them; one that cannot be reached does without.
+    /// Sends a gossip message to all peers, unless it is too long. Ignores errors, since a peer may be unreachable.
     pub fn broadcast_gossip(&self, message: &[u8]) {
         for peer in self
             .peers
@@ -57,14 +57,14 @@
         }
     }
 
-    /// Reads what has arrived.
+    /// Reads the datagrams that have arrived, at most [`MAX_DATAGRAMS_PER_TURN`].
     pub fn on_readable(&mut self, context: &mut Context) {
         let mut buffer = [0; MAX_MESSAGE_BYTES];
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
             let (length, from) = match self.socket.receive_from(&mut buffer) {
                 Ok(datagram) => datagram,
                 Err(Errno::AGAIN) => return,
-                // What a peer that is away has the system say of an earlier message.
+                // The system reports that an earlier message could not be delivered to a peer.
                 Err(_) => continue,
             };
             let known = from.is_some_and(|from| self.peers.contains(&from));
@@ -73,11 +73,11 @@
                     message: buffer[..length].to_vec(),
                 });
             } else if !std::mem::replace(&mut self.drop_logged, true) {
-                let from = from.map_or("nobody".to_string(), |from| from.to_string());
-                warn!(context.log, "message dropped"; "from" => from, "known" => known, "length" => length);
+                let from = from.map_or("unknown address".to_string(), |from| from.to_string());
+                warn!(context.log, "gossip message dropped"; "from" => from, "known" => known, "length" => length);
             }
         }
-        // Without this, the rest of a flood is left lying, as the poller reports each arrival once.
+        // Has the poller report the remaining datagrams again. It reports each arrival only once, so they would stay unread.
         _ = context
             .poller
             .update_registration(&self.socket, token(PEERS));
--- a/node/tests/sockets.rs
+++ b/node/tests/sockets.rs
@@ -593,7 +593,7 @@
     assert_eq!((length, message[0], message[4]), (5, 1, 96));
     // What the peer reports of it counts; datagrams of unknown nodes, or of no known form, do not.
     stranger.send_to(&message[..5], at).unwrap();
-    node.wait_for_log("message dropped");
+    node.wait_for_log("gossip message dropped");
     for poor in [&[][..], &[1], &[9; 300], &[2, 1, 2, 3, 4]] {
         peer.send_to(poor, at).unwrap();
     }
