--- a/node/src/roles/hot_restart/messages.rs
+++ b/node/src/roles/hot_restart/messages.rs
@@ -35,7 +35,7 @@
     pub discovery: SocketAddr,
     /// How far the predecessor's clock is ahead of the machine's monotonic clock, in nanoseconds.
     pub clock_ahead: Nanos,
-    /// The revision of the endpoint list, or `None` if the predecessor has received no list.
+    /// The revision of the endpoint list, or `None` if the predecessor had none.
     pub revision: Option<u64>,
     /// The hosts of the endpoint list.
     pub members: Vec<Member>,
--- a/node/src/roles/hot_restart/predecessor.rs
+++ b/node/src/roles/hot_restart/predecessor.rs
@@ -17,7 +17,7 @@
 const STATE_TIMEOUT: Nanos = 1500 * MILLI;
 /// The maximum length of the encoded state, in bytes.
 const MAX_STATE_BYTES: usize = 4 << 20;
-/// The maximum number of messages that are read in one turn, each of which hands over one connection.
+/// The maximum number of messages read in one turn. Each hands over one connection, except for late chunks of the state.
 const MAX_ADOPTED_PER_TURN: usize = 64;
 /// The maximum number of descriptors of a connection: the client's socket and the host's.
 const MAX_DESCRIPTORS_PER_CONNECTION: usize = 2;
