--- a/control-plane/src/codec.rs
+++ b/control-plane/src/codec.rs
@@ -1,43 +1,46 @@
-//! The frames that carry messages. A frame is four bytes of length, little-endian, and a body of at most
-//! [`MAX_BODY_BYTES`]. The first frame each way is a greeting; each later one is a header and as many messages as
-//! one turn gathered, in the postcard format. This module owns how frames are written and how they are read
-//! as bytes arrive. It must never buffer more of a peer's bytes than one frame, nor trust a length.
+//! Encoding and decoding of the frames that carry messages. A frame is a length prefix of four bytes, little-endian,
+//! followed by a body of at most [`MAX_BODY_BYTES`]. The first frame in each direction is a greeting. Each later frame
+//! is a header followed by the messages of one turn, in the postcard format.
+//!
+//! Invariants: at most one frame of a peer's bytes is buffered, and a length is checked before it is used.
 
 use crate::error::{LinkError, ProtocolViolation};
 use crate::messages::FrameHeader;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// Both ends must speak the same version.
+/// The version of the protocol, which must be the same at both ends.
 pub const PROTOCOL_VERSION: u16 = 1;
-/// The longest body of a frame.
+/// The maximum length of a frame's body, in bytes, without the length prefix.
 pub const MAX_BODY_BYTES: usize = 32 << 10;
 const MAGIC: [u8; 4] = *b"rfLK";
 const LENGTH_BYTES: usize = 4;
-/// More than any message takes: a name, or a list of hosts, and what goes with them.
+/// The size of the encoding buffer, in bytes. No message needs as much: the longest ones hold a name or a bounded list
+/// of hosts, and a few numbers.
 const MAX_MESSAGE_BYTES: usize = 2048;
-/// Sent bytes from which on the writer's buffer is compacted, and the memory that an empty one keeps.
+/// The number of sent bytes at which the writer's buffer is compacted, and the capacity that an empty buffer keeps at
+/// most.
 const COMPACT_BYTES: usize = 4 * MAX_BODY_BYTES;
 
-/// Splits a peer's bytes, as they arrive, into the bodies of frames.
+/// Splits the bytes that arrive from a peer into frame bodies.
 #[derive(Default)]
 pub struct FrameReader {
     partial_frame: Vec<u8>,
 }
 
 impl FrameReader {
-    /// Hands each complete body to `handle_body`, in order.
+    /// Takes the next bytes and calls `handle_body` for each body that is complete, in order.
     ///
     /// # Errors
-    /// [`LinkError::FrameTooLong`] as soon as a length says so, before anything is buffered for it, and whatever
-    /// `handle_body` returns.
+    /// [`LinkError::FrameTooLong`] as soon as a length prefix exceeds [`MAX_BODY_BYTES`], before any of the body is
+    /// buffered; [`LinkError::Malformed`] if a length is 0; and any error of `handle_body`.
     pub fn feed(
         &mut self,
         mut bytes: &[u8],
         mut handle_body: impl FnMut(&[u8]) -> Result<(), LinkError>,
     ) -> Result<(), LinkError> {
         while !bytes.is_empty() {
-            // A frame that arrived complete is read where it is, without a copy.
+            // Reads a frame that arrived complete in place, without a copy.
             if self.partial_frame.is_empty() {
                 if let Some(frame_end) = Self::frame_end(bytes)? {
                     handle_body(&bytes[LENGTH_BYTES..frame_end])?;
@@ -62,7 +65,7 @@
         Ok(())
     }
 
-    /// The length that a frame's first bytes announce, if all of them are there.
+    /// Returns the body length from a frame's length prefix; `None` if the prefix is incomplete.
     fn body_length(bytes: &[u8]) -> Result<Option<usize>, LinkError> {
         let Some(prefix) = bytes.first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
@@ -74,25 +77,25 @@
         }
     }
 
-    /// Where the first frame ends, if it is complete.
+    /// Returns the offset at which the first frame ends; `None` if the frame is incomplete.
     fn frame_end(bytes: &[u8]) -> Result<Option<usize>, LinkError> {
         Ok(Self::body_length(bytes)?
             .map(|length| LENGTH_BYTES + length)
             .filter(|&end| end <= bytes.len()))
     }
 
-    /// Bytes of an incomplete frame that are buffered.
+    /// Returns the number of buffered bytes, which belong to one incomplete frame.
     pub fn buffered(&self) -> usize {
         self.partial_frame.len()
     }
 }
 
-/// Encodes what is to be sent to a peer. The messages of one turn share a frame, as far as they fit.
+/// Encodes the frames to a peer. The messages of one turn share a frame as long as they fit.
 #[derive(Default)]
 pub struct FrameWriter {
     buffer: Vec<u8>,
     sent_bytes: usize,
-    /// Where the frame begins that is still open.
+    /// The offset of the frame that still takes messages; `None` if there is no such frame.
     open_frame: Option<usize>,
     scratch: Vec<u8>,
     last_sequence: u64,
@@ -110,8 +113,8 @@
         self.buffer[start..start + LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
     }
 
-    /// Encodes a value into `scratch` and returns its bytes. These types fail to encode only for lack of space,
-    /// and none needs as much as there is: names and lists are bounded.
+    /// Encodes a value into `scratch` and returns its bytes. The message types fail to encode only if space runs out,
+    /// which does not happen because names and lists are bounded.
     pub(crate) fn encode<'a>(scratch: &'a mut Vec<u8>, value: &impl Serialize) -> &'a [u8] {
         scratch.resize(MAX_MESSAGE_BYTES, 0);
         postcard::to_slice(value, scratch).map_or(&[], |bytes| bytes)
@@ -122,7 +125,7 @@
             .extend_from_slice(Self::encode(&mut self.scratch, value));
     }
 
-    /// Appends a greeting, in a frame of its own.
+    /// Appends a greeting in a frame of its own.
     pub fn append_greeting(&mut self, greeting: &impl Serialize) {
         let start = self.begin_frame();
         self.buffer.extend_from_slice(&MAGIC);
@@ -143,7 +146,7 @@
         self.open_frame = Some(start);
     }
 
-    /// Appends a message to the frame of this turn.
+    /// Appends a message to this turn's frame, and begins another frame if the message might not fit.
     pub fn append(&mut self, session: u64, heartbeat: u64, message: &impl Serialize) {
         let is_full =
             |start| self.buffer.len() - start - LENGTH_BYTES + MAX_MESSAGE_BYTES > MAX_BODY_BYTES;
@@ -154,37 +157,37 @@
         self.append_encoded(message);
     }
 
-    /// Opens a frame, which may stay without messages, unless this turn has one.
+    /// Begins a frame unless one is open. The frame carries the heartbeat even if no message is added to it.
     pub fn append_heartbeat(&mut self, session: u64, heartbeat: u64) {
         if self.open_frame.is_none() {
             self.start_frame(session, heartbeat);
         }
     }
 
-    /// Ends the frame of this turn.
+    /// Ends this turn's frame, if one is open, which makes it sendable.
     pub fn finish_frame(&mut self) {
         if let Some(start) = self.open_frame.take() {
             self.end_frame(start);
         }
     }
 
-    /// What may be sent: complete frames only.
+    /// Returns the bytes that may be sent, which belong to complete frames only.
     pub fn sendable(&self) -> &[u8] {
         &self.buffer[self.sent_bytes..self.open_frame.unwrap_or(self.buffer.len())]
     }
 
-    /// Bytes that were not sent yet, of complete frames and the open one.
+    /// Returns the number of bytes that were not sent yet, including those of the open frame.
     pub fn unsent_bytes(&self) -> usize {
         self.buffer.len() - self.sent_bytes
     }
 
-    /// Records that the first bytes of [`FrameWriter::sendable`] were sent.
+    /// Records that the first `count` bytes of [`FrameWriter::sendable`] were sent.
     pub fn mark_sent(&mut self, count: usize) {
         self.sent_bytes += count.min(self.sendable().len());
         if self.sent_bytes == self.buffer.len() {
             self.buffer.clear();
             self.sent_bytes = 0;
-            // Without this, the memory of one long backlog would be kept for ever.
+            // Without this, the buffer would keep the memory of its longest backlog.
             self.buffer.shrink_to(COMPACT_BYTES);
         } else if self.sent_bytes >= COMPACT_BYTES && self.open_frame.is_none() {
             self.buffer.drain(..self.sent_bytes);
@@ -196,7 +199,8 @@
 /// Decodes the body of a greeting.
 ///
 /// # Errors
-/// If it is no greeting, or one of another version.
+/// [`ProtocolViolation::NoGreeting`] if the body is not a greeting, [`LinkError::Version`] if the greeting is of
+/// another protocol version, and [`LinkError::Malformed`] if the rest does not decode.
 pub fn decode_greeting<T: DeserializeOwned>(body: &[u8]) -> Result<T, LinkError> {
     let rest = body
         .strip_prefix(&MAGIC)
@@ -208,7 +212,7 @@
     }
 }
 
-/// Decodes a value that must take up all the bytes.
+/// Decodes a value and fails if bytes are left over.
 fn decode_all<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, LinkError> {
     match postcard::take_from_bytes(bytes) {
         Ok((value, [])) => Ok(value),
@@ -216,14 +220,14 @@
     }
 }
 
-/// The messages of a frame, one after the other.
+/// Decodes the messages of a frame one after the other.
 pub struct MessageDecoder<'a>(&'a [u8]);
 
 impl MessageDecoder<'_> {
-    /// The next message; `None` behind the last byte.
+    /// Returns the next message; `None` after the last one.
     ///
     /// # Errors
-    /// [`LinkError::Malformed`] if what is left is no message.
+    /// [`LinkError::Malformed`] if the remaining bytes do not decode as a message.
     pub fn next_message<T: DeserializeOwned>(&mut self) -> Result<Option<T>, LinkError> {
         if self.0.is_empty() {
             return Ok(None);
@@ -235,26 +239,27 @@
     }
 }
 
-/// Decodes the header of a frame's body.
+/// Decodes the header of a frame's body and returns it with a decoder of the messages.
 ///
 /// # Errors
-/// [`LinkError::Malformed`] if there is none.
+/// [`LinkError::Malformed`] if the header does not decode.
 pub fn decode_frame(body: &[u8]) -> Result<(FrameHeader, MessageDecoder<'_>), LinkError> {
     let (header, rest) = postcard::take_from_bytes(body).map_err(|_| LinkError::Malformed)?;
     Ok((header, MessageDecoder(rest)))
 }
 
-/// Checks that a peer's frames arrive in one session and in sequence.
+/// Checks that a peer's frames belong to one session and arrive in sequence.
 #[derive(Default)]
 pub struct SequenceCheck {
     last_sequence: u64,
 }
 
 impl SequenceCheck {
-    /// Accepts the next frame.
+    /// Accepts the next frame, whose session number must be `session`.
     ///
     /// # Errors
-    /// If the frame is of another session, repeated, or out of sequence.
+    /// [`ProtocolViolation::OtherSession`] if the frame belongs to another session, and
+    /// [`ProtocolViolation::OutOfSequence`] if it is repeated or does not follow the previous one.
     pub fn accept(&mut self, header: &FrameHeader, session: u64) -> Result<(), LinkError> {
         if header.session != session {
             return Err(ProtocolViolation::OtherSession.into());
--- a/control-plane/src/conversions.rs
+++ b/control-plane/src/conversions.rs
@@ -1,20 +1,20 @@
-//! Conversions between the messages and the types of the decision core.
+//! Conversions between the wire messages and the types of the decision core.
 
 use crate::messages::{
     ExecutedAttempt, PlacementRequest, PriorAttempts, WireHostState, WireOutcome,
 };
 use reedferry::{AttemptOutcome, HostId, HostState, IncomingRequest, Nanos, RequestId};
 
-/// Loads from which on a peer's figure is taken for nonsense.
+/// The exclusive upper bound of a load that a peer reports. A larger value is implausible.
 const LOAD_LIMIT: f64 = 1e9;
 
-/// Whether a load that a peer sent is usable.
+/// Returns whether a load that a peer sent is finite, not negative and below [`LOAD_LIMIT`].
 pub(crate) fn is_valid_load(load: f64) -> bool {
     load.is_finite() && (0.0..LOAD_LIMIT).contains(&load)
 }
 
 impl PlacementRequest {
-    /// The request as a planner is asked for it.
+    /// Converts a request into the form that is sent to a planner.
     pub fn from_incoming(incoming: &IncomingRequest, time_left: Nanos) -> Self {
         PlacementRequest {
             class: incoming.class.min(usize::from(u16::MAX)) as u16,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The request as the decision core takes it, under an id of the caller's.
+    /// Converts the request for the decision core, under the caller's `id`. An invalid usual load is dropped.
     pub fn to_incoming(&self, id: RequestId) -> IncomingRequest {
         IncomingRequest {
             id,
@@ -40,12 +40,12 @@
 }
 
 impl PriorAttempts {
-    /// Whether nothing was attempted yet.
+    /// Returns whether no attempt was made yet.
     pub fn is_empty(&self) -> bool {
         self.attempts == 0 && self.tried_hosts.is_empty()
     }
 
-    /// The history as the decision core takes it, with points in time of the caller's clock.
+    /// Converts the history for the decision core, and its durations to times on the caller's clock.
     pub fn into_core(self, now: Nanos) -> reedferry::PriorAttempts {
         let executed_at =
             |attempt: ExecutedAttempt| (HostId(attempt.host), now.saturating_sub(attempt.sent_ago));
@@ -67,8 +67,8 @@
             AttemptOutcome::ConnectFailed => WireOutcome::ConnectFailed,
             AttemptOutcome::ConnectionLost => WireOutcome::ConnectionLost,
             AttemptOutcome::Cancelled => WireOutcome::Cancelled,
-            // The wire has no variant for `NoRoute`, which an older planner would not know; to a planner both
-            // mean the same.
+            // The wire format has no variant for `NoRoute` because an older planner could not decode it. Planners
+            // treat both alike.
             AttemptOutcome::NeverSent | AttemptOutcome::NoRoute => WireOutcome::NeverSent,
             AttemptOutcome::HandedOver => WireOutcome::HandedOver,
         }
--- a/control-plane/src/error.rs
+++ b/control-plane/src/error.rs
@@ -1,93 +1,95 @@
-//! Why a session between a forwarder and a planner ends. The texts are what operators read after `why=`.
+//! The reasons for which a session between a forwarder and a planner ends. Operators read the texts after `why=` in
+//! log lines.
 
 use crate::codec::PROTOCOL_VERSION;
 
-/// Why a peer's connection is closed.
+/// The reason for which the connection to a peer is closed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LinkError {
-    /// A frame is longer than the protocol allows.
-    #[error("a frame that is too long")]
+    /// A frame's body is longer than [`MAX_BODY_BYTES`](crate::codec::MAX_BODY_BYTES).
+    #[error("frame too long")]
     FrameTooLong,
-    /// Bytes that do not decode.
-    #[error("a frame that cannot be read")]
+    /// The bytes of a frame do not decode.
+    #[error("malformed frame")]
     Malformed,
     /// The peer speaks another version of the protocol.
-    #[error("version {0} of the link, not {PROTOCOL_VERSION}")]
+    #[error("unsupported protocol version {0}, expected {PROTOCOL_VERSION}")]
     Version(u16),
-    /// The peer sent what the protocol does not allow.
+    /// The peer violated the protocol.
     #[error(transparent)]
     Violation(#[from] ProtocolViolation),
     /// This planner rejects the forwarder's session.
     #[error(transparent)]
     Rejected(#[from] SessionRejection),
-    /// The peer rejected the session, with its reason.
-    #[error("turned away there: {0:?}")]
+    /// The peer rejected the session and gave this reason.
+    #[error("rejected by the peer: {0:?}")]
     RejectedByPeer(String),
 }
 
-/// What a peer sent that the protocol does not allow.
+/// A way in which a peer violated the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolViolation {
-    /// The first frame is no greeting.
-    #[error("no greeting of the link")]
+    /// The first frame is not a greeting.
+    #[error("first frame is not a greeting")]
     NoGreeting,
-    /// Bytes on a connection that is not open.
-    #[error("bytes that nobody asked for")]
+    /// Bytes arrived on a connection that is not open.
+    #[error("bytes received on a connection that is not open")]
     UnsolicitedBytes,
-    /// A frame bears another session's number.
-    #[error("a piece of another session")]
+    /// A frame carries the number of another session.
+    #[error("frame of another session")]
     OtherSession,
-    /// A frame was repeated, or one is missing.
-    #[error("a piece out of its turn")]
+    /// A frame was repeated, or a frame is missing.
+    #[error("frame out of sequence")]
     OutOfSequence,
-    /// A forwarder's heartbeat is lower than the one before.
-    #[error("a beat that runs backwards")]
+    /// A forwarder's heartbeat number is lower than the previous one.
+    #[error("heartbeat number lower than the previous one")]
     HeartbeatBackwards,
-    /// A planner answers a heartbeat that was never sent.
-    #[error("a beat that was never sent")]
+    /// A planner answered a heartbeat that the forwarder never sent.
+    #[error("answer to a heartbeat that was never sent")]
     UnknownHeartbeat,
-    /// A request lists more tried hosts than allowed.
-    #[error("a history without end")]
+    /// A request lists more than [`MAX_TRIED_HOSTS`](crate::messages::MAX_TRIED_HOSTS) tried hosts.
+    #[error("request with too many tried hosts")]
     TooManyTriedHosts,
-    /// A request of a forwarder that does not follow the planner.
-    #[error("an attachment of one that does not follow")]
+    /// A forwarder that does not follow the planner reported or sent a request.
+    #[error("request of a forwarder that does not follow this planner")]
     NotFollowing,
-    /// A request whose id is in use.
-    #[error("an attachment told twice")]
+    /// A forwarder reused the id of a request that is still on record.
+    #[error("request id already in use")]
     DuplicateRequest,
-    /// A request of a class that does not exist.
-    #[error("an unknown offering")]
+    /// A request names a class that does not exist.
+    #[error("unknown request class")]
     UnknownClass,
-    /// A load that is no finite, reasonable number.
-    #[error("a load that is no figure")]
+    /// A load is not finite, is negative or is implausibly large.
+    #[error("load outside the allowed range")]
     InvalidLoad,
-    /// A host's name is empty or too long.
-    #[error("a host without a proper name")]
+    /// A host's name is empty or longer than [`MAX_NAME_BYTES`](crate::messages::MAX_NAME_BYTES).
+    #[error("host name empty or too long")]
     InvalidHostName,
-    /// More hosts than a forwarder keeps.
-    #[error("more hosts than there may be")]
+    /// A planner sent more hosts than a forwarder keeps.
+    #[error("too many hosts")]
     TooManyHosts,
-    /// More hosts that drain or are gone than a forwarder keeps.
-    #[error("more hosts that are gone than there may be")]
+    /// A planner reported more hosts as draining or gone than a forwarder keeps.
+    #[error("too many hosts that drain or are gone")]
     TooManyDrainReports,
 }
 
-/// Why a planner rejects a forwarder's session. The texts go to the forwarder.
+/// The reason for which a planner rejects a forwarder's session. The texts are sent to the forwarder and are part of
+/// the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SessionRejection {
-    /// The forwarder's name is empty or too long.
+    /// The forwarder's name is empty or longer than [`MAX_NAME_BYTES`](crate::messages::MAX_NAME_BYTES).
     #[error("no proper name")]
     InvalidName,
-    /// The forwarder means another planner.
+    /// The forwarder's greeting names another planner.
     #[error("another planner is meant")]
     OtherPlanner,
-    /// The forwarder's lists of names are not the planner's.
+    /// The forwarder's lists of names differ from the planner's.
     #[error("other settings")]
     OtherSettings,
     /// The forwarder's zone does not exist.
     #[error("an unknown zone")]
     UnknownZone,
-    /// A later start of a forwarder of this name has a session.
+    /// A forwarder of the same name with a higher epoch, which was started later, already has a session.
     #[error("a forwarder of this name is here")]
     OlderEpoch,
 }
--- a/control-plane/src/error_tests.rs
+++ b/control-plane/src/error_tests.rs
@@ -1,4 +1,4 @@
-//! Prevents changes of the texts, which operators read and forwarders are sent.
+//! Guards against accidental changes of the error texts, which operators read and forwarders receive.
 
 use super::*;
 
@@ -8,60 +8,63 @@
 
 #[test]
 fn link_errors_keep_their_texts() {
-    assert_text(LinkError::FrameTooLong, "a frame that is too long");
-    assert_text(LinkError::Malformed, "a frame that cannot be read");
-    assert_text(LinkError::Version(0), "version 0 of the link, not 1");
+    assert_text(LinkError::FrameTooLong, "frame too long");
+    assert_text(LinkError::Malformed, "malformed frame");
+    assert_text(
+        LinkError::Version(0),
+        "unsupported protocol version 0, expected 1",
+    );
     assert_text(
         LinkError::RejectedByPeer("no".into()),
-        "turned away there: \"no\"",
+        "rejected by the peer: \"no\"",
     );
 }
 
 #[test]
 fn protocol_violations_keep_their_texts() {
-    assert_text(ProtocolViolation::NoGreeting, "no greeting of the link");
     assert_text(
-        ProtocolViolation::UnsolicitedBytes,
-        "bytes that nobody asked for",
+        ProtocolViolation::NoGreeting,
+        "first frame is not a greeting",
     );
     assert_text(
-        ProtocolViolation::OtherSession,
-        "a piece of another session",
+        ProtocolViolation::UnsolicitedBytes,
+        "bytes received on a connection that is not open",
     );
-    assert_text(ProtocolViolation::OutOfSequence, "a piece out of its turn");
+    assert_text(ProtocolViolation::OtherSession, "frame of another session");
+    assert_text(ProtocolViolation::OutOfSequence, "frame out of sequence");
     assert_text(
         ProtocolViolation::HeartbeatBackwards,
-        "a beat that runs backwards",
+        "heartbeat number lower than the previous one",
     );
     assert_text(
         ProtocolViolation::UnknownHeartbeat,
-        "a beat that was never sent",
+        "answer to a heartbeat that was never sent",
     );
     assert_text(
         ProtocolViolation::TooManyTriedHosts,
-        "a history without end",
+        "request with too many tried hosts",
     );
     assert_text(
         ProtocolViolation::NotFollowing,
-        "an attachment of one that does not follow",
+        "request of a forwarder that does not follow this planner",
     );
     assert_text(
         ProtocolViolation::DuplicateRequest,
-        "an attachment told twice",
+        "request id already in use",
     );
-    assert_text(ProtocolViolation::UnknownClass, "an unknown offering");
-    assert_text(ProtocolViolation::InvalidLoad, "a load that is no figure");
+    assert_text(ProtocolViolation::UnknownClass, "unknown request class");
     assert_text(
-        ProtocolViolation::InvalidHostName,
-        "a host without a proper name",
+        ProtocolViolation::InvalidLoad,
+        "load outside the allowed range",
     );
     assert_text(
-        ProtocolViolation::TooManyHosts,
-        "more hosts than there may be",
+        ProtocolViolation::InvalidHostName,
+        "host name empty or too long",
     );
+    assert_text(ProtocolViolation::TooManyHosts, "too many hosts");
     assert_text(
         ProtocolViolation::TooManyDrainReports,
-        "more hosts that are gone than there may be",
+        "too many hosts that drain or are gone",
     );
 }
 
--- a/control-plane/src/fallback_plan.rs
+++ b/control-plane/src/fallback_plan.rs
@@ -1,22 +1,24 @@
-//! Fallback plans: where requests go while a planner is too slow to be asked. A planner's [`PlacementShares`] are
-//! what its decision core chose recently; a forwarder's [`FallbackPlan`] is drawn from them. Neither scores a
-//! host: a plan only repeats what the core did, and ends with the lease of the planner that sent it. It must
-//! never hold a host that is warming up, nor give out more than its allowance.
+//! Fallback plans, by which a forwarder places requests while its planner is too slow to be asked. A planner counts
+//! the recent choices of its decision core as [`PlacementShares`] and sends them as weights. A forwarder draws hosts
+//! from these weights in a [`FallbackPlan`]. Neither side scores hosts: a plan repeats the core's recent choices and
+//! expires with the lease of the planner that sent it.
+//!
+//! Invariants: a plan contains no host that is warming up, and places no more requests than its allowance.
 
 use crate::messages::HostWeight;
 use rand::Rng;
 use reedferry::{HostId, Nanos, SECOND};
 
-/// The most hosts in a plan.
+/// The maximum number of hosts in a plan.
 pub const MAX_PLAN_HOSTS: usize = 1024;
 /// The weight of the host with the largest share.
 const LARGEST_WEIGHT: f64 = 1e3;
-/// What is left of a share after a second.
+/// The fraction of a share that remains after one second.
 const DECAY_PER_SECOND: f64 = 0.5;
-/// A share below this says nothing of the present and is dropped.
+/// The share at or below which a host is dropped, because its placements are too long ago to matter.
 const MIN_SHARE: f64 = 0.01;
 
-/// What the decision core of one zone chose recently, as a decayed count for each host.
+/// The recent choices of one zone's decision core, as a count of placements for each host that decays over time.
 #[derive(Default)]
 pub struct PlacementShares {
     shares: Vec<(HostId, f64)>,
@@ -24,7 +26,7 @@
 }
 
 impl PlacementShares {
-    /// Counts a placement.
+    /// Counts a placement on the host.
     pub fn record(&mut self, host: HostId, now: Nanos) {
         self.decay(now);
         match self.shares.iter_mut().find(|(id, _)| *id == host) {
@@ -43,7 +45,8 @@
         self.shares.retain(|(_, share)| *share > MIN_SHARE);
     }
 
-    /// The hosts with the largest shares among those that are `eligible`, as weights in thousandths of the largest.
+    /// Returns the `eligible` hosts with the largest shares, at most [`MAX_PLAN_HOSTS`], with weights in thousandths
+    /// of the largest. Each weight is at least 1.
     pub fn weights(&mut self, now: Nanos, eligible: impl Fn(HostId) -> bool) -> Vec<HostWeight> {
         self.decay(now);
         let mut hosts: Vec<(HostId, f64)> = self
@@ -65,7 +68,7 @@
     }
 }
 
-/// A planner's plan as its forwarder holds it.
+/// The plan of a planner, held by a forwarder that follows it.
 #[derive(Default)]
 pub struct FallbackPlan {
     hosts: Vec<(HostId, u32)>,
@@ -73,7 +76,7 @@
 }
 
 impl FallbackPlan {
-    /// Takes over the plan of a message.
+    /// Creates a plan from a planner's message. Hosts beyond [`MAX_PLAN_HOSTS`] are ignored.
     pub fn new(hosts: &[HostWeight], allowance: u32) -> Self {
         let hosts = hosts
             .iter()
@@ -85,7 +88,8 @@
         }
     }
 
-    /// Draws a host by the plan's weights among those that are `eligible`, while the allowance lasts.
+    /// Draws one of the `eligible` hosts at random by the plan's weights and uses up one unit of the allowance.
+    /// Returns `None` if the allowance is used up or no host is eligible.
     pub fn draw(
         &mut self,
         rng: &mut impl Rng,
--- a/control-plane/src/forwarder/action.rs
+++ b/control-plane/src/forwarder/action.rs
@@ -1,40 +1,42 @@
-//! What a forwarder has its caller do.
+//! The actions that a forwarder returns to its caller.
 
 use crate::messages::HostEntry;
 use reedferry::{Action, HostId, Nanos, RequestId};
 use std::net::SocketAddr;
 
-/// An action for the caller.
+/// An action that the caller must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ForwarderAction {
-    /// For the client's connection: a final answer, a migration, the cancellation of an attempt.
+    /// Carries out an action of the decision core on a client's connection: a final answer, a migration or the
+    /// cancellation of an attempt.
     Perform(Action),
-    /// Start an attempt.
+    /// Starts an attempt.
     StartAttempt {
-        /// The request.
+        /// The id of the request.
         id: RequestId,
         /// The host to try.
         host: HostId,
-        /// When the attempt times out.
+        /// The time at which the attempt times out.
         deadline: Nanos,
-        /// The attempt must start before, or not at all.
+        /// The time from which on the attempt must not be started any more.
         start_by: Nanos,
     },
-    /// Connect to a planner; answered by [`Forwarder::connected`](super::Forwarder::connected) or
-    /// [`Forwarder::connection_lost`](super::Forwarder::connection_lost).
+    /// Connects to a planner. The caller reports the result by [`Forwarder::connected`](super::Forwarder::connected)
+    /// or [`Forwarder::connection_lost`](super::Forwarder::connection_lost).
     ConnectPlanner {
         /// The number of the new connection.
         connection: u32,
-        /// Where to connect to.
+        /// The planner's address.
         address: SocketAddr,
     },
-    /// Close the connection to a planner.
+    /// Closes the connection to a planner.
     DisconnectPlanner {
         /// The number of the connection.
         connection: u32,
     },
-    /// A host is new or has changed.
+    /// Records a host that is new or has changed. An entry for a host that is missing from a complete list has an
+    /// empty name and no address.
     HostLearned(HostEntry),
-    /// Write a log line.
+    /// Writes a log line.
     Log(String),
 }
--- a/control-plane/src/forwarder/connections.rs
+++ b/control-plane/src/forwarder/connections.rs
@@ -1,4 +1,4 @@
-//! The connections to all planners: connecting with backoff, timeouts, and how a connection ends.
+//! The connections to all planners: connecting with backoff, receiving bytes, timeouts, and closing.
 
 use super::{ConnectionState, Forwarder, ForwarderAction, PlannerAddress, PlannerSession};
 use crate::messages::Hello;
@@ -6,19 +6,21 @@
 use rand::Rng;
 use reedferry::{Nanos, MILLI, SECOND};
 
-/// Unsent bytes for a planner from which on its connection is closed.
+/// The number of unsent bytes for a planner above which its connection is closed.
 const MAX_BACKLOG_BYTES: usize = 4 << 20;
-/// How long connecting may take, with the greeting.
+/// The maximum time from the start of a connect to the planner's welcome.
 const CONNECT_TIMEOUT: Nanos = SECOND;
-/// The backoff after the first failed connect, how often it doubles, and its maximum; each before jitter.
+/// The backoff after the first failed connect, the number of times that it doubles, and its maximum, all before
+/// jitter.
 const MIN_BACKOFF: Nanos = 50 * MILLI;
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 const MAX_BACKOFF: Nanos = SECOND;
-/// Leases without a frame after which a connection is closed.
+/// The time since the sending of the last answered heartbeat, in lease times, after which a connection is closed.
 const SILENCE_TIMEOUT_LEASES: u64 = 4;
 
 impl Forwarder {
-    /// Replaces the list of planners: those that stay keep their sessions.
+    /// Replaces the list of planners. Planners on both lists keep their sessions, and removed planners are
+    /// disconnected.
     pub fn set_planners(
         &mut self,
         now: Nanos,
@@ -57,7 +59,7 @@
             .position(|session| session.connection == connection)
     }
 
-    /// The connection that [`ForwarderAction::ConnectPlanner`] asked for is open.
+    /// Sends the greeting on a connection that [`ForwarderAction::ConnectPlanner`] asked for and that is now open.
     pub fn connected(&mut self, connection: u32) {
         let Some(index) = self.session_index(connection) else {
             return;
@@ -72,7 +74,7 @@
         });
     }
 
-    /// The connection could not be made, or has ended.
+    /// Handles a connection that could not be opened or that has ended, and schedules the next connect.
     pub fn connection_lost(
         &mut self,
         now: Nanos,
@@ -91,7 +93,7 @@
                 self.requests.len()
             )));
         }
-        // Jitter, so that forwarders do not storm a planner that is back.
+        // Adds jitter, so that the forwarders do not all connect at once to a planner that has restarted.
         let doublings = session.failed_connects.min(MAX_BACKOFF_DOUBLINGS);
         let backoff = (MIN_BACKOFF << doublings).min(MAX_BACKOFF);
         let backoff = (backoff as f64 * self.rng.random_range(0.5..1.5)) as Nanos;
@@ -111,7 +113,7 @@
         self.connection_lost(now, connection, why, out);
     }
 
-    /// Takes in bytes of a planner. What cannot be read ends that planner's connection alone.
+    /// Handles bytes that arrived from a planner. Invalid bytes close this planner's connection and no other.
     pub fn receive(
         &mut self,
         now: Nanos,
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Logs why a session did not begin, once until one does.
+    /// Logs the reason for which a session did not begin. The same reason is not logged again until a session begins.
     fn log_rejection(&mut self, index: usize, why: &str, out: &mut Vec<ForwarderAction>) {
         let session = &mut self.sessions[index];
         if session.session().is_none() && session.rejection != why {
@@ -147,7 +149,8 @@
         }
     }
 
-    /// Connects where the backoff is over, and closes connections that are silent or do not keep up.
+    /// Connects to the planners whose backoff is over, and closes connections on which no welcome arrives in time,
+    /// that are silent, or whose peer does not read fast enough.
     pub(super) fn maintain_connections(&mut self, now: Nanos, out: &mut Vec<ForwarderAction>) {
         for index in 0..self.sessions.len() {
             let session = &mut self.sessions[index];
@@ -176,7 +179,7 @@
         if now >= lease_until + (SILENCE_TIMEOUT_LEASES - 1) * lease {
             self.disconnect(now, index, "silent", out);
         } else if session.writer.unsent_bytes() > MAX_BACKLOG_BYTES {
-            self.disconnect(now, index, "takes nothing", out);
+            self.disconnect(now, index, "too many unsent bytes", out);
         }
     }
 }
--- a/control-plane/src/forwarder/decisions.rs
+++ b/control-plane/src/forwarder/decisions.rs
@@ -1,14 +1,15 @@
-//! Decisions: asking the planner for them, carrying out what it decides, and deciding here where it cannot.
+//! Decisions on requests: asking the planner for them, carrying them out, and deciding locally where the planner
+//! cannot be asked or does not answer in time.
 
 use super::request_table::DecisionDeadline;
 use super::{Forwarder, ForwarderAction, ForwarderMessage, PendingRequest, Phase};
 use rand::Rng;
 use reedferry::{Action, AttemptOutcome, HostId, Idempotency, Nanos, RequestId};
 
-/// A planner's decision that an attempt is to start.
+/// A planner's decision to start an attempt.
 pub(super) struct AttemptDecision {
     pub id: u64,
-    /// The report that it answers.
+    /// The number of the report that it answers.
     pub decision_sequence: u32,
     pub host: HostId,
     pub time_limit: Nanos,
@@ -16,7 +17,7 @@
 }
 
 impl Forwarder {
-    /// Has a request decided: by the planner, or here where that cannot be.
+    /// Asks the planner to decide on a request, or decides locally if the planner cannot be asked.
     pub(super) fn request_decision(&mut self, now: Nanos, id: u64, out: &mut Vec<ForwarderAction>) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -24,7 +25,7 @@
         if !self.config.may_attempt(request, now) {
             return self.answer_locally(id, out);
         }
-        // During the state sync, requests wait behind the reports of open connections.
+        // A backlog during the state sync does not count, because requests are parked until the sync is complete.
         let is_backlogged = self.state_sync.complete && self.is_backlogged();
         let awaiting = self.requests.awaiting_answer() + self.state_sync.parked.len();
         let is_full = awaiting >= self.config.max_awaiting_decision;
@@ -45,7 +46,7 @@
         self.requests.await_answer(id);
     }
 
-    /// Reports to the planner that an attempt it decided failed, and awaits its next decision.
+    /// Reports the failure of an attempt to the planner that decided it, and awaits the planner's next decision.
     pub(super) fn request_next_decision(&mut self, now: Nanos, id: u64, outcome: AttemptOutcome) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -61,7 +62,7 @@
         self.requests.await_answer(id);
     }
 
-    /// Sets when a request is decided here if the planner has not done so.
+    /// Sets the time at which a request is decided locally unless the planner has decided it.
     fn set_decision_deadline(&mut self, now: Nanos, id: u64) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -74,7 +75,8 @@
         });
     }
 
-    /// Decides what the planner has not decided in time.
+    /// Decides locally the requests that the planner has not decided in time. After a pause of this process, requests
+    /// whose answer is not due before the end of the pause grace wait until then.
     pub(super) fn decide_overdue(&mut self, now: Nanos, out: &mut Vec<ForwarderAction>) {
         while let Some(deadline) = self.requests.pop_passed_deadline(now) {
             let Some(request) = self.requests.get(deadline.id) else {
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Starts an attempt that the planner decided, if the decision still holds.
+    /// Starts the attempt that the planner decided if the decision is still valid.
     pub(super) fn handle_start_attempt(
         &mut self,
         now: Nanos,
@@ -108,7 +110,7 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        // It may have crossed what was settled here meanwhile.
+        // Ignores a decision that arrives after the request was settled locally or reported again.
         if !request.awaits_answer_to(decision.decision_sequence) {
             return;
         }
@@ -119,7 +121,8 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        // A decision that came too late must not be carried out; the planner, if it still is that, decides anew.
+        // Asks the planner for another decision if this one has expired or its host no longer accepts attempts.
+        // Without this, an attempt could reach a host after its drain.
         if now >= decision.valid_until || !self.hosts.accepts_attempts(decision.host, now) {
             request.decision_sequence += 1;
             return self.request_next_decision(now, id, AttemptOutcome::NeverSent);
@@ -134,8 +137,8 @@
         });
     }
 
-    /// Carries out the planner's final answer: a rejection if `retry_after` is given and a retry is safe, else a
-    /// failure.
+    /// Gives the client the planner's final answer: a rejection if `retry_after` is given and a retry is safe,
+    /// otherwise a failure.
     pub(super) fn handle_final_answer(
         &mut self,
         id: u64,
@@ -164,7 +167,7 @@
         ));
     }
 
-    /// Has a client with an open connection reconnect, as the planner decided.
+    /// Asks a client with an open connection to reconnect if the planner's decision still holds.
     pub(super) fn handle_migrate(
         &mut self,
         now: Nanos,
@@ -179,7 +182,8 @@
         }
     }
 
-    /// Decides without a planner: a first attempt by the fallback plan while that holds, else the final answer.
+    /// Decides on a request without a planner: starts a first attempt by the fallback plan if possible, and otherwise
+    /// gives the final answer.
     pub(super) fn decide_locally(&mut self, now: Nanos, id: u64, out: &mut Vec<ForwarderAction>) {
         let Some(host) = self.draw_from_plan(now, id) else {
             return self.answer_locally(id, out);
@@ -210,7 +214,8 @@
         self.local_decisions.by_plan += 1;
     }
 
-    /// A host for a request's first attempt, while the fallback plan holds.
+    /// Draws a host for a request's first attempt from the fallback plan. Returns `None` for later attempts, if the
+    /// plan has expired or is used up, and during a shutdown.
     fn draw_from_plan(&mut self, now: Nanos, id: u64) -> Option<HostId> {
         let request = self.requests.get(id)?;
         let answer_by = request.answer_by(&self.config.balancer_settings);
@@ -223,7 +228,7 @@
             .draw(&mut self.rng, |host| hosts.accepts_attempts(host, now))
     }
 
-    /// Gives the final answer where no planner gives it, at once.
+    /// Gives the final answer at once and without a planner: a rejection if a retry is safe, otherwise a failure.
     pub(super) fn answer_locally(&mut self, id: u64, out: &mut Vec<ForwarderAction>) {
         let Some(request) = self.requests.remove(id) else {
             return;
@@ -231,8 +236,8 @@
         if request.known_to_planner {
             self.report(&ForwarderMessage::RequestClosed { id });
         }
-        // Jitter, so that the clients do not come back in step. Drawn for a failure too: the random sequence does not
-        // depend on the answer.
+        // Adds jitter, so that the clients do not all retry at the same time. The number is drawn for a failure too,
+        // so that the random sequence does not depend on the answer.
         let max_retry_after = self.config.balancer_settings.max_retry_after;
         let retry_after = (max_retry_after as f64 * self.rng.random_range(0.25..1.0)) as Nanos;
         let may_reject = request.may_reject(self.config.class_of(&request));
--- a/control-plane/src/forwarder/events.rs
+++ b/control-plane/src/forwarder/events.rs
@@ -1,4 +1,5 @@
-//! Events of the clients' connections: requests arrive, attempts succeed or end, clients leave.
+//! Handling of events of client connections: requests that arrive, attempts that succeed or end, and clients that
+//! leave.
 
 use super::shutdown::Shutdown;
 use super::{Forwarder, ForwarderAction, ForwarderMessage, PendingRequest, Phase};
@@ -45,7 +46,7 @@
                     self.requests.len()
                 )));
             }
-            // A forwarder follows no endpoint list, sends no probes and has no peers.
+            // These do not concern a forwarder, which follows no endpoint list, sends no probes and has no peers.
             Event::EndpointsUpdated { .. }
             | Event::RequestTakenOver(..)
             | Event::TimerFired { .. }
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Reports to a planner that knows a request that it is over, as far as the planner is concerned.
+    /// Reports the end of a request to the planner if the planner knows it, after which the planner no longer does.
     fn report_request_over(&mut self, id: u64, outcome: AttemptOutcome) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
--- a/control-plane/src/forwarder/host_table.rs
+++ b/control-plane/src/forwarder/host_table.rs
@@ -1,18 +1,18 @@
-//! The hosts as planners report them. This module owns which hosts there are and which of them drain: whichever
-//! planner says that a host drains is believed; that it is ready again is believed of one that knows a version
-//! of the endpoint list no older.
+//! The hosts that planners report, and which of them drain. A report that a host drains or is gone counts from any
+//! planner. A report that it is ready again counts only with the same or a newer version of the endpoint list, or once
+//! the drain report has expired.
 
 use crate::error::{LinkError, ProtocolViolation};
 use crate::messages::{is_valid_name, HostEntry, WireHostState};
 use reedferry::{HostId, Nanos, SECOND};
 use std::collections::{HashMap, HashSet};
 
-/// How long any planner's report that a host drains keeps new attempts from it, where the planner that is followed
-/// does not know so yet.
+/// The time for which a report that a host drains keeps new attempts from the host, even if the planner that is
+/// followed does not know of the drain yet.
 const DRAIN_REPORT_LIFETIME: Nanos = 10 * SECOND;
-/// The most hosts.
+/// The maximum number of hosts, and of drain reports.
 pub const MAX_HOSTS: usize = 65_536;
-/// Drain reports from which on expired ones are looked for, and how often.
+/// The number of drain reports from which on expired ones are removed, and the minimum interval between two removals.
 const PRUNE_THRESHOLD: usize = 1024;
 const PRUNE_INTERVAL: Nanos = SECOND;
 
@@ -23,7 +23,7 @@
     expires_at: Nanos,
 }
 
-/// All hosts.
+/// The known hosts and the drain reports on them.
 #[derive(Default)]
 pub struct HostTable {
     hosts: HashSet<HostId>,
@@ -32,20 +32,21 @@
 }
 
 impl HostTable {
-    /// Whether no host is known.
+    /// Returns whether no host is known.
     #[cfg(test)]
     pub fn is_empty(&self) -> bool {
         self.hosts.is_empty()
     }
 
-    /// Whether new attempts may go to the host.
+    /// Returns whether new attempts may go to the host, that is, whether no unexpired report says that it drains or is
+    /// gone.
     pub fn accepts_attempts(&self, host: HostId, now: Nanos) -> bool {
         self.drain_reports
             .get(&host)
             .is_none_or(|report| now >= report.expires_at)
     }
 
-    /// Checks that a reported host is within bounds.
+    /// Checks the name of a reported host, and that the table has room for the host.
     pub fn check(&self, entry: &HostEntry) -> Result<(), LinkError> {
         if !is_valid_name(&entry.name) {
             return Err(ProtocolViolation::InvalidHostName.into());
@@ -56,7 +57,8 @@
         Ok(())
     }
 
-    /// Takes in a host that [`HostTable::check`] let pass; false if an older drain report outweighs it.
+    /// Records a host that [`HostTable::check`] accepted. Returns false if the host is reported ready but an unexpired
+    /// drain report comes from a newer version of the endpoint list.
     pub fn update(&mut self, now: Nanos, entry: &HostEntry) -> Result<bool, LinkError> {
         let host = HostId(entry.id);
         if entry.state != WireHostState::Ready {
@@ -67,7 +69,8 @@
             }
             self.drain_reports.remove(&host);
         }
-        // Without the removal, the table would fill up with hosts of long ago until no planner's report fits.
+        // Removes hosts that are gone. Without this, the table would fill up with former hosts until no report of a
+        // new host fits.
         if entry.state == WireHostState::Gone {
             self.hosts.remove(&host);
         } else {
@@ -90,7 +93,8 @@
         if self.drain_reports.len() >= MAX_HOSTS {
             return Err(ProtocolViolation::TooManyDrainReports.into());
         }
-        // It expires: without that, an absurdly high list version would bar a host for ever.
+        // Lets the report expire. Without this, a report with an absurdly high list version would exclude the host for
+        // ever.
         let report = DrainReport {
             list_version,
             expires_at: now + DRAIN_REPORT_LIFETIME,
@@ -99,7 +103,7 @@
         Ok(())
     }
 
-    /// Removes the hosts that a complete list lacks, and returns them in the order of their ids.
+    /// Removes the hosts that are missing from a complete list, and returns them in the order of their ids.
     pub fn remove_unlisted(&mut self, listed: &HashSet<HostId>) -> Vec<HostId> {
         let mut removed: Vec<HostId> = self.hosts.difference(listed).copied().collect();
         removed.sort_by_key(|host| host.0);
--- a/control-plane/src/forwarder/inbound.rs
+++ b/control-plane/src/forwarder/inbound.rs
@@ -1,4 +1,5 @@
-//! What planners send: the greeting, hosts, and decisions, which count only from the planner that is followed.
+//! Handling of frames from planners. Greetings and hosts are taken from every planner, decisions and fallback plans
+//! only from the planner that is followed.
 
 use super::decisions::AttemptDecision;
 use super::{ConnectionState, Forwarder, ForwarderAction, PlannerSession};
@@ -38,7 +39,7 @@
         Ok(())
     }
 
-    /// Handles a planner's message, whose decisions hold until `valid_until`.
+    /// Handles a message of a planner. A decision in it holds until `valid_until`.
     fn handle_message(
         &mut self,
         now: Nanos,
@@ -51,7 +52,7 @@
             PlannerMessage::Host(entry) => return self.handle_host(now, index, entry, out),
             PlannerMessage::HostsComplete { .. } => self.handle_hosts_complete(index, out),
             PlannerMessage::ShuttingDown => self.sessions[index].shutting_down = true,
-            // A planner that is not followed decides nothing.
+            // Ignores decisions and plans of a planner that is not followed.
             _ if self.followed != Some(index) => {}
             PlannerMessage::StartAttempt {
                 id,
@@ -102,7 +103,8 @@
         Ok(())
     }
 
-    /// A planner has sent all its hosts: those that the planner that is followed lacks are gone.
+    /// Ends the host sync with a planner. If this planner is followed, or none is, known hosts that it did not send
+    /// are gone.
     fn handle_hosts_complete(&mut self, index: usize, out: &mut Vec<ForwarderAction>) {
         let Some(listed) = self.sessions[index].hosts_in_sync.take() else {
             return;
--- a/control-plane/src/forwarder/mod.rs
+++ b/control-plane/src/forwarder/mod.rs
@@ -1,8 +1,9 @@
-//! The forwarder's end of the link. It owns a pending request for each connection of a client, the sessions with
-//! all planners, and which planner it follows. What is to be decided goes to that planner; what it cannot
-//! decide in time is settled by the fallback plan, or by a final answer at once. It must never carry out a
-//! decision whose lease is over or that answers an earlier decision sequence, nor have two attempts of one
-//! request in flight, nor one that the request's history forbids, whoever decides it.
+//! The forwarder's side of the protocol, without I/O. A forwarder owns a pending request for each client connection
+//! and a session with each planner, and follows one of the planners. It asks that planner to decide on its requests.
+//! Requests that the planner cannot decide in time are placed by the fallback plan or get a final answer at once.
+//!
+//! Invariants, whoever decides: no decision is carried out after its lease or for an earlier decision sequence, a
+//! request never has two attempts in flight, and no attempt is made that the request's history forbids.
 
 mod action;
 mod config;
@@ -30,12 +31,13 @@
 use request_table::RequestTable;
 use shutdown::Shutdown;
 
-/// Unsent bytes for the planner that is followed from which on it is asked no more.
+/// The number of unsent bytes above which the planner that is followed is sent no new requests, no loads and
+/// latencies, and no further open connections of a state sync.
 const ASK_BACKLOG_BYTES: usize = 256 << 10;
-/// How often decisions that were made without a planner are logged.
+/// The minimum interval between two log lines on decisions that were made without a planner.
 const LOCAL_DECISIONS_LOG_INTERVAL: Nanos = SECOND;
 
-/// What was decided without a planner since that was last logged.
+/// The decisions that were made without a planner since the last log line on them.
 #[derive(Default)]
 struct LocalDecisions {
     by_plan: u32,
@@ -47,7 +49,7 @@
 pub struct Forwarder {
     config: ForwarderConfig,
     rng: ChaCha8Rng,
-    /// In the order of preference.
+    /// The sessions with all planners, the most preferred planner first.
     sessions: Vec<PlannerSession>,
     last_connection: u32,
     /// The index of the session whose planner is followed.
@@ -59,15 +61,15 @@
     hosts: HostTable,
     shutdown: Option<Shutdown>,
     last_called_at: Nanos,
-    /// Until when it waits for planners to answer after a pause of this process.
+    /// The time until which planners may still answer after a pause of this process.
     pause_grace_until: Nanos,
-    /// Whether it has been logged that no planner answers, or none has yet.
+    /// Whether the lack of a planner needs no log line: it was logged, or no planner has been followed yet.
     no_planner_logged: bool,
     local_decisions: LocalDecisions,
 }
 
 impl Forwarder {
-    /// A forwarder that is about to connect to its planners.
+    /// Creates a forwarder, which connects to its planners at the first [`Forwarder::tick`].
     pub fn new(
         config: ForwarderConfig,
         planners: Vec<PlannerAddress>,
@@ -95,47 +97,48 @@
         forwarder
     }
 
-    /// Requests that are pending or open.
+    /// Returns the number of requests, including those with an open connection.
     pub fn request_count(&self) -> usize {
         self.requests.len()
     }
 
-    /// The name of the planner that is followed.
+    /// Returns the name of the planner that is followed; `None` if there is none.
     pub fn followed_planner(&self) -> Option<&str> {
         self.followed
             .map(|index| self.sessions[index].planner.name.as_str())
     }
 
-    /// The name of the planner that a connection leads to.
+    /// Returns the name of the planner at the other end of a connection; `None` if the connection is unknown.
     pub fn planner_name(&self, connection: u32) -> Option<&str> {
         self.session_index(connection)
             .map(|index| self.sessions[index].planner.name.as_str())
     }
 
-    /// The bytes that are to be sent on a connection.
+    /// Returns the bytes to send on a connection.
     pub fn outgoing(&self, connection: u32) -> &[u8] {
         self.session_index(connection)
             .map_or(&[], |index| self.sessions[index].writer.sendable())
     }
 
-    /// So many bytes of [`Forwarder::outgoing`] were sent.
+    /// Records that the first `count` bytes of [`Forwarder::outgoing`] were sent.
     pub fn mark_sent(&mut self, connection: u32, count: usize) {
         if let Some(index) = self.session_index(connection) {
             self.sessions[index].writer.mark_sent(count);
         }
     }
 
-    /// Takes in an event of the clients' connections.
+    /// Handles an event of a client connection.
     pub fn handle_event(&mut self, now: Nanos, event: Event, out: &mut Vec<ForwarderAction>) {
         self.notice_pause(now);
-        // Without this, what arrives in the turn in which a planner is lost would be answered as if there were no other.
+        // Selects another planner before the event. Without this, requests that arrive in the turn in which the
+        // planner is lost would be answered as if there were no other.
         if !self.can_ask_planner(now) {
             self.select_planner(now, out);
         }
         self.dispatch_event(now, event, out);
     }
 
-    /// Does what is due, and ends a turn: to be called once a turn, last.
+    /// Does everything that is due and ends the turn. To be called once a turn, after all other calls.
     pub fn tick(&mut self, now: Nanos, out: &mut Vec<ForwarderAction>) {
         self.notice_pause(now);
         self.maintain_connections(now, out);
@@ -150,7 +153,7 @@
         self.log_local_decisions(now, out);
     }
 
-    /// When [`Forwarder::tick`] is wanted next at the latest.
+    /// Returns the time by which [`Forwarder::tick`] must be called next.
     pub fn next_deadline(&self) -> Nanos {
         let connections = self.sessions.iter().map(|session| match session.state {
             ConnectionState::Disconnected { retry_at } => retry_at,
@@ -171,8 +174,9 @@
         .unwrap_or(Nanos::MAX)
     }
 
-    /// Notices that this process was paused: no planner had a heartbeat of it to answer. Without this, all that waits
-    /// would be rejected after such a pause, as if the planners were gone.
+    /// Detects that this process was paused, during which planners had no heartbeat to answer, and then grants them
+    /// time to answer. Without this, all waiting requests would be rejected after a pause, as if the planners were
+    /// gone.
     fn notice_pause(&mut self, now: Nanos) {
         if now > self.last_called_at + self.config.lease / 2 {
             self.pause_grace_until = now + self.config.lease / 4;
@@ -191,7 +195,7 @@
         }
     }
 
-    /// Whether there is no planner to follow, or one that does not keep up with what is sent to it.
+    /// Returns whether no planner is followed or more than [`ASK_BACKLOG_BYTES`] for it are unsent.
     fn is_backlogged(&self) -> bool {
         self.followed
             .is_none_or(|index| self.sessions[index].writer.unsent_bytes() > ASK_BACKLOG_BYTES)
--- a/control-plane/src/forwarder/planner_selection.rs
+++ b/control-plane/src/forwarder/planner_selection.rs
@@ -1,23 +1,25 @@
-//! Which planner is followed, and the state sync that a newly followed planner gets before it is asked.
+//! The selection of the planner to follow, and the state sync by which a newly followed planner learns of the open
+//! connections before it is asked to place requests.
 
 use super::{Forwarder, ForwarderAction, ForwarderMessage, Phase};
 use crate::fallback_plan::FallbackPlan;
 use reedferry::Nanos;
 use std::collections::VecDeque;
 
-/// What the planner that is followed does not know yet.
+/// The progress of the state sync with the planner that is followed.
 #[derive(Default)]
 pub struct StateSync {
-    /// Whether all open connections were reported once.
+    /// Whether all connections that were open at the start of the sync were reported.
     pub complete: bool,
-    /// Open connections that are still to be reported.
+    /// The ids of open connections that are still to be reported.
     pub unreported: VecDeque<u64>,
-    /// Requests that are asked for once the sync is complete.
+    /// The ids of requests that are sent to the planner once the sync is complete.
     pub parked: Vec<u64>,
 }
 
 impl Forwarder {
-    /// Whether the planner that is followed may be asked: its lease holds, or it has had no heartbeat to answer.
+    /// Returns whether the planner that is followed may be asked: its lease holds, or it has not had time to answer a
+    /// heartbeat since a pause of this process.
     pub(super) fn can_ask_planner(&self, now: Nanos) -> bool {
         self.followed.is_some_and(|index| {
             let session = &self.sessions[index];
@@ -25,7 +27,7 @@
         })
     }
 
-    /// Follows the first planner in the order of preference whose lease holds.
+    /// Selects the planner to follow, and logs once if there is none.
     pub(super) fn select_planner(&mut self, now: Nanos, out: &mut Vec<ForwarderAction>) {
         let leased = self
             .followed
@@ -45,8 +47,10 @@
         }
     }
 
-    /// The planner to follow, given the present one if its lease holds. One that is preferred to the present one must
-    /// have been healthy for a while; without this, forwarders would flap between two.
+    /// Returns the planner to follow: the first in the order of preference whose lease holds and that does not shut
+    /// down, or one that shuts down if there is no other. `present` is the planner that is followed, if its lease
+    /// holds. Unless it shuts down, a preferred planner replaces it only after being healthy for the failback delay.
+    /// Without this, forwarders would flap between two planners.
     fn preferred_planner(&self, now: Nanos, present: Option<usize>) -> Option<usize> {
         let has_lease = |index: &usize| self.sessions[*index].has_lease(now);
         let indices = 0..self.sessions.len();
@@ -84,7 +88,8 @@
         });
     }
 
-    /// No planner knows any more what was reported to the last one; all waits for the next.
+    /// Marks all requests as unknown to the planner and restarts the state sync, because the planner that is followed
+    /// has changed.
     pub(super) fn reset_planner_state(&mut self) {
         let unreported = self.requests.reset_planner_state();
         self.state_sync = StateSync {
@@ -98,8 +103,8 @@
         }
     }
 
-    /// Reports open connections to the planner, as many as fit at once, and then asks for what waits. Where there is no
-    /// planner, what waits is decided here.
+    /// Reports open connections to the planner as far as its backlog allows, and sends the parked requests once all
+    /// are reported. Without a planner, decides the parked requests locally.
     pub(super) fn synchronize_state(&mut self, now: Nanos, out: &mut Vec<ForwarderAction>) {
         if self.followed.is_none() {
             for id in std::mem::take(&mut self.state_sync.parked) {
@@ -122,7 +127,7 @@
         }
     }
 
-    /// Reports an open connection that the planner does not know, behind those that are to be reported before.
+    /// Reports an open connection that the planner does not know, or queues it behind those that are not reported yet.
     pub(super) fn queue_open_connection(&mut self, now: Nanos, id: u64) {
         if self.state_sync.complete && self.state_sync.unreported.is_empty() {
             self.report_open_connection(now, id);
--- a/control-plane/src/forwarder/request_table.rs
+++ b/control-plane/src/forwarder/request_table.rs
@@ -1,12 +1,12 @@
-//! The forwarder's pending requests. This module owns the requests, the count of those that await a planner's
-//! answer, and the deadlines at which they are decided without it.
+//! The forwarder's table of pending requests. This module keeps the number of requests that await a planner's answer
+//! consistent with the table, and orders the deadlines after which requests are decided without the planner.
 
 use super::{PendingRequest, Phase};
 use reedferry::Nanos;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// When a request is decided without the planner, if it still awaits the same decision.
+/// The time at which a request is decided without the planner if it still awaits the same decision.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DecisionDeadline {
     pub time: Nanos,
@@ -14,7 +14,7 @@
     pub decision_sequence: u32,
 }
 
-/// All pending requests.
+/// All pending requests, by their ids.
 #[derive(Default)]
 pub struct RequestTable {
     requests: BTreeMap<u64, PendingRequest>,
@@ -23,27 +23,27 @@
 }
 
 impl RequestTable {
-    /// How many requests there are.
+    /// Returns the number of requests.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// How many requests await a planner's answer.
+    /// Returns the number of requests that await a planner's answer.
     pub fn awaiting_answer(&self) -> usize {
         self.awaiting_answer
     }
 
-    /// The request, unless it is settled.
+    /// Returns the request; `None` if it is unknown or settled.
     pub fn get(&self, id: u64) -> Option<&PendingRequest> {
         self.requests.get(&id)
     }
 
-    /// The request, unless it is settled.
+    /// Returns the request for modification; `None` if it is unknown or settled.
     pub fn get_mut(&mut self, id: u64) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// All requests, in the order of their ids.
+    /// Iterates over all requests in the order of their ids.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (u64, &mut PendingRequest)> {
         self.requests.iter_mut().map(|(id, request)| (*id, request))
     }
@@ -53,14 +53,14 @@
         self.requests.insert(request.incoming.id.0, request);
     }
 
-    /// Removes a request that is settled.
+    /// Removes and returns a request that is settled.
     pub fn remove(&mut self, id: u64) -> Option<PendingRequest> {
         let request = self.requests.remove(&id)?;
         self.awaiting_answer -= usize::from(request.awaits_answer);
         Some(request)
     }
 
-    /// The planner has been asked for a decision.
+    /// Records that the planner was asked for a decision on the request.
     pub fn await_answer(&mut self, id: u64) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.known_to_planner = true;
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The planner's answer has come, or is awaited no more.
+    /// Records that the planner's answer has arrived or is no longer awaited.
     pub fn stop_awaiting_answer(&mut self, id: u64) {
         if let Some(request) = self.requests.get_mut(&id) {
             if std::mem::take(&mut request.awaits_answer) {
@@ -78,8 +78,9 @@
         }
     }
 
-    /// No planner knows any request any more. Returns, in the order of their ids, the open connections and the
-    /// requests that need a decision; the latter are a decision sequence further.
+    /// Marks all requests as unknown to the planner. Returns the open connections and the requests that need a
+    /// decision, both in the order of their ids. The decision sequence of the latter grows by one, which voids earlier
+    /// answers.
     pub fn reset_planner_state(&mut self) -> UnreportedRequests {
         self.awaiting_answer = 0;
         let mut unreported = UnreportedRequests::default();
@@ -98,24 +99,24 @@
         unreported
     }
 
-    /// Sets when a request is decided without the planner.
+    /// Adds the deadline after which a request is decided without the planner.
     pub fn push_deadline(&mut self, deadline: DecisionDeadline) {
         self.deadlines.push(Reverse(deadline));
     }
 
-    /// The next deadline.
+    /// Returns the time of the earliest deadline; `None` if there is none.
     pub fn next_decision_deadline(&self) -> Option<Nanos> {
         self.deadlines.peek().map(|Reverse(deadline)| deadline.time)
     }
 
-    /// Takes the next deadline that has passed.
+    /// Removes and returns the earliest deadline if it has passed.
     pub fn pop_passed_deadline(&mut self, now: Nanos) -> Option<DecisionDeadline> {
         self.next_decision_deadline().filter(|time| *time <= now)?;
         self.deadlines.pop().map(|Reverse(deadline)| deadline)
     }
 }
 
-/// What a planner that is followed anew does not know.
+/// The ids of the requests that a newly followed planner does not know.
 #[derive(Default)]
 pub struct UnreportedRequests {
     pub open_connections: Vec<u64>,
--- a/control-plane/src/forwarder/shutdown.rs
+++ b/control-plane/src/forwarder/shutdown.rs
@@ -1,19 +1,20 @@
-//! A forwarder's graceful shutdown: its clients are asked to reconnect elsewhere, evenly over the time there is.
+//! A forwarder's graceful shutdown, during which its clients are asked to reconnect elsewhere, evenly spread over the
+//! available time.
 
 use super::{Forwarder, ForwarderAction, PendingRequest};
 use reedferry::{Action, Nanos, RequestId, MILLI};
 
-/// How often clients are asked to reconnect.
+/// The interval at which a share of the clients is asked to reconnect.
 const MIGRATION_INTERVAL: Nanos = 50 * MILLI;
 
-/// A shutdown that has begun.
+/// The schedule of a shutdown that has begun.
 pub struct Shutdown {
     next_migration_at: Nanos,
     finish_by: Nanos,
 }
 
 impl Shutdown {
-    /// A shutdown that migrates clients between these times.
+    /// Creates the schedule of a shutdown that migrates clients from the time `from` until the time `finish_by`.
     pub fn new(from: Nanos, finish_by: Nanos) -> Self {
         Shutdown {
             next_migration_at: from,
@@ -21,15 +22,15 @@
         }
     }
 
-    /// When the next clients are migrated.
+    /// Returns the time at which the next clients are migrated.
     pub fn next_migration_at(&self) -> Nanos {
         self.next_migration_at
     }
 }
 
 impl Forwarder {
-    /// Migrates the share of clients that falls to this interval. Without the spreading, hosts and planners would be
-    /// stormed by all at once.
+    /// Migrates this interval's share of the clients. Without the spreading, all clients would reconnect at once and
+    /// overload hosts and planners.
     pub(super) fn migrate_share(&mut self, now: Nanos, out: &mut Vec<ForwarderAction>) {
         let Some(shutdown) = self
             .shutdown
--- a/control-plane/src/lib.rs
+++ b/control-plane/src/lib.rs
@@ -1,9 +1,9 @@
-//! The link between forwarders and planners: its messages and frames, and the logic of both ends without I/O.
+//! The protocol between forwarders and planners: its messages and frames, and the logic of both ends without I/O.
 //!
-//! A [`Forwarder`] owns the requests of its clients; a [`Planner`] places them by the decision core of
-//! `reedferry`, one [`reedferry::Balancer`] for each zone. Either takes bytes, events and the caller's clock and
-//! returns actions. Neither opens a socket, reads a clock or sees a client's bytes. The design is explained in
-//! `docs/design/two-tier.md`.
+//! A [`Forwarder`] owns the requests of its clients. A [`Planner`] chooses the hosts for these requests with the
+//! decision core of `reedferry`, running one [`reedferry::Balancer`] for each zone. Both take bytes, events and the
+//! time from the caller and return actions. Neither opens a socket, reads a clock or sees a client's bytes. The
+//! design is explained in `docs/design/two-tier.md`.
 
 pub mod codec;
 mod conversions;
@@ -21,8 +21,8 @@
 pub use planner::{Planner, PlannerAction, PlannerConfig};
 pub use planner_session::PlannerAddress;
 
-/// Hashes lists of names whose positions stand for the names in messages: two ends work together only where the
-/// hashes are equal.
+/// Returns a hash of the lists of names that messages refer to by index. A session begins only if both ends have
+/// the same hash.
 pub fn fingerprint<'a>(names: impl IntoIterator<Item = &'a str>) -> u64 {
     let mut hash = xxhash_rust::xxh3::Xxh3::new();
     for name in names {
--- a/control-plane/src/messages.rs
+++ b/control-plane/src/messages.rs
@@ -1,100 +1,99 @@
-//! The messages between forwarders and planners. This module owns their form on the wire: postcard writes
-//! fields and variants in the order in which they stand here and never their names, so neither may be
-//! reordered.
+//! The messages between forwarders and planners. This module defines their wire format: postcard encodes fields and
+//! variants by position and never by name, so neither may be reordered.
 
 use reedferry::Nanos;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The longest name of a host, a forwarder or a planner, in bytes.
+/// The maximum length of the name of a host, a forwarder or a planner, in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
-/// The most hosts that [`PriorAttempts`] may list.
+/// The maximum number of hosts that [`PriorAttempts`] may list.
 pub const MAX_TRIED_HOSTS: usize = 32;
 
-/// Whether a name that a peer sent is usable.
+/// Returns whether a name that a peer sent is neither empty nor longer than [`MAX_NAME_BYTES`].
 pub(crate) fn is_valid_name(name: &str) -> bool {
     !name.is_empty() && name.len() <= MAX_NAME_BYTES
 }
 
-/// The greeting of a forwarder.
+/// The greeting that a forwarder sends as its first frame.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
     /// The forwarder's name.
     pub name: String,
-    /// The name of the planner that the forwarder means to reach.
+    /// The name of the planner that the forwarder expects at the address.
     pub planner: String,
-    /// The zone that the forwarder serves.
+    /// The index of the zone that the forwarder serves.
     pub zone: u16,
-    /// Grows with each start of the forwarder.
+    /// A number that grows with each start of the forwarder.
     pub epoch: u64,
-    /// Hash of the lists whose positions stand for names in later messages.
+    /// The [`fingerprint`](crate::fingerprint) of the lists of names that later messages refer to by index.
     pub fingerprint: u64,
 }
 
 /// A planner's answer to [`Hello`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Welcome {
-    /// The session begins; every later frame bears this number.
+    /// The session begins. Every later frame carries this session number.
     Session(u64),
-    /// The planner rejects the session, with its reason.
+    /// The planner rejects the session for this reason.
     Refused(String),
 }
 
-/// The header of each frame behind the greeting.
+/// The header of each frame after the greeting.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FrameHeader {
     /// The session's number from [`Welcome::Session`].
     pub session: u64,
-    /// Counts the frames of one direction, from one.
+    /// The sequence number of the frame in its direction, starting at 1.
     pub sequence: u64,
-    /// From a forwarder: its last heartbeat. From a planner: the last heartbeat that it had read when it decided
-    /// what the frame holds.
+    /// From a forwarder: the number of its last heartbeat. From a planner: the number of the last heartbeat that it
+    /// had read when it made the decisions in the frame.
     pub heartbeat: u64,
 }
 
-/// A request that needs a host. Times are durations: the two ends share no clock.
+/// A request that needs a host. Times are durations because the two ends do not share a clock.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PlacementRequest {
-    /// Index of the request class.
+    /// The index of the request class.
     pub class: u16,
-    /// Hash of the affinity key.
+    /// The hash of the affinity key; `None` if the request has no key.
     pub key: Option<u64>,
-    /// The idempotency group.
+    /// The idempotency group; `None` if the request names none.
     pub group: Option<u64>,
-    /// The load that the client's connections usually bring.
+    /// The load that the client's connections usually cause; `None` if it is unknown.
     pub usual_load: Option<f64>,
-    /// Time until the request's deadline.
+    /// The time until the request's deadline, in nanoseconds.
     pub time_left: Nanos,
 }
 
 /// An attempt that its host may have executed.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ExecutedAttempt {
-    /// The host it went to.
+    /// The id of the host to which it was sent.
     pub host: u64,
-    /// How long ago it was sent.
+    /// The time since it was sent, in nanoseconds.
     pub sent_ago: Nanos,
 }
 
-/// What has become of a request so far.
+/// The history of a request's attempts so far.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PriorAttempts {
-    /// How many attempts were made.
+    /// The number of attempts that were made.
     pub attempts: u32,
-    /// The first attempt that may have been executed.
+    /// The first attempt that may have been executed; `None` if there is none.
     pub may_have_run: Option<ExecutedAttempt>,
-    /// The hosts that were tried.
+    /// The ids of the hosts that were tried, at most [`MAX_TRIED_HOSTS`].
     pub tried_hosts: Vec<u64>,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WireOutcome {
     /// The connection was served to its end.
     Completed,
     /// The host answered with an error.
     Error,
-    /// The host rejected it.
+    /// The host rejected the attempt.
     Rejected,
     /// The host did not answer in time.
     TimedOut,
@@ -102,175 +101,176 @@
     ConnectFailed,
     /// The connection broke.
     ConnectionLost,
-    /// The forwarder cancelled it.
+    /// The forwarder cancelled the attempt.
     Cancelled,
-    /// Nothing of it reached the host.
+    /// Nothing of the attempt reached the host.
     NeverSent,
-    /// Another process took the connection over.
+    /// Another process took over the connection.
     HandedOver,
 }
 
-/// The state of a host.
+/// The state of a host according to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WireHostState {
-    /// It takes new connections.
+    /// The host takes new connections.
     Ready,
-    /// It takes no new connections.
+    /// The host takes no new connections.
     Draining,
-    /// It is no longer on the endpoint list.
+    /// The host is no longer on the endpoint list.
     Gone,
 }
 
-/// A host as a forwarder needs to know it.
+/// A host as it is described to forwarders.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HostEntry {
     /// The host's id.
     pub id: u64,
     /// The host's name.
     pub name: String,
-    /// Where it listens.
+    /// The address on which the host listens; `None` if it is unknown.
     pub address: Option<SocketAddr>,
-    /// Its state.
+    /// The host's state.
     pub state: WireHostState,
-    /// The version of the endpoint list that says so.
+    /// The version of the endpoint list from which this entry comes.
     pub list_version: u64,
 }
 
-/// From a forwarder to a planner. Requests go by the forwarder's ids. `decision_sequence` counts what the
-/// forwarder has reported of one request, and an answer bears the number that it answers.
+/// A message from a forwarder to a planner. Requests are named by the forwarder's ids. `decision_sequence` numbers
+/// the forwarder's reports on one request, and each answer repeats the number of the report that it answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ForwarderMessage {
-    /// This planner decides from now on; the open connections are reported first.
+    /// The forwarder follows this planner from now on. It reports its open connections before it sends requests.
     Follow {
-        /// How many open connections will be reported.
+        /// The number of open connections that will be reported.
         open_connections: u32,
     },
     /// All open connections have been reported.
     StateSyncComplete,
-    /// Another planner decides: all that was reported is void.
+    /// The forwarder no longer follows this planner, and everything that it reported is void.
     Unfollow,
-    /// An open connection that the planner does not know yet.
+    /// Reports an open connection that the planner does not know yet.
     OpenConnection {
         /// The forwarder's id of the request.
         id: u64,
-        /// What the request asked for.
+        /// The request as it was made.
         request: PlacementRequest,
-        /// The host that serves it.
+        /// The id of the host that serves it.
         host: u64,
     },
-    /// Asks for a host.
+    /// Asks for a host for a request.
     RequestPlacement {
         /// The forwarder's id of the request.
         id: u64,
-        /// What the answer is to bear.
+        /// The number that the answer must repeat.
         decision_sequence: u32,
-        /// What the request asks for.
+        /// The request.
         request: PlacementRequest,
-        /// What has become of it so far.
+        /// The history of the request.
         prior_attempts: PriorAttempts,
     },
-    /// A connection that the planner placed is open.
+    /// Reports that the connection of a request that the planner placed is open.
     ConnectionEstablished {
         /// The forwarder's id of the request.
         id: u64,
-        /// Time from the attempt's start.
+        /// The time since the start of the attempt, in nanoseconds.
         took: Nanos,
     },
-    /// An attempt or an open connection ended.
+    /// Reports that an attempt or an open connection ended.
     AttemptEnded {
         /// The forwarder's id of the request.
         id: u64,
-        /// What the next answer is to bear.
+        /// The number that the next answer must repeat.
         decision_sequence: u32,
-        /// How it ended.
+        /// The outcome of the attempt or the connection.
         outcome: WireOutcome,
-        /// Whether the request ended with it.
+        /// Whether the request ended with it. If not, the forwarder asks for another decision.
         request_over: bool,
     },
-    /// The load of an open connection.
+    /// Reports the measured load of an open connection.
     LoadMeasured {
         /// The forwarder's id of the request.
         id: u64,
         /// The load.
         load: f64,
     },
-    /// The latency of a message to a host.
+    /// Reports the latency of a message to a host.
     MessageLatency {
-        /// The host.
+        /// The id of the host.
         host: u64,
-        /// Its latency.
+        /// The latency, in nanoseconds.
         latency: Nanos,
     },
-    /// The client left.
+    /// Reports that the client of a request left.
     ClientLeft {
         /// The forwarder's id of the request.
         id: u64,
     },
-    /// The forwarder settled the request without this planner, whatever was decided meanwhile.
+    /// Reports that the forwarder settled the request without this planner. Any decision that the planner made in
+    /// the meantime is void.
     RequestClosed {
         /// The forwarder's id of the request.
         id: u64,
     },
 }
 
-/// A host of a fallback plan.
+/// A host of a fallback plan with its weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostWeight {
-    /// The host.
+    /// The id of the host.
     pub host: u64,
-    /// Its weight, in thousandths of the largest.
+    /// The weight of the host, in thousandths of the plan's largest weight.
     pub weight: u16,
 }
 
-/// From a planner to a forwarder.
+/// A message from a planner to a forwarder. `decision_sequence` is the number of the report that a decision answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PlannerMessage {
-    /// Start an attempt.
+    /// Starts an attempt at a host.
     StartAttempt {
         /// The forwarder's id of the request.
         id: u64,
-        /// The report that this answers.
+        /// The number of the report that this answers.
         decision_sequence: u32,
-        /// The host to try.
+        /// The id of the host.
         host: u64,
-        /// How long the host may take.
+        /// The time after which the attempt times out, in nanoseconds.
         time_limit: Nanos,
     },
-    /// Reject the request.
+    /// Rejects the request.
     Reject {
         /// The forwarder's id of the request.
         id: u64,
-        /// The report that this answers.
+        /// The number of the report that this answers.
         decision_sequence: u32,
-        /// When the client may retry.
+        /// The time after which the client may retry, in nanoseconds.
         retry_after: Nanos,
     },
-    /// Fail the request.
+    /// Fails the request.
     Fail {
         /// The forwarder's id of the request.
         id: u64,
-        /// The report that this answers.
+        /// The number of the report that this answers.
         decision_sequence: u32,
     },
-    /// Ask the client of an open connection to reconnect.
+    /// Asks the client of an open connection to reconnect.
     Migrate {
         /// The forwarder's id of the request.
         id: u64,
     },
-    /// A host is new or has changed.
+    /// Describes a host that is new or has changed.
     Host(HostEntry),
-    /// All hosts have been sent.
+    /// Every host has been sent once.
     HostsComplete {
-        /// The version of the endpoint list that they are of.
+        /// The version of the endpoint list to which the sent hosts belong.
         list_version: u64,
     },
-    /// Where the next requests would go, by weight, and how many may go there while the planner is too slow.
+    /// Replaces the fallback plan, by which the forwarder places requests while the planner is too slow to be asked.
     Plan {
         /// The hosts with their weights.
         hosts: Vec<HostWeight>,
-        /// How many requests may go by this plan.
+        /// The maximum number of requests that may be placed by this plan.
         allowance: u32,
     },
-    /// The planner is about to stop.
+    /// The planner is about to stop, and the forwarder should follow another one.
     ShuttingDown,
 }
--- a/control-plane/src/pending_request.rs
+++ b/control-plane/src/pending_request.rs
@@ -1,55 +1,57 @@
-//! A request that a forwarder must answer, with the history that no planner's death may lose. This module
-//! owns what is known of each attempt so far, and the two rules that a forwarder applies whoever decides:
-//! when there may be another attempt, and when a rejection is safe. It must never forget an attempt that
-//! may have been executed.
+//! A request that a forwarder must answer, with the history of its attempts, which survives the failure of any
+//! planner. This module also applies the two rules that hold whoever decides: when another attempt is allowed, and
+//! when a rejection is safe.
+//!
+//! Invariant: an attempt that may have been executed is never forgotten.
 
 use crate::messages::{ExecutedAttempt, PlacementRequest, PriorAttempts};
 use reedferry::{
     permission, AttemptOutcome, BalancerSettings, HostId, IncomingRequest, Nanos, RequestClass,
 };
 
-/// Hosts of past attempts that are remembered: more than any settings allow attempts.
+/// The maximum number of tried hosts that are remembered, which is more than the number of attempts that any settings
+/// allow.
 const MAX_REMEMBERED_HOSTS: usize = 16;
 
-/// Where a request is on its way to a host.
+/// The progress of a request towards an open connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// No attempt is in flight; a decision is needed.
+    /// No attempt is in flight, and a decision is needed.
     AwaitingDecision,
-    /// An attempt at this host is in flight.
+    /// An attempt at the host is in flight.
     Attempting(HostId),
-    /// The connection to this host is open.
+    /// The connection to the host is open.
     Open(HostId),
 }
 
 /// A request of a client, from its arrival to the end of its connection.
 pub struct PendingRequest {
-    /// What the client asked for.
+    /// The request as it arrived.
     pub incoming: IncomingRequest,
-    /// When the client stops waiting.
+    /// The time at which the client stops waiting.
     pub deadline: Nanos,
-    /// Where it is on its way.
+    /// The progress of the request.
     pub phase: Phase,
-    /// Counts the reports of it that a planner may answer.
+    /// The number of the current decision. A planner's answer to an earlier number is ignored.
     pub decision_sequence: u32,
-    /// Attempts so far.
+    /// The number of attempts so far.
     pub attempts: u32,
-    /// The planner that is followed knows of it.
+    /// Whether the planner that is followed has a record of the request.
     pub known_to_planner: bool,
-    /// An answer to its decision sequence is awaited.
+    /// Whether the planner was asked for the current decision and has not answered yet.
     pub awaits_answer: bool,
-    /// Its client left while an attempt was in flight.
+    /// Whether the client left while an attempt was in flight.
     pub client_left: bool,
-    /// Its client was asked to reconnect because this forwarder shuts down.
+    /// Whether the client was asked to reconnect because this forwarder shuts down.
     pub migrated: bool,
     last_sent: Nanos,
-    /// The first attempt that may have been executed, and when it was sent.
+    /// The host and the sending time of the first attempt that may have been executed.
     may_have_run: Option<(HostId, Nanos)>,
     tried_hosts: Vec<HostId>,
 }
 
 impl PendingRequest {
-    /// A request that has just arrived.
+    /// Creates a request that arrives now.
     pub fn new(incoming: IncomingRequest, now: Nanos) -> Self {
         PendingRequest {
             incoming,
@@ -67,7 +69,7 @@
         }
     }
 
-    /// A request whose connection is already open.
+    /// Creates a request whose connection to `host` is already open.
     pub fn open(incoming: IncomingRequest, host: HostId, now: Nanos) -> Self {
         PendingRequest {
             phase: Phase::Open(host),
@@ -75,26 +77,27 @@
         }
     }
 
-    /// Whether its connection is open.
+    /// Returns whether the connection is open.
     pub fn is_open(&self) -> bool {
         matches!(self.phase, Phase::Open(_))
     }
 
-    /// Whether it awaits the answer to this decision sequence.
+    /// Returns whether the request awaits a planner's answer to this decision sequence.
     pub fn awaits_answer_to(&self, decision_sequence: u32) -> bool {
         self.phase == Phase::AwaitingDecision
             && self.decision_sequence == decision_sequence
             && self.awaits_answer
     }
 
-    /// An attempt at this host starts.
+    /// Records the start of an attempt at `host`.
     pub fn attempt_started(&mut self, host: HostId, now: Nanos) {
         self.phase = Phase::Attempting(host);
         self.last_sent = now;
         self.attempts += 1;
     }
 
-    /// The attempt in flight failed: another decision is needed.
+    /// Records the failure of the attempt in flight, after which another decision is needed. Does nothing if no
+    /// attempt is in flight.
     pub fn attempt_failed(&mut self, outcome: AttemptOutcome) {
         let Phase::Attempting(host) = self.phase else {
             return;
@@ -109,13 +112,14 @@
         }
     }
 
-    /// Whether there may be another attempt, as far as the request's class allows it at any host.
+    /// Returns whether the number of attempts and the idempotency of the request's class allow another attempt at some
+    /// host.
     pub fn may_attempt(&self, class: &RequestClass, max_attempts: u32, now: Nanos) -> bool {
         let first_sent = self.may_have_run.map(|(_, sent)| sent);
         self.attempts < max_attempts && permission::may_repeat(class, first_sent, now).is_ok()
     }
 
-    /// When the final answer is due, if nothing succeeds before.
+    /// Returns the time by which the client must have its final answer if no attempt succeeds.
     pub fn answer_by(&self, settings: &BalancerSettings) -> Nanos {
         permission::answer_by(
             self.deadline,
@@ -124,17 +128,17 @@
         )
     }
 
-    /// Whether it may be rejected: a retry by the client does no harm.
+    /// Returns whether the request may be rejected, that is, whether a retry by the client is safe.
     pub fn may_reject(&self, class: &RequestClass) -> bool {
         permission::may_reject(class, self.may_have_run.is_some())
     }
 
-    /// What a planner is asked for.
+    /// Returns the request in the form in which it is sent to a planner.
     pub fn placement_request(&self, now: Nanos) -> PlacementRequest {
         PlacementRequest::from_incoming(&self.incoming, self.deadline.saturating_sub(now))
     }
 
-    /// Its history, for a planner that has not seen it.
+    /// Returns the history of the request for a planner that does not know it.
     pub fn prior_attempts(&self, now: Nanos) -> PriorAttempts {
         let executed_attempt = |(host, sent): (HostId, Nanos)| ExecutedAttempt {
             host: host.0,
--- a/control-plane/src/planner/action.rs
+++ b/control-plane/src/planner/action.rs
@@ -1,33 +1,33 @@
-//! What a planner has its caller do.
+//! The actions that a planner returns to its caller.
 
 use reedferry::{HostId, Nanos};
 
-/// An action for the caller.
+/// An action that the caller must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlannerAction {
-    /// Call [`Planner::timer_fired`](super::Planner::timer_fired) at this time.
+    /// Calls [`Planner::timer_fired`](super::Planner::timer_fired) at the given time.
     SetTimer {
-        /// When.
+        /// The time of the call.
         time: Nanos,
-        /// The zone to call it for.
+        /// The zone to pass.
         zone: u16,
-        /// The timer to call it with.
+        /// The timer to pass.
         timer: u64,
     },
-    /// Fetch the endpoint list.
+    /// Fetches the endpoint list.
     PollEndpoints,
-    /// Watch the endpoint list.
+    /// Starts a watch of the endpoint list.
     WatchEndpoints,
-    /// Probe the load of a host.
+    /// Probes the load of a host.
     Probe {
         /// The host.
         host: HostId,
     },
-    /// Close a forwarder's connection once what waits for it is sent.
+    /// Closes a forwarder's connection once its unsent bytes are sent.
     Disconnect {
         /// The caller's number for the connection.
         connection: u32,
     },
-    /// Write a log line.
+    /// Writes a log line.
     Log(String),
 }
--- a/control-plane/src/planner/cleanup.rs
+++ b/control-plane/src/planner/cleanup.rs
@@ -1,13 +1,13 @@
-//! The end of sessions and of requests: what a lost or closed session held is taken off the decision cores.
+//! The end of sessions and requests. The requests of a lost or closed session are removed from the decision cores.
 
 use super::{Planner, PlannerAction, RecordKey};
 use reedferry::{AttemptOutcome, Event, Nanos};
 
-/// Orphaned records that are taken off the decision cores in one turn.
+/// The maximum number of orphaned records that are removed from the decision cores in one turn.
 const ORPHANS_PER_TURN: usize = 1024;
 
 impl Planner {
-    /// Closes a connection; its session counts no more.
+    /// Closes a connection and releases its session.
     pub(super) fn close_session(&mut self, key: usize, why: &str, out: &mut Vec<PlannerAction>) {
         let session = &mut self.sessions[key];
         if session.closing {
@@ -22,7 +22,7 @@
         self.release_session(key, why, out);
     }
 
-    /// Takes a session's requests off it, and its number.
+    /// Releases a session's requests and clears its number, after which nothing more is sent in it.
     pub(super) fn release_session(&mut self, key: usize, why: &str, out: &mut Vec<PlannerAction>) {
         self.unfollow(key);
         let session = &mut self.sessions[key];
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The forwarder no longer has this planner decide: its requests become orphans.
+    /// Ends the following of this planner by a forwarder. Queued requests are removed, and the others become orphans.
     pub(super) fn unfollow(&mut self, key: usize) {
         let session = &mut self.sessions[key];
         session.state_sync_until = None;
@@ -54,14 +54,14 @@
                 self.requests.remove(key);
                 continue;
             }
-            // Without this, a planner would block over tens of thousands of records of one dead forwarder for longer
-            // than the others' leases.
+            // Leaves the removal to later turns. Without this, removing the tens of thousands of records of one failed
+            // forwarder at once would block the planner for longer than the other forwarders' leases.
             record.orphan();
             self.orphans.push_back(key);
         }
     }
 
-    /// Takes some of the orphaned records off the decision cores.
+    /// Removes up to [`ORPHANS_PER_TURN`] orphaned records from the decision cores.
     pub(super) fn remove_orphans(&mut self, now: Nanos, out: &mut Vec<PlannerAction>) {
         for _ in 0..ORPHANS_PER_TURN {
             let Some(key) = self.orphans.pop_front() else {
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Removes a record, and notifies the decision core if it knows the request.
+    /// Removes a record and notifies the decision core if it knows the request. `ending` is the outcome to report for
+    /// an attempt or an open connection.
     pub(super) fn remove_request(
         &mut self,
         now: Nanos,
@@ -101,7 +102,7 @@
         self.notify_core(now, record.zone(), event, out);
     }
 
-    /// The session that held a record, if any, holds it no more.
+    /// Removes a request from the session that holds its record, if there is one.
     pub(super) fn forget_in_session(&mut self, session: Option<usize>, forwarder_id: u64) {
         if let Some(session) = session.and_then(|key| self.sessions.get_mut(key)) {
             session.requests.remove(&forwarder_id);
--- a/control-plane/src/planner/config.rs
+++ b/control-plane/src/planner/config.rs
@@ -1,26 +1,27 @@
-//! What a planner is given.
+//! The configuration of a planner.
 
 use reedferry::{BalancerSettings, Nanos};
 
-/// The settings of a planner.
+/// The configuration of a planner.
 #[derive(Clone, Debug)]
 pub struct PlannerConfig {
-    /// The planner's name, which forwarders greet it by.
+    /// The planner's name, which forwarders must give in their greeting.
     pub name: String,
-    /// The settings of the decision core of each zone.
+    /// The settings that the decision cores of all zones have in common.
     pub balancer_settings: BalancerSettings,
-    /// How many zones there are.
+    /// The number of zones; 0 counts as 1.
     pub zone_count: u16,
-    /// Its index among the planners that the operator lists.
+    /// The planner's index on the operator's list of planners, from 0.
     pub planner_index: u32,
-    /// How many planners the operator lists.
+    /// The number of planners on the operator's list; 0 counts as 1.
     pub planner_count: u32,
-    /// Hash of the lists whose positions stand for names in messages.
+    /// The [`fingerprint`](crate::fingerprint) of the lists of names that messages refer to by index.
     pub fingerprint: u64,
-    /// How long a forwarder may be silent.
+    /// The time without a frame after which a forwarder's connection is closed.
     pub silence_timeout: Nanos,
-    /// How long a zone without followers waits, from its first follower, for others to report their connections.
+    /// The time for which a zone places nothing after its first follower arrives, so that other forwarders can follow
+    /// too and report their open connections.
     pub settle_time: Nanos,
-    /// The most requests of one forwarder.
+    /// The maximum number of requests, including open connections, that are kept for one forwarder.
     pub max_requests_per_forwarder: usize,
 }
--- a/control-plane/src/planner/handshake.rs
+++ b/control-plane/src/planner/handshake.rs
@@ -1,4 +1,4 @@
-//! The greeting of a forwarder: whether its session begins.
+//! The handshake with a forwarder, which checks its greeting and begins its session.
 
 use super::{Planner, PlannerAction};
 use crate::codec;
@@ -7,7 +7,8 @@
 use rand::Rng;
 
 impl Planner {
-    /// Begins the session, or rejects it.
+    /// Handles a forwarder's greeting: begins the session, or answers with the reason for its rejection. A new session
+    /// replaces an existing one of the same forwarder.
     pub(super) fn handle_greeting(
         &mut self,
         key: usize,
@@ -29,8 +30,9 @@
         }
         self.begin_session(key, hello, out);
         if let Some((replaced, _)) = namesake {
-            // Without this, a forwarder that is back from a cut connection would be kept out by its old session.
-            self.close_session(replaced, "it came again", out);
+            // Closes the old session. Without this, a forwarder that reconnects after its connection was cut would be
+            // kept out until its old session times out.
+            self.close_session(replaced, "replaced by a new session", out);
         }
         Ok(())
     }
@@ -56,7 +58,7 @@
     }
 
     fn begin_session(&mut self, key: usize, hello: Hello, out: &mut Vec<PlannerAction>) {
-        // Random, so that a peer of an earlier session or of another planner does not know it.
+        // The number is random, so that frames of an earlier session or for another planner do not match it.
         let number = self.rng.random::<u64>().max(1);
         let session = &mut self.sessions[key];
         session.writer.append_greeting(&Welcome::Session(number));
--- a/control-plane/src/planner/host_table.rs
+++ b/control-plane/src/planner/host_table.rs
@@ -1,11 +1,11 @@
-//! The hosts as they are sent to forwarders. This module owns the host records and the order of their changes,
-//! by which each session knows what it has not been sent yet.
+//! The hosts that are sent to forwarders. This module numbers the changes of hosts in order. Each session remembers
+//! the number of the last change that it was sent, and so finds the hosts that it still lacks.
 
 use crate::messages::{HostEntry, WireHostState};
 use reedferry::{Endpoint, EndpointUpdate, HostId, HostState, Nanos};
 use std::collections::{BTreeMap, HashMap};
 
-/// A host, with the change that it was last part of.
+/// A host with the number of its last change.
 pub struct HostRecord {
     pub entry: HostEntry,
     endpoint: Endpoint,
@@ -23,13 +23,13 @@
             .is_some_and(|started| now < started.saturating_add(warm_up))
     }
 
-    /// Whether a session that was sent the changes up to this one lacks the record.
+    /// Returns whether a session that was sent all changes up to `sent_change` lacks this version of the host.
     pub fn is_newer_than(&self, sent_change: u64) -> bool {
         self.change > sent_change
     }
 }
 
-/// All hosts, with the order of their last changes.
+/// All hosts, by their ids and by the numbers of their last changes.
 #[derive(Default)]
 pub struct HostTable {
     pub(super) records: HashMap<HostId, HostRecord>,
@@ -39,42 +39,44 @@
 }
 
 impl HostTable {
-    /// The host, unless it is unknown.
+    /// Returns the host; `None` if it is unknown.
     pub fn get(&self, host: HostId) -> Option<&HostRecord> {
         self.records.get(&host)
     }
 
-    /// The number of the last change; 0 before the first.
+    /// Returns the number of the last change; 0 before the first.
     pub fn last_change(&self) -> u64 {
         self.last_change
     }
 
-    /// The newest version of the endpoint list.
+    /// Returns the newest known version of the endpoint list; 0 before the first update.
     pub fn list_version(&self) -> u64 {
         self.list_version
     }
 
-    /// The changes behind one, in order, each with the host as it is now.
+    /// Iterates in order over the changes after the given one, each with the present state of its host. Only the last
+    /// change of each host is kept.
     pub fn changes_after(&self, change: u64) -> impl Iterator<Item = (u64, &HostEntry)> {
         self.changes
             .range(change + 1..)
             .map(|(&change, host)| (change, &self.records[host].entry))
     }
 
-    /// Whether the host is known to be warming up.
+    /// Returns whether the host is known and still warming up.
     pub fn is_warming_up(&self, host: HostId, now: Nanos, warm_up: Nanos) -> bool {
         self.get(host)
             .is_some_and(|record| record.is_warming_up(now, warm_up))
     }
 
-    /// Whether a fallback plan may name the host.
+    /// Returns whether the host is known, ready and not warming up, and may therefore be part of a fallback plan.
     pub fn is_ready_and_warm(&self, host: HostId, now: Nanos, warm_up: Nanos) -> bool {
         self.get(host).is_some_and(|record| {
             record.endpoint.state == HostState::Ready && !record.is_warming_up(now, warm_up)
         })
     }
 
-    /// Takes in an update of the endpoint list; `entries` are the same hosts as forwarders know them.
+    /// Applies an update of the endpoint list. `entries` describe the same hosts for forwarders; entries without an
+    /// endpoint are ignored.
     pub fn update(
         &mut self,
         kind: EndpointUpdate,
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Hosts that are not on a complete list are gone.
+    /// Marks the hosts that are missing from a complete list as gone.
     fn mark_missing_as_gone(&mut self, listed: &HashMap<HostId, Endpoint>) {
         let mut missing: Vec<(HostEntry, Endpoint)> = self
             .records
@@ -134,8 +136,8 @@
         self.changes.insert(change, endpoint.id);
     }
 
-    /// Forgets hosts that are gone once every session has been sent their change. Without this, the table would
-    /// grow with each host that there ever was.
+    /// Removes the hosts that are gone and whose last change every session has been sent, that is, changes up to
+    /// `sent_to_all`. Without this, the table would grow with every host that ever existed.
     pub fn forget_gone(&mut self, sent_to_all: u64) {
         let changes = &mut self.changes;
         self.records.retain(|_, record| {
--- a/control-plane/src/planner/inbound.rs
+++ b/control-plane/src/planner/inbound.rs
@@ -1,5 +1,5 @@
-//! What forwarders report and ask for: each message becomes a change of the records and an event for the
-//! decision core.
+//! Handling of messages from forwarders. Each message changes the records, is passed to the decision core as an event,
+//! or both.
 
 use super::request_table::RequestRecord;
 use super::zone::QueuedRequest;
@@ -9,13 +9,13 @@
 use crate::messages::{ForwarderMessage, PlacementRequest, PlannerMessage, PriorAttempts};
 use reedferry::{AttemptOutcome, Event, HostId, IncomingRequest, Nanos, SECOND};
 
-/// How long a forwarder may take to report its open connections before placements go on without them.
+/// The time after which a zone stops waiting for a forwarder to report its open connections.
 pub(super) const STATE_SYNC_TIMEOUT: Nanos = SECOND;
-/// The largest latency of a message that is believed.
+/// The upper limit to which a reported message latency is cut.
 const MAX_MESSAGE_LATENCY: Nanos = 60 * SECOND;
 
 impl Planner {
-    /// Handles what a session has received since the last turn.
+    /// Handles the messages that a session has received since the last turn. An invalid message closes the session.
     pub(super) fn handle_inbox(&mut self, now: Nanos, key: usize, out: &mut Vec<PlannerAction>) {
         for message in self.sessions[key].take_inbox() {
             if let Err(why) = self.handle_message(now, key, message, out) {
@@ -139,7 +139,7 @@
         Ok(())
     }
 
-    /// Queues a request for [`Planner::place_queued`], or rejects it where its forwarder has too many.
+    /// Queues a request for [`Planner::place_queued`], or rejects it if its forwarder has too many requests.
     fn queue_placement(
         &mut self,
         now: Nanos,
@@ -174,7 +174,7 @@
         Ok(())
     }
 
-    /// An attempt failed and the request goes on: the decision core decides anew.
+    /// Reports a failed attempt to the decision core, which then decides again on the request.
     fn handle_failed_attempt(
         &mut self,
         now: Nanos,
@@ -227,7 +227,7 @@
         self.sessions[session].requests.get(&id).copied()
     }
 
-    /// Adds a record of a request; none where its forwarder has too many.
+    /// Adds a record of a request and returns its key; `None` if its forwarder has too many requests.
     fn add_record(
         &mut self,
         key: usize,
@@ -256,7 +256,7 @@
         Ok(Some(record))
     }
 
-    /// The request as the decision core takes it.
+    /// Converts a request for the decision core, and checks that its class exists.
     fn incoming_request(
         &self,
         record: RecordKey,
--- a/control-plane/src/planner/mod.rs
+++ b/control-plane/src/planner/mod.rs
@@ -1,8 +1,11 @@
-//! The planner's end of the link. It owns the sessions of forwarders, a record of each request that they
-//! reported, and the decision core of each zone, which alone chooses hosts and answers. It must never decide
-//! by messages read later than the endpoint list it knows, so its caller reads forwarders first and discovery
-//! after them; never send a forwarder decisions on requests for which that one no longer follows it; and never keep
-//! more for a forwarder than its bounds.
+//! The planner's side of the protocol, without I/O. A planner owns the sessions of forwarders, a record of each
+//! request that they reported, and a decision core for each zone, which alone chooses hosts and answers.
+//!
+//! Invariants:
+//! - No decision is based on a message that was read after the endpoint list. The caller therefore reads forwarders
+//!   first and discovery after them in each turn.
+//! - A forwarder is sent no decision on a request for which it no longer follows the planner.
+//! - The requests, sessions and unsent bytes that are kept for forwarders are bounded.
 
 mod action;
 mod cleanup;
@@ -32,17 +35,18 @@
 
 use crate::messages::{HostEntry, PlannerMessage};
 
-/// The most sessions.
+/// The maximum number of sessions, including connections without a greeting yet.
 pub const MAX_SESSIONS: usize = 1024;
-/// Unsent bytes for a forwarder from which on its connection is closed.
+/// The number of unsent bytes for a forwarder above which its connection is closed.
 const MAX_BACKLOG_BYTES: usize = 4 << 20;
-/// How long a new connection may go without a greeting.
+/// The time after which a connection without a greeting is closed.
 const GREETING_TIMEOUT: Nanos = SECOND;
-/// The latest next turn while something waits to be done, and otherwise.
+/// The maximum time to the next turn while requests are queued or orphans are left, and otherwise.
 const BUSY_TURN_INTERVAL: Nanos = MILLI;
 const IDLE_TURN_INTERVAL: Nanos = 25 * MILLI;
-/// A forwarder may start an attempt a lease after it was decided, so three slow-start slots of a host can meet in
-/// one window where two do at a single node: its overload factor shrinks by as much.
+/// The factor by which the overload factor of the decision cores is reduced. A forwarder may start an attempt up to
+/// one lease after the decision, so the attempts of three slow-start slots of a host can fall into one overload
+/// window, where only those of two slots can at a single node.
 const SLOW_START_OVERLAP: f64 = 2.0 / 3.0;
 
 /// A planner, without I/O.
@@ -54,7 +58,7 @@
     sessions: Slab<Session>,
     session_by_connection: HashMap<u32, usize>,
     requests: RequestTable,
-    /// Records without a session that the decision cores still have.
+    /// The keys of records without a session that are still to be removed from the decision cores.
     orphans: VecDeque<RecordKey>,
     hosts: HostTable,
     shutting_down: bool,
@@ -62,7 +66,7 @@
 }
 
 impl Planner {
-    /// A planner without sessions and hosts.
+    /// Creates a planner without sessions and hosts. `out` gets the first actions of its decision cores.
     pub fn new(config: PlannerConfig, seed: u64, now: Nanos, out: &mut Vec<PlannerAction>) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let zones = (0..config.zone_count.max(1))
@@ -92,22 +96,22 @@
         planner
     }
 
-    /// Requests on record.
+    /// Returns the number of requests on record, including open connections.
     pub fn request_count(&self) -> usize {
         self.requests.len()
     }
 
-    /// Forwarders that follow this planner.
+    /// Returns the number of forwarders that follow this planner.
     pub fn follower_count(&self) -> usize {
         self.sessions.iter().filter(|(_, s)| s.follows).count()
     }
 
-    /// Placements that were requested since the start.
+    /// Returns the number of placements that were requested since the start.
     pub fn placement_requests(&self) -> u64 {
         self.placement_requests
     }
 
-    /// A connection has come in.
+    /// Accepts an incoming connection, or closes it if there are [`MAX_SESSIONS`] already.
     pub fn accept(&mut self, now: Nanos, connection: u32, out: &mut Vec<PlannerAction>) {
         if self.sessions.len() >= MAX_SESSIONS {
             out.push(PlannerAction::Log(
@@ -119,7 +123,7 @@
         self.session_by_connection.insert(connection, key);
     }
 
-    /// The connection has ended.
+    /// Handles the end of a connection, whose session is released and removed.
     pub fn connection_lost(&mut self, connection: u32, why: &str, out: &mut Vec<PlannerAction>) {
         if let Some(key) = self.session_by_connection.remove(&connection) {
             self.release_session(key, why, out);
@@ -127,21 +131,22 @@
         }
     }
 
-    /// The bytes that are to be sent on a connection.
+    /// Returns the bytes to send on a connection.
     pub fn outgoing(&self, connection: u32) -> &[u8] {
         self.session_by_connection
             .get(&connection)
             .map_or(&[], |&key| self.sessions[key].writer.sendable())
     }
 
-    /// So many bytes of [`Planner::outgoing`] were sent.
+    /// Records that the first `count` bytes of [`Planner::outgoing`] were sent.
     pub fn mark_sent(&mut self, connection: u32, count: usize) {
         if let Some(&key) = self.session_by_connection.get(&connection) {
             self.sessions[key].writer.mark_sent(count);
         }
     }
 
-    /// Takes in bytes of a forwarder: checked now, and kept for [`Planner::decide`].
+    /// Decodes and checks bytes that arrived from a forwarder. A greeting is answered now, and messages are kept for
+    /// [`Planner::decide`]. Invalid bytes close the connection.
     pub fn receive(
         &mut self,
         now: Nanos,
@@ -169,7 +174,7 @@
         }
     }
 
-    /// Takes in an update of the endpoint list; `entries` are the same hosts as forwarders know them.
+    /// Applies an update of the endpoint list. `entries` describe the same hosts for forwarders.
     pub fn update_hosts(
         &mut self,
         now: Nanos,
@@ -194,21 +199,21 @@
         }
     }
 
-    /// A load probe has ended.
+    /// Reports the end of a load probe to the decision cores of all zones.
     pub fn probe_ended(&mut self, now: Nanos, event: &Event, out: &mut Vec<PlannerAction>) {
         for zone in 0..self.zones.len() {
             self.notify_core(now, zone, event.clone(), out);
         }
     }
 
-    /// A timer that [`PlannerAction::SetTimer`] asked for has fired.
+    /// Handles a timer that [`PlannerAction::SetTimer`] asked for. An unknown zone is ignored.
     pub fn timer_fired(&mut self, now: Nanos, zone: u16, timer: u64, out: &mut Vec<PlannerAction>) {
         if usize::from(zone) < self.zones.len() {
             self.notify_core(now, zone.into(), Event::TimerFired { timer }, out);
         }
     }
 
-    /// Begins the graceful shutdown: forwarders are asked to follow another planner.
+    /// Begins the graceful shutdown and asks the forwarders to follow another planner.
     pub fn shut_down(&mut self, out: &mut Vec<PlannerAction>) {
         self.shutting_down = true;
         out.push(PlannerAction::Log(format!(
@@ -224,8 +229,8 @@
         }
     }
 
-    /// Decides what has come since the last turn, and encodes what is to be sent. To be called once a turn,
-    /// after discovery was read.
+    /// Handles the messages that have arrived since the last turn, decides, and encodes the frames to send. To be
+    /// called once a turn, after discovery was read.
     pub fn decide(&mut self, now: Nanos, out: &mut Vec<PlannerAction>) {
         let keys: Vec<usize> = self.sessions.iter().map(|(key, _)| key).collect();
         for &key in &keys {
@@ -242,7 +247,8 @@
         }
     }
 
-    /// A session's part of a turn's end: timeouts, hosts, the fallback plan, the answer to its heartbeat.
+    /// Ends the turn for one session: checks its timeouts and backlog, sends hosts and the fallback plan, and answers
+    /// its heartbeat.
     fn finish_session_turn(&mut self, now: Nanos, key: usize, out: &mut Vec<PlannerAction>) {
         let session = &mut self.sessions[key];
         if session.closing {
@@ -258,7 +264,7 @@
             return self.close_session(key, "silent", out);
         }
         if session.writer.unsent_bytes() > MAX_BACKLOG_BYTES {
-            return self.close_session(key, "takes nothing", out);
+            return self.close_session(key, "too many unsent bytes", out);
         }
         session.send_host_changes(&self.hosts);
         let zone = &mut self.zones[session.zone];
@@ -267,7 +273,7 @@
         session.finish_frame(number);
     }
 
-    /// When [`Planner::decide`] is wanted next at the latest, besides bytes and timers.
+    /// Returns the time by which [`Planner::decide`] must be called next, even if no bytes arrive and no timer fires.
     pub fn next_deadline(&self, now: Nanos) -> Nanos {
         let busy = !self.orphans.is_empty() || self.zones.iter().any(|z| !z.queue.is_empty());
         now + if busy {
@@ -284,14 +290,16 @@
     }
 }
 
-/// The settings of a zone's decision core: one of as many as there are zones at all planners.
+/// Returns the settings of a zone's decision core. The core counts as one node of as many as there are zones at all
+/// planners together.
 fn zone_settings(config: &PlannerConfig, zone: u16) -> BalancerSettings {
     let zone_count = u32::from(config.zone_count.max(1));
     BalancerSettings {
         node_index: config.planner_index * zone_count + u32::from(zone),
         node_count: config.planner_count.max(1) * zone_count,
         zone,
-        // Without this, hosts that a node among many leaves to the others would be left idle by all of a few.
+        // Without this, each core would leave some hosts to the others, and a host left out by all of a few cores
+        // would stay idle.
         centralized: true,
         overload_factor: config.balancer_settings.overload_factor * SLOW_START_OVERLAP,
         ..config.balancer_settings.clone()
--- a/control-plane/src/planner/placement.rs
+++ b/control-plane/src/planner/placement.rs
@@ -1,4 +1,5 @@
-//! Placements: queued requests go to the decision core of their zone, and its actions to the forwarders.
+//! Placement of requests: passes queued requests to the decision core of their zone and sends its decisions to the
+//! forwarders.
 
 use super::zone::QueuedRequest;
 use super::{Planner, PlannerAction, RecordKey};
@@ -6,8 +7,9 @@
 use reedferry::{Action, AttemptOutcome, Event, HostId, Nanos, RequestId};
 
 impl Planner {
-    /// Has the decision core place what is queued, unless a forwarder of the zone still reports its open connections.
-    /// Without this, a planner that has just started would place the first requests as if no connection were open.
+    /// Passes the queued requests to the zone's decision core, unless the zone is not settled yet or a forwarder still
+    /// reports its open connections. Without this wait, a planner that has just started would place the first requests
+    /// as if no connection were open.
     pub(super) fn place_queued(&mut self, now: Nanos, zone: usize, out: &mut Vec<PlannerAction>) {
         if self.zones[zone].queue.is_empty() {
             return;
@@ -27,7 +29,7 @@
         }
     }
 
-    /// Carries out what a zone's decision core put out, until it puts out no more.
+    /// Carries out the actions of a zone's decision core, including those that follow from them, until none are left.
     pub(super) fn carry_out_actions(
         &mut self,
         now: Nanos,
@@ -53,7 +55,8 @@
         out: &mut Vec<PlannerAction>,
     ) {
         match action {
-            // A forwarder is given one time limit: nothing of the attempt is in flight after either.
+            // The message has one time limit, so the earlier of the two times counts: the attempt must be over by
+            // then.
             Action::StartAttempt {
                 id,
                 host,
@@ -79,8 +82,8 @@
                     self.send_to(record.session(), &PlannerMessage::Migrate { id });
                 }
             }
-            // A forwarder cancels by itself when the client leaves, whoever it follows; a planner hears all that its
-            // forwarders know and has no peers to gossip with.
+            // A forwarder cancels an attempt on its own when the client leaves, whichever planner it follows. A
+            // planner learns everything from its forwarders and has no peers for gossip.
             Action::CancelAttempt { .. } | Action::Gossip { .. } => {}
             Action::SetTimer { time, timer } => out.push(PlannerAction::SetTimer {
                 time,
@@ -100,7 +103,8 @@
         }
     }
 
-    /// Has the forwarder start an attempt, or has the decision core choose anew where the host's slow start forbids it.
+    /// Sends the forwarder the decision to start an attempt. If the host's slow start does not admit the attempt, the
+    /// decision core is asked to choose again.
     fn start_attempt(
         &mut self,
         now: Nanos,
@@ -144,7 +148,8 @@
         self.send_to(session, &message);
     }
 
-    /// Sends a host that a forwarder has not been sent yet, ahead of an attempt at it.
+    /// Sends a host to a forwarder that lacks its present version, so that the forwarder knows the host before the
+    /// attempt.
     fn send_host_if_unknown(&mut self, session: Option<usize>, host: HostId) {
         let Some(record) = self.hosts.get(host) else {
             return;
@@ -158,8 +163,9 @@
     }
 
     fn admits_slow_start(&mut self, now: Nanos, zone: usize) -> bool {
-        // Without this, the quota of a warming host would be spent twice: by a planner that died and again by its
-        // successor, which remembers nothing of it. It leaves such hosts alone for as long as the quota is counted.
+        // Admits nothing during the first overload window after the start. Without this, the quota of a warming host
+        // could be used twice: by a planner that failed, and again by the restarted planner, which does not know of
+        // the first use.
         if now < self.started_at + self.config.balancer_settings.overload_window {
             return false;
         }
@@ -183,7 +189,8 @@
     }
 }
 
-/// A queued request as the decision core takes it, with the time that has passed in the queue taken off.
+/// Converts a queued request into an event for the decision core. The time spent in the queue is subtracted from the
+/// time left.
 fn arrival_event(queued: QueuedRequest, now: Nanos) -> Event {
     let mut incoming = queued.request.to_incoming(queued.record.request_id());
     let queued_for = now - queued.queued_at.min(now);
--- a/control-plane/src/planner/planner_tests.rs
+++ b/control-plane/src/planner/planner_tests.rs
@@ -221,7 +221,7 @@
         connection: CONNECTION,
     };
     let disconnects = actions.iter().filter(|a| **a == disconnect).count();
-    let logged = |action: &&PlannerAction| matches!(action, PlannerAction::Log(text) if text.ends_with("why=takes nothing"));
+    let logged = |action: &&PlannerAction| matches!(action, PlannerAction::Log(text) if text.ends_with("why=too many unsent bytes"));
     assert_eq!(
         (
             disconnects,
--- a/control-plane/src/planner/request_table.rs
+++ b/control-plane/src/planner/request_table.rs
@@ -1,10 +1,9 @@
-//! The planner's records of requests. This module owns the records and the ids by which the decision cores know
-//! them.
+//! The planner's records of requests, and the ids under which the decision cores know them.
 
 use reedferry::{HostId, RequestId};
 use slab::Slab;
 
-/// Names a record, and tells it from those that had its slot before.
+/// The key of a record. The generation distinguishes it from earlier records in the same slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RecordKey {
     slot: u32,
@@ -12,12 +11,12 @@
 }
 
 impl RecordKey {
-    /// The decision core's id for the record.
+    /// Returns the id under which the decision core knows the record.
     pub fn request_id(self) -> RequestId {
         RequestId(u64::from(self.generation) << 32 | u64::from(self.slot))
     }
 
-    /// The record behind a decision core's id.
+    /// Returns the key of the record that the decision core knows under `id`.
     pub fn from_request_id(id: RequestId) -> Self {
         RecordKey {
             slot: id.0 as u32,
@@ -26,23 +25,23 @@
     }
 }
 
-/// A request that a forwarder reported. There is one for each open connection, so it is kept small.
+/// A request that a forwarder reported. There is one record for each open connection, so its size is kept small.
 pub struct RequestRecord {
-    /// None for an orphan, which the decision core still has.
+    /// The key of the session that holds the record; `None` for an orphan, which the decision core still knows.
     session: Option<u32>,
     zone: u16,
-    /// It waits in its zone's queue, and the decision core does not know it yet.
+    /// Whether the request waits in its zone's queue, where the decision core does not know it yet.
     pub is_queued: bool,
-    /// What an answer is to bear.
+    /// The number that the next answer must repeat.
     pub decision_sequence: u32,
-    /// The forwarder's id for it.
+    /// The forwarder's id of the request.
     pub forwarder_id: u64,
-    /// The host of its attempt or its connection.
+    /// The host of the attempt in flight or the open connection; `None` if there is neither.
     pub host: Option<HostId>,
 }
 
 impl RequestRecord {
-    /// A record that a session holds.
+    /// Creates a record that a session holds and that is not queued.
     pub fn new(
         session: usize,
         zone: usize,
@@ -60,23 +59,23 @@
         }
     }
 
-    /// The session that holds it; none for an orphan.
+    /// Returns the key of the session that holds the record; `None` for an orphan.
     pub fn session(&self) -> Option<usize> {
         self.session.map(|session| session as usize)
     }
 
-    /// The zone it is of.
+    /// Returns the index of the request's zone.
     pub fn zone(&self) -> usize {
         self.zone.into()
     }
 
-    /// No session holds it any more.
+    /// Detaches the record from its session.
     pub fn orphan(&mut self) {
         self.session = None;
     }
 }
 
-/// All records.
+/// All records of requests, by their keys.
 #[derive(Default)]
 pub struct RequestTable {
     records: Slab<(u32, RequestRecord)>,
@@ -84,12 +83,12 @@
 }
 
 impl RequestTable {
-    /// How many records there are.
+    /// Returns the number of records, including orphans.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Adds a record.
+    /// Adds a record and returns its key.
     pub fn insert(&mut self, record: RequestRecord) -> RecordKey {
         self.last_generation = self.last_generation.wrapping_add(1);
         let generation = self.last_generation;
@@ -97,7 +96,7 @@
         RecordKey { slot, generation }
     }
 
-    /// The record, unless it was removed.
+    /// Returns the record; `None` if it was removed.
     pub fn get(&self, key: RecordKey) -> Option<&RequestRecord> {
         self.records
             .get(key.slot as usize)
@@ -105,7 +104,7 @@
             .map(|(_, record)| record)
     }
 
-    /// The record, unless it was removed.
+    /// Returns the record for modification; `None` if it was removed.
     pub fn get_mut(&mut self, key: RecordKey) -> Option<&mut RequestRecord> {
         self.records
             .get_mut(key.slot as usize)
@@ -113,7 +112,7 @@
             .map(|(_, record)| record)
     }
 
-    /// Removes a record.
+    /// Removes and returns a record; `None` if it was removed before.
     pub fn remove(&mut self, key: RecordKey) -> Option<RequestRecord> {
         self.get(key)?;
         Some(self.records.remove(key.slot as usize).1)
--- a/control-plane/src/planner/session.rs
+++ b/control-plane/src/planner/session.rs
@@ -1,5 +1,5 @@
-//! A planner's session with one forwarder: the connection's frames, heartbeats, and what the forwarder has been
-//! sent of the hosts.
+//! A planner's session with one forwarder: its frames and heartbeats, the requests that it holds, and the hosts and
+//! fallback plans that it was sent.
 
 use super::host_table::HostTable;
 use super::request_table::RecordKey;
@@ -10,22 +10,23 @@
 use reedferry::{Nanos, SECOND};
 use rustc_hash::FxHashMap;
 
-/// Unsent bytes from which on host changes, which can wait, are held back.
+/// The number of unsent bytes above which host changes are held back, because they are less urgent than decisions.
 const HOST_BACKLOG_BYTES: usize = 128 << 10;
-/// The allowance of a fallback plan: at least, and at most.
+/// The minimum and maximum allowance of a fallback plan, in requests.
 const MIN_PLAN_ALLOWANCE: f64 = 4.0;
 const MAX_PLAN_ALLOWANCE: f64 = 256.0;
-/// The part of the recent placements that a plan allows.
+/// The allowance of a fallback plan, as a fraction of the recent placements.
 const PLAN_ALLOWANCE_RATIO: f64 = 0.5;
-/// What is left of the count of recent placements after a second, and for how many seconds it decays at most.
+/// The fraction of the count of recent placements that remains after one second, and the maximum number of seconds for
+/// which the count decays at once.
 const PLACEMENT_DECAY_PER_SECOND: f64 = 0.5;
 const MAX_DECAY_SECONDS: f64 = 10.0;
 
-/// The session with a forwarder, from the connection's start to its end.
+/// The session with a forwarder. It exists from the start to the end of the connection, also before the greeting.
 pub struct Session {
     /// The caller's number for the connection.
     pub connection: u32,
-    /// The session's number; none before the greeting and after the release.
+    /// The session's number; `None` before the greeting and after the release.
     pub number: Option<u64>,
     pub forwarder: String,
     pub epoch: u64,
@@ -33,33 +34,33 @@
     pub reader: FrameReader,
     pub writer: FrameWriter,
     sequence_check: SequenceCheck,
-    /// Messages that the next turn handles.
+    /// The messages that the next turn handles.
     pub inbox: Vec<ForwarderMessage>,
-    /// The last heartbeat that was read.
+    /// The number of the last heartbeat that was read.
     received_heartbeat: u64,
-    /// The last heartbeat whose frame, and all before it, decisions have taken into account.
+    /// The number of the last heartbeat for which decisions take its frame and all earlier frames into account.
     decided_heartbeat: u64,
-    /// The last heartbeat that was answered.
+    /// The number of the last heartbeat that was answered.
     answered_heartbeat: u64,
     pub last_received_at: Nanos,
-    /// The forwarder has this planner decide.
+    /// Whether the forwarder follows this planner.
     pub follows: bool,
-    /// The forwarder still reports its open connections, until then at most.
+    /// The time until which placements wait for the forwarder's open connections; `None` once all are reported.
     pub state_sync_until: Option<Nanos>,
-    /// The planner's record of each of the forwarder's requests.
+    /// The keys of the records of the forwarder's requests, by the forwarder's ids.
     pub requests: FxHashMap<u64, RecordKey>,
-    /// Up to which change of the hosts the forwarder has been sent them.
+    /// The number of the last host change that the forwarder was sent, along with all earlier ones.
     pub sent_change: u64,
     all_hosts_sent: bool,
-    /// A decayed count of the placements that were requested.
+    /// The number of requested placements, which decays over time.
     pub recent_placements: f64,
     plan_sent_at: Nanos,
-    /// The connection is to be closed; nothing of it counts any more.
+    /// Whether the connection is about to be closed, after which its bytes are ignored.
     pub closing: bool,
 }
 
 impl Session {
-    /// The session of a connection that has just come in.
+    /// Creates the session of a connection that was accepted now.
     pub fn new(connection: u32, now: Nanos) -> Self {
         Session {
             connection,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Checks a frame behind the greeting and puts its messages into the inbox.
+    /// Checks a frame after the greeting and adds its messages to the inbox.
     pub fn receive_frame(&mut self, number: u64, body: &[u8]) -> Result<(), LinkError> {
         let (header, mut messages) = codec::decode_frame(body)?;
         self.sequence_check.accept(&header, number)?;
@@ -105,20 +106,22 @@
         Ok(())
     }
 
-    /// Takes the messages to handle this turn. All that is sent from now on answers their heartbeat.
+    /// Takes the messages to handle in this turn. Every message that is sent from now on answers the heartbeat of the
+    /// last frame that was read.
     pub fn take_inbox(&mut self) -> Vec<ForwarderMessage> {
         self.decided_heartbeat = self.received_heartbeat;
         std::mem::take(&mut self.inbox)
     }
 
-    /// Sends a message, unless there is no session.
+    /// Sends a message. Does nothing before the greeting and after the release.
     pub fn send(&mut self, message: &PlannerMessage) {
         if let Some(number) = self.number {
             self.writer.append(number, self.decided_heartbeat, message);
         }
     }
 
-    /// Sends the host changes that the forwarder has not been sent, as far as its backlog allows.
+    /// Sends the host changes that the forwarder lacks as far as its backlog allows, and announces once that all hosts
+    /// were sent.
     pub fn send_host_changes(&mut self, hosts: &HostTable) {
         for (change, entry) in hosts.changes_after(self.sent_change) {
             if self.writer.unsent_bytes() > HOST_BACKLOG_BYTES {
@@ -136,7 +139,7 @@
         }
     }
 
-    /// Sends a follower the fallback plan of its zone when one is due.
+    /// Sends the fallback plan of its zone to a forwarder that follows this planner if the plan is due.
     pub fn send_plan(&mut self, now: Nanos, zone: &mut Zone, hosts: &HostTable, warm_up: Nanos) {
         if !self.follows || !zone.is_plan_due(now, self.plan_sent_at) {
             return;
@@ -151,7 +154,7 @@
         self.send(&PlannerMessage::Plan { hosts, allowance });
     }
 
-    /// Answers the last heartbeat, if it was not answered yet, and ends the turn's frame.
+    /// Answers the last heartbeat unless it was answered before, and ends this turn's frame.
     pub fn finish_frame(&mut self, number: u64) {
         if self.answered_heartbeat < self.decided_heartbeat {
             self.answered_heartbeat = self.decided_heartbeat;
--- a/control-plane/src/planner/zone.rs
+++ b/control-plane/src/planner/zone.rs
@@ -1,5 +1,5 @@
-//! One zone of a planner: its decision core, the requests that wait for a placement, its fallback plan and its
-//! thinning of placements on hosts in slow start.
+//! A zone of a planner: its decision core, the requests that wait for a placement, its fallback plan, and the limit on
+//! placements on hosts in slow start.
 
 use super::host_table::HostTable;
 use super::request_table::RecordKey;
@@ -8,7 +8,7 @@
 use reedferry::{Action, Balancer, Event, Nanos, MILLI};
 use std::collections::VecDeque;
 
-/// How often the fallback plan is computed and sent.
+/// The interval at which the fallback plan is computed and sent.
 pub const PLAN_INTERVAL: Nanos = 100 * MILLI;
 
 /// A request that waits for its placement.
@@ -25,19 +25,19 @@
     actions: Vec<Action>,
     pub shares: PlacementShares,
     plan_weights: Vec<HostWeight>,
-    /// None once the hosts have changed.
+    /// The time at which `plan_weights` was computed; `None` if it must be computed again because hosts have changed.
     plan_computed_at: Option<Nanos>,
-    /// Sessions that follow this planner in the zone.
+    /// The number of sessions of the zone that follow this planner.
     pub followers: u32,
-    /// Nothing is placed before.
+    /// The time before which nothing is placed.
     pub settled_at: Nanos,
-    /// Fractions of placements on hosts in slow start that add up to the next one allowed.
+    /// The accumulated credit for placements on hosts in slow start. Each placement uses up 1.0 of it.
     slow_start_credit: f64,
     pub queue: VecDeque<QueuedRequest>,
 }
 
 impl Zone {
-    /// A zone with a new decision core, and the actions that the core began with.
+    /// Creates a zone with a new decision core. `actions` are the first actions of the core.
     pub fn new(balancer: Balancer, actions: Vec<Action>) -> Self {
         Zone {
             balancer,
@@ -52,20 +52,20 @@
         }
     }
 
-    /// Hands an event to the decision core, whose actions await [`Zone::take_actions`].
+    /// Passes an event to the decision core. Its actions are kept for [`Zone::take_actions`].
     pub fn handle(&mut self, now: Nanos, event: Event) {
         self.balancer.handle(now, event, &mut self.actions);
     }
 
-    /// Takes the actions that the decision core has put out.
+    /// Takes the actions that the decision core has returned since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Whether a placement that the decision core makes on a host in slow start may go out. The core takes its
-    /// quota for that of one of `core_count`; where more forwarders follow this planner than its part, as many
-    /// fewer go. Without this, a warming host would be overloaded when planners are gone or forwarders gather
-    /// at one.
+    /// Returns whether a placement of the decision core on a host in slow start may be sent. The core computes its
+    /// quota as one of `core_count` equal cores. If this zone's followers are more than one in `core_count` of all
+    /// `sessions`, a correspondingly smaller part of its placements is admitted. Without this, a warming host would be
+    /// overloaded when planners are down or many forwarders follow the same planner.
     pub fn admit_slow_start(&mut self, sessions: usize, core_count: usize) -> bool {
         let part = f64::from(self.followers) * core_count as f64;
         self.slow_start_credit += (sessions as f64 / part.max(1.0)).min(1.0);
@@ -74,17 +74,17 @@
         admitted
     }
 
-    /// The hosts have changed: the plan must be computed again.
+    /// Marks the fallback plan as outdated because hosts have changed, so that it is computed and sent again.
     pub fn invalidate_plan(&mut self) {
         self.plan_computed_at = None;
     }
 
-    /// Whether a session that was sent its last plan at `sent_at` is to be sent one now.
+    /// Returns whether a plan is due for a session that was sent its last plan at `sent_at`.
     pub fn is_plan_due(&self, now: Nanos, sent_at: Nanos) -> bool {
         now >= sent_at + PLAN_INTERVAL || self.plan_computed_at.is_none()
     }
 
-    /// The hosts of the fallback plan, computed again when they are too old.
+    /// Returns the hosts of the fallback plan, which is computed again if it is outdated or [`PLAN_INTERVAL`] old.
     pub fn plan_weights(
         &mut self,
         now: Nanos,
--- a/control-plane/src/planner_session.rs
+++ b/control-plane/src/planner_session.rs
@@ -1,7 +1,7 @@
-//! A forwarder's session with one planner: whether it is connected, what the planner has said in this session,
-//! and until when its lease holds. This module owns the session, the heartbeats and the lease. It must never
-//! let a planner's lease outlast the lease time from a heartbeat that the planner had read: that long after
-//! the heartbeat, the planner may have learned of a drain that it could not report.
+//! A forwarder's session with one planner: the state of the connection, the heartbeats and the planner's lease.
+//!
+//! Invariant: a planner's lease ends at the latest one lease time after the sending of a heartbeat that the planner
+//! has read. Later than that, the planner may have learned of a drain that it could not report.
 
 use crate::codec::{FrameReader, FrameWriter, SequenceCheck};
 use crate::messages::FrameHeader;
@@ -9,23 +9,23 @@
 use std::collections::{HashSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Heartbeats in the time of a lease.
+/// The number of heartbeats that are sent per lease time.
 const HEARTBEATS_PER_LEASE: u64 = 8;
-/// Heartbeats that are remembered: more than fall into a lease.
+/// The number of sent heartbeats that are remembered, which is more than are sent per lease time.
 const MAX_REMEMBERED_HEARTBEATS: usize = 64;
 
-/// A planner as the operator lists it.
+/// A planner on the operator's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannerAddress {
     /// The planner's name.
     pub name: String,
-    /// Where it listens.
+    /// The address on which the planner listens.
     pub address: SocketAddr,
 }
 
-/// Sorts planners by this forwarder's preference: rendezvous hashing, the highest hash first (highest random
-/// weight, Thaler and Ravishankar 1998). Forwarders spread evenly over the planners, and when one comes or
-/// goes only those move whose first it is or was.
+/// Sorts planners by the preference of `forwarder`, the most preferred first. The order is that of rendezvous hashing
+/// (highest random weight, Thaler and Ravishankar 1998): forwarders spread evenly over the planners, and when a
+/// planner is added or removed, only the forwarders that prefer it to all others change their first choice.
 pub fn sort_by_preference(forwarder: &str, planners: &mut [PlannerAddress]) {
     let hash = |planner: &PlannerAddress| crate::fingerprint([forwarder, &planner.name]);
     planners.sort_by(|a, b| hash(b).cmp(&hash(a)).then_with(|| a.name.cmp(&b.name)));
@@ -34,17 +34,17 @@
 /// The state of the connection to a planner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// Not connected.
+    /// There is no connection.
     Disconnected {
-        /// When to connect next.
+        /// The time of the next attempt to connect.
         retry_at: Nanos,
     },
-    /// Connecting, or connected without a [`Welcome`](crate::messages::Welcome) yet.
+    /// The connection is being opened, or is open and no [`Welcome`](crate::messages::Welcome) has arrived yet.
     Connecting {
-        /// When to give up.
+        /// The time at which the connection is given up.
         timeout_at: Nanos,
     },
-    /// In the session of this number.
+    /// The planner accepted the session and gave it this number.
     Established(u64),
 }
 
@@ -56,34 +56,36 @@
     pub planner: PlannerAddress,
     /// The state of the connection.
     pub state: ConnectionState,
-    /// Decodes what arrives.
+    /// Decodes the planner's frames.
     pub reader: FrameReader,
-    /// Encodes what is to be sent.
+    /// Encodes the frames to the planner.
     pub writer: FrameWriter,
-    /// Checks the planner's frames.
+    /// Checks the session and sequence numbers of the planner's frames.
     pub sequence_check: SequenceCheck,
-    /// The heartbeats sent and when, the oldest first.
+    /// The numbers of the sent heartbeats with the times of sending, the oldest first.
     heartbeats: VecDeque<(u64, Nanos)>,
     last_heartbeat: u64,
     next_heartbeat_at: Nanos,
-    /// When the planner's lease ends.
+    /// The time at which the planner's lease ends; 0 before the first lease.
     pub lease_until: Nanos,
-    /// Since when the lease has held without a gap.
+    /// The time since which the lease has held without a gap.
     pub healthy_since: Nanos,
-    /// When the session began.
+    /// The time at which the session began.
     pub established_at: Nanos,
-    /// The planner has said that it shuts down.
+    /// Whether the planner has announced its shutdown.
     pub shutting_down: bool,
-    /// Failed connects since the last session.
+    /// The number of failed or lost connections since a session last began.
     pub failed_connects: u32,
-    /// Why the session was last rejected, so that it is logged once.
+    /// The reason that was last logged for a session that did not begin, so that it is not logged again. Empty if
+    /// none.
     pub rejection: String,
-    /// The hosts that the planner sent since the session began, until it has sent all.
+    /// The hosts that the planner has sent in this session; `None` outside a session and once the planner has sent
+    /// all.
     pub hosts_in_sync: Option<HashSet<HostId>>,
 }
 
 impl PlannerSession {
-    /// A connection that is to be opened now.
+    /// Creates the session with a planner. Its connection is due to be opened at once.
     pub fn new(connection: u32, planner: PlannerAddress, now: Nanos) -> Self {
         PlannerSession {
             connection,
@@ -105,12 +107,12 @@
         }
     }
 
-    /// Whether the planner's lease holds now.
+    /// Returns whether there is a session and the planner's lease holds.
     pub fn has_lease(&self, now: Nanos) -> bool {
         self.session().is_some() && now < self.lease_until
     }
 
-    /// The number of the session, if there is one.
+    /// Returns the number of the session; `None` if there is no session.
     pub fn session(&self) -> Option<u64> {
         match self.state {
             ConnectionState::Established(session) => Some(session),
@@ -118,7 +120,8 @@
         }
     }
 
-    /// Drops all that belonged to the connection.
+    /// Drops the state of the connection and keeps what must outlast it: the number of failed connects and the logged
+    /// rejection.
     pub fn reset(&mut self, state: ConnectionState) {
         *self = PlannerSession {
             state,
@@ -128,7 +131,7 @@
         };
     }
 
-    /// The planner has accepted the session.
+    /// Begins the session with the number that the planner gave it.
     pub fn establish(&mut self, session: u64, now: Nanos) {
         self.state = ConnectionState::Established(session);
         self.established_at = now;
@@ -143,8 +146,8 @@
         let Some(session) = self.session().filter(|_| now >= self.next_heartbeat_at) else {
             return;
         };
-        // Without this, a frame opened before this process was paused would go out after the pause under a fresh
-        // heartbeat.
+        // Ends the open frame. Without this, a frame begun before a pause of this process would be sent after the
+        // pause together with a new heartbeat.
         self.writer.finish_frame();
         self.last_heartbeat += 1;
         self.heartbeats.push_back((self.last_heartbeat, now));
@@ -155,18 +158,19 @@
         self.writer.append_heartbeat(session, self.last_heartbeat);
     }
 
-    /// When the next heartbeat is due, in a session.
+    /// Returns the time at which the next heartbeat is due; `None` if there is no session.
     pub fn next_heartbeat_at(&self) -> Option<Nanos> {
         self.session().map(|_| self.next_heartbeat_at)
     }
 
-    /// The heartbeat sent last.
+    /// Returns the number of the last heartbeat; 0 before the first.
     pub fn last_heartbeat(&self) -> u64 {
         self.last_heartbeat
     }
 
-    /// Renews the lease by the heartbeat that a frame answers, and returns until when the frame's decisions hold;
-    /// `None` if no such heartbeat was sent. One so old that it is forgotten renews nothing.
+    /// Renews the lease from the sending time of the heartbeat that a frame answers, and returns the time until which
+    /// the frame's decisions hold. Returns `None` if the heartbeat was never sent, and 0 if it is so old that its
+    /// sending time is no longer known.
     pub fn renew_lease(&mut self, header: &FrameHeader, now: Nanos, lease: Nanos) -> Option<Nanos> {
         if header.heartbeat > self.last_heartbeat {
             return None;
--- a/control-plane/tests/link/protocol_errors.rs
+++ b/control-plane/tests/link/protocol_errors.rs
@@ -93,7 +93,7 @@
         let logs = &simulation.planners[second].logs;
         assert!(
             logs.iter()
-                .any(|line| line.contains("why=a piece of another session")),
+                .any(|line| line.contains("why=frame of another session")),
             "{logs:?}"
         );
     }
--- a/node/tests/two_tier.rs
+++ b/node/tests/two_tier.rs
@@ -245,12 +245,9 @@
     older.extend_from_slice(b"rfLK\0\0aaaa");
     let before = planner.memory();
     let all: [(&[u8], &str); 3] = [
-        (&[0xff; 4096], "a frame that is too long"),
-        (&older, "version 0 of the link"),
-        (
-            b"GET / HTTP/1.1\r\nHost: here\r\n\r\n",
-            "a frame that is too long",
-        ),
+        (&[0xff; 4096], "frame too long"),
+        (&older, "unsupported protocol version 0"),
+        (b"GET / HTTP/1.1\r\nHost: here\r\n\r\n", "frame too long"),
     ];
     for (bytes, why) in all {
         let mut stream = TcpStream::connect(planner.address).unwrap();
