--- a/control-plane/src/codec_tests.rs
+++ b/control-plane/src/codec_tests.rs
@@ -117,7 +117,7 @@
         Err(LinkError::FrameTooLong)
     );
     assert!(reader.buffered() <= LENGTH_BYTES);
-    // A length within a body is not trusted either.
+    // A length of four gigabytes inside a body is rejected as well.
     let mut scratch = Vec::new();
     let mut body = FrameWriter::encode(
         &mut scratch,
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn another_version_a_frame_of_another_session_and_one_out_of_sequence_are_rejected() {
+fn other_versions_other_sessions_and_frames_out_of_sequence_are_rejected() {
     let mut writer = FrameWriter::default();
     writer.append_greeting(&Welcome::Session(3));
     let mut body = writer.sendable()[LENGTH_BYTES..].to_vec();
--- a/control-plane/src/fallback_plan_tests.rs
+++ b/control-plane/src/fallback_plan_tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn a_plan_repeats_what_the_core_chose_and_ends_with_its_allowance() {
+fn a_plan_draws_hosts_by_recent_placements_until_its_allowance_is_used_up() {
     let mut shares = PlacementShares::default();
     for n in 0..90 {
         shares.record(HostId(if n % 3 == 0 { 1 } else { 2 }), 1);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_placement_of_long_ago_is_no_longer_planned_for() {
+fn hosts_without_recent_placements_are_left_out_of_the_plan() {
     let mut shares = PlacementShares::default();
     shares.record(HostId(1), 0);
     shares.record(HostId(2), 20 * SECOND);
--- a/control-plane/src/forwarder/decisions.rs
+++ b/control-plane/src/forwarder/decisions.rs
@@ -110,7 +110,7 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        // Ignores a decision that arrives after the request was settled locally or reported again.
+        // Ignores a decision that arrives after the request was decided locally or reported again.
         if !request.awaits_answer_to(decision.decision_sequence) {
             return;
         }
@@ -215,7 +215,7 @@
     }
 
     /// Draws a host for a request's first attempt from the fallback plan. Returns `None` for later attempts, if the
-    /// plan has expired or is used up, and during a shutdown.
+    /// plan has expired, is used up or has no usable host, and during a shutdown.
     fn draw_from_plan(&mut self, now: Nanos, id: u64) -> Option<HostId> {
         let request = self.requests.get(id)?;
         let answer_by = request.answer_by(&self.config.balancer_settings);
--- a/control-plane/src/forwarder/forwarder_tests.rs
+++ b/control-plane/src/forwarder/forwarder_tests.rs
@@ -40,13 +40,13 @@
 }
 
 #[test]
-fn hosts_that_come_and_go_for_months_never_disconnect_a_planner() {
+fn hosts_that_are_gone_do_not_count_towards_the_host_limit() {
     let mut forwarder = Forwarder::new(config(), vec![planner()], 1, SECOND);
     let (mut actions, mut writer) = (Vec::new(), FrameWriter::default());
     forwarder.tick(SECOND, &mut actions);
     forwarder.connected(1);
     writer.append_greeting(&Welcome::Session(SESSION));
-    // More than the table has room for, some thousands at a time.
+    // 70,000 hosts appear and go, which is more than the table has room for, 5,000 at a time.
     for batch in 0..14 {
         for id in batch * 5_000..(batch + 1) * 5_000 {
             for state in [WireHostState::Ready, WireHostState::Gone] {
@@ -62,7 +62,7 @@
         .iter()
         .any(|action| matches!(action, ForwarderAction::DisconnectPlanner { .. })));
     assert!(forwarder.hosts.is_empty());
-    // As many as there may be at once, and one more.
+    // One host more than the limit at once closes the connection.
     let mut writer = FrameWriter::default();
     writer.append_greeting(&Welcome::Session(SESSION));
     let mut forwarder = Forwarder {
--- a/control-plane/src/forwarder/mod.rs
+++ b/control-plane/src/forwarder/mod.rs
@@ -2,8 +2,9 @@
 //! and a session with each planner, and follows one of the planners. It asks that planner to decide on its requests.
 //! Requests that the planner cannot decide in time are placed by the fallback plan or get a final answer at once.
 //!
-//! Invariants, whoever decides: no decision is carried out after its lease or for an earlier decision sequence, a
-//! request never has two attempts in flight, and no attempt is made that the request's history forbids.
+//! Invariants, whether a planner or the forwarder decides: no decision is carried out after its lease or for an
+//! earlier decision sequence, a request never has two attempts in flight, and no attempt is made that the request's
+//! history forbids.
 
 mod action;
 mod config;
--- a/control-plane/src/forwarder/planner_selection.rs
+++ b/control-plane/src/forwarder/planner_selection.rs
@@ -49,8 +49,8 @@
 
     /// Returns the planner to follow: the first in the order of preference whose lease holds and that does not shut
     /// down, or one that shuts down if there is no other. `present` is the planner that is followed, if its lease
-    /// holds. Unless it shuts down, a preferred planner replaces it only after being healthy for the failback delay.
-    /// Without this, forwarders would flap between two planners.
+    /// holds. Unless `present` shuts down, a more preferred planner replaces it only after being healthy for the
+    /// failback delay. Without this, forwarders would flap between two planners.
     fn preferred_planner(&self, now: Nanos, present: Option<usize>) -> Option<usize> {
         let has_lease = |index: &usize| self.sessions[*index].has_lease(now);
         let indices = 0..self.sessions.len();
--- a/control-plane/src/pending_request.rs
+++ b/control-plane/src/pending_request.rs
@@ -1,5 +1,5 @@
 //! A request that a forwarder must answer, with the history of its attempts, which survives the failure of any
-//! planner. This module also applies the two rules that hold whoever decides: when another attempt is allowed, and
+//! planner. This module also applies the two rules that hold for every decision: when another attempt is allowed, and
 //! when a rejection is safe.
 //!
 //! Invariant: an attempt that may have been executed is never forgotten.
--- a/control-plane/src/pending_request_tests.rs
+++ b/control-plane/src/pending_request_tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn an_attempt_that_may_have_run_limits_each_idempotency_in_its_own_way() {
+fn an_attempt_that_may_have_run_limits_repeats_by_idempotency() {
     use Idempotency::*;
     for outcome in [
         AttemptOutcome::Error,
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn the_first_attempt_that_may_have_run_is_remembered_whatever_follows() {
+fn the_first_attempt_that_may_have_run_is_remembered_after_later_attempts() {
     let mut request = after_attempt(AttemptOutcome::ConnectionLost);
     request.attempt_started(HostId(5), 40);
     request.attempt_failed(AttemptOutcome::TimedOut);
--- a/control-plane/src/planner/placement.rs
+++ b/control-plane/src/planner/placement.rs
@@ -55,8 +55,8 @@
         out: &mut Vec<PlannerAction>,
     ) {
         match action {
-            // The message has one time limit, so the earlier of the two times counts: the attempt must be over by
-            // then.
+            // The message has one time limit, which is the earlier of the two times, because nothing of the attempt
+            // may be in flight after either.
             Action::StartAttempt {
                 id,
                 host,
--- a/control-plane/src/planner/planner_tests.rs
+++ b/control-plane/src/planner/planner_tests.rs
@@ -17,13 +17,13 @@
     time_left: SECOND,
 };
 
-/// A request that was already open when it was reported.
+/// The request of a connection that was already open when it was reported.
 const OPEN_REQUEST: PlacementRequest = PlacementRequest {
     time_left: 0,
     ..REQUEST
 };
 
-/// A planner, and one forwarder that follows it.
+/// A planner with one forwarder that follows it.
 struct LinkedPlanner {
     planner: Planner,
     writer: FrameWriter,
@@ -67,7 +67,7 @@
 }
 
 impl LinkedPlanner {
-    /// With hosts of these ids and start times.
+    /// Creates a planner that knows hosts of these ids and start times.
     fn new(hosts: &[(u64, Option<Nanos>)]) -> Self {
         let mut out = Vec::new();
         let mut planner = Planner::new(config(), 1, START, &mut out);
@@ -120,7 +120,7 @@
         });
     }
 
-    /// Hands the planner the bytes of what was sent, and has it decide.
+    /// Passes the bytes of the sent messages to the planner and lets it decide.
     fn deliver(&mut self, now: Nanos, out: &mut Vec<PlannerAction>) {
         self.writer.finish_frame();
         let bytes = self.writer.sendable().to_vec();
@@ -129,7 +129,7 @@
         self.planner.decide(now, out);
     }
 
-    /// What the planner answers to what was sent.
+    /// Delivers the sent messages and returns the planner's answers.
     fn turn(&mut self, now: Nanos) -> Vec<PlannerMessage> {
         self.deliver(now, &mut Vec::new());
         let answer = self.planner.outgoing(CONNECTION).to_vec();
@@ -157,8 +157,9 @@
 }
 
 #[test]
-fn a_planner_that_has_just_started_avoids_warming_hosts_while_their_quota_is_counted() {
-    // It died and is back in the same turn: it has forgotten what it spent on the warming host.
+fn a_restarted_planner_avoids_warming_hosts_during_its_first_overload_window() {
+    // Stands for a planner that was killed and restarted at once, and does not know how much of the warming host's
+    // quota is used.
     let mut linked = LinkedPlanner::new(&[(1, Some(START)), (2, None), (3, None)]);
     for id in 0..200 {
         linked.report_open_connection(10_000 + id, 2 + id % 2);
@@ -176,7 +177,7 @@
 }
 
 #[test]
-fn hosts_that_come_and_go_for_months_do_not_fill_the_table() {
+fn hosts_that_are_gone_are_removed_from_the_table() {
     let mut linked = LinkedPlanner::new(&[(1, None)]);
     for n in 2..5_000 {
         for state in [HostState::Ready, HostState::Gone] {
@@ -197,13 +198,13 @@
 }
 
 #[test]
-fn a_forwarder_that_reads_nothing_is_disconnected_before_it_fills_the_memory() {
+fn a_forwarder_that_reads_nothing_is_disconnected_at_the_backlog_limit() {
     let mut linked = LinkedPlanner::new(&[(1, None)]);
     linked.send(&ForwarderMessage::StateSyncComplete);
     linked.turn(START);
     let (mut actions, mut max_backlog) = (Vec::new(), 0);
     for n in 0..800 {
-        // Following anew each time, so that nothing but what is sent to it grows.
+        // The forwarder follows anew each time, which drops its records, so that only the unsent bytes grow.
         linked.send(&ForwarderMessage::Follow {
             open_connections: 0,
         });
@@ -233,14 +234,14 @@
 }
 
 #[test]
-fn nothing_is_placed_while_a_forwarder_of_the_zone_still_reports_its_open_connections() {
+fn nothing_is_placed_while_a_forwarder_still_reports_its_open_connections() {
     let mut linked = LinkedPlanner::new(&[(1, None), (2, None)]);
     (0..20).for_each(|id| linked.report_open_connection(10_000 + id, 1));
     linked.request_placement(1);
     let first = linked.turn(START);
     let second = linked.turn(START + 100 * MILLI);
     assert_eq!(attempts_at(&first, 1) + attempts_at(&second, 2), 0);
-    // One that never completes its state sync is not waited for without end.
+    // A forwarder that never completes its state sync is waited for only until the timeout.
     linked.request_placement(3);
     linked.turn(START + STATE_SYNC_TIMEOUT - 100 * MILLI);
     let placed = linked.turn(START + STATE_SYNC_TIMEOUT);
--- a/control-plane/src/planner_session_tests.rs
+++ b/control-plane/src/planner_session_tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_lease_runs_from_the_heartbeat_that_a_frame_answers_however_late_it_arrives() {
+fn a_lease_runs_from_the_sending_of_the_answered_heartbeat() {
     let mut session = PlannerSession::new(0, planners(1)[0].clone(), 0);
     session.establish(7, 1000);
     let header = |heartbeat| FrameHeader {
@@ -50,7 +50,7 @@
     assert_eq!(session.last_heartbeat(), 2);
     assert_eq!(session.renew_lease(&header(1), 1500, 800), Some(1800));
     assert!(session.has_lease(1799) && !session.has_lease(1800));
-    // A late frame renews nothing, and one for a heartbeat that was never sent is rejected.
+    // A frame for an old heartbeat renews nothing, and one for a heartbeat that was never sent is rejected.
     assert_eq!(session.renew_lease(&header(0), 1500, 800), Some(0));
     assert_eq!(session.renew_lease(&header(3), 1500, 800), None);
     assert_eq!(session.renew_lease(&header(2), 2500, 800), Some(1900));
--- a/control-plane/tests/bytes.rs
+++ b/control-plane/tests/bytes.rs
@@ -1,4 +1,5 @@
-//! The exact bytes of every frame between forwarders and planners: an older and a newer process work together.
+//! Guards the exact bytes of the frames between forwarders and planners, because processes of an older and a newer
+//! version work together.
 
 use reedferry_control_plane::codec::FrameWriter;
 use reedferry_control_plane::messages::{
@@ -17,7 +18,8 @@
     hex(writer.sendable())
 }
 
-/// A message alone in the first frame of session 5 with heartbeat 6, without the four bytes of length and the header.
+/// Returns the bytes of a message that is alone in the first frame of session 5 with heartbeat 6, without the length
+/// prefix of four bytes and the header.
 fn encoded(message: &impl serde::Serialize) -> String {
     let mut writer = FrameWriter::default();
     writer.append(5, 6, message);
@@ -113,7 +115,7 @@
 }
 
 #[test]
-fn how_an_attempt_ended_keeps_its_bytes() {
+fn attempt_outcomes_keep_their_bytes() {
     let all = [
         WireOutcome::Completed,
         WireOutcome::Error,
@@ -212,7 +214,8 @@
     );
 }
 
-/// Positions in lists stand for names: two ends that hash the same lists differently would reject each other.
+/// Messages refer to names by their index in a list. If two versions hashed the same lists differently, the planner
+/// would reject the forwarder.
 #[test]
 fn the_fingerprint_of_names_stays_the_same() {
     assert_eq!(
--- a/control-plane/tests/link/connections.rs
+++ b/control-plane/tests/link/connections.rs
@@ -1,10 +1,10 @@
-//! Connections that are cut, slow or blocked.
+//! Tests of connections that are cut, slow or blocked.
 
 use crate::simulation::{Answer, Simulation, MAX_AWAITING_DECISION, REQUEST_TIMEOUT, TICK};
 use reedferry::{Event, HostId, IncomingRequest, RequestId, MILLI, SECOND};
 
 #[test]
-fn a_planner_cut_off_from_one_forwarder_in_any_direction_is_left_by_that_one_alone() {
+fn only_the_forwarder_whose_connection_is_cut_stops_following_its_planner() {
     for (cut_to_planner, cut_to_forwarder) in [(true, true), (true, false), (false, true)] {
         let mut simulation = Simulation::new(4, 2, 4);
         simulation.run(200 * MILLI);
@@ -32,12 +32,12 @@
 }
 
 #[test]
-fn a_slow_planner_is_not_asked_for_more_than_its_bound_and_clients_hear_in_time() {
+fn requests_over_the_limit_of_awaited_decisions_are_rejected_at_once() {
     let mut simulation = Simulation::new(1, 1, 3);
     simulation.run(200 * MILLI);
     simulation.add_client(0, 0);
     simulation.run(100 * MILLI);
-    // It goes on answering heartbeats, so it is followed; but what it is asked reaches it late.
+    // The planner still answers heartbeats, so it stays followed, but requests reach it late.
     simulation.delay = 100 * MILLI;
     let ids: Vec<u64> = (0..500).map(|n| simulation.add_client(0, n % 3)).collect();
     simulation.run(TICK);
@@ -50,20 +50,20 @@
         .count();
     assert!(
         waiting <= MAX_AWAITING_DECISION,
-        "{waiting} wait for a planner"
+        "{waiting} requests await a planner's decision"
     );
     assert!(simulation.count_answers(&ids, Answer::Rejected) >= 400);
     simulation.run(REQUEST_TIMEOUT);
 }
 
 #[test]
-fn open_connections_are_reported_as_fast_as_the_connection_takes_them_and_buffered_nowhere_else() {
+fn open_connections_are_reported_within_the_limit_of_unsent_bytes() {
     let mut simulation = Simulation::new(1, 2, 4);
     simulation.max_requests_per_forwarder = 50_000;
     (0..2).for_each(|planner| simulation.kill_planner(planner));
     (0..2).for_each(|planner| simulation.start_planner(planner));
     simulation.run(SECOND);
-    // Some that were open before: more than may wait for a planner at once.
+    // Reports 20,000 connections as already open, more than the number of decisions that may be awaited at once.
     let first = simulation.followed_planner(0);
     let count = 20_000;
     for n in 0..count {
--- a/control-plane/tests/link/drains.rs
+++ b/control-plane/tests/link/drains.rs
@@ -1,11 +1,12 @@
-//! Hosts that drain: no attempt reaches them once the drain grace is over, whoever knows of the drain.
+//! Tests of draining hosts. Once the drain grace is over, no attempt reaches them, whichever process knows of the
+//! drain.
 
 use crate::simulation::{Simulation, LEASE, REQUEST_TIMEOUT};
 use reedferry::MILLI;
 
 #[test]
-fn nothing_reaches_a_host_that_a_planner_knows_to_drain_while_its_forwarders_cannot_hear_it() {
-    // Every connection is cut the moment that the planners hear of the drain; or is slow, or was cut before.
+fn no_attempt_reaches_a_draining_host_when_forwarders_cannot_be_told_of_it() {
+    // The connections are cut when the planners learn of the drain or some time before, and are slow in some cases.
     for (cut_before_ms, delay_ms) in [(0, 0), (0, 40), (100, 0), (200, 0), (240, 100)] {
         let mut simulation = Simulation::new(2, 2, 2);
         simulation.delay = delay_ms * MILLI;
@@ -18,7 +19,7 @@
             if n == 600 + cut_before_ms {
                 simulation.set_draining(0, true);
             }
-            // The invariants are checked after each of these.
+            // Checks the invariants after each tick.
             simulation.run(MILLI);
         }
         assert!(!simulation.hosts[0].attempts.is_empty());
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn a_drain_that_only_a_planner_that_is_not_followed_knows_binds_at_once() {
+fn a_drain_report_of_a_planner_that_is_not_followed_takes_effect_at_once() {
     let mut simulation = Simulation::new(1, 2, 2);
     simulation.run(200 * MILLI);
     let followed = simulation.followed_planner(0);
@@ -39,7 +40,7 @@
         simulation.run(MILLI);
     }
     assert!(simulation.hosts[0].attempts.is_empty() && simulation.hosts[1].attempts.len() > 400);
-    // Once both know that it is ready it is used again.
+    // Once both planners know that the host is ready, it is used again.
     simulation.planners[followed].discovery_cut = false;
     simulation.planners[followed].list_version += 5;
     simulation.set_draining(0, false);
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn a_host_that_came_back_cold_is_left_alone_by_a_forwarder_that_cannot_be_told() {
+fn a_cold_host_gets_no_attempt_by_an_old_plan_after_the_lease() {
     let mut simulation = Simulation::new(2, 2, 2);
     simulation.run(200 * MILLI);
     for n in 0..400 {
@@ -71,6 +72,6 @@
         .iter()
         .filter(|at| **at > restarted_at + LEASE)
         .count();
-    assert_eq!(late, 0, "by an old plan, to a host that is cold");
+    assert_eq!(late, 0, "attempts at a cold host by an old plan");
     simulation.run(REQUEST_TIMEOUT);
 }
--- a/control-plane/tests/link/limits.rs
+++ b/control-plane/tests/link/limits.rs
@@ -1,10 +1,10 @@
-//! The bound on one forwarder's requests at its planner.
+//! Tests of the limit on one forwarder's requests at its planner.
 
 use crate::simulation::{Answer, Simulation};
 use reedferry::{MILLI, SECOND};
 
 #[test]
-fn requests_over_the_bound_of_a_forwarder_at_its_planner_are_rejected_at_once() {
+fn requests_over_a_forwarders_limit_at_its_planner_are_rejected_at_once() {
     let mut simulation = Simulation::new(2, 1, 3);
     simulation.max_requests_per_forwarder = 30;
     simulation.kill_planner(0);
@@ -22,7 +22,7 @@
     assert_eq!(simulation.count_answers(&ids, Answer::Established), 30);
     assert_eq!(simulation.count_answers(&ids, Answer::Rejected), 20);
     assert_eq!(simulation.answer(other), Some(Answer::Established));
-    // There is room again once some have ended.
+    // Requests are accepted again once some connections have ended.
     for id in &ids[..10] {
         simulation.close_client(0, *id);
     }
--- a/control-plane/tests/link/main.rs
+++ b/control-plane/tests/link/main.rs
@@ -1,6 +1,6 @@
-//! Both ends of the link together, in simulated time: forwarders and planners over connections that can be cut,
-//! delayed and blocked, among hosts that accept, reject, fail or stay silent. The invariants are checked by
-//! what hosts and clients saw, never by what an end says of itself.
+//! Tests of forwarders and planners together in simulated time, over connections that can be cut, delayed and blocked,
+//! with hosts that accept, reject, fail or stay silent. The invariants are checked against what hosts and clients
+//! observe, and never against the state that a forwarder or planner reports of itself.
 
 mod connections;
 mod drains;
--- a/control-plane/tests/link/pauses.rs
+++ b/control-plane/tests/link/pauses.rs
@@ -1,10 +1,10 @@
-//! Processes that stand still for a while: what they decided or heard before must not be carried out after.
+//! Tests of paused processes. Decisions that were made or received before a pause must not be carried out after it.
 
 use crate::simulation::{Simulation, REQUEST_TIMEOUT, TICK};
 use reedferry::{MILLI, SECOND};
 
 #[test]
-fn a_planner_that_was_paused_for_two_seconds_decides_nothing_of_before() {
+fn requests_are_placed_in_time_while_the_followed_planner_is_paused() {
     let mut simulation = Simulation::new(2, 2, 4);
     simulation.run(200 * MILLI);
     let paused = simulation.followed_planner(0);
@@ -26,19 +26,19 @@
         .count();
     assert!(
         follows >= 4,
-        "away from the one that was paused, and back: {:#?}",
+        "expected a switch from the paused planner and back: {:#?}",
         simulation.logs
     );
 }
 
 #[test]
-fn a_forwarder_that_was_paused_carries_out_nothing_of_before() {
+fn a_paused_forwarder_carries_out_no_decision_from_before_the_pause() {
     for pause_ms in [200, 260, 600, 2500] {
         let mut simulation = Simulation::new(2, 2, 4);
         simulation.run(200 * MILLI);
         let ids: Vec<u64> = (0..30).map(|n| simulation.add_client(0, n % 3)).collect();
         simulation.run(TICK);
-        // The decisions are on their way to it. While it is paused, discovery says that a host drains.
+        // The decisions are in flight to the forwarder. A host starts to drain while the forwarder is paused.
         let now = simulation.now;
         simulation.forwarders[0].paused = now..now + pause_ms * MILLI;
         simulation.set_draining(0, true);
@@ -53,7 +53,7 @@
             assert!(simulation.all_established(&ids), "{pause_ms}");
         } else {
             let after = count_attempts(&mut simulation);
-            assert_eq!(before, after, "attempted after their deadline");
+            assert_eq!(before, after, "attempts after the deadline");
         }
         let more: Vec<u64> = (0..9).map(|n| simulation.add_client(0, n % 3)).collect();
         simulation.run(100 * MILLI);
--- a/control-plane/tests/link/placement.rs
+++ b/control-plane/tests/link/placement.rs
@@ -1,4 +1,4 @@
-//! Placements by the planner that is followed, and by the fallback plan where there is none.
+//! Tests of placements by the followed planner, and by the fallback plan when there is no planner.
 
 use crate::simulation::{Answer, HostBehavior, Simulation, IDEMPOTENT, LEASE, TICK};
 use reedferry::{MILLI, SECOND};
@@ -15,12 +15,12 @@
     assert!(simulation.max_decision_time(&ids) <= 5 * MILLI);
     assert!(
         simulation.hosts.iter().all(|host| host.attempts.len() > 5),
-        "all hosts have their part"
+        "a host got 5 attempts or fewer"
     );
 }
 
 #[test]
-fn without_planners_the_plan_serves_until_its_lease_ends_and_then_all_are_rejected_at_once() {
+fn without_planners_the_fallback_plan_serves_until_its_lease_ends() {
     let mut simulation = Simulation::new(1, 1, 3);
     simulation.run(200 * MILLI);
     for _ in 0..50 {
@@ -37,24 +37,31 @@
         let (now, client) = (simulation.now, simulation.client(id));
         match client.attempts.first() {
             Some(attempt) => {
-                assert!(attempt.at < killed_at + LEASE, "a plan outlived its lease");
+                assert!(
+                    attempt.at < killed_at + LEASE,
+                    "attempt by a plan whose lease is over"
+                );
                 by_plan += 1;
             }
-            None => assert_eq!(client.answers, [(now, Answer::Rejected)], "not at once"),
+            None => assert_eq!(
+                client.answers,
+                [(now, Answer::Rejected)],
+                "not rejected at once"
+            ),
         }
     }
     assert!(by_plan >= 4, "{by_plan}");
     assert!(
         open.iter().all(|id| simulation.is_open(*id)),
-        "open connections continue"
+        "an open connection was closed"
     );
 }
 
 #[test]
-fn restarted_planners_are_told_of_open_connections_before_they_place() {
+fn restarted_planners_learn_of_open_connections_before_they_place_requests() {
     let mut simulation = Simulation::new(2, 2, 4);
     simulation.run(200 * MILLI);
-    // All open connections are at two of the hosts.
+    // The first two hosts get all open connections, because the other two reject.
     simulation.hosts[2].behavior = HostBehavior::Rejects;
     simulation.hosts[3].behavior = HostBehavior::Rejects;
     let ids: Vec<u64> = (0..600)
@@ -72,7 +79,7 @@
     simulation.hosts[3].behavior = HostBehavior::Accepts;
     (0..2).for_each(|planner| simulation.start_planner(planner));
     let before: Vec<usize> = simulation.hosts.iter().map(|h| h.attempts.len()).collect();
-    // At once: these are asked for in the turn in which a planner is first followed.
+    // Adds the new requests as soon as every forwarder follows a planner.
     while simulation
         .forwarders
         .iter()
--- a/control-plane/tests/link/planner_failures.rs
+++ b/control-plane/tests/link/planner_failures.rs
@@ -1,4 +1,4 @@
-//! Planners that die or restart.
+//! Tests of planners that are killed, restarted or removed.
 
 use crate::simulation::{
     attempt_ended, Answer, HostBehavior, Simulation, NON_IDEMPOTENT, REQUEST_TIMEOUT,
@@ -6,7 +6,7 @@
 use reedferry::{AttemptOutcome, Event, MILLI, SECOND};
 
 #[test]
-fn a_planner_is_killed_while_attempts_that_it_decided_are_in_flight_and_their_fate_unknown() {
+fn lost_attempts_of_a_killed_planner_are_repeated_unless_non_idempotent() {
     for class in 0..3 {
         let mut simulation = Simulation::new(1, 2, 4);
         simulation.run(200 * MILLI);
@@ -20,7 +20,7 @@
             .all(|id| simulation.client(*id).in_flight.is_some()));
         let killed = simulation.followed_planner(0);
         simulation.kill_planner(killed);
-        // The hosts break what is in flight: it may have run.
+        // The hosts' connections break while the attempts are in flight, so the attempts may have run.
         let lost: Vec<Event> = ids
             .iter()
             .map(|id| {
@@ -47,11 +47,11 @@
 }
 
 #[test]
-fn requests_that_a_killed_planner_read_and_did_not_place_are_placed_by_the_next() {
+fn requests_that_a_killed_planner_did_not_place_are_placed_by_the_next() {
     let mut simulation = Simulation::new(2, 2, 4);
     simulation.run(200 * MILLI);
     let killed = simulation.followed_planner(0);
-    // Paused before it reads them, so that all are asked of it and none is placed.
+    // The planner is paused before it reads the requests, so that all are sent to it and none is placed.
     simulation.pause_planner(killed, SECOND);
     let ids: Vec<u64> = (0..40).map(|n| simulation.add_client(0, n % 3)).collect();
     simulation.run(50 * MILLI);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_changed_list_of_planners_moves_only_those_who_must_and_cuts_nothing() {
+fn removing_a_planner_moves_only_its_followers_and_closes_no_connection() {
     let mut simulation = Simulation::new(6, 3, 4);
     simulation.run(1500 * MILLI);
     let ids: Vec<u64> = (0..60).map(|n| simulation.add_client(n % 6, 0)).collect();
--- a/control-plane/tests/link/random_faults.rs
+++ b/control-plane/tests/link/random_faults.rs
@@ -1,4 +1,4 @@
-//! Faults drawn at random, together.
+//! A property test of combinations of random faults.
 
 use crate::simulation::{HostBehavior, Simulation, REQUEST_TIMEOUT, TICK};
 use proptest::prelude::*;
@@ -6,7 +6,8 @@
 
 const FAULT_KINDS: usize = 11;
 
-/// A fault of this kind; `a` and `b` draw whom it meets and how.
+/// Injects a fault of the given kind. `a` and `b` select the affected processes and hosts and the details of the
+/// fault.
 fn inject_fault(simulation: &mut Simulation, kind: usize, a: usize, b: usize) {
     let forwarder = a % simulation.forwarders.len();
     let planner = a % simulation.planners.len();
@@ -56,15 +57,15 @@
 proptest! {
     #![proptest_config(ProptestConfig {
         cases: 60,
-        // The same faults each time; another seed draws others.
+        // A fixed seed, so that each run draws the same faults.
         rng_seed: proptest::test_runner::RngSeed::Fixed(7),
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
 
-    /// Whatever happens together: the invariants hold, checked at every tick.
+    /// The invariants, which are checked at every tick, hold under any combination of faults.
     #[test]
-    fn faults_drawn_together_break_no_invariant(
+    fn random_faults_break_no_invariant(
         faults in prop::collection::vec((0..FAULT_KINDS, any::<usize>(), any::<usize>(), 0u64..120), 1..14),
         arrival_interval in 1u64..8,
     ) {
--- a/control-plane/tests/link/shutdown.rs
+++ b/control-plane/tests/link/shutdown.rs
@@ -1,10 +1,10 @@
-//! Graceful shutdown of planners and forwarders.
+//! Tests of the graceful shutdown of planners and forwarders.
 
 use crate::simulation::{Answer, Simulation, TICK};
 use reedferry::{Event, MILLI};
 
 #[test]
-fn planners_shut_down_one_after_the_other_under_load_and_nobody_waits() {
+fn planners_that_shut_down_one_after_another_delay_no_request() {
     let mut simulation = Simulation::new(3, 3, 4);
     simulation.run(200 * MILLI);
     let mut ids = Vec::new();
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_forwarder_that_shuts_down_migrates_all_evenly_and_takes_nothing_new() {
+fn a_forwarder_that_shuts_down_migrates_clients_evenly_and_rejects_new_ones() {
     let mut simulation = Simulation::new(2, 2, 3);
     simulation.run(200 * MILLI);
     let mut ids = Vec::new();
@@ -59,5 +59,5 @@
         .iter_mut()
         .map(|planner| planner.running().request_count())
         .sum();
-    assert_eq!(records, 1, "records of those that left");
+    assert_eq!(records, 1, "records of migrated clients are left");
 }
--- a/control-plane/tests/link/simulation/actions.rs
+++ b/control-plane/tests/link/simulation/actions.rs
@@ -1,4 +1,4 @@
-//! What planners and forwarders have their callers do.
+//! Execution of the actions of planners and forwarders.
 
 use super::{
     attempt_ended, planner_index, Answer, Connection, InFlightAttempt, PendingHostAnswer,
@@ -10,7 +10,7 @@
 use std::cmp::Reverse;
 use std::collections::VecDeque;
 
-/// The text of a log line.
+/// Returns the text of a log action; `None` for any other action.
 pub fn log_text(action: ForwarderAction) -> Option<String> {
     match action {
         ForwarderAction::Log(text) => Some(text),
@@ -46,7 +46,10 @@
                 deadline,
                 start_by,
             } => {
-                assert!(self.now < start_by, "a decision whose lease is over");
+                assert!(
+                    self.now < start_by,
+                    "attempt by a decision whose lease is over"
+                );
                 self.start_attempt(index, id.0, host.0 as usize - 1, deadline);
             }
             ForwarderAction::Perform(action) => self.perform(index, &action),
@@ -85,32 +88,33 @@
         };
         let mut out = Vec::new();
         if let Some(core) = self.planners[connection.planner].core.as_mut() {
-            core.connection_lost(connection.planner_connection, "hung up", &mut out);
+            core.connection_lost(connection.planner_connection, "closed", &mut out);
         }
         self.carry_out_planner_actions(connection.planner, out);
     }
 
-    /// Sends an attempt to a host, and checks that it may be sent.
+    /// Sends an attempt to a host, and records a violation if it must not be sent.
     fn start_attempt(&mut self, index: usize, id: u64, host: usize, deadline: Nanos) {
         let now = self.now;
         let forwarder = &mut self.forwarders[index];
-        // Whichever planner decided it, and what any planner told this forwarder.
+        // The drain counts from when the followed planner knew of it or any planner reported it to this forwarder.
         let followed = forwarder.followed_planner();
         let known_drain = followed.and_then(|p| self.planners[p].known_drains.get(&host));
         let reported_drain = forwarder.reported_drains.get(&host);
         let drained_at = known_drain.into_iter().chain(reported_drain).min();
         if drained_at.is_some_and(|at| now > at + DRAIN_GRACE) {
             self.violations
-                .push(format!("an attempt at host {host} after its drain"));
+                .push(format!("attempt at host {host} after its drain grace"));
         }
         let client = forwarder.clients.get_mut(&id).unwrap();
         if client.in_flight.is_some() || client.open || !client.answers.is_empty() {
-            self.violations
-                .push(format!("{id} attempted twice at once, or after its answer"));
+            self.violations.push(format!(
+                "{id} has two attempts at once, or one after its answer"
+            ));
         }
         if now >= client.deadline {
             self.violations
-                .push(format!("{id} attempted after its deadline"));
+                .push(format!("{id} has an attempt after its deadline"));
         }
         let number = client.attempts.len() as u32;
         client.in_flight = Some(InFlightAttempt {
--- a/control-plane/tests/link/simulation/clients.rs
+++ b/control-plane/tests/link/simulation/clients.rs
@@ -1,10 +1,10 @@
-//! Clients: how they come and go, and what they heard.
+//! Clients of the simulation: arrivals, departures and the answers that they got.
 
 use super::{attempt_ended, Answer, Client, Simulation, REQUEST_TIMEOUT};
 use reedferry::{AttemptOutcome, Event, IncomingRequest, Nanos, RequestId};
 
 impl Simulation {
-    /// A client comes to a forwarder. Returns its id.
+    /// Adds a client with a request of this class to a forwarder, and returns its id.
     pub fn add_client(&mut self, forwarder: usize, class: usize) -> u64 {
         self.last_client += 1;
         let id = self.last_client;
@@ -34,30 +34,30 @@
             .unwrap()
     }
 
-    /// Whether the client's connection is open.
+    /// Returns whether the client's connection is open.
     pub fn is_open(&mut self, id: u64) -> bool {
         self.client(id).open
     }
 
-    /// The client's first answer.
+    /// Returns the client's first answer; `None` if it has none yet.
     pub fn answer(&mut self, id: u64) -> Option<Answer> {
         self.client(id).answers.first().map(|(_, answer)| *answer)
     }
 
-    /// Whether every one of these clients got a connection.
+    /// Returns whether the first answer of each of these clients was an open connection.
     pub fn all_established(&mut self, ids: &[u64]) -> bool {
         ids.iter()
             .all(|id| self.answer(*id) == Some(Answer::Established))
     }
 
-    /// How many of these clients got this answer.
+    /// Returns the number of these clients whose first answer is this one.
     pub fn count_answers(&mut self, ids: &[u64], answer: Answer) -> usize {
         ids.iter()
             .filter(|id| self.answer(**id) == Some(answer))
             .count()
     }
 
-    /// Ends an open connection.
+    /// Closes a client's open connection.
     pub fn close_client(&mut self, forwarder: usize, id: u64) {
         self.forwarders[forwarder].events.push(attempt_ended(
             id,
@@ -69,7 +69,8 @@
         self.client(id).open = false;
     }
 
-    /// The longest time from a client's arrival to its first attempt or its answer.
+    /// Returns the longest time from the arrival of one of these clients to its first attempt, or to its first answer
+    /// if it had no attempt. Returns [`Nanos::MAX`] if one had neither.
     pub fn max_decision_time(&self, ids: &[u64]) -> Nanos {
         let first = |client: &Client| {
             let attempt = client.attempts.first().map(|attempt| attempt.at);
--- a/control-plane/tests/link/simulation/invariants.rs
+++ b/control-plane/tests/link/simulation/invariants.rs
@@ -1,5 +1,6 @@
-//! The invariants, by what hosts and clients saw: one answer in time, no attempt that the idempotency of the
-//! class forbids, and no rejection after an attempt that may have run.
+//! The invariants, checked against what hosts and clients observe: each client gets one answer in time, no attempt is
+//! made that the idempotency of the class forbids, and no request that is not idempotent is rejected after an attempt
+//! that may have run.
 
 use super::{
     cell, Answer, Client, SentAttempt, SimulatedForwarder, Simulation, IDEMPOTENCY_WINDOW,
@@ -34,9 +35,9 @@
     now: Nanos,
 ) -> Option<String> {
     if client.answers.len() > 1 {
-        return Some(format!("{id} answered {:?}", client.answers));
+        return Some(format!("{id} got several answers {:?}", client.answers));
     }
-    // A paused forwarder cannot answer; it must not attempt either when it goes on.
+    // A paused forwarder cannot answer in time. That it starts no late attempt is checked when an attempt starts.
     let paused = &forwarder.paused;
     let was_paused = client.arrived_at < paused.end && client.deadline > paused.start;
     if client.answers.is_empty() && now >= client.deadline && !was_paused {
--- a/control-plane/tests/link/simulation/mod.rs
+++ b/control-plane/tests/link/simulation/mod.rs
@@ -18,15 +18,15 @@
 pub const TICK: Nanos = MILLI;
 pub const DRAIN_GRACE: Nanos = 300 * MILLI;
 pub const LEASE: Nanos = 250 * MILLI;
-/// From a client's arrival to its deadline.
+/// The time from a client's arrival to its deadline.
 pub const REQUEST_TIMEOUT: Nanos = 2 * SECOND;
 pub const IDEMPOTENCY_WINDOW: Nanos = SECOND;
-/// How long a host takes to answer an attempt.
+/// The time that a host takes to answer an attempt.
 pub const HOST_ANSWER_TIME: Nanos = 3 * MILLI;
-/// The most requests that await a planner's decision at one forwarder.
+/// The maximum number of requests that await a planner's decision at one forwarder.
 pub const MAX_AWAITING_DECISION: usize = 64;
 
-/// The request classes.
+/// The indexes of the request classes.
 pub const IDEMPOTENT: usize = 0;
 pub const WITH_KEY: usize = 1;
 pub const NON_IDEMPOTENT: usize = 2;
@@ -43,11 +43,11 @@
     pub behavior: HostBehavior,
     pub draining: bool,
     pub started: Option<Nanos>,
-    /// When attempts were sent to it.
+    /// The times at which attempts were sent to the host.
     pub attempts: Vec<Nanos>,
 }
 
-/// What a client hears.
+/// An answer to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     Established,
@@ -66,7 +66,7 @@
 pub struct SentAttempt {
     pub at: Nanos,
     pub host: usize,
-    /// Unknown while it is in flight.
+    /// Whether the host may have executed the attempt; `None` while it is in flight.
     pub may_have_run: Option<bool>,
 }
 
@@ -87,7 +87,7 @@
         self.attempts.last_mut().unwrap()
     }
 
-    /// The attempt in flight ends without an answer: it may have run.
+    /// Ends the attempt in flight without an answer, after which it may have run.
     pub fn lose_attempt(&mut self) -> InFlightAttempt {
         let attempt = self.in_flight.take().unwrap();
         self.last_attempt().may_have_run = Some(true);
@@ -95,20 +95,20 @@
     }
 }
 
-/// The connection of a forwarder to a planner. Bytes carry the time at which they arrive.
+/// The connection of a forwarder to a planner. Bytes in transit carry their time of arrival.
 pub struct Connection {
     pub planner: usize,
-    /// The planner's number for it.
+    /// The planner's number for the connection.
     pub planner_connection: u32,
     pub to_planner: VecDeque<(Nanos, Vec<u8>)>,
     pub to_forwarder: VecDeque<(Nanos, Vec<u8>)>,
     pub cut_to_planner: bool,
     pub cut_to_forwarder: bool,
-    /// Its socket takes nothing more from the forwarder.
+    /// Whether the socket takes no more bytes from the forwarder.
     pub blocked: bool,
 }
 
-/// An attempt that a host is about to answer.
+/// An answer that a host is about to give to an attempt.
 pub struct PendingHostAnswer {
     at: Nanos,
     client: u64,
@@ -119,27 +119,27 @@
 pub struct SimulatedForwarder {
     pub core: Forwarder,
     pub clients: BTreeMap<u64, Client>,
-    /// By the forwarder's number for them.
+    /// The connections, by the forwarder's numbers for them.
     pub connections: HashMap<u32, Connection>,
     pub events: Vec<Event>,
     host_answers: VecDeque<PendingHostAnswer>,
-    /// The hosts that it was told drain, and since when.
+    /// The hosts that planners reported as draining or gone, with the time of the first report.
     reported_drains: HashMap<usize, Nanos>,
-    /// When it was last paused, from and until.
+    /// The start and end of the last pause; empty if there was none.
     pub paused: Range<Nanos>,
 }
 
 pub struct SimulatedPlanner {
-    /// None while it is not running.
+    /// The planner; `None` while it is not running.
     pub core: Option<Planner>,
     pub paused_until: Nanos,
     timers: BinaryHeap<Reverse<(Nanos, u16, u64)>>,
     pub list_version: u64,
-    /// What discovery wrote and it has not read yet.
+    /// The host states that discovery sent and the planner has not read yet.
     unread_updates: Vec<(usize, HostState)>,
-    /// Discovery does not reach it.
+    /// Whether updates of discovery do not reach the planner.
     pub discovery_cut: bool,
-    /// The hosts of which discovery has written to it that they drain, and when.
+    /// The hosts that discovery reported to the planner as draining, with the time of the report.
     known_drains: HashMap<usize, Nanos>,
     pub logs: Vec<String>,
 }
@@ -158,7 +158,7 @@
         }
     }
 
-    /// The planner, which must be running.
+    /// Returns the planner, which must be running.
     pub fn running(&mut self) -> &mut Planner {
         self.core.as_mut().unwrap()
     }
@@ -175,7 +175,7 @@
     /// The forwarders' log lines.
     pub logs: Vec<String>,
     last_client: u64,
-    /// How long bytes take.
+    /// The time that bytes take from one end of a connection to the other.
     pub delay: Nanos,
     planner_starts: u64,
     pub max_requests_per_forwarder: usize,
@@ -208,7 +208,7 @@
     }
 }
 
-/// The cell of a host.
+/// Returns the cell of a host.
 fn cell(host: usize) -> usize {
     host % 2
 }
@@ -304,7 +304,7 @@
         self.carry_out_planner_actions(index, out);
     }
 
-    /// A host as discovery and as a planner describe it.
+    /// Returns a host in the form in which discovery describes it, and in that in which planners do.
     fn endpoint(&self, index: usize, list_version: u64) -> (Endpoint, HostEntry) {
         let host = &self.hosts[index];
         let state = host_state(host.draining);
@@ -327,7 +327,7 @@
         (endpoint, entry)
     }
 
-    /// Ends the connection that a planner knows by this number.
+    /// Ends the connection that its planner knows under this number.
     fn end_connection(&mut self, planner_connection: u32) {
         for forwarder in &mut self.forwarders {
             let Some(number) = forwarder
@@ -373,7 +373,7 @@
         self.planners[index].paused_until = self.now + duration;
     }
 
-    /// The connections of a forwarder to a planner.
+    /// Iterates over the connections of a forwarder to a planner.
     pub fn connections(
         &mut self,
         forwarder: usize,
@@ -385,7 +385,7 @@
             .filter(move |connection| connection.planner == planner)
     }
 
-    /// Nothing reaches any forwarder any more.
+    /// Cuts all present connections in the direction from planner to forwarder.
     pub fn cut_all_to_forwarders(&mut self) {
         self.forwarders
             .iter_mut()
@@ -393,7 +393,7 @@
             .for_each(|connection| connection.cut_to_forwarder = true);
     }
 
-    /// Discovery writes to the planners that it reaches that the host drains, or is ready again.
+    /// Sets whether a host drains. Discovery reports the change to the running planners that it reaches.
     pub fn set_draining(&mut self, host: usize, draining: bool) {
         self.hosts[host].draining = draining;
         for planner in self
@@ -410,22 +410,22 @@
         }
     }
 
-    /// The planner that a forwarder follows, by its index.
+    /// Returns the index of the planner that a forwarder follows, which must exist.
     pub fn followed_planner(&self, forwarder: usize) -> usize {
         self.forwarders[forwarder]
             .followed_planner()
-            .expect("no planner is followed")
+            .expect("the forwarder follows no planner")
     }
 }
 
 impl SimulatedForwarder {
-    /// The planner that it follows, by its index.
+    /// Returns the index of the planner that the forwarder follows; `None` if it follows none.
     pub fn followed_planner(&self) -> Option<usize> {
         self.core.followed_planner().map(planner_index)
     }
 }
 
-/// The index of a planner of this name.
+/// Returns the index of the planner of this name.
 fn planner_index(name: &str) -> usize {
     name[1..].parse().unwrap()
 }
--- a/control-plane/tests/link/simulation/turns.rs
+++ b/control-plane/tests/link/simulation/turns.rs
@@ -1,4 +1,4 @@
-//! The passing of time: the turns of planners and forwarders, and the answers of hosts.
+//! The progress of simulated time: the turns of planners and forwarders, and the answers of hosts.
 
 use super::{
     attempt_ended, HostBehavior, PendingHostAnswer, SimulatedForwarder, SimulatedHost, Simulation,
@@ -8,7 +8,7 @@
 use std::cmp::Reverse;
 use std::collections::VecDeque;
 
-/// The bytes that have arrived by now.
+/// Removes and returns the bytes that have arrived by now.
 fn arrived(queue: &mut VecDeque<(Nanos, Vec<u8>)>, now: Nanos) -> Vec<Vec<u8>> {
     let mut arrived = Vec::new();
     while queue.front().is_some_and(|(at, _)| *at <= now) {
@@ -18,7 +18,7 @@
 }
 
 impl Simulation {
-    /// Lets time pass, and checks the invariants at each tick.
+    /// Runs the simulation for the given duration, and checks the invariants at each tick.
     pub fn run(&mut self, duration: Nanos) {
         let until = self.now + duration;
         while self.now < until {
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Attempts end at their deadline, as the connection would tell.
+    /// Ends the attempts whose deadline has passed, as the caller of a real forwarder does.
     fn time_out_attempts(&mut self, now: Nanos) {
         for (&id, client) in &mut self.clients {
             if client.in_flight.is_some_and(|a| now >= a.deadline) {
--- a/control-plane/tests/link/slow_start.rs
+++ b/control-plane/tests/link/slow_start.rs
@@ -1,13 +1,14 @@
-//! Hosts in slow start: all planners together stay within their quota.
+//! Tests of hosts in slow start, whose quota all planners together must not exceed.
 
 use crate::simulation::Simulation;
 use reedferry::{Nanos, MILLI};
 use std::collections::VecDeque;
 
-/// Connections that are open at a time: 25 at a warm host, which the decision core takes to bear four times that.
+/// The number of connections that are open at a time: 25 per warm host, for which the decision core assumes a capacity
+/// of four times as many.
 const OPEN_CONNECTIONS: usize = 200;
 
-/// A steady load of connections.
+/// A steady load: each step opens a connection, and closes the oldest one beyond [`OPEN_CONNECTIONS`].
 #[derive(Default)]
 struct Load {
     open: VecDeque<(usize, u64)>,
@@ -27,7 +28,7 @@
     }
 }
 
-/// The most attempts in a window at a host of this age, for a single node.
+/// Returns the maximum number of attempts in one overload window that a single node makes at a host of this age.
 fn single_node_quota(simulation: &Simulation, age: Nanos) -> f64 {
     let settings = &simulation.balancer_settings;
     let warm_host_rate = 100.0 / settings.warm_up as f64;
@@ -38,8 +39,7 @@
 }
 
 #[test]
-fn warming_hosts_stay_within_their_quota_with_all_planners_with_one_fewer_and_with_restarted_ones()
-{
+fn warming_hosts_stay_within_quota_when_planners_are_killed_or_restarted() {
     for (killed, restarted) in [(false, false), (true, false), (true, true)] {
         let mut simulation = Simulation::new(4, 3, 9);
         simulation.run(1200 * MILLI);
@@ -54,7 +54,8 @@
         }
         for n in 0..2500 {
             load.step(&mut simulation, n);
-            // All of them, repeatedly: none may place on a warming host before its first second is over.
+            // Restarts all planners repeatedly. A planner must not place on a warming host in the first second after
+            // the planner's start.
             if restarted && n % 300 == 150 {
                 (0..3).for_each(|planner| simulation.kill_planner(planner));
                 (0..3).for_each(|planner| simulation.start_planner(planner));
@@ -77,7 +78,7 @@
         assert_eq!(
             attempts.is_empty(),
             restarted,
-            "a warming host gets its part, but of no planner that has just started"
+            "a warming host gets attempts, but none from a planner that has just started"
         );
     }
 }
