--- a/control-plane/src/codec.rs
+++ b/control-plane/src/codec.rs
@@ -15,8 +15,8 @@
 pub const MAX_BODY_BYTES: usize = 32 << 10;
 const MAGIC: [u8; 4] = *b"rfLK";
 const LENGTH_BYTES: usize = 4;
-/// The size of the encoding buffer, in bytes. No message needs as much: the longest ones hold a name or a bounded list
-/// of hosts, and a few numbers.
+/// The maximum length of an encoded message, in bytes. It is sized for a name, or a list of hosts, with the numbers that
+/// accompany them.
 const MAX_MESSAGE_BYTES: usize = 2048;
 /// The number of sent bytes at which the writer's buffer is compacted, and the capacity that an empty buffer keeps at
 /// most.
@@ -113,8 +113,8 @@
         self.buffer[start..start + LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
     }
 
-    /// Encodes a value into `scratch` and returns its bytes. The message types fail to encode only if space runs out,
-    /// which does not happen because names and lists are bounded.
+    /// Encodes a value into `scratch` and returns its bytes, or no bytes if they exceed [`MAX_MESSAGE_BYTES`]. The
+    /// message types fail to encode for no other reason, and their names and lists are bounded in length.
     pub(crate) fn encode<'a>(scratch: &'a mut Vec<u8>, value: &impl Serialize) -> &'a [u8] {
         scratch.resize(MAX_MESSAGE_BYTES, 0);
         postcard::to_slice(value, scratch).map_or(&[], |bytes| bytes)
--- a/control-plane/src/forwarder/connections.rs
+++ b/control-plane/src/forwarder/connections.rs
@@ -121,13 +121,13 @@
         bytes: &[u8],
         out: &mut Vec<ForwarderAction>,
     ) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         let Some(index) = self.session_index(connection) else {
             return;
         };
         let mut reader = std::mem::take(&mut self.sessions[index].reader);
-        let fed = reader.feed(bytes, |body| self.handle_frame(now, index, body, out));
-        match fed {
+        let result = reader.feed(bytes, |body| self.handle_frame(now, index, body, out));
+        match result {
             Ok(()) => self.sessions[index].reader = reader,
             Err(why) => {
                 let why = why.to_string();
--- a/control-plane/src/forwarder/mod.rs
+++ b/control-plane/src/forwarder/mod.rs
@@ -130,7 +130,7 @@
 
     /// Handles an event of a client connection.
     pub fn handle_event(&mut self, now: Nanos, event: Event, out: &mut Vec<ForwarderAction>) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         // Selects another planner before the event. Without this, requests that arrive in the turn in which the
         // planner is lost would be answered as if there were no other.
         if !self.can_ask_planner(now) {
@@ -141,7 +141,7 @@
 
     /// Does everything that is due and ends the turn. To be called once a turn, after all other calls.
     pub fn tick(&mut self, now: Nanos, out: &mut Vec<ForwarderAction>) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         self.maintain_connections(now, out);
         self.select_planner(now, out);
         self.synchronize_state(now, out);
@@ -178,7 +178,7 @@
     /// Detects that this process was paused, during which planners had no heartbeat to answer, and then grants them
     /// time to answer. Without this, all waiting requests would be rejected after a pause, as if the planners were
     /// gone.
-    fn notice_pause(&mut self, now: Nanos) {
+    fn detect_pause(&mut self, now: Nanos) {
         if now > self.last_called_at + self.config.lease / 2 {
             self.pause_grace_until = now + self.config.lease / 4;
         }
--- a/control-plane/src/planner/cleanup.rs
+++ b/control-plane/src/planner/cleanup.rs
@@ -46,28 +46,28 @@
             .into_values()
             .collect();
         records.sort_unstable();
-        for key in records {
-            let Some(record) = self.requests.get_mut(key) else {
+        for record_key in records {
+            let Some(record) = self.requests.get_mut(record_key) else {
                 continue;
             };
             if record.is_queued {
-                self.requests.remove(key);
+                self.requests.remove(record_key);
                 continue;
             }
             // Leaves the removal to later turns. Without this, removing the tens of thousands of records of one failed
             // forwarder at once would block the planner for longer than the other forwarders' leases.
             record.orphan();
-            self.orphans.push_back(key);
+            self.orphans.push_back(record_key);
         }
     }
 
     /// Removes up to [`ORPHANS_PER_TURN`] orphaned records from the decision cores.
     pub(super) fn remove_orphans(&mut self, now: Nanos, out: &mut Vec<PlannerAction>) {
         for _ in 0..ORPHANS_PER_TURN {
-            let Some(key) = self.orphans.pop_front() else {
+            let Some(record_key) = self.orphans.pop_front() else {
                 return;
             };
-            self.remove_request(now, key, AttemptOutcome::NeverSent, out);
+            self.remove_request(now, record_key, AttemptOutcome::NeverSent, out);
         }
     }
 
@@ -76,18 +76,18 @@
     pub(super) fn remove_request(
         &mut self,
         now: Nanos,
-        key: RecordKey,
+        record_key: RecordKey,
         ending: AttemptOutcome,
         out: &mut Vec<PlannerAction>,
     ) {
-        let Some(record) = self.requests.remove(key) else {
+        let Some(record) = self.requests.remove(record_key) else {
             return;
         };
-        self.forget_in_session(record.session(), record.forwarder_id);
+        self.remove_from_session(record.session(), record.forwarder_id);
         if record.is_queued {
             return;
         }
-        let id = key.request_id();
+        let id = record_key.request_id();
         let event = match record.host {
             Some(host) => Event::AttemptEnded {
                 id,
@@ -103,7 +103,7 @@
     }
 
     /// Removes a request from the session that holds its record, if there is one.
-    pub(super) fn forget_in_session(&mut self, session: Option<usize>, forwarder_id: u64) {
+    pub(super) fn remove_from_session(&mut self, session: Option<usize>, forwarder_id: u64) {
         if let Some(session) = session.and_then(|key| self.sessions.get_mut(key)) {
             session.requests.remove(&forwarder_id);
         }
--- a/control-plane/src/planner/handshake.rs
+++ b/control-plane/src/planner/handshake.rs
@@ -16,20 +16,20 @@
         out: &mut Vec<PlannerAction>,
     ) -> Result<(), LinkError> {
         let hello: Hello = codec::decode_greeting(body)?;
-        let namesake = self
+        let existing = self
             .sessions
             .iter()
             .find(|(other, session)| {
                 *other != key && session.number.is_some() && session.forwarder == hello.name
             })
             .map(|(other, session)| (other, session.epoch));
-        if let Err(rejection) = self.check_hello(&hello, namesake.map(|(_, epoch)| epoch)) {
+        if let Err(rejection) = self.check_hello(&hello, existing.map(|(_, epoch)| epoch)) {
             let rejected = Welcome::Refused(rejection.to_string());
             self.sessions[key].writer.append_greeting(&rejected);
             return Err(rejection.into());
         }
         self.begin_session(key, hello, out);
-        if let Some((replaced, _)) = namesake {
+        if let Some((replaced, _)) = existing {
             // Closes the old session. Without this, a forwarder that reconnects after its connection was cut would be
             // kept out until its old session times out.
             self.close_session(replaced, "replaced by a new session", out);
@@ -40,7 +40,7 @@
     fn check_hello(
         &self,
         hello: &Hello,
-        namesake_epoch: Option<u64>,
+        existing_epoch: Option<u64>,
     ) -> Result<(), SessionRejection> {
         if !is_valid_name(&hello.name) {
             Err(SessionRejection::InvalidName)
@@ -50,7 +50,7 @@
             Err(SessionRejection::OtherSettings)
         } else if hello.zone >= self.config.zone_count.max(1) {
             Err(SessionRejection::UnknownZone)
-        } else if namesake_epoch.is_some_and(|epoch| epoch > hello.epoch) {
+        } else if existing_epoch.is_some_and(|epoch| epoch > hello.epoch) {
             Err(SessionRejection::OlderEpoch)
         } else {
             Ok(())
--- a/control-plane/src/planner/host_table.rs
+++ b/control-plane/src/planner/host_table.rs
@@ -138,14 +138,14 @@
 
     /// Removes the hosts that are gone and whose last change every session has been sent, that is, changes up to
     /// `sent_to_all`. Without this, the table would grow with every host that ever existed.
-    pub fn forget_gone(&mut self, sent_to_all: u64) {
+    pub fn remove_gone(&mut self, sent_to_all: u64) {
         let changes = &mut self.changes;
         self.records.retain(|_, record| {
-            let forget = record.is_gone() && record.change <= sent_to_all;
-            if forget {
+            let is_obsolete = record.is_gone() && record.change <= sent_to_all;
+            if is_obsolete {
                 changes.remove(&record.change);
             }
-            !forget
+            !is_obsolete
         });
     }
 }
--- a/control-plane/src/planner/inbound.rs
+++ b/control-plane/src/planner/inbound.rs
@@ -178,19 +178,19 @@
     fn handle_failed_attempt(
         &mut self,
         now: Nanos,
-        key: RecordKey,
+        record_key: RecordKey,
         decision_sequence: u32,
         ending: AttemptOutcome,
         out: &mut Vec<PlannerAction>,
     ) {
-        let Some(record) = self.requests.get_mut(key) else {
+        let Some(record) = self.requests.get_mut(record_key) else {
             return;
         };
         record.decision_sequence = decision_sequence;
         let Some(host) = record.host.take() else {
             return;
         };
-        let (id, zone) = (key.request_id(), record.zone());
+        let (id, zone) = (record_key.request_id(), record.zone());
         let event = Event::AttemptEnded {
             id,
             attempt: 0,
@@ -205,26 +205,26 @@
     fn handle_client_left(
         &mut self,
         now: Nanos,
-        session: usize,
+        key: usize,
         id: u64,
         out: &mut Vec<PlannerAction>,
     ) {
-        let Some(key) = self.record_key(session, id) else {
+        let Some(record_key) = self.record_key(key, id) else {
             return;
         };
-        let Some(record) = self.requests.get(key) else {
+        let Some(record) = self.requests.get(record_key) else {
             return;
         };
         if record.host.is_none() {
-            self.remove_request(now, key, AttemptOutcome::NeverSent, out);
+            self.remove_request(now, record_key, AttemptOutcome::NeverSent, out);
         } else {
-            let (id, zone) = (key.request_id(), record.zone());
+            let (id, zone) = (record_key.request_id(), record.zone());
             self.notify_core(now, zone, Event::ClientLeft { id }, out);
         }
     }
 
-    fn record_key(&self, session: usize, id: u64) -> Option<RecordKey> {
-        self.sessions[session].requests.get(&id).copied()
+    fn record_key(&self, key: usize, id: u64) -> Option<RecordKey> {
+        self.sessions[key].requests.get(&id).copied()
     }
 
     /// Adds a record of a request and returns its key; `None` if its forwarder has too many requests.
--- a/control-plane/src/planner/mod.rs
+++ b/control-plane/src/planner/mod.rs
@@ -161,11 +161,11 @@
             return;
         }
         let mut reader = std::mem::take(&mut self.sessions[key].reader);
-        let fed = reader.feed(bytes, |body| match self.sessions[key].number {
+        let result = reader.feed(bytes, |body| match self.sessions[key].number {
             None => self.handle_greeting(key, body, out),
             Some(number) => self.sessions[key].receive_frame(number, body),
         });
-        match fed {
+        match result {
             Ok(()) => {
                 self.sessions[key].reader = reader;
                 self.sessions[key].last_received_at = now;
@@ -191,7 +191,7 @@
             .map(|(_, session)| session.sent_change)
             .min();
         self.hosts
-            .forget_gone(sent_to_all.unwrap_or(self.hosts.last_change()));
+            .remove_gone(sent_to_all.unwrap_or(self.hosts.last_change()));
         for zone in 0..self.zones.len() {
             self.zones[zone].invalidate_plan();
             let endpoints = endpoints.clone();
--- a/control-plane/src/planner/placement.rs
+++ b/control-plane/src/planner/placement.rs
@@ -113,8 +113,8 @@
         host: HostId,
         until: Nanos,
     ) {
-        let key = RecordKey::from_request_id(id);
-        if self.requests.get(key).is_none() {
+        let record_key = RecordKey::from_request_id(id);
+        if self.requests.get(record_key).is_none() {
             return;
         }
         let warm_up = self.config.balancer_settings.warm_up;
@@ -133,7 +133,7 @@
         } else {
             self.zones[zone].shares.record(host, now);
         }
-        let Some(record) = self.requests.get_mut(key) else {
+        let Some(record) = self.requests.get_mut(record_key) else {
             return;
         };
         record.host = Some(host);
@@ -185,7 +185,7 @@
         };
         let message = message(record.forwarder_id, record.decision_sequence);
         self.send_to(record.session(), &message);
-        self.forget_in_session(record.session(), record.forwarder_id);
+        self.remove_from_session(record.session(), record.forwarder_id);
     }
 }
 
--- a/control-plane/src/planner/zone.rs
+++ b/control-plane/src/planner/zone.rs
@@ -67,8 +67,8 @@
     /// `sessions`, a correspondingly smaller part of its placements is admitted. Without this, a warming host would be
     /// overloaded when planners are down or many forwarders follow the same planner.
     pub fn admit_slow_start(&mut self, sessions: usize, core_count: usize) -> bool {
-        let part = f64::from(self.followers) * core_count as f64;
-        self.slow_start_credit += (sessions as f64 / part.max(1.0)).min(1.0);
+        let scaled_followers = f64::from(self.followers) * core_count as f64;
+        self.slow_start_credit += (sessions as f64 / scaled_followers.max(1.0)).min(1.0);
         let admitted = self.slow_start_credit >= 1.0;
         self.slow_start_credit -= f64::from(u8::from(admitted));
         admitted
--- a/control-plane/tests/link/slow_start.rs
+++ b/control-plane/tests/link/slow_start.rs
@@ -32,10 +32,10 @@
 fn single_node_quota(simulation: &Simulation, age: Nanos) -> f64 {
     let settings = &simulation.balancer_settings;
     let warm_host_rate = 100.0 / settings.warm_up as f64;
-    let warmed_part = age as f64 / settings.warm_up as f64;
+    let warm_up_progress = age as f64 / settings.warm_up as f64;
     let initial_share = settings.warm_up_initial_share;
-    let warmth = initial_share + (1.0 - initial_share) * warmed_part;
-    settings.overload_factor * warmth * warm_host_rate * settings.overload_window as f64
+    let warm_up_share = initial_share + (1.0 - initial_share) * warm_up_progress;
+    settings.overload_factor * warm_up_share * warm_host_rate * settings.overload_window as f64
 }
 
 #[test]
