--- a/control-plane/src/messages.rs
+++ b/control-plane/src/messages.rs
@@ -259,7 +259,7 @@
     },
     /// Describes a host that is new or has changed.
     Host(HostEntry),
-    /// Every host has been sent once.
+    /// Announces that every host has been sent.
     HostsComplete {
         /// The version of the endpoint list to which the sent hosts belong.
         list_version: u64,
