--- a/settings/src/reload.rs
+++ b/settings/src/reload.rs
@@ -107,7 +107,8 @@
     name: &str,
     class: &RequestClass,
 ) -> Option<usize> {
-    (0..classes.len()).find(|&index| names[index] == name && classes[index].same_terms(class))
+    (0..classes.len())
+        .find(|&index| names[index] == name && classes[index].equals_ignoring_active(class))
 }
 
 #[cfg(test)]
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -114,7 +114,7 @@
         if self.shutdown.is_in_progress() {
             return true;
         }
-        if !self.load_shedding.is_active() || self.load_shedding.should_try(now) {
+        if !self.load_shedding.is_active() || self.load_shedding.should_admit_trial(now) {
             return false;
         }
         let unseen_share = self.estimate_fleet(now).unseen_share();
@@ -140,7 +140,7 @@
         let shortest = self.recent_setups.shortest(now);
         is_large_fleet(&self.settings)
             && shortest.is_some_and(|shortest| now + shortest >= answer_by)
-            && !self.load_shedding.should_try(now)
+            && !self.load_shedding.should_admit_trial(now)
     }
 
     fn priority_per_load(&self, class: usize) -> f64 {
--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -46,7 +46,7 @@
     /// Whether the next request is placed though others are rejected. Prevents a node from
     /// rejecting all for tens of seconds after its hosts have recovered, as rejected requests never
     /// show that.
-    pub fn should_try(&self, now: Nanos) -> bool {
+    pub fn should_admit_trial(&self, now: Nanos) -> bool {
         self.rejecting_since
             .is_some_and(|since| now >= since + MAX_REJECTING)
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -48,7 +48,7 @@
 
 impl RequestClass {
     /// Whether both mean the same, active or not.
-    pub fn same_terms(&self, other: &RequestClass) -> bool {
+    pub fn equals_ignoring_active(&self, other: &RequestClass) -> bool {
         *self
             == RequestClass {
                 active: self.active,
