--- a/src/action.rs
+++ b/src/action.rs
@@ -1,36 +1,37 @@
-//! The actions that the decision module orders.
+//! The actions that a [`Balancer`](crate::Balancer) asks the caller to carry out.
 
 use crate::endpoint::HostId;
 use crate::request::RequestId;
 use crate::time::Nanos;
 
-/// What the caller is to do, in the order in which the actions are appended.
+/// An action that the caller carries out; actions are carried out in the order in which they were
+/// appended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Starts an attempt of a request at a host.
     StartAttempt {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The host to send it to.
         host: HostId,
-        /// How long its answer is waited for.
+        /// The time at which the attempt is given up if the host has not answered.
         until: Nanos,
-        /// The latest moment at which it may be written.
+        /// The latest time at which bytes of the attempt may be written, inclusive.
         by: Nanos,
     },
-    /// Final: a retry is harmless.
+    /// Gives a request its final answer: it was not served, and the client may safely retry.
     Reject {
         /// The request.
         id: RequestId,
-        /// How long the client is to wait before it (0: no advice).
+        /// How long the client should wait before it retries; 0 for no advice.
         retry_after: Nanos,
     },
-    /// Final: nothing is promised.
+    /// Gives a request its final answer: it may have run, so a retry may be unsafe.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Ends an open connection politely; its client reconnects.
+    /// Closes an open connection in an orderly way, so that its client reconnects elsewhere.
     Migrate {
         /// The request of that connection.
         id: RequestId,
@@ -39,14 +40,14 @@
     CancelAttempt {
         /// The request.
         id: RequestId,
-        /// Which of its attempts, from 0.
+        /// The index of the attempt within the request, from 0.
         attempt: u32,
     },
-    /// Requests [`Event::TimerFired`](crate::Event::TimerFired).
+    /// Requests [`Event::TimerFired`](crate::Event::TimerFired) at a given time.
     SetTimer {
-        /// When.
+        /// The time at which the timer fires.
         time: Nanos,
-        /// Returned with the event.
+        /// The number that the event returns.
         timer: u64,
     },
     /// Fetches the whole endpoint list once.
@@ -55,10 +56,10 @@
     WatchEndpoints,
     /// Probes a host for a load report.
     Probe {
-        /// Which host.
+        /// The host to probe.
         host: HostId,
     },
-    /// Sends a message to all other nodes; any of them may never receive it.
+    /// Sends a message to all other nodes, without a guarantee of delivery.
     Gossip {
         /// The bytes, in the form of [`gossip`](crate::gossip).
         message: Vec<u8>,
--- a/src/arrival_rate.rs
+++ b/src/arrival_rate.rs
@@ -1,22 +1,22 @@
-//! How many requests have arrived lately.
+//! The rate at which requests arrive.
 
 use crate::time::{Nanos, SECOND};
 
-/// An exponentially fading count of arrivals.
+/// An exponentially decaying count of arrivals, with a time constant of one second.
 #[derive(Default)]
 pub(crate) struct ArrivalRate {
-    /// As of the last arrival.
+    /// The decayed count at the time of the last arrival.
     count: f64,
     last_arrival: Nanos,
 }
 
 impl ArrivalRate {
-    /// How many requests arrived within about the last second.
+    /// Returns the arrival rate over about the last second, in requests per second.
     pub fn per_second(&self, now: Nanos) -> f64 {
         self.count * (-(now.saturating_sub(self.last_arrival) as f64) / SECOND as f64).exp()
     }
 
-    /// How many requests arrive within `span` at this rate.
+    /// Returns the number of requests that arrive within `span` at the current rate.
     pub fn within(&self, now: Nanos, span: Nanos) -> f64 {
         self.per_second(now) * span as f64 / SECOND as f64
     }
--- a/src/connection.rs
+++ b/src/connection.rs
@@ -1,4 +1,4 @@
-//! A connection, or an attempt that may become one, as its host's record holds it.
+//! The state of a connection, or of an attempt in flight, in the record of its host.
 
 use crate::connection_history::ConnectionHistory;
 use crate::intervals::LOOK_AHEAD_NANOS;
@@ -6,30 +6,32 @@
 use crate::settings::BalancerSettings;
 use crate::time::Nanos;
 
-/// A connection, or an attempt that may become one.
+/// An open connection, or an attempt in flight.
 #[derive(Default)]
 pub(crate) struct Connection {
-    /// The slot of its request in the request table.
+    /// The slot of the request in the request table.
     pub slot: usize,
     pub class: usize,
     pub key: Option<u64>,
     pub group: Option<u64>,
-    /// Its load, where that was measured or is known.
+    /// The load of the connection, measured or known before; `None` where it is unknown.
     pub load: Option<f64>,
-    /// Since when it is open; before that, when the attempt was sent.
+    /// When the connection was established; before that, when the attempt was sent.
     pub since: Nanos,
     pub established: bool,
     pub expected_end: Nanos,
-    /// Its part of the host's load over the look-ahead steps.
+    /// The part of the connection in the host's load over the look-ahead steps.
     pub look_ahead_load: f64,
-    /// Its load as counted in its host's.
+    /// The part of the connection in the host's current load.
     pub counted_load: f64,
-    /// The weight vector that it was placed by, until that has been evaluated.
+    /// The index of the weight vector by which the connection was placed; `None` once the placement
+    /// has been evaluated, or where there was none.
     pub weight_vector: Option<usize>,
 }
 
 impl Connection {
-    /// The connection that a request is expected to become.
+    /// Creates the record of an attempt for a request, with the load and duration that its
+    /// connection is expected to have.
     pub fn new(
         now: Nanos,
         slot: usize,
--- a/src/connection_history.rs
+++ b/src/connection_history.rs
@@ -1,51 +1,58 @@
-//! What past connections have shown: how long each client's last, their load, and how long set-ups
-//! take. It owns these means, their fading, and the table of clients with its bound. It must never
-//! decide anything.
+//! Statistics of past connections: the duration and load of each client's connections, and the time
+//! that set-ups take. The module owns these means, their decay and the bounded table of clients. It
+//! makes no decisions.
 
 use crate::endpoint::HostId;
 use crate::inherited_state::{ClientStatistics, InheritedState};
 use crate::intervals::{
-    FADE_PER_TICK, LOOK_AHEAD_NANOS, LOOK_AHEAD_STEP, RECORD_MAX_AGE, TICK_INTERVAL,
+    DECAY_PER_TICK, LOOK_AHEAD_NANOS, LOOK_AHEAD_STEP, RECORD_MAX_AGE, TICK_INTERVAL,
 };
 use crate::settings::RequestClass;
 use crate::time::{Nanos, SECOND};
 use std::collections::{HashMap, VecDeque};
 
-/// How many clients are remembered.
+/// The maximum number of clients in the table.
 const MAX_CLIENTS: usize = 8192;
-/// What a host's first connection of a group costs it, in mean loads.
+/// The cost of a group's first connection for its host, in mean loads.
 const GROUP_COST: f64 = 2.0;
-/// How many times the mean set-up time makes a set-up slow.
+/// The multiple of the mean set-up time beyond which a set-up is slow.
 const SLOW_SETUP_FACTOR: f64 = 6.0;
-/// How many measured loads a mean is blended over.
+/// The number of samples over which the moving means of the load are taken.
 const MAX_LOAD_SAMPLES: u32 = 32;
-/// How many ended connections there must have been for the mean duration to follow them.
+/// The decayed number of ended connections above which a tick updates the mean duration.
 const MIN_ENDED_CONNECTIONS: f64 = 0.1;
-/// How many set-up times the mean is blended over.
+/// The number of samples over which the moving mean of the set-up time is taken.
 const SETUP_TIME_SAMPLES: f64 = 16.0;
 
 /// Statistics of past connections.
 #[derive(Default)]
 pub(crate) struct ConnectionHistory {
     clients: HashMap<u64, ClientStatistics>,
-    /// Keys in the order in which they were seen, and when; a key stands here once for each time.
+    /// Each time that a client was seen, as its key and that time, the oldest first. A key may occur
+    /// more than once.
     seen_order: VecDeque<(u64, Nanos)>,
-    /// How long connections last.
+    /// The mean duration of a connection, in nanoseconds; `None` until one has ended.
     mean_duration: Option<f64>,
-    /// The time that connections have recently been open, and how many have ended.
+    /// The total time that connections were open, in nanoseconds, decayed with every tick.
     open_time: f64,
+    /// The number of connections that have ended, decayed with every tick.
     ended_connections: f64,
+    /// The mean load of each class; `None` where none was measured.
     class_loads: Vec<Option<f64>>,
+    /// The mean load over all classes; `None` where none was measured.
     mean_load: Option<f64>,
-    /// How many measured loads are blended in the means, up to [`MAX_LOAD_SAMPLES`].
+    /// The number of measured loads in the means, up to [`MAX_LOAD_SAMPLES`].
     load_samples: u32,
+    /// The mean time that a set-up takes, in nanoseconds.
     mean_setup_time: f64,
-    /// The first host of those whose set-ups have been slow since one was not.
+    /// The host of the first set-up in the current series of slow ones; `None` where the last
+    /// set-up was not slow.
     first_slow_host: Option<HostId>,
 }
 
 impl ConnectionHistory {
-    /// An empty history for these classes.
+    /// Creates an empty history for these classes. The mean set-up time starts at a twelfth of the
+    /// shortest latency objective.
     pub fn new(classes: &[RequestClass]) -> Self {
         let shortest_objective = classes.iter().map(|class| class.latency_objective).min();
         ConnectionHistory {
@@ -55,26 +62,27 @@
         }
     }
 
-    /// How long a connection of this client is expected to last, in nanoseconds.
+    /// Returns how long a connection of this client is expected to last, in nanoseconds; `None`
+    /// until any connection has ended.
     pub fn expected_duration(&self, key: Option<u64>, now: Nanos) -> Option<f64> {
         self.client(key, now)
             .and_then(|client| client.mean_duration)
             .or(self.mean_duration)
     }
 
-    /// How long a connection that has outlived its prediction is expected to go on.
+    /// Returns how much longer a connection is expected to last that has outlived its prediction.
     pub fn expected_remaining_duration(&self) -> Nanos {
         (self.mean_duration.unwrap_or(LOOK_AHEAD_NANOS) as Nanos).max(LOOK_AHEAD_STEP)
     }
 
-    /// The load of the client's last connection. Prevents heavy clients that one host migrates from
-    /// all being placed at the next one as if they were like the rest.
+    /// Returns the load of the client's last connection. Prevents clients of high load that are
+    /// migrated off one host from all being placed on the next as if they had the mean load.
     pub fn last_load(&self, key: Option<u64>, now: Nanos) -> Option<f64> {
         self.client(key, now).and_then(|client| client.last_load)
     }
 
-    /// The load to count for a connection: its own where it is known, else the mean of its class,
-    /// else of all.
+    /// Returns the load to count for a connection: its own where it is known, else the mean of its
+    /// class, else the mean of all classes, else 1.
     pub fn load(&self, class: usize, known: Option<f64>) -> f64 {
         known
             .or(self.class_loads[class])
@@ -82,32 +90,33 @@
             .unwrap_or(1.0)
     }
 
-    /// The mean load of a connection.
+    /// Returns the mean load of a connection; 1 where none was measured.
     pub fn mean_load(&self) -> f64 {
         self.mean_load.unwrap_or(1.0)
     }
 
-    /// What holding any connection of a group costs a host, in the unit of loads.
+    /// Returns the cost for a host of holding any connection of a group, in the unit of loads.
     pub fn group_cost(&self) -> f64 {
         GROUP_COST * self.mean_load()
     }
 
-    /// Whether any load of a connection was ever measured.
+    /// Returns whether the load of any connection was ever measured.
     pub fn has_measured_loads(&self) -> bool {
         self.load_samples > 0
     }
 
-    /// The set-up time, in nanoseconds, beyond which a set-up is slow.
+    /// Returns the time, in nanoseconds, beyond which a set-up is slow.
     pub fn slow_setup_time(&self) -> f64 {
         SLOW_SETUP_FACTOR * self.mean_setup_time
     }
 
-    /// Whether set-ups at another host have been slow since one last was not.
+    /// Returns whether the current series of slow set-ups began at another host, so that a slow one
+    /// at this host may have a shared cause.
     pub fn slow_elsewhere(&self, host: HostId) -> bool {
         self.first_slow_host.is_some_and(|first| first != host)
     }
 
-    /// A connection has ended by itself.
+    /// Records a connection that ended in an orderly way without being migrated.
     pub fn connection_ended(&mut self, key: Option<u64>, duration: Nanos, now: Nanos) {
         let duration = duration as f64;
         self.ended_connections += 1.0;
@@ -120,17 +129,17 @@
         client.mean_duration = Some(blended);
     }
 
-    /// A connection of this client is over at its host, and had this load.
+    /// Records the load that a connection of this client had when it ended.
     pub fn final_load(&mut self, key: Option<u64>, load: f64, now: Nanos) {
         if let Some(key) = key {
             self.client_seen(key, now).last_load = Some(load);
         }
     }
 
-    /// The load of an open connection was measured.
+    /// Records the measured load of an open connection.
     pub fn load_measured(&mut self, class: usize, load: f64) {
-        // Blending from the first sample on: without this, a first load far from the usual would be
-        // every guess for dozens to come.
+        // The first samples get a larger weight. Otherwise a first load far from the usual would
+        // remain the estimate for dozens of connections.
         self.load_samples = (self.load_samples + 1).min(MAX_LOAD_SAMPLES);
         let samples = f64::from(self.load_samples);
         let blend =
@@ -139,25 +148,26 @@
         self.mean_load = blend(self.mean_load);
     }
 
-    /// A set-up at this host took so long, or timed out after that time.
+    /// Records a set-up at this host that succeeded or timed out after this time.
     pub fn setup_took(&mut self, host: HostId, took: Nanos) {
         let slow = took as f64 > self.slow_setup_time();
         self.first_slow_host = self.first_slow_host.or(Some(host)).filter(|_| slow);
         self.mean_setup_time += (took as f64 - self.mean_setup_time) / SETUP_TIME_SAMPLES;
     }
 
-    /// A tick with so many open requests. The mean duration is the time open at all over the
-    /// connections ended: the few that end soon after a start are not taken for all, and what is
-    /// placed then does not count as next to nothing.
+    /// Decays the sums and adds the time for which the open requests were open since the last tick.
+    /// The mean duration is the total open time divided by the number of ended connections.
+    /// Otherwise the first connections to end after a start, which are short, would stand for all,
+    /// and the load of new ones would be counted as almost nothing.
     pub fn tick(&mut self, open_requests: f64) {
-        self.open_time = FADE_PER_TICK * self.open_time + open_requests * TICK_INTERVAL as f64;
-        self.ended_connections *= FADE_PER_TICK;
+        self.open_time = DECAY_PER_TICK * self.open_time + open_requests * TICK_INTERVAL as f64;
+        self.ended_connections *= DECAY_PER_TICK;
         if self.mean_duration.is_some() && self.ended_connections > MIN_ENDED_CONNECTIONS {
             self.mean_duration = Some(self.open_time / self.ended_connections);
         }
     }
 
-    /// There are so many classes now, and these replace others.
+    /// Sets the number of classes and clears the mean loads of the replaced ones.
     pub fn classes_changed(&mut self, count: usize, replaced: Vec<usize>) {
         self.class_loads.resize(count, None);
         for class in replaced {
@@ -165,7 +175,7 @@
         }
     }
 
-    /// What a successor is to know of this history.
+    /// Returns the part of the state that a successor inherits from this history.
     pub fn export(&self) -> InheritedState {
         let last_entry = |&(key, seen): &(u64, Nanos)| {
             let client = self.clients.get(&key)?;
@@ -184,7 +194,7 @@
         }
     }
 
-    /// Takes over what the previous process has learned.
+    /// Replaces the statistics by those of the predecessor.
     pub fn inherit(&mut self, state: InheritedState) {
         self.seen_order = state
             .clients
@@ -209,7 +219,8 @@
             .filter(|client| now < client.last_seen + RECORD_MAX_AGE)
     }
 
-    /// The entry of a client that has just been seen; the least recently seen make room.
+    /// Returns the entry of a client that has just been seen, adding it where there is none. Removes
+    /// the least recently seen clients beyond [`MAX_CLIENTS`].
     fn client_seen(&mut self, key: u64, now: Nanos) -> &mut ClientStatistics {
         self.seen_order.push_back((key, now));
         while self.seen_order.len() > MAX_CLIENTS {
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -1,20 +1,20 @@
-//! The endpoint list: the hosts that discovery names, and how updates to that list arrive.
+//! The endpoint list: the hosts that discovery reports, and the kinds of updates to that list.
 
 use crate::time::Nanos;
 use serde::{Deserialize, Serialize};
 
-/// The identity of a host; the module only compares and hashes it.
+/// Identifies a host. The caller assigns it; the balancer only compares and hashes it.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct HostId(pub u64);
 
-/// The state in which discovery lists a host.
+/// The state that discovery reports for a host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HostState {
-    /// Takes new connections.
+    /// The host accepts new connections.
     Ready,
-    /// Finishes what it has and takes nothing new.
+    /// The host serves its open connections but accepts no new ones.
     Draining,
-    /// Is no longer there.
+    /// The host no longer exists.
     #[default]
     Gone,
 }
@@ -22,29 +22,29 @@
 /// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Endpoint {
-    /// Which host this is.
+    /// The identity of the host.
     pub id: HostId,
-    /// The zone that it stands in.
+    /// The zone of the host.
     pub zone: u16,
-    /// The cell (deployment unit) that it belongs to.
+    /// The cell (deployment unit) of the host.
     pub cell: u64,
-    /// Whether it takes connections.
+    /// Whether the host accepts connections.
     pub state: HostState,
-    /// Its capacity relative to other hosts; 0 where none is given.
+    /// The capacity of the host relative to other hosts; 0 where none is given.
     pub size: f64,
-    /// When it started, where discovery reports that.
+    /// When the host started; `None` where discovery does not report it.
     pub started: Option<Nanos>,
 }
 
-/// What kind of update to the endpoint list has arrived.
+/// The kind of an update to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// Only the entries that changed.
+    /// The update holds only the entries that changed.
     Delta,
-    /// The whole list.
+    /// The update holds the whole list.
     Full,
-    /// The whole list as last seen before the start; may be stale.
+    /// The update holds the whole list as it was last seen before the start; it may be stale.
     Cached,
-    /// A poll failed or the watch was lost.
+    /// A poll failed or the watch was lost; the list is unchanged.
     Failed,
 }
--- a/src/endpoint_poller.rs
+++ b/src/endpoint_poller.rs
@@ -1,55 +1,59 @@
-//! When a node polls or watches the endpoint list. It owns the moments of these calls, their spread
-//! over the fleet and the backoff after failures. It must never know what the list says, nor how a
-//! call is made.
+//! Schedules when a node polls or watches the endpoint list: the times of these calls, their spread
+//! over the fleet, and the backoff after failures. It must not depend on the contents of the list,
+//! nor on how a call is made.
 
 use crate::action::Action;
 use crate::endpoint::EndpointUpdate;
 use crate::time::{Nanos, SECOND};
 
-/// Within how long a node that knows no host polls first, and how long it waits after a call that
-/// failed, at the most, whatever the settings allow: nine in ten are to serve within 10 s of their
-/// start.
+/// The maximum delay of the first poll of a node that knows no host, whatever the settings allow.
+/// Nine in ten nodes should serve requests within 10 s of their start.
 const MAX_FIRST_POLL_DELAY: Nanos = 5 * SECOND;
+/// The maximum backoff, before its random spread, of a node that knows no host; for the same
+/// reason.
 const MAX_BACKOFF_WITHOUT_HOSTS: Nanos = 5 * SECOND / 2;
-/// What a backoff starts from, and how many times it doubles.
+/// The backoff before its first doubling.
 const BASE_BACKOFF: Nanos = SECOND / 2;
+/// The maximum number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
 /// A call to discovery that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointCall {
-    /// The whole list once, at once.
+    /// Fetch the whole list once, without waiting for a change.
     Poll,
-    /// Changes from here on.
+    /// Watch the list for changes from now on.
     Watch,
 }
 
-/// What the moments of calls are computed from.
+/// The inputs from which the times of calls are computed.
 #[derive(Clone, Copy)]
 pub struct PollSchedule {
-    /// The longest that the node may neither watch nor poll.
+    /// The maximum time that the node may neither watch nor poll.
     pub max_poll_interval: Nanos,
-    /// Its position in the fleet, from 0 to 1, where that is large.
+    /// The node's position in a large fleet, from 0 to 1; `None` in a small fleet.
     pub position: Option<f64>,
     /// Whether the node knows a ready host.
     pub has_hosts: bool,
 }
 
-/// When a node polls or watches the endpoint list.
+/// The state of a node's calls for the endpoint list.
 #[derive(Default)]
 pub struct EndpointPoller {
     watching: bool,
-    /// When the call in flight was made.
+    /// When the call in flight was made; `None` where no call is in flight.
     called_at: Option<Nanos>,
+    /// Failures in a row since the last list.
     failures: u32,
+    /// The earliest time of the next call.
     next_call: Nanos,
-    /// The node's first poll has been scheduled, and it has had an answer.
     first_poll_scheduled: bool,
+    /// Whether any list has been received.
     has_received: bool,
 }
 
 impl EndpointPoller {
-    /// The call that is due now, if any.
+    /// Returns the call that is due now, if any, and records it as in flight.
     pub fn due_call(&mut self, now: Nanos, schedule: PollSchedule) -> Option<EndpointCall> {
         self.schedule_first_poll(now, schedule);
         let in_flight = self
@@ -67,9 +71,9 @@
         })
     }
 
-    /// Nodes that start together poll in turn, within half of the time in which each has to poll by
-    /// the settings, so that as much is left for retries. Prevents hundreds from calling the
-    /// service at once.
+    /// Spreads the first polls of nodes that start together by their position, over half of the
+    /// maximum poll interval, so that the other half is left for retries. Prevents hundreds of
+    /// nodes from calling the service at once.
     fn schedule_first_poll(&mut self, now: Nanos, schedule: PollSchedule) {
         let first = !std::mem::replace(&mut self.first_poll_scheduled, true);
         let Some(position) = schedule.position else {
@@ -81,16 +85,16 @@
         }
     }
 
-    /// A list has arrived, by the node's own call or unasked; returns how many failures this ends,
-    /// if any.
+    /// Records a list that has arrived, requested or not. Returns the number of failures since the
+    /// last list, or 0 if no call was in flight.
     pub fn received(&mut self, now: Nanos, schedule: PollSchedule) -> u32 {
         let called_at = self.called_at.take();
         let failures = std::mem::take(&mut self.failures);
         let first = !std::mem::replace(&mut self.has_received, true);
         let first_poll = first && !schedule.has_hosts && schedule.position.is_some();
         match called_at.filter(|_| first_poll) {
-            // The watch starts as late as the settings allow. Without this, those who have a list
-            // would take up the service's time while others have none.
+            // The watch starts almost as late as the settings allow. Otherwise nodes that have a
+            // list would take up the service's time while others have none.
             Some(at) => self.next_call = now.max(at + schedule.max_poll_interval / 8 * 7),
             None => self.watching = true,
         }
@@ -101,21 +105,23 @@
         }
     }
 
-    /// A call has failed, or a watch has ended; returns how often that was so since the last list.
+    /// Records that a call failed or a watch ended, and schedules the next call. Returns the number
+    /// of failures since the last list.
     pub fn failed(&mut self, now: Nanos, random: f64, schedule: PollSchedule) -> u32 {
         self.watching = false;
         self.called_at = None;
         self.failures += 1;
-        // Spread and growing, so that the nodes do not overload the one service. Many are as far
-        // apart at once, and call in turn where a watch has ended, as it then has for all.
+        // The backoff is random and grows, so that the nodes do not overload the one service. In a
+        // large fleet it has its full length at once, and after the end of a watch it is spread by
+        // position instead, as the watches of all nodes have probably ended together.
         let doublings = if schedule.position.is_some() {
             MAX_BACKOFF_DOUBLINGS
         } else {
             self.failures.min(MAX_BACKOFF_DOUBLINGS)
         };
         let backoff = (BASE_BACKOFF << doublings).min(schedule.max_poll_interval / 4);
-        // Without this, a node that knows no host, under settings that leave it a minute, would be
-        // of no use for as long.
+        // Without this limit, a node that knows no host could serve nothing for a minute, where the
+        // settings allow a poll interval of that order.
         let backoff = if schedule.has_hosts {
             backoff
         } else {
@@ -127,7 +133,8 @@
         self.failures
     }
 
-    /// An update of the list, or a failure to get one.
+    /// Handles an update of the list or a failure to get one, and logs the loss and the recovery of
+    /// the list.
     pub(crate) fn updated(
         &mut self,
         now: Nanos,
@@ -151,7 +158,7 @@
         }
     }
 
-    /// Makes the call that is due, if any.
+    /// Appends the action for the call that is due, if any.
     pub(crate) fn tick(&mut self, now: Nanos, schedule: PollSchedule, actions: &mut Vec<Action>) {
         let call = self.due_call(now, schedule);
         actions.extend(call.map(|call| match call {
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,4 +1,4 @@
-//! The events that the caller reports to the decision module.
+//! The events that the caller reports to a [`Balancer`](crate::Balancer).
 
 use crate::endpoint::{Endpoint, EndpointUpdate, HostId};
 use crate::inherited_state::InheritedState;
@@ -6,110 +6,115 @@
 use crate::settings::BalancerSettings;
 use crate::time::Nanos;
 
-/// What has happened, as the caller reports it.
+/// An event that the caller reports to the balancer.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An update to the endpoint list has arrived.
     EndpointsUpdated {
-        /// What kind of update.
+        /// Whether the update is partial, complete, cached or a failure.
         kind: EndpointUpdate,
-        /// The endpoints that it names.
+        /// The endpoints that the update names; empty for a failure.
         endpoints: Vec<Endpoint>,
     },
     /// A request has arrived.
     RequestArrived(IncomingRequest),
-    /// A request that another node took and could not bring to its answer.
+    /// A request that another process accepted but did not answer is taken over, with the attempts
+    /// made for it so far.
     RequestTakenOver(IncomingRequest, PriorAttempts),
-    /// A connection that was open before this node started.
+    /// A connection to this host was already open when the node started.
     ConnectionFound(IncomingRequest, HostId),
-    /// A connection that the previous process has handed over, and since when it is open.
+    /// The predecessor has handed over an open connection to this host; the time is when it was
+    /// opened.
     ConnectionHandedOver(IncomingRequest, HostId, Nanos),
-    /// The attempt in flight for a request has become an open connection.
+    /// The attempt in flight for a request has succeeded: its connection is open.
     ConnectionEstablished {
         /// The request.
         id: RequestId,
-        /// How long the set-up took.
+        /// How long the connection set-up took.
         took: Nanos,
     },
-    /// An attempt, or the connection that it became, has ended.
+    /// An attempt, or the connection that resulted from it, has ended.
     AttemptEnded {
         /// The request.
         id: RequestId,
-        /// Which of its attempts, from 0.
+        /// The index of the attempt within the request, from 0.
         attempt: u32,
         /// The host of that attempt.
         host: HostId,
         /// Whether the request has its final answer.
         request_over: bool,
-        /// How it ended.
+        /// How the attempt ended.
         ending: AttemptOutcome,
-        /// The host's load report, where one came with it.
+        /// The host's load report; empty where none came with the end.
         load_metrics: Vec<f64>,
     },
     /// The load of an open connection was measured.
     LoadMeasured {
         /// The request.
         id: RequestId,
-        /// As a share of a core.
+        /// The load, as a share of a core.
         load: f64,
     },
     /// The latency of messages at a host was measured.
     MessageLatency {
-        /// Which host.
+        /// The host.
         host: HostId,
-        /// How long a message took.
+        /// How long the delivery of a message took.
         latency: Nanos,
     },
-    /// The client of a request has closed or cancelled.
+    /// The client of a request has disconnected or cancelled it.
     ClientLeft {
         /// The request.
         id: RequestId,
     },
     /// A timer of [`Action::SetTimer`](crate::Action::SetTimer) has fired.
     TimerFired {
-        /// As given with the action.
+        /// The number given with the action.
         timer: u64,
     },
-    /// This node is asked to stop: new connections come to others after `from`, and its clients are
-    /// to be gone by `by`.
+    /// This node was asked to stop. New connections go to other nodes after `from`, and all clients
+    /// of this node must be gone by `by`.
     ShutdownStarted {
-        /// From when clients may be migrated.
+        /// The time from which clients may be migrated.
         from: Nanos,
-        /// By when all are to be gone.
+        /// The time by which all clients must be gone.
         by: Nanos,
     },
-    /// It is to stay after all, and to work as before.
+    /// The shutdown was cancelled: the node resumes normal operation.
     ShutdownCancelled,
-    /// New settings in place of the old, and the indices of classes that replace others. What is in
-    /// flight goes by its own class, which is still there, and keeps its attempt count.
+    /// New settings replace the old ones; the list holds the indices of classes that are new or
+    /// replace another class. Requests in flight keep their class, which must still be in the new
+    /// settings, and their maximum number of attempts.
     SettingsChanged(Box<BalancerSettings>, Vec<usize>),
-    /// Another process replaces this one: it has this one's state, and takes the clients; or has
-    /// gone again.
+    /// Whether a successor process has this one's state and takes over its clients; `false` when
+    /// the successor is gone again.
     SuccessorChanged(bool),
-    /// What the previous process has learned.
+    /// The predecessor has handed over the state that it had learned.
     StateInherited(Box<InheritedState>),
     /// A probe has ended.
     ProbeEnded {
-        /// Which host was probed.
+        /// The probed host.
         host: HostId,
-        /// How it ended.
+        /// How the probe ended.
         ending: AttemptOutcome,
-        /// The load report.
+        /// The load report; empty where none came.
         load_metrics: Vec<f64>,
     },
-    /// Whose slow-start slots this node may use from now on, and how much of each.
+    /// Replaces the slow-start slots that this node may use: the indices of the nodes that own
+    /// them, and the share of each slot, from 0 to 1.
     SlowStartSlotsAssigned(Vec<(u32, f64)>),
-    /// The hosts that this node is to probe from now on, each in each round.
+    /// Replaces the hosts that this node probes; it probes each of them once in every round.
     ProbeTargetsAssigned(Vec<HostId>),
-    /// Another node's message, as it came.
+    /// A gossip message of another node has arrived.
     GossipReceived {
-        /// The bytes.
+        /// The unvalidated bytes, in the form of [`gossip`](crate::gossip).
         message: Vec<u8>,
     },
 }
 
 impl Event {
-    /// The request that is already known and that the event is about.
+    /// Returns the request that the event is about; `None` for events that introduce a request or
+    /// concern none.
     pub fn request(&self) -> Option<RequestId> {
         match self {
             Event::ConnectionEstablished { id, .. }
@@ -120,7 +125,7 @@
         }
     }
 
-    /// The host that the event names.
+    /// Returns the single host that the event names; `None` where it names none or a list.
     pub fn host(&self) -> Option<HostId> {
         match self {
             Event::ConnectionFound(_, host) | Event::ConnectionHandedOver(_, host, _) => {
--- a/src/gossip_budget.rs
+++ b/src/gossip_budget.rs
@@ -1,17 +1,17 @@
-//! The bytes that a node may gossip: they grow with the attempts it makes.
+//! Limits the gossip that a node sends in proportion to the attempts that it makes.
 
-/// Bytes earned by each attempt, over all receivers.
+/// The bytes that each attempt adds to the budget, over all receivers.
 const BYTES_PER_ATTEMPT: f64 = 512.0;
-/// How many bytes may be saved up.
+/// The maximum of the budget, in bytes.
 const MAX_BYTES: f64 = 16.0 * BYTES_PER_ATTEMPT;
 
-/// The bytes that may still be gossiped, over all receivers.
+/// The number of bytes that the node may still gossip, over all receivers.
 pub(crate) struct GossipBudget {
     bytes: f64,
 }
 
 impl GossipBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new() -> Self {
         GossipBudget { bytes: MAX_BYTES }
     }
--- a/src/gossip_tests.rs
+++ b/src/gossip_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the byte form of gossip messages.
+//! Tests of the encoding of gossip messages.
 
 use super::*;
 
@@ -21,9 +21,9 @@
     assert!(decode(&encode(HostId(7), f64::NAN)).is_some_and(|(_, load)| load == 0.0));
 }
 
-/// Prevents a peer of another build, or foreign bytes, from being taken for loads.
+/// Guards against taking messages of another build, or foreign bytes, for loads.
 #[test]
-fn malformed_bytes_are_no_message() {
+fn malformed_messages_do_not_decode() {
     let good = encode(HostId(9), 0.5);
     let newer = [&[VERSION + 1], &good[1..]].concat();
     let long = [good.as_slice(), &[0; 252]].concat();
--- a/src/intervals.rs
+++ b/src/intervals.rs
@@ -1,16 +1,16 @@
-//! Intervals that several parts of the decision module share.
+//! Intervals that several components of the balancer share.
 
 use crate::time::{Nanos, SECOND};
 
-/// How many steps ahead the load of a connection is predicted.
+/// The number of steps for which the load of a connection is predicted.
 pub(crate) const LOOK_AHEAD_STEPS: u64 = 10;
-/// The length of one such step.
+/// The length of one look-ahead step.
 pub(crate) const LOOK_AHEAD_STEP: Nanos = 3 * SECOND;
-/// The length of all of them.
+/// The length of all look-ahead steps, in nanoseconds.
 pub(crate) const LOOK_AHEAD_NANOS: f64 = (LOOK_AHEAD_STEPS * LOOK_AHEAD_STEP) as f64;
-/// How often the balancer acts without an event from outside.
+/// The interval at which the balancer acts without an event from the caller.
 pub(crate) const TICK_INTERVAL: Nanos = SECOND / 2;
-/// What each tick leaves of a mean that fades.
-pub(crate) const FADE_PER_TICK: f64 = 0.98;
-/// How long a client, or a host that is gone, is remembered.
+/// The factor by which decaying sums and rates are multiplied with every tick.
+pub(crate) const DECAY_PER_TICK: f64 = 0.98;
+/// How long the record of a client, or of a host that is gone, is kept.
 pub(crate) const RECORD_MAX_AGE: Nanos = 3600 * SECOND;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
-//! reedferry decides which host each long-lived connection goes to.
+//! Decides which host each long-lived connection goes to.
 //!
-//! The library takes [`Event`]s in and gives [`Action`]s out. It does no I/O, keeps no clock and
-//! knows no protocol; whoever speaks a protocol translates it to these types. Hosts are chosen in
-//! `balancer`; whether a request may be attempted, repeated or rejected at all is decided in
-//! [`permission`]; the rest is the interface: settings, events and actions.
+//! The caller reports [`Event`]s to a [`Balancer`] and carries out the [`Action`]s that it appends.
+//! The library does no I/O, reads no clock and implements no protocol; the caller translates its
+//! protocol to these types. `balancer` selects hosts. [`permission`] decides whether a request may
+//! be attempted, repeated or rejected at all. The other public items are the settings, events and
+//! actions that form the interface.
 //!
 //! ```
 //! use reedferry::{Action, Balancer, BalancerSettings, Endpoint, EndpointUpdate, Event, HostId};
@@ -23,7 +24,7 @@
 //! assert!(actions.iter().any(|action| matches!(action, Action::StartAttempt { host: HostId(1), .. })));
 //! ```
 
-/// Appends one short line to the log, for a change of mode.
+/// Appends an [`Action::Log`] with the formatted line to the actions.
 macro_rules! log {
     ($actions:expr, $($text:tt)*) => { $actions.push($crate::Action::Log(format!($($text)*))) };
 }
--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -1,25 +1,25 @@
-//! Load shedding: how much of what arrives is rejected because recent connections met late
-//! messages.
+//! Load shedding: computes which share of the arriving requests is rejected because the messages of
+//! recent connections were late.
 
 use crate::action::Action;
-use crate::intervals::FADE_PER_TICK;
+use crate::intervals::DECAY_PER_TICK;
 use crate::time::{Nanos, SECOND};
 
-/// How many connections the rate is blended over.
+/// The number of connections over which the moving mean of the late rate is taken.
 const SAMPLES: f64 = 3.0;
-/// The share of recent connections with late messages from which some requests are rejected.
+/// The share of recent connections with late messages above which requests are rejected.
 const MIN_LATE_RATE: f64 = 0.3;
-/// How fast the share of rejected requests grows beyond that.
+/// The factor from the excess of the late rate to the share of rejected requests.
 const SHED_FACTOR: f64 = 8.0;
-/// For how long a node may reject all that arrives because of late messages.
+/// The maximum time for which a node rejects all requests because of late messages.
 const MAX_REJECTING: Nanos = 2 * SECOND;
 
 /// The state of load shedding.
 #[derive(Default)]
 pub(crate) struct LoadShedding {
-    /// The share of recent connections that met late messages at their host.
+    /// The share of recent connections whose host delivered messages late.
     late_rate: f64,
-    /// Since when all that arrived was rejected for that.
+    /// When the first request was rejected since one was last placed; `None` where none was.
     rejecting_since: Option<Nanos>,
 }
 
@@ -32,20 +32,20 @@
         self.late_rate = late_rate;
     }
 
-    /// Whether so many recent connections met late messages that some requests are rejected.
+    /// Returns whether so many recent connections had late messages that requests are rejected.
     pub fn is_active(&self) -> bool {
         self.late_rate > MIN_LATE_RATE
     }
 
-    /// The share of requests to reject, by how little of the hosts' load this node sees (from 0 to
-    /// 1).
+    /// Returns the share of requests to reject; 1 or more rejects all of them. `unseen_share` is the
+    /// share of the hosts' load that this node does not see, from 0 to 1.
     pub fn rejected_share(&self, unseen_share: f64) -> f64 {
         SHED_FACTOR * unseen_share * (self.late_rate - MIN_LATE_RATE) / (1.0 - MIN_LATE_RATE)
     }
 
-    /// Whether the next request is placed though others are rejected. Prevents a node from
-    /// rejecting all for tens of seconds after its hosts have recovered, as rejected requests never
-    /// show that.
+    /// Returns whether the next request is placed as a trial although shedding is active. Prevents a
+    /// node from rejecting all requests for tens of seconds after its hosts have recovered, because
+    /// rejected requests never reveal the recovery.
     pub fn should_admit_trial(&self, now: Nanos) -> bool {
         self.rejecting_since
             .is_some_and(|since| now >= since + MAX_REJECTING)
@@ -59,7 +59,7 @@
         self.rejecting_since = None;
     }
 
-    /// A connection met late messages, or none, at its host.
+    /// Records whether the host of a connection delivered messages late.
     pub fn latency_observed(&mut self, late: bool, requests: usize, actions: &mut Vec<Action>) {
         let before = self.is_active();
         self.late_rate += (f64::from(u8::from(late)) - self.late_rate) / SAMPLES;
@@ -73,8 +73,9 @@
         }
     }
 
-    /// Without this, a node that rejects nearly all would hear of nothing and go on for ever.
+    /// Decays the late rate. Otherwise a node that rejects nearly all requests would get no new
+    /// observations and go on rejecting forever.
     pub fn tick(&mut self) {
-        self.late_rate *= FADE_PER_TICK;
+        self.late_rate *= DECAY_PER_TICK;
     }
 }
--- a/src/messages.rs
+++ b/src/messages.rs
@@ -1,6 +1,6 @@
-//! The messages that the parts of a balancer send each other while it handles one event. They are
-//! handled in the order in which they are sent, after the event that caused them: so no part sees
-//! another in the middle of a change.
+//! The messages that the components of a balancer exchange while it handles one event. They are
+//! handled in the order in which they were sent, after the event that caused them, so that no
+//! component sees another one in the middle of a change.
 
 use crate::connection::Connection;
 use crate::endpoint::{Endpoint, EndpointUpdate, HostId};
@@ -9,36 +9,36 @@
 use crate::time::Nanos;
 use std::collections::VecDeque;
 
-/// Messages that wait to be handled.
+/// The messages that have not been handled yet, the oldest first.
 pub(crate) type MessageQueue = VecDeque<Message>;
 
-/// A message, by the part that handles it.
+/// A message, by the component that handles it.
 pub(crate) enum Message {
-    /// To the record of one host, by its index.
+    /// For the record of the host with this index.
     Host(usize, HostMessage),
-    /// To the request table and the parts around it.
+    /// For the request table and the components that act on requests.
     Request(RequestMessage),
-    /// To the weight optimizer.
+    /// For the weight optimizer: a placement by the weight vector with this index was evaluated.
     PlacementEvaluated {
         vector: usize,
         load_spread: f64,
         longest_remaining: f64,
     },
-    /// To the connection history.
+    /// For the connection history.
     History(HistoryMessage),
-    /// To the endpoint poller.
+    /// For the endpoint poller.
     Poller(PollerMessage),
 }
 
-/// What happens to one host.
+/// An event at one host.
 pub(crate) enum HostMessage {
     Listed {
         endpoint: Endpoint,
-        /// It is in the first list that this node has received.
+        /// Whether the entry is in the first list that this node has received.
         first_list: bool,
     },
     Unlisted,
-    /// An attempt was started, or an open connection found.
+    /// An attempt was started, or an open connection was found.
     ConnectionAdded(Connection),
     ConnectionEstablished {
         slot: usize,
@@ -48,29 +48,30 @@
         slot: usize,
         outcome: AttemptOutcome,
     },
-    /// Another host has taken a request that this one failed.
+    /// Another host has accepted a request that failed with an error at this one.
     ErrorConfirmed,
     LoadMeasured {
         slot: usize,
         load: f64,
     },
     MessageLatency(Nanos),
-    /// Seconds of queued work.
+    /// The host has reported this many seconds of queued work.
     BacklogReported(f64),
-    /// By the host itself, or in another node's gossip.
+    /// The host itself, or the gossip of another node, has reported the host's load.
     LoadReported {
         load: f64,
         from_gossip: bool,
     },
     SnapshotInherited(Box<HostSnapshot>),
-    /// Slow-start slots have another length, and so other numbers, from now on.
+    /// The length of slow-start slots has changed, and with it the number of the current slot.
     SlotLengthChanged,
-    /// Connections that have been open for a step are evaluated.
+    /// The placements of connections that have been open for a look-ahead step are to be evaluated.
     EvaluatePlacements {
         mean_load: f64,
     },
+    /// A probe of the host is due.
     Probe,
-    /// Whether this node is to probe it.
+    /// Whether this node probes the host from now on.
     ProbeAssigned(bool),
     Tick {
         mean_load: f64,
@@ -78,13 +79,14 @@
     },
 }
 
-/// What happens to requests, and to the node as a whole.
+/// An event at a request or at the node as a whole.
 pub(crate) enum RequestMessage {
     Arrived(IncomingRequest),
     TakenOver {
         incoming: IncomingRequest,
         attempts: u32,
-        /// The host of the first attempt that may have run, and when that was sent.
+        /// The index of the host of the first attempt that may have run, and when that attempt was
+        /// sent.
         may_have_run: Option<(usize, Nanos)>,
         tried_hosts: Vec<usize>,
     },
@@ -104,15 +106,16 @@
     ClientLeft {
         slot: usize,
     },
-    /// The client of an open connection is to be sent to another host or node.
+    /// An open connection is to be closed so that its client reconnects to another host or node.
     Migrate {
         slot: usize,
     },
-    /// A connection has met late messages at its host, or none in its first step.
+    /// The host of a connection delivered messages late, or in time, when the connection was
+    /// migrated or its placement was evaluated.
     LatencyObserved {
         late: bool,
     },
-    /// Gossip of that many bytes, over all receivers, was sent.
+    /// Gossip was sent; `bytes` is the total over all receivers.
     GossipSent {
         bytes: f64,
     },
@@ -127,7 +130,7 @@
     Tick,
 }
 
-/// Updates of the connection history.
+/// An update of the connection history.
 pub(crate) enum HistoryMessage {
     ConnectionEnded {
         key: Option<u64>,
@@ -156,7 +159,7 @@
     },
 }
 
-/// Updates of the endpoint poller.
+/// An update of the endpoint poller.
 pub(crate) enum PollerMessage {
     Updated(EndpointUpdate),
     Tick,
--- a/src/permission.rs
+++ b/src/permission.rs
@@ -1,46 +1,48 @@
-//! Permission: the one place that decides whether a request may be attempted, repeated or rejected
-//! now.
+//! Decides whether a request may be attempted, repeated or rejected now. No other module decides
+//! this.
 //!
-//! Everything here is a pure function of what is known of the request, the terms of its class and
-//! the caller's clock. The balancer asks when it chooses a host, a forwarder when a planner is
-//! silent, and the socket layer once more right before the first byte of an attempt, as the clock
-//! and the world have moved on in between. A refusal names its reason, which the caller counts and
-//! logs.
+//! Every function here is pure: its result depends only on the state of the request, its class and
+//! the caller's clock. The balancer calls them when it selects a host, and a forwarder when a
+//! planner does not answer. The socket layer checks again right before it writes the first byte of
+//! an attempt, because time has passed and the endpoint list may have changed since. A refusal
+//! names its reason, which the caller counts and logs.
 
 use crate::{Endpoint, Idempotency, IdempotencyGroup, Nanos, RequestClass, MILLI};
 
-/// How long a process may stall between reading its clock and writing. The grace of a draining host
-/// has to cover it.
+/// The longest time that a process may stall between reading its clock and writing to a socket.
+/// The grace period of a draining host has to cover it.
 pub const MAX_STALL: Nanos = 150 * MILLI;
 
-/// What part of the time it had a request is answered before its deadline at the latest, and the
-/// most of that: a busy machine wakes a process late.
-const RESERVED_PART: Nanos = 20;
+/// A request is answered before its deadline by at least its time left on arrival divided by this
+/// number, because a busy machine wakes a process late.
+const RESERVE_DIVISOR: Nanos = 20;
+/// The maximum of that reserve.
 const MAX_RESERVE: Nanos = 50 * MILLI;
 
-/// Why an attempt may not begin, or not go on, now.
+/// The reason why an attempt may not start or continue now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Refusal {
-    /// The deadline of the request is over.
+    /// The deadline of the request has passed.
     Expired,
-    /// Its client has closed or cancelled.
+    /// The client has disconnected or cancelled.
     ClientGone,
-    /// It is not idempotent, and an earlier attempt may have run.
+    /// The request is not idempotent, and an earlier attempt may have run.
     MayHaveRun,
-    /// It has an idempotency key, and the window in which repeats are dropped is over.
+    /// The request has an idempotency key, and the window in which repeats are dropped has passed.
     OutsideWindow,
-    /// It has an idempotency key, and the host is not in the group that drops its repeats.
+    /// The request has an idempotency key, and the host is outside the group that drops its
+    /// repeats.
     OutsideGroup,
-    /// The host is draining or gone, and the grace is over.
+    /// The host is draining or gone, and the grace period has passed.
     HostDraining,
-    /// The host has been listed at another address since it was chosen.
+    /// The address of the host in the endpoint list has changed since the host was selected.
     HostAddressChanged,
-    /// The endpoint list may be stale: a host may be draining without this node knowing it.
+    /// The endpoint list may be stale, so the host may be draining without this node knowing it.
     EndpointsStale,
 }
 
 impl Refusal {
-    /// Its name in log lines and metrics.
+    /// Returns the name of the reason in log lines and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Refusal::Expired => "expired",
@@ -55,41 +57,43 @@
     }
 }
 
-/// What the socket layer knows at the moment in which an attempt would begin.
+/// The state that the socket layer knows at the moment when an attempt would start.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptStart {
-    /// The time.
+    /// The current time.
     pub now: Nanos,
-    /// By when the request has to be answered, as far as this attempt goes.
+    /// The time before which this attempt has to be answered, exclusive.
     pub deadline: Nanos,
-    /// By when the last byte of the attempt has to be written: see [`repeat_deadline`].
+    /// The time by which the last byte of the attempt has to be written, inclusive; see
+    /// [`repeat_deadline`].
     pub not_after: Nanos,
     /// Whether the client still waits.
     pub client_waits: bool,
-    /// Since when the host is listed as draining or gone.
+    /// Since when the host is listed as draining or gone; `None` where it is neither.
     pub draining_since: Option<Nanos>,
-    /// The grace for draining hosts, as the settings give it.
+    /// The grace period for draining hosts, from the settings.
     pub drain_grace: Nanos,
-    /// Whether the endpoint list may be stale, so that a drain may be in force that this node does
-    /// not know of.
+    /// Whether the endpoint list may be stale, so that the host may be draining without this node
+    /// knowing it.
     pub endpoints_stale: bool,
-    /// Whether its host has been listed at another address since it was chosen.
+    /// Whether the address of the host in the endpoint list has changed since the host was
+    /// selected.
     pub host_address_changed: bool,
-    /// Whether it may repeat one that ran, and its host has been listed in another group since it
-    /// was chosen.
+    /// Whether the attempt may repeat one that ran, and the host has been listed in another zone or
+    /// cell since it was selected.
     pub group_changed: bool,
 }
 
-/// The part of the grace for draining hosts in which an attempt may still begin: what is left of it
-/// after a stall of the process; half of it where it is shorter than twice that.
+/// Returns the part of the grace period of a draining host in which an attempt may still start: the
+/// period less [`MAX_STALL`], but at least half of it.
 pub fn usable_grace(drain_grace: Nanos) -> Nanos {
     drain_grace.saturating_sub(MAX_STALL).max(drain_grace / 2)
 }
 
-/// Whether the first byte of an attempt may be written.
+/// Checks whether the first byte of an attempt may be written.
 ///
 /// # Errors
-/// The first reason that forbids it.
+/// Returns the first reason that forbids it.
 pub fn may_start(at: &AttemptStart) -> Result<(), Refusal> {
     if !at.client_waits {
         return Err(Refusal::ClientGone);
@@ -116,19 +120,19 @@
     may_continue(at.now, at.not_after)
 }
 
-/// When a request that has had no success gets its final answer at the latest: early enough before
-/// its deadline for two messages that take a `round` each, and for a process that is woken late.
-/// `time_left` is what it had when it arrived.
-pub fn answer_by(deadline: Nanos, time_left: Nanos, round: Nanos) -> Nanos {
-    let reserve = (time_left / RESERVED_PART).min(MAX_RESERVE);
-    deadline.saturating_sub(reserve.max(2 * round))
+/// Returns the latest time at which a request that no host has served gets its final answer. It is
+/// far enough before the deadline for two messages that take a `call_interval` each, and for a
+/// process that is woken late. `time_left` is the time that the request had left on arrival.
+pub fn answer_by(deadline: Nanos, time_left: Nanos, call_interval: Nanos) -> Nanos {
+    let reserve = (time_left / RESERVE_DIVISOR).min(MAX_RESERVE);
+    deadline.saturating_sub(reserve.max(2 * call_interval))
 }
 
-/// Whether what is left of an attempt that has begun may still be written: a repeat counts by its
-/// last byte.
+/// Checks whether the rest of a started attempt may still be written. The time at which a repeat is
+/// sent is that of its last byte.
 ///
 /// # Errors
-/// [`Refusal::OutsideWindow`] once it may not.
+/// Returns [`Refusal::OutsideWindow`] once `now` is past `not_after`.
 pub fn may_continue(now: Nanos, not_after: Nanos) -> Result<(), Refusal> {
     if now > not_after {
         return Err(Refusal::OutsideWindow);
@@ -136,8 +140,9 @@
     Ok(())
 }
 
-/// The latest moment at which an attempt may be written, where the first one that may have run was
-/// sent at `first_sent`; there is no such limit where no attempt can have run.
+/// Returns the latest time at which an attempt may be written, where the first attempt that may
+/// have run was sent at `first_sent`. Returns 0 where no repeat is allowed, and [`Nanos::MAX`]
+/// where there is no limit.
 pub fn repeat_deadline(class: &RequestClass, first_sent: Option<Nanos>) -> Nanos {
     match (class.idempotency, first_sent) {
         (Idempotency::NonIdempotent, Some(_)) => 0,
@@ -146,11 +151,11 @@
     }
 }
 
-/// Whether there may be another attempt anywhere, where the first one that may have run was sent at
-/// `first_sent`.
+/// Checks whether another attempt may be made at any host, where the first attempt that may have
+/// run was sent at `first_sent`.
 ///
 /// # Errors
-/// Why there may be none.
+/// Returns [`Refusal::MayHaveRun`] or [`Refusal::OutsideWindow`].
 pub fn may_repeat(
     class: &RequestClass,
     first_sent: Option<Nanos>,
@@ -165,10 +170,10 @@
     })
 }
 
-/// Whether `other` may be sent the repeat of a request whose first attempt may have run at `first`.
+/// Checks whether a request whose first attempt may have run at `first` may be repeated at `other`.
 ///
 /// # Errors
-/// [`Refusal::OutsideGroup`] where it would not be dropped there.
+/// Returns [`Refusal::OutsideGroup`] where `other` would not drop the repeat.
 pub fn may_repeat_at(
     class: &RequestClass,
     first: Option<&Endpoint>,
@@ -189,7 +194,8 @@
     }
 }
 
-/// Whether the request may be rejected: a retry by the client does no harm.
+/// Returns whether the request may be rejected, which invites the client to retry: a retry must do
+/// no harm.
 pub fn may_reject(class: &RequestClass, may_have_run: bool) -> bool {
     match class.idempotency {
         Idempotency::Idempotent => true,
--- a/src/permission_tests.rs
+++ b/src/permission_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of when a request may be attempted, repeated and rejected.
+//! Tests of the conditions under which a request may be attempted, repeated and rejected.
 
 use super::*;
 use crate::SECOND;
@@ -26,7 +26,7 @@
     }
 }
 
-/// Conditions that forbid an attempt, and why.
+/// Returns states that forbid an attempt, each with the expected refusal.
 fn forbidden() -> [(AttemptStart, Refusal); 7] {
     let now = allowed().now;
     let mut cases = [
@@ -49,10 +49,10 @@
 }
 
 #[test]
-fn an_attempt_begins_only_while_every_condition_holds() {
+fn an_attempt_starts_only_while_every_condition_holds() {
     assert_eq!(may_start(&allowed()), Ok(()));
-    for (beginning, refusal) in forbidden() {
-        assert_eq!(may_start(&beginning), Err(refusal));
+    for (start, refusal) in forbidden() {
+        assert_eq!(may_start(&start), Err(refusal));
     }
     let last_moment = AttemptStart {
         not_after: allowed().now,
@@ -61,10 +61,10 @@
     assert_eq!(may_start(&last_moment), Ok(()));
 }
 
-/// Prevents a request from being written after the grace, by a process that stalls after it was
-/// allowed in the last moment.
+/// Guards against a request that is written after the grace period of a draining host, because it
+/// was permitted at the last moment and the process stalled before it wrote.
 #[test]
-fn the_grace_covers_a_process_that_stalls_before_it_writes() {
+fn the_grace_period_covers_a_process_that_stalls_before_it_writes() {
     for grace in [100 * MILLI, 300 * MILLI, 500 * MILLI, SECOND] {
         let usable = usable_grace(grace);
         assert!(usable >= grace / 2);
@@ -78,11 +78,11 @@
         draining_since: Some(now - 150 * MILLI),
         ..allowed()
     };
-    assert_eq!(may_start(&last), Ok(()), "within what is left of the grace");
+    assert_eq!(may_start(&last), Ok(()), "within the usable grace period");
 }
 
 #[test]
-fn an_attempt_that_may_have_run_restricts_each_kind_of_idempotency_in_its_own_way() {
+fn an_attempt_that_may_have_run_restricts_repeats_by_idempotency() {
     for idempotency_group in [
         IdempotencyGroup::All,
         IdempotencyGroup::Zone,
@@ -124,7 +124,7 @@
     };
     let (same_zone, same_cell) = (Endpoint { cell: 5, ..first }, Endpoint { zone: 2, ..first });
     let elsewhere = Err(Refusal::OutsideGroup);
-    for (idempotency_group, other, wanted) in [
+    for (idempotency_group, other, expected) in [
         (IdempotencyGroup::All, same_zone, Ok(())),
         (IdempotencyGroup::Zone, same_zone, Ok(())),
         (IdempotencyGroup::Zone, same_cell, elsewhere),
@@ -137,7 +137,7 @@
                 Some(&first),
                 &other
             ),
-            wanted
+            expected
         );
         assert_eq!(
             may_repeat_at(
@@ -158,19 +158,20 @@
     }
 }
 
-/// Without this, requests with little time would get no attempt, and a process woken 70 ms late
-/// would answer too late.
+/// Guards against a reserve so large that requests with little time get no attempt, and so small
+/// that a process woken 70 ms late answers after the deadline.
 #[test]
-fn the_reserve_before_a_deadline_grows_with_the_time_there_was_and_is_bounded() {
+fn the_reserve_before_a_deadline_grows_with_the_time_left_and_is_bounded() {
     let deadline = 100 * SECOND;
-    let reserve = |time_left, round| deadline - answer_by(deadline, time_left, round);
+    let reserve =
+        |time_left, call_interval| deadline - answer_by(deadline, time_left, call_interval);
     assert_eq!(reserve(2 * SECOND, 4 * MILLI), 50 * MILLI);
     assert_eq!(reserve(30 * SECOND, 4 * MILLI), 50 * MILLI);
     assert_eq!(reserve(300 * MILLI, 4 * MILLI), 15 * MILLI);
     assert_eq!(
         reserve(20 * MILLI, 4 * MILLI),
         8 * MILLI,
-        "two messages at the least"
+        "at least two messages"
     );
     assert_eq!(answer_by(MILLI, SECOND, 4 * MILLI), 0);
 }
--- a/src/recent_setups.rs
+++ b/src/recent_setups.rs
@@ -1,40 +1,42 @@
-//! How long the last connection set-ups took, whatever the host: where they all took longer than a
-//! request has left, what set-ups share, such as a session store, is too slow for it.
+//! The duration of the last connection set-ups, over all hosts. Where they all took longer than a
+//! request has left, a resource that all set-ups share, such as a session store, is too slow for
+//! that request.
 
 use crate::endpoint::HostId;
 use crate::time::{Nanos, SECOND};
 use std::collections::VecDeque;
 
-/// How many set-ups have to agree.
+/// The number of set-ups that are kept and needed for an estimate.
 const SAMPLES: usize = 2;
-/// How long a set-up counts.
+/// The age beyond which the oldest set-up makes the estimate void.
 const MAX_AGE: Nanos = 8 * SECOND;
 
-/// By what part of its time-out a set-up is taken to last longer at the least.
-const BEYOND_TIMEOUT_PART: Nanos = 4;
+/// The divisor of a set-up's time-out that gives the least time by which it would have exceeded
+/// that time-out.
+const BEYOND_TIMEOUT_DIVISOR: Nanos = 4;
 
-/// One set-up that succeeded, or timed out.
+/// A set-up that succeeded or timed out.
 struct Setup {
     host: HostId,
-    /// How long it took, or would have taken at the least.
+    /// How long the set-up took; for one that timed out, the least that it would have taken.
     took: Nanos,
     ended_at: Nanos,
 }
 
-/// The last set-ups, the oldest first.
+/// The last [`SAMPLES`] set-ups, the oldest first.
 #[derive(Default)]
 pub(crate) struct RecentSetups(VecDeque<Setup>);
 
 impl RecentSetups {
-    /// A set-up at this host took so long, or timed out after that time.
+    /// Records a set-up at this host that succeeded or timed out after this time.
     pub fn setup_ended(&mut self, host: HostId, took: Nanos, timed_out: bool, now: Nanos) {
         if self.0.len() >= SAMPLES {
             self.0.pop_front();
         }
-        // Without this, a request that has a moment more than the last one would seem to have
-        // enough.
+        // Without this surcharge, a request with slightly more time left than the time-out would
+        // seem to have enough.
         let beyond_timeout = if timed_out {
-            took / BEYOND_TIMEOUT_PART
+            took / BEYOND_TIMEOUT_DIVISOR
         } else {
             0
         };
@@ -45,8 +47,8 @@
         });
     }
 
-    /// The least that a set-up takes at any host now, where several hosts have shown it lately:
-    /// one that hangs shows nothing of the others.
+    /// Returns the least time that a set-up takes at any host now. `None` unless the recent set-ups
+    /// are from several hosts, because a single hanging host says nothing about the others.
     pub fn shortest(&self, now: Nanos) -> Option<Nanos> {
         let oldest = self.0.front().filter(|_| self.0.len() >= SAMPLES)?;
         let is_recent = now < oldest.ended_at + MAX_AGE;
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,69 +1,72 @@
-//! Requests for a long-lived connection, the attempts made for them, and how attempts end.
+//! Requests for long-lived connections, the attempts made for them, and how attempts end.
 
 use crate::endpoint::HostId;
 use crate::time::Nanos;
 
-/// The identity of a request; returned to the caller untouched.
+/// Identifies a request. The caller assigns it; the balancer only compares and hashes it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RequestId(pub u64);
 
-/// A request for a connection, as it arrives.
+/// A request for a connection, as the caller reports it on arrival.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IncomingRequest {
-    /// Which request this is.
+    /// The identity of the request.
     pub id: RequestId,
-    /// Index into [`BalancerSettings::classes`](crate::BalancerSettings::classes).
+    /// The index of the request's class in
+    /// [`BalancerSettings::classes`](crate::BalancerSettings::classes).
     pub class: usize,
-    /// The client's key, by which its history is found.
+    /// The key under which the client's past connections are recorded; `None` where it is unknown.
     pub key: Option<u64>,
-    /// The group whose members are best placed on the same host.
+    /// The group whose members are best placed on the same host; `None` where it has none.
     pub group: Option<u64>,
     /// How long the client still waits for an answer.
     pub time_left: Nanos,
-    /// Its usual load, as a share of a core.
+    /// The load that its connection usually has, as a share of a core; `None` where it is unknown.
     pub usual_load: Option<f64>,
-    /// Already open, and now arriving at this node in mid-stream.
+    /// Whether the connection is already open and its packets now reach this node in mid-stream.
     pub mid_stream: bool,
 }
 
-/// What was attempted for a request before this node took it over.
+/// The attempts made for a request before this node took it over.
 #[derive(Clone, Debug, Default)]
 pub struct PriorAttempts {
-    /// How many attempts there were.
+    /// The number of attempts.
     pub attempts: u32,
-    /// The host of the first attempt that may have run, and when that was sent.
+    /// The host of the first attempt that may have run, and when that attempt was sent; `None`
+    /// where no attempt can have run.
     pub may_have_run: Option<(HostId, Nanos)>,
-    /// The hosts that were tried.
+    /// The hosts to which attempts were made.
     pub tried_hosts: Vec<HostId>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The connection was closed in good order.
+    /// The connection was closed in an orderly way.
     Completed,
     /// The host answered with an error.
     Error,
-    /// The host refused to take it.
+    /// The host refused the request without running it.
     Rejected,
-    /// No answer came in time.
+    /// The host did not answer in time.
     TimedOut,
     /// The connection to the host could not be opened.
     ConnectFailed,
     /// The connection to the host broke.
     ConnectionLost,
-    /// This node cancelled it.
+    /// This node cancelled the attempt or closed the connection.
     Cancelled,
-    /// It ended before anything was written.
+    /// The attempt ended before any byte was written.
     NeverSent,
-    /// This machine had no route to the host: its own fault, or the host's where that lasts.
+    /// This machine had no route to the host. The machine is at fault, unless this persists: then
+    /// the host is.
     NoRoute,
-    /// It goes on in another process.
+    /// The attempt or connection continues in another process.
     HandedOver,
 }
 
 impl AttemptOutcome {
-    /// Its name in log lines and metrics.
+    /// Returns the name of the outcome in log lines and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             AttemptOutcome::Completed => "done",
@@ -79,7 +82,7 @@
         }
     }
 
-    /// Whether this outcome proves that the attempt never ran.
+    /// Returns whether the outcome proves that the host never ran the attempt.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
--- a/src/request_table.rs
+++ b/src/request_table.rs
@@ -1,5 +1,5 @@
-//! The requests that this node has not yet brought to their end. It owns their records and the
-//! slots that these take. It must never choose a host.
+//! The requests that are not over yet: those without a final answer, and those whose connection is
+//! open. The module owns their records and the slots that these occupy. It does not select hosts.
 
 use crate::endpoint::Endpoint;
 use crate::request::{AttemptOutcome, IncomingRequest, RequestId};
@@ -10,41 +10,43 @@
 /// The first attempt of a request that may have run.
 #[derive(Clone, Copy)]
 pub(crate) struct FirstRun {
-    /// The index of its host.
+    /// The index of the attempt's host.
     pub host: usize,
-    /// How that host was listed when the attempt was sent.
+    /// The host's entry in the endpoint list when the attempt was sent.
     pub endpoint: Endpoint,
     pub sent_at: Nanos,
 }
 
-/// A request, its attempts, and the connection that one of them has become.
+/// A request, with its attempts and the connection that resulted from one of them.
 #[derive(Default)]
 pub(crate) struct Request {
     pub id: RequestId,
     pub incoming: IncomingRequest,
     pub deadline: Nanos,
     pub attempts: u32,
-    /// How many it may have, by the settings under which it arrived.
+    /// The maximum number of attempts, from the settings that were in force on arrival.
     pub max_attempts: u32,
-    /// The host of the attempt in flight, or of the open connection.
+    /// The index of the host of the attempt in flight or the open connection.
     pub host: Option<usize>,
     pub established: bool,
-    /// It has its final answer.
+    /// Whether the request has its final answer or its client has left.
     pub answered: bool,
-    /// Its client has been asked to reconnect elsewhere.
+    /// Whether the client has been asked to reconnect elsewhere.
     pub migrating: bool,
     pub first_run: Option<FirstRun>,
-    /// When the last attempt was sent, and how its host was listed then.
+    /// When the last attempt was sent; on arrival, the time of arrival.
     pub sent_at: Nanos,
+    /// The entry in the endpoint list of the last attempt's host when it was sent.
     pub sent_to: Endpoint,
     pub tried_hosts: Vec<usize>,
-    /// Attempts that ended with an error, and the last host where one did.
+    /// The number of attempts that ended with an error.
     pub errors: u32,
+    /// The index of the host of the last attempt that ended with an error.
     pub error_host: Option<usize>,
 }
 
 impl Request {
-    /// An attempt was sent to the host with this index.
+    /// Records an attempt that was sent to the host with this index.
     pub fn attempt_started(&mut self, host: usize, endpoint: Endpoint, now: Nanos) {
         self.attempts += 1;
         self.host = Some(host);
@@ -52,7 +54,7 @@
         self.sent_to = endpoint;
     }
 
-    /// The attempt at this host has ended, and the request has no answer yet.
+    /// Records that the attempt at this host has ended and the request has no answer yet.
     pub fn attempt_failed(&mut self, host: usize, outcome: AttemptOutcome) {
         self.tried_hosts.push(host);
         if outcome == AttemptOutcome::Error {
@@ -69,7 +71,7 @@
     }
 }
 
-/// All open requests, by slot and by id.
+/// All requests that are not over, by slot and by id.
 #[derive(Default)]
 pub(crate) struct RequestTable {
     slots: Vec<Option<Request>>,
@@ -78,7 +80,7 @@
 }
 
 impl RequestTable {
-    /// How many requests are open.
+    /// Returns the number of requests that are not over.
     pub fn len(&self) -> usize {
         self.slot_by_id.len()
     }
@@ -95,7 +97,7 @@
         self.slots[slot].as_mut()
     }
 
-    /// The slots of open connections whose clients have not been asked to reconnect.
+    /// Returns the slots of open connections whose clients have not been asked to reconnect.
     pub fn connected_slots(&self) -> Vec<usize> {
         let connected = |slot: &usize| {
             self.get(*slot)
@@ -104,7 +106,8 @@
         (0..self.slots.len()).filter(connected).collect()
     }
 
-    /// Adds a request that has arrived, under these settings, and returns its slot.
+    /// Adds a request that has arrived and returns its slot. A class index out of range is replaced
+    /// by that of the last class.
     pub fn insert(
         &mut self,
         now: Nanos,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,5 @@
-//! The settings of one balancer: request classes, limits, and what the deployment allows.
+//! The settings of one balancer: request classes, limits, and the features that the deployment
+//! allows.
 
 use crate::time::{Nanos, MILLI, SECOND};
 use serde::{Deserialize, Serialize};
@@ -6,48 +7,49 @@
 /// Whether a request may be repeated after an attempt that may have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Idempotency {
-    /// A repeat does no harm.
+    /// The request may be repeated at any host.
     #[default]
     Idempotent,
-    /// Carries an idempotency key: hosts of its [`IdempotencyGroup`] drop repeats.
+    /// The request carries an idempotency key, by which the hosts of its [`IdempotencyGroup`] drop
+    /// repeats.
     WithKey,
-    /// Must never run twice.
+    /// The request must never run twice.
     NonIdempotent,
 }
 
-/// Which hosts drop each other's repeats of a request with an idempotency key.
+/// The hosts that share idempotency keys and so drop repeats of each other's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum IdempotencyGroup {
-    /// All hosts.
+    /// All hosts share keys.
     #[default]
     All,
-    /// Hosts of the same zone.
+    /// Hosts of the same zone share keys.
     Zone,
-    /// Hosts of the same cell.
+    /// Hosts of the same cell share keys.
     Cell,
 }
 
 /// A class of requests with the same guarantees and objectives.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestClass {
-    /// Whether its requests may be repeated.
+    /// Whether requests of the class may be repeated.
     pub idempotency: Idempotency,
-    /// Which hosts drop repeats of a request with a key.
+    /// The hosts that drop repeats of a request with an idempotency key.
     pub idempotency_group: IdempotencyGroup,
     /// How long that group remembers an idempotency key.
     pub idempotency_window: Nanos,
-    /// The priority of its requests relative to other classes.
+    /// The priority of the class relative to other classes.
     pub priority_weight: f64,
-    /// Within what time a connection is to be set up.
+    /// The time within which a connection should be set up.
     pub latency_objective: Nanos,
-    /// Within what time a message on the open connection is to be delivered.
+    /// The time within which a message on an open connection should be delivered.
     pub message_latency_objective: Nanos,
-    /// Whether more of its requests may arrive; if not, some may still be in flight.
+    /// Whether new requests of the class may arrive; if not, some may still be in flight.
     pub active: bool,
 }
 
 impl RequestClass {
-    /// Whether both mean the same, active or not.
+    /// Returns whether both classes are equal in all fields except `active`.
     pub fn equals_ignoring_active(&self, other: &RequestClass) -> bool {
         *self
             == RequestClass {
@@ -71,7 +73,7 @@
     }
 }
 
-/// What a value of a load report measures.
+/// The quantity that a value of a load report measures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadMetric {
     /// Demanded load over capacity.
@@ -80,47 +82,48 @@
     Utilization,
     /// Seconds of queued work.
     Backlog,
-    /// Anything that the module has no use for.
+    /// Any other quantity; the balancer ignores it.
     Other,
 }
 
 /// The settings under which a balancer decides.
 #[derive(Clone, Debug)]
 pub struct BalancerSettings {
-    /// This node's number in the fleet, from 0.
+    /// The index of this node in the fleet, from 0.
     pub node_index: u32,
-    /// How many nodes the fleet has.
+    /// The number of nodes in the fleet.
     pub node_count: u32,
-    /// The zone that this node stands in.
+    /// The zone of this node.
     pub zone: u16,
-    /// It decides for many nodes, and leaves no host to others.
+    /// Whether this balancer decides for many nodes; it then uses all hosts instead of a subset.
     pub centralized: bool,
-    /// The least time between two calls of the module.
+    /// The minimum time between two calls of the balancer.
     pub min_call_interval: Nanos,
     /// The request classes; a request names its class by index.
     pub classes: Vec<RequestClass>,
-    /// How many attempts a request may have.
+    /// The maximum number of attempts for a request.
     pub max_attempts: u32,
-    /// The longest time that any client waits for its answer.
+    /// The maximum time that any client waits for its answer.
     pub max_request_timeout: Nanos,
     /// Whether an attempt in flight may be cancelled.
     pub may_cancel: bool,
-    /// The longest Retry-After that a client respects; 0 where it is not passed on.
+    /// The longest Retry-After that a client respects; 0 where clients do not receive it.
     pub max_retry_after: Nanos,
-    /// The endpoint list arrives only when it is asked for.
+    /// Whether the endpoint list arrives only when the balancer requests it.
     pub endpoints_are_polled: bool,
-    /// The longest that a node may neither watch nor poll the endpoint list.
+    /// The maximum time that a node may neither watch nor poll the endpoint list.
     pub max_poll_interval: Nanos,
     /// How long a host takes to reach its full capacity after its start.
     pub warm_up: Nanos,
-    /// The share of its capacity that a host has at its start.
+    /// The share of its capacity that a host has at its start, from 0 to 1.
     pub warm_up_initial_share: f64,
-    /// By how much more than its share a warming host may be sent within a window before it is
-    /// overloaded.
+    /// The multiple of its share of the load that a warming host may receive within an overload
+    /// window before it counts as overloaded.
     pub overload_factor: f64,
-    /// The window within which that is measured.
+    /// The length of the overload window.
     pub overload_window: Nanos,
-    /// Packets flow through this node: a connection may reach another node in mid-stream.
+    /// Whether packets flow through this node, so that a connection may reach another node in
+    /// mid-stream.
     pub passthrough: bool,
     /// Whether members of a group are best placed on the same host.
     pub groups_enabled: bool,
@@ -128,24 +131,25 @@
     pub cross_zone_cost: f64,
     /// The cost of migrating a connection.
     pub migration_cost: f64,
-    /// What the values of a load report measure, in their order.
+    /// The quantities that the values of a load report measure, in the order of the report.
     pub load_metrics: Vec<LoadMetric>,
-    /// Load reports come only by probes, and probes are allowed.
+    /// Whether probes are allowed; they are then the only source of load reports.
     pub load_from_probes: bool,
-    /// Nodes may gossip.
+    /// Whether nodes may gossip.
     pub gossip_enabled: bool,
-    /// Whose slow-start slots this node may use, and how much of each; its own alone where none are
-    /// assigned.
+    /// The slow-start slots that this node may use: the indices of the nodes that own them, and the
+    /// share of each slot, from 0 to 1. An empty list stands for the whole of the node's own slots.
     pub slow_start_slots: Vec<(u32, f64)>,
 }
 
 impl BalancerSettings {
-    /// The classes of which more requests may arrive.
+    /// Returns the classes of which new requests may arrive.
     pub fn active(&self) -> impl Iterator<Item = &RequestClass> {
         self.classes.iter().filter(|class| class.active)
     }
 
-    /// The shortest message latency objective of any active class.
+    /// Returns the shortest message latency objective of all active classes; one second where none
+    /// is active.
     pub fn shortest_message_latency_objective(&self) -> Nanos {
         self.active()
             .map(|class| class.message_latency_objective)
--- a/src/setup_failures.rs
+++ b/src/setup_failures.rs
@@ -1,18 +1,18 @@
-//! How often connection set-ups fail, whatever the host: where most do, the cause is what all
-//! set-ups share, such as a session store, and no single host is to blame.
+//! The failure rate of connection set-ups over all hosts. Where it is high, the cause is a resource
+//! that all set-ups share, such as a session store, and no single host is at fault.
 
 use crate::action::Action;
 
-/// How many set-ups the rate is blended over.
+/// The number of set-ups over which the moving mean of the rate is taken.
 const SAMPLES: f64 = 8.0;
-/// The rate from which the cause is common.
+/// The rate above which failures are common, and so have a shared cause.
 const COMMON_RATE: f64 = 0.3;
 
 /// The share of recent set-ups that failed.
 #[derive(Default)]
 pub(crate) struct SetupFailures {
     rate: f64,
-    /// The host of the last set-up that failed.
+    /// The index of the host of the last set-up that failed.
     last_failed_host: Option<usize>,
 }
 
@@ -25,7 +25,7 @@
         self.rate = rate;
     }
 
-    /// Whether set-ups fail so often that no single host can be to blame.
+    /// Returns whether set-ups fail so often that no single host can be at fault.
     pub fn are_common(&self) -> bool {
         self.rate > COMMON_RATE
     }
@@ -34,8 +34,9 @@
         self.record(0.0, requests, actions);
     }
 
-    /// What one host alone fails is its own fault. Without this, one that fails fast, and so draws
-    /// clients, would be taken for a store that fails, and left in use.
+    /// Records a failed set-up, unless the previous failure was at the same host: failures of one
+    /// host alone are its own fault. Without this exception, a host that fails fast, and so attracts
+    /// clients, would be mistaken for a failing session store and stay in use.
     pub fn setup_failed(
         &mut self,
         host: Option<usize>,
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,6 +1,6 @@
-//! Time as the decision module sees it: whole nanoseconds on the caller's clock.
+//! The time type of the library and its units.
 
-/// Whole nanoseconds, on the caller's clock.
+/// A time on the caller's clock, or a duration, in whole nanoseconds.
 pub type Nanos = u64;
 /// One millisecond.
 pub const MILLI: Nanos = 1_000_000;
--- a/src/weight_optimizer.rs
+++ b/src/weight_optimizer.rs
@@ -1,27 +1,35 @@
-//! The weights of the host score: four vectors are used in turn, each is evaluated by the
-//! placements made with it, and one that another dominates is replaced by an offspring of the rest.
-//! It must never choose a host.
+//! Optimizes the weights of the host score by an evolutionary algorithm. Four weight vectors are
+//! used in turn, each is evaluated by the placements made with it, and one that another dominates is
+//! replaced by the offspring of two others. The module does not select hosts.
 
 use crate::action::Action;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
+/// The number of weight vectors.
 const VECTORS: usize = 4;
-/// Placements by each vector that must be evaluated before vectors are compared.
+/// The number of placements by each vector that must be evaluated before vectors are compared.
 const MIN_EVALUATED_PLACEMENTS: u32 = 12;
+/// The probability that a weight of an offspring mutates.
 const MUTATION_PROBABILITY: f64 = 0.25;
+/// The standard deviation of a mutation.
 const MUTATION_DEVIATION: f64 = 0.05;
-/// The weight of load balance never falls below this.
+/// The lower bound of the weight of load balance.
 const MIN_BALANCE_WEIGHT: f64 = 0.1;
 
-/// The weights of the two parts of a host's score, and how placements by them have turned out.
+/// The weights of the two parts of a host's score, and the evaluation of placements by them.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct WeightVector {
-    /// Weight of the balance of loads.
+    /// The weight of load balance.
     pub balance: f64,
-    /// Weight of the gap between a connection's end and the last end at the host.
+    /// The weight of the gap between the expected end of the connection and the last expected end
+    /// at the host.
     pub end_gap: f64,
+    /// The sum of the squared relative deviations of the hosts' loads from the mean, over the
+    /// evaluated placements.
     load_spread: f64,
+    /// The sum of the longest remaining durations at the hosts, in nanoseconds, over the evaluated
+    /// placements.
     longest_remaining: f64,
     evaluated_placements: u32,
 }
@@ -35,7 +43,7 @@
         }
     }
 
-    /// Whether it is no worse in either objective, and better in one.
+    /// Returns whether this vector is no worse than the other in both objectives and better in one.
     fn dominates(&self, other: &WeightVector) -> bool {
         let mean = |vector: &WeightVector| {
             let placements = vector.evaluated_placements as f64;
@@ -65,7 +73,7 @@
         }
     }
 
-    /// The vector whose turn it is.
+    /// Returns the index of the vector for the next placement.
     pub fn current(&self) -> usize {
         self.next
     }
@@ -74,13 +82,13 @@
         &self.vectors[vector]
     }
 
-    /// A placement by the current vector was made.
+    /// Moves on to the next vector, after a placement by the current one.
     pub fn advance(&mut self) {
         self.next = (self.next + 1) % VECTORS;
     }
 
-    /// A placement by `vector` was evaluated; the vectors are compared once each has enough of
-    /// these.
+    /// Records the evaluation of a placement by `vector`, and compares the vectors once each has
+    /// [`MIN_EVALUATED_PLACEMENTS`].
     pub fn placement_evaluated(
         &mut self,
         vector: usize,
@@ -89,10 +97,10 @@
         rng: &mut ChaCha8Rng,
         actions: &mut Vec<Action>,
     ) {
-        let judged = &mut self.vectors[vector];
-        judged.load_spread += load_spread;
-        judged.longest_remaining += longest_remaining;
-        judged.evaluated_placements += 1;
+        let evaluated = &mut self.vectors[vector];
+        evaluated.load_spread += load_spread;
+        evaluated.longest_remaining += longest_remaining;
+        evaluated.evaluated_placements += 1;
         let enough =
             |vector: &WeightVector| vector.evaluated_placements >= MIN_EVALUATED_PLACEMENTS;
         if self.vectors.iter().all(enough) {
@@ -103,10 +111,10 @@
     fn replace_dominated(&mut self, rng: &mut ChaCha8Rng, actions: &mut Vec<Action>) {
         let old = self.vectors;
         self.vectors = old.map(|vector| WeightVector::new(vector.balance, vector.end_gap));
-        let dominated = (0..VECTORS)
-            .find(|&loser| (0..VECTORS).any(|winner| old[winner].dominates(&old[loser])));
+        let dominated =
+            (0..VECTORS).find(|&index| (0..VECTORS).any(|other| old[other].dominates(&old[index])));
         let Some(dominated) = dominated else { return };
-        // Two parents of the rest, crossed at one point; then each weight may mutate.
+        // One-point crossover of two parents among the other vectors, then mutation.
         let first_parent = (dominated + rng.random_range(1..VECTORS)) % VECTORS;
         let second_parent = (dominated + rng.random_range(1..VECTORS)) % VECTORS;
         let balance = mutated(old[first_parent].balance, rng);
@@ -121,7 +129,7 @@
     }
 }
 
-/// The weight, changed now and then by a normally distributed amount.
+/// Returns the weight, changed by a normally distributed amount with [`MUTATION_PROBABILITY`].
 fn mutated(weight: f64, rng: &mut ChaCha8Rng) -> f64 {
     if rng.random::<f64>() >= MUTATION_PROBABILITY {
         return weight;
