--- a/src/connection_history.rs
+++ b/src/connection_history.rs
@@ -28,8 +28,8 @@
 #[derive(Default)]
 pub(crate) struct ConnectionHistory {
     clients: HashMap<u64, ClientStatistics>,
-    /// Each time that a client was seen, as its key and that time, the oldest first. A key may occur
-    /// more than once.
+    /// Each time that a client was seen, as its key and that time, the oldest first. A key may
+    /// occur more than once.
     seen_order: VecDeque<(u64, Nanos)>,
     /// The mean duration of a connection, in nanoseconds; `None` until one has ended.
     mean_duration: Option<f64>,
@@ -219,8 +219,8 @@
             .filter(|client| now < client.last_seen + RECORD_MAX_AGE)
     }
 
-    /// Returns the entry of a client that has just been seen, adding it where there is none. Removes
-    /// the least recently seen clients beyond [`MAX_CLIENTS`].
+    /// Returns the entry of a client that has just been seen, adding it where there is none.
+    /// Removes the least recently seen clients beyond [`MAX_CLIENTS`].
     fn client_seen(&mut self, key: u64, now: Nanos) -> &mut ClientStatistics {
         self.seen_order.push_back((key, now));
         while self.seen_order.len() > MAX_CLIENTS {
--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -37,15 +37,15 @@
         self.late_rate > MIN_LATE_RATE
     }
 
-    /// Returns the share of requests to reject; 1 or more rejects all of them. `unseen_share` is the
-    /// share of the hosts' load that this node does not see, from 0 to 1.
+    /// Returns the share of requests to reject; 1 or more rejects all of them. `unseen_share` is
+    /// the share of the hosts' load that this node does not see, from 0 to 1.
     pub fn rejected_share(&self, unseen_share: f64) -> f64 {
         SHED_FACTOR * unseen_share * (self.late_rate - MIN_LATE_RATE) / (1.0 - MIN_LATE_RATE)
     }
 
-    /// Returns whether the next request is placed as a trial although shedding is active. Prevents a
-    /// node from rejecting all requests for tens of seconds after its hosts have recovered, because
-    /// rejected requests never reveal the recovery.
+    /// Returns whether the next request is placed as a trial although shedding is active. Prevents
+    /// a node from rejecting all requests for tens of seconds after its hosts have recovered,
+    /// because rejected requests never reveal the recovery.
     pub fn should_admit_trial(&self, now: Nanos) -> bool {
         self.rejecting_since
             .is_some_and(|since| now >= since + MAX_REJECTING)
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -76,11 +76,11 @@
 /// The quantity that a value of a load report measures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadMetric {
-    /// Demanded load over capacity.
+    /// The demanded load divided by the capacity.
     Load,
-    /// Core utilization, which does not distinguish full from overloaded.
+    /// The core utilization, which does not distinguish a full host from an overloaded one.
     Utilization,
-    /// Seconds of queued work.
+    /// The queued work, in seconds.
     Backlog,
     /// Any other quantity; the balancer ignores it.
     Other,
--- a/src/setup_failures.rs
+++ b/src/setup_failures.rs
@@ -35,8 +35,8 @@
     }
 
     /// Records a failed set-up, unless the previous failure was at the same host: failures of one
-    /// host alone are its own fault. Without this exception, a host that fails fast, and so attracts
-    /// clients, would be mistaken for a failing session store and stay in use.
+    /// host alone are its own fault. Without this exception, a host that fails fast, and so
+    /// attracts clients, would be mistaken for a failing session store and stay in use.
     pub fn setup_failed(
         &mut self,
         host: Option<usize>,
--- a/src/weight_optimizer.rs
+++ b/src/weight_optimizer.rs
@@ -1,6 +1,6 @@
 //! Optimizes the weights of the host score by an evolutionary algorithm. Four weight vectors are
-//! used in turn, each is evaluated by the placements made with it, and one that another dominates is
-//! replaced by the offspring of two others. The module does not select hosts.
+//! used in turn, each is evaluated by the placements made with it, and one that another dominates
+//! is replaced by the offspring of two others. The module does not select hosts.
 
 use crate::action::Action;
 use rand::Rng;
