--- a/tests/scenario_player/expectations.rs
+++ b/tests/scenario_player/expectations.rs
@@ -1,51 +1,51 @@
-//! The expectations of a scenario.
+//! Checks the expectations of a scenario.
 
 use super::parsing::{host, number};
 use super::Player;
 use reedferry::*;
 
 impl Player {
-    /// Checks an expectation; false where the words are none.
+    /// Checks an expectation. Returns false where the words are not an expectation.
     pub(super) fn expect(&mut self, words: &[&str]) -> bool {
         let request = || RequestId(number(words[1]) as u64);
         match words[0] {
             "sends" => self.expect_attempt(request(), words[2]),
-            "dismisses" => {
+            "rejects" => {
                 self.expect_action(|a| matches!(a, Action::Reject { id, .. } if *id == request()));
             }
-            "gives-up" => {
+            "fails" => {
                 self.expect_action(|a| matches!(a, Action::Fail { id } if *id == request()));
             }
-            "moves" => {
+            "migrates" => {
                 self.expect_action(|a| matches!(a, Action::Migrate { id } if *id == request()));
             }
-            "calls-off" => self.expect_action(
+            "cancels" => self.expect_action(
                 |a| matches!(a, Action::CancelAttempt { id, .. } if *id == request()),
             ),
-            "asks" => {
+            "requests-list" => {
                 self.expect_action(|a| matches!(a, Action::WatchEndpoints | Action::PollEndpoints));
             }
             "logs" => {
                 let start = words[1..].join(" ");
                 self.expect_action(|a| matches!(a, Action::Log(line) if line.starts_with(&start)));
             }
-            "quiet" => self.expect_nothing(),
-            "count" => {
+            "no-action" => self.expect_nothing(),
+            "attempts" => {
                 let attempts = self.attempts.remove(&host(words[1]).0).unwrap_or(0);
                 expect_within(attempts as usize, &words[2..], words);
             }
-            "held" => expect_within(self.connections_at(words[1]).len(), &words[2..], words),
-            "turned-away" => {
-                let rejected = |request: &&super::Request| request.answered && !request.established;
-                let count = self.requests.values().filter(rejected).count();
+            "connections" => expect_within(self.connections_at(words[1]).len(), &words[2..], words),
+            "unserved" => {
+                let unserved = |request: &&super::Request| request.answered && !request.established;
+                let count = self.requests.values().filter(unserved).count();
                 expect_within(count, &words[1..], words);
             }
-            "looked" => expect_within(std::mem::take(&mut self.probes), &words[1..], words),
-            "told" => {
+            "probes" => expect_within(std::mem::take(&mut self.probes), &words[1..], words),
+            "gossip-messages" => {
                 let count = std::mem::take(&mut self.gossip_messages);
                 expect_within(count, &words[1..], words);
             }
-            "used" => {
+            "hosts-used" => {
                 let used = std::mem::take(&mut self.attempts).len();
                 expect_within(used, &words[1..], words);
             }
@@ -57,7 +57,7 @@
     fn expect_action(&self, is_expected: impl Fn(&Action) -> bool) {
         assert!(
             self.actions.iter().any(is_expected),
-            "not among {:?}",
+            "expected action not among {:?}",
             self.actions
         );
     }
@@ -71,21 +71,21 @@
     }
 
     fn expect_nothing(&self) {
-        let is_idle = |a: &Action| matches!(a, Action::SetTimer { .. } | Action::Log(_));
+        let is_passive = |a: &Action| matches!(a, Action::SetTimer { .. } | Action::Log(_));
         assert!(
-            self.actions.iter().all(is_idle),
-            "not quiet: {:?}",
+            self.actions.iter().all(is_passive),
+            "unexpected action among {:?}",
             self.actions
         );
     }
 }
 
-/// Checks a count against its bounds, which are included.
+/// Checks a count against its inclusive bounds.
 fn expect_within(count: usize, bounds: &[&str], step: &[&str]) {
-    let (least, greatest) = (number(bounds[0]) as usize, number(bounds[1]) as usize);
+    let (min, max) = (number(bounds[0]) as usize, number(bounds[1]) as usize);
     assert!(
-        (least..=greatest).contains(&count),
-        "{count} by {}",
+        (min..=max).contains(&count),
+        "count {count} is out of bounds in step: {}",
         step.join(" ")
     );
 }
--- a/tests/scenario_player/mod.rs
+++ b/tests/scenario_player/mod.rs
@@ -1,5 +1,5 @@
-//! Plays the steps of a scenario: a node, its hosts and clients, and the rules that hold in every
-//! scenario.
+//! Plays the steps of a scenario: simulates the hosts and clients of a node, and checks the rules
+//! that hold in every scenario.
 
 mod expectations;
 mod parsing;
@@ -8,16 +8,18 @@
 use reedferry::*;
 use std::collections::BTreeMap;
 
-/// The clock has no special starting value: a day is as good as zero.
+/// The time on the node's clock at the start of a scenario. It is not zero, because the clock may
+/// start at any value.
 const START: Nanos = 86_400 * SECOND;
-/// How long a set-up takes where the scenario does not say.
+/// How long a connection set-up takes where the scenario does not say.
 const SETUP_TIME: Nanos = 20 * MILLI;
 
-/// A request, as its client and its hosts see it.
+/// A request as the simulated client and hosts see it.
 #[derive(Default)]
 struct Request {
     deadline: Nanos,
-    /// The host of the attempt in flight or the open connection, and the limit of the former.
+    /// The host of the attempt in flight or the open connection, and the time at which an attempt
+    /// times out.
     attempt: Option<(HostId, Nanos)>,
     attempts: u32,
     may_have_run: bool,
@@ -26,26 +28,29 @@
     non_idempotent: bool,
 }
 
-/// A node in a scenario, and what happens around it.
+/// A node in a scenario, with its simulated hosts and clients.
 pub struct Player {
     settings: BalancerSettings,
+    /// The balancer; `None` until the first event.
     node: Option<Balancer>,
     now: Nanos,
     timers: Vec<(Nanos, u64)>,
-    /// Since the last event.
+    /// The actions since the last event.
     actions: Vec<Action>,
     host_states: BTreeMap<u64, HostState>,
     accepting_hosts: Vec<HostId>,
     rejecting_hosts: Vec<HostId>,
     requests: BTreeMap<u64, Request>,
-    /// Attempts by host, probes and gossip messages since they were last counted.
+    /// The attempts at each host since they were last counted.
     attempts: BTreeMap<u64, u32>,
+    /// The probes since they were last counted.
     probes: usize,
+    /// The gossip messages since they were last counted.
     gossip_messages: usize,
 }
 
 impl Player {
-    /// A node that is not started yet.
+    /// Creates a player whose node has not started yet.
     pub fn new() -> Self {
         Player {
             settings: BalancerSettings::default(),
@@ -63,7 +68,7 @@
         }
     }
 
-    /// Lets all that is open come to its end.
+    /// Lets a minute pass, so that every request gets its answer.
     pub fn finish(&mut self) {
         self.pass_until(self.now + 60 * SECOND);
     }
@@ -90,7 +95,7 @@
         }
     }
 
-    /// The rules that hold in every scenario.
+    /// Checks the rules that hold in every scenario.
     fn check(&mut self, action: &Action) {
         match action {
             Action::StartAttempt {
@@ -102,14 +107,14 @@
             Action::Probe { .. } => {
                 assert!(
                     self.settings.load_from_probes,
-                    "a probe though none is allowed"
+                    "probe although probes are not allowed"
                 );
                 self.probes += 1;
             }
             Action::Gossip { message } => {
                 assert!(
                     self.settings.gossip_enabled && message.len() <= gossip::MAX_MESSAGE_BYTES,
-                    "gossip that is not allowed, or too long"
+                    "gossip that is too long or not allowed"
                 );
                 self.gossip_messages += 1;
             }
@@ -119,25 +124,31 @@
 
     fn check_attempt(&mut self, id: u64, host: HostId, until: Nanos) {
         let request = self.requests.get_mut(&id);
-        let request = request.expect("an attempt of what never arrived");
-        assert!(!request.answered, "attempt of {id} after its answer");
-        assert!(request.attempt.is_none(), "two attempts of {id} at once");
+        let request = request.expect("attempt for a request that never arrived");
+        assert!(
+            !request.answered,
+            "attempt for request {id} after its answer"
+        );
+        assert!(
+            request.attempt.is_none(),
+            "second attempt in flight for request {id}"
+        );
         assert!(
             !(request.non_idempotent && request.may_have_run),
-            "{id} may run twice"
+            "non-idempotent request {id} may run twice"
         );
         assert!(
             until > self.now && until <= request.deadline,
-            "limit of {id} past its deadline"
+            "time limit of request {id} not between now and its deadline"
         );
         assert_eq!(
             self.host_states.get(&host.0),
             Some(&HostState::Ready),
-            "sent to a host not ready"
+            "attempt at a host that is not ready"
         );
         assert!(
             request.attempts < self.settings.max_attempts,
-            "too many attempts of {id}"
+            "too many attempts for request {id}"
         );
         request.attempt = Some((host, until));
         request.attempts += 1;
@@ -146,17 +157,20 @@
 
     fn check_answer(&mut self, id: u64, rejected: bool) {
         let request = self.requests.get_mut(&id);
-        let request = request.expect("an answer to what never arrived");
-        assert!(!request.answered, "{id} answered twice");
-        assert!(self.now <= request.deadline, "{id} answered too late");
+        let request = request.expect("answer to a request that never arrived");
+        assert!(!request.answered, "request {id} answered twice");
+        assert!(
+            self.now <= request.deadline,
+            "request {id} answered after its deadline"
+        );
         assert!(
             !(rejected && request.non_idempotent && request.may_have_run),
-            "{id} rejected"
+            "non-idempotent request {id} rejected although it may have run"
         );
         request.answered = true;
     }
 
-    /// Lets time pass: timers fire and attempts reach their limits.
+    /// Lets time pass: fires timers and times out attempts in the order of their times.
     fn pass_until(&mut self, until: Nanos) {
         loop {
             let timer = self.timers.iter().copied().min();
@@ -186,7 +200,7 @@
         for (id, request) in &self.requests {
             assert!(
                 request.answered || request.established || self.now <= request.deadline,
-                "{id} was lost"
+                "request {id} not answered by its deadline"
             );
         }
     }
@@ -199,10 +213,10 @@
         self.handle(Event::ConnectionEstablished { id, took });
     }
 
-    /// The attempt in flight, or the open connection, ends.
+    /// Ends the attempt in flight or the open connection.
     fn end(&mut self, id: u64, ending: AttemptOutcome, request_over: bool) {
         let request = self.requests.get_mut(&id).unwrap();
-        let (host, _) = request.attempt.take().expect("no attempt is in flight");
+        let (host, _) = request.attempt.take().expect("no attempt in flight");
         request.may_have_run |= !ending.never_ran();
         request.answered |= request_over;
         let attempt = request.attempts - 1;
@@ -216,7 +230,7 @@
         });
     }
 
-    /// The open connections at a host, or at all by the name `all`.
+    /// Returns the requests with an open connection at a host, or at any host for the name `all`.
     fn connections_at(&self, name: &str) -> Vec<u64> {
         let is_there = |request: &Request| {
             let host = request.attempt.map(|(host, _)| host);
--- a/tests/scenario_player/parsing.rs
+++ b/tests/scenario_player/parsing.rs
@@ -1,8 +1,9 @@
-//! The words of a scenario.
+//! Parses the words of a scenario.
 
 use super::START;
 use reedferry::*;
 
+/// Returns the host of this name; its id is made of the bytes of the name.
 pub fn host(name: &str) -> HostId {
     HostId(name.bytes().fold(0, |id, byte| id * 256 + u64::from(byte)))
 }
@@ -16,7 +17,7 @@
     (number(text) * 1e6) as Nanos
 }
 
-/// Words of the form KEY=VALUE; a KEY alone has the value 1.
+/// Splits words of the form KEY=VALUE; a KEY alone has the value 1.
 pub fn pairs<'a>(words: &[&'a str]) -> Vec<(&'a str, &'a str)> {
     words
         .iter()
@@ -24,29 +25,29 @@
         .collect()
 }
 
-/// Applies words to the settings of the node.
+/// Applies words of the form KEY=VALUE to the settings of the node.
 pub fn apply_settings(settings: &mut BalancerSettings, words: &[&str]) {
     for (key, value) in pairs(words) {
         match key {
             "nodes" => settings.node_count = number(value) as u32,
             "node" => settings.node_index = number(value) as u32,
-            "hand-offs" => settings.max_attempts = number(value) as u32,
-            "advice" => settings.max_retry_after = milliseconds(value),
-            "call-off" => settings.may_cancel = true,
-            "on-request" => settings.endpoints_are_polled = true,
-            "cold" => settings.warm_up = milliseconds(value),
-            "cold-from" => settings.warm_up_initial_share = number(value),
+            "max-attempts" => settings.max_attempts = number(value) as u32,
+            "max-retry-after" => settings.max_retry_after = milliseconds(value),
+            "may-cancel" => settings.may_cancel = true,
+            "endpoints-polled" => settings.endpoints_are_polled = true,
+            "warm-up" => settings.warm_up = milliseconds(value),
+            "warm-up-initial-share" => settings.warm_up_initial_share = number(value),
             "groups" => settings.groups_enabled = true,
-            "pass" => settings.passthrough = true,
-            "gathers" => settings.centralized = true,
+            "passthrough" => settings.passthrough = true,
+            "centralized" => settings.centralized = true,
             "probes" => {
                 settings.load_from_probes = true;
                 settings.load_metrics = vec![LoadMetric::Utilization, LoadMetric::Load];
             }
-            "peers" => settings.gossip_enabled = true,
-            "cross-zone" => settings.cross_zone_cost = number(value),
-            "moves" => settings.migration_cost = number(value),
-            _ => panic!("unknown word {key}"),
+            "gossip" => settings.gossip_enabled = true,
+            "cross-zone-cost" => settings.cross_zone_cost = number(value),
+            "migration-cost" => settings.migration_cost = number(value),
+            _ => panic!("unknown setting {key}"),
         }
     }
 }
@@ -55,17 +56,17 @@
     let mut class = RequestClass::default();
     for (key, value) in pairs(words) {
         match (key, value) {
-            ("effect", "redoable") => class.idempotency = Idempotency::Idempotent,
-            ("effect", "labelled") => class.idempotency = Idempotency::WithKey,
-            ("effect", "irreversible") => class.idempotency = Idempotency::NonIdempotent,
-            ("circle", "all") => class.idempotency_group = IdempotencyGroup::All,
-            ("circle", "zone") => class.idempotency_group = IdempotencyGroup::Zone,
-            ("circle", "cell") => class.idempotency_group = IdempotencyGroup::Cell,
-            ("window", _) => class.idempotency_window = milliseconds(value),
-            ("payoff", _) => class.priority_weight = number(value),
-            ("contract", _) => class.latency_objective = milliseconds(value),
-            ("message", _) => class.message_latency_objective = milliseconds(value),
-            _ => panic!("unknown word {key}={value}"),
+            ("idempotency", "idempotent") => class.idempotency = Idempotency::Idempotent,
+            ("idempotency", "with-key") => class.idempotency = Idempotency::WithKey,
+            ("idempotency", "non-idempotent") => class.idempotency = Idempotency::NonIdempotent,
+            ("idempotency-group", "all") => class.idempotency_group = IdempotencyGroup::All,
+            ("idempotency-group", "zone") => class.idempotency_group = IdempotencyGroup::Zone,
+            ("idempotency-group", "cell") => class.idempotency_group = IdempotencyGroup::Cell,
+            ("idempotency-window", _) => class.idempotency_window = milliseconds(value),
+            ("priority-weight", _) => class.priority_weight = number(value),
+            ("latency-objective", _) => class.latency_objective = milliseconds(value),
+            ("message-objective", _) => class.message_latency_objective = milliseconds(value),
+            _ => panic!("unknown class setting {key}={value}"),
         }
     }
     class
@@ -74,14 +75,14 @@
 pub fn endpoint_update(kind: &str) -> EndpointUpdate {
     match kind {
         "full" => EndpointUpdate::Full,
-        "changes" => EndpointUpdate::Delta,
+        "delta" => EndpointUpdate::Delta,
         "cached" => EndpointUpdate::Cached,
         "failed" => EndpointUpdate::Failed,
-        _ => panic!("unknown roll {kind}"),
+        _ => panic!("unknown kind of endpoint update {kind}"),
     }
 }
 
-/// HOST[:WORD,KEY=VALUE...]
+/// Parses an endpoint of the form `HOST[:STATE,KEY=VALUE...]`.
 pub fn endpoint(entry: &str) -> Endpoint {
     let (name, rest) = entry.split_once(':').unwrap_or((entry, "ready"));
     let mut endpoint = Endpoint {
@@ -99,13 +100,13 @@
             "zone" => endpoint.zone = number(value) as u16,
             "cell" => endpoint.cell = number(value) as u64,
             "started" => endpoint.started = Some(START + milliseconds(value)),
-            _ => panic!("unknown word {key}"),
+            _ => panic!("unknown endpoint field {key}"),
         }
     }
     endpoint
 }
 
-/// A request that arrives at `now`, and what was attempted for it before.
+/// Parses a request that arrives at `now`, and the attempts made for it before.
 pub fn request(id: u64, words: &[&str], now: Nanos) -> (IncomingRequest, PriorAttempts) {
     let mut incoming = IncomingRequest {
         id: RequestId(id),
@@ -115,32 +116,32 @@
     let mut prior = PriorAttempts::default();
     for (key, value) in pairs(words) {
         match key {
-            "left" => incoming.time_left = milliseconds(value),
-            "offering" => incoming.class = number(value) as usize,
+            "time-left" => incoming.time_left = milliseconds(value),
+            "class" => incoming.class = number(value) as usize,
             "key" => incoming.key = Some(number(value) as u64),
             "group" => incoming.group = Some(number(value) as u64),
             "load" => incoming.usual_load = Some(number(value)),
-            "midway" => incoming.mid_stream = true,
-            "past" => prior.attempts = number(value) as u32,
-            "ran" => {
-                let (at, ago) = value.split_once('@').expect("a host and how long ago");
+            "mid-stream" => incoming.mid_stream = true,
+            "prior-attempts" => prior.attempts = number(value) as u32,
+            "may-have-run" => {
+                let (at, ago) = value.split_once('@').expect("HOST@MS");
                 prior.may_have_run = Some((host(at), now - milliseconds(ago)));
             }
             "tried" => prior.tried_hosts = value.split('|').map(host).collect(),
-            _ => panic!("unknown word {key}"),
+            _ => panic!("unknown request field {key}"),
         }
     }
     (incoming, prior)
 }
 
-/// The outcome of an attempt, but of one that breaks: that depends on the request.
+/// Parses the outcome of an attempt or a connection.
 pub fn outcome(word: &str) -> AttemptOutcome {
     match word {
-        "done" => AttemptOutcome::Completed,
+        "completed" => AttemptOutcome::Completed,
         "error" => AttemptOutcome::Error,
-        "refused" => AttemptOutcome::Rejected,
-        "unconnected" => AttemptOutcome::ConnectFailed,
-        "broken" => AttemptOutcome::ConnectionLost,
-        _ => panic!("unknown ending {word}"),
+        "rejected" => AttemptOutcome::Rejected,
+        "connect-failed" => AttemptOutcome::ConnectFailed,
+        "connection-lost" => AttemptOutcome::ConnectionLost,
+        _ => panic!("unknown outcome {word}"),
     }
 }
--- a/tests/scenario_player/steps.rs
+++ b/tests/scenario_player/steps.rs
@@ -1,4 +1,4 @@
-//! The steps of a scenario: what is set up, and what happens.
+//! Plays the steps of a scenario that set it up or report an event.
 
 use super::parsing::{
     apply_settings, endpoint, endpoint_update, host, milliseconds, number, outcome, request,
@@ -11,24 +11,24 @@
     /// Plays one line.
     pub fn step(&mut self, words: &[&str]) {
         match words[0] {
-            "charter" => apply_settings(&mut self.settings, &words[1..]),
-            "offering" => self.settings.classes.push(request_class(&words[1..])),
-            "auto" => self.accepting_hosts = words[1..].iter().map(|name| host(name)).collect(),
-            "shut" => self.rejecting_hosts = words[1..].iter().map(|name| host(name)).collect(),
+            "settings" => apply_settings(&mut self.settings, &words[1..]),
+            "class" => self.settings.classes.push(request_class(&words[1..])),
+            "accept" => self.accepting_hosts = words[1..].iter().map(|name| host(name)).collect(),
+            "reject" => self.rejecting_hosts = words[1..].iter().map(|name| host(name)).collect(),
             _ if self.expect(words) => {}
             time => {
                 self.actions.clear();
                 self.pass_until(START + milliseconds(time));
-                self.happen(words[1], &words[2..]);
+                self.play_event(words[1], &words[2..]);
             }
         }
     }
 
-    fn happen(&mut self, what: &str, words: &[&str]) {
+    fn play_event(&mut self, name: &str, words: &[&str]) {
         let id = || number(words[0]) as u64;
-        match what {
+        match name {
             "wait" => {}
-            "roll" => self.update_endpoints(words[0], &words[1..]),
+            "endpoints" => self.update_endpoints(words[0], &words[1..]),
             "open" => self.arrive(id(), &words[2..], Some(host(words[1]))),
             "arrive" => match words[0].split_once('-') {
                 Some((first, last)) => {
@@ -39,32 +39,34 @@
                 }
                 None => self.arrive(id(), &words[1..], None),
             },
-            "begun" => {
+            "established" => {
                 let took = words.get(1).map_or(SETUP_TIME, |word| milliseconds(word));
                 self.establish(id(), took);
             }
-            "ended" => self.end_by(id(), outcome(words[1])),
-            "left" => {
+            "ended" => self.end_with(id(), outcome(words[1])),
+            "client-left" => {
                 self.requests.get_mut(&id()).unwrap().answered = true;
                 let id = RequestId(id());
                 self.handle(Event::ClientLeft { id });
             }
-            "breaks" => {
+            "break-connections" => {
                 let connections = self.connections_at(words[0]);
                 for id in connections.into_iter().take(number(words[1]) as usize) {
                     self.end(id, AttemptOutcome::ConnectionLost, true);
                 }
             }
-            "leaving" => {
+            "shutdown" => {
                 let from = self.now + milliseconds(words[0]);
                 let by = self.now + milliseconds(words[1]);
                 self.handle(Event::ShutdownStarted { from, by });
             }
-            _ => self.handle(reported_event(what, words)),
+            _ => self.handle(reported_event(name, words)),
         }
     }
 
-    fn end_by(&mut self, id: u64, outcome: AttemptOutcome) {
+    /// Ends an attempt or a connection. A lost connection ends the request only if it was
+    /// established.
+    fn end_with(&mut self, id: u64, outcome: AttemptOutcome) {
         let request_over = match outcome {
             AttemptOutcome::Completed => true,
             AttemptOutcome::ConnectionLost => self.requests[&id].established,
@@ -73,7 +75,7 @@
         self.end(id, outcome, request_over);
     }
 
-    /// A request arrives, or is found as an open connection at `host`.
+    /// Reports a request that arrives or is taken over, or an open connection found at `host`.
     fn arrive(&mut self, id: u64, words: &[&str], host: Option<HostId>) {
         let (incoming, prior) = request(id, words, self.now);
         let class = self.settings.classes.get(incoming.class);
@@ -111,22 +113,24 @@
     }
 }
 
-/// An event that changes nothing of the scenario itself.
-fn reported_event(what: &str, words: &[&str]) -> Event {
-    match what {
-        "turns" => {
+/// Returns an event that changes nothing in the player itself.
+fn reported_event(name: &str, words: &[&str]) -> Event {
+    match name {
+        "slow-start-slots" => {
             let slot = |word: &&str| {
                 let (node, share) = word.split_once(':')?;
                 Some((number(node) as u32, number(share)))
             };
             Event::SlowStartSlotsAssigned(words.iter().filter_map(slot).collect())
         }
-        "looks" => Event::ProbeTargetsAssigned(words.iter().map(|name| host(name)).collect()),
-        "report" => probe_ended(host(words[0]), words[1]),
-        "heard" => Event::GossipReceived {
+        "probe-targets" => {
+            Event::ProbeTargetsAssigned(words.iter().map(|name| host(name)).collect())
+        }
+        "probe-report" => probe_ended(host(words[0]), words[1]),
+        "gossip" => Event::GossipReceived {
             message: gossip::encode(host(words[0]), number(words[1])),
         },
-        "heard-bytes" => {
+        "gossip-bytes" => {
             let byte = |start| u8::from_str_radix(&words[0][start..start + 2], 16).unwrap();
             let message = (0..words[0].len()).step_by(2).map(byte).collect();
             Event::GossipReceived { message }
@@ -135,11 +139,11 @@
             id: RequestId(number(words[0]) as u64),
             load: number(words[1]),
         },
-        "slow" => Event::MessageLatency {
+        "message-latency" => Event::MessageLatency {
             host: host(words[0]),
             latency: milliseconds(words[1]),
         },
-        other => panic!("unknown step {other}"),
+        other => panic!("unknown event {other}"),
     }
 }
 
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,34 +1,58 @@
-//! Plays every file of `tests/scenarios` through the decision module. The notation, one step a line:
-//!
-//!     charter KEY=VALUE ...          settings of the node, before anything else
-//!     offering KEY=VALUE ...         one more request class
-//!     MS roll KIND HOST[:WORD,KEY=VALUE...] ...   an update of the endpoint list: full, changes, cached or failed
-//!     MS arrive ID KEY=VALUE ...     a request; MS arrive A-B EVERY KEY=VALUE ... many of them
-//!     MS arrive ID past=N ran=HOST@MS tried=HOST|HOST ...   taken over from another node, with its attempts,
-//!                                    the first that may have run and how long ago, and where it was
-//!     MS open ID HOST KEY=VALUE ...  a connection open before the start
-//!     MS begun ID [TOOK] | MS ended ID HOW | MS left ID | MS load ID CORES | MS slow HOST MS | MS wait
-//!     MS report HOST LOAD|silent     a probe of the host comes back with its load, or with no answer in time
-//!     MS heard HOST LOAD             another node gossips the host's load
-//!     MS heard-bytes HEX             another node sends anything else
-//!     MS turns NODE:SHARE ...        the slow-start slots that this node may use, and how much of each
-//!     MS looks HOST ...              the hosts that this node is to probe
-//!     MS leaving FROM BY             the node shuts down: both times counted from then
-//!     MS breaks HOST N               so many open connections break there, or all of them by a large N
-//!     auto HOST ... | shut HOST ...  attempts there succeed, or are rejected, at once from now on
-//!     sends ID HOST[|HOST] | dismisses ID | gives-up ID | moves ID | asks | calls-off ID | quiet
-//!                                    an attempt starts, the request is rejected or fails, its client is migrated, the list is
-//!                                    asked for, the attempt is cancelled, nothing happens
+//! Plays every file of `tests/scenarios` through the balancer. A file has one step per line, and `#`
+//! starts a comment. `MS` is a time in milliseconds since the start of the scenario.
+//!
+//! Set-up; hosts may also change between events:
+//!
+//!     settings KEY=VALUE ...         changes settings of the node, before the first event
+//!     class KEY=VALUE ...            adds a request class
+//!     accept HOST ...                attempts at these hosts, and no others, succeed at once from now on
+//!     reject HOST ...                attempts at these hosts, and no others, are rejected at once from now on
+//!
+//! Events:
+//!
+//!     MS endpoints KIND HOST[:STATE,KEY=VALUE...] ...   an update of the endpoint list: full, delta, cached or failed
+//!     MS arrive ID KEY=VALUE ...     a request arrives
+//!     MS arrive A-B EVERY KEY=VALUE ...   requests with the ids from A to B arrive, one every EVERY milliseconds
+//!     MS arrive ID prior-attempts=N may-have-run=HOST@MS tried=HOST|HOST ...   a request is taken over from another
+//!                                    node, with the number of its attempts, the host of the first attempt that may
+//!                                    have run and how long ago that was sent, and the hosts of all attempts
+//!     MS open ID HOST KEY=VALUE ...  a connection that was open before the start is found
+//!     MS established ID [TOOK]       the attempt in flight succeeds, after TOOK milliseconds
+//!     MS ended ID OUTCOME            the attempt in flight or the open connection ends
+//!     MS client-left ID              the client disconnects
+//!     MS load ID CORES               the load of an open connection is measured
+//!     MS message-latency HOST MS     the latency of messages at the host is measured
+//!     MS probe-report HOST LOAD|silent   a probe of the host returns its load, or times out
+//!     MS gossip HOST LOAD            another node gossips the host's load
+//!     MS gossip-bytes HEX            another node sends these bytes
+//!     MS slow-start-slots NODE:SHARE ...   assigns the slow-start slots that this node may use, and the share of each
+//!     MS probe-targets HOST ...      assigns the hosts that this node probes
+//!     MS shutdown FROM BY            the node shuts down; both times are relative to MS
+//!     MS break-connections HOST N    up to N open connections at the host break
+//!     MS wait                        nothing happens until this time
+//!
+//! Expectations about the actions since the last event:
+//!
+//!     sends ID HOST[|HOST]           an attempt starts at one of these hosts
+//!     rejects ID | fails ID          the request is rejected, or fails
+//!     migrates ID                    the client of the connection is migrated
+//!     cancels ID                     the attempt is cancelled
+//!     requests-list                  the endpoint list is polled or watched
 //!     logs TEXT                      a log line starts with the text
-//!     count HOST MIN MAX             attempts at the host since the last count of it
-//!     held HOST MIN MAX              connections open at the host, or anywhere by the name all
-//!     turned-away MIN MAX            requests answered so far that no host took
-//!     looked MIN MAX | told MIN MAX  probes sent, and gossip messages, since the last such count
-//!     used MIN MAX                   hosts with attempts since the last such count
-//!
-//! Expectations are about the actions since the last event. Throughout, the player lets attempts
-//! time out at their limit and holds the four rules: one answer, in time; one attempt in flight;
-//! nothing new to hosts that are draining or gone; no repeat of a non-idempotent request that may have run.
+//!     no-action                      there are no actions other than timers and log lines
+//!
+//! Expectations about counts, with inclusive bounds:
+//!
+//!     attempts HOST MIN MAX          attempts at the host since its attempts were last counted
+//!     hosts-used MIN MAX             hosts with attempts since attempts were last counted
+//!     connections HOST|all MIN MAX   connections open at the host, or at all hosts
+//!     unserved MIN MAX               requests answered so far that no host accepted
+//!     probes MIN MAX                 probes sent since probes were last counted
+//!     gossip-messages MIN MAX        gossip messages sent since these were last counted
+//!
+//! In every scenario the player lets attempts time out at their limit and checks four rules: a
+//! request gets one answer, in time; it has one attempt in flight; nothing new goes to hosts that
+//! are draining or gone; a non-idempotent request that may have run is not repeated.
 
 mod scenario_player;
 
--- a/tests/wire_bytes.rs
+++ b/tests/wire_bytes.rs
@@ -1,4 +1,5 @@
-//! The exact bytes of gossip messages: an older and a newer process share a fleet.
+//! Tests the exact bytes of gossip messages, which must not change because an older and a newer
+//! build share a fleet.
 
 use reedferry::gossip::{decode, encode};
 use reedferry::HostId;
