--- a/tests/random_events/draws.rs
+++ b/tests/random_events/draws.rs
@@ -1,4 +1,4 @@
-//! What is drawn at random: settings, request classes and endpoints.
+//! Draws random settings, request classes and endpoints.
 
 use crate::world::START;
 use rand::seq::IndexedRandom;
--- a/tests/random_events/hot_restart.rs
+++ b/tests/random_events/hot_restart.rs
@@ -1,11 +1,11 @@
-//! Hot restart: another process replaces the node.
+//! Hot restart: a successor process replaces the node.
 
 use crate::world::World;
 use rand::Rng;
 use reedferry::*;
 
 impl World {
-    /// Another process replaces this one, with what it has learned and all its requests.
+    /// Replaces the node by a successor that inherits its state and takes over all its requests.
     pub fn restart_hot(&mut self) {
         let state = self.node.export_state();
         let seed = self.rng.random();
@@ -27,6 +27,8 @@
         self.check_actions();
     }
 
+    /// Hands one request over to the successor. An attempt in flight ends with the predecessor and
+    /// counts as one that may have run.
     fn take_over(&mut self, id: u64) {
         let now = self.now;
         let request = self.requests.get_mut(&id).unwrap();
--- a/tests/random_events/occurrences.rs
+++ b/tests/random_events/occurrences.rs
@@ -1,4 +1,4 @@
-//! What may happen next, and the draw of it.
+//! Draws the next random event and applies it.
 
 use crate::draws;
 use crate::world::{Request, World, MAX_HOSTS};
@@ -165,16 +165,16 @@
         });
     }
 
-    /// New settings: classes stay known, some are no longer active, some are new.
+    /// Changes the settings: the old classes remain, some of them inactive, and new ones are added.
     fn settings_change(&mut self) {
         let mut new = draws::settings(&mut self.rng);
-        let fresh = std::mem::take(&mut new.classes);
+        let added = std::mem::take(&mut new.classes);
         let before = self.settings.classes.len();
         new.classes = self.settings.classes.clone();
         for class in &mut new.classes {
             class.active = self.rng.random();
         }
-        new.classes.extend(fresh);
+        new.classes.extend(added);
         let replaced = (before..new.classes.len()).collect();
         self.settings = new.clone();
         self.handle(Event::SettingsChanged(Box::new(new), replaced));
@@ -186,6 +186,7 @@
         self.handle(Event::ShutdownStarted { from, by });
     }
 
+    /// Applies one random event.
     pub fn step(&mut self) {
         match self.rng.random_range(0..100) {
             0..30 => self.request_arrives(),
--- a/tests/random_events/rules.rs
+++ b/tests/random_events/rules.rs
@@ -1,11 +1,11 @@
-//! The rules, to which each action of the module is held.
+//! Checks each action of the balancer against the rules.
 
 use crate::world::{Request, World};
 use reedferry::permission::{may_reject, may_repeat_at};
 use reedferry::*;
 
 impl World {
-    /// Checks an action against the rules, and carries it out.
+    /// Checks an action against the rules and carries it out.
     pub fn check(&mut self, action: &Action) {
         let seed = self.seed;
         match action {
@@ -23,18 +23,18 @@
             Action::Probe { host } => {
                 assert!(
                     self.settings.load_from_probes,
-                    "{seed}: a probe though none is allowed"
+                    "seed {seed}: probe although probes are not allowed"
                 );
                 assert_eq!(
                     self.hosts[&host.0].state,
                     HostState::Ready,
-                    "{seed}: {host:?} probed"
+                    "seed {seed}: probe of {host:?}, which is not ready"
                 );
             }
             Action::Gossip { message } => {
                 assert!(
                     self.settings.gossip_enabled && message.len() <= gossip::MAX_MESSAGE_BYTES,
-                    "{seed}: gossip that is not allowed"
+                    "seed {seed}: gossip that is too long or not allowed"
                 );
             }
             Action::PollEndpoints | Action::WatchEndpoints | Action::Log(_) => {}
@@ -46,19 +46,22 @@
         let request = self.take_answer(id);
         assert!(
             may_reject(&request.class, request.first_run.is_some()),
-            "{seed}: {id} rejected"
+            "seed {seed}: request {id} rejected although a retry may do harm"
         );
         assert!(
             retry_after <= self.settings.max_retry_after,
-            "{seed}: Retry-After of {retry_after}"
+            "seed {seed}: Retry-After of {retry_after} ns is too long"
         );
     }
 
     fn check_migration(&mut self, id: u64) {
-        let request = self.requests.get_mut(&id).expect("migrated after its end");
+        let request = self
+            .requests
+            .get_mut(&id)
+            .expect("migration of a request that is over");
         assert!(
             request.established_at.is_some() && !request.migrating,
-            "{}: {id} migrated twice or too early",
+            "seed {}: request {id} migrated twice or before its connection was open",
             self.seed
         );
         request.migrating = true;
@@ -68,11 +71,11 @@
         let (seed, request) = (self.seed, &self.requests[&id]);
         assert!(
             request.client_gone && self.settings.may_cancel,
-            "{seed}: {id} cancelled"
+            "seed {seed}: request {id} cancelled although its client waits or it is not allowed"
         );
         assert!(
             request.established_at.is_none() && attempt + 1 == request.attempts,
-            "{seed}: {id}"
+            "seed {seed}: request {id} cancelled, but not its attempt in flight"
         );
     }
 
@@ -82,45 +85,45 @@
         let request = self
             .requests
             .get_mut(&id)
-            .expect("an attempt after the answer");
+            .expect("attempt for a request that is over");
         assert!(
             !request.client_gone,
-            "{seed}: {id} attempted after its client had gone"
+            "seed {seed}: attempt for request {id} after its client has left"
         );
         assert!(
             request.attempt.is_none(),
-            "{seed}: {id} has two attempts in flight"
+            "seed {seed}: second attempt in flight for request {id}"
         );
         assert!(
             now < until && until <= request.deadline,
-            "{seed}: {id} limit {until}, {}",
+            "seed {seed}: request {id} has time limit {until}, deadline {}",
             request.deadline
         );
         assert!(
             request.attempts < request.max_attempts,
-            "{seed}: {id} attempted too often"
+            "seed {seed}: too many attempts for request {id}"
         );
         assert_eq!(
             endpoint.state,
             HostState::Ready,
-            "{seed}: {id} to a host that is not ready"
+            "seed {seed}: attempt for request {id} at a host that is not ready"
         );
         if let Some((first, sent_at)) = &request.first_run {
             assert_ne!(
                 request.class.idempotency,
                 Idempotency::NonIdempotent,
-                "{seed}: {id} may run twice"
+                "seed {seed}: non-idempotent request {id} may run twice"
             );
             assert_eq!(
                 may_repeat_at(&request.class, Some(first), &endpoint),
                 Ok(()),
-                "{seed}: {id}"
+                "seed {seed}: request {id} repeated outside its idempotency group"
             );
             if request.class.idempotency == Idempotency::WithKey {
                 let window = sent_at + request.class.idempotency_window;
                 assert!(
                     now < window && by <= window,
-                    "{seed}: {id} out of its window"
+                    "seed {seed}: request {id} repeated outside its idempotency window"
                 );
             }
         }
@@ -129,12 +132,12 @@
         request.tried_hosts.push(host);
     }
 
-    /// Takes the final answer.
+    /// Checks a final answer, and removes and returns its request.
     fn take_answer(&mut self, id: u64) -> Request {
-        let request = self.requests.remove(&id).expect("a second answer");
+        let request = self.requests.remove(&id).expect("second answer");
         assert!(
             request.attempt.is_none(),
-            "{}: {id} answered beside an attempt",
+            "seed {}: request {id} answered with an attempt in flight",
             self.seed
         );
         request
--- a/tests/random_events/world.rs
+++ b/tests/random_events/world.rs
@@ -1,4 +1,4 @@
-//! One node, its hosts and its clients, on a simulated clock.
+//! Simulates one node with its hosts and clients on a simulated clock.
 
 use crate::draws;
 use rand::seq::IndexedRandom;
@@ -7,10 +7,12 @@
 use reedferry::*;
 use std::collections::BTreeMap;
 
+/// The time on the node's clock at the start.
 pub const START: Nanos = 86_400 * SECOND;
+/// The maximum number of hosts in an endpoint list.
 pub const MAX_HOSTS: u64 = 6;
 
-/// A request, as its client and its hosts see it.
+/// A request as the simulated client and hosts see it.
 #[derive(Clone)]
 pub struct Request {
     pub incoming: IncomingRequest,
@@ -18,17 +20,20 @@
     pub deadline: Nanos,
     pub max_attempts: u32,
     pub attempts: u32,
-    /// The attempt in flight, with its limit, or the open connection.
+    /// The host of the attempt in flight or the open connection, and the time at which an attempt
+    /// times out.
     pub attempt: Option<(HostId, Nanos)>,
     pub sent_at: Nanos,
     pub established_at: Option<Nanos>,
     pub migrating: bool,
-    /// The first attempt that may have run.
+    /// The host of the first attempt that may have run, as it was listed when the attempt ended,
+    /// and when the attempt was sent.
     pub first_run: Option<(Endpoint, Nanos)>,
     pub tried_hosts: Vec<HostId>,
     pub client_gone: bool,
 }
 
+/// A node, the state of its simulated surroundings, and the random generator of the events.
 pub struct World {
     pub seed: u64,
     pub rng: ChaCha8Rng,
@@ -40,7 +45,7 @@
     pub next_request: u64,
     pub timers: Vec<(Nanos, u64)>,
     pub actions: Vec<Action>,
-    /// A successor takes over, and has not been told of all requests yet.
+    /// Whether a successor is starting that has not taken over all requests yet.
     pub in_hot_restart: bool,
 }
 
@@ -82,14 +87,15 @@
             for (id, request) in &self.requests {
                 assert!(
                     request.attempt.is_some(),
-                    "{}: {id} neither answered nor in flight",
+                    "seed {}: request {id} neither answered nor in flight",
                     self.seed
                 );
             }
         }
     }
 
-    /// Lets time pass; timers and limits come in their order, or late where the process stalls.
+    /// Lets time pass: fires timers and times out attempts in the order of their times, or all of
+    /// them late where the process stalls.
     pub fn let_time_pass(&mut self, span: Nanos, stalled: bool) {
         let until = self.now + span;
         if stalled {
@@ -123,17 +129,18 @@
         self.now = until;
     }
 
+    /// Returns a random request that satisfies the predicate; `None` where there is none.
     pub fn any_request(&mut self, is_wanted: impl Fn(&Request) -> bool) -> Option<u64> {
-        let fitting: Vec<u64> = self
+        let matching: Vec<u64> = self
             .requests
             .iter()
             .filter(|(_, r)| is_wanted(r))
             .map(|(id, _)| *id)
             .collect();
-        fitting.choose(&mut self.rng).copied()
+        matching.choose(&mut self.rng).copied()
     }
 
-    /// The attempt in flight, or the open connection, ends.
+    /// Ends the attempt in flight or the open connection.
     pub fn end(&mut self, id: u64, ending: AttemptOutcome) {
         let request = self.requests.get_mut(&id).unwrap();
         let (host, _) = request.attempt.take().unwrap();
@@ -158,7 +165,7 @@
         });
     }
 
-    /// Whether all requests that are left have become connections.
+    /// Returns whether all remaining requests are open connections.
     pub fn all_requests_are_established(&self) -> bool {
         let mut requests = self.requests.values();
         requests.all(|request| request.established_at.is_some())
