--- a/src/event.rs
+++ b/src/event.rs
@@ -89,7 +89,7 @@
     /// Whether a successor process has this one's state and takes over its clients; `false` when
     /// the successor is gone again.
     SuccessorChanged(bool),
-    /// The predecessor has handed over the state that it had learned.
+    /// The predecessor has handed over the state that it has learned.
     StateInherited(Box<InheritedState>),
     /// A probe has ended.
     ProbeEnded {
--- a/src/inherited_state.rs
+++ b/src/inherited_state.rs
@@ -48,8 +48,8 @@
 pub struct HostSnapshot {
     /// The identity of the host.
     pub id: HostId,
-    /// Whether the host joined after the first list; its load counts at the mean of the other hosts
-    /// until it reaches that.
+    /// Whether the host joined or restarted after the first list; its load counts at the mean of
+    /// the other hosts until it reaches that.
     pub newcomer: bool,
     /// Since when the host is listed as draining; has no meaning unless it is.
     pub draining_since: Nanos,
--- a/src/recent_setups.rs
+++ b/src/recent_setups.rs
@@ -11,8 +11,8 @@
 /// The age beyond which the oldest set-up makes the estimate void.
 const MAX_AGE: Nanos = 8 * SECOND;
 
-/// The divisor of a set-up's time-out that gives the least time by which it would have exceeded
-/// that time-out.
+/// A set-up that timed out counts as lasting longer than its time-out by at least that time-out
+/// divided by this number.
 const BEYOND_TIMEOUT_DIVISOR: Nanos = 4;
 
 /// A set-up that succeeded or timed out.
