--- a/node/src/peers/replication.rs
+++ b/node/src/peers/replication.rs
@@ -367,8 +367,8 @@
                 Err(_) => {}
             }
         }
-        // Sends nothing while members disagree on the cluster size. Otherwise the two sets of replicas that follow from two
-        // sizes could each form a majority.
+        // Discards the queued messages while members disagree on the cluster size. Otherwise the sets of replicas by two
+        // different sizes could each form a majority.
         if !fleet.agrees_on_cluster_size(self.cluster_size) {
             return self.outbox.clear();
         }
