--- a/node/src/connections/attempt_progress.rs
+++ b/node/src/connections/attempt_progress.rs
@@ -81,11 +81,11 @@
             deadline,
             not_after,
             client_waits,
-            draining_since: record.left_since,
+            draining_since: record.drain_since,
             drain_grace: context.settings.drain_grace,
             endpoints_stale: context.stale_window.contains(&now),
-            host_address_changed: changed_since(record.readdressed),
-            group_changed: repeats && changed_since(record.regrouped),
+            host_address_changed: changed_since(record.address_changed_at),
+            group_changed: repeats && changed_since(record.group_changed_at),
         })
     }
 
--- a/node/src/connections/attempts.rs
+++ b/node/src/connections/attempts.rs
@@ -86,7 +86,7 @@
         // A client with a request goes before one without.
         self.make_room(context, 1);
         let (socket, connected) = open_socket(context, &address)?;
-        let token = context.watch(&socket, HOST, slot).map_err(|_| {
+        let token = context.register(&socket, HOST, slot).map_err(|_| {
             context.record_transient_failure("epoll_ctl");
             AttemptOutcome::NeverSent
         })?;
@@ -195,7 +195,9 @@
             return;
         };
         let record = context.hosts.record(attempt.host);
-        let readdressed = record.readdressed.is_some_and(|at| at > attempt.started_at);
+        let readdressed = record
+            .address_changed_at
+            .is_some_and(|at| at > attempt.started_at);
         // Without this, a host would be avoided at its new address, as nobody answers at the old one.
         let outcome = if readdressed && outcome == AttemptOutcome::ConnectFailed {
             AttemptOutcome::NeverSent
@@ -245,8 +247,8 @@
 ) -> Result<(Socket, bool), AttemptOutcome> {
     let buffers = context.pool.available();
     if !context.budget.has_capacity(1) || buffers < RESERVED_BUFFERS {
-        if !context.scarce {
-            context.scarce = true;
+        if !context.resource_shortage {
+            context.resource_shortage = true;
             let taken = context.budget.in_use();
             warn!(context.log, "out of descriptors or buffers"; "taken" => taken, "buffers" => buffers);
         }
--- a/node/src/connections/handover.rs
+++ b/node/src/connections/handover.rs
@@ -46,7 +46,7 @@
         let to_host = open.to_host.restore(&context.pool)?;
         let to_client = open.to_client.restore(&context.pool)?;
         let peer = adopted_peer(context, host_socket);
-        let index = context.hosts.adopt(context.now, &open.host);
+        let index = context.hosts.index_or_insert(context.now, &open.host);
         let record_lease = context.hosts.record(index).lease.clone();
         let statements = HostStatements {
             bye: open.bye,
--- a/node/src/connections/invariants.rs
+++ b/node/src/connections/invariants.rs
@@ -23,7 +23,7 @@
     fn report_violation(&self, context: &mut Context, rule: Violation, excess: Nanos) {
         context.metrics.add(Counter::Violated(rule));
         error!(context.log, "rule violated"; "rule" => rule.name(), "id" => self.log_id(),
-            "attempts" => self.attempts, "ms" => excess / MILLI, context.turn.account(context.clock.read()));
+            "attempts" => self.attempts, "ms" => excess / MILLI, context.turn.time_breakdown(context.clock.read()));
     }
 }
 
@@ -46,9 +46,9 @@
         if may_continue(now, write_by.saturating_add(TOLERANCE)).is_err() {
             connection.report_violation(context, Violation::RetriedLate, now - write_by);
         }
-        let left_since = context.hosts.record(attempt.host).left_since;
+        let drain_since = context.hosts.record(attempt.host).drain_since;
         let grace = context.settings.drain_grace;
-        if let Some(late) = left_since.and_then(|left| now.checked_sub(left + grace + TOLERANCE)) {
+        if let Some(late) = drain_since.and_then(|left| now.checked_sub(left + grace + TOLERANCE)) {
             connection.report_violation(context, Violation::SentToDrainingHost, late);
         }
         let first_run = connection.may_have_run_since;
--- a/node/src/connections/probe.rs
+++ b/node/src/connections/probe.rs
@@ -58,7 +58,7 @@
             return report(context, host, AttemptOutcome::ConnectFailed.into());
         };
         let entry = self.slab.vacant_entry();
-        let Ok(token) = context.watch(&socket, PROBE, entry.key()) else {
+        let Ok(token) = context.register(&socket, PROBE, entry.key()) else {
             return report(context, host, AttemptOutcome::ConnectFailed.into());
         };
         entry.insert(PendingProbe {
--- a/node/src/context/mod.rs
+++ b/node/src/context/mod.rs
@@ -77,7 +77,7 @@
     /// The limit of log lines on single requests.
     pub request_lines: LogRateLimit,
     /// Whether new work was last held off for want of descriptors or buffers.
-    pub scarce: bool,
+    pub resource_shortage: bool,
     /// From when to when no new attempts may go to hosts, unless discovery is heard from before.
     pub stale_window: Range<Nanos>,
 }
@@ -93,7 +93,7 @@
         self.hosts.stalls.record_turn(self.caught_up, waited, now);
         self.turn.begin(self.poller.next_deadline(), waited, now);
         if self.turn.lateness() > LATE_TURN && self.late_turn_lines.allow(now) {
-            info!(self.log, "woken late"; self.turn.account(now));
+            info!(self.log, "woken late"; self.turn.time_breakdown(now));
         }
         previous
     }
@@ -106,9 +106,9 @@
     }
 
     /// Notes when there are enough descriptors again.
-    pub fn note_spare_descriptors(&mut self) {
-        if self.scarce && self.budget.has_capacity(ENOUGH_DESCRIPTORS) {
-            self.scarce = false;
+    pub fn check_descriptor_recovery(&mut self) {
+        if self.resource_shortage && self.budget.has_capacity(ENOUGH_DESCRIPTORS) {
+            self.resource_shortage = false;
             info!(self.log, "descriptors to spare again"; "taken" => self.budget.in_use());
         }
     }
@@ -125,7 +125,7 @@
     }
 
     /// Has the poller report a socket under a new token.
-    pub fn watch(
+    pub fn register(
         &mut self,
         socket: &Socket,
         component: u8,
--- a/node/src/context/open.rs
+++ b/node/src/context/open.rs
@@ -72,7 +72,7 @@
             metrics,
             late_turn_lines: LogRateLimit::new(MAX_LATE_TURN_LINES),
             request_lines: LogRateLimit::new(MAX_REQUEST_LINES),
-            scarce: false,
+            resource_shortage: false,
             stale_window: Nanos::MAX..Nanos::MAX,
         };
         Ok((context, backlog))
@@ -95,14 +95,14 @@
     }
 
     /// Accepts clients at a listener that the platform holds open.
-    pub fn inherit(&mut self, descriptor: i32) -> Result<Socket, FatalError> {
-        let no_listener = |error| FatalError::NoListener { descriptor, error };
+    pub fn inherit_listener(&mut self, descriptor: i32) -> Result<Socket, FatalError> {
+        let invalid_listener = |error| FatalError::InvalidListener { descriptor, error };
         let listener = retry_for(START_TIMEOUT, || self.budget.inherit_listener(descriptor))
-            .map_err(no_listener)?;
+            .map_err(invalid_listener)?;
         retry_for(START_TIMEOUT, || {
             self.poller.register(&listener, token(LISTENER))
         })
-        .map_err(no_listener)?;
+        .map_err(invalid_listener)?;
         Ok(listener)
     }
 
--- a/node/src/discovery/client/mod.rs
+++ b/node/src/discovery/client/mod.rs
@@ -171,7 +171,7 @@
             return self.write(context, which);
         }
         let opened = self.budget.connect(&self.address).and_then(|(socket, _)| {
-            let token = context.watch(&socket, DISCOVERY, which)?;
+            let token = context.register(&socket, DISCOVERY, which)?;
             Ok(CallConnection {
                 socket,
                 generation: token.generation,
--- a/node/src/discovery/host_record.rs
+++ b/node/src/discovery/host_record.rs
@@ -50,11 +50,11 @@
     /// Where it is reached.
     pub address: Option<SocketAddr>,
     /// Since when it is told to be draining or gone.
-    pub left_since: Option<Nanos>,
+    pub drain_since: Option<Nanos>,
     /// When the list last put it into another group.
-    pub regrouped: Option<Nanos>,
+    pub group_changed_at: Option<Nanos>,
     /// When the list last put it at another address.
-    pub readdressed: Option<Nanos>,
+    pub address_changed_at: Option<Nanos>,
     /// What the list says of it.
     pub(super) listed: Option<Member>,
     /// What the list said last of one that is gone.
@@ -71,9 +71,9 @@
             name,
             id,
             address: None,
-            left_since: None,
-            regrouped: None,
-            readdressed: None,
+            drain_since: None,
+            group_changed_at: None,
+            address_changed_at: None,
             listed: None,
             last_listed: None,
             lease: Rc::new(()),
@@ -84,14 +84,14 @@
     /// Whether the record may be reused for another host: its own is long gone, and no connection holds it.
     pub(super) fn is_reusable(&self, now: Nanos) -> bool {
         let long_gone = self
-            .left_since
+            .drain_since
             .is_some_and(|left| now > left + RECORD_RETENTION);
         long_gone && Rc::strong_count(&self.lease) == 1
     }
 
     /// A complete list does not name it.
     pub(super) fn remove_from_list(&mut self, effective_from: Nanos) {
-        self.left_since.get_or_insert(effective_from);
+        self.drain_since.get_or_insert(effective_from);
         self.last_listed = self.listed.take().or(self.last_listed.take());
     }
 
@@ -104,14 +104,14 @@
     ) -> Member {
         let address = member.address.or(self.address);
         if self.address.is_some() && self.address != address {
-            self.readdressed = Some(now);
+            self.address_changed_at = Some(now);
         }
         self.address = address;
         let before = self.listed.take().or(self.last_listed.take());
         let same_group = |was: &Member| was.zone == member.zone && was.cell == member.cell;
         let regrouped = before.as_ref().is_some_and(|was| !same_group(was));
         if member.state != HostState::Gone && regrouped {
-            self.regrouped = Some(now);
+            self.group_changed_at = Some(now);
         }
         let mut member = match (member.state, before) {
             // No more is said of a host that is gone: without this, a retry would be matched against
@@ -134,8 +134,8 @@
             _ => self.listed = Some(member.clone()),
         }
         match member.state {
-            HostState::Ready => self.left_since = None,
-            _ => _ = self.left_since.get_or_insert(source.effective_from(now)),
+            HostState::Ready => self.drain_since = None,
+            _ => _ = self.drain_since.get_or_insert(source.effective_from(now)),
         }
         member
     }
--- a/node/src/discovery/hosts.rs
+++ b/node/src/discovery/hosts.rs
@@ -145,7 +145,7 @@
     pub fn apply_planner_entry(&mut self, now: Nanos, entry: HostEntry, log: &Logger) {
         let id = HostId(entry.id);
         if let Some(host) = self.index(id).filter(|_| entry.name.is_empty()) {
-            self.records[host].left_since.get_or_insert(now);
+            self.records[host].drain_since.get_or_insert(now);
         } else if host_id(&entry.name) == id {
             let member = Member {
                 name: entry.name,
@@ -169,11 +169,11 @@
     }
 
     /// The index of the host of this name, listed or not, for a connection that is open there.
-    pub fn adopt(&mut self, now: Nanos, name: &str) -> usize {
+    pub fn index_or_insert(&mut self, now: Nanos, name: &str) -> usize {
         let id = host_id(name);
         self.index(id).unwrap_or_else(|| {
             let record = HostRecord {
-                left_since: Some(now),
+                drain_since: Some(now),
                 ..HostRecord::new(name.to_string(), id, now)
             };
             self.insert(self.records.len(), record);
@@ -214,7 +214,7 @@
         let host = self
             .index(id)
             .unwrap_or_else(|| self.add_host(now, id, &member.name, progress, log));
-        let known_to_drain = self.records[host].left_since.is_some();
+        let known_to_drain = self.records[host].drain_since.is_some();
         let member = self.records[host].apply_member(now, source, member);
         if !known_to_drain {
             self.log_drain(now, host, progress, log);
@@ -232,7 +232,7 @@
     /// Logs that a host drains or is gone, and since when this counts as told.
     fn log_drain(&self, now: Nanos, host: usize, progress: &mut ListProgress, log: &Logger) {
         let record = &self.records[host];
-        let Some(told_at) = record.left_since else {
+        let Some(told_at) = record.drain_since else {
             return;
         };
         progress.new_drains += 1;
--- a/node/src/error.rs
+++ b/node/src/error.rs
@@ -31,10 +31,10 @@
     },
     /// The environment names a listener that is no number.
     #[error("GW_ACCEPT_FD {0:?} is no descriptor")]
-    NoDescriptor(String),
+    InvalidDescriptor(String),
     /// The environment names a descriptor that can't be listened on.
     #[error("GW_ACCEPT_FD {descriptor} is no listener: {error}")]
-    NoListener {
+    InvalidListener {
         /// The number of the descriptor.
         descriptor: i32,
         /// What the system said.
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -23,7 +23,7 @@
 use std::path::{Path, PathBuf};
 
 /// The interval of a role's sweep over its connections.
-const SWEEP: Nanos = 100 * MILLI;
+const SWEEP_INTERVAL: Nanos = 100 * MILLI;
 /// How much longer than the longest deadline of a request a process that was asked to stop has until it is killed.
 const SHUTDOWN_MARGIN: Nanos = 700 * MILLI;
 
--- a/node/src/roles/forward.rs
+++ b/node/src/roles/forward.rs
@@ -8,7 +8,7 @@
 use crate::context::{self, token, Context, CORE_TIMER, LINK, STOP};
 use crate::operators::operator_config::{ForwarderOptions, OperatorConfig, Role};
 use crate::ready::Ready;
-use crate::{Signals, SHUTDOWN_MARGIN, SWEEP};
+use crate::{Signals, SHUTDOWN_MARGIN, SWEEP_INTERVAL};
 use reedferry::Nanos;
 use reedferry_control_plane::{Forwarder, ForwarderAction, ForwarderConfig, PlannerAddress};
 use reedferry_runtime::log::LogBacklog;
@@ -86,7 +86,7 @@
             failback_delay: role_config.failback_delay,
         };
         let forwarder = Forwarder::new(config, planners.clone(), node_config.seed, context.now);
-        let next_sweep = context.now + SWEEP;
+        let next_sweep = context.now + SWEEP_INTERVAL;
         context
             .poller
             .set_timer(next_sweep, token(context::SWEEP), 0);
@@ -181,11 +181,11 @@
         let context = &mut self.context;
         self.connections.accept(context, Some(&self.listener));
         self.connections.sweep(context);
-        context.note_spare_descriptors();
+        context.check_descriptor_recovery();
         context
             .hosts
             .report_latencies(context.now, &mut context.events);
-        let next_sweep = context.now + SWEEP;
+        let next_sweep = context.now + SWEEP_INTERVAL;
         context
             .poller
             .set_timer(next_sweep, token(context::SWEEP), 0);
--- a/node/src/roles/hot_restart/mod.rs
+++ b/node/src/roles/hot_restart/mod.rs
@@ -78,9 +78,11 @@
                 ..HotRestart::default()
             });
         };
-        let descriptor = named.parse().map_err(|_| FatalError::NoDescriptor(named))?;
+        let descriptor = named
+            .parse()
+            .map_err(|_| FatalError::InvalidDescriptor(named))?;
         Ok(HotRestart {
-            listener: Some(context.inherit(descriptor)?),
+            listener: Some(context.inherit_listener(descriptor)?),
             listener_is_shared: true,
             ..HotRestart::default()
         })
--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -9,7 +9,7 @@
 use crate::discovery::client::DiscoveryClient;
 use crate::operators::node_config::NodeConfig;
 use crate::operators::operator_config::{OperatorConfig, PlannerOptions, Role};
-use crate::{Signals, SWEEP};
+use crate::{Signals, SWEEP_INTERVAL};
 use reedferry::{Endpoint, Event, Nanos, MILLI};
 use reedferry_control_plane::{HostEntry, Planner, PlannerAction, PlannerConfig};
 use reedferry_runtime::log::LogBacklog;
@@ -103,7 +103,7 @@
         let revision = context.load_known_endpoints(&node_config)?;
         info!(context.log, "started"; "listen" => %listen, "role" => "plan", "name" => &role_config.name,
             "hosts" => context.hosts.count(), "revision" => revision);
-        let next_sweep = context.now + SWEEP;
+        let next_sweep = context.now + SWEEP_INTERVAL;
         context
             .poller
             .set_timer(next_sweep, token(context::SWEEP), 0);
@@ -252,10 +252,10 @@
                 context::PROBE => self.probes.on_timeout(&mut self.context, due),
                 context::SWEEP => {
                     self.discovery.sweep(&mut self.context);
-                    self.context.note_spare_descriptors();
+                    self.context.check_descriptor_recovery();
                     self.context
                         .poller
-                        .set_timer(now + SWEEP, token(context::SWEEP), 0);
+                        .set_timer(now + SWEEP_INTERVAL, token(context::SWEEP), 0);
                 }
                 _ => {}
             }
--- a/node/src/roles/standalone/event_loop.rs
+++ b/node/src/roles/standalone/event_loop.rs
@@ -4,7 +4,7 @@
 use crate::context::{self, token};
 use crate::operators::api::OperatorApi;
 use crate::roles::hot_restart::TransferredState;
-use crate::{SHUTDOWN_MARGIN, SWEEP};
+use crate::{SHUTDOWN_MARGIN, SWEEP_INTERVAL};
 use reedferry::{Action, Event, Idempotency, Nanos};
 use reedferry_membership::MemberState;
 use reedferry_runtime::{Clock, Errno, PollToken, Readiness};
@@ -15,7 +15,7 @@
     pub(super) fn gather(&mut self, clock: &Clock) -> Result<(), Errno> {
         let previous_turn = self.poll(clock)?;
         self.order_ready();
-        if self.context.now > previous_turn + 2 * SWEEP {
+        if self.context.now > previous_turn + 2 * SWEEP_INTERVAL {
             self.discovery.read_all(&mut self.context);
         }
         while let Some(ready) = self.ready.next(self.context.now, clock) {
@@ -251,7 +251,7 @@
         self.connections
             .accept(context, self.hot_restart.listener());
         self.connections.sweep(context);
-        context.note_spare_descriptors();
+        context.check_descriptor_recovery();
         self.hot_restart.sweep(context, &mut self.connections);
         self.discovery.sweep(context);
         let uses_slow_start_slots = self.balancer.uses_slow_start_slots(context.now);
@@ -265,7 +265,7 @@
             .report_latencies(context.now, &mut context.events);
         context
             .poller
-            .set_timer(context.now + SWEEP, token(context::SWEEP), 0);
+            .set_timer(context.now + SWEEP_INTERVAL, token(context::SWEEP), 0);
     }
 
     fn stop_if_asked(&mut self) {
--- a/node/src/roles/standalone/startup.rs
+++ b/node/src/roles/standalone/startup.rs
@@ -16,7 +16,7 @@
 use crate::peers::{GossipConfig, StaticPeers};
 use crate::ready::Ready;
 use crate::roles::hot_restart::{HotRestart, TransferredState};
-use crate::{Signals, SWEEP};
+use crate::{Signals, SWEEP_INTERVAL};
 use reedferry::{Balancer, BalancerSettings, Event};
 use reedferry_runtime::log::LogBacklog;
 use reedferry_runtime::{Clock, Socket};
@@ -105,7 +105,7 @@
         let context = &mut self.context;
         context
             .poller
-            .set_timer(context.now + SWEEP, token(context::SWEEP), 0);
+            .set_timer(context.now + SWEEP_INTERVAL, token(context::SWEEP), 0);
     }
 }
 
--- a/node/src/turn.rs
+++ b/node/src/turn.rs
@@ -40,8 +40,8 @@
     }
 
     /// What a log line that is written at `now` says of the turn.
-    pub fn account(&self, now: Nanos) -> Account {
-        Account {
+    pub fn time_breakdown(&self, now: Nanos) -> TimeBreakdown {
+        TimeBreakdown {
             behind: self.behind,
             overslept: self.overslept,
             turn: now.saturating_sub(self.began),
@@ -52,14 +52,14 @@
 
 /// Where the time before a log line went: to the turn before, to a late wake-up, to this turn, and to this thread's work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Account {
+pub struct TimeBreakdown {
     behind: Nanos,
     overslept: Nanos,
     turn: Nanos,
     processor: Nanos,
 }
 
-impl KV for Account {
+impl KV for TimeBreakdown {
     fn serialize(&self, _: &Record<'_>, serializer: &mut dyn Serializer) -> slog::Result {
         // The log writes the last first.
         serializer.emit_u64("processor_ms", self.processor / MILLI)?;
