--- a/node/src/discovery/call.rs
+++ b/node/src/discovery/call.rs
@@ -1,4 +1,4 @@
-//! One call to the list service: its connection, the request on its way out and the response on its way in.
+//! One call to the list service: its connection, the request being sent and the response being received.
 
 use super::http::{HttpError, HttpResponse};
 use super::list::{ListError, ListReader};
@@ -8,38 +8,38 @@
 use reedferry_runtime::{Buffer, Errno, Socket};
 use std::fmt;
 
-/// The longest body of a response.
+/// The maximum size of a response body, in bytes.
 const MAX_BODY_BYTES: usize = 32 << 20;
 
-/// Why a call came to nothing.
+/// The reason why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
     /// The connection could not be opened.
     Connect(Errno),
-    /// The connection broke while the request was sent.
+    /// The connection broke while the request was being sent.
     Send(Errno),
-    /// The connection broke while the response was read.
+    /// The connection broke while the response was being read.
     Receive(Errno),
-    /// The service ended the connection.
+    /// The service closed the connection.
     Closed,
-    /// Bytes came beyond a response, or without a request.
+    /// Bytes arrived after a complete response, or without a request.
     UnexpectedBytes,
     /// The service answered with this status.
     Status(u16),
-    /// The response can't be read.
+    /// The response is not valid HTTP.
     Http(HttpError),
-    /// The list can't be read.
+    /// The list is invalid.
     List(ListError),
-    /// The list is longer than the bound.
+    /// The body of the response is larger than [`MAX_BODY_BYTES`].
     ListTooLong,
-    /// The list is older than what is known, and not a whole one.
-    BackwardsRevision,
+    /// The response holds changes with an older revision than the known one.
+    RevisionRegressed,
     /// There was no answer in time.
     Timeout,
 }
 
 impl CallError {
-    /// What the error means for the staleness of the list.
+    /// Returns the kind of failure that determines the staleness of the list.
     pub fn failure(self) -> CallFailure {
         match self {
             CallError::Connect(_)
@@ -52,7 +52,7 @@
             | CallError::Http(_)
             | CallError::List(_)
             | CallError::ListTooLong
-            | CallError::BackwardsRevision => CallFailure::Malformed,
+            | CallError::RevisionRegressed => CallFailure::Malformed,
         }
     }
 }
@@ -60,16 +60,16 @@
 impl fmt::Display for CallError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CallError::Connect(error) => write!(formatter, "connect: {error}"),
-            CallError::Send(error) => write!(formatter, "send: {error}"),
+            CallError::Connect(error) => write!(formatter, "cannot connect: {error}"),
+            CallError::Send(error) => write!(formatter, "cannot send: {error}"),
             CallError::Receive(error) => error.fmt(formatter),
-            CallError::Closed => formatter.write_str("ended"),
-            CallError::UnexpectedBytes => formatter.write_str("bytes that nobody asked for"),
-            CallError::Status(status) => write!(formatter, "status {status}"),
+            CallError::Closed => formatter.write_str("connection closed by the service"),
+            CallError::UnexpectedBytes => formatter.write_str("unexpected bytes from the service"),
+            CallError::Status(status) => write!(formatter, "HTTP status {status}"),
             CallError::Http(error) => error.fmt(formatter),
             CallError::List(error) => error.fmt(formatter),
-            CallError::ListTooLong => formatter.write_str("a list that is too long"),
-            CallError::BackwardsRevision => formatter.write_str("a revision that runs backwards"),
+            CallError::ListTooLong => formatter.write_str("response body larger than 32 MiB"),
+            CallError::RevisionRegressed => formatter.write_str("changes with an older revision"),
             CallError::Timeout => formatter.write_str("no answer in time"),
         }
     }
@@ -89,57 +89,57 @@
     }
 }
 
-/// What reading once from the connection of a call has come to.
+/// The result of one read from the connection of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadOutcome {
     /// Nothing more can be read now.
     Blocked,
-    /// There may be more.
+    /// There may be more to read.
     More,
-    /// The response is complete; the next one may follow.
+    /// The response is complete, and the connection may be used for the next call.
     Complete,
-    /// The response is complete by the end of the connection.
+    /// The response was completed by the end of the connection.
     CompleteAtClose,
-    /// The service answered with this status, and not with a list.
+    /// The service answered with this error status instead of a list.
     Rejected(u16),
-    /// The connection is of no more use.
+    /// The connection is no longer usable.
     ConnectionLost(CallError),
-    /// What came can't be read.
+    /// The response is invalid.
     Malformed(CallError),
 }
 
 /// A connection to the service.
 pub(super) struct CallConnection {
     pub(super) socket: Socket,
-    /// Tells it from an earlier one of the same call.
+    /// The generation of the poller token, which tells this connection from earlier ones of the same call.
     pub(super) generation: u32,
 }
 
-/// A call, and the connection that it goes over.
+/// A call and its connection.
 #[derive(Default)]
 pub(super) struct DiscoveryCall {
     pub(super) connection: Option<CallConnection>,
-    /// Whether a request has no answer yet.
+    /// Whether a request has not been answered yet.
     pub(super) in_flight: bool,
     pub(super) request: Vec<u8>,
-    /// How much of the request is written.
+    /// The number of bytes of the request that have been written.
     written: usize,
     pub(super) response: HttpResponse,
     pub(super) reader: ListReader,
     body_bytes: usize,
-    /// Some of the response has arrived.
+    /// Whether some of the response has arrived.
     pub(super) response_begun: bool,
-    /// The connection has served an earlier call.
+    /// Whether the connection has served an earlier call.
     pub(super) reused: bool,
     pub(super) started_at: Nanos,
-    /// For how long the service may hold the call back for want of news.
+    /// How long the service may hold the call while there are no changes; 0 for an immediate answer.
     pub(super) max_wait: Nanos,
-    /// When it is taken to have failed.
+    /// When the call counts as failed if it has not been answered.
     pub(super) deadline: Nanos,
 }
 
 impl DiscoveryCall {
-    /// Begins the request from its first byte.
+    /// Resets the progress of the call, so that the request is sent from its first byte.
     pub(super) fn restart(&mut self) {
         self.written = 0;
         self.body_bytes = 0;
@@ -148,16 +148,16 @@
         self.reader = ListReader::default();
     }
 
-    /// Whether its connection is the one of this generation.
+    /// Returns whether the connection of the call is the one of this generation.
     pub(super) fn has_connection(&self, generation: u32) -> bool {
         let connection = self.connection.as_ref();
         connection.is_some_and(|connection| connection.generation == generation)
     }
 
-    /// Writes what it can of the request.
+    /// Writes as much of the request as the socket accepts.
     ///
     /// # Errors
-    /// Where the connection broke.
+    /// Returns [`CallError::Send`] if the connection broke.
     pub(super) fn write(&mut self) -> Result<(), CallError> {
         let Some(connection) = &self.connection else {
             return Ok(());
@@ -166,7 +166,7 @@
             match connection.socket.send(&self.request[self.written..]) {
                 Ok(count) => self.written += count,
                 Err(Errno::NOTCONN) => break,
-                // The next sweep goes on where the poller does not.
+                // The next sweep writes on, even if the poller reports nothing.
                 Err(error) if classify_io(error) != IoFailure::Disconnected => break,
                 Err(error) => return Err(CallError::Send(error)),
             }
@@ -174,8 +174,8 @@
         Ok(())
     }
 
-    /// Reads once. Once a response has begun, it has to be complete by `body_deadline`: without that, one
-    /// that never ends would be waited for as long as a watch without news.
+    /// Reads once. A response that has begun has to be complete by `body_deadline`. Otherwise a response that never
+    /// ends would be given as much time as a watch without changes.
     pub(super) fn read(&mut self, buffer: &mut Buffer, body_deadline: Nanos) -> ReadOutcome {
         let Some(connection) = &self.connection else {
             return ReadOutcome::Blocked;
--- a/node/src/discovery/client/answers.rs
+++ b/node/src/discovery/client/answers.rs
@@ -29,7 +29,7 @@
         let (started_at, max_wait) = (call.started_at, call.max_wait);
         let has_news = !list.members.is_empty();
         if !self.apply_list(context, which, list) {
-            return self.on_failed(context, which, CallError::BackwardsRevision);
+            return self.on_failed(context, which, CallError::RevisionRegressed);
         }
         self.staleness
             .record_latency(context.now, started_at, max_wait);
@@ -87,7 +87,7 @@
             .assess(which == WATCH, list.revision, list.complete);
         match freshness {
             // Without this, a draining host would count as ready again by changes from before.
-            Freshness::Backwards => return false,
+            Freshness::Regressed => return false,
             Freshness::Stale => {
                 context.events.push(Event::EndpointsUpdated {
                     kind: EndpointUpdate::Delta,
--- a/node/src/discovery/host_record.rs
+++ b/node/src/discovery/host_record.rs
@@ -1,4 +1,4 @@
-//! The record of one host: where the list says it is, since when it drains, and how it answers.
+//! The record of one host: its address and group in the list, when its drain began, and its message latency.
 
 use super::list::Member;
 use super::message_latency::LatencyTracker;
@@ -7,19 +7,19 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// How long the record of a host that is gone is kept.
+/// How long after the start of its drain the record of a host is kept.
 const RECORD_RETENTION: Nanos = 3600 * reedferry::SECOND;
 
-/// Where a list comes from.
+/// The origin of a list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ListSource {
-    /// It was kept by this process or another, or given at the start.
+    /// The list was stored by this or another process, or is part of the configuration.
     Cached,
-    /// The list service has just sent it.
+    /// The list service has just sent the list.
     Service {
-        /// What is known of the time its news is from.
+        /// How the plausibility of start times in the list is judged.
         claims: ClaimSource,
-        /// From when it counts as told.
+        /// The moment from which the content of the list counts as delivered.
         effective_from: Nanos,
     },
 }
@@ -32,7 +32,7 @@
         }
     }
 
-    /// From when what the list tells counts as told.
+    /// Returns the moment from which the content of the list counts as delivered.
     pub(super) fn effective_from(self, now: Nanos) -> Nanos {
         match self {
             ListSource::Cached => now,
@@ -41,31 +41,32 @@
     }
 }
 
-/// One host.
+/// The record of one host.
 pub struct HostRecord {
-    /// Its name in the list.
+    /// The name of the host in the list.
     pub name: String,
-    /// The hash of its name.
+    /// The hash of the name.
     pub id: HostId,
-    /// Where it is reached.
+    /// The address of the host; `None` if no list has given one.
     pub address: Option<SocketAddr>,
-    /// Since when it is told to be draining or gone.
+    /// The moment from which the host counts as draining or gone; `None` if it is ready.
     pub drain_since: Option<Nanos>,
-    /// When the list last put it into another group.
+    /// When a list last moved the host to another zone or cell.
     pub group_changed_at: Option<Nanos>,
-    /// When the list last put it at another address.
+    /// When a list last changed the host's address.
     pub address_changed_at: Option<Nanos>,
-    /// What the list says of it.
+    /// The entry of the host in the current list; `None` if the list doesn't name it.
     pub(super) listed: Option<Member>,
-    /// What the list said last of one that is gone.
+    /// The last entry of a host that is gone.
     pub(super) last_listed: Option<Member>,
-    /// Held by every connection that knows this record by its index.
+    /// A reference that every connection holds that refers to this record by its index, so that the record is not
+    /// reused.
     pub lease: Rc<()>,
     pub(super) latency: LatencyTracker,
 }
 
 impl HostRecord {
-    /// The record of a host of which nothing but its name is known.
+    /// Creates the record of a host of which only the name is known.
     pub(super) fn new(name: String, id: HostId, now: Nanos) -> Self {
         HostRecord {
             name,
@@ -81,7 +82,8 @@
         }
     }
 
-    /// Whether the record may be reused for another host: its own is long gone, and no connection holds it.
+    /// Returns whether the record may be reused for another host: its own host has been draining or gone for more
+    /// than [`RECORD_RETENTION`], and no connection holds the record.
     pub(super) fn is_reusable(&self, now: Nanos) -> bool {
         let long_gone = self
             .drain_since
@@ -89,13 +91,13 @@
         long_gone && Rc::strong_count(&self.lease) == 1
     }
 
-    /// A complete list does not name it.
+    /// Records that a full list no longer names the host.
     pub(super) fn remove_from_list(&mut self, effective_from: Nanos) {
         self.drain_since.get_or_insert(effective_from);
         self.last_listed = self.listed.take().or(self.last_listed.take());
     }
 
-    /// Applies what a list says of it, and returns that with what is known from before.
+    /// Applies the host's entry in a list, and returns it completed with what was known before.
     pub(super) fn apply_member(
         &mut self,
         now: Nanos,
@@ -107,21 +109,21 @@
             self.address_changed_at = Some(now);
         }
         self.address = address;
-        let before = self.listed.take().or(self.last_listed.take());
-        let same_group = |was: &Member| was.zone == member.zone && was.cell == member.cell;
-        let regrouped = before.as_ref().is_some_and(|was| !same_group(was));
-        if member.state != HostState::Gone && regrouped {
+        let previous = self.listed.take().or(self.last_listed.take());
+        let same_group = |old: &Member| old.zone == member.zone && old.cell == member.cell;
+        let group_changed = previous.as_ref().is_some_and(|old| !same_group(old));
+        if member.state != HostState::Gone && group_changed {
             self.group_changed_at = Some(now);
         }
-        let mut member = match (member.state, before) {
-            // No more is said of a host that is gone: without this, a retry would be matched against
-            // another group than that host's.
-            (HostState::Gone, Some(was)) => Member {
+        let mut member = match (member.state, previous) {
+            // The entry of a host that is gone has no other fields, so the previous ones are kept. Otherwise a
+            // retry would be matched against another group than that of the host.
+            (HostState::Gone, Some(old)) => Member {
                 state: HostState::Gone,
-                ..was
+                ..old
             },
-            (_, Some(was)) if was.started == member.started => Member {
-                accepted_start: member.accepted_start.or(was.accepted_start),
+            (_, Some(old)) if old.started == member.started => Member {
+                accepted_start: member.accepted_start.or(old.accepted_start),
                 ..member
             },
             _ => member,
--- a/node/src/discovery/hosts.rs
+++ b/node/src/discovery/hosts.rs
@@ -1,5 +1,5 @@
-//! The hosts as the node reaches them, one record each. Must never judge a host: it reports to the decision
-//! module what lists say and what was measured, and no more often than that asks for.
+//! The records of all hosts. This module reports to the balancer what lists contain and which message latencies
+//! were measured, no more often than the balancer needs it, and draws no conclusions about hosts itself.
 
 use super::host_record::HostRecord;
 pub use super::host_record::ListSource;
@@ -12,34 +12,34 @@
 use slog::{info, Logger};
 use std::collections::{HashMap, HashSet};
 
-/// Hosts of one list that are logged one by one. Without a limit, the log would drop what is said next, as
-/// thousands are named at once.
+/// The maximum number of hosts of one list that are logged one by one. A list may name thousands at once, and
+/// without a limit the log would drop the lines that follow.
 const MAX_LOGGED_HOSTS: usize = 64;
-/// Which part of the shortest latency objective a message latency has to exceed to be reported.
+/// A message latency is reported if it exceeds the shortest latency objective divided by this number.
 const SLOW_THRESHOLD_DIVISOR: Nanos = 3;
 
-/// All hosts that this node has heard of.
+/// All hosts that this node knows.
 #[derive(Default)]
 pub struct Hosts {
     records: Vec<HostRecord>,
     by_id: HashMap<HostId, usize>,
     zones: ZoneIndex,
-    /// How many lists have come.
+    /// The number of lists that have been applied.
     pub list_count: u64,
-    /// When this process could not see what hosts did.
+    /// The spans in which this process could not observe hosts.
     pub stalls: Stalls,
-    /// The message latency from which the decision module is told.
+    /// The message latency above which the balancer is informed.
     slow_threshold: Nanos,
 }
 
-/// How far the members of one list have been applied.
+/// Progress and counts while the members of one list are applied.
 #[derive(Default)]
 struct ListProgress {
-    /// No record before this one is reusable.
+    /// The index from which to search for a reusable record; no earlier one is reusable.
     next_reusable: usize,
-    /// Hosts named for the first time.
+    /// The number of hosts that are named for the first time.
     new_hosts: usize,
-    /// Hosts that drain or are gone, and were not before.
+    /// The number of hosts that have begun to drain or are gone, and were not before.
     new_drains: usize,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl Hosts {
-    /// No hosts yet.
+    /// Creates the collection without hosts.
     pub fn new(zones: Vec<String>, shortest_message_latency_objective: Nanos) -> Self {
         Hosts {
             zones: ZoneIndex::new(zones),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Goes by other names of zones, and another latency from which the decision module is told.
+    /// Applies new names of zones and a new shortest latency objective.
     pub fn update_settings(
         &mut self,
         zones: Vec<String>,
@@ -67,12 +67,12 @@
         self.slow_threshold = shortest_message_latency_objective / SLOW_THRESHOLD_DIVISOR;
     }
 
-    /// How many records there are.
+    /// Returns the number of records, including those of hosts that are gone.
     pub fn count(&self) -> usize {
         self.records.len()
     }
 
-    /// The ids of the hosts that the list names.
+    /// Returns the ids of the hosts that the current list names.
     pub fn ids(&self) -> impl Iterator<Item = u64> + '_ {
         self.records
             .iter()
@@ -80,18 +80,18 @@
             .map(|record| record.id.0)
     }
 
-    /// The index of a host's record.
+    /// Returns the index of a host's record, or `None` if the host is unknown.
     pub fn index(&self, id: HostId) -> Option<usize> {
         self.by_id.get(&id).copied()
     }
 
-    /// The record at an index.
+    /// Returns the record at an index.
     pub fn record(&self, host: usize) -> &HostRecord {
         &self.records[host]
     }
 
-    /// Has a list that is older than what was told here keep the drains that were: a host that has not
-    /// restarted since still drains. Returns how many that are.
+    /// Marks hosts as draining in a list that is older than the known one, if they were known to drain and have
+    /// not restarted since. Returns the number of these hosts.
     pub fn keep_drains(&self, list: &mut EndpointList) -> usize {
         let mut kept = 0;
         for member in &mut list.members {
@@ -100,9 +100,9 @@
             }
             let host = self.index(host_id(&member.name));
             let listed = host.and_then(|host| self.records[host].listed.as_ref());
-            let drains =
-                |was: &Member| was.state == HostState::Draining && was.started == member.started;
-            if listed.is_some_and(drains) {
+            let still_drains =
+                |old: &Member| old.state == HostState::Draining && old.started == member.started;
+            if listed.is_some_and(still_drains) {
                 member.state = HostState::Draining;
                 kept += 1;
             }
@@ -110,7 +110,7 @@
         kept
     }
 
-    /// Applies a list, and returns what the decision module is to be told.
+    /// Applies a list, and returns the event for the balancer.
     pub fn apply_list(
         &mut self,
         now: Nanos,
@@ -141,7 +141,8 @@
         Event::EndpointsUpdated { kind, endpoints }
     }
 
-    /// Applies what a planner says of one host. An entry whose id is not that of its name is ignored.
+    /// Applies a planner's entry for one host. An entry without a name marks a known host as draining. An entry
+    /// whose id doesn't match its name is ignored.
     pub fn apply_planner_entry(&mut self, now: Nanos, entry: HostEntry, log: &Logger) {
         let id = HostId(entry.id);
         if let Some(host) = self.index(id).filter(|_| entry.name.is_empty()) {
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Puts a record at an index, in place of the one there.
+    /// Stores a record at an index, and replaces the one that is there.
     fn insert(&mut self, index: usize, record: HostRecord) {
         self.by_id.insert(record.id, index);
         match self.records.get_mut(index) {
@@ -168,7 +169,8 @@
         }
     }
 
-    /// The index of the host of this name, listed or not, for a connection that is open there.
+    /// Returns the index of the host of this name, to which a connection is open. An unknown host gets a record that
+    /// counts as draining from `now`.
     pub fn index_or_insert(&mut self, now: Nanos, name: &str) -> usize {
         let id = host_id(name);
         self.index(id).unwrap_or_else(|| {
@@ -181,7 +183,7 @@
         })
     }
 
-    /// What the list says of the hosts that it names.
+    /// Returns the entries of the current list.
     pub fn members(&self) -> Vec<Member> {
         self.records
             .iter()
@@ -189,11 +191,11 @@
             .collect()
     }
 
-    /// What the list said last of those that are gone, and known still.
+    /// Returns the last entries of the hosts that are gone and still have a record.
     pub fn former_members(&self) -> Vec<Member> {
-        let gone = |was: &Member| Member {
+        let gone = |old: &Member| Member {
             state: HostState::Gone,
-            ..was.clone()
+            ..old.clone()
         };
         self.records
             .iter()
@@ -214,9 +216,9 @@
         let host = self
             .index(id)
             .unwrap_or_else(|| self.add_host(now, id, &member.name, progress, log));
-        let known_to_drain = self.records[host].drain_since.is_some();
+        let was_draining = self.records[host].drain_since.is_some();
         let member = self.records[host].apply_member(now, source, member);
-        if !known_to_drain {
+        if !was_draining {
             self.log_drain(now, host, progress, log);
         }
         Endpoint {
@@ -229,21 +231,21 @@
         }
     }
 
-    /// Logs that a host drains or is gone, and since when this counts as told.
+    /// Logs that a host drains or is gone, and since when this counts as delivered.
     fn log_drain(&self, now: Nanos, host: usize, progress: &mut ListProgress, log: &Logger) {
         let record = &self.records[host];
-        let Some(told_at) = record.drain_since else {
+        let Some(drain_since) = record.drain_since else {
             return;
         };
         progress.new_drains += 1;
         if progress.new_drains <= MAX_LOGGED_HOSTS {
-            let told_ms_ago = now.saturating_sub(told_at) / MILLI;
+            let told_ms_ago = now.saturating_sub(drain_since) / MILLI;
             info!(log, "host drains"; "name" => &record.name, "told_ms_ago" => told_ms_ago);
         }
     }
 
-    /// A record for a host that is named for the first time. Those of hosts long gone are reused, as a node
-    /// runs for months.
+    /// Adds a record for a host that is named for the first time, and returns its index. Records of hosts that are
+    /// long gone are reused, so that the number of records stays bounded in a node that runs for months.
     fn add_host(
         &mut self,
         now: Nanos,
@@ -252,8 +254,10 @@
         progress: &mut ListProgress,
         log: &Logger,
     ) -> usize {
-        let rest = self.records.iter().skip(progress.next_reusable);
-        let reusable = rest.into_iter().position(|record| record.is_reusable(now));
+        let remaining = self.records.iter().skip(progress.next_reusable);
+        let reusable = remaining
+            .into_iter()
+            .position(|record| record.is_reusable(now));
         let index = reusable.map_or(self.records.len(), |n| progress.next_reusable + n);
         progress.next_reusable = index;
         progress.new_hosts += 1;
@@ -264,27 +268,27 @@
         index
     }
 
-    /// A line that was sent at `sent_at` has been answered. What lay unread while this process was stalled
-    /// does not count: without that, hosts would be taken for slow, and clients rejected.
+    /// Records that a line that was sent at `sent_at` has been answered. Time in which this process was stalled is
+    /// subtracted from the latency. Otherwise hosts would count as slow and clients would be rejected.
     pub fn record_answer(&mut self, host: usize, sent_at: Nanos, now: Nanos) {
         let latency = now.saturating_sub(self.stalls.adjusted_start(sent_at, now));
         let tracker = &mut self.records[host].latency;
         tracker.record_answer(sent_at, latency, self.slow_threshold);
     }
 
-    /// Whether the host has answered a line that was sent later than `at`.
+    /// Returns whether the host has answered a line that was sent later than `at`.
     pub fn has_answered_since(&self, host: usize, at: Nanos) -> bool {
         self.records[host].latency.has_answered_since(at)
     }
 
-    /// A line that was sent at `sent_at` is not answered yet.
+    /// Records that a line that was sent at `sent_at` is not answered yet.
     pub fn record_unanswered(&mut self, host: usize, sent_at: Nanos, now: Nanos) {
         let visible_since = self.stalls.adjusted_start(sent_at, now);
         self.records[host].latency.record_unanswered(visible_since);
     }
 
-    /// Reports the message latency of each host: at once when work piles up, else once a second while it is
-    /// long, and once more when it is not.
+    /// Adds an event for each host whose message latency has to be reported: at once when a backlog forms, once per
+    /// second while the latency is high, and once more when it is back to normal.
     pub fn report_latencies(&mut self, now: Nanos, events: &mut Vec<Event>) {
         for record in &mut self.records {
             if let Some(latency) = record.latency.report(now, self.slow_threshold) {
--- a/node/src/discovery/hosts_tests.rs
+++ b/node/src/discovery/hosts_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the hosts as the node reaches them.
+//! Tests of host records and of the latencies that are reported.
 
 use super::*;
 use crate::discovery::start_times::ClaimSource;
@@ -25,22 +25,24 @@
     let mut events = Vec::new();
     hosts.report_latencies(now, &mut events);
     events.first().map(|e| match e {
-        Event::MessageLatency { latency: time, .. } => *time / MILLI,
+        Event::MessageLatency {
+            latency: reported, ..
+        } => *reported / MILLI,
         other => panic!("{other:?}"),
     })
 }
 
 #[test]
-fn a_jam_is_reported_at_once_and_at_its_projected_size() {
+fn a_backlog_is_reported_at_once_with_its_projected_latency() {
     let mut hosts = hosts_with_one_answer();
-    // Sent 200 ms after the last good one and 200 ms late: one sent now is to take twice that.
+    // The line was sent 200 ms after the last timely one and took 200 ms, so a line sent now would take 400 ms.
     hosts.record_answer(0, START + 300 * MILLI, START + 500 * MILLI);
     assert!((395..=400).contains(&report(&mut hosts, START + 500 * MILLI).unwrap()));
     hosts.record_unanswered(0, START + 300 * MILLI, START + 10_000 * MILLI);
     assert_eq!(
         report(&mut hosts, START + 600 * MILLI),
         None,
-        "told again within the second"
+        "reported again within a second"
     );
     hosts.record_unanswered(0, START + 300 * MILLI, START + 10_000 * MILLI);
     hosts.record_unanswered(0, START + 320 * MILLI, START + 10_000 * MILLI);
@@ -49,16 +51,16 @@
     assert_eq!(
         report(&mut hosts, START + 2600 * MILLI),
         Some(3),
-        "and once more when it is over"
+        "not reported once more when it was over"
     );
     hosts.record_answer(0, START + 2700 * MILLI, START + 2705 * MILLI);
     assert_eq!(report(&mut hosts, START + 3600 * MILLI), None);
 }
 
 #[test]
-fn a_host_that_answers_none_of_several_is_reported_as_hung_and_once() {
+fn a_host_that_answers_none_of_several_lines_is_reported_as_hung_once() {
     let mut hosts = hosts_with_one_answer();
-    for (now, wanted) in [
+    for (now, expected) in [
         (640, None),
         (660, Some(998)),
         (760, None),
@@ -66,9 +68,13 @@
     ] {
         hosts.record_unanswered(0, START + 250 * MILLI, START + 10_000 * MILLI);
         hosts.record_unanswered(0, START + 300 * MILLI, START + 10_000 * MILLI);
-        assert_eq!(report(&mut hosts, START + now * MILLI), wanted, "at {now}");
+        assert_eq!(
+            report(&mut hosts, START + now * MILLI),
+            expected,
+            "at {now}"
+        );
     }
-    // One line alone may be lost, and one older than what is answered is.
+    // A single unanswered line may be lost, and lines older than an answered one are.
     let mut hosts = hosts_with_one_answer();
     hosts.record_unanswered(0, START + 250 * MILLI, START + 10_000 * MILLI);
     assert_eq!(report(&mut hosts, START + 660 * MILLI), None);
@@ -84,7 +90,7 @@
 }
 
 #[test]
-fn a_pause_is_not_reported_and_steady_lateness_is_once_a_second() {
+fn a_short_pause_is_not_reported_and_a_lasting_latency_is_once_per_second() {
     let mut hosts = hosts_with_one_answer();
     hosts.record_unanswered(0, START + 300 * MILLI, START + 10_000 * MILLI);
     assert_eq!(report(&mut hosts, START + 390 * MILLI), None);
@@ -93,14 +99,14 @@
     }
     assert_eq!(report(&mut hosts, START + 900 * MILLI), None);
     assert_eq!(report(&mut hosts, START + 1000 * MILLI), Some(40));
-    // An old slow answer among quick ones says nothing of now.
+    // An earlier slow answer among quick ones doesn't count as the current latency.
     for n in 0..5 {
         hosts.record_answer(0, START + 1400 * MILLI, START + (1402 + n) * MILLI);
     }
     assert_eq!(report(&mut hosts, START + 2000 * MILLI), Some(2));
 }
 
-/// Applies a list with this text.
+/// Applies a list with this text, and returns the endpoints that are reported.
 fn apply(hosts: &mut Hosts, text: &str) -> Vec<Endpoint> {
     let mut reader = crate::discovery::list::ListReader::default();
     reader.feed(text.as_bytes()).unwrap();
@@ -114,16 +120,16 @@
         &Logger::root(slog::Discard, slog::o!()),
     ) {
         Event::EndpointsUpdated {
-            endpoints: hosts, ..
-        } => hosts,
+            endpoints: listed, ..
+        } => listed,
         other => panic!("{other:?}"),
     }
 }
 
-/// Guards against zones that the settings do not name taken for one another or for one that they
-/// do; names that look like numbers.
+/// Guards against a zone that the settings don't name and that shares its index with another zone, also if its name
+/// looks like a number.
 #[test]
-fn each_zone_has_an_index_of_its_own_whether_or_not_the_settings_name_it() {
+fn each_zone_has_an_index_of_its_own_even_if_the_settings_do_not_name_it() {
     let zones = |hosts: &mut Hosts, names: &[&str]| -> Vec<u16> {
         let member = |n: &&str| format!(r#"{{"id":"s-{n}","locality":"{n}","phase":"active"}}"#);
         let members: Vec<String> = names.iter().map(member).collect();
@@ -146,12 +152,12 @@
         zones(&mut hosts, &["y", "x"]),
         zones(&mut hosts, &["y", "x"])
     );
-    // Where the settings name none, a number is a place.
+    // If the settings name no zones, a number is the index itself.
     assert_eq!(
         zones(&mut Hosts::new(Vec::new(), 48 * MILLI), &["0", "3"]),
         [0, 3]
     );
-    // Thousands of names have places, and none of the settings' own.
+    // Thousands of names get indices of their own, none of which belongs to the settings.
     let mut hosts = Hosts::new(vec!["a".to_string()], 48 * MILLI);
     let indices: HashSet<u16> = (0..3000)
         .map(|n| hosts.zones.index(&format!("z{n}")))
@@ -159,9 +165,8 @@
     assert!(indices.len() == 3000 && !indices.contains(&0));
 }
 
-/// Guards against a host that has left, of which the last change says no more, taken for one of
-/// another zone or cell; and one that is gone and keeps the index that its zone had before the
-/// settings changed theirs.
+/// Guards against a host that has left and counts as part of another zone or cell, as its last change doesn't name
+/// them; and against one that keeps the index that its zone had before the settings changed.
 #[test]
 fn a_host_that_has_left_keeps_its_zone_and_cell() {
     let mut hosts = Hosts::new(vec!["a".to_string(), "b".to_string()], 48 * MILLI);
@@ -175,7 +180,7 @@
         (listing.state, listing.zone, listing.cell, listing.size),
         (HostState::Gone, 1, 3, 2.0)
     );
-    // Another is missing from a whole list.
+    // The other host is missing from a full list.
     apply(&mut hosts, r#"{"revision":3,"complete":true,"members":[]}"#);
     assert!(hosts.members().is_empty() && hosts.ids().next().is_none());
     hosts.update_settings(vec!["b".to_string()], 48 * MILLI);
--- a/node/src/discovery/http.rs
+++ b/node/src/discovery/http.rs
@@ -1,88 +1,88 @@
-//! Responses of HTTP/1.1, read as they arrive. Owns how far a response has been read. Must never keep more
-//! than one line of the head, nor any of the body: that goes on to the caller piece by piece.
+//! Reads HTTP/1.1 responses incrementally as they arrive. The reader keeps at most one line of the head and nothing
+//! of the body, which it passes on to the caller piece by piece.
 
 use std::fmt;
 
-/// The longest line of a head.
+/// The maximum length of a head line, in bytes.
 const MAX_LINE_BYTES: usize = 4096;
-/// The most lines of a head.
+/// The maximum number of lines in a head.
 const MAX_HEAD_LINES: usize = 128;
 
-/// Why a response can't be read.
+/// The reason why a response can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HttpError {
-    /// A line of the head is longer than the bound.
+    /// A line of the head is longer than [`MAX_LINE_BYTES`].
     LineTooLong,
-    /// The head has more lines than the bound.
+    /// The head has more lines than [`MAX_HEAD_LINES`].
     TooManyLines,
     /// A line of the head is not UTF-8.
-    LineNotText,
-    /// The first line is no status line.
-    NoStatusLine,
-    /// The status line has no status of three digits.
-    NoStatus,
+    LineNotUtf8,
+    /// The first line is not a status line of HTTP/1.
+    InvalidStatusLine,
+    /// The status line has no status code of three digits.
+    InvalidStatus,
     /// A header has no colon.
     HeaderWithoutColon,
-    /// The content length is no number.
+    /// The content length is not an unsigned integer.
     InvalidLength,
     /// Two content lengths differ.
     ConflictingLengths,
     /// The transfer encoding is not `chunked`.
-    UnknownTransferEncoding,
-    /// The size of a chunk is no hexadecimal number.
+    UnsupportedTransferEncoding,
+    /// The size of a chunk is not a hexadecimal number.
     InvalidChunkSize,
-    /// A chunk does not end where its size says.
+    /// A chunk is longer than its size.
     ChunkTooLong,
 }
 
 impl fmt::Display for HttpError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            HttpError::LineTooLong => "a head line that is too long",
-            HttpError::TooManyLines => "too many head lines",
-            HttpError::LineNotText => "a head line that is no text",
-            HttpError::NoStatusLine => "no status line",
-            HttpError::NoStatus => "no status",
-            HttpError::HeaderWithoutColon => "a header without a colon",
-            HttpError::InvalidLength => "a wild length",
-            HttpError::ConflictingLengths => "two lengths",
-            HttpError::UnknownTransferEncoding => "an unknown transfer encoding",
-            HttpError::InvalidChunkSize => "a wild piece size",
-            HttpError::ChunkTooLong => "a piece longer than it said",
+            HttpError::LineTooLong => "head line longer than 4096 bytes",
+            HttpError::TooManyLines => "more than 128 head lines",
+            HttpError::LineNotUtf8 => "head line is not UTF-8",
+            HttpError::InvalidStatusLine => "status line does not begin with HTTP/1.",
+            HttpError::InvalidStatus => "status is not a number of three digits",
+            HttpError::HeaderWithoutColon => "header without a colon",
+            HttpError::InvalidLength => "content-length is not an unsigned integer",
+            HttpError::ConflictingLengths => "conflicting content-length headers",
+            HttpError::UnsupportedTransferEncoding => "transfer-encoding is not chunked",
+            HttpError::InvalidChunkSize => "chunk size is not a hexadecimal number",
+            HttpError::ChunkTooLong => "chunk longer than its size",
         })
     }
 }
 
 impl std::error::Error for HttpError {}
 
-/// What comes next.
+/// The part of a response that is expected next.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ParseState {
     Status,
     Header,
-    /// So many bytes of the body are left.
+    /// The body, of which this many bytes are left.
     Body(u64),
-    /// The body lasts until the connection ends.
+    /// The body, which lasts until the connection ends.
     UntilClose,
     ChunkSize,
-    /// So many bytes of the chunk are left.
+    /// A chunk, of which this many bytes are left.
     Chunk(u64),
     ChunkEnd,
     Trailer,
     Done,
 }
 
-/// A response, as far as it has been read.
+/// A response that is being read.
 pub struct HttpResponse {
     state: ParseState,
     /// The line of the head being read.
     line: Vec<u8>,
     head_lines: usize,
-    /// The status, once the first line is read.
+    /// The status code, or 0 until the status line has been read.
     pub status: u16,
     content_length: Option<u64>,
     chunked: bool,
-    /// Whether the connection ends with this response.
+    /// Whether the service closes the connection after this response.
     pub closes_connection: bool,
 }
 
@@ -101,17 +101,17 @@
 }
 
 impl HttpResponse {
-    /// Whether all of it is read.
+    /// Returns whether the whole response has been read.
     pub fn is_complete(&self) -> bool {
         self.state == ParseState::Done
     }
 
-    /// Whether any of it is read.
+    /// Returns whether any byte of the response has been read.
     pub fn has_begun(&self) -> bool {
         self.state != ParseState::Status || !self.line.is_empty()
     }
 
-    /// The other side has ended its sending: whether the response is complete by that.
+    /// Records that the service has ended its side of the connection, and returns whether the response is complete.
     pub fn on_close(&mut self) -> bool {
         if self.state == ParseState::UntilClose {
             self.state = ParseState::Done;
@@ -120,22 +120,24 @@
         self.is_complete()
     }
 
-    /// Reads on, gives pieces of the body to `on_body`, and tells how many bytes were the response's.
+    /// Reads the next bytes, passes pieces of the body to `on_body`, and returns how many bytes belong to the
+    /// response.
     ///
     /// # Errors
-    /// Why the response can't be read, or what `on_body` has to say of the body.
+    /// Returns the reason why the response can't be read, or the error of `on_body`.
     pub fn feed<E: From<HttpError>>(
         &mut self,
         bytes: &[u8],
         mut on_body: impl FnMut(&[u8]) -> Result<(), E>,
     ) -> Result<usize, E> {
-        let mut at = 0;
-        while at < bytes.len() && self.state != ParseState::Done {
+        let mut position = 0;
+        while position < bytes.len() && self.state != ParseState::Done {
             match self.state {
                 ParseState::Body(left) | ParseState::Chunk(left) => {
-                    let size = (bytes.len() - at).min(usize::try_from(left).unwrap_or(usize::MAX));
-                    on_body(&bytes[at..at + size])?;
-                    at += size;
+                    let size =
+                        (bytes.len() - position).min(usize::try_from(left).unwrap_or(usize::MAX));
+                    on_body(&bytes[position..position + size])?;
+                    position += size;
                     let left = left - size as u64;
                     self.state = match (self.state, left) {
                         (ParseState::Body(_), 0) => ParseState::Done,
@@ -145,19 +147,19 @@
                     };
                 }
                 ParseState::UntilClose => {
-                    on_body(&bytes[at..])?;
-                    at = bytes.len();
+                    on_body(&bytes[position..])?;
+                    position = bytes.len();
                 }
                 _ => {
-                    self.read_head_byte(bytes[at])?;
-                    at += 1;
+                    self.read_line_byte(bytes[position])?;
+                    position += 1;
                 }
             }
         }
-        Ok(at)
+        Ok(position)
     }
 
-    fn read_head_byte(&mut self, byte: u8) -> Result<(), HttpError> {
+    fn read_line_byte(&mut self, byte: u8) -> Result<(), HttpError> {
         if byte != b'\n' {
             if self.line.len() >= MAX_LINE_BYTES {
                 return Err(HttpError::LineTooLong);
@@ -174,12 +176,12 @@
         if self.head_lines > MAX_HEAD_LINES {
             return Err(HttpError::TooManyLines);
         }
-        let text = std::str::from_utf8(&line).map_err(|_| HttpError::LineNotText)?;
+        let text = std::str::from_utf8(&line).map_err(|_| HttpError::LineNotUtf8)?;
         self.state = self.read_line(text)?;
         Ok(())
     }
 
-    /// Reads a line of the head or around a chunk, and tells what comes next.
+    /// Reads a line of the head or before or after a chunk, and returns what is expected next.
     fn read_line(&mut self, text: &str) -> Result<ParseState, HttpError> {
         Ok(match self.state {
             ParseState::Status => {
@@ -213,13 +215,13 @@
         let version = words
             .next()
             .filter(|version| version.starts_with("HTTP/1."))
-            .ok_or(HttpError::NoStatusLine)?;
+            .ok_or(HttpError::InvalidStatusLine)?;
         self.closes_connection = version == "HTTP/1.0";
         let status = words
             .next()
             .filter(|word| word.len() == 3)
             .and_then(|word| word.parse().ok());
-        self.status = status.ok_or(HttpError::NoStatus)?;
+        self.status = status.ok_or(HttpError::InvalidStatus)?;
         Ok(())
     }
 
@@ -235,7 +237,7 @@
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
             self.chunked = value.eq_ignore_ascii_case("chunked");
             if !self.chunked {
-                return Err(HttpError::UnknownTransferEncoding);
+                return Err(HttpError::UnsupportedTransferEncoding);
             }
         } else if name.eq_ignore_ascii_case("connection") {
             self.closes_connection = value.eq_ignore_ascii_case("close");
@@ -243,10 +245,10 @@
         Ok(())
     }
 
-    /// What follows the empty line behind the headers.
+    /// Returns what is expected after the empty line that ends the headers.
     fn end_head(&mut self) -> ParseState {
         if self.status < 200 {
-            // An interim response; the final one follows.
+            // This is an interim response, and the final one follows.
             self.content_length = None;
             return ParseState::Status;
         }
--- a/node/src/discovery/http_tests.rs
+++ b/node/src/discovery/http_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the reading of HTTP responses.
+//! Tests of reading HTTP responses.
 
 use super::*;
 
@@ -19,8 +19,8 @@
 }
 
 #[test]
-fn reads_responses_however_they_are_split() {
-    for (text, wanted) in [
+fn reads_responses_regardless_of_how_they_are_split() {
+    for (text, expected) in [
         ("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", (200, "hello", true, false)),
         (
             "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nhel\r\n2;x=y\r\nlo\r\n0\r\nA: b\r\n\r\n",
@@ -32,8 +32,8 @@
         ("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", (200, "hello", false, false)),
     ] {
         for size in 1..=text.len() {
-            let (status, body, done, last) = read(text.as_bytes(), size).unwrap();
-            assert_eq!((status, &*body, done, last), (wanted.0, wanted.1.as_bytes(), wanted.2, wanted.3));
+            let (status, body, complete, closes) = read(text.as_bytes(), size).unwrap();
+            assert_eq!((status, &*body, complete, closes), (expected.0, expected.1.as_bytes(), expected.2, expected.3));
         }
     }
     let mut response = HttpResponse::default();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn reports_what_is_malformed() {
+fn rejects_malformed_responses() {
     for text in [
         "SSH-2.0\r\n",
         "HTTP/1.1 2x0 OK\r\n",
--- a/node/src/discovery/json.rs
+++ b/node/src/discovery/json.rs
@@ -1,28 +1,29 @@
-//! A lexer for JSON that is read as it arrives, however it is split. Owns where in the text it stands. Must
-//! never keep more than one token, nor take one that is longer, or nested deeper, than its bounds.
+//! An incremental lexer for JSON, which reads a text byte by byte. It keeps at most one token, and rejects tokens and
+//! nesting beyond its bounds.
 
 use std::fmt;
 
-/// The longest string, number or word.
+/// The maximum length of a string or literal, in bytes.
 const MAX_TOKEN_BYTES: usize = 256;
+/// The maximum number of nested containers.
 const MAX_DEPTH: usize = 16;
 
-/// What a text is made of.
+/// An element of a JSON text.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum JsonEvent<'a> {
-    /// An object begins; it is the innermost container now.
+    /// An object begins and is now the innermost container.
     ObjectStart,
-    /// The innermost container, an object, ends.
+    /// The innermost container, which is an object, ends.
     ObjectEnd,
     /// A key of the innermost container.
     Key(&'a str),
     /// A string that is a value.
     Text(&'a str),
-    /// A number, `true`, `false` or `null` as it stands.
-    Bare(&'a str),
+    /// The unconverted text of a number, `true`, `false` or `null`.
+    Literal(&'a str),
 }
 
-/// What encloses a place in the text.
+/// The kind of a container that encloses a position in the text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Container {
     /// An object.
@@ -31,44 +32,44 @@
     Array,
 }
 
-/// Why a text is no JSON that can be read.
+/// The reason why a JSON text is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JsonError {
-    /// A bare token is not UTF-8.
-    TokenNotText,
-    /// A bare token is neither a number nor one of JSON's words.
-    UnknownToken,
+    /// A literal is not UTF-8.
+    LiteralNotUtf8,
+    /// A literal is neither a finite number nor `true`, `false` or `null`.
+    InvalidLiteral,
     /// A string is not UTF-8.
-    StringNotText,
+    StringNotUtf8,
     /// A string contains a control character.
     ControlCharacter,
     /// A backslash is followed by an unknown character.
     UnknownEscape,
-    /// An escape by code has another character than a hexadecimal digit.
-    InvalidEscape,
-    /// A token is longer than the bound.
+    /// A `\u` escape contains a character that is not a hexadecimal digit.
+    InvalidUnicodeEscape,
+    /// A token is longer than [`MAX_TOKEN_BYTES`].
     TokenTooLong,
-    /// Containers are nested deeper than the bound.
+    /// Containers are nested deeper than [`MAX_DEPTH`].
     TooDeep,
-    /// The outermost value is no object.
-    NoObject,
-    /// A character stands where it can't.
+    /// The outermost value is not an object.
+    NotAnObject,
+    /// A character is not allowed at its position.
     Syntax,
 }
 
 impl JsonError {
     fn message(self) -> &'static str {
         match self {
-            JsonError::TokenNotText => "a token that is no text",
-            JsonError::UnknownToken => "an unknown token",
-            JsonError::StringNotText => "a string that is no text",
-            JsonError::ControlCharacter => "a control character in a string",
-            JsonError::UnknownEscape => "an unknown escape",
-            JsonError::InvalidEscape => "a wild escape",
-            JsonError::TokenTooLong => "a token that is too long",
-            JsonError::TooDeep => "a list that is too deep",
-            JsonError::NoObject => "no object",
-            JsonError::Syntax => "a list that is no JSON",
+            JsonError::LiteralNotUtf8 => "literal is not UTF-8",
+            JsonError::InvalidLiteral => "literal is not a number, true, false or null",
+            JsonError::StringNotUtf8 => "string is not UTF-8",
+            JsonError::ControlCharacter => "control character in a string",
+            JsonError::UnknownEscape => "unknown escape sequence in a string",
+            JsonError::InvalidUnicodeEscape => "unicode escape is not four hexadecimal digits",
+            JsonError::TokenTooLong => "string or literal longer than 256 bytes",
+            JsonError::TooDeep => "nested deeper than 16 levels",
+            JsonError::NotAnObject => "outermost value is not an object",
+            JsonError::Syntax => "invalid JSON syntax",
         }
     }
 }
@@ -81,7 +82,7 @@
 
 impl std::error::Error for JsonError {}
 
-/// What may come next between two tokens.
+/// What is allowed next between two tokens.
 #[derive(Clone, Copy, PartialEq)]
 enum Expect {
     Value,
@@ -93,26 +94,26 @@
     Nothing,
 }
 
-/// Within which token the lexer stands.
+/// The position of the lexer relative to the current token.
 #[derive(Clone, Copy, PartialEq)]
 enum TokenState {
     Between,
     Text,
     Escape,
-    /// An escape by code: so many hexadecimal digits are still to come.
-    Code(u8),
-    Bare,
+    /// In a `\u` escape, of which this many hexadecimal digits are left.
+    UnicodeEscape(u8),
+    Literal,
 }
 
-/// The lexer. Reports each event with the containers that enclose it, the outermost first.
+/// An incremental lexer. It reports each event with the enclosing containers, the outermost first.
 pub struct JsonLexer {
     expect: Expect,
     state: TokenState,
     /// The token being read.
     token: Vec<u8>,
-    /// The code of an escape being read.
+    /// The code unit of the `\u` escape being read.
     code: u32,
-    /// The first half of a surrogate pair.
+    /// The first half of a surrogate pair; `None` if no pair has begun.
     high_surrogate: Option<u32>,
     nesting: Vec<Container>,
 }
@@ -131,15 +132,15 @@
 }
 
 impl JsonLexer {
-    /// Whether the outermost value is complete.
+    /// Returns whether the outermost value is complete.
     pub fn is_complete(&self) -> bool {
         self.expect == Expect::Nothing && self.state == TokenState::Between
     }
 
-    /// Reads one byte, and calls `on_event` for what it completes.
+    /// Reads one byte, and calls `on_event` for each element that it completes.
     ///
     /// # Errors
-    /// Why the text is no JSON, or what `on_event` has to say of it.
+    /// Returns the reason why the text is rejected, or the error of `on_event`.
     pub fn feed<E: From<JsonError>>(
         &mut self,
         byte: u8,
@@ -147,13 +148,13 @@
     ) -> Result<(), E> {
         match self.state {
             TokenState::Between => self.read_between(byte, on_event),
-            TokenState::Bare
+            TokenState::Literal
                 if matches!(byte, b',' | b']' | b'}' | b' ' | b'\t' | b'\r' | b'\n') =>
             {
-                self.end_bare(on_event)?;
+                self.end_literal(on_event)?;
                 self.read_between(byte, on_event)
             }
-            TokenState::Bare => Ok(self.keep(&[byte])?),
+            TokenState::Literal => Ok(self.append_to_token(&[byte])?),
             TokenState::Text => match byte {
                 b'"' => self.end_text(on_event),
                 b'\\' => {
@@ -161,25 +162,25 @@
                     Ok(())
                 }
                 0..=0x1f => Err(JsonError::ControlCharacter.into()),
-                _ => Ok(self.keep(&[byte])?),
+                _ => Ok(self.append_to_token(&[byte])?),
             },
             TokenState::Escape => Ok(self.read_escape(byte)?),
-            TokenState::Code(left) => Ok(self.read_code(byte, left)?),
+            TokenState::UnicodeEscape(left) => Ok(self.read_unicode_digit(byte, left)?),
         }
     }
 
-    fn end_bare<E: From<JsonError>>(
+    fn end_literal<E: From<JsonError>>(
         &mut self,
         on_event: &mut impl FnMut(&[Container], JsonEvent<'_>) -> Result<(), E>,
     ) -> Result<(), E> {
         self.state = TokenState::Between;
         let token = std::mem::take(&mut self.token);
-        let text = std::str::from_utf8(&token).map_err(|_| JsonError::TokenNotText)?;
-        let is_word = matches!(text, "true" | "false" | "null");
-        if !is_word && !text.parse().is_ok_and(f64::is_finite) {
-            return Err(JsonError::UnknownToken.into());
+        let text = std::str::from_utf8(&token).map_err(|_| JsonError::LiteralNotUtf8)?;
+        let is_keyword = matches!(text, "true" | "false" | "null");
+        if !is_keyword && !text.parse().is_ok_and(f64::is_finite) {
+            return Err(JsonError::InvalidLiteral.into());
         }
-        self.end_value(JsonEvent::Bare(text), on_event)
+        self.end_value(JsonEvent::Literal(text), on_event)
     }
 
     fn end_text<E: From<JsonError>>(
@@ -188,7 +189,7 @@
     ) -> Result<(), E> {
         self.state = TokenState::Between;
         let token = std::mem::take(&mut self.token);
-        let text = std::str::from_utf8(&token).map_err(|_| JsonError::StringNotText)?;
+        let text = std::str::from_utf8(&token).map_err(|_| JsonError::StringNotUtf8)?;
         if matches!(self.expect, Expect::Key | Expect::KeyOrEnd) {
             self.expect = Expect::Colon;
             return on_event(&self.nesting, JsonEvent::Key(text));
@@ -202,16 +203,16 @@
         on_event: &mut impl FnMut(&[Container], JsonEvent<'_>) -> Result<(), E>,
     ) -> Result<(), E> {
         if self.nesting.is_empty() {
-            return Err(JsonError::NoObject.into());
+            return Err(JsonError::NotAnObject.into());
         }
         self.expect = Expect::CommaOrEnd;
         on_event(&self.nesting, value)
     }
 
-    /// Reads the character behind a backslash.
+    /// Reads the character after a backslash.
     fn read_escape(&mut self, byte: u8) -> Result<(), JsonError> {
         self.state = TokenState::Text;
-        let plain = match byte {
+        let character = match byte {
             b'"' | b'\\' | b'/' => byte,
             b'b' => 8,
             b'f' => 12,
@@ -219,21 +220,21 @@
             b'r' => b'\r',
             b't' => b'\t',
             b'u' => {
-                self.state = TokenState::Code(4);
+                self.state = TokenState::UnicodeEscape(4);
                 self.code = 0;
                 return Ok(());
             }
             _ => return Err(JsonError::UnknownEscape),
         };
-        self.keep(&[plain])
+        self.append_to_token(&[character])
     }
 
-    /// Reads a digit of an escape by code.
-    fn read_code(&mut self, byte: u8, left: u8) -> Result<(), JsonError> {
+    /// Reads a digit of a `\u` escape.
+    fn read_unicode_digit(&mut self, byte: u8, left: u8) -> Result<(), JsonError> {
         let digit = char::from(byte).to_digit(16);
-        self.code = self.code << 4 | digit.ok_or(JsonError::InvalidEscape)?;
+        self.code = self.code << 4 | digit.ok_or(JsonError::InvalidUnicodeEscape)?;
         if left > 1 {
-            self.state = TokenState::Code(left - 1);
+            self.state = TokenState::UnicodeEscape(left - 1);
             return Ok(());
         }
         self.state = TokenState::Text;
@@ -248,10 +249,10 @@
             (_, code) => code,
         };
         let character = char::from_u32(code).unwrap_or(char::REPLACEMENT_CHARACTER);
-        self.keep(character.encode_utf8(&mut [0; 4]).as_bytes())
+        self.append_to_token(character.encode_utf8(&mut [0; 4]).as_bytes())
     }
 
-    fn keep(&mut self, bytes: &[u8]) -> Result<(), JsonError> {
+    fn append_to_token(&mut self, bytes: &[u8]) -> Result<(), JsonError> {
         if self.token.len() + bytes.len() > MAX_TOKEN_BYTES {
             return Err(JsonError::TokenTooLong);
         }
@@ -259,21 +260,21 @@
         Ok(())
     }
 
-    /// Reads a byte that is part of no token.
+    /// Reads a byte outside of tokens.
     fn read_between<E: From<JsonError>>(
         &mut self,
         byte: u8,
         on_event: &mut impl FnMut(&[Container], JsonEvent<'_>) -> Result<(), E>,
     ) -> Result<(), E> {
-        let value = matches!(self.expect, Expect::Value | Expect::ValueOrEnd);
+        let value_allowed = matches!(self.expect, Expect::Value | Expect::ValueOrEnd);
         let innermost = self.nesting.last().copied();
         match byte {
             b' ' | b'\t' | b'\r' | b'\n' => {}
-            b'{' if value => {
+            b'{' if value_allowed => {
                 self.open(Container::Object)?;
                 on_event(&self.nesting, JsonEvent::ObjectStart)?;
             }
-            b'[' if value => self.open(Container::Array)?,
+            b'[' if value_allowed => self.open(Container::Array)?,
             b'}' if innermost == Some(Container::Object)
                 && matches!(self.expect, Expect::KeyOrEnd | Expect::CommaOrEnd) =>
             {
@@ -293,12 +294,14 @@
                 };
             }
             b':' if self.expect == Expect::Colon => self.expect = Expect::Value,
-            b'"' if value || matches!(self.expect, Expect::Key | Expect::KeyOrEnd) => {
+            b'"' if value_allowed || matches!(self.expect, Expect::Key | Expect::KeyOrEnd) => {
                 self.state = TokenState::Text;
             }
-            b'-' | b'0'..=b'9' | b't' | b'f' | b'n' if value && !self.nesting.is_empty() => {
-                self.state = TokenState::Bare;
-                self.keep(&[byte])?;
+            b'-' | b'0'..=b'9' | b't' | b'f' | b'n'
+                if value_allowed && !self.nesting.is_empty() =>
+            {
+                self.state = TokenState::Literal;
+                self.append_to_token(&[byte])?;
             }
             _ => return Err(JsonError::Syntax.into()),
         }
@@ -310,7 +313,7 @@
             return Err(JsonError::TooDeep);
         }
         if self.nesting.is_empty() && container != Container::Object {
-            return Err(JsonError::NoObject);
+            return Err(JsonError::NotAnObject);
         }
         self.nesting.push(container);
         self.expect = match container {
--- a/node/src/discovery/list.rs
+++ b/node/src/discovery/list.rs
@@ -1,6 +1,5 @@
-//! The endpoint list as the list service writes it, in JSON, read as it arrives. Owns what has been read of
-//! one list, and the mapping of the service's keys. Must never take more members than its bound, nor believe
-//! a list before its last byte.
+//! Reads the endpoint list of the list service, in JSON, incrementally as it arrives. This module maps the keys of
+//! the service to [`Member`]. It accepts no more members than [`MAX_MEMBERS`], and no list before its last byte.
 
 use super::json::{Container, JsonError, JsonEvent, JsonLexer};
 use crate::connections::protocol::keys::fnv1a;
@@ -11,24 +10,25 @@
 
 const MAX_MEMBERS: usize = 65_536;
 
-/// One member of the list.
+/// One member of the endpoint list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Member {
-    /// The host's name (`id`).
+    /// The name of the host (`id`).
     pub name: String,
-    /// Where it is reached (`host_port`).
+    /// The address of the host (`host_port`), or `None` if the list gives none.
     pub address: Option<SocketAddr>,
-    /// Its zone (`locality`).
+    /// The zone of the host (`locality`).
     pub zone: String,
-    /// Its cell by number, or by a hash of what it is called; a host without one is in a cell of its own.
+    /// The cell of the host: its number, or a hash of its name. A host without a cell is in a cell of its own.
     pub cell: u64,
-    /// Whether it takes new connections (`phase`).
+    /// Whether the host accepts new connections (`phase`).
     pub state: HostState,
-    /// Its capacity relative to others.
+    /// The capacity of the host relative to other hosts.
     pub size: f64,
-    /// When it started, in Unix time by the host's machine (`up_since_ms`).
+    /// When the host started, in Unix time by the clock of its machine (`up_since_ms`); `None` if unknown.
     pub started: Option<Nanos>,
-    /// The start time that the node goes by, once it has judged that one.
+    /// The start time that the node uses after its plausibility check, or `None` before that check. The inner
+    /// `None` stands for a start long ago.
     pub accepted_start: Option<Option<Nanos>>,
 }
 
@@ -47,33 +47,33 @@
     }
 }
 
-/// A list, or the changes to one.
+/// A full endpoint list, or the changes to one.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointList {
-    /// The version that it brings the reader to.
+    /// The revision of the endpoint list after these members are applied.
     pub revision: u64,
-    /// Whether it names all hosts, not only those that changed.
+    /// Whether the list names all hosts, not only those that changed.
     pub complete: bool,
-    /// The members that it names.
+    /// The members that the list names.
     pub members: Vec<Member>,
 }
 
-/// Why a list can't be read.
+/// The reason why a list can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListError {
-    /// It is no JSON.
+    /// The list is not valid JSON.
     Json(JsonError),
-    /// It ends before it is complete, or has no revision.
+    /// The list ends before it is complete, or has no revision.
     Incomplete,
-    /// A member has no name.
+    /// A member has no `id`.
     MissingId,
-    /// It has more members than the bound.
+    /// The list has more members than [`MAX_MEMBERS`].
     TooManyMembers,
-    /// The revision is no number that fits.
+    /// The revision is not an unsigned 64-bit integer.
     InvalidRevision,
-    /// A member's address can't be parsed.
+    /// The `host_port` of a member is not a socket address.
     InvalidAddress,
-    /// A member's phase is none of the known ones.
+    /// The `phase` of a member is not one of the known values.
     UnknownPhase,
 }
 
@@ -81,12 +81,12 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             ListError::Json(error) => return error.fmt(formatter),
-            ListError::Incomplete => "a list cut short",
-            ListError::MissingId => "a member without an id",
-            ListError::TooManyMembers => "too many members",
-            ListError::InvalidRevision => "a wild revision",
-            ListError::InvalidAddress => "a wild address",
-            ListError::UnknownPhase => "an unknown phase",
+            ListError::Incomplete => "list is cut short or has no revision",
+            ListError::MissingId => "member without an id",
+            ListError::TooManyMembers => "more than 65536 members",
+            ListError::InvalidRevision => "revision is not an unsigned 64-bit integer",
+            ListError::InvalidAddress => "host_port of a member is not an IP address with a port",
+            ListError::UnknownPhase => "phase of a member is not active, leaving or left",
         })
     }
 }
@@ -99,7 +99,7 @@
     }
 }
 
-/// Reads a list as it arrives.
+/// Reads a list incrementally.
 #[derive(Default)]
 pub struct ListReader {
     lexer: JsonLexer,
@@ -107,10 +107,10 @@
 }
 
 impl ListReader {
-    /// Reads on.
+    /// Reads the next bytes of the list.
     ///
     /// # Errors
-    /// Why this is no list.
+    /// Returns the reason why the bytes can't be part of a list.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<(), ListError> {
         let builder = &mut self.builder;
         bytes.iter().try_for_each(|&byte| {
@@ -119,10 +119,10 @@
         })
     }
 
-    /// The list, once it is complete.
+    /// Returns the list that has been read.
     ///
     /// # Errors
-    /// [`ListError::Incomplete`] before that.
+    /// Returns [`ListError::Incomplete`] if the list is not complete or has no revision.
     pub fn finish(self) -> Result<EndpointList, ListError> {
         if !self.lexer.is_complete() || !self.builder.has_revision {
             return Err(ListError::Incomplete);
@@ -131,7 +131,7 @@
     }
 }
 
-/// Puts a list together from the events of the lexer.
+/// Builds a list from the events of the lexer.
 #[derive(Default)]
 struct ListBuilder {
     /// The last key of the outermost object.
@@ -140,7 +140,7 @@
     field: String,
     /// The member being read.
     member: Option<Member>,
-    /// The cell of that member, once it is known.
+    /// The cell of that member; `None` until a cell has been read.
     cell: Option<u64>,
     has_revision: bool,
     list: EndpointList,
@@ -148,7 +148,7 @@
 
 impl ListBuilder {
     fn on_event(&mut self, nesting: &[Container], event: JsonEvent<'_>) -> Result<(), ListError> {
-        let at_top = nesting.len() == 1;
+        let at_top_level = nesting.len() == 1;
         let in_member = self.top_key == "members"
             && nesting == [Container::Object, Container::Array, Container::Object];
         match event {
@@ -157,10 +157,10 @@
                 self.cell = None;
             }
             JsonEvent::ObjectEnd if in_member => self.add_member()?,
-            JsonEvent::Key(key) if at_top => self.top_key = key.to_string(),
+            JsonEvent::Key(key) if at_top_level => self.top_key = key.to_string(),
             JsonEvent::Key(key) if in_member => self.field = key.to_string(),
-            JsonEvent::Bare(text) if at_top => self.set_top_field(text)?,
-            JsonEvent::Text(_) | JsonEvent::Bare(_) if in_member => self.set_member_field(event)?,
+            JsonEvent::Literal(text) if at_top_level => self.set_top_field(text)?,
+            JsonEvent::Text(_) | JsonEvent::Literal(_) if in_member => self.set_field(event)?,
             _ => {}
         }
         Ok(())
@@ -193,8 +193,8 @@
         Ok(())
     }
 
-    fn set_member_field(&mut self, value: JsonEvent<'_>) -> Result<(), ListError> {
-        use JsonEvent::{Bare, Text};
+    fn set_field(&mut self, value: JsonEvent<'_>) -> Result<(), ListError> {
+        use JsonEvent::{Literal, Text};
         let Some(member) = self.member.as_mut() else {
             return Ok(());
         };
@@ -205,9 +205,9 @@
                 let address = text.parse().map_err(|_| ListError::InvalidAddress)?;
                 member.address = Some(address);
             }
-            ("locality", Text(text) | Bare(text)) => member.zone = text.to_string(),
-            ("cell", Bare("null")) => self.cell = None,
-            ("cell", Bare(text)) => {
+            ("locality", Text(text) | Literal(text)) => member.zone = text.to_string(),
+            ("cell", Literal("null")) => self.cell = None,
+            ("cell", Literal(text)) => {
                 self.cell = Some(text.parse().unwrap_or_else(|_| fnv1a(text)));
             }
             ("cell", Text(text)) => self.cell = Some(fnv1a(text)),
@@ -219,8 +219,8 @@
                     _ => return Err(ListError::UnknownPhase),
                 }
             }
-            ("size", Bare(text)) => member.size = number(text).unwrap_or(1.0),
-            ("up_since_ms", Bare(text)) => {
+            ("size", Literal(text)) => member.size = number(text).unwrap_or(1.0),
+            ("up_since_ms", Literal(text)) => {
                 let milliseconds = number(text).filter(|ms| (1.0..9e12).contains(ms));
                 member.started = milliseconds.map(|ms| (ms * MILLI as f64) as Nanos);
             }
--- a/node/src/discovery/list_tests.rs
+++ b/node/src/discovery/list_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the list as the service writes it.
+//! Tests of reading the endpoint list of the list service.
 
 use super::*;
 
@@ -16,7 +16,7 @@
     {"id":"s-2","host_port":"10.1.0.19:5000","phase":"leaving","up_since_ms":0}]} "#;
 
 #[test]
-fn reads_a_list_however_it_is_split() {
+fn reads_a_list_regardless_of_how_it_is_split() {
     for size in 1..LIST.len() {
         let list = read(LIST, size).unwrap();
         assert_eq!(
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn reports_what_is_malformed() {
+fn rejects_malformed_lists() {
     for text in [
         "",
         "[]",
--- a/node/src/discovery/message_latency.rs
+++ b/node/src/discovery/message_latency.rs
@@ -1,51 +1,52 @@
-//! How long messages take at one host, and what of that is reported. Owns the samples of one second and what
-//! is still unanswered. Must never judge the host, nor report more often than is asked for.
+//! Measures the message latency of one host and decides which latencies are reported. This module keeps the samples
+//! of one second and counts unanswered lines. It doesn't decide how the host is treated, and reports no more often
+//! than the balancer needs.
 
 use reedferry::{Nanos, MILLI, SECOND};
 
-/// Beyond this a line waits not for a mere pause of its host but for work piled up.
+/// The longest latency that a short pause of a host explains. A longer one indicates a backlog.
 const PAUSE_LIMIT: Nanos = 150 * MILLI;
-/// The time after which a host that answers none of several lines is taken to answer none at all.
+/// The time after which a host that has answered none of several lines counts as hung.
 const HUNG_TIMEOUT: Nanos = 400 * MILLI;
-/// What is reported of such a host at the least: so much that a good part of its connections is migrated,
-/// not so much that all are at once.
+/// The minimum latency that is reported of a hung host: high enough that a good part of its connections is migrated,
+/// and low enough that not all of them are at once.
 const HUNG_LATENCY: Nanos = SECOND;
-/// How much a second adds to a projected latency at the most, in seconds.
+/// The maximum growth of a projected latency, in seconds per second.
 const MAX_LATENCY_GROWTH: f64 = 4.0;
-/// How long a single line may wait before it shows anything of its host.
+/// The time for which a single unanswered line doesn't count against its host.
 const SINGLE_LINE_TIMEOUT: Nanos = 2500 * MILLI;
-/// For how long the last answer counts.
+/// How long the latency of the last answer counts as the current one.
 const LAST_ANSWER_LIFETIME: Nanos = SECOND / 2;
 const REPORT_INTERVAL: Nanos = SECOND;
-/// Samples kept between two reports.
+/// The maximum number of samples between two reports.
 const MAX_SAMPLES: usize = 64;
 
-/// A line and how long it has taken, or waited so far.
+/// A line and its latency, or how long it has been waiting for its answer.
 #[derive(Clone, Copy, Debug)]
 struct LineLatency {
     sent_at: Nanos,
     latency: Nanos,
 }
 
-/// The latency of messages at one host.
+/// Tracks the message latency of one host.
 pub(super) struct LatencyTracker {
     /// The latencies since the last report.
     samples: Vec<Nanos>,
-    /// The shortest ever: the way there and back.
+    /// The shortest latency so far, which approximates the network round trip.
     shortest: Nanos,
     last_answer: Option<LineLatency>,
-    /// When the last line was sent that was answered in good time.
+    /// When the last line was sent whose answer was not slow.
     last_timely_send: Nanos,
     oldest_unanswered: Option<Nanos>,
     unanswered: u32,
-    /// Whether the last report was of a long latency.
+    /// Whether the last report was due to a slow host.
     reported_slow: bool,
     reported_hung: bool,
     reported_at: Nanos,
 }
 
 impl LatencyTracker {
-    /// For a host that is known from now on.
+    /// Creates the tracker of a host that is known from `now` on.
     pub(super) fn new(now: Nanos) -> Self {
         LatencyTracker {
             samples: Vec::new(),
@@ -60,7 +61,7 @@
         }
     }
 
-    /// A line that was sent at `sent_at` has been answered after `latency`.
+    /// Records that a line that was sent at `sent_at` has been answered after `latency`.
     pub(super) fn record_answer(&mut self, sent_at: Nanos, latency: Nanos, slow_threshold: Nanos) {
         self.shortest = self.shortest.min(latency);
         self.last_answer = Some(LineLatency { sent_at, latency });
@@ -72,27 +73,26 @@
         }
     }
 
-    /// A line that was sent at `sent_at` is not answered yet.
+    /// Records that a line that was sent at `sent_at` is not answered yet.
     pub(super) fn record_unanswered(&mut self, sent_at: Nanos) {
         let oldest = self.oldest_unanswered.map_or(sent_at, |at| at.min(sent_at));
         self.oldest_unanswered = Some(oldest);
         self.unanswered += 1;
     }
 
-    /// Forgets which lines are unanswered: they are recorded anew before each report.
+    /// Forgets the unanswered lines, which are recorded anew before each report.
     pub(super) fn clear_unanswered(&mut self) {
         self.oldest_unanswered = None;
         self.unanswered = 0;
     }
 
-    /// Whether a line that was sent later than `at` has been answered.
+    /// Returns whether a line that was sent later than `at` has been answered.
     pub(super) fn has_answered_since(&self, at: Nanos) -> bool {
         self.last_answer.is_some_and(|last| last.sent_at > at)
     }
 
-    /// How long a line sent now would take where work has begun to pile up since the last line that was
-    /// answered in good time. Without it, a jam would be reported by the age of what waits in it, which is a
-    /// fraction of it.
+    /// Returns the expected latency of a line sent at `now`, assuming that a backlog has been growing since the last
+    /// line that was answered in time. The age of the waiting lines alone would understate the backlog.
     fn projected_latency(&self, now: Nanos) -> Nanos {
         let since = self.last_timely_send;
         let growth = |line: LineLatency| {
@@ -105,19 +105,19 @@
                 sent_at,
                 latency: now.saturating_sub(sent_at),
             });
-        let steepest = waiting
+        let max_growth = waiting
             .into_iter()
             .chain(self.last_answer)
             .filter(|line| line.sent_at > since)
             .map(growth)
             .fold(0.0, f64::max);
-        (steepest.min(MAX_LATENCY_GROWTH) * now.saturating_sub(since) as f64) as Nanos
+        (max_growth.min(MAX_LATENCY_GROWTH) * now.saturating_sub(since) as f64) as Nanos
     }
 
-    /// How long the oldest line has waited that shows something of the host. A line that waits alone, or that
-    /// was passed by later ones, shows nothing yet: without that, a host that answers all its other lines
-    /// would be cut down over one connection that fell silent.
-    fn stuck_for(&self, now: Nanos) -> Nanos {
+    /// Returns how long the oldest line has been unanswered that counts against the host, or 0 if there is none. A
+    /// line that is the only unanswered one, or that was sent before an answered one, doesn't count yet. Otherwise a
+    /// host that answers all its other lines would lose load over one silent connection.
+    fn unanswered_for(&self, now: Nanos) -> Nanos {
         let oldest = self.oldest_unanswered.filter(|&sent_at| {
             let alone = self.unanswered == 1 && now < sent_at.saturating_add(SINGLE_LINE_TIMEOUT);
             !self.has_answered_since(sent_at) && !alone
@@ -125,24 +125,24 @@
         oldest.map_or(0, |sent_at| now.saturating_sub(sent_at))
     }
 
-    /// What a message takes here now, as far as it can be seen, where a report is due or work has just begun
-    /// to pile up.
+    /// Returns the estimated current latency if a report is due or a backlog has just begun to form, without the
+    /// network round trip.
     pub(super) fn report(&mut self, now: Nanos, slow_threshold: Nanos) -> Option<Nanos> {
-        let stuck_for = self.stuck_for(now);
+        let unanswered_for = self.unanswered_for(now);
         let last = self
             .last_answer
             .filter(|last| last.sent_at + last.latency + LAST_ANSWER_LIFETIME > now)
             .map_or(0, |last| last.latency);
-        // What waits may be paused or hung: it is given more time than what was answered late.
-        let worst = last.max(if stuck_for > HUNG_TIMEOUT {
-            stuck_for
+        // An unanswered line may be due to a pause or a hang, so it has to be older than an answered one to count.
+        let worst = last.max(if unanswered_for > HUNG_TIMEOUT {
+            unanswered_for
         } else {
             0
         });
-        let answers = self
+        let answered_meanwhile = self
             .last_answer
-            .is_some_and(|last| last.sent_at + last.latency + stuck_for > now);
-        let hung = stuck_for > HUNG_TIMEOUT && self.unanswered > 1 && !answers;
+            .is_some_and(|last| last.sent_at + last.latency + unanswered_for > now);
+        let hung = unanswered_for > HUNG_TIMEOUT && self.unanswered > 1 && !answered_meanwhile;
         let latency = if hung && !self.reported_hung {
             worst.max(HUNG_LATENCY)
         } else if worst > PAUSE_LIMIT && !self.reported_slow {
@@ -160,12 +160,12 @@
         };
         self.reported_at = now;
         self.samples.clear();
-        let network = if self.shortest > SECOND {
+        let round_trip = if self.shortest > SECOND {
             0
         } else {
             self.shortest
         };
-        let latency = latency.saturating_sub(network);
+        let latency = latency.saturating_sub(round_trip);
         let slow = latency > slow_threshold;
         let report = slow || self.reported_slow;
         self.reported_slow = slow;
--- a/node/src/discovery/mod.rs
+++ b/node/src/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! The list of hosts: the client of the list service, what is believed of its answers, and the hosts as the
-//! node reaches them. Must never judge a host.
+//! Discovery of hosts: the client of the list service, the decision which of its answers are accepted, and the
+//! records of the hosts. Whether a host is healthy or overloaded is not decided here.
 
 mod call;
 pub mod client;
--- a/node/src/discovery/staleness.rs
+++ b/node/src/discovery/staleness.rs
@@ -1,112 +1,116 @@
-//! By when a node has to know what the list service has to tell: a plain value with the caller's
-//! clock. Owns how long a watch waits, when it counts as silent, when a call that failed is made again, and
-//! from when on nothing new may go out. Must never know a connection, nor what a list says.
+//! Decides how stale the node's copy of the endpoint list may be. This module is responsible for how long a
+//! watch waits, when a call counts as silent, when a failed call is repeated, and from when on the node must not
+//! start new work. It takes the time from its caller, and handles neither connections nor the content of lists.
 //!
-//! There is one rule for every way in which a node may have missed something. `accountable_from` is the moment
-//! from which it is accountable for that:
+//! The protocol sets a moment from which a change counts as delivered, even if the node never received it. From
+//! then on the node is accountable for the change: it may not send new work to a host that the change drains.
+//! `accountable_from` is the moment from which the node is accountable for what it may have missed:
 //!
-//! | what happened | accountable from |
+//! | event | accountable from |
 //! | --- | --- |
-//! | a watch that waits is silent | [`NOTIFICATION_TIMEOUT`] after it was sent, or [`NOTIFICATION_TIMEOUT_AFTER_WAIT`] after its wait is over, if that is later |
-//! | any call was rejected, given up or broke | [`NOTIFICATION_TIMEOUT`] after the last moment of which all is known |
-//! | the service can't be reached at all | [`NOTIFICATION_TIMEOUT`] after the attempt before the last, as it may have been back since; while that is all that is seen |
-//! | what came could not be read | at once: it counts as told when it was written |
-//! | the node was switched to another service | [`NOTIFICATION_TIMEOUT_AFTER_SWITCH`] after that |
-//! | a process has started, lists are pushed, and the first call is in flight | at once: what its service has counts as told then |
+//! | a waiting watch is silent | [`NOTIFICATION_TIMEOUT`] after it was sent or [`NOTIFICATION_TIMEOUT_AFTER_WAIT`] after the end of its wait, whichever is later |
+//! | a call was rejected, timed out or broke | [`NOTIFICATION_TIMEOUT`] after the last moment up to which all changes are known |
+//! | the service has been unreachable in every call since the failure | [`NOTIFICATION_TIMEOUT`] after the previous attempt, as the service may have been up since then |
+//! | a response could not be read | at once: a change counts as delivered when the service has written it |
+//! | the node was switched to another service | [`NOTIFICATION_TIMEOUT_AFTER_SWITCH`] after the switch |
+//! | a new process with pushed lists waits for its first call | at once: everything that the service has counts as delivered at the start |
 //!
-//! Of two moments the earlier counts: the time after a call that failed goes before what a wait would leave.
+//! If several rows apply, the earliest moment counts. For example, the timeout after a failed call takes
+//! precedence over the later moment that the wait of a watch would allow.
 
 use reedferry::{BalancerSettings, Nanos, MILLI, SECOND};
 use std::ops::Range;
 
-/// The longest that a watch may wait for news, as each call costs the service work.
+/// The longest wait of a watch for changes. Waits are long because each call costs the service work.
 const MAX_WATCH_WAIT: Nanos = 20 * SECOND;
-/// By the protocol, what a service has to tell counts as told so long after it fell silent, whether or not it
-/// came; also after any call that failed, from when the service had it and could be reached.
+/// The time from which a change counts as delivered by the protocol, whether or not it arrived: counted from
+/// when the service fell silent, or, after a failed call, from when the service had the change and was reachable.
 const NOTIFICATION_TIMEOUT: Nanos = 6 * SECOND;
-/// The same for a call that may wait, after that wait is over, if that is later.
+/// The time after the end of a call's wait from which a change counts as delivered, if that is later.
 const NOTIFICATION_TIMEOUT_AFTER_WAIT: Nanos = 2 * SECOND;
-/// The same after a node was switched to another service.
+/// The time after a switch to another service from which a change counts as delivered.
 const NOTIFICATION_TIMEOUT_AFTER_SWITCH: Nanos = 4 * SECOND;
-/// When a call that has waited is taken to have failed: so early that three quarters of the time are left to
-/// call again.
+/// The time after the end of its wait at which a waiting call counts as silent. Three quarters of
+/// [`NOTIFICATION_TIMEOUT_AFTER_WAIT`] are left for another call.
 const WATCH_SILENCE_TIMEOUT: Nanos = NOTIFICATION_TIMEOUT_AFTER_WAIT / 4;
-/// The same for a call that does not wait: so late that it keeps its turn at a busy service.
+/// The time after which a call that does not wait counts as silent. A shorter time would make the call lose its
+/// place in the queue of a busy service.
 const CALL_SILENCE_TIMEOUT: Nanos = NOTIFICATION_TIMEOUT / 3;
-/// The longest that an answer is waited for beyond its wait, at a service which is known to be slow.
+/// The longest time beyond its wait that a call is given at a service that is known to be slow.
 const MAX_ANSWER_TIMEOUT: Nanos = 4 * SECOND;
-/// How many times as long as its last answer took such a service is waited for.
+/// The factor by which the time given to a slow service exceeds the latency of its last answer.
 const ANSWER_TIMEOUT_OVER_LATENCY: f64 = 1.5;
-/// Over what time at the most the nodes whose watches ended in the same moment call again.
+/// The longest time over which nodes whose watches ended at the same moment spread their next calls.
 const MAX_RECONNECT_SPREAD: Nanos = NOTIFICATION_TIMEOUT / 2;
-/// The pause between attempts where lists are pushed and time is not short; the least where they are polled.
+/// The retry interval while lists are pushed, and the minimum retry interval while they are polled.
 const PUSHED_RETRY_INTERVAL: Nanos = SECOND / 4;
-/// What each node of the fleet adds to the pause between the attempts of one, so that the calls of all stay
-/// at a rate that the service can take.
+/// The time that each node of the fleet adds to every node's retry interval, so that the call rate of the whole
+/// fleet stays within what the service can handle.
 const RETRY_INTERVAL_PER_NODE: Nanos = 10 * MILLI;
-/// The pause where nothing more can be missed by waiting.
+/// The retry interval while the node already accepts no new work, so that a later call misses nothing more.
 const MAX_RETRY_INTERVAL: Nanos = SECOND;
-/// The pause where the service may be down for long.
+/// The retry interval while the service may be down for long.
 const OUTAGE_RETRY_INTERVAL: Nanos = 5 * SECOND / 2;
-/// The least time between two watches that are answered with nothing long before their wait is over; and by
-/// the protocol how late the next call may come for the watch to go on.
+/// The minimum time between two watches that are answered without changes long before the end of their wait. By the
+/// protocol, also the longest gap between two calls that still belong to one continuous watch.
 const MIN_EMPTY_WATCH_INTERVAL: Nanos = SECOND / 5;
 
-/// How a call came to nothing.
+/// How a call failed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallFailure {
-    /// No answer in time, or one that stopped in the middle.
+    /// There was no answer in time, or the answer stopped in the middle.
     Silent,
-    /// What came is no list.
+    /// The response could not be read as a list.
     Malformed,
-    /// The service said that it can't answer now.
+    /// The service answered with an error status.
     Rejected,
-    /// Nobody is there, or the connection ended.
+    /// The connection could not be opened, or it ended.
     Disconnected,
 }
 
-/// What is known of the service up to now, and when to call it again.
+/// Tracks up to when the node knows all changes, and when it has to call the service again.
 pub struct WatchStaleness {
-    /// The node's place among all, from 0 to 1, by which their calls are spread.
+    /// The position of the node among all nodes, from 0 to 1, which spreads their calls.
     phase: f64,
-    /// How far the waits of all watches are spread: over the time within which the service has to be able to
-    /// take a call of each.
+    /// The span over which the waits of all watches are spread: the time within which the service has to be able
+    /// to handle one call of each node.
     phase_spread: Nanos,
     max_poll_interval: Nanos,
-    /// For how long after a drain new connections may still go to a host.
+    /// How long after the start of a drain a host may still get new connections.
     grace: Nanos,
-    /// The least time between two attempts of one node.
+    /// The minimum time between two calls of one node after a failure.
     min_retry_interval: Nanos,
-    /// Changes are pushed: the watch is kept up without being asked for.
+    /// Whether changes are pushed, so that the watch is renewed without a request from the balancer.
     pushed: bool,
-    /// A list has come, or the first call for one has failed.
+    /// Whether a list has arrived or the first call has failed.
     started: bool,
-    /// Up to when all that the service had to tell has been heard, as far as calls have ended.
+    /// The moment up to which all changes are known, judged by the calls that have ended.
     known_until: Nanos,
-    /// When the node was last seen awake, with nothing amiss.
+    /// When the node last ran with everything read that had arrived.
     last_awake: Nanos,
-    /// When the watch in flight was sent.
+    /// When the last watch was sent.
     call_started_at: Nanos,
-    /// By when what that watch may miss counts as told.
+    /// The moment at which a change that the watch in flight misses counts as delivered; `None` if no watch is in
+    /// flight.
     watch_deadline: Option<Nanos>,
-    /// From when on the node is accountable for what it may have missed.
+    /// The moment from which the node is accountable for what it may have missed; `None` if it missed nothing.
     accountable_from: Option<Nanos>,
-    /// Whether the service has been reached since then.
+    /// Whether the service has been reached since the node may have missed something.
     service_reached: bool,
-    /// When the service was last called and could not be reached.
+    /// When the last call was sent that could not reach the service.
     unreachable_at: Nanos,
-    /// When the failure happened that it is accountable for.
+    /// When the failure occurred that `accountable_from` follows from.
     failed_at: Nanos,
-    /// Calls that failed since the last answer.
+    /// The number of failed calls since the last answer.
     failures: u32,
-    /// Watches in a row that ended at once with nothing.
+    /// The number of successive watches that ended early without changes.
     empty_watches: u32,
-    /// How long the service took beyond the wait of the last call of which that can be told.
+    /// How long the service took beyond the wait of the last call that outlasted its wait.
     latency: Nanos,
 }
 
 impl WatchStaleness {
-    /// For a node that starts now, with `grace` of a drain usable.
+    /// Creates the state of a node that starts at `now` and may use the first `grace` of each drain.
     pub fn new(settings: &BalancerSettings, grace: Nanos, now: Nanos) -> Self {
         let mut staleness = WatchStaleness {
             phase: 0.0,
@@ -132,7 +136,7 @@
         staleness
     }
 
-    /// Goes by other settings from here on; what the node is accountable for stays.
+    /// Applies new settings. What the node is accountable for stays unchanged.
     pub fn update_settings(&mut self, settings: &BalancerSettings, grace: Nanos) {
         let nodes = settings.node_count.max(1);
         let phase = (f64::from(settings.node_index) + 0.5) / f64::from(nodes);
@@ -147,37 +151,36 @@
             .clamp(PUSHED_RETRY_INTERVAL, NOTIFICATION_TIMEOUT / 5);
     }
 
-    /// Whether changes are pushed, so that the watch is kept up without being asked for.
+    /// Returns whether changes are pushed, so that the watch is renewed without a request from the balancer.
     pub fn is_pushed(&self) -> bool {
         self.pushed
     }
 
-    /// The node runs, and has read what had arrived up to now. Without this, a node that was stalled would
-    /// count what it missed from when it went on.
+    /// Records that the node runs and has read everything that arrived before `now`. Without this record, a node
+    /// that was stalled would take everything before its resumption for known.
     pub fn record_awake(&mut self, now: Nanos) {
         self.last_awake = now;
     }
 
-    /// Whether the node may have missed something, so that the next call may not wait: its answer
-    /// shows that the node hears. Without this, a watch might fall silent before anything was heard
-    /// on it, and the node would stay closed to new work, or worse would not, for as long as that
-    /// might have waited.
+    /// Returns whether the node may have missed a change. The next call must then not wait, as only an answer
+    /// shows that the connection works. A waiting call could fall silent unnoticed, and for its whole wait the
+    /// node would reject new work, or send it to draining hosts.
     pub fn may_have_missed(&self) -> bool {
         self.accountable_from.is_some()
     }
 
-    /// How long a watch waits: less by the node's phase, so that watches which began together and fall silent
-    /// together are renewed in turn. Without that, hundreds would call a service in the same second, when
-    /// time is short.
+    /// Returns how long a watch waits. The wait is shortened by the node's phase, so that watches that began
+    /// together end one after another. Otherwise hundreds of nodes would call the service in the same second when
+    /// their watches fall silent together, with little time left.
     pub fn watch_wait(&self) -> Nanos {
         MAX_WATCH_WAIT - (self.phase * self.phase_spread as f64) as Nanos
     }
 
-    /// A watch goes out that may wait for `max_wait`.
+    /// Records that a watch is sent that may wait for `max_wait`.
     pub fn record_watch_start(&mut self, now: Nanos, max_wait: Nanos) {
         self.call_started_at = now;
-        // Without this, a new process that waits for its first pushed list would send new work to hosts that
-        // drain.
+        // A new process is accountable at once for the first pushed list. Otherwise it would send new work to
+        // draining hosts while it waits for that list.
         let first_pushed = self.pushed && !self.started;
         self.watch_deadline = Some(if first_pushed {
             self.known_until
@@ -186,8 +189,8 @@
         });
     }
 
-    /// When a call that was sent at `started_at` and may wait for `max_wait` counts as silent: later where the
-    /// service is known to be slow.
+    /// Returns when a call that was sent at `started_at` and may wait for `max_wait` counts as silent. A service
+    /// that is known to be slow is given more time.
     pub fn silence_deadline(&self, started_at: Nanos, max_wait: Nanos) -> Nanos {
         let usual = if max_wait > CALL_SILENCE_TIMEOUT {
             WATCH_SILENCE_TIMEOUT
@@ -198,17 +201,17 @@
         started_at + max_wait + expected.clamp(usual, MAX_ANSWER_TIMEOUT)
     }
 
-    /// A call that was sent at `started_at` and might wait for `max_wait` has been answered, in time or not.
-    /// One answered within its wait shows nothing of how slow the service is.
+    /// Records the answer to a call that was sent at `started_at` and might wait for `max_wait`, even if it came
+    /// too late. An answer within the wait says nothing about the latency of the service.
     pub fn record_latency(&mut self, now: Nanos, started_at: Nanos, max_wait: Nanos) {
         if let Some(latency) = now.checked_sub(started_at + max_wait) {
             self.latency = latency;
         }
     }
 
-    /// A call that was taken for silent, or another beside the watch, has been answered after all:
-    /// all that there was when it was sent is known. Without this, a node that hears all a slow
-    /// service has to tell would accept nothing new as if it did not.
+    /// Records the answer to a call that counted as silent, or to a call beside the watch: all changes up to
+    /// `started_at`, when the call was sent, are known. Without this record, a node would reject new work although
+    /// it receives every change of a slow service.
     pub fn record_late_answer(&mut self, started_at: Nanos) {
         let before_failure = self.accountable_from.is_some() && started_at < self.failed_at;
         if started_at <= self.known_until || before_failure {
@@ -220,12 +223,12 @@
         }
     }
 
-    /// By when a response that begins now has to be complete.
+    /// Returns when a response that begins at `now` has to be complete.
     pub fn body_deadline(&self, now: Nanos) -> Nanos {
         now + CALL_SILENCE_TIMEOUT
     }
 
-    /// The watch has been answered, and the answer could be read.
+    /// Records that the watch has been answered with a readable list.
     pub fn record_answer(&mut self, now: Nanos) {
         self.known_until = now;
         self.last_awake = now;
@@ -236,9 +239,10 @@
         self.started = true;
     }
 
-    /// When the next watch goes out after one that was sent at `started_at`, might wait for `max_wait` and has
-    /// been answered: at once, as one that comes late is a new one. A service that ends every watch at once
-    /// with nothing is not called as fast as it answers.
+    /// Returns when to send the next watch, after one that was sent at `started_at`, might wait for `max_wait` and
+    /// has been answered. That is usually at once, as a late call does not continue the watch. Successive empty
+    /// answers long before the end of the wait cause a growing delay, so that the service is not called as fast as
+    /// it answers.
     pub fn next_watch_at(
         &mut self,
         now: Nanos,
@@ -259,8 +263,8 @@
         }
     }
 
-    /// The node was switched to another service. Without this, a call there that is rejected would be made
-    /// again too late.
+    /// Records that the node was switched to another service. Without this record, a call that the new service
+    /// rejects would be repeated too late.
     pub fn record_service_switch(&mut self, now: Nanos) {
         let deadline = now + NOTIFICATION_TIMEOUT_AFTER_SWITCH;
         let earlier = self
@@ -271,40 +275,42 @@
         self.latency = 0;
     }
 
-    /// From when what a list tells that comes now counts as told: before now where the node was
-    /// accountable for it already. Without this, the grace of a drain would be given once more to a
-    /// node that learned of it late.
+    /// Returns the moment from which the content of a list that arrives at `now` counts as delivered: before `now`
+    /// if the node was already accountable for it. Otherwise the grace of a drain would start anew when a node
+    /// learns of it late.
     pub fn effective_from(&self, now: Nanos) -> Nanos {
         self.accountable_from
             .or(self.watch_deadline)
-            .map_or(now, |told| told.min(now))
+            .map_or(now, |delivered| delivered.min(now))
     }
 
-    /// From when to when nothing new may go out, as the node may be accountable for a drain that it
-    /// does not know of: from the end of the grace on, and for as long as it may not poll by the
-    /// settings, as the service is down for long then. Without this, hosts that drain would get new
-    /// work from a node that was stalled, or whose calls a busy service rejected.
+    /// Returns the window in which the node must not send new work, as it may be accountable for a drain that it
+    /// does not know of. The window begins when the grace of such a drain ends and lasts for the longest poll
+    /// interval of the settings; after that the service counts as down. It is empty, at `Nanos::MAX`, if no watch
+    /// is in flight and nothing was missed. Without it, draining hosts would get new work from a node that was stalled or whose calls a busy
+    /// service rejected.
     pub fn stale_window(&self) -> Range<Nanos> {
         let from = self
             .accountable_from
             .or(self.watch_deadline)
-            .map_or(Nanos::MAX, |told| told.saturating_add(self.grace));
+            .map_or(Nanos::MAX, |delivered| delivered.saturating_add(self.grace));
         from..from.saturating_add(self.max_poll_interval)
     }
 
-    /// From when on the node is accountable for what it may have missed by a call that fails now.
+    /// Returns the moment from which the node is accountable for what it may have missed, given a call that fails
+    /// at `now`.
     fn accountable_after(
         &mut self,
         now: Nanos,
         failure: CallFailure,
         watch_deadline: Option<Nanos>,
     ) -> Nanos {
-        // A watch that goes on has told all until it ended, but for one that was silent; between two, nothing
-        // was in flight.
-        let goes_on = self.accountable_from.is_none()
+        // A continuous watch has delivered every change until it ended, unless it was silent. While no call was
+        // in flight, changes may have been missed.
+        let continuous = self.accountable_from.is_none()
             && failure != CallFailure::Silent
             && self.call_started_at <= self.known_until + MIN_EMPTY_WATCH_INTERVAL;
-        if goes_on {
+        if continuous {
             self.known_until = self.last_awake.max(self.call_started_at).min(now);
         }
         let after_known = self.known_until + NOTIFICATION_TIMEOUT;
@@ -314,16 +320,16 @@
             (CallFailure::Silent, None) => watch_deadline.unwrap_or(after_known),
             (CallFailure::Silent | CallFailure::Rejected, Some(at)) => at.min(after_known),
             (CallFailure::Disconnected, Some(at)) if self.service_reached => at,
-            // It could not be reached when it was called before this, and may have been back since.
+            // The previous call did not reach the service either, but the service may have been up since then.
             (CallFailure::Disconnected, Some(_)) => self.unreachable_at + NOTIFICATION_TIMEOUT,
             (CallFailure::Disconnected | CallFailure::Rejected, None) => after_known,
         }
     }
 
-    /// The watch failed. Returns when to call again.
+    /// Records that the watch failed, and returns when to call again.
     pub fn record_failure(&mut self, now: Nanos, failure: CallFailure) -> Nanos {
         let watch_deadline = self.watch_deadline.take();
-        // A pushing service that is silent, or down, tells nothing that counts from the start on.
+        // If the first call to a pushing service fails, nothing counts as delivered at the start.
         let watch_deadline = watch_deadline.filter(|_| self.started || !self.pushed);
         self.started = true;
         let accountable_from = self.accountable_after(now, failure, watch_deadline);
@@ -341,36 +347,36 @@
         self.retry_at(now, failure, first)
     }
 
-    /// When to call again after a failure, the `first` since the last answer or not.
+    /// Returns when to call again after a failure. `first` tells whether it is the first since the last answer.
     fn retry_at(&self, now: Nanos, failure: CallFailure, first: bool) -> Nanos {
         let retry_at = self.polled_retry_at(now, failure, first);
         if !self.pushed {
             return retry_at;
         }
-        // Where lists are pushed, what the service has counts whether or not it is watched. Without this, a
-        // node would notice seconds late that the service is back.
-        let soon = PUSHED_RETRY_INTERVAL.min(self.grace / 2);
+        // A pushing service makes the node accountable for its changes even while no watch is in flight. With the
+        // intervals of polling, the node would notice seconds late that the service is back.
+        let short_interval = PUSHED_RETRY_INTERVAL.min(self.grace / 2);
         match failure {
             CallFailure::Silent | CallFailure::Disconnected | CallFailure::Rejected if first => now,
             CallFailure::Silent => now,
-            CallFailure::Disconnected => self.jittered(now, soon),
+            CallFailure::Disconnected => self.jittered(now, short_interval),
             CallFailure::Rejected | CallFailure::Malformed => {
-                let backoff = (soon << self.failures.min(8)).min(MAX_RETRY_INTERVAL);
+                let backoff = (short_interval << self.failures.min(8)).min(MAX_RETRY_INTERVAL);
                 retry_at.min(self.jittered(now, backoff))
             }
         }
     }
 
-    /// When to call again where lists are polled: ever sooner while there is time, then evenly.
+    /// Returns when to call again if lists are polled: at intervals that shrink until the stale window begins,
+    /// and at even ones from then on.
     fn polled_retry_at(&self, now: Nanos, failure: CallFailure, first: bool) -> Nanos {
         let stale = self.stale_window();
         match failure {
-            // Without this, a watch given up at the very moment from which the node is accountable
-            // for what it missed would be sent again seconds after; and so a list that came
-            // garbled, with a drain in it.
+            // The retry is immediate, as the node is accountable very soon. Otherwise a watch that timed out, or
+            // a list that could not be read and may contain a drain, would be requested again seconds too late.
             CallFailure::Silent | CallFailure::Malformed if first => now,
-            // Without this, a service that restarts would be called by all at once, up to three times by
-            // each: for what changed, the whole list, the next watch.
+            // The nodes spread their retries. Otherwise a service that restarts would be called by all of them at
+            // once, up to three times by each: for the changes, for the full list, and for the next watch.
             _ if first => {
                 let spread = MAX_RECONNECT_SPREAD.min(self.max_poll_interval / 2);
                 now + (self.phase * spread as f64) as Nanos
@@ -391,7 +397,8 @@
         }
     }
 
-    /// The end of an interval that differs between nodes, and between the attempts of one.
+    /// Returns the end of an interval that begins at `now` and is 0.5 to 1.5 times as long as `interval`. The
+    /// factor differs between nodes and between the attempts of one node.
     fn jittered(&self, now: Nanos, interval: Nanos) -> Nanos {
         let factor = 0.5 + (self.phase * 7.0 + f64::from(self.failures) * 0.618).fract();
         now + (interval as f64 * factor) as Nanos + MILLI
--- a/node/src/discovery/staleness_tests.rs
+++ b/node/src/discovery/staleness_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the staleness deadline of a watch.
+//! Tests of the staleness window, the timeouts and the retries of a watch.
 
 use super::*;
 use rand::{Rng, SeedableRng};
@@ -22,13 +22,14 @@
     )
 }
 
-/// So many nodes whose watches begin at one moment, as after a change, and fall silent at drawn
-/// ones, beside a service that does `rate` calls a second in turn and rejects beyond a queue of one
-/// second. Returns the latest that one heard beyond the moment from which it was accountable for
-/// what it missed, in milliseconds, and the calls.
+/// Simulates `nodes` nodes whose watches begin almost together, as after a change, and fall silent at random
+/// moments. The service handles `rate` calls per second one after another and rejects calls once its queue is one
+/// second long. Returns the greatest delay in milliseconds of an answer beyond the moment from which its node was
+/// accountable (negative if all were in time), and the number of calls.
 fn simulate_silent_watches(seed: u64, nodes: u32, rate: f64, pushed: bool) -> (i64, usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let (mut service_free_at, mut latest, mut calls) = (0, i64::MIN, 0);
+    // Steps: 0, the watch counts as silent; 1, a call is answered; 2, a call is sent.
     let mut next = BinaryHeap::new();
     let mut all = Vec::new();
     for node in 0..nodes {
@@ -40,25 +41,25 @@
         );
         staleness.record_answer(started_at);
         staleness.record_watch_start(started_at, max_wait);
-        let fall_silent =
+        let silence_deadline =
             staleness.silence_deadline(started_at, max_wait) + rng.random_range(0..SWEEP_INTERVAL);
-        next.push(Reverse((fall_silent, node as usize, 0)));
+        next.push(Reverse((silence_deadline, node as usize, 0)));
         all.push((
             staleness,
             (fell_silent_at + NOTIFICATION_TIMEOUT)
                 .max(started_at + max_wait + NOTIFICATION_TIMEOUT_AFTER_WAIT),
         ));
     }
-    while let Some(Reverse((now, node, what))) = next.pop() {
+    while let Some(Reverse((now, node, step))) = next.pop() {
         let (staleness, deadline) = &mut all[node];
-        if what == 1 {
+        if step == 1 {
             latest = latest.max(now as i64 - *deadline as i64);
             assert!(staleness.stale_window().start == *deadline + GRACE);
             staleness.record_answer(now);
             continue;
         }
         let mut failure = CallFailure::Silent;
-        if what == 2 {
+        if step == 2 {
             calls += 1;
             service_free_at = now.max(service_free_at);
             if service_free_at <= now + SECOND {
@@ -79,13 +80,14 @@
     (latest / MILLI as i64, calls)
 }
 
-/// Guards against watches given up at the very moment from which a node is accountable for what
-/// they missed, and all at once.
+/// Guards against watches that time out only when their nodes become accountable for what was missed, and against
+/// all nodes calling the service again at the same time.
 #[test]
-fn watches_that_fall_silent_together_are_renewed_before_what_they_missed_counts_as_told() {
+fn watches_silent_together_are_renewed_before_the_nodes_become_accountable() {
     for (seed, pushed) in (0..20).flat_map(|seed| [(seed, false), (seed, true)]) {
         for nodes in [1, 6, 40, 350, 1100] {
-            // Little more than the terms ask of a service: a call of each within ten seconds, and two a second.
+            // Little more than the protocol requires of a service: one call of each node within ten seconds, and
+            // at least two calls per second.
             let (latest, calls) =
                 simulate_silent_watches(seed, nodes, f64::from(nodes.max(20)) / 10.0, pushed);
             assert!(
@@ -100,7 +102,7 @@
     }
 }
 
-/// Lets a watch fall silent; returns when that was noticed.
+/// Lets a watch fall silent, and returns when it counts as silent.
 fn fall_silent(staleness: &mut WatchStaleness) -> Nanos {
     staleness.record_answer(10 * SECOND);
     staleness.record_watch_start(10 * SECOND, staleness.watch_wait());
@@ -108,22 +110,22 @@
     assert_eq!(
         staleness.record_failure(at, CallFailure::Silent),
         at,
-        "at once"
+        "a silent watch is repeated at once"
     );
     at
 }
 
-/// Guards the 6 s after a call that failed, which go before what the wait of a silent watch would
-/// leave.
+/// Guards against a node that goes by the later deadline of a silent watch after another call has failed, for which
+/// it has only 6 s.
 #[test]
-fn an_urgent_call_is_retried_until_answered_and_the_node_is_closed_from_when_it_is_accountable() {
+fn a_rejected_call_is_retried_until_answered_and_shortens_the_deadline() {
     let mut staleness = staleness_of_node(0, 1, false);
     let first = fall_silent(&mut staleness);
     let accountable_from = first - WATCH_SILENCE_TIMEOUT + NOTIFICATION_TIMEOUT_AFTER_WAIT;
     assert_eq!(
         staleness.stale_window(),
         accountable_from + GRACE..accountable_from + GRACE + 10 * SECOND,
-        "the call in its place is out"
+        "only the watch was silent; its replacement is in flight"
     );
     let (mut now, mut attempts) = (first, 0);
     let deadline = 10 * SECOND + NOTIFICATION_TIMEOUT + GRACE;
@@ -133,23 +135,23 @@
         assert_eq!(
             staleness.stale_window(),
             deadline..deadline + 10 * SECOND,
-            "it was refused"
+            "the replacement was rejected"
         );
         assert!(at > now && at <= now + 2 * SECOND);
         (now, attempts) = (at, attempts + 1);
     }
-    assert!((1..30).contains(&attempts), "{attempts} tries");
+    assert!((1..30).contains(&attempts), "{attempts} attempts");
     assert!(
         staleness.record_failure(now, CallFailure::Rejected) <= now + 4 * SECOND,
-        "it goes on for ever"
+        "the pause after the stale window is too long"
     );
     staleness.record_answer(now);
-    assert_eq!(staleness.stale_window().start, Nanos::MAX, "shut for ever");
+    assert_eq!(staleness.stale_window().start, Nanos::MAX, "still stale");
 }
 
-/// Guards against a node that calls again only after what it may have missed counts as told.
+/// Guards against a node that calls again only after it has become accountable for what it may have missed.
 #[test]
-fn a_watch_that_was_rejected_or_broke_is_retried_several_times_within_six_seconds() {
+fn a_watch_that_was_rejected_or_broke_is_retried_repeatedly_within_six_seconds() {
     for (failure, node) in [CallFailure::Rejected, CallFailure::Disconnected]
         .into_iter()
         .flat_map(|h| [(h, 0), (h, 349)])
@@ -166,7 +168,7 @@
         }
         assert!(
             (2..12).contains(&attempts),
-            "{failure:?}, node {node}: {attempts} tries"
+            "{failure:?}, node {node}: {attempts} attempts"
         );
         let stale_window = staleness.stale_window().start;
         assert!(
@@ -180,11 +182,11 @@
     }
 }
 
-/// Guards against a service that restarts and is called by all at once, three times by each: for
-/// what changed since a version that it never had, for the whole list, and for the next watch.
+/// Guards against a restarted service that all nodes call at once, three times each: for the changes since a
+/// revision that it never had, for the full list, and for the next watch.
 #[test]
-fn a_service_that_restarts_is_called_by_the_nodes_in_turn() {
-    for (nodes, most) in [(6, 6), (16, 10), (40, 24), (350, 180)] {
+fn calls_to_a_restarted_service_are_spread_over_the_nodes() {
+    for (nodes, max_calls) in [(6, 6), (16, 10), (40, 24), (350, 180)] {
         let mut calls = Vec::new();
         for node in 0..nodes {
             let balancer_settings = BalancerSettings {
@@ -212,31 +214,30 @@
                 .filter(|at| *at >= from && **at < from + 300 * MILLI)
                 .count()
         };
-        let soon = calls
+        let initial_calls = calls
             .iter()
             .filter(|at| **at < 2 * SECOND + 300 * MILLI)
             .count();
-        let at_once = calls.iter().map(within).max().unwrap_or(0);
+        let max_concurrent = calls.iter().map(within).max().unwrap_or(0);
         assert!(
-            soon <= most,
-            "{nodes} nodes: {soon} calls in the first moment"
+            initial_calls <= max_calls,
+            "{nodes} nodes: {initial_calls} calls in the first 300 ms"
         );
         assert!(
-            at_once <= most + 3,
-            "{nodes} nodes: {at_once} calls in one moment"
+            max_concurrent <= max_calls + 3,
+            "{nodes} nodes: {max_concurrent} calls within 300 ms"
         );
         assert!(
             calls.iter().all(|at| *at < 5 * SECOND),
-            "{nodes} nodes: late"
+            "{nodes} nodes: a call came too late"
         );
     }
 }
 
-/// Guards against a node that rejects all while the list service is down, of which nothing counts
-/// as told; and one that takes what a silent watch missed for never told, as the service is gone by
-/// then.
+/// Guards against a node that rejects all work while the list service is down, although nothing new counts as
+/// delivered then; and against one that forgets what a silent watch missed because the service went down afterwards.
 #[test]
-fn a_service_that_is_down_closes_the_node_only_for_what_was_missed_before() {
+fn a_service_that_is_down_makes_the_list_stale_only_for_what_was_missed_before() {
     for pushed in [false, true] {
         let mut staleness = staleness_of_node(0, 1, pushed);
         let mut now = SECOND;
@@ -268,10 +269,10 @@
     }
 }
 
-/// Guards against an answer that came garbled, and the drain in it known seconds after it counts as
-/// told; such a service stormed.
+/// Guards against a drain in an unreadable answer that becomes known seconds after the node is accountable for it,
+/// and against retrying such a service without a pause.
 #[test]
-fn an_unreadable_answer_is_retried_at_once_but_not_for_ever() {
+fn an_unreadable_answer_is_retried_at_once_and_then_with_pauses() {
     let mut staleness = staleness_of_node(3, 4, false);
     assert_eq!(
         staleness.record_failure(SECOND, CallFailure::Malformed),
@@ -282,7 +283,7 @@
     assert_eq!(
         staleness.stale_window(),
         SECOND + GRACE..SECOND + GRACE + 10 * SECOND,
-        "told when it was written"
+        "the content counts as delivered when it was written"
     );
     let (mut now, mut attempts) = (again, 0);
     while now < 20 * SECOND {
@@ -291,13 +292,13 @@
             attempts + 1,
         );
     }
-    assert!(attempts < 40, "{attempts} tries");
+    assert!(attempts < 40, "{attempts} attempts");
 }
 
-/// Guards against a process that was stalled while its watch ended, and counts what it missed from
-/// when it went on.
+/// Guards against a process that was stalled while its watch ended, and counts what it missed only from when it
+/// resumed.
 #[test]
-fn what_a_process_missed_while_stalled_counts_from_before_that() {
+fn what_a_process_missed_while_stalled_counts_from_before_the_stall() {
     let mut staleness = staleness_of_node(0, 1, false);
     staleness.record_answer(10 * SECOND);
     staleness.record_watch_start(10 * SECOND, staleness.watch_wait());
@@ -306,80 +307,79 @@
     assert!(staleness.stale_window().contains(&(25 * SECOND)));
 }
 
-/// How a list service stands.
+/// The condition of a list service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Service {
-    Well,
-    Gone,
+    Healthy,
+    Down,
     Busy,
-    Mute,
-    Garbled,
+    Silent,
+    Malformed,
 }
 
-/// Guards against any order of silence, reset, rejection and garbled lists in which a node sends
-/// something to a host that drains, as it does not know by when it had to have heard. A change may
-/// come in any moment in which the service is there.
+/// Guards against a sequence of silence, resets, rejections and unreadable lists after which a node sends new work
+/// to a draining host because it misjudges from when it is accountable. A change may occur at any moment at which
+/// the service is up.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one simulation, step by step")]
-fn whatever_the_service_does_a_node_is_closed_wherever_it_may_have_missed_a_change_that_counts_as_told(
-) {
-    let mut closed = 0;
+fn a_node_is_stale_whenever_it_may_have_missed_a_change_it_is_accountable_for() {
+    let mut stale_steps = 0;
     for seed in 0..400 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let nodes = [1, 6, 40, 350][seed as usize % 4];
         let mut staleness = staleness_of_node(rng.random_range(0..nodes), nodes, false);
-        let (mut service, mut until) = (Service::Well, rng.random_range(0..5 * SECOND));
-        // The call that is out: since when, how long it may wait, and whether it is heard.
+        let (mut service, mut until) = (Service::Healthy, rng.random_range(0..5 * SECOND));
+        // The call in flight: when it was sent, how long it may wait, and whether the node receives its answer.
         let mut call: Option<(Nanos, Nanos, bool)> = None;
-        let (mut next, mut missed, mut refused) = (0, None, false);
-        // A silent watch is kept until the call in its place has come to something.
-        let (mut kept, mut seen) = (false, true);
+        let (mut next, mut missed, mut rejected) = (0, None, false);
+        // A silent watch is kept until its replacement has been answered or has failed.
+        let (mut kept, mut reached) = (false, true);
         for now in (0..120 * SECOND).step_by(10 * MILLI as usize) {
             if now >= until {
                 let all = [
-                    Service::Well,
-                    Service::Gone,
+                    Service::Healthy,
+                    Service::Down,
                     Service::Busy,
-                    Service::Mute,
-                    Service::Garbled,
+                    Service::Silent,
+                    Service::Malformed,
                 ];
                 (service, until) = (
                     all[rng.random_range(0..5)],
                     now + rng.random_range(0..9 * SECOND),
                 );
-                // Nobody can know that it was there between two tries.
-                missed = missed.filter(|_| service != Service::Gone || seen);
-                seen &= service != Service::Gone;
-                if let Some((_, _, heard)) = &mut call {
-                    *heard &= service != Service::Mute;
+                // The node can't know that the service was up between two attempts.
+                missed = missed.filter(|_| service != Service::Down || reached);
+                reached &= service != Service::Down;
+                if let Some((_, _, received)) = &mut call {
+                    *received &= service != Service::Silent;
                 }
             }
             let failed = match (&call, service) {
                 (None, _) if now < next => None,
                 (None, Service::Busy) => Some(CallFailure::Rejected),
-                (None | Some(_), Service::Gone) => Some(CallFailure::Disconnected),
-                (None, Service::Garbled) => Some(CallFailure::Malformed),
-                (None, Service::Well | Service::Mute) => {
-                    let max_wait = if refused {
+                (None | Some(_), Service::Down) => Some(CallFailure::Disconnected),
+                (None, Service::Malformed) => Some(CallFailure::Malformed),
+                (None, Service::Healthy | Service::Silent) => {
+                    let max_wait = if rejected {
                         MILLI
                     } else {
                         staleness.watch_wait()
                     };
                     staleness.record_watch_start(now, max_wait);
-                    if service == Service::Well {
-                        // What was missed comes at once.
+                    if service == Service::Healthy {
+                        // The changes that were missed arrive at once.
                         staleness.record_answer(now);
                         staleness.record_watch_start(now, staleness.watch_wait());
                         (missed, kept) = (None, false);
                     }
-                    call = Some((now, max_wait, service == Service::Well));
+                    call = Some((now, max_wait, service == Service::Healthy));
                     None
                 }
-                (Some((started_at, max_wait, heard)), _)
+                (Some((started_at, max_wait, received)), _)
                     if now >= staleness.silence_deadline(*started_at, *max_wait) =>
                 {
-                    // A watch that is well is answered before that, with nothing.
-                    if *heard {
+                    // A healthy watch is answered before this deadline, without changes.
+                    if *received {
                         None
                     } else {
                         Some(CallFailure::Silent)
@@ -387,7 +387,7 @@
                 }
                 _ => None,
             };
-            seen |= service != Service::Gone && (failed.is_some() || call.is_some());
+            reached |= service != Service::Down && (failed.is_some() || call.is_some());
             if let Some(failure) = failed {
                 if call.is_none() {
                     staleness.record_watch_start(
@@ -405,12 +405,12 @@
                         .map(|at: Nanos| at.min(now.saturating_sub(NOTIFICATION_TIMEOUT)));
                 }
                 if failure == CallFailure::Disconnected && call.is_some() {
-                    // A watch that was silent and then broke can't be told from one that was well until then.
+                    // A watch that was silent before it broke looks the same as one that was healthy until then.
                     missed = None;
                 }
                 kept = failure == CallFailure::Silent
                     && call.is_some_and(|(_, max_wait, _)| max_wait > CALL_SILENCE_TIMEOUT);
-                (call, refused) = (None, failure != CallFailure::Silent || refused);
+                (call, rejected) = (None, failure != CallFailure::Silent || rejected);
                 next = staleness.record_failure(now, failure);
             }
             if let Some((started_at, max_wait, true)) = call {
@@ -419,34 +419,34 @@
                     staleness.record_watch_start(now, staleness.watch_wait());
                     call = Some((now, staleness.watch_wait(), true));
                 }
-                refused = false;
+                rejected = false;
             }
             staleness.record_awake(now);
-            // What it does not hear from now on.
-            if !call.is_some_and(|(_, _, heard)| heard) && service != Service::Gone {
+            // From now on, changes are missed.
+            if !call.is_some_and(|(_, _, received)| received) && service != Service::Down {
                 missed = missed.or(Some(now));
             }
             let waits =
                 kept || call.is_some_and(|(_, max_wait, _)| max_wait > CALL_SILENCE_TIMEOUT);
-            let deadline = missed
+            let must_be_stale = missed
                 .filter(|_| !waits)
                 .is_some_and(|at| now > at + NOTIFICATION_TIMEOUT + GRACE + 20 * MILLI);
             let stale_window = staleness.stale_window();
-            closed += u64::from(stale_window.contains(&now));
+            stale_steps += u64::from(stale_window.contains(&now));
             assert!(
-                !deadline || now >= stale_window.start,
+                !must_be_stale || now >= stale_window.start,
                 "seed {seed}, at {} ms: {service:?}, {stale_window:?}",
                 now / MILLI
             );
         }
     }
-    assert!(closed > 0, "too tame");
+    assert!(stale_steps > 0, "no simulated node was ever stale");
 }
 
-/// Guards against a node that hears seconds late that a service is back, whose lists are pushed.
+/// Guards against a node that notices seconds late that a pushing service is back.
 #[test]
-fn a_pushing_service_that_is_gone_is_retried_within_the_grace_and_a_busy_one_less_often() {
-    for (failure, most) in [
+fn a_pushing_service_is_retried_within_the_grace_if_down_and_less_often_if_busy() {
+    for (failure, max_pause) in [
         (CallFailure::Disconnected, GRACE),
         (CallFailure::Rejected, 2 * SECOND),
         (CallFailure::Silent, 0),
@@ -457,14 +457,14 @@
         for _ in 0..30 {
             let at = staleness.record_failure(now, failure);
             assert!(
-                at <= now + most && (at > now || failure == CallFailure::Silent),
+                at <= now + max_pause && (at > now || failure == CallFailure::Silent),
                 "{failure:?}"
             );
             now = at;
         }
         assert!(
             failure != CallFailure::Rejected || now > 10 * SECOND,
-            "a storm at a busy service"
+            "a busy service was retried too often"
         );
     }
     let mut staleness = staleness_of_node(5, 9, true);
@@ -477,16 +477,16 @@
     assert!((4..30).contains(&attempts), "{attempts}");
 }
 
-/// Guards against a service that is known to be slow given up before it can answer, and any other
-/// waited for as long.
+/// Guards against a call to a slow service that times out before it can be answered, and against giving every
+/// service that much time.
 #[test]
-fn a_slow_service_is_waited_for_as_long_as_it_takes_within_bounds() {
+fn a_slow_service_is_given_more_time_within_bounds() {
     let mut staleness = staleness_of_node(0, 1, false);
     let usual = (
         staleness.silence_deadline(0, 0),
         staleness.silence_deadline(0, 10 * SECOND),
     );
-    for (took, wanted) in [
+    for (latency, expected) in [
         (100 * MILLI, usual),
         (2 * SECOND, (3 * SECOND, 13 * SECOND)),
         (
@@ -495,17 +495,17 @@
         ),
         (0, usual),
     ] {
-        staleness.record_latency(10 * SECOND + took, 10 * SECOND, 0);
+        staleness.record_latency(10 * SECOND + latency, 10 * SECOND, 0);
         assert_eq!(
             (
                 staleness.silence_deadline(0, 0),
                 staleness.silence_deadline(0, 10 * SECOND)
             ),
-            wanted,
-            "{took}"
+            expected,
+            "{latency}"
         );
     }
-    // News tells nothing of that; another service has a pace of its own.
+    // An answer within the wait doesn't change the measured latency, and a switch to another service resets it.
     staleness.record_latency(15 * SECOND, 10 * SECOND, 0);
     staleness.record_latency(31 * SECOND, 30 * SECOND, 20 * SECOND);
     assert_eq!(staleness.silence_deadline(0, 0), MAX_ANSWER_TIMEOUT);
@@ -513,15 +513,15 @@
     assert_eq!(staleness.silence_deadline(0, 0), usual.0);
 }
 
-/// Guards against a node closed to new work though it hears late; one that is open though what it
-/// heard is from before what it missed.
+/// Guards against a node that rejects new work although answers arrive late, and against one that accepts it
+/// although the late answer is older than what it missed.
 #[test]
 fn a_late_answer_counts_from_when_its_call_was_sent() {
     let mut staleness = staleness_of_node(0, 1, false);
     let at = fall_silent(&mut staleness);
     let accountable_from = staleness.stale_window().start;
     staleness.record_watch_start(at, 0);
-    // The answer of the call that fell silent says no more than was known when it went out.
+    // The late answer to the silent call shows nothing beyond what was known when that call was sent.
     staleness.record_late_answer(10 * SECOND);
     assert_eq!(staleness.stale_window().start, accountable_from);
     staleness.record_failure(at + 2 * SECOND, CallFailure::Silent);
@@ -530,23 +530,23 @@
         staleness.stale_window().start,
         at + NOTIFICATION_TIMEOUT + GRACE
     );
-    // What came garbled counts as told when it was written, whatever an earlier call brings.
-    let garbled = at + 3 * SECOND;
-    staleness.record_failure(garbled, CallFailure::Malformed);
-    assert_eq!(staleness.stale_window().start, garbled + GRACE);
-    staleness.record_late_answer(garbled - MILLI);
-    assert_eq!(staleness.stale_window().start, garbled + GRACE);
-    staleness.record_late_answer(garbled);
+    // Unreadable content counts as delivered when it was written, whatever the answer to an earlier call shows.
+    let malformed_at = at + 3 * SECOND;
+    staleness.record_failure(malformed_at, CallFailure::Malformed);
+    assert_eq!(staleness.stale_window().start, malformed_at + GRACE);
+    staleness.record_late_answer(malformed_at - MILLI);
+    assert_eq!(staleness.stale_window().start, malformed_at + GRACE);
+    staleness.record_late_answer(malformed_at);
     assert_eq!(
         staleness.stale_window().start,
-        garbled + NOTIFICATION_TIMEOUT + GRACE
+        malformed_at + NOTIFICATION_TIMEOUT + GRACE
     );
 }
 
-/// Guards against new work for hosts that drain while the first pushed list is on its way; a new
-/// process that is closed to new work for long where its service is down or silent.
+/// Guards against new work for draining hosts while the first pushed list is in flight, and against a new process
+/// that rejects new work for long because its service is down or silent.
 #[test]
-fn a_new_process_is_closed_from_its_grace_on_until_its_first_pushed_list_or_its_failure() {
+fn a_new_process_is_stale_after_its_grace_until_the_first_pushed_list_or_failure() {
     for (pushed, first) in [
         (true, GRACE),
         (
--- a/node/src/discovery/start_times.rs
+++ b/node/src/discovery/start_times.rs
@@ -1,31 +1,30 @@
-//! When a host has started, as this node counts time: a plain value. Owns which claims of hosts are
-//! believed. Must never know a list or a host.
+//! Decides which start times claimed by hosts are plausible, independently of lists and host records.
 //!
-//! A claim is the wall clock of the host's machine when it started; the node compares it with its
-//! own, which was read at the node's start and counted on since. Either may have been stepped, by
-//! seconds or an hour. A claim that can't be true counts for the moment at which it was learned:
-//! the host is then taken for less warmed up than it is, never for more.
+//! A claim is the wall clock of the host's machine when the host started. The node compares it with its
+//! own clock, which was read when the node started and has advanced monotonically since. Either wall clock
+//! may have been stepped by seconds or by an hour. An implausible claim is replaced by the moment at which
+//! it was learned, so that a host may count as less warmed up than it is, but never as more.
 
 use reedferry::{Nanos, SECOND};
 
-/// How late what a list tells may be, by the protocol.
+/// The longest delay with which a change may be delivered, by the protocol.
 const MAX_UPDATE_DELAY: Nanos = 6 * SECOND;
 
-/// How a claim was learned.
+/// The kind of list that a claim came with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimSource {
-    /// With a list of which this node does not know since when it holds: any claim that lies in the
-    /// past may be true.
+    /// A list whose age is unknown to this node: any claim that lies in the past is plausible.
     FullList,
-    /// As a change, by a node that knew all that there was up to `known_until`: the host has
-    /// started since, but for the delay of changes.
+    /// A change, received by a node that knew all changes up to `known_until`: the host started after that,
+    /// or before it by at most the delay of a change.
     Update {
-        /// Up to when the node knew all that there was.
+        /// The moment up to which the node knew all changes.
         known_until: Nanos,
     },
 }
 
-/// Since when the host has run, where it claims this; none for long ago.
+/// Returns when the host started, or `None` if it claims no start time and thus counts as started long ago. An
+/// implausible claim yields `now`.
 pub fn plausible_start(claim: Option<Nanos>, source: ClaimSource, now: Nanos) -> Option<Nanos> {
     let claim = claim?;
     let possible = match source {
--- a/node/src/discovery/start_times_tests.rs
+++ b/node/src/discovery/start_times_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of which start times are believed.
+//! Tests of which start times are accepted as plausible.
 
 use super::*;
 
@@ -6,7 +6,7 @@
 const HOUR: Nanos = 3600 * SECOND;
 
 #[test]
-fn a_plausible_claim_is_believed() {
+fn a_plausible_claim_is_accepted() {
     let update = ClaimSource::Update {
         known_until: NOW - SECOND,
     };
@@ -25,8 +25,8 @@
     );
 }
 
-/// Guards against a cold host taken for warmed up, and a warm one taken for cold for as long as
-/// clocks differ.
+/// Guards against a cold host that counts as warmed up, and against a warm host that counts as cold for as long as
+/// the clocks differ.
 #[test]
 fn an_implausible_claim_counts_from_when_it_was_learned() {
     let update = ClaimSource::Update { known_until: NOW };
--- a/node/src/discovery/versions.rs
+++ b/node/src/discovery/versions.rs
@@ -1,33 +1,33 @@
-//! Which lists of a service are believed, and whether the next call to it may wait for news: a
-//! plain value. Owns the version reached. Must never know a connection or a host.
+//! Decides which lists of a service are accepted by their revisions, and whether the next call may wait for
+//! changes. This module tracks the revision reached and handles neither connections nor hosts.
 
-/// How a list that has come compares with what is known.
+/// How the revision of a received list compares with the known one.
 #[derive(Debug, PartialEq)]
 pub enum Freshness {
-    /// It is the newest.
+    /// The list is at least as new as the known revision.
     Current,
-    /// A whole list from before what is known: believed, but for the drains that it does not know
-    /// of.
+    /// A full list with an older revision: accepted, but the drains that are known stay in force.
     Older,
-    /// From before what is known, by a call that waited long: ignored.
+    /// A list with an older revision that arrived by a call beside the watch: ignored.
     Stale,
-    /// Changes from before what is known: not believed, and the whole list is wanted next.
-    Backwards,
+    /// Changes with an older revision: rejected, and the full list is requested next.
+    Regressed,
 }
 
-/// The version reached at one service.
+/// The revision reached at one service.
 #[derive(Default)]
 pub struct ListVersions {
-    /// None before the service has given its whole list.
+    /// The known revision, or `None` until the service has sent its full list.
     known: Option<u64>,
-    /// The version reached before the service counted backwards.
+    /// The highest revision known before the service sent changes with an older one; `None` if it never did, or
+    /// has sent an accepted list since.
     highest_before_reset: Option<u64>,
-    /// The service may have restarted and count afresh, below what is known here.
+    /// Whether the service may have restarted and may now count revisions from below the known one.
     maybe_restarted: bool,
 }
 
 impl ListVersions {
-    /// For a node that knows the list up to this version.
+    /// Creates the state of a node that knows the list up to this revision, or no list if it is `None`.
     pub fn new(known: Option<u64>) -> Self {
         ListVersions {
             known,
@@ -35,33 +35,34 @@
         }
     }
 
-    /// The version reached; none before the service has given its whole list.
+    /// Returns the known revision, or `None` until the service has sent its full list.
     pub fn known(&self) -> Option<u64> {
         self.known
     }
 
-    /// Whether a call may wait for what comes after the version known. Without this, one would wait
-    /// at a service that has restarted, with versions that the one known here is far beyond.
+    /// Returns whether a call may wait for a revision beyond the known one. It may not if the service may have
+    /// restarted: its new revisions may be far below the known one, and the call would wait in vain.
     pub fn may_long_poll(&self) -> bool {
         self.known.is_some() && !self.maybe_restarted
     }
 
-    /// A call broke, or had no answer in time.
+    /// Records that a call broke or had no answer in time.
     pub fn record_failure(&mut self) {
         self.maybe_restarted = true;
     }
 
-    /// Assesses a list, of the watch or of a call beside it, and goes by it where it is believed.
+    /// Compares a list with the known revision and takes over its revision if the list is accepted. `watch` tells
+    /// whether it answers the watch or a call beside it.
     pub fn assess(&mut self, watch: bool, revision: u64, complete: bool) -> Freshness {
-        let before = self.known.is_some_and(|known| revision < known);
-        if before && !watch {
+        let is_older = self.known.is_some_and(|known| revision < known);
+        if is_older && !watch {
             return Freshness::Stale;
         }
-        if before && !complete {
+        if is_older && !complete {
             self.highest_before_reset = self.highest_before_reset.max(self.known.take());
-            return Freshness::Backwards;
+            return Freshness::Regressed;
         }
-        let older = complete
+        let older_than_highest = complete
             && self
                 .highest_before_reset
                 .max(self.known)
@@ -69,7 +70,7 @@
         self.known = Some(revision);
         self.highest_before_reset = None;
         self.maybe_restarted &= !watch;
-        if older {
+        if older_than_highest {
             Freshness::Older
         } else {
             Freshness::Current
--- a/node/src/discovery/zones.rs
+++ b/node/src/discovery/zones.rs
@@ -1,34 +1,35 @@
-//! The index of each zone: by the settings, by its number where these name none, or one of its own. Without
-//! the last, two zones that the settings do not name would be taken for one, and a retry would be sent out of
-//! the zone that drops it.
+//! The index of each zone: its position in the settings, its number if the settings name no zones, or else an
+//! index of its own. Without the last kind, two zones that the settings don't name would count as one, and the
+//! retry of a request could be sent to another zone, which drops it.
 
 use std::collections::HashMap;
 
-/// Zones that lists alone name and that are told apart; as many indices are left to the settings.
+/// The maximum number of distinct zones that only lists name. As many indices remain for the zones of the settings.
 const MAX_UNNAMED_ZONES: usize = 1 << 15;
 
-/// The zones of the settings, and indices for those that lists alone name, from the last down.
+/// The zones of the settings, and the indices of those that only lists name, assigned downwards from `u16::MAX`.
 #[derive(Default)]
 pub(super) struct ZoneIndex {
     configured: Vec<String>,
-    others: HashMap<String, u16>,
+    listed_only: HashMap<String, u16>,
 }
 
 impl ZoneIndex {
-    /// The index of the zones of these settings.
+    /// Creates the index for the zones that the settings name.
     pub(super) fn new(configured: Vec<String>) -> Self {
         ZoneIndex {
             configured,
-            others: HashMap::new(),
+            listed_only: HashMap::new(),
         }
     }
 
-    /// Goes by the zones of other settings; those that lists alone name keep their indices.
+    /// Replaces the zones of the settings. Zones that only lists name keep their indices.
     pub(super) fn update_settings(&mut self, configured: Vec<String>) {
         self.configured = configured;
     }
 
-    /// The index of a zone, which becomes known by this.
+    /// Returns the index of a zone, and assigns one to an unknown zone. Once [`MAX_UNNAMED_ZONES`] have been
+    /// assigned, all further zones share the last index.
     pub(super) fn index(&mut self, name: &str) -> u16 {
         let by_number = || {
             name.parse()
@@ -39,11 +40,11 @@
         if let Some(index) = by_name.or_else(by_number) {
             return index as u16;
         }
-        let next = u16::MAX - self.others.len().min(MAX_UNNAMED_ZONES - 1) as u16;
-        match self.others.get(name) {
+        let next = u16::MAX - self.listed_only.len().min(MAX_UNNAMED_ZONES - 1) as u16;
+        match self.listed_only.get(name) {
             Some(index) => *index,
-            None if self.others.len() < MAX_UNNAMED_ZONES => {
-                *self.others.entry(name.to_string()).or_insert(next)
+            None if self.listed_only.len() < MAX_UNNAMED_ZONES => {
+                *self.listed_only.entry(name.to_string()).or_insert(next)
             }
             None => next,
         }
--- a/node/tests/sockets.rs
+++ b/node/tests/sockets.rs
@@ -480,7 +480,7 @@
         &list(9, false, "{\"id\":7,\"phase\":[]}"),
     ]);
     discovery.change(member(8, "127.0.0.1:9", "left"));
-    node.wait_for_log("a revision that runs backwards");
+    node.wait_for_log("changes with an older revision");
     node.wait_for_log("discovery call failed");
     node.wait_for_log("watch begun");
     let served: Vec<_> = (0..6).map(|_| node.served(&hosts)).collect();
