--- a/node/src/context/mod.rs
+++ b/node/src/context/mod.rs
@@ -1,5 +1,5 @@
-//! What the components of a process share while they work: the clock's reading for this turn, the poller, the budgets, the
-//! hosts, and the events gathered for the decision core. It must never act by itself.
+//! The state that the components of a process share: the clock reading of the current turn, the poller, the budgets, the hosts,
+//! and the events that are collected for the balancer. The context takes no action of its own.
 
 mod components;
 mod open;
@@ -20,12 +20,12 @@
 use slog::{info, Logger};
 use std::ops::Range;
 
-/// How late a turn begins where that is logged.
+/// A turn that begins later than this is logged.
 const LATE_TURN: Nanos = 50 * MILLI;
-/// Free descriptors from which there are enough again.
-const ENOUGH_DESCRIPTORS: usize = 8;
+/// The number of free descriptors at which a resource shortage ends.
+const RECOVERY_DESCRIPTORS: usize = 8;
 
-/// The token of a component that has one socket or timer.
+/// Returns the token of a component that has a single socket or timer.
 pub fn token(component: u8) -> PollToken {
     PollToken {
         component,
@@ -34,19 +34,19 @@
     }
 }
 
-/// What the components of a process share.
+/// The state that the components of a process share.
 pub struct Context {
-    /// The clock's reading for this turn.
+    /// The clock reading of the current turn.
     pub now: Nanos,
-    /// For what has to be judged by the moment itself, not by the turn's one reading.
+    /// The clock, for decisions that need the actual time instead of the reading of the turn.
     pub clock: Clock,
     /// When this process started.
     pub start: Nanos,
-    /// The last turn that served all that was ready.
+    /// When the last turn began that served everything that was ready.
     caught_up: Nanos,
     /// How the current turn began.
     pub turn: Turn,
-    /// What reports ready sockets and due timers.
+    /// The poller, which reports ready sockets and due timers.
     pub poller: Poller,
     /// The descriptors that this process may use.
     pub budget: DescriptorBudget,
@@ -54,77 +54,80 @@
     pub pool: BufferPool,
     /// The hosts of the endpoint list.
     pub hosts: Hosts,
-    /// The settings beside those of the decision core.
+    /// The settings that are not part of the balancer's.
     pub settings: NodeSettings,
     /// The request classes, in the order of their names in the settings.
     pub classes: Vec<RequestClass>,
-    /// Events gathered for the decision core.
+    /// The events collected for the balancer.
     pub events: Vec<Event>,
-    /// Where log lines go.
+    /// The logger of the process.
     pub log: Logger,
-    /// The generation of the last token that was dealt out.
+    /// The generation of the last token that was created.
     pub last_generation: u32,
-    /// From when the process may end, once it has been asked to stop.
+    /// The earliest moment at which the process may end; `None` unless it has been asked to stop.
     pub may_end_at: Option<Nanos>,
-    /// When a node that stands by must hold no client any more.
+    /// When a node in standby must have migrated its last client; `None` if the node is not in standby.
     pub standby_deadline: Option<Nanos>,
-    /// The same where the process has been asked to stop.
+    /// When a process that stops must have migrated its last client; `None` unless it has been asked to stop.
     pub shutdown_deadline: Option<Nanos>,
-    /// The metrics.
+    /// The metrics of the process.
     pub metrics: Metrics,
-    /// The limit of log lines on turns that began late.
+    /// The rate limit of log lines on turns that began late.
     late_turn_lines: LogRateLimit,
-    /// The limit of log lines on single requests.
+    /// The rate limit of log lines on single requests.
     pub request_lines: LogRateLimit,
-    /// Whether new work was last held off for want of descriptors or buffers.
+    /// Whether new work was postponed for lack of descriptors or buffers, and the shortage has not ended since.
     pub resource_shortage: bool,
-    /// From when to when no new attempts may go to hosts, unless discovery is heard from before.
+    /// The window in which no new attempts may be sent to hosts, unless the list service answers first.
     pub stale_window: Range<Nanos>,
 }
 
 impl Context {
-    /// Begins a turn at `now`, after a wait that began at `waited`, and returns when the turn before began. `behind` where that one
-    /// left something that was ready.
-    pub fn begin_turn(&mut self, waited: Nanos, now: Nanos, behind: bool) -> Nanos {
+    /// Begins a turn at `now`, after a wait that began at `wait_started`, and returns when the previous turn began. `behind` tells
+    /// whether the previous turn left ready sockets unserved.
+    pub fn begin_turn(&mut self, wait_started: Nanos, now: Nanos, behind: bool) -> Nanos {
         let previous = std::mem::replace(&mut self.now, now);
         if !behind {
             self.caught_up = previous;
         }
-        self.hosts.stalls.record_turn(self.caught_up, waited, now);
-        self.turn.begin(self.poller.next_deadline(), waited, now);
+        self.hosts
+            .stalls
+            .record_turn(self.caught_up, wait_started, now);
+        self.turn
+            .begin(self.poller.next_deadline(), wait_started, now);
         if self.turn.lateness() > LATE_TURN && self.late_turn_lines.allow(now) {
-            info!(self.log, "woken late"; self.turn.time_breakdown(now));
+            info!(self.log, "event loop turn began late"; self.turn.time_breakdown(now));
         }
         previous
     }
 
-    /// Logs how many lines on single requests were left out.
+    /// Logs how many log lines on single requests were suppressed.
     pub fn log_suppressed_lines(&mut self) {
         if let Some(count) = self.request_lines.take_suppressed(self.now) {
-            info!(self.log, "request lines left out"; "count" => count);
+            info!(self.log, "request log lines suppressed"; "count" => count);
         }
     }
 
-    /// Notes when there are enough descriptors again.
+    /// Ends the resource shortage and logs this, if enough descriptors are free again.
     pub fn check_descriptor_recovery(&mut self) {
-        if self.resource_shortage && self.budget.has_capacity(ENOUGH_DESCRIPTORS) {
+        if self.resource_shortage && self.budget.has_capacity(RECOVERY_DESCRIPTORS) {
             self.resource_shortage = false;
-            info!(self.log, "descriptors to spare again"; "taken" => self.budget.in_use());
+            info!(self.log, "descriptor shortage ended"; "taken" => self.budget.in_use());
         }
     }
 
-    /// A new generation for a token, so that reports for an earlier owner of its slot are told apart.
+    /// Returns a new generation for a token, so that reports for an earlier owner of its slot can be recognized.
     pub fn next_generation(&mut self) -> u32 {
         self.last_generation = self.last_generation.wrapping_add(1);
         self.last_generation
     }
 
-    /// Counts a system call that failed as this machine was short of something.
+    /// Counts a system call that failed because this machine lacked a resource.
     pub fn record_transient_failure(&mut self, call: &'static str) {
         self.metrics.add(Counter::TransientFailure(call));
     }
 
-    /// Has the poller report a socket under a new token.
+    /// Registers a socket with the poller under a new token.
     pub fn register(
         &mut self,
         socket: &Socket,
--- a/node/src/context/open.rs
+++ b/node/src/context/open.rs
@@ -1,4 +1,4 @@
-//! What is opened at the start: the poller, the budgets, the listeners and the endpoint list as last known.
+//! Startup of a process: opens the poller, the budgets and the listeners, and loads the last known endpoint list.
 
 use super::{token, Context, LISTENER, RELOAD, STOP};
 use crate::discovery::hosts::{Hosts, ListSource};
@@ -15,17 +15,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a start waits for what the machine is short of.
+/// How long the start of a process waits for resources that the machine lacks.
 pub const START_TIMEOUT: Duration = Duration::from_secs(5);
-/// Log lines on single requests per second.
+/// The maximum number of log lines on single requests per second.
 const MAX_REQUEST_LINES: u32 = 20;
-/// Log lines on late turns per second.
+/// The maximum number of log lines on late turns per second.
 const MAX_LATE_TURN_LINES: u32 = 1;
 const BUFFER_MEMORY_DIVISOR: usize = 4;
 const MIN_BUFFERS: usize = 64;
 
 impl Context {
-    /// Opens what every role starts with, and the log that its event loop drains.
+    /// Opens the context that every role needs, and the log backlog that its event loop drains.
     pub fn open(
         node_config: &NodeConfig,
         clock: &Clock,
@@ -42,7 +42,7 @@
         })
         .map_err(FatalError::Poll)?;
         let now = clock.read();
-        // A quarter of the memory is for buffers; the rest is the program's own and a reserve.
+        // A quarter of the memory is for buffers. The rest is for other data of the program and a reserve.
         let buffers = node_config.memory / BUFFER_MEMORY_DIVISOR / pool::BUFFER_BYTES;
         let mut metrics = Metrics::default();
         metrics.add_classes(&node_config.node_settings.classes);
@@ -78,7 +78,7 @@
         Ok((context, backlog))
     }
 
-    /// Listens on an address, and has the poller report connections to it as this part's.
+    /// Listens on an address, and registers the listener with the poller for this component.
     pub fn listen(&mut self, address: &SocketAddr, component: u8) -> Result<Socket, FatalError> {
         let listener =
             retry_for(START_TIMEOUT, || self.budget.listen(address)).map_err(|error| {
@@ -94,7 +94,7 @@
         Ok(listener)
     }
 
-    /// Accepts clients at a listener that the platform holds open.
+    /// Takes over a listener for clients that the platform keeps open, and registers it with the poller.
     pub fn inherit_listener(&mut self, descriptor: i32) -> Result<Socket, FatalError> {
         let invalid_listener = |error| FatalError::InvalidListener { descriptor, error };
         let listener = retry_for(START_TIMEOUT, || self.budget.inherit_listener(descriptor))
@@ -106,7 +106,7 @@
         Ok(listener)
     }
 
-    /// Takes up the endpoint list that the configuration holds, and returns its revision.
+    /// Applies the endpoint list in the configuration, and returns its revision, or `None` if there is no such list.
     pub fn load_known_endpoints(
         &mut self,
         node_config: &NodeConfig,
--- a/node/src/discovery/client/answers.rs
+++ b/node/src/discovery/client/answers.rs
@@ -1,4 +1,4 @@
-//! What comes of a complete response: which list is believed, and when the next watch goes out.
+//! Handling of complete responses: applies the list, and schedules the next watch.
 
 use super::{DiscoveryClient, IMMEDIATE_ANSWER_TIME, SILENT_WATCH, WATCH};
 use crate::context::Context;
@@ -11,29 +11,29 @@
 use slog::{info, warn};
 
 impl DiscoveryClient {
-    /// A response is complete.
-    pub(super) fn on_answer(&mut self, context: &mut Context, which: usize) {
-        let call = &mut self.calls[which];
+    /// Handles a complete response.
+    pub(super) fn on_answer(&mut self, context: &mut Context, slot: usize) {
+        let call = &mut self.calls[slot];
         if call.response.closes_connection {
             call.connection = None;
         }
         if call.response.status != 200 {
             let status = call.response.status;
-            return self.on_rejected(context, which, status);
+            return self.on_rejected(context, slot, status);
         }
         call.in_flight = false;
         let list = match std::mem::take(&mut call.reader).finish() {
             Ok(list) => list,
-            Err(error) => return self.on_failed(context, which, CallError::List(error)),
+            Err(error) => return self.on_failed(context, slot, CallError::List(error)),
         };
         let (started_at, max_wait) = (call.started_at, call.max_wait);
         let has_news = !list.members.is_empty();
-        if !self.apply_list(context, which, list) {
-            return self.on_failed(context, which, CallError::RevisionRegressed);
+        if !self.apply_list(context, slot, list) {
+            return self.on_failed(context, slot, CallError::RevisionRegressed);
         }
         self.staleness
             .record_latency(context.now, started_at, max_wait);
-        if which != WATCH {
+        if slot != WATCH {
             self.staleness.record_late_answer(started_at);
             return self.extend_watch_deadline(context);
         }
@@ -54,8 +54,8 @@
         self.send_call(context, WATCH, self.staleness.watch_wait());
     }
 
-    /// Goes by what the answer to another call has just shown of the service: how long the watch is waited
-    /// for, and from when on the list may be stale.
+    /// Applies what the answer to another call has shown of the service to the deadline of the watch and to the
+    /// stale window.
     fn extend_watch_deadline(&mut self, context: &mut Context) {
         let watch = &mut self.calls[WATCH];
         if watch.in_flight && !watch.response_begun {
@@ -67,26 +67,27 @@
         context.stale_window = self.staleness.stale_window();
     }
 
-    /// What the answer to a call that has just come shows of the time its news is from.
-    fn claim_source(&self, which: usize, now: Nanos) -> ClaimSource {
-        let call = &self.calls[which];
+    /// Returns how the plausibility of start times is judged in the answer to a call that has just arrived.
+    fn claim_source(&self, slot: usize, now: Nanos) -> ClaimSource {
+        let call = &self.calls[slot];
         let waited =
             call.max_wait > IMMEDIATE_ANSWER_TIME && now > call.started_at + IMMEDIATE_ANSWER_TIME;
         match self.last_list_at {
             None => ClaimSource::FullList,
-            // News comes at once to a call that waits for it.
+            // The service answers a waiting call as soon as there is a change.
             Some(_) if waited => ClaimSource::Update { known_until: now },
             Some(known_until) => ClaimSource::Update { known_until },
         }
     }
 
-    /// Whether the list counts, if only as no news.
-    fn apply_list(&mut self, context: &mut Context, which: usize, mut list: EndpointList) -> bool {
+    /// Applies a list if it is accepted. Returns `false` if it is rejected; a stale list is accepted as one without
+    /// changes.
+    fn apply_list(&mut self, context: &mut Context, slot: usize, mut list: EndpointList) -> bool {
         let freshness = self
             .versions
-            .assess(which == WATCH, list.revision, list.complete);
+            .assess(slot == WATCH, list.revision, list.complete);
         match freshness {
-            // Without this, a draining host would count as ready again by changes from before.
+            // Changes with an older revision would make a draining host count as ready again.
             Freshness::Regressed => return false,
             Freshness::Stale => {
                 context.events.push(Event::EndpointsUpdated {
@@ -95,18 +96,18 @@
                 });
                 return true;
             }
-            // Without this, hosts that drain would get new work by a service that came back with an older
-            // list. What it says of them as a change from there on is news.
+            // A service that comes back with an older list doesn't know the latest drains, and without them the
+            // draining hosts would get new work. Later changes from the service do count for these hosts.
             Freshness::Older => {
                 let kept = context.hosts.keep_drains(&mut list);
                 let hosts = list.members.len();
-                warn!(context.log, "an older list"; "revision" => list.revision, "hosts" => hosts, "drains kept" => kept);
+                warn!(context.log, "received an older list"; "revision" => list.revision, "hosts" => hosts, "drains kept" => kept);
             }
             Freshness::Current => {}
         }
         let now = context.now;
         let source = ListSource::Service {
-            claims: self.claim_source(which, now),
+            claims: self.claim_source(slot, now),
             effective_from: self.staleness.effective_from(now),
         };
         self.last_list_at = Some(now);
--- a/node/src/discovery/client/failures.rs
+++ b/node/src/discovery/client/failures.rs
@@ -1,4 +1,4 @@
-//! What comes of a call that failed: whether it is repeated at once, and when the watch is sent again.
+//! Handling of failed calls: repeats a call at once if its idle connection was closed, and schedules the next watch.
 
 use super::{DiscoveryClient, IDLE_CLOSE_WINDOW, POLL, SILENT_WATCH, WATCH};
 use crate::context::{Context, DISCOVERY};
@@ -9,62 +9,63 @@
 use slog::warn;
 
 impl DiscoveryClient {
-    /// The connection broke. Where it had served before and nothing has come of a response to a call that has
-    /// just gone out, the other side closed it between two calls: the call goes out once more. One that
-    /// broke while it waited has failed, as it may have ended for all nodes.
+    /// Handles a broken connection. If the connection was reused, the call has only just been sent and no byte of a
+    /// response has arrived, the service closed the connection between two calls, and the call is sent again. A call
+    /// whose connection broke while it waited has failed, as the service may have closed the connections of all nodes.
     pub(super) fn on_connection_lost(
         &mut self,
         context: &mut Context,
-        which: usize,
+        slot: usize,
         error: CallError,
     ) {
-        let call = &mut self.calls[which];
+        let call = &mut self.calls[slot];
         call.connection = None;
         if !call.in_flight {
             return;
         }
         let just_sent = context.now < call.started_at + IDLE_CLOSE_WINDOW;
         if call.reused && !call.response.has_begun() && just_sent {
-            // Without a wait: whoever closed it may have restarted, and would wait for a version long passed
-            // here.
-            return self.send_call(context, which, MILLI);
+            // The repeated call waits for only 1 ms. The service may have restarted, and a longer call would wait
+            // for its revisions to pass the known one.
+            return self.send_call(context, slot, MILLI);
         }
-        self.on_failed(context, which, error);
+        self.on_failed(context, slot, error);
     }
 
-    /// The service answered, but not with a list. It is the same one as before where it says that it is busy.
-    pub(super) fn on_rejected(&mut self, context: &mut Context, which: usize, status: u16) {
+    /// Handles an answer with an error status. The service counts as possibly restarted unless the status says that
+    /// it is busy (429 or 503).
+    pub(super) fn on_rejected(&mut self, context: &mut Context, slot: usize, status: u16) {
         if !matches!(status, 429 | 503) {
             self.versions.record_failure();
         }
         let error = CallError::Status(status);
-        self.end_call(context, which, error.failure(), error);
+        self.end_call(context, slot, error.failure(), error);
     }
 
-    /// A call failed in a way that tells something of the service.
-    pub(super) fn on_failed(&mut self, context: &mut Context, which: usize, error: CallError) {
-        if which == WATCH {
+    /// Handles the failure of a call that is due to the service and not to this machine.
+    pub(super) fn on_failed(&mut self, context: &mut Context, slot: usize, error: CallError) {
+        if slot == WATCH {
             self.versions.record_failure();
         }
-        self.end_call(context, which, error.failure(), error);
+        self.end_call(context, slot, error.failure(), error);
     }
 
-    /// Ends a call that has failed so, and tells when the next one goes out.
+    /// Ends a failed call. After a watch, schedules the next one; after a poll, informs the balancer.
     pub(super) fn end_call(
         &mut self,
         context: &mut Context,
-        which: usize,
+        slot: usize,
         failure: CallFailure,
         error: CallError,
     ) {
-        let call = &mut self.calls[which];
+        let call = &mut self.calls[slot];
         call.connection = None;
         call.in_flight = false;
         let sent_ms_ago = context.now.saturating_sub(call.started_at) / MILLI;
         let wait_ms = call.max_wait / MILLI;
-        warn!(context.log, "discovery call failed"; "watch" => which == WATCH, "why" => error.to_string(),
+        warn!(context.log, "discovery call failed"; "watch" => slot == WATCH, "why" => error.to_string(),
             "sent_ms_ago" => sent_ms_ago, "wait_ms" => wait_ms);
-        if which == WATCH {
+        if slot == WATCH {
             self.watching = false;
             let next = self.staleness.record_failure(context.now, failure);
             self.next_watch_at = Some(next);
@@ -73,8 +74,8 @@
                 self.watch(context);
             }
         }
-        // Nothing else tells the decision module when to poll again.
-        if which == POLL {
+        // The balancer schedules the next poll on this event alone.
+        if slot == POLL {
             context.events.push(Event::EndpointsUpdated {
                 kind: EndpointUpdate::Failed,
                 endpoints: Vec::new(),
@@ -82,7 +83,8 @@
         }
     }
 
-    /// The watch has been silent beyond its wait: it is kept until the call in its place is answered.
+    /// Handles a watch that has been silent beyond its wait. Its connection is kept until the replacement of the watch
+    /// has been answered.
     pub(super) fn on_watch_silent(&mut self, context: &mut Context) {
         let mut watch = std::mem::take(&mut self.calls[WATCH]);
         self.calls[WATCH].started_at = watch.started_at;
--- a/node/src/discovery/client/mod.rs
+++ b/node/src/discovery/client/mod.rs
@@ -1,7 +1,7 @@
-//! The client of the list service: the watch on the endpoint list, and the whole list where that is asked
-//! for. Owns the connections to the service. Must never decide which list is believed ([`versions`](crate::discovery::versions)),
-//! nor when to call: the decision module asks first, or where changes are pushed the watch is kept up by
-//! itself, and once a watch has failed [`WatchStaleness`] tells when. A call that fails ends alone.
+//! The client of the list service, which owns the connections to it. It keeps a watch on the endpoint list, and polls
+//! the full list on request. Which lists are accepted is decided in [`versions`](crate::discovery::versions). The
+//! balancer requests the first call; if changes are pushed, the client renews the watch by itself. After a watch has
+//! failed, [`WatchStaleness`] decides when the next one is sent. The failure of one call doesn't affect the others.
 
 mod answers;
 mod failures;
@@ -17,42 +17,43 @@
 use slog::warn;
 use std::net::SocketAddr;
 
-/// How soon a call over a connection that has served before may break for the other side to have closed it
-/// in between.
+/// The time within which a call over a reused connection has to break for the connection to count as closed by the
+/// service while it was idle.
 const IDLE_CLOSE_WINDOW: Nanos = SECOND / 4;
-/// How soon a response comes that waits for nothing.
+/// The time within which an answer counts as immediate. A later one has waited for a change.
 const IMMEDIATE_ANSWER_TIME: Nanos = SECOND / 5;
 
-/// The call that waits for changes.
+/// The slot of the call that waits for changes.
 const WATCH: usize = 0;
-/// The call for the whole list.
+/// The slot of the call for the full list.
 const POLL: usize = 1;
-/// A watch that has been silent beyond its wait, until the call in its place has been answered. What it was
-/// about to tell counts as told when it is written, or earlier once it is given up.
+/// The slot of a watch that has been silent beyond its wait, which is kept until its replacement has been answered.
+/// A change in a late answer to it counts as delivered when the service has written it, or earlier once the connection
+/// is closed.
 const SILENT_WATCH: usize = 2;
-const ALL: [usize; 3] = [WATCH, POLL, SILENT_WATCH];
+const ALL_CALLS: [usize; 3] = [WATCH, POLL, SILENT_WATCH];
 
 /// The client of one list service.
 pub struct DiscoveryClient {
     address: SocketAddr,
-    /// Descriptors that clients can't use up. Without this, a process that starts in a crowd of idle clients
-    /// would hear of no drain.
+    /// Descriptors that are reserved for these connections. Otherwise a process that starts among many idle clients
+    /// could run out of descriptors and learn of no drain.
     budget: DescriptorBudget,
     versions: ListVersions,
     calls: [DiscoveryCall; 3],
     /// Whether the last watch was answered.
     watching: bool,
-    /// When this service's last list came.
+    /// When the last list of this service arrived; `None` before the first.
     last_list_at: Option<Nanos>,
     staleness: WatchStaleness,
-    /// When the watch goes out without being asked for.
+    /// When the watch is sent without a request from the balancer; `None` if it is not scheduled.
     next_watch_at: Option<Nanos>,
-    /// Whether it was logged that the list may be stale.
+    /// Whether the list was last logged as possibly stale.
     reported_stale: bool,
 }
 
 impl DiscoveryClient {
-    /// A client that knows the list up to this revision.
+    /// Creates a client that knows the list up to this revision, or no list if it is `None`.
     pub fn new(
         address: SocketAddr,
         revision: Option<u64>,
@@ -64,7 +65,7 @@
         let now = context.now;
         DiscoveryClient {
             address,
-            budget: context.budget.split_off(ALL.len()),
+            budget: context.budget.split_off(ALL_CALLS.len()),
             versions: ListVersions::new(revision),
             calls: Default::default(),
             watching: false,
@@ -75,9 +76,9 @@
         }
     }
 
-    /// Switches to the service at another address, at once and from its whole list on: versions are each
-    /// service's own. Without that, a node would follow a service which has been replaced, or wait for the
-    /// new one to pass a version of the old.
+    /// Switches at once to the service at another address and requests its full list, as each service counts
+    /// revisions on its own. Otherwise a node would follow a service that has been replaced, or wait for the new one to
+    /// pass a revision of the old one.
     pub fn switch_service(&mut self, context: &mut Context, address: SocketAddr) {
         let polled = self.calls[POLL].in_flight;
         self.calls = Default::default();
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Goes by other settings from the next call on.
+    /// Applies new settings from the next call on.
     pub fn update_settings(&mut self, balancer_settings: &BalancerSettings, drain_grace: Nanos) {
         self.staleness
             .update_settings(balancer_settings, usable_grace(drain_grace));
@@ -102,33 +103,33 @@
         }
     }
 
-    /// The version reached.
+    /// Returns the known revision, or `None` until the service has sent its full list.
     pub fn revision(&self) -> Option<u64> {
         self.versions.known()
     }
 
-    /// Reads what has arrived, whether or not the poller has reported it yet.
+    /// Reads everything that has arrived, whether or not the poller has reported it yet.
     pub fn read_all(&mut self, context: &mut Context) {
-        for which in ALL {
-            self.read(context, which);
+        for slot in ALL_CALLS {
+            self.read(context, slot);
         }
     }
 
-    /// The decision module wants the whole list once.
+    /// Requests the full list once, unless such a call is in flight.
     pub fn poll(&mut self, context: &mut Context) {
         if !self.calls[POLL].in_flight {
             self.send_call(context, POLL, 0);
         }
     }
 
-    /// The decision module wants to be told of changes from now on.
+    /// Sends the watch, unless it is in flight or scheduled for later.
     pub fn watch(&mut self, context: &mut Context) {
         if self.calls[WATCH].in_flight || self.next_watch_at.is_some_and(|at| context.now < at) {
             return;
         }
         self.watching = false;
-        // What was missed since a version that is known comes at once, by the call that then waits on, unless
-        // the node may have missed something: a call that waits does not show that the node hears.
+        // A call with a known revision gets missed changes at once, and otherwise waits for new ones. If the node
+        // may have missed something, the call must not wait, as only an answer shows that the connection works.
         let waits = self.versions.may_long_poll() && !self.staleness.may_have_missed();
         let max_wait = if waits {
             self.staleness.watch_wait()
@@ -138,40 +139,40 @@
         self.send_call(context, WATCH, max_wait);
     }
 
-    /// Sends a call, which the service may hold back for `max_wait`.
-    fn send_call(&mut self, context: &mut Context, which: usize, max_wait: Nanos) {
-        // Without a version the whole list comes, which nothing waits for.
-        let from = self.versions.known().filter(|_| which == WATCH);
+    /// Sends a call, which the service may hold for up to `max_wait`.
+    fn send_call(&mut self, context: &mut Context, slot: usize, max_wait: Nanos) {
+        // A call without a revision gets the full list, for which the service doesn't wait.
+        let from = self.versions.known().filter(|_| slot == WATCH);
         let max_wait = if from.is_some() { max_wait } else { 0 };
         let path = match from {
             Some(from) => format!("/v1/servers?from={from}&hold_ms={}", max_wait / MILLI),
             None => "/v1/servers".to_string(),
         };
         let request = format!("GET {path} HTTP/1.1\r\nHost: {}\r\n\r\n", self.address);
-        let call = &mut self.calls[which];
+        let call = &mut self.calls[slot];
         call.request = request.into_bytes();
         call.in_flight = true;
         call.started_at = context.now;
         call.max_wait = max_wait;
         call.deadline = self.staleness.silence_deadline(context.now, max_wait);
         call.reused = call.connection.is_some();
-        if which == WATCH {
+        if slot == WATCH {
             self.next_watch_at = None;
             self.staleness.record_watch_start(context.now, max_wait);
             context.stale_window = self.staleness.stale_window();
         }
-        self.start(context, which);
+        self.start(context, slot);
     }
 
-    /// Sends the request from its first byte, over a new connection where none is open.
-    fn start(&mut self, context: &mut Context, which: usize) {
-        let call = &mut self.calls[which];
+    /// Sends the request from its first byte, over a new connection if none is open.
+    fn start(&mut self, context: &mut Context, slot: usize) {
+        let call = &mut self.calls[slot];
         call.restart();
         if call.connection.is_some() {
-            return self.write(context, which);
+            return self.write(context, slot);
         }
         let opened = self.budget.connect(&self.address).and_then(|(socket, _)| {
-            let token = context.register(&socket, DISCOVERY, which)?;
+            let token = context.register(&socket, DISCOVERY, slot)?;
             Ok(CallConnection {
                 socket,
                 generation: token.generation,
@@ -180,80 +181,80 @@
         match opened {
             Ok(connection) => call.connection = Some(connection),
             Err(error) if classify_connect(error) == ConnectFailure::Peer => {
-                self.on_failed(context, which, CallError::Connect(error));
+                self.on_failed(context, slot, CallError::Connect(error));
             }
-            // What this machine is short of says nothing of the service.
+            // This machine lacks a resource, which says nothing about the service.
             Err(error) => {
                 let error = CallError::Connect(error);
-                self.end_call(context, which, CallFailure::Rejected, error);
+                self.end_call(context, slot, CallFailure::Rejected, error);
             }
         }
     }
 
-    /// The socket of a call is ready.
+    /// Handles readiness of the socket of a call.
     pub fn on_ready(&mut self, context: &mut Context, ready: Readiness) {
-        let which = ready.token.slot as usize;
+        let slot = ready.token.slot as usize;
         let generation = ready.token.generation;
         let is_current = |calls: &[DiscoveryCall; 3]| {
             calls
-                .get(which)
+                .get(slot)
                 .is_some_and(|call| call.has_connection(generation))
         };
         if ready.writable && is_current(&self.calls) {
-            self.write(context, which);
+            self.write(context, slot);
         }
-        // Writing may have failed and closed it.
+        // A failed write may have closed the connection.
         if ready.readable && is_current(&self.calls) {
-            self.read(context, which);
+            self.read(context, slot);
         }
     }
 
-    fn write(&mut self, context: &mut Context, which: usize) {
-        if let Err(error) = self.calls[which].write() {
-            self.on_connection_lost(context, which, error);
+    fn write(&mut self, context: &mut Context, slot: usize) {
+        if let Err(error) = self.calls[slot].write() {
+            self.on_connection_lost(context, slot, error);
         }
     }
 
-    /// Reads all that has arrived.
-    fn read(&mut self, context: &mut Context, which: usize) {
-        if self.calls[which].connection.is_none() {
+    /// Reads everything that has arrived for one call.
+    fn read(&mut self, context: &mut Context, slot: usize) {
+        if self.calls[slot].connection.is_none() {
             return;
         }
-        // Where clients hold all buffers, the list is read when one is free.
+        // If all buffers are in use, the next sweep reads once one is free.
         let Some(mut buffer) = context.pool.take() else {
             return;
         };
         loop {
             let body_deadline = self.staleness.body_deadline(context.now);
-            match self.calls[which].read(&mut buffer, body_deadline) {
+            match self.calls[slot].read(&mut buffer, body_deadline) {
                 ReadOutcome::Blocked => return,
                 ReadOutcome::More => {}
-                // A call that began at once over the same connection reads on when there is more.
-                ReadOutcome::Complete => self.on_answer(context, which),
-                ReadOutcome::CompleteAtClose => return self.on_answer(context, which),
-                ReadOutcome::Rejected(status) => return self.on_rejected(context, which, status),
+                // The next call may have been sent over the same connection, so the loop goes on reading.
+                ReadOutcome::Complete => self.on_answer(context, slot),
+                ReadOutcome::CompleteAtClose => return self.on_answer(context, slot),
+                ReadOutcome::Rejected(status) => return self.on_rejected(context, slot, status),
                 ReadOutcome::ConnectionLost(error) => {
-                    return self.on_connection_lost(context, which, error);
+                    return self.on_connection_lost(context, slot, error);
                 }
-                ReadOutcome::Malformed(error) => return self.on_failed(context, which, error),
+                ReadOutcome::Malformed(error) => return self.on_failed(context, slot, error),
             }
         }
     }
 
-    /// Ends calls that nothing answers, and sends the watch where that is due.
+    /// Ends calls that have not been answered in time, and sends the watch if it is due.
     pub fn sweep(&mut self, context: &mut Context) {
-        for which in ALL {
-            // What arrived, or was to go, while this machine was short of a buffer or of memory.
-            self.write(context, which);
-            self.read(context, which);
-            let call = &self.calls[which];
+        for slot in ALL_CALLS {
+            // Resumes writes and reads that failed while this machine lacked buffers or memory.
+            self.write(context, slot);
+            self.read(context, slot);
+            let call = &self.calls[slot];
             if !call.in_flight || context.now < call.deadline {
                 continue;
             }
-            if which == WATCH && !call.response_begun {
+            if slot == WATCH && !call.response_begun {
                 self.on_watch_silent(context);
             } else {
-                self.on_failed(context, which, CallError::Timeout);
+                self.on_failed(context, slot, CallError::Timeout);
             }
         }
         self.staleness.record_awake(context.now);
@@ -263,7 +264,7 @@
         }
         let stale = context.stale_window.contains(&context.now);
         if stale != std::mem::replace(&mut self.reported_stale, stale) {
-            warn!(context.log, "list not heard in time"; "nothing new to hosts" => stale);
+            warn!(context.log, "endpoint list staleness changed"; "nothing new to hosts" => stale);
         }
     }
 }
--- a/node/src/discovery/message_latency.rs
+++ b/node/src/discovery/message_latency.rs
@@ -92,7 +92,7 @@
     }
 
     /// Returns the expected latency of a line sent at `now`, assuming that a backlog has been growing since the last
-    /// line that was answered in time. The age of the waiting lines alone would understate the backlog.
+    /// line that was answered in time. The age of the waiting lines is only a fraction of that latency.
     fn projected_latency(&self, now: Nanos) -> Nanos {
         let since = self.last_timely_send;
         let growth = |line: LineLatency| {
@@ -126,7 +126,7 @@
     }
 
     /// Returns the estimated current latency if a report is due or a backlog has just begun to form, without the
-    /// network round trip.
+    /// network round trip. Returns `None` if nothing is to be reported.
     pub(super) fn report(&mut self, now: Nanos, slow_threshold: Nanos) -> Option<Nanos> {
         let unanswered_for = self.unanswered_for(now);
         let last = self
--- a/node/src/discovery/staleness.rs
+++ b/node/src/discovery/staleness.rs
@@ -38,11 +38,12 @@
 const CALL_SILENCE_TIMEOUT: Nanos = NOTIFICATION_TIMEOUT / 3;
 /// The longest time beyond its wait that a call is given at a service that is known to be slow.
 const MAX_ANSWER_TIMEOUT: Nanos = 4 * SECOND;
-/// The factor by which the time given to a slow service exceeds the latency of its last answer.
+/// The time that a slow service is given for an answer, as a multiple of the latency of its last answer.
 const ANSWER_TIMEOUT_OVER_LATENCY: f64 = 1.5;
 /// The longest time over which nodes whose watches ended at the same moment spread their next calls.
 const MAX_RECONNECT_SPREAD: Nanos = NOTIFICATION_TIMEOUT / 2;
-/// The retry interval while lists are pushed, and the minimum retry interval while they are polled.
+/// The retry interval while lists are pushed, unless half the grace of a drain is shorter. Also the minimum retry
+/// interval while lists are polled.
 const PUSHED_RETRY_INTERVAL: Nanos = SECOND / 4;
 /// The time that each node of the fleet adds to every node's retry interval, so that the call rate of the whole
 /// fleet stays within what the service can handle.
@@ -287,8 +288,8 @@
     /// Returns the window in which the node must not send new work, as it may be accountable for a drain that it
     /// does not know of. The window begins when the grace of such a drain ends and lasts for the longest poll
     /// interval of the settings; after that the service counts as down. It is empty, at `Nanos::MAX`, if no watch
-    /// is in flight and nothing was missed. Without it, draining hosts would get new work from a node that was stalled or whose calls a busy
-    /// service rejected.
+    /// is in flight and nothing was missed. Without it, draining hosts would get new work from a node that was
+    /// stalled or whose calls a busy service rejected.
     pub fn stale_window(&self) -> Range<Nanos> {
         let from = self
             .accountable_from
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -1,6 +1,5 @@
-//! The program: its command line, and which role is started. Without arguments it is a standalone node, configured by the file
-//! that `GW_CONFIG` names, as the platform starts it. This module owns what all roles do first. It must never serve anybody
-//! itself.
+//! The entry point of the program: parses the command line, registers the signals, and runs the selected role. Without arguments,
+//! as the platform starts it, the program is a standalone node that is configured by the file that `GW_CONFIG` names.
 
 mod connections;
 mod context;
@@ -24,10 +23,10 @@
 
 /// The interval of a role's sweep over its connections.
 const SWEEP_INTERVAL: Nanos = 100 * MILLI;
-/// How much longer than the longest deadline of a request a process that was asked to stop has until it is killed.
+/// How much longer than the longest timeout of a request a process that was asked to stop may run before it is killed.
 const SHUTDOWN_MARGIN: Nanos = 700 * MILLI;
 
-/// Balances long-lived connections. Without a command: a node, told by the file that GW_CONFIG names.
+/// Balances long-lived connections. Without a command, runs a standalone node that is configured by the file that GW_CONFIG names.
 #[derive(Parser)]
 #[command(version)]
 struct CommandLine {
@@ -37,13 +36,13 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// A node that decides for itself.
-    Node(File),
-    /// A forwarder: carries connections and has planners decide.
-    Forward(File),
-    /// A planner: decides for forwarders.
-    Plan(File),
-    /// Says whether an operator's file is in order, and for which role it is.
+    /// Runs a standalone node, which assigns requests to hosts itself.
+    Node(ConfigArgs),
+    /// Runs a forwarder, which carries connections and has planners assign requests to hosts.
+    Forward(ConfigArgs),
+    /// Runs a planner, which assigns requests to hosts for forwarders.
+    Plan(ConfigArgs),
+    /// Checks whether an operator's file is valid, and prints the role that it is for.
     Check {
         /// The operator's file, in TOML.
         file: PathBuf,
@@ -51,7 +50,7 @@
 }
 
 #[derive(Args)]
-struct File {
+struct ConfigArgs {
     /// The operator's file, in TOML.
     #[arg(long)]
     config: PathBuf,
@@ -59,9 +58,9 @@
 
 /// The signals that the program handles.
 pub struct Signals {
-    /// Asks it to stop.
+    /// The signal that asks the program to stop (SIGTERM).
     pub stop: Signal,
-    /// Asks it to reload its configuration.
+    /// The signal that asks the program to reload its configuration (SIGHUP).
     pub reload: Signal,
 }
 
@@ -73,27 +72,27 @@
 }
 
 fn run() -> Result<(), FatalError> {
-    // First of all. Without this, a signal to reload that comes during the start would end the process.
+    // Signals are registered first. Otherwise a signal to reload that arrives during the start would end the process.
     let signals = Signals {
         stop: Signal::register(SIGTERM).map_err(|error| error.to_string())?,
         reload: Signal::register(SIGHUP).map_err(|error| error.to_string())?,
     };
     match CommandLine::parse().command {
         None => roles::standalone::run(ConfigSource::Environment, signals),
-        Some(Command::Node(file)) => {
-            roles::standalone::run(ConfigSource::OperatorFile(&file.config), signals)
+        Some(Command::Node(args)) => {
+            roles::standalone::run(ConfigSource::OperatorFile(&args.config), signals)
         }
-        Some(Command::Forward(file)) => Ok(roles::forward::run(&file.config, signals)?),
-        Some(Command::Plan(file)) => Ok(roles::plan::run(&file.config, signals)?),
+        Some(Command::Forward(args)) => Ok(roles::forward::run(&args.config, signals)?),
+        Some(Command::Plan(args)) => Ok(roles::plan::run(&args.config, signals)?),
         Some(Command::Check { file }) => check(&file),
     }
 }
 
-/// Says whether an operator's file is valid, and for which role it is.
+/// Checks an operator's file, and prints the role that it is for.
 fn check(file: &Path) -> Result<(), FatalError> {
     let operator_config = OperatorConfig::read(file)?;
     println!(
-        "{}: in order, for `reedferry {}`, with the papers {}",
+        "{}: valid for `reedferry {}` with the node config {}",
         file.display(),
         operator_config.role.command(),
         operator_config.node_config_path.display()
--- a/node/src/ready.rs
+++ b/node/src/ready.rs
@@ -1,36 +1,37 @@
-//! The sockets that the poller has reported ready, served in bounded turns. This module owns what a turn had no time left for,
-//! which goes first in the next. It must never know whose a token is.
+//! The queue of sockets that the poller has reported ready, which are served in turns of bounded length. Sockets that a turn had no
+//! time for are served first in the next one. The queue doesn't interpret tokens.
 
 use reedferry::{Nanos, MILLI};
 use reedferry_runtime::{merge_readiness, Clock, Readiness};
 use std::collections::VecDeque;
 
-/// How long one turn goes on with what is ready. Without a bound, an answer that is due would wait for hundreds of writes each of
-/// which the system may hold up.
+/// How long one turn serves ready sockets. Without a bound, an answer that is due would wait for hundreds of writes, each of which
+/// may block in the kernel.
 const MAX_TURN: Nanos = 50 * MILLI;
 
-/// Sockets that are ready and not served yet, in the order in which they were reported.
+/// Sockets that are ready and have not been served yet, in the order in which they were reported.
 #[derive(Debug, Default)]
 pub struct Ready(VecDeque<Readiness>);
 
 impl Ready {
-    /// Whether the turn before left some.
+    /// Returns whether the previous turn left ready sockets unserved.
     pub fn is_behind(&self) -> bool {
         !self.0.is_empty()
     }
 
-    /// Adds what is ready now behind what was left.
+    /// Appends the sockets that are reported now, and merges reports of sockets that are still queued.
     pub fn add(&mut self, reported: Vec<Readiness>) {
         let left = std::mem::take(&mut self.0);
         self.0 = merge_readiness(left.into(), reported).into();
     }
 
-    /// Puts those of a lower rank first.
+    /// Sorts the queue by rank, the lowest first. Sockets of equal rank keep their order.
     pub fn order_by(&mut self, rank: impl Fn(&Readiness) -> u8) {
         self.0.make_contiguous().sort_by_key(rank);
     }
 
-    /// The next to serve, unless the turn that began at `turn_began` has gone on for long enough.
+    /// Removes and returns the next socket to serve, or `None` if the queue is empty or the turn that began at `turn_began` has lasted
+    /// longer than [`MAX_TURN`].
     pub fn next(&mut self, turn_began: Nanos, clock: &Clock) -> Option<Readiness> {
         if clock.read() > turn_began + MAX_TURN {
             return None;
--- a/node/src/ready_tests.rs
+++ b/node/src/ready_tests.rs
@@ -1,10 +1,10 @@
-//! The order in which reported sockets are served.
+//! Tests of the order in which ready sockets are served.
 
 use super::*;
 use reedferry_runtime::PollToken;
 
 #[test]
-fn what_a_turn_had_no_time_for_goes_first_in_the_next() {
+fn sockets_that_a_turn_had_no_time_for_are_served_first_in_the_next() {
     let ready_at = |slot| Readiness {
         token: PollToken {
             component: 4,
@@ -23,7 +23,7 @@
             .map(|readiness| readiness.token.slot),
         Some(1)
     );
-    // A turn that began long ago.
+    // A turn that began long ago serves nothing more.
     assert!(ready.next(clock.read() - 2 * MAX_TURN, &clock).is_none());
     assert!(ready.is_behind());
     ready.add(vec![ready_at(4), ready_at(2)]);
--- a/node/src/turn.rs
+++ b/node/src/turn.rs
@@ -1,45 +1,45 @@
-//! Turns of the event loop: how late one began, and what it has taken so far. A plain value beside the clock. This module owns what
-//! log lines say of that where something was late, so that the work of this process can be told from the machine's. It
-//! must never decide anything.
+//! Turns of the event loop: how late a turn began, and how long it has taken so far. Log lines on delays contain these times, so
+//! that delays caused by this process can be told from those caused by the machine. Nothing is decided by them.
 
 use reedferry::{Nanos, MILLI};
 use reedferry_runtime::clock::processor_time;
 use slog::{Record, Serializer, KV};
 
-/// How the current turn began.
+/// The timing of the current turn.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Turn {
-    /// When it began.
+    /// When the turn began.
     began: Nanos,
-    /// For how long the first timer that was due had waited for the turn before to end.
+    /// How long the first due timer had waited for the previous turn to end.
     behind: Nanos,
-    /// For how long it waited beyond that as this process was woken late.
+    /// How long that timer waited in addition because this process was woken late.
     overslept: Nanos,
-    /// The processor time of this thread when this turn began.
+    /// The processor time of this thread when the turn began.
     processor_time: Nanos,
-    /// The same when the turn before began.
+    /// The processor time of this thread when the previous turn began.
     processor_time_before: Nanos,
 }
 
 impl Turn {
-    /// Begins a turn at `now`, after a wait that began at `waited`, where `first_due` was the first timer.
-    pub fn begin(&mut self, first_due: Option<Nanos>, waited: Nanos, now: Nanos) {
+    /// Begins a turn at `now`, after a wait that began at `wait_started`. `first_due` is the deadline of the first timer, or `None`
+    /// if no timer is set.
+    pub fn begin(&mut self, first_due: Option<Nanos>, wait_started: Nanos, now: Nanos) {
         let due = first_due.unwrap_or(now);
         *self = Turn {
             began: now,
-            behind: waited.saturating_sub(due),
-            overslept: now.saturating_sub(due.max(waited)),
+            behind: wait_started.saturating_sub(due),
+            overslept: now.saturating_sub(due.max(wait_started)),
             processor_time: processor_time(),
             processor_time_before: self.processor_time,
         };
     }
 
-    /// How late the turn began.
+    /// Returns how late the turn began.
     pub fn lateness(&self) -> Nanos {
         self.behind + self.overslept
     }
 
-    /// What a log line that is written at `now` says of the turn.
+    /// Returns the time breakdown for a log line that is written at `now`.
     pub fn time_breakdown(&self, now: Nanos) -> TimeBreakdown {
         TimeBreakdown {
             behind: self.behind,
@@ -50,7 +50,8 @@
     }
 }
 
-/// Where the time before a log line went: to the turn before, to a late wake-up, to this turn, and to this thread's work.
+/// How the time before a log line was spent: waiting for the previous turn, in a late wake-up, in the current turn, and as processor
+/// time of this thread in both turns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeBreakdown {
     behind: Nanos,
@@ -61,7 +62,7 @@
 
 impl KV for TimeBreakdown {
     fn serialize(&self, _: &Record<'_>, serializer: &mut dyn Serializer) -> slog::Result {
-        // The log writes the last first.
+        // The log writes these pairs in reverse order.
         serializer.emit_u64("processor_ms", self.processor / MILLI)?;
         serializer.emit_u64("turn_ms", self.turn / MILLI)?;
         serializer.emit_u64("overslept_ms", self.overslept / MILLI)?;
--- a/node/src/turn_tests.rs
+++ b/node/src/turn_tests.rs
@@ -1,11 +1,11 @@
-//! How the time before a log line is attributed.
+//! Tests of how the time before a log line is attributed.
 
 use super::*;
 
 #[test]
-fn lateness_is_told_apart_by_who_had_the_time() {
+fn lateness_is_split_into_the_previous_turn_and_a_late_wake_up() {
     let mut turn = Turn::default();
-    // The turn before ended 30 ms after what was due, and this one began 20 ms after that.
+    // The previous turn ended 30 ms after the deadline of the timer, and this one began 20 ms later.
     turn.begin(Some(100 * MILLI), 130 * MILLI, 150 * MILLI);
     let breakdown = turn.time_breakdown(155 * MILLI);
     assert_eq!(
@@ -13,10 +13,10 @@
         (30 * MILLI, 20 * MILLI)
     );
     assert_eq!((breakdown.turn, turn.lateness()), (5 * MILLI, 50 * MILLI));
-    // Woken 40 ms late.
+    // The process was waiting and was woken 40 ms late.
     turn.begin(Some(200 * MILLI), 160 * MILLI, 240 * MILLI);
     assert_eq!((turn.behind, turn.overslept), (0, 40 * MILLI));
-    // In time, by what had become ready before.
+    // A socket became ready before the timer was due.
     turn.begin(Some(900 * MILLI), 250 * MILLI, 260 * MILLI);
     assert_eq!((turn.behind, turn.overslept), (0, 0));
 }
--- a/node/tests/fleet_recovery.rs
+++ b/node/tests/fleet_recovery.rs
@@ -271,7 +271,7 @@
     site.from = site.service.restart(3, &site.list[..3]);
     for node in site.fleet.nodes.iter().flatten() {
         assert!(node
-            .wait_for_log("an older list")
+            .wait_for_log("received an older list")
             .contains("drains kept: 2"));
     }
     let took = site.from.elapsed();
--- a/node/tests/sockets.rs
+++ b/node/tests/sockets.rs
@@ -813,7 +813,7 @@
         served.len()
     );
     drop(served);
-    node.wait_for_log("descriptors to spare again");
+    node.wait_for_log("descriptor shortage ended");
     eventually("descriptors are lost", || {
         node.descriptors() <= before + refused
     });
--- a/node/tests/two_tier.rs
+++ b/node/tests/two_tier.rs
@@ -351,7 +351,7 @@
     let good = check(&folder.join("forward.example.toml"));
     assert!(
         good.status.success()
-            && String::from_utf8_lossy(&good.stdout).contains("in order, for `reedferry forward`")
+            && String::from_utf8_lossy(&good.stdout).contains("valid for `reedferry forward`")
     );
     let text = std::fs::read_to_string(folder.join("forward.example.toml")).unwrap();
     let wrong = std::env::temp_dir().join(format!("reedferry-check-{}.toml", std::process::id()));
