--- a/node/src/connections/first_line.rs
+++ b/node/src/connections/first_line.rs
@@ -211,7 +211,7 @@
 ) -> Result<IncomingRequest, RejectReason> {
     let settings = &context.settings;
     let class = settings
-        .class(request.class)
+        .active_class_index(request.class)
         .ok_or(RejectReason::UnknownClass)?;
     if !settings.tenants.is_empty() && !settings.tenants.iter().any(|t| t == request.tenant) {
         return Err(RejectReason::UnknownTenant);
--- a/settings/src/node_settings.rs
+++ b/settings/src/node_settings.rs
@@ -25,7 +25,7 @@
 
 impl NodeSettings {
     /// The index of a class of which new requests are accepted.
-    pub fn class(&self, name: &str) -> Option<usize> {
+    pub fn active_class_index(&self, name: &str) -> Option<usize> {
         (0..self.classes.len()).find(|&index| self.classes[index] == name && self.active[index])
     }
 
--- a/settings/src/reload_tests.rs
+++ b/settings/src/reload_tests.rs
@@ -36,9 +36,9 @@
     assert_eq!(node_settings.classes, ["a", "b", "b", "c"]);
     assert_eq!(
         (
-            node_settings.class("a"),
-            node_settings.class("b"),
-            node_settings.class("c")
+            node_settings.active_class_index("a"),
+            node_settings.active_class_index("b"),
+            node_settings.active_class_index("c")
         ),
         (None, Some(2), Some(3))
     );
@@ -63,9 +63,9 @@
     );
     assert_eq!(
         (
-            node_settings.class("a"),
-            node_settings.class("b"),
-            node_settings.class("c")
+            node_settings.active_class_index("a"),
+            node_settings.active_class_index("b"),
+            node_settings.active_class_index("c")
         ),
         (Some(0), None, Some(3))
     );
