--- a/node/src/operators/api/connection.rs
+++ b/node/src/operators/api/connection.rs
@@ -13,7 +13,7 @@
     /// The head is incomplete.
     ReadingHead(Buffer),
     /// So much of the body is still to come.
-    ReadingBody { request: ApiRequest, left: u64 },
+    ReadingBody { request: ApiRequest, pending: u64 },
     /// The request is whole, and its response is still to be given.
     AwaitingResponse,
     /// So much of the response has been written.
@@ -26,12 +26,12 @@
 pub(super) struct Connection {
     pub socket: Socket,
     /// The generation of its token.
-    pub stamp: u32,
+    pub generation: u32,
     /// When its stage began.
-    pub since: Nanos,
+    pub stage_started_at: Nanos,
     pub stage: Stage,
     /// The poller reports it.
-    pub is_watched: bool,
+    pub is_registered: bool,
 }
 
 /// What a read or write leaves of a connection.
@@ -52,7 +52,7 @@
             response,
             written: 0,
         };
-        self.since = now;
+        self.stage_started_at = now;
     }
 
     /// Receives once, into the head's buffer, or counts what comes of the body and discards it.
@@ -79,7 +79,7 @@
         };
         match &mut self.stage {
             Stage::ReadingHead(head) => head.commit(count),
-            Stage::ReadingBody { left, .. } => *left = left.saturating_sub(count as u64),
+            Stage::ReadingBody { pending, .. } => *pending = pending.saturating_sub(count as u64),
             // The rest is read too: closing over unread input would reset the connection, and the response would be lost.
             _ => {}
         }
@@ -97,7 +97,7 @@
             Parsed::Head { request, body_left } => {
                 self.stage = Stage::ReadingBody {
                     request,
-                    left: body_left,
+                    pending: body_left,
                 };
                 false
             }
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Sends what is left of the response, if there is one.
+    /// Sends what is pending of the response, if there is one.
     pub fn send(&mut self, now: Nanos) -> Progress {
         let Stage::Writing { response, written } = &mut self.stage else {
             return Progress::Waiting;
@@ -125,7 +125,7 @@
         }
         self.socket.shutdown_write();
         self.stage = Stage::Lingering;
-        self.since = now;
+        self.stage_started_at = now;
         Progress::Waiting
     }
 }
--- a/node/src/operators/api/mod.rs
+++ b/node/src/operators/api/mod.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Caller {
     slot: usize,
-    stamp: u32,
+    generation: u32,
 }
 
 /// The server of the operators' API.
@@ -55,8 +55,8 @@
         let budget = context.budget.split_off(MAX_CONNECTIONS + 1);
         let listener =
             retry_for(START_TIMEOUT, || budget.listen(address)).map_err(cannot_listen)?;
-        let watch = || context.poller.register(&listener, token(OPS_LISTENER));
-        retry_for(START_TIMEOUT, watch).map_err(cannot_listen)?;
+        let register = || context.poller.register(&listener, token(OPS_LISTENER));
+        retry_for(START_TIMEOUT, register).map_err(cannot_listen)?;
         let at = listener.local_address().unwrap_or(*address);
         info!(context.log, "operators"; "at" => %at);
         Ok(OperatorApi {
@@ -90,12 +90,12 @@
             };
             let slot = self.connections.insert(Connection {
                 socket,
-                stamp: context.next_generation(),
-                since: context.now,
+                generation: context.next_generation(),
+                stage_started_at: context.now,
                 stage: Stage::ReadingHead(head),
-                is_watched: false,
+                is_registered: false,
             });
-            self.watch(context, slot);
+            self.register(context, slot);
             // What has come with it is read at once. Without this, it could be evicted unread by those behind it.
             self.read(context, slot);
         }
@@ -106,25 +106,25 @@
     }
 
     /// Has the poller report a connection, from now or from the next sweep on.
-    fn watch(&mut self, context: &mut Context, slot: usize) {
+    fn register(&mut self, context: &mut Context, slot: usize) {
         let connection = &mut self.connections[slot];
         let token = PollToken {
             component: OPS,
             slot: slot as u32,
-            generation: connection.stamp,
+            generation: connection.generation,
         };
-        connection.is_watched = context.poller.register(&connection.socket, token).is_ok();
-        if !connection.is_watched {
+        connection.is_registered = context.poller.register(&connection.socket, token).is_ok();
+        if !connection.is_registered {
             context.record_transient_failure("epoll_ctl");
         }
     }
 
     /// Goes on with connections that the poller may not report: they are not watched, or a read or write failed for a moment.
-    fn serve_all(&mut self, context: &mut Context) {
+    fn resume_all(&mut self, context: &mut Context) {
         let slots: Vec<usize> = self.connections.iter().map(|(slot, _)| slot).collect();
         for slot in slots {
-            if !self.connections[slot].is_watched {
-                self.watch(context, slot);
+            if !self.connections[slot].is_registered {
+                self.register(context, slot);
             }
             self.write(context, slot);
             self.read(context, slot);
@@ -134,12 +134,12 @@
     /// Drops the connection that has its response, or else the one that has taken longest over its request.
     fn evict(&mut self) {
         let has_response = |connection: &Connection| matches!(connection.stage, Stage::Lingering);
-        // Of those accepted in one turn the stamp tells which came first. Without it, the last would go where its slot is the
+        // Of those accepted in one turn the generation tells which came first. Without it, the last would go where its slot is the
         // lowest.
         let first = self
             .connections
             .iter()
-            .min_by_key(|(_, c)| (!has_response(c), c.since, c.stamp));
+            .min_by_key(|(_, c)| (!has_response(c), c.stage_started_at, c.generation));
         if let Some(slot) = first.map(|(slot, _)| slot) {
             self.connections.remove(slot);
         }
@@ -149,7 +149,7 @@
     pub fn on_ready(&mut self, context: &mut Context, ready: Readiness) {
         let slot = ready.token.slot as usize;
         let connection = self.connections.get(slot);
-        if connection.is_none_or(|connection| connection.stamp != ready.token.generation) {
+        if connection.is_none_or(|connection| connection.generation != ready.token.generation) {
             return;
         }
         if ready.writable {
@@ -170,7 +170,9 @@
         let Some(connection) = self.connections.get_mut(to.slot) else {
             return;
         };
-        if connection.stamp == to.stamp && matches!(connection.stage, Stage::AwaitingResponse) {
+        if connection.generation == to.generation
+            && matches!(connection.stage, Stage::AwaitingResponse)
+        {
             connection.respond(response.to_bytes(""), context.now);
             self.write(context, to.slot);
         }
@@ -191,10 +193,14 @@
                 self.write(context, slot);
                 continue;
             }
-            if let Stage::ReadingBody { request, left: 0 } = connection.stage {
+            if let Stage::ReadingBody {
+                request,
+                pending: 0,
+            } = connection.stage
+            {
                 let caller = Caller {
                     slot,
-                    stamp: connection.stamp,
+                    generation: connection.generation,
                 };
                 connection.stage = Stage::AwaitingResponse;
                 self.requests.push((caller, request));
@@ -214,11 +220,11 @@
     /// Goes on with all connections and ends what has taken too long.
     pub fn sweep(&mut self, context: &mut Context) {
         let now = context.now;
-        self.serve_all(context);
+        self.resume_all(context);
         let overdue: Vec<usize> = self
             .connections
             .iter()
-            .filter(|(_, connection)| now >= connection.since + CALL_TIMEOUT)
+            .filter(|(_, connection)| now >= connection.stage_started_at + CALL_TIMEOUT)
             .map(|(slot, _)| slot)
             .collect();
         for slot in overdue {
@@ -236,7 +242,8 @@
             }
         }
         self.connections.retain(|_, connection| {
-            !matches!(connection.stage, Stage::Lingering) || now < connection.since + LINGER_TIMEOUT
+            !matches!(connection.stage, Stage::Lingering)
+                || now < connection.stage_started_at + LINGER_TIMEOUT
         });
         self.accept(context);
     }
--- a/node/src/operators/api/request.rs
+++ b/node/src/operators/api/request.rs
@@ -47,13 +47,13 @@
     }
 }
 
-/// Parses the head from all that has come; `full` where no more can come.
-pub(super) fn parse(bytes: &[u8], full: bool) -> Parsed {
+/// Parses the head from all that has come; `buffer_full` where no more can come.
+pub(super) fn parse(bytes: &[u8], buffer_full: bool) -> Parsed {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let head_length = match request.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if full => {
+        Ok(httparse::Status::Partial) if buffer_full => {
             return Parsed::Invalid(invalid(431, "a head that is too long"));
         }
         Ok(httparse::Status::Partial) => return Parsed::Incomplete,
--- a/node/src/operators/node_config.rs
+++ b/node/src/operators/node_config.rs
@@ -52,10 +52,10 @@
 pub enum NodeConfigError {
     /// The environment names no file.
     #[error("GW_CONFIG is not set")]
-    NotSet,
+    PathNotSet,
     /// The environment's address for operators can't be parsed.
     #[error("GW_OPS {0:?} is no address with a port")]
-    OpsAddress(String),
+    InvalidOpsAddress(String),
     /// The file can't be read.
     #[error(transparent)]
     Read(#[from] ReadError),
@@ -83,7 +83,7 @@
     Json(#[from] serde_json::Error),
     /// An address can't be parsed.
     #[error("{key} {text:?} is no address with a port")]
-    NoAddress {
+    InvalidAddress {
         /// The key in the file.
         key: &'static str,
         /// What stands there.
@@ -91,7 +91,7 @@
     },
     /// The memory limit is out of range.
     #[error("limits: memory_mb is {0}")]
-    Memory(f64),
+    MemoryOutOfRange(f64),
     /// The settings can't be used.
     #[error(transparent)]
     Settings(#[from] SettingsError),
@@ -124,7 +124,7 @@
     pub balancer_settings: BalancerSettings,
     /// The settings of the rest of the node.
     pub node_settings: NodeSettings,
-    /// The whole document, except for the endpoint list.
+    /// The raw document, except for the endpoint list.
     document: serde_json::Value,
 }
 
@@ -134,10 +134,12 @@
     /// # Errors
     /// One line that says why there is none, or what is wrong in it.
     pub fn read() -> Result<NodeConfig, NodeConfigError> {
-        let path = std::env::var("GW_CONFIG").map_err(|_| NodeConfigError::NotSet)?;
+        let path = std::env::var("GW_CONFIG").map_err(|_| NodeConfigError::PathNotSet)?;
         let mut node_config = NodeConfig::read_at(Path::new(&path))?;
         if let (None, Ok(ops)) = (node_config.ops, std::env::var("GW_OPS")) {
-            let address = ops.parse().map_err(|_| NodeConfigError::OpsAddress(ops))?;
+            let address = ops
+                .parse()
+                .map_err(|_| NodeConfigError::InvalidOpsAddress(ops))?;
             node_config.ops = Some(address);
         }
         Ok(node_config)
@@ -161,15 +163,15 @@
     }
 
     fn decode(text: &[u8]) -> Result<NodeConfig, NodeConfigProblem> {
-        let mut whole: serde_json::Value = serde_json::from_slice(text)?;
-        let document = NodeConfigDocument::deserialize(&whole)?;
-        reedferry_settings::validate(&whole["settings"])?;
-        if let Some(keys) = whole.as_object_mut() {
+        let mut raw: serde_json::Value = serde_json::from_slice(text)?;
+        let document = NodeConfigDocument::deserialize(&raw)?;
+        reedferry_settings::validate(&raw["settings"])?;
+        if let Some(keys) = raw.as_object_mut() {
             keys.insert("known".into(), serde_json::Value::Null);
         }
         let memory_mb = document.limits.memory_mb;
         if !(1.0..1e9).contains(&memory_mb) {
-            return Err(NodeConfigProblem::Memory(memory_mb));
+            return Err(NodeConfigProblem::MemoryOutOfRange(memory_mb));
         }
         let settings = Settings::from_value(document.settings)?;
         Ok(NodeConfig {
@@ -194,7 +196,7 @@
             },
             balancer_settings: settings.balancer,
             node_settings: settings.node,
-            document: whole,
+            document: raw,
         })
     }
 
@@ -222,5 +224,5 @@
 
 fn parse_address(key: &'static str, text: String) -> Result<SocketAddr, NodeConfigProblem> {
     text.parse()
-        .map_err(|_| NodeConfigProblem::NoAddress { key, text })
+        .map_err(|_| NodeConfigProblem::InvalidAddress { key, text })
 }
--- a/node/src/operators/operator_config/control_plane.rs
+++ b/node/src/operators/operator_config/control_plane.rs
@@ -2,7 +2,7 @@
 
 use super::error::{OperatorConfigError, Problem};
 use super::sections::{ForwardSection, PlanSection, PlannerSection};
-use super::source::{ListSource, Span};
+use super::source::{SourceFile, Span};
 use super::{ForwarderOptions, PlannerOptions};
 use reedferry::{Nanos, MILLI, SECOND};
 use reedferry_control_plane::PlannerAddress;
@@ -16,7 +16,7 @@
 
 /// All planners of the installation.
 pub(super) fn planners(
-    source: &ListSource,
+    source: &SourceFile,
     sections: &[Spanned<PlannerSection>],
 ) -> Result<Vec<PlannerAddress>, OperatorConfigError> {
     let (mut names, mut addresses) = (HashSet::new(), HashSet::new());
@@ -41,7 +41,7 @@
 
 /// The options of a forwarder.
 pub(super) fn forwarder_options(
-    source: &ListSource,
+    source: &SourceFile,
     span: &Span,
     section: &ForwardSection,
     drain_grace: Nanos,
@@ -86,7 +86,7 @@
 
 /// The options of a planner, which is one of those listed.
 pub(super) fn planner_options(
-    source: &ListSource,
+    source: &SourceFile,
     section: &PlanSection,
     planners: &[PlannerAddress],
 ) -> Result<PlannerOptions, OperatorConfigError> {
--- a/node/src/operators/operator_config/error.rs
+++ b/node/src/operators/operator_config/error.rs
@@ -17,7 +17,7 @@
     Read(#[from] ReadError),
     /// The file is not UTF-8.
     #[error("cannot read {}: no text", .0.display())]
-    NoText(PathBuf),
+    NotUtf8(PathBuf),
     /// The file says something that can't be used.
     #[error("{}:{line}: {problem}", path.display())]
     Invalid {
@@ -53,7 +53,7 @@
     NodeConfig(#[from] NodeConfigError),
     /// A duration has no unit.
     #[error("{key} is {text:?}, not a time with its unit, such as \"250ms\"")]
-    NoDuration {
+    InvalidDuration {
         /// The key in the file.
         key: &'static str,
         /// What stands there.
@@ -83,7 +83,7 @@
     },
     /// An address can't be parsed.
     #[error("{key} {text:?} is no address with a port, such as \"127.0.0.1:7000\"")]
-    NoAddress {
+    InvalidAddress {
         /// The key in the file.
         key: &'static str,
         /// What stands there.
@@ -91,27 +91,27 @@
     },
     /// The file is for two roles.
     #[error("a second role; one of [node], [forward] and [plan] is wanted")]
-    SecondRole,
+    MultipleRoles,
     /// A fleet where there can be none.
     #[error(
         "fleet: only a node takes part, with neither messages nor [[peer]]: members are its peers"
     )]
-    FleetBesideOthers,
+    FleetConflict,
     /// A fleet though gossip is disabled.
     #[error("fleet: policy_limits.peers in the papers is false")]
-    FleetWithoutLeave,
+    FleetWithoutGossip,
     /// The fleet's own address is unreachable.
     #[error("address {0} can't be reached by others")]
     UnreachableAddress(SocketAddr),
     /// A seed of the fleet is unreachable, or a duplicate.
     #[error("seed {0} can't be reached, or stands here twice")]
-    BadSeed(SocketAddr),
+    InvalidSeed(SocketAddr),
     /// The fleet's name or the node's is too long.
     #[error("a fleet's name has 64 bytes at most, a node's 1 to 64")]
     NameLength,
     /// A peer of a forwarder or planner.
     #[error("peer: only a node has peers; planners hear their forwarders")]
-    PeerOfOtherRole,
+    PeersOfOtherRole,
     /// Gossip is enabled for a forwarder or planner.
     #[error("policy_limits.peers: forwarders and planners send no messages")]
     GossipOfOtherRole,
@@ -120,10 +120,10 @@
     Peers(#[from] PeerListError),
     /// A forwarder without planners.
     #[error("a forwarder needs a [[planner]] or more")]
-    NoPlanner,
+    NoPlanners,
     /// A node with planners.
     #[error("a node follows no planner; [forward] or [plan] is wanted")]
-    PlannerOfNode,
+    PlannersWithoutRole,
     /// A planner's name is empty or too long.
     #[error("a planner's name has 1 to 256 bytes")]
     PlannerNameLength,
@@ -146,10 +146,10 @@
 pub enum PeerListError {
     /// Peers though gossip is disabled.
     #[error("peers without leave: policy_limits.peers in the papers is false")]
-    NotAllowed,
+    GossipDisabled,
     /// No address at which gossip is received.
     #[error("policy_limits.peers: messages in [node] of an operator's file is missing")]
-    NoAddress,
+    MissingAddress,
     /// Nobody to gossip with.
     #[error("policy_limits.peers: messages are allowed and there is no [[peer]]")]
     NoPeers,
@@ -173,7 +173,7 @@
     Unreachable,
     /// It has this node's address.
     #[error("is this node itself")]
-    Itself,
+    OwnAddress,
     /// It is listed before.
     #[error("stands here twice")]
     Duplicate,
--- a/node/src/operators/operator_config/fleet.rs
+++ b/node/src/operators/operator_config/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::error::{OperatorConfigError, Problem};
 use super::sections::{FleetSection, ReplicationSection};
-use super::source::ListSource;
+use super::source::SourceFile;
 use crate::operators::node_config::NodeConfig;
 use crate::peers::FleetConfig;
 use crate::peers::ReplicationConfig;
@@ -12,13 +12,13 @@
 
 /// The configuration of the fleet that a node takes part in.
 pub(super) fn fleet_config(
-    source: &ListSource,
+    source: &SourceFile,
     section: &Spanned<FleetSection>,
     node_config: &NodeConfig,
 ) -> Result<FleetConfig, OperatorConfigError> {
     let (span, section) = (section.span(), section.get_ref());
     if !node_config.balancer_settings.gossip_enabled {
-        return Err(source.error(&span, Problem::FleetWithoutLeave));
+        return Err(source.error(&span, Problem::FleetWithoutGossip));
     }
     let address = source.address("address", &section.address)?;
     let listen = match &section.listen {
@@ -63,7 +63,7 @@
 }
 
 fn seeds(
-    source: &ListSource,
+    source: &SourceFile,
     section: &FleetSection,
     own: SocketAddr,
 ) -> Result<Vec<SocketAddr>, OperatorConfigError> {
@@ -72,7 +72,7 @@
         let address = source.address("seed", seed)?;
         if !is_reachable(address) || address.is_ipv4() != own.is_ipv4() || seeds.contains(&address)
         {
-            return Err(source.error(&seed.span(), Problem::BadSeed(address)));
+            return Err(source.error(&seed.span(), Problem::InvalidSeed(address)));
         }
         seeds.push(address);
     }
@@ -80,7 +80,7 @@
 }
 
 fn replication_config(
-    source: &ListSource,
+    source: &SourceFile,
     section: &ReplicationSection,
 ) -> Result<ReplicationConfig, OperatorConfigError> {
     Ok(ReplicationConfig {
--- a/node/src/operators/operator_config/mod.rs
+++ b/node/src/operators/operator_config/mod.rs
@@ -19,7 +19,7 @@
 use reedferry::Nanos;
 use reedferry_control_plane::PlannerAddress;
 use sections::FileSections;
-use source::{ListSource, Span};
+use source::{SourceFile, Span};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use toml::Spanned;
@@ -95,12 +95,12 @@
     /// One line with the file, the line and what would be right there.
     pub fn read(path: &Path) -> Result<OperatorConfig, OperatorConfigError> {
         let text = String::from_utf8(config_files::read(path)?)
-            .map_err(|_| OperatorConfigError::NoText(path.to_path_buf()))?;
+            .map_err(|_| OperatorConfigError::NotUtf8(path.to_path_buf()))?;
         OperatorConfig::decode(path, &text)
     }
 
     fn decode(path: &Path, text: &str) -> Result<OperatorConfig, OperatorConfigError> {
-        let source = ListSource { path, text };
+        let source = SourceFile { path, text };
         let sections = parse(&source)?;
         let node_config_path = path
             .parent()
@@ -120,7 +120,7 @@
     }
 }
 
-fn parse(source: &ListSource) -> Result<FileSections, OperatorConfigError> {
+fn parse(source: &SourceFile) -> Result<FileSections, OperatorConfigError> {
     toml::from_str(source.text).map_err(|error| {
         let first_line = error.message().lines().next().unwrap_or("cannot be read");
         source.error(
@@ -131,7 +131,7 @@
 }
 
 fn check_single_role(
-    source: &ListSource,
+    source: &SourceFile,
     sections: &FileSections,
 ) -> Result<(), OperatorConfigError> {
     let mut spans: Vec<Span> = [
@@ -144,14 +144,14 @@
     .collect();
     spans.sort_by_key(|span| span.start);
     match &spans[..] {
-        [_, second, ..] => Err(source.error(second, Problem::SecondRole)),
+        [_, second, ..] => Err(source.error(second, Problem::MultipleRoles)),
         _ => Ok(()),
     }
 }
 
 /// The role of the file, with its options.
 fn role(
-    source: &ListSource,
+    source: &SourceFile,
     sections: &FileSections,
     node_config: &NodeConfig,
     planners: &[PlannerAddress],
@@ -160,7 +160,7 @@
     if let Some(section) = &sections.forward {
         let span = section.span();
         if planners.is_empty() {
-            return Err(source.error(&span, Problem::NoPlanner));
+            return Err(source.error(&span, Problem::NoPlanners));
         }
         let drain_grace = node_config.node_settings.drain_grace;
         let options =
@@ -176,7 +176,7 @@
 
 /// The peers of a node, which no other role has.
 fn gossip_config(
-    source: &ListSource,
+    source: &SourceFile,
     sections: &FileSections,
     node_config: &NodeConfig,
 ) -> Result<Option<GossipConfig>, OperatorConfigError> {
@@ -199,7 +199,7 @@
         .transpose()?;
     if let Some(section) = &sections.fleet {
         if !is_node || gossip_address.is_some() || !peers.is_empty() {
-            return Err(source.error(&section.span(), Problem::FleetBesideOthers));
+            return Err(source.error(&section.span(), Problem::FleetConflict));
         }
     }
     if !is_node {
@@ -207,7 +207,7 @@
         return Ok(None);
     }
     if let Some(planner) = sections.planners.first() {
-        return Err(source.error(&planner.span(), Problem::PlannerOfNode));
+        return Err(source.error(&planner.span(), Problem::PlannersWithoutRole));
     }
     if let Some(fleet) = fleet {
         return Ok(Some(GossipConfig {
@@ -217,17 +217,17 @@
         }));
     }
     gossip_peers(node_config, gossip_address, &peers)
-        .map_err(|error| source.error(&peers_span(sections, &error), error))
+        .map_err(|error| source.error(&peer_error_span(sections, &error), error))
 }
 
 /// Forwarders and planners exchange no messages with peers.
 fn check_no_gossip(
-    source: &ListSource,
+    source: &SourceFile,
     sections: &FileSections,
     node_config: &NodeConfig,
 ) -> Result<(), OperatorConfigError> {
     if let Some(peer) = sections.peers.first() {
-        return Err(source.error(&peer.span(), Problem::PeerOfOtherRole));
+        return Err(source.error(&peer.span(), Problem::PeersOfOtherRole));
     }
     if node_config.balancer_settings.gossip_enabled {
         return Err(source.error(&sections.node_config.span(), Problem::GossipOfOtherRole));
@@ -236,7 +236,7 @@
 }
 
 /// Where an error about peers is reported: at the peer, or else at the first peer, the node's section or the node configuration.
-fn peers_span(sections: &FileSections, error: &PeerListError) -> Span {
+fn peer_error_span(sections: &FileSections, error: &PeerListError) -> Span {
     let index = match error {
         PeerListError::Peer { index, .. } => *index,
         _ => 0,
--- a/node/src/operators/operator_config/peers.rs
+++ b/node/src/operators/operator_config/peers.rs
@@ -18,10 +18,10 @@
     if !node_config.balancer_settings.gossip_enabled {
         return match (address, peers) {
             (None, []) => Ok(None),
-            _ => Err(PeerListError::NotAllowed),
+            _ => Err(PeerListError::GossipDisabled),
         };
     }
-    let address = address.ok_or(PeerListError::NoAddress)?;
+    let address = address.ok_or(PeerListError::MissingAddress)?;
     if peers.is_empty() {
         return Err(PeerListError::NoPeers);
     }
@@ -54,7 +54,7 @@
         return Some(PeerRejection::Unreachable);
     }
     if peer == own {
-        return Some(PeerRejection::Itself);
+        return Some(PeerRejection::OwnAddress);
     }
     if peers[..index].contains(&peer) {
         return Some(PeerRejection::Duplicate);
--- a/node/src/operators/operator_config/source.rs
+++ b/node/src/operators/operator_config/source.rs
@@ -11,12 +11,12 @@
 pub(super) type Span = Range<usize>;
 
 /// A file's path and text.
-pub(super) struct ListSource<'a> {
+pub(super) struct SourceFile<'a> {
     pub path: &'a Path,
     pub text: &'a str,
 }
 
-impl ListSource<'_> {
+impl SourceFile<'_> {
     /// The error at a place of the text.
     pub fn error(&self, span: &Span, problem: impl Into<Problem>) -> OperatorConfigError {
         let before = &self.text.as_bytes()[..span.start.min(self.text.len())];
@@ -38,7 +38,7 @@
         let Some(text) = text else { return Ok(default) };
         let (span, text) = (text.span(), text.get_ref().clone());
         let Ok(duration) = humantime::parse_duration(&text) else {
-            return Err(self.error(&span, Problem::NoDuration { key, text }));
+            return Err(self.error(&span, Problem::InvalidDuration { key, text }));
         };
         let duration = Nanos::try_from(duration.as_nanos()).unwrap_or(Nanos::MAX);
         if !bounds.contains(&duration) {
@@ -85,7 +85,7 @@
             let text_found = text.get_ref().clone();
             self.error(
                 &text.span(),
-                Problem::NoAddress {
+                Problem::InvalidAddress {
                     key,
                     text: text_found,
                 },
