--- a/adapter/src/batch_tests.rs
+++ b/adapter/src/batch_tests.rs
@@ -204,7 +204,7 @@
     assert!(reedferry_settings::balancer_settings(bare)
         .unwrap_err()
         .to_string()
-        .contains("no offering"));
+        .contains("offerings: the list of request classes is empty"));
     assert!(reedferry_settings::balancer_settings(b"{\"balancers\": 1}")
         .unwrap_err()
         .to_string()
--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -1,4 +1,4 @@
-//! Turns the settings as they are written into those that the program works with.
+//! Converts the settings from the form of the document into the form that the program uses.
 
 use crate::document::{LimitsDocument, RequestClassDocument, SettingsDocument};
 use crate::error::SettingsError;
@@ -9,16 +9,17 @@
 };
 
 const NANOS_PER_MS: f64 = 1e6;
-/// Small enough that durations can be added up.
+/// The maximum of a decoded duration: twice this value still fits into [`Nanos`], so that sums do not overflow.
 const MAX_NANOS: f64 = 9e18;
+/// The connect timeout where the settings give none, or 0.
 const DEFAULT_CONNECT_TIMEOUT: Nanos = SECOND / 4;
 
-/// Milliseconds as whole nanoseconds, bounded below by zero and above so that they can be added up.
+/// Converts milliseconds to nanoseconds, rounded, and clamped to a range from 0 to 9e18 in which a sum of two does not overflow.
 pub fn nanos(ms: f64) -> Nanos {
     (ms * NANOS_PER_MS).round().clamp(0.0, MAX_NANOS) as Nanos
 }
 
-/// What a field of a load report measures.
+/// Returns the quantity that a field of a load report measures.
 pub(super) fn load_metric(name: &str) -> LoadMetric {
     match name {
         "x0" => LoadMetric::Load,
@@ -29,7 +30,7 @@
 }
 
 impl SettingsDocument {
-    /// The settings of the program, from a document that has been checked.
+    /// Converts a document that [`check_document`](crate::validation::check_document) has accepted.
     pub(super) fn into_settings(self) -> Result<Settings, SettingsError> {
         let classes = self.request_classes()?;
         let balancer = self.balancer_settings(classes);
--- a/settings/src/document.rs
+++ b/settings/src/document.rs
@@ -1,10 +1,9 @@
-//! The settings as they are written: the keys are those of the settings, the names those of the code. Durations are in
-//! milliseconds. The texts of type
-//! errors, which users see, are fixed by `expecting`.
+//! The settings as they are written in JSON. Fields have the names that the code uses; `rename` gives the key where it differs.
+//! Durations are in milliseconds. `expecting` fixes the texts of type errors, which users see.
 
 use serde::Deserialize;
 
-/// The whole settings.
+/// The whole document.
 #[derive(Deserialize)]
 #[serde(expecting = "struct Text")]
 pub(super) struct SettingsDocument {
@@ -41,7 +40,7 @@
     pub name: String,
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Deserialize)]
 #[serde(expecting = "struct Kind")]
 pub(super) struct RequestClassDocument {
@@ -61,7 +60,7 @@
     pub idempotency_window: f64,
 }
 
-/// What cross-zone connections and migrations cost.
+/// The costs of cross-zone connections and of migrations.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 #[serde(expecting = "struct Charges")]
@@ -71,7 +70,7 @@
     pub migration: f64,
 }
 
-/// How hosts behave.
+/// The guaranteed behaviour of hosts.
 #[derive(Deserialize)]
 #[serde(expecting = "struct Contract")]
 pub(super) struct ContractDocument {
@@ -89,7 +88,7 @@
     pub overload_factor: f64,
 }
 
-/// What the node may do.
+/// The limits on what the node may do.
 #[derive(Deserialize)]
 #[serde(expecting = "struct Limits")]
 pub(super) struct LimitsDocument {
@@ -109,7 +108,7 @@
     pub retry_after: bool,
 }
 
-/// How hosts report their load.
+/// The values of load reports, and how hosts deliver the reports.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 #[serde(expecting = "struct Reporting")]
@@ -119,7 +118,7 @@
     pub source: String,
 }
 
-/// Further options.
+/// Additional options.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 #[serde(expecting = "struct Extra")]
--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -1,47 +1,47 @@
-//! Why settings can't be used. Each error is one line that names the key.
+//! The errors of invalid settings. Each is one line that names the key.
 
-/// Settings that can't be used.
+/// The reason why settings are rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// They are no JSON, or a key is missing or of another type.
+    /// The text is not valid JSON, or a key is missing or has a value of the wrong type.
     #[error("settings: {0}")]
     Json(#[from] serde_json::Error),
-    /// There is no request class.
-    #[error("settings: no offering is listed")]
+    /// The list of request classes is empty.
+    #[error("settings: offerings: the list of request classes is empty")]
     NoClass,
-    /// A key has a value that does not exist.
-    #[error("settings: {key}: unknown word {value:?}")]
+    /// The value of a key is not one of the allowed words.
+    #[error("settings: {key}: unknown value {value:?}")]
     UnknownValue {
         /// The key.
         key: &'static str,
-        /// What stands there.
+        /// The unknown value.
         value: String,
     },
-    /// The idempotency of a request class does not exist.
-    #[error("settings: offering {class} has the unknown effect {value:?}")]
+    /// The idempotency of a request class is not one of the allowed words.
+    #[error("settings: offerings.{class}.effect: unknown value {value:?}, expected free, guarded or single_shot")]
     UnknownIdempotency {
         /// The index of the class.
         class: usize,
-        /// What stands there.
+        /// The unknown value.
         value: String,
     },
-    /// The settings of load reports contradict each other.
+    /// The settings of load reports contradict each other or the limits.
     #[error("settings: {0}")]
     Reporting(#[from] ReportingError),
-    /// A value that must be positive is not.
-    #[error("settings: {key}: {value} is not over 0")]
+    /// A value that must be positive is 0 or negative.
+    #[error("settings: {key}: {value} is not greater than 0")]
     NotPositive {
-        /// The key with its place.
+        /// The path of the key.
         key: String,
-        /// What stands there.
+        /// The value.
         value: f64,
     },
     /// Two request classes have the same name.
-    #[error("settings: offerings.{class}.name: {name} stands there twice")]
+    #[error("settings: offerings.{class}.name: duplicate name {name}")]
     DuplicateClass {
-        /// The index of the second one.
+        /// The index of the later of the two classes.
         class: usize,
-        /// Their name, as it stands there.
+        /// The name as it is written in the settings.
         name: serde_json::Value,
     },
 }
@@ -52,16 +52,16 @@
     }
 }
 
-/// How the settings of load reports contradict each other.
+/// A contradiction in the settings of load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReportingError {
-    /// Reports are to come by probes, which are not allowed.
-    #[error("reporting.via: reports by probe, but policy_limits.may_probe is false")]
+    /// Load reports come by probes, but probes are not allowed.
+    #[error("reporting.via: pull needs probes, but policy_limits.may_probe is false")]
     ProbesNotAllowed,
-    /// Reports are to come by probes, and none of their fields is a load metric.
-    #[error("reporting.fields: reports by probe with neither x0, util nor x1 among them")]
+    /// Load reports come by probes, but none of their fields is a load metric.
+    #[error("reporting.fields: reporting.via = pull needs at least one of x0, util and x1")]
     NoLoadMetric,
-    /// There are report fields, but no way to get them.
-    #[error("reporting.fields: report fields, but reporting.via names no way to get them")]
+    /// There are report fields, but hosts do not report their load.
+    #[error("reporting.fields: must be empty where reporting.via is empty or silent")]
     FieldsWithoutReports,
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decodes the settings of a node: into the [`BalancerSettings`] of the decision core, and into the [`NodeSettings`] of the
-//! program around it. The adapter and the node share this package. It must never accept settings that contradict each other.
+//! Decodes the settings of a node into the [`BalancerSettings`] of the decision core and the [`NodeSettings`] of the program
+//! around it. The adapter and the node both use this crate. It must never accept settings that contradict each other.
 
 mod convert;
 mod document;
@@ -17,28 +17,28 @@
 use reedferry::BalancerSettings;
 use serde::Deserialize;
 
-/// The settings of a node.
+/// The decoded settings of a node.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// For the decision core.
+    /// The settings of the decision core.
     pub balancer: BalancerSettings,
-    /// For the rest of the program.
+    /// The settings of the rest of the program.
     pub node: NodeSettings,
 }
 
 impl Settings {
-    /// Decodes JSON text.
+    /// Decodes and checks settings from JSON text.
     ///
     /// # Errors
-    /// One line that names the key.
+    /// Returns an error of one line that names the key, or the place of a syntax error.
     pub fn from_json(text: &[u8]) -> Result<Settings, SettingsError> {
         Settings::from_value(serde_json::from_slice(text)?)
     }
 
-    /// Decodes a JSON value.
+    /// Decodes and checks settings from a JSON value.
     ///
     /// # Errors
-    /// One line that names the key.
+    /// Returns an error of one line that names the key.
     pub fn from_value(mut value: serde_json::Value) -> Result<Settings, SettingsError> {
         strip_nulls(&mut value);
         let document = SettingsDocument::deserialize(value)?;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Removes nulls: a null says the same as a missing key.
+/// Removes all keys whose value is null, because a null means the same as a missing key.
 fn strip_nulls(value: &mut serde_json::Value) {
     match value {
         serde_json::Value::Object(map) => {
@@ -59,10 +59,10 @@
     }
 }
 
-/// Decodes the settings of the decision core alone.
+/// Decodes and checks settings from JSON text, and returns only those of the decision core.
 ///
 /// # Errors
-/// One line that names the key.
+/// Returns an error of one line that names the key, or the place of a syntax error.
 pub fn balancer_settings(text: &[u8]) -> Result<BalancerSettings, SettingsError> {
     Settings::from_json(text).map(|settings| settings.balancer)
 }
--- a/settings/src/node_settings.rs
+++ b/settings/src/node_settings.rs
@@ -5,31 +5,32 @@
 /// The settings of the program around the decision core.
 #[derive(Clone, Debug, Default)]
 pub struct NodeSettings {
-    /// The names of the request classes on the wire, in the order of the indices that stand for them.
+    /// The names of the request classes on the wire, by class index.
     pub classes: Vec<String>,
-    /// Whether new requests of each class are accepted.
+    /// Whether new requests of a class are accepted, by class index.
     pub active: Vec<bool>,
-    /// The names of the tenants, in the order of their indices.
+    /// The names of the tenants, by tenant index; empty where any tenant is accepted.
     pub tenants: Vec<String>,
-    /// The names of the zones, in the order of their indices.
+    /// The names of the zones, by zone index.
     pub zones: Vec<String>,
-    /// The names of the values of a load report, in order.
+    /// The names of the values of a load report, in the order of the report.
     pub load_metrics: Vec<String>,
-    /// How long a connection to a host may take to be established.
+    /// The time within which a connection to a host must be established.
     pub connect_timeout: Nanos,
-    /// How long after its drain began a host may still get new requests.
+    /// The time for which a host may still receive new requests after it starts to drain.
     pub drain_grace: Nanos,
-    /// The longest time that any client waits for its answer.
+    /// The maximum time that any client waits for its answer.
     pub max_request_timeout: Nanos,
 }
 
 impl NodeSettings {
-    /// The index of a class of which new requests are accepted.
+    /// Returns the index of the class of this name that accepts new requests, or `None` if there is none.
     pub fn active_class_index(&self, name: &str) -> Option<usize> {
         (0..self.classes.len()).find(|&index| self.classes[index] == name && self.active[index])
     }
 
-    /// All names whose indices stand for them, each list behind its own name.
+    /// Returns the names of all classes, tenants and zones, by whose indices forwarders and planners refer to them. Each list
+    /// is preceded by its key.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         let lists = [
             ("offerings", &self.classes),
--- a/settings/src/reload.rs
+++ b/settings/src/reload.rs
@@ -1,18 +1,18 @@
-//! New settings in place of those in force. This module owns which request class keeps which index for as long as the program
-//! runs: an index never changes its meaning while a connection refers to it, so what is under way keeps its class and its
-//! terms, whatever the settings say by now. It must never take up half of a file, nor decide what new terms mean for
-//! what is under way.
+//! Replaces the settings in use with new ones. This module assigns the indices of request classes for as long as the program
+//! runs. An index never changes its meaning while a connection refers to it, so requests in flight keep their class and its
+//! parameters whatever the new settings say. This module must never apply a part of a file, nor decide what new parameters
+//! mean for requests in flight.
 
 use crate::{NodeSettings, Settings};
 use reedferry::{BalancerSettings, RequestClass};
 use serde_json::Value;
 
-/// The key, with its place, that stands in the document in force and is missing in a newer one.
+/// Returns the path of the first key that the current document has and the newer one lacks, or `None` if it lacks none.
 pub fn missing_key(current: &Value, newer: &Value) -> Option<String> {
     match (current, newer) {
         (Value::Object(current), Value::Object(newer)) => {
             current.iter().find_map(|(key, value)| {
-                // A null says the same as a missing key.
+                // A null means the same as a missing key.
                 let newer_value = newer
                     .get(key)
                     .filter(|newer_value| value.is_null() || !newer_value.is_null());
@@ -22,7 +22,7 @@
                 missing_key(value, newer_value).map(|rest| format!("{key}.{rest}"))
             })
         }
-        // Any of the entries shows which keys one has.
+        // All entries of an array have the same keys, so that the first one serves as the example for each newer entry.
         (Value::Array(current), Value::Array(newer)) => {
             let example = current.first()?;
             newer.iter().enumerate().find_map(|(index, entry)| {
@@ -33,8 +33,8 @@
     }
 }
 
-/// Takes up new settings, and returns the indices that stand for another class than before. `is_referenced` says whether any
-/// connection refers to an index.
+/// Applies new settings, and returns the class indices that are new or now stand for a different class. `is_referenced` returns
+/// whether any connection refers to an index; such an index is not reused for a different class.
 pub fn apply(
     balancer_settings: &mut BalancerSettings,
     node_settings: &mut NodeSettings,
@@ -61,8 +61,8 @@
     }
     let mut changed = Vec::new();
     for (name, class) in unmatched {
-        let free = (0..classes.len()).find(|&n| !classes[n].active && !is_referenced(n));
-        let index = free.unwrap_or(classes.len());
+        let free_index = (0..classes.len()).find(|&n| !classes[n].active && !is_referenced(n));
+        let index = free_index.unwrap_or(classes.len());
         if index == classes.len() {
             classes.push(class);
             names.push(name);
@@ -80,8 +80,9 @@
     changed
 }
 
-/// Adds the classes that a predecessor's connections refer to, by its own terms: what is not configured here under the same name
-/// and terms is kept beside, and accepts no new requests. Without this, one customer's connection could go by another's terms.
+/// Adds the classes that the connections of a predecessor refer to. A class that is not configured here under the same name and
+/// with the same parameters is added with the predecessor's parameters, and accepts no new requests. Otherwise a connection
+/// that was taken over could be handled under the class of a different customer.
 pub fn keep_classes(
     balancer_settings: &mut BalancerSettings,
     node_settings: &mut NodeSettings,
@@ -100,7 +101,7 @@
     }
 }
 
-/// The index of a class of this name and terms, whether it accepts new requests or not.
+/// Returns the index of the class with this name and these parameters, whether it accepts new requests or not.
 pub fn find_class(
     classes: &[RequestClass],
     names: &[String],
--- a/settings/src/reload_tests.rs
+++ b/settings/src/reload_tests.rs
@@ -1,4 +1,4 @@
-//! Which class keeps which index over a reload.
+//! Tests which class index keeps its meaning over a reload, and which missing key is reported.
 
 use super::*;
 use serde_json::json;
@@ -12,7 +12,8 @@
     .unwrap()
 }
 
-/// Prevents a request under way that is taken for one of another class, or under stricter or more lenient terms than it came by.
+/// Guards against a request in flight that is handled under a different class, or under changed parameters of its own class,
+/// after a reload.
 #[test]
 fn an_index_keeps_its_meaning_while_it_is_referenced() {
     let Settings {
@@ -27,7 +28,7 @@
             referenced.contains(&index)
         })
     };
-    // `a` vanishes while it is referenced, `b` becomes stricter, `c` is new.
+    // `a` is removed while it is referenced, `b` is no longer idempotent, `c` is new.
     let to = [("b", "single_shot"), ("c", "free")];
     assert_eq!(
         reload(&mut balancer_settings, &mut node_settings, &to, &[0, 1]),
@@ -51,7 +52,7 @@
         reedferry::Idempotency::NonIdempotent
     );
     assert_eq!(balancer_settings.max_attempts, 2);
-    // `a` comes again while one of its first time is referenced: the same terms, the same index.
+    // `a` is added again with the same parameters while its old index is referenced: it gets that index again.
     assert_eq!(
         reload(
             &mut balancer_settings,
@@ -71,18 +72,18 @@
     );
 }
 
-/// Prevents a table of classes that grows with each reload.
+/// Guards against a class table that grows with each reload.
 #[test]
-fn an_index_that_nobody_refers_to_is_reused() {
+fn an_unreferenced_index_is_reused() {
     let Settings {
         balancer: mut balancer_settings,
         node: mut node_settings,
     } = settings(&[("a", "free"), ("b", "free")], 5);
-    let four = [("b", "single_shot"), ("c", "free")];
+    let newer = [("b", "single_shot"), ("c", "free")];
     apply(
         &mut balancer_settings,
         &mut node_settings,
-        settings(&four, 2),
+        settings(&newer, 2),
         |_| true,
     );
     assert_eq!(balancer_settings.classes.len(), 4);
@@ -97,9 +98,9 @@
 }
 
 #[test]
-fn a_key_that_is_gone_is_named_with_its_place() {
-    let before = json!({"a": {"b": 1, "c": [{"d": 1, "e": 2}]}, "f": []});
-    for (after, gone) in [
+fn a_missing_key_is_reported_with_its_path() {
+    let current = json!({"a": {"b": 1, "c": [{"d": 1, "e": 2}]}, "f": []});
+    for (newer, missing) in [
         (
             json!({"a": {"b": 2, "c": [{"d": 1, "e": 2, "g": 3}, {"d": 4, "e": 5}]}, "f": [7]}),
             None,
@@ -113,6 +114,6 @@
             Some("a.c.1.e"),
         ),
     ] {
-        assert_eq!(missing_key(&before, &after).as_deref(), gone);
+        assert_eq!(missing_key(&current, &newer).as_deref(), missing);
     }
 }
--- a/settings/src/validation.rs
+++ b/settings/src/validation.rs
@@ -1,4 +1,4 @@
-//! Checks that settings do not contradict each other, and that a node can serve by them.
+//! Checks that settings do not contradict each other, and that a node can serve clients with them.
 
 use crate::convert::load_metric;
 use crate::document::{ReportingDocument, SettingsDocument};
@@ -6,8 +6,8 @@
 use reedferry::LoadMetric;
 use serde_json::Value;
 
-/// Checks that a document has a request class, no unknown values and no mix of two shapes of deployment, which would start and
-/// then do something that neither of them means.
+/// Checks that a document has a request class, no unknown values, and no options that belong to different deployment modes. A
+/// node with such a mix would start, and then behave as neither of the modes intends.
 pub(super) fn check_document(document: &SettingsDocument) -> Result<(), SettingsError> {
     if document.classes.is_empty() {
         return Err(SettingsError::NoClass);
@@ -39,8 +39,8 @@
     Ok(())
 }
 
-fn check_value(key: &'static str, value: &str, known: &[&str]) -> Result<(), SettingsError> {
-    if known.contains(&value) {
+fn check_value(key: &'static str, value: &str, allowed: &[&str]) -> Result<(), SettingsError> {
+    if allowed.contains(&value) {
         return Ok(());
     }
     Err(SettingsError::UnknownValue {
@@ -50,13 +50,13 @@
 }
 
 fn check_reporting(reporting: &ReportingDocument, may_probe: bool) -> Result<(), ReportingError> {
-    let by_probe = reporting.source == "pull";
+    let uses_probes = reporting.source == "pull";
     let no_reports = matches!(reporting.source.as_str(), "" | "silent");
-    if by_probe && !may_probe {
+    if uses_probes && !may_probe {
         return Err(ReportingError::ProbesNotAllowed);
     }
-    let is_metric = |name: &String| load_metric(name) != LoadMetric::Other;
-    if by_probe && !reporting.fields.iter().any(is_metric) {
+    let is_load_metric = |name: &String| load_metric(name) != LoadMetric::Other;
+    if uses_probes && !reporting.fields.iter().any(is_load_metric) {
         return Err(ReportingError::NoLoadMetric);
     }
     if no_reports && !reporting.fields.is_empty() {
@@ -65,18 +65,18 @@
     Ok(())
 }
 
-/// Checks what a node needs in order to serve by the settings, though they can be read without it: positive objectives, deadlines
-/// and attempts, and class names that can be told apart.
+/// Checks what a node needs in order to serve clients, but what decoding does not require: positive objectives, deadlines and
+/// attempt limits, and unique class names.
 ///
 /// # Errors
-/// One line that names the key.
+/// Returns an error of one line that names the key.
 pub fn validate(settings: &Value) -> Result<(), SettingsError> {
-    let none = Vec::new();
-    let classes = settings["offerings"].as_array().unwrap_or(&none);
+    let no_classes = Vec::new();
+    let classes = settings["offerings"].as_array().unwrap_or(&no_classes);
     for (index, class) in classes.iter().enumerate() {
-        let place = format!("offerings.{index}.");
-        check_positive(class, &place, "contract_time")?;
-        check_positive(class, &place, "expiry")?;
+        let parent_path = format!("offerings.{index}.");
+        check_positive(class, &parent_path, "contract_time")?;
+        check_positive(class, &parent_path, "expiry")?;
         let name = &class["name"];
         let has_same_name = |other: &Value| !other["name"].is_null() && other["name"] == *name;
         if classes[..index].iter().any(has_same_name) {
@@ -93,10 +93,10 @@
     )
 }
 
-fn check_positive(parent: &Value, place: &str, key: &str) -> Result<(), SettingsError> {
+fn check_positive(parent: &Value, parent_path: &str, key: &str) -> Result<(), SettingsError> {
     match parent.get(key).and_then(Value::as_f64) {
         Some(value) if value <= 0.0 => Err(SettingsError::NotPositive {
-            key: format!("{place}{key}"),
+            key: format!("{parent_path}{key}"),
             value,
         }),
         _ => Ok(()),
--- a/settings/tests/keys.rs
+++ b/settings/tests/keys.rs
@@ -1,4 +1,4 @@
-//! The keys of the settings, each with a value of its own: settings of today are read tomorrow.
+//! Tests that each key of the settings is decoded. The keys and values must not change, because existing settings use them.
 
 use reedferry::{Idempotency, IdempotencyGroup, LoadMetric, MILLI};
 use reedferry_settings::Settings;
@@ -7,9 +7,9 @@
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one document with all keys, and what each becomes"
+    reason = "one document with all keys, and the decoded value of each"
 )]
-fn each_key_of_the_settings_is_read() {
+fn each_key_of_the_settings_is_decoded() {
     let class = |name: &str, idempotency: &str, group: &str| {
         json!({"name": name, "contract_time": 500, "expiry": 2000, "effect": idempotency, "group": group,
             "payoff": 1.5, "repeat_window": 700})
