--- a/node/src/operators/api/connection.rs
+++ b/node/src/operators/api/connection.rs
@@ -1,52 +1,52 @@
-//! One connection of an operator: its request is read, its response written, its end waited for.
+//! A connection of an operator: reads one request, writes its response, and then waits for the caller to close the connection.
 
 use super::request::{parse, ApiRequest, Parsed};
 use reedferry::Nanos;
 use reedferry_runtime::errors::{classify_io, IoFailure};
 use reedferry_runtime::{Buffer, Socket};
 
-/// How much of what comes after the head is read at a time.
+/// The number of bytes of the body, or of later input, that one read discards at most.
 const DISCARD_BYTES: usize = 4096;
 
-/// How far a call has gone.
+/// The stage of a connection.
 pub(super) enum Stage {
     /// The head is incomplete.
     ReadingHead(Buffer),
-    /// So much of the body is still to come.
+    /// The head is complete; `pending` bytes of the body are still to be received.
     ReadingBody { request: ApiRequest, pending: u64 },
-    /// The request is whole, and its response is still to be given.
+    /// The request is complete, and the event loop has not given its response yet.
     AwaitingResponse,
-    /// So much of the response has been written.
+    /// The response is being written; `written` is the number of bytes written so far.
     Writing { response: Vec<u8>, written: usize },
-    /// All of the response has been written; the caller's end is waited for.
+    /// The whole response has been written, and the caller has not closed the connection yet.
     Lingering,
 }
 
-/// A connection of an operator, for one request.
+/// A connection of an operator. It carries one request.
 pub(super) struct Connection {
     pub socket: Socket,
-    /// The generation of its token.
+    /// The generation of the connection's poll token, which is unique among the owners of a slot.
     pub generation: u32,
-    /// When its stage began.
+    /// The time at which the current stage began.
     pub stage_started_at: Nanos,
     pub stage: Stage,
-    /// The poller reports it.
+    /// Whether the poller reports the connection.
     pub is_registered: bool,
 }
 
-/// What a read or write leaves of a connection.
+/// The state of a connection after a read or write.
 #[derive(PartialEq)]
 pub(super) enum Progress {
-    /// It goes on when the poller reports it, or at the next sweep.
+    /// The connection continues when the poller reports it, or at the next sweep.
     Waiting,
-    /// It is to be read on.
+    /// More input may be available, so the caller reads again.
     Continues,
-    /// It is over.
+    /// The connection has ended, and the caller removes it.
     Ended,
 }
 
 impl Connection {
-    /// Begins the response.
+    /// Starts the response; [`send`](Self::send) writes it.
     pub fn respond(&mut self, response: Vec<u8>, now: Nanos) {
         self.stage = Stage::Writing {
             response,
@@ -55,7 +55,7 @@
         self.stage_started_at = now;
     }
 
-    /// Receives once, into the head's buffer, or counts what comes of the body and discards it.
+    /// Receives once: into the buffer of the head, or else counts and discards the bytes of the body.
     pub fn receive(&mut self) -> Progress {
         let mut discarded = [0; DISCARD_BYTES];
         let space = match &mut self.stage {
@@ -63,7 +63,7 @@
             _ => &mut discarded,
         };
         let count = match self.socket.receive(space) {
-            // The caller may have ended its sending alone: then it still reads its response.
+            // The caller may have closed only its sending side, and still reads the response.
             Ok(0) => {
                 return match &self.stage {
                     Stage::Writing { .. } | Stage::AwaitingResponse => Progress::Waiting,
@@ -71,7 +71,7 @@
                 }
             }
             Ok(count) => count,
-            // The next sweep goes on where the poller does not.
+            // The next sweep continues the connection if the poller does not report it again.
             Err(error) if classify_io(error) != IoFailure::Disconnected => {
                 return Progress::Waiting
             }
@@ -80,13 +80,14 @@
         match &mut self.stage {
             Stage::ReadingHead(head) => head.commit(count),
             Stage::ReadingBody { pending, .. } => *pending = pending.saturating_sub(count as u64),
-            // The rest is read too: closing over unread input would reset the connection, and the response would be lost.
+            // Later input is read and discarded, because closing a socket with unread input resets the connection, and the
+            // caller would lose the response.
             _ => {}
         }
         Progress::Continues
     }
 
-    /// Parses the head, if it is being read, and returns whether the response is to be written now.
+    /// Parses the head if it is still being read. Returns whether the request was invalid, so that a response is to be written.
     pub fn parse_head(&mut self, now: Nanos) -> bool {
         let Stage::ReadingHead(head) = &mut self.stage else {
             return false;
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Sends what is pending of the response, if there is one.
+    /// Sends the rest of the response, if there is one.
     pub fn send(&mut self, now: Nanos) -> Progress {
         let Stage::Writing { response, written } = &mut self.stage else {
             return Progress::Waiting;
--- a/node/src/operators/api/mod.rs
+++ b/node/src/operators/api/mod.rs
@@ -1,6 +1,6 @@
-//! The operators' API: HTTP/1.1, one request to a connection. This module owns the listener for operators, its few connections with
-//! descriptors and buffers of their own, and their timeouts. It must never decide anything, wait for a caller, or look into the
-//! decision core: a whole request is given to the event loop, which has it answered.
+//! The operators' API: HTTP/1.1 with one request per connection. This module owns the listener for operators, at most 16
+//! connections with their own descriptors and buffers, and their timeouts. It must never decide anything, block on a caller, or
+//! access the decision core: it passes each complete request to the event loop, which gives the response.
 
 mod connection;
 mod request;
@@ -19,16 +19,16 @@
 use slog::info;
 use std::net::SocketAddr;
 
-/// Connections at a time.
+/// The maximum number of open connections.
 const MAX_CONNECTIONS: usize = 16;
-/// Connections accepted at once.
+/// The maximum number of connections accepted in one turn of the event loop.
 const MAX_ACCEPTED_PER_TURN: usize = 64;
-/// How long a request may take to come whole, and how long the caller may take to read the response.
+/// The time within which a complete request must arrive, and that within which the caller must read the response.
 const CALL_TIMEOUT: Nanos = 2 * SECOND;
-/// How long a caller has after its response to end the connection.
+/// The time that a caller has to close the connection after its response.
 const LINGER_TIMEOUT: Nanos = SECOND;
 
-/// The connection that a request came on, until its response.
+/// Identifies the connection on which a request arrived, so that the response reaches the same caller.
 #[derive(Clone, Copy, Debug)]
 pub struct Caller {
     slot: usize,
@@ -41,12 +41,12 @@
     budget: DescriptorBudget,
     pool: BufferPool,
     connections: Slab<Connection>,
-    /// Whole requests, in the order in which they came.
+    /// The complete requests that the event loop has not taken yet, in the order of arrival.
     requests: Vec<(Caller, ApiRequest)>,
 }
 
 impl OperatorApi {
-    /// Listens for operators, with descriptors that clients can't use up.
+    /// Listens for operators, with descriptors that are reserved so that clients cannot exhaust them.
     pub fn open(context: &mut Context, address: &SocketAddr) -> Result<OperatorApi, FatalError> {
         let cannot_listen = |error| FatalError::ListenForOperators {
             address: *address,
@@ -68,7 +68,7 @@
         })
     }
 
-    /// Accepts the connections that wait at the listener.
+    /// Accepts pending connections. Evicts one first wherever the maximum is open.
     pub fn accept(&mut self, context: &mut Context) {
         for _ in 0..MAX_ACCEPTED_PER_TURN {
             if self.connections.len() >= MAX_CONNECTIONS {
@@ -96,16 +96,17 @@
                 is_registered: false,
             });
             self.register(context, slot);
-            // What has come with it is read at once. Without this, it could be evicted unread by those behind it.
+            // Reads at once what has already arrived. Otherwise a later connection could evict this one before its request was
+            // read.
             self.read(context, slot);
         }
-        // More may wait.
+        // More connections may be pending, so the poller has to report the listener again.
         _ = context
             .poller
             .update_registration(&self.listener, token(OPS_LISTENER));
     }
 
-    /// Has the poller report a connection, from now or from the next sweep on.
+    /// Registers a connection with the poller. If that fails, the next sweep tries again.
     fn register(&mut self, context: &mut Context, slot: usize) {
         let connection = &mut self.connections[slot];
         let token = PollToken {
@@ -119,7 +120,8 @@
         }
     }
 
-    /// Goes on with connections that the poller may not report: they are not watched, or a read or write failed for a moment.
+    /// Continues all connections, because the poller does not report those that are not registered, or whose last read or write
+    /// failed with a transient error.
     fn resume_all(&mut self, context: &mut Context) {
         let slots: Vec<usize> = self.connections.iter().map(|(slot, _)| slot).collect();
         for slot in slots {
@@ -131,21 +133,21 @@
         }
     }
 
-    /// Drops the connection that has its response, or else the one that has taken longest over its request.
+    /// Removes the connection that was sent its whole response first, or else the one whose current stage began first.
     fn evict(&mut self) {
         let has_response = |connection: &Connection| matches!(connection.stage, Stage::Lingering);
-        // Of those accepted in one turn the generation tells which came first. Without it, the last would go where its slot is the
-        // lowest.
-        let first = self
+        // The generation orders the connections that were accepted in one turn. Without it, the lowest slot would be removed, even
+        // if its connection is the newest.
+        let victim = self
             .connections
             .iter()
             .min_by_key(|(_, c)| (!has_response(c), c.stage_started_at, c.generation));
-        if let Some(slot) = first.map(|(slot, _)| slot) {
+        if let Some(slot) = victim.map(|(slot, _)| slot) {
             self.connections.remove(slot);
         }
     }
 
-    /// Handles what the poller reports of a connection.
+    /// Handles the readiness of a connection. A report for an earlier connection in the same slot is ignored.
     pub fn on_ready(&mut self, context: &mut Context, ready: Readiness) {
         let slot = ready.token.slot as usize;
         let connection = self.connections.get(slot);
@@ -160,12 +162,12 @@
         }
     }
 
-    /// The next whole request.
+    /// Takes the next complete request, or returns `None` if there is none.
     pub fn next_request(&mut self) -> Option<(Caller, ApiRequest)> {
         (!self.requests.is_empty()).then(|| self.requests.remove(0))
     }
 
-    /// Gives a request its response.
+    /// Responds to a request. Does nothing if its connection has ended.
     pub fn respond(&mut self, context: &mut Context, to: Caller, response: &ApiResponse) {
         let Some(connection) = self.connections.get_mut(to.slot) else {
             return;
@@ -178,7 +180,7 @@
         }
     }
 
-    /// Reads all that has come on a connection.
+    /// Reads all available input of a connection, and queues its request once that is complete.
     fn read(&mut self, context: &mut Context, slot: usize) {
         while let Some(connection) = self.connections.get_mut(slot) {
             let progress = connection.receive();
@@ -208,7 +210,7 @@
         }
     }
 
-    /// Writes as much of a response as the connection takes.
+    /// Writes as much of a response as the socket accepts.
     fn write(&mut self, context: &mut Context, slot: usize) {
         if let Some(connection) = self.connections.get_mut(slot) {
             if connection.send(context.now) == Progress::Ended {
@@ -217,7 +219,7 @@
         }
     }
 
-    /// Goes on with all connections and ends what has taken too long.
+    /// Continues all connections, ends those whose time is over, and accepts new ones.
     pub fn sweep(&mut self, context: &mut Context) {
         let now = context.now;
         self.resume_all(context);
@@ -234,7 +236,7 @@
                 Stage::ReadingHead(_) | Stage::ReadingBody { .. }
             );
             if is_reading {
-                let response = ApiResponse::new(408, "no whole call in time\n");
+                let response = ApiResponse::new(408, "request not complete within 2 s\n");
                 connection.respond(response.to_bytes(""), now);
                 self.write(context, slot);
             } else {
--- a/node/src/operators/api/response.rs
+++ b/node/src/operators/api/response.rs
@@ -1,16 +1,16 @@
-//! The responses of the operators' API, and their form on the wire.
+//! The responses of the operators' API, and their encoding as HTTP/1.1.
 
-/// A response: its status, and its text.
+/// A response of the operators' API.
 #[derive(Debug, PartialEq)]
 pub struct ApiResponse {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
-    /// The body: JSON where it begins with a brace, and plain text otherwise.
+    /// The body. It is sent as JSON if it starts with a brace, and as plain text otherwise.
     pub text: String,
 }
 
 impl ApiResponse {
-    /// A response with this status and text.
+    /// Creates a response with this status and text.
     pub fn new(status: u16, text: impl Into<String>) -> Self {
         ApiResponse {
             status,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The whole response, with these further header lines.
+    /// Encodes the response with these additional header lines, each with its line end.
     pub(super) fn to_bytes(&self, headers: &str) -> Vec<u8> {
         let ApiResponse { status, text } = self;
         let reason = self.reason();
--- a/node/src/operators/config_files.rs
+++ b/node/src/operators/config_files.rs
@@ -1,15 +1,15 @@
-//! Reading configuration files. It owns the difference between a file that could not be read for a moment and one that is missing
-//! or wrong. It must never know what a file says.
+//! Reads configuration files. This module distinguishes transient read errors from permanent ones, such as a missing file. It must
+//! never depend on the content of a file.
 
 use reedferry_runtime::errors::{is_transient, retry_for};
 use reedferry_runtime::Errno;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How long a running process waits here for a file that can't be read for a moment.
+/// The time for which reading is retried after a transient error. It is short because it blocks a running process.
 const READ_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// A file that can't be read.
+/// The error of a file that cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("cannot read {}: {}", path.display(), std::io::Error::from(*error))]
 pub struct ReadError {
@@ -17,9 +17,9 @@
     error: Errno,
 }
 
-/// An error that may pass by itself.
+/// An error that may be transient.
 pub trait MayBeTransient {
-    /// Whether another attempt may succeed.
+    /// Returns whether another attempt may succeed.
     fn is_transient(&self) -> bool;
 }
 
@@ -29,10 +29,10 @@
     }
 }
 
-/// Reads a whole file.
+/// Reads a whole file, and retries a transient error for at most 20 ms.
 ///
 /// # Errors
-/// Why it can't be read.
+/// Returns the error of the last attempt.
 pub fn read(path: &Path) -> Result<Vec<u8>, ReadError> {
     let read_once =
         || std::fs::read(path).map_err(|e| Errno::from_io_error(&e).unwrap_or(Errno::IO));
@@ -42,10 +42,11 @@
     })
 }
 
-/// Retries what fails for a moment, for a process that has nothing else to do yet.
+/// Calls `load` until it succeeds, fails permanently, or the timeout has passed. This blocks, and so is only for a process that has
+/// nothing else to do yet.
 ///
 /// # Errors
-/// The last attempt's.
+/// Returns the error of the last attempt.
 pub fn retry_at_start<T, E: MayBeTransient>(
     timeout: Duration,
     mut load: impl FnMut() -> Result<T, E>,
@@ -65,7 +66,7 @@
     match (loaded, last_error) {
         (Ok(value), _) => Ok(value),
         (Err(_), Some(error)) => Err(error),
-        (Err(errno), None) => unreachable!("a failed attempt leaves its error: {errno}"),
+        (Err(errno), None) => unreachable!("load failed without an error: {errno}"),
     }
 }
 
--- a/node/src/operators/config_files_tests.rs
+++ b/node/src/operators/config_files_tests.rs
@@ -1,11 +1,11 @@
-//! Which failures to read a file may pass, and what is done about them at the start.
+//! Tests which read errors are transient, and that only those are retried at the start.
 
 use super::*;
 
 #[derive(Clone, Debug, PartialEq)]
 enum LoadError {
     Busy,
-    Wrong(&'static str),
+    Invalid(&'static str),
 }
 
 impl MayBeTransient for LoadError {
@@ -15,9 +15,9 @@
 }
 
 #[test]
-fn a_missing_file_is_permanent_and_what_fails_for_a_moment_is_retried_at_the_start() {
+fn only_transient_errors_are_retried_and_a_missing_file_is_permanent() {
     assert!(
-        matches!(read(Path::new("/nowhere/at/all")), Err(error) if !error.is_transient() && error.to_string().contains("nowhere"))
+        matches!(read(Path::new("/no/such/file")), Err(error) if !error.is_transient() && error.to_string().contains("/no/such/file"))
     );
     let mut attempts = 0;
     let third = retry_at_start(Duration::from_secs(20), || {
@@ -30,13 +30,13 @@
     });
     assert_eq!(third, Ok(3));
     let mut attempts = 0;
-    let mut wrong = || {
+    let mut fail = || {
         attempts += 1;
-        Err::<(), _>(LoadError::Wrong("no such key"))
+        Err::<(), _>(LoadError::Invalid("no such key"))
     };
     assert_eq!(
-        retry_at_start(Duration::from_secs(20), &mut wrong),
-        Err(LoadError::Wrong("no such key"))
+        retry_at_start(Duration::from_secs(20), &mut fail),
+        Err(LoadError::Invalid("no such key"))
     );
     assert_eq!(attempts, 1);
 }
--- a/node/src/operators/counters.rs
+++ b/node/src/operators/counters.rs
@@ -1,33 +1,33 @@
-//! Counters by kind: why attempts were not started and how they ended, why connections were closed, which invariants were
-//! violated, and which system calls failed as this machine was short of something. This module owns the kinds and their names in
-//! metrics and log lines. It must never count what its caller has not seen happen.
+//! Event counters with a label: the reasons why attempts were not started, the outcomes of attempts, the reasons why connections
+//! were closed, violated invariants, and system calls that failed because this machine lacked a resource. This module defines the
+//! labels and their names in metrics and log lines. It must never count an event that its caller has not observed.
 
 use reedferry::permission::Refusal;
 use reedferry::AttemptOutcome;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// An invariant that was violated. Each is a fault of the program.
+/// An invariant that was violated. Every violation is a bug in the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// A connection was closed though its request was not answered yet.
+    /// A connection was closed before its request was answered.
     Unanswered,
-    /// A final answer went out after the request's deadline.
+    /// A final answer was sent after the request's deadline.
     AnsweredLate,
     /// An attempt was written after the request's deadline.
     AttemptedLate,
-    /// A retry was written after the window in which the host would drop a duplicate.
+    /// A retry was written after the window in which hosts drop a duplicate of the request.
     RetriedLate,
-    /// A request that is not idempotent was retried though it may have run.
+    /// A request that is not idempotent was retried although an earlier attempt may have run.
     RanTwice,
-    /// A request that is not idempotent was rejected though it may have run.
+    /// A request that is not idempotent was rejected although an attempt may have run.
     RejectedAfterRun,
-    /// An attempt was written to a draining host after its drain grace.
+    /// An attempt was written to a draining host after the drain grace.
     SentToDrainingHost,
 }
 
 impl Violation {
-    /// All of them.
+    /// All violations.
     pub const ALL: [Violation; 7] = [
         Violation::Unanswered,
         Violation::AnsweredLate,
@@ -38,7 +38,7 @@
         Violation::SentToDrainingHost,
     ];
 
-    /// The name in metrics and log lines.
+    /// Returns the name in metrics and log lines.
     pub fn name(self) -> &'static str {
         match self {
             Violation::Unanswered => "unanswered",
@@ -52,29 +52,30 @@
     }
 }
 
-/// Why a client's connection was closed.
+/// The reason why a client's connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
-    /// The client has its last line, and has ended or lingered long enough.
+    /// The client was sent its last line, and then closed the connection or exceeded a limit on lingering.
     Answered,
-    /// The client ended it before its request, or while it waited.
+    /// The client closed the connection before it sent a request or while the request waited, or the host did not end the
+    /// connection in time after the client's half-close.
     ClientEnded,
-    /// The client's connection broke.
+    /// The connection to the client broke.
     ClientBroke,
-    /// Its host ended or broke the open connection.
+    /// The host closed or broke the open connection.
     HostBroke,
-    /// Its host stopped in the middle of a line, and the client had to be migrated.
+    /// The host stopped sending in the middle of a line, and the client had to be migrated.
     HostStalled,
-    /// The client sent a line that is too long.
+    /// The client or the host sent a line that is too long.
     Malformed,
-    /// It had no request, and another connection needed its descriptor.
+    /// The connection had no request, and another one needed its descriptor.
     Evicted,
-    /// It was handed over to another process.
+    /// The connection was handed over to another process.
     HandedOver,
 }
 
 impl CloseReason {
-    /// The name in metrics and log lines.
+    /// Returns the name in metrics and log lines.
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::Answered => "answered",
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Whether the client's connection is ended by a reset, as its other end was.
+    /// Returns whether the client's connection is closed with a TCP reset, to signal that it did not end in order.
     pub fn resets(self) -> bool {
         matches!(
             self,
@@ -100,7 +101,7 @@
     }
 }
 
-/// A counter.
+/// An event that is counted.
 #[derive(Clone, Copy, Debug)]
 pub enum Counter {
     /// An attempt was not started.
@@ -111,12 +112,12 @@
     Closed(CloseReason),
     /// An invariant was violated.
     Violated(Violation),
-    /// A system call failed as this machine was short of something, and is retried.
+    /// The system call of this name failed because this machine lacked a resource; it is retried.
     TransientFailure(&'static str),
 }
 
 impl Counter {
-    /// Its group and its name in that group.
+    /// Returns the group of the counter in metrics, and its name in that group.
     fn key(self) -> (&'static str, &'static str) {
         match self {
             Counter::NotStarted(reason) => ("attempts_not_begun", reason.name()),
@@ -133,7 +134,7 @@
 pub struct Counters(BTreeMap<(&'static str, &'static str), u64>);
 
 impl Default for Counters {
-    /// Violations have their lines from the start, so that an alert on them need not wait for the first.
+    /// Violations are listed with 0 from the start, so that an alert on them works before the first violation.
     fn default() -> Self {
         Counters(
             Violation::ALL
@@ -146,11 +147,11 @@
 
 impl Counters {
     /// Adds one to a counter.
-    pub fn add(&mut self, count: Counter) {
-        *self.0.entry(count.key()).or_default() += 1;
+    pub fn add(&mut self, counter: Counter) {
+        *self.0.entry(counter.key()).or_default() += 1;
     }
 
-    /// A line for each, in the form of the metrics.
+    /// Returns one metrics line for each counter.
     pub fn text(&self) -> String {
         let mut text = String::new();
         for ((group, name), count) in &self.0 {
--- a/node/src/operators/counters_tests.rs
+++ b/node/src/operators/counters_tests.rs
@@ -1,18 +1,18 @@
-//! Which counters have lines, and from when on.
+//! Tests which counters are listed, and from when.
 
 use super::*;
 
 #[test]
-fn violations_have_lines_from_the_start_and_the_rest_once_counted() {
-    let mut counts = Counters::default();
-    assert_eq!(counts.text().lines().count(), Violation::ALL.len());
-    assert!(counts.text().contains("app.violations.unanswered:0|c\n"));
+fn violations_are_listed_from_the_start_and_other_counters_once_counted() {
+    let mut counters = Counters::default();
+    assert_eq!(counters.text().lines().count(), Violation::ALL.len());
+    assert!(counters.text().contains("app.violations.unanswered:0|c\n"));
     for _ in 0..2 {
-        counts.add(Counter::Violated(Violation::Unanswered));
+        counters.add(Counter::Violated(Violation::Unanswered));
     }
-    counts.add(Counter::AttemptEnded(AttemptOutcome::NeverSent));
-    counts.add(Counter::NotStarted(Refusal::EndpointsStale));
-    let text = counts.text();
+    counters.add(Counter::AttemptEnded(AttemptOutcome::NeverSent));
+    counters.add(Counter::NotStarted(Refusal::EndpointsStale));
+    let text = counters.text();
     for line in [
         "app.violations.unanswered:2|c",
         "app.attempts_ended.never_sent:1|c",
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn each_kind_has_a_name_of_its_own() {
+fn each_violation_has_a_unique_name() {
     let names: std::collections::BTreeSet<_> = Violation::ALL.iter().map(|v| v.name()).collect();
     assert_eq!(names.len(), Violation::ALL.len());
 }
--- a/node/src/operators/counters_text_tests.rs
+++ b/node/src/operators/counters_text_tests.rs
@@ -1,4 +1,4 @@
-//! The exact lines of all counters by kind, on which dashboards and alerts stand.
+//! Tests the exact metrics lines of all counters, because dashboards and alerts depend on them.
 
 use super::*;
 
@@ -40,7 +40,7 @@
 ];
 
 #[test]
-fn each_kind_keeps_its_line() {
+fn the_metrics_line_of_each_counter_is_unchanged() {
     let refusals = [
         Refusal::Expired,
         Refusal::ClientGone,
@@ -51,7 +51,7 @@
         Refusal::HostAddressChanged,
         Refusal::EndpointsStale,
     ];
-    let endings = [
+    let outcomes = [
         AttemptOutcome::Completed,
         AttemptOutcome::Error,
         AttemptOutcome::Rejected,
@@ -63,7 +63,7 @@
         AttemptOutcome::NoRoute,
         AttemptOutcome::HandedOver,
     ];
-    let closes = [
+    let close_reasons = [
         CloseReason::Answered,
         CloseReason::ClientEnded,
         CloseReason::ClientBroke,
@@ -73,16 +73,16 @@
         CloseReason::Evicted,
         CloseReason::HandedOver,
     ];
-    let mut counts = Counters::default();
+    let mut counters = Counters::default();
     refusals
         .into_iter()
-        .for_each(|refusal| counts.add(Counter::NotStarted(refusal)));
-    endings
+        .for_each(|refusal| counters.add(Counter::NotStarted(refusal)));
+    outcomes
         .into_iter()
-        .for_each(|ending| counts.add(Counter::AttemptEnded(ending)));
-    closes
+        .for_each(|outcome| counters.add(Counter::AttemptEnded(outcome)));
+    close_reasons
         .into_iter()
-        .for_each(|close| counts.add(Counter::Closed(close)));
-    counts.add(Counter::TransientFailure("epoll_ctl"));
-    assert_eq!(counts.text().lines().collect::<Vec<_>>(), LINES);
+        .for_each(|reason| counters.add(Counter::Closed(reason)));
+    counters.add(Counter::TransientFailure("epoll_ctl"));
+    assert_eq!(counters.text().lines().collect::<Vec<_>>(), LINES);
 }
--- a/node/src/operators/metrics.rs
+++ b/node/src/operators/metrics.rs
@@ -1,5 +1,5 @@
-//! The metrics: counts since the start and gauges of the moment, and their text for operators. A plain value without I/O. This
-//! module must never count what nobody saw happen on a socket, nor count a request twice or backwards.
+//! The metrics: counters since the start of the process, gauges of the current state, and their text for operators. This module
+//! does no I/O. It must never count an event that was not observed on a socket, count a request twice, or decrease a counter.
 
 use crate::operators::counters::{Counter, Counters};
 use reedferry::AttemptOutcome;
@@ -9,19 +9,19 @@
 /// The outcomes of the requests of one class.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct ClassOutcomes {
-    /// The name of the class, as it stands in metric names.
+    /// The name of the class in metric names.
     name: String,
     served: u64,
     rejected: u64,
     failed: u64,
-    /// Rejected without an attempt.
+    /// Requests that were rejected without an attempt.
     shed: u64,
-    /// Attempts after a first one, by how the one before ended.
+    /// Attempts after the first of a request, by the outcome of the previous attempt.
     retries: BTreeMap<&'static str, u64>,
 }
 
 impl ClassOutcomes {
-    /// Appends a line for each count that is not named with the outcomes, once there is something to count.
+    /// Appends the lines for shed requests and for retries. A counter that is still 0 has no line.
     fn append_counts(&self, text: &mut String) {
         let name = &self.name;
         if self.shed > 0 {
@@ -34,41 +34,42 @@
     }
 }
 
-/// How a request ended its wait, by what the client heard.
+/// The answer that ended a client's wait.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestOutcome {
-    /// It was connected to a host.
+    /// The request was connected to a host.
     Served,
-    /// It was rejected, and may be retried.
+    /// The request was rejected, and the client may retry it.
     Refused,
-    /// It failed.
+    /// The request failed.
     Failed,
 }
 
-/// What is so at this moment, beside what has been counted.
+/// The current values of the gauges.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Gauges {
-    /// Requests that wait for their outcome.
+    /// The number of requests that wait for their outcome.
     pub in_flight: usize,
-    /// Hosts of the endpoint list.
+    /// The number of hosts on the endpoint list.
     pub hosts_known: usize,
-    /// Those of them that get no new requests.
+    /// The number of these hosts that receive no new requests.
     pub hosts_excluded: usize,
 }
 
 /// The metrics of a process.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
-    /// In the order in which classes were first named; one that is configured no more keeps its line.
+    /// The classes in the order in which they were first configured. A class that is no longer configured keeps its lines.
     classes: Vec<ClassOutcomes>,
-    /// Attempts whose last byte was written to a host.
+    /// The number of attempts whose last byte was written to a host.
     attempts: u64,
     reloads_succeeded: u64,
     reloads_failed: u64,
     counters: Counters,
 }
 
-/// A name as a part of a metric's name: what separates parts there, or would end the line, is an underscore.
+/// Returns a name in which each character that would separate parts of a metric name, or end its line, is replaced with an
+/// underscore.
 fn metric_name_part(name: &str) -> String {
     let is_separator = |c: char| c.is_whitespace() || c.is_control() || ".:|@#,/".contains(c);
     name.chars()
@@ -77,7 +78,7 @@
 }
 
 impl Metrics {
-    /// Has lines for each of these classes, even before a request of it has ended.
+    /// Adds the lines of these classes, so that they are listed before the first request of the class has ended.
     pub fn add_classes(&mut self, names: &[String]) {
         for name in names.iter().map(|name| metric_name_part(name)) {
             if !self.classes.iter().any(|class| class.name == name) {
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Counts the outcome of a request.
+    /// Counts the outcome of a request. A class that was never added is ignored.
     pub fn record_outcome(&mut self, class: &str, outcome: RequestOutcome) {
         let Some(outcomes) = self.class_mut(class) else {
             return;
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Counts an attempt whose last byte was written after another one had ended so.
+    /// Counts a retry whose last byte was written, by the outcome of the previous attempt.
     pub fn record_retry(&mut self, class: &str, reason: AttemptOutcome) {
         if let Some(outcomes) = self.class_mut(class) {
             *outcomes.retries.entry(reason.as_str()).or_default() += 1;
@@ -121,8 +122,8 @@
     }
 
     /// Adds one to a counter.
-    pub fn add(&mut self, count: Counter) {
-        self.counters.add(count);
+    pub fn add(&mut self, counter: Counter) {
+        self.counters.add(counter);
     }
 
     /// Counts an attempt whose last byte was written.
@@ -139,8 +140,8 @@
         }
     }
 
-    /// All metrics, a line each.
-    pub fn text(&self, now: &Gauges) -> String {
+    /// Returns all metrics, one per line.
+    pub fn text(&self, gauges: &Gauges) -> String {
         let mut text = String::new();
         let mut line =
             |name: &str, value: u64, kind: &str| _ = writeln!(text, "app.{name}:{value}|{kind}");
@@ -151,9 +152,9 @@
             line(&format!("requests.{name}.failed"), class.failed, "c");
         }
         line("attempts", self.attempts, "c");
-        line("in_flight", now.in_flight as u64, "g");
-        line("hosts_known", now.hosts_known as u64, "g");
-        line("hosts_excluded", now.hosts_excluded as u64, "g");
+        line("in_flight", gauges.in_flight as u64, "g");
+        line("hosts_known", gauges.hosts_known as u64, "g");
+        line("hosts_excluded", gauges.hosts_excluded as u64, "g");
         line("reloads_ok", self.reloads_succeeded, "c");
         line("reloads_failed", self.reloads_failed, "c");
         for class in &self.classes {
--- a/node/src/operators/mod.rs
+++ b/node/src/operators/mod.rs
@@ -1,5 +1,5 @@
-//! The configuration, the metrics and the operators' API: how operators and the platform direct the program, and what it
-//! reports. This module must never act on that by itself.
+//! The configuration, the metrics and the operators' API: the means by which operators and the platform control and observe the
+//! program. This module reads and reports; it must never act on a configuration or a request by itself.
 
 pub mod api;
 pub mod config_files;
--- a/node/src/operators/node_config.rs
+++ b/node/src/operators/node_config.rs
@@ -1,5 +1,6 @@
-//! The node configuration: the file that `GW_CONFIG` or an operator's file names, read at the start and at each reload.
-//! Whatever is missing or malformed is one plain line: no node starts with it, and one that runs keeps what it has.
+//! The node configuration: the file that `GW_CONFIG` or an operator's file names, read at the start and at each reload. A missing
+//! or invalid value is reported as an error of one line. A node does not start with an invalid file, and a running node keeps
+//! its current configuration.
 
 use crate::operators::config_files::{self, MayBeTransient, ReadError};
 use reedferry::BalancerSettings;
@@ -10,7 +11,7 @@
 
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
-/// The file as it is written. The text of a type error, which users see, is fixed by `expecting`.
+/// The file as it is written in JSON. `expecting` fixes the text of a type error, which users see.
 #[derive(Deserialize)]
 #[serde(expecting = "struct Sheet")]
 struct NodeConfigDocument {
@@ -27,13 +28,14 @@
     settings: serde_json::Value,
 }
 
+/// The resource limits of the process: memory in MiB and the number of descriptors.
 #[derive(Deserialize)]
 struct Limits {
     memory_mb: f64,
     sockets: usize,
 }
 
-/// Hexadecimal text, or a number.
+/// The seed of random draws, as hexadecimal text or as a number.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum Seed {
@@ -47,24 +49,24 @@
     }
 }
 
-/// Why there is no node configuration.
+/// The reason why a node configuration cannot be read or used.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeConfigError {
-    /// The environment names no file.
+    /// The environment does not name a file.
     #[error("GW_CONFIG is not set")]
     PathNotSet,
-    /// The environment's address for operators can't be parsed.
-    #[error("GW_OPS {0:?} is no address with a port")]
+    /// The address for operators in the environment is invalid.
+    #[error("GW_OPS {0:?} is not an address with a port, such as \"127.0.0.1:7000\"")]
     InvalidOpsAddress(String),
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Read(#[from] ReadError),
-    /// The file says something that can't be used.
+    /// The content of the file is invalid.
     #[error("{}: {problem}", path.display())]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// What is wrong in it.
+        /// The first problem that was found in it.
         problem: NodeConfigProblem,
     },
 }
@@ -75,64 +77,64 @@
     }
 }
 
-/// What a node configuration says that can't be used.
+/// A problem in the content of a node configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeConfigProblem {
-    /// It is no JSON, or a key is missing or of another type.
+    /// The file is not valid JSON, or a key is missing or has a value of the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// An address can't be parsed.
-    #[error("{key} {text:?} is no address with a port")]
+    /// An address is invalid.
+    #[error("{key} {text:?} is not an address with a port, such as \"127.0.0.1:7000\"")]
     InvalidAddress {
         /// The key in the file.
         key: &'static str,
-        /// What stands there.
+        /// The value of the key.
         text: String,
     },
-    /// The memory limit is out of range.
-    #[error("limits: memory_mb is {0}")]
+    /// The memory limit, in MiB, is less than 1 or not less than 1e9.
+    #[error("limits: memory_mb is {0}, expected at least 1 and less than 1e9")]
     MemoryOutOfRange(f64),
-    /// The settings can't be used.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// A key of the configuration in force is missing in the one that is to replace it.
+/// A key of the current configuration is missing in the one that would replace it. Holds the path of the key.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0} is missing, which the papers in force have")]
+#[error("{0} is missing, but the current configuration has it")]
 pub struct MissingKey(String);
 
-/// What a node is configured with.
+/// A decoded and checked node configuration.
 pub struct NodeConfig {
     /// The node's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// The discovery service.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// Where operators connect, if they do.
+    /// The address at which operators connect; `None` disables the operators' API.
     pub ops: Option<SocketAddr>,
     /// The seed of random draws.
     pub seed: u64,
     /// The memory limit in bytes.
     pub memory: usize,
-    /// The limit of descriptors.
+    /// The maximum number of descriptors.
     pub sockets: usize,
-    /// The endpoint list as last known, in discovery's own form.
+    /// The last known endpoint list, as JSON in the format of the discovery service; empty if there is none.
     pub known: Vec<u8>,
     /// The settings of the decision core.
     pub balancer_settings: BalancerSettings,
     /// The settings of the rest of the node.
     pub node_settings: NodeSettings,
-    /// The raw document, except for the endpoint list.
+    /// The whole JSON document, without the endpoint list.
     document: serde_json::Value,
 }
 
 impl NodeConfig {
-    /// Reads the file that the environment names.
+    /// Reads the file that `GW_CONFIG` names. `GW_OPS` gives the address for operators where the file has none.
     ///
     /// # Errors
-    /// One line that says why there is none, or what is wrong in it.
+    /// Returns an error of one line if no file is named, or if it cannot be read or is invalid.
     pub fn read() -> Result<NodeConfig, NodeConfigError> {
         let path = std::env::var("GW_CONFIG").map_err(|_| NodeConfigError::PathNotSet)?;
         let mut node_config = NodeConfig::read_at(Path::new(&path))?;
@@ -145,10 +147,10 @@
         Ok(node_config)
     }
 
-    /// Reads a file.
+    /// Reads the file at this path.
     ///
     /// # Errors
-    /// One line that names the file and what is wrong in it.
+    /// Returns an error of one line that names the file and the problem.
     pub fn read_at(path: &Path) -> Result<NodeConfig, NodeConfigError> {
         let text = config_files::read(path)?;
         NodeConfig::decode(&text).map_err(|problem| NodeConfigError::Invalid {
@@ -157,7 +159,8 @@
         })
     }
 
-    /// A hash of the lists whose indices stand for names between forwarders and planners.
+    /// Returns a hash of the names of classes, tenants and zones. Forwarders and planners refer to these by index, and so need the
+    /// same lists.
     pub fn fingerprint(&self) -> u64 {
         reedferry_control_plane::fingerprint(self.node_settings.names())
     }
@@ -200,7 +203,7 @@
         })
     }
 
-    /// The parts that differ in a newer configuration and that a running node does not take up.
+    /// Returns the keys whose values differ in a newer configuration but cannot change until the node restarts.
     pub fn parts_kept_until_restart(&self, newer: &NodeConfig) -> Vec<&'static str> {
         let differs = |key: &&str| self.document[*key] != newer.document[*key];
         ["name", "listen", "ops", "limits"]
@@ -209,11 +212,11 @@
             .collect()
     }
 
-    /// Checks that a newer configuration has every key that this one has. Without this, half a file could be taken up, as a node
-    /// would do without what is missing.
+    /// Checks that a newer configuration has every key that this one has. Otherwise a file that is written only in part could be
+    /// applied, with defaults for the missing keys.
     ///
     /// # Errors
-    /// The key that is missing.
+    /// Returns the first key that is missing.
     pub fn check_complete(&self, newer: &NodeConfig) -> Result<(), MissingKey> {
         match reedferry_settings::reload::missing_key(&self.document, &newer.document) {
             Some(key) => Err(MissingKey(key)),
--- a/node/src/operators/operator_config/control_plane.rs
+++ b/node/src/operators/operator_config/control_plane.rs
@@ -1,4 +1,4 @@
-//! The sections of forwarders and planners.
+//! Checks the sections of forwarders and planners.
 
 use super::error::{OperatorConfigError, Problem};
 use super::sections::{ForwardSection, PlanSection, PlannerSection};
@@ -9,12 +9,12 @@
 use std::collections::HashSet;
 use toml::Spanned;
 
-/// How much shorter than the drain grace a lease is, where the file does not say.
+/// The difference between the drain grace and the default lease.
 const DEFAULT_LEASE_MARGIN: Nanos = 50 * MILLI;
 const MIN_LEASE: Nanos = 40 * MILLI;
 const MAX_LEASE: Nanos = 2 * SECOND;
 
-/// All planners of the installation.
+/// Returns all planners of the installation, whose names and addresses must be unique.
 pub(super) fn planners(
     source: &SourceFile,
     sections: &[Spanned<PlannerSection>],
@@ -39,14 +39,15 @@
     Ok(planners)
 }
 
-/// The options of a forwarder.
+/// Returns the options of a forwarder. `span` is the place of its section.
 pub(super) fn forwarder_options(
     source: &SourceFile,
     span: &Span,
     section: &ForwardSection,
     drain_grace: Nanos,
 ) -> Result<ForwarderOptions, OperatorConfigError> {
-    // A lease as long as the drain grace or longer would let new work reach a draining host.
+    // A lease that is not shorter than the drain grace would let a planner's decision send new requests to a draining host after
+    // the grace.
     let max_lease = drain_grace.saturating_sub(MILLI).min(MAX_LEASE);
     let default_lease = drain_grace
         .saturating_sub(DEFAULT_LEASE_MARGIN)
@@ -84,7 +85,7 @@
     })
 }
 
-/// The options of a planner, which is one of those listed.
+/// Returns the options of a planner, whose name must be in the list of planners.
 pub(super) fn planner_options(
     source: &SourceFile,
     section: &PlanSection,
--- a/node/src/operators/operator_config/error.rs
+++ b/node/src/operators/operator_config/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with an operator's file. Each error is one line that names the line and what would be right.
+//! The errors of an operator's file. Each is one line that names the line of the file and what is allowed there.
 
 use crate::operators::config_files::ReadError;
 use crate::operators::node_config::NodeConfigError;
@@ -9,23 +9,23 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// An operator's file that can't be used.
+/// The reason why an operator's file cannot be read or used.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorConfigError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Read(#[from] ReadError),
     /// The file is not UTF-8.
-    #[error("cannot read {}: no text", .0.display())]
+    #[error("cannot read {}: not UTF-8", .0.display())]
     NotUtf8(PathBuf),
-    /// The file says something that can't be used.
+    /// The content of the file, or of the node configuration that it names, is invalid.
     #[error("{}:{line}: {problem}", path.display())]
     Invalid {
         /// The operator's file.
         path: PathBuf,
         /// The line, counted from 1.
         line: usize,
-        /// What is wrong there.
+        /// The problem at that line.
         problem: Box<Problem>,
     },
 }
@@ -42,21 +42,21 @@
     }
 }
 
-/// What is wrong at a line of the file.
+/// A problem at a line of the file.
 #[derive(Debug, thiserror::Error)]
 pub enum Problem {
-    /// It is no TOML, or not of this form.
+    /// The file is not valid TOML, or a key is unknown, missing or has a value of the wrong type.
     #[error("{0}")]
     Syntax(String),
-    /// The node configuration that it names can't be used.
+    /// The node configuration that the file names cannot be read or used.
     #[error(transparent)]
     NodeConfig(#[from] NodeConfigError),
-    /// A duration has no unit.
-    #[error("{key} is {text:?}, not a time with its unit, such as \"250ms\"")]
+    /// A duration is not a number with a unit.
+    #[error("{key} is {text:?}, not a duration with a unit, such as \"250ms\"")]
     InvalidDuration {
         /// The key in the file.
         key: &'static str,
-        /// What stands there.
+        /// The value of the key.
         text: String,
     },
     /// A duration is too short or too long.
@@ -64,11 +64,11 @@
     DurationOutOfRange {
         /// The key in the file.
         key: &'static str,
-        /// What stands there.
+        /// The value of the key.
         text: String,
-        /// The shortest allowed.
+        /// The shortest allowed duration, inclusive.
         min: Nanos,
-        /// The longest allowed.
+        /// The longest allowed duration, inclusive.
         max: Nanos,
     },
     /// A number is too small or too large.
@@ -76,113 +76,117 @@
     CountOutOfRange {
         /// The key in the file.
         key: &'static str,
-        /// What stands there.
+        /// The value of the key.
         count: usize,
-        /// The largest allowed.
+        /// The largest allowed number, inclusive.
         max: usize,
     },
-    /// An address can't be parsed.
-    #[error("{key} {text:?} is no address with a port, such as \"127.0.0.1:7000\"")]
+    /// An address is invalid.
+    #[error("{key} {text:?} is not an address with a port, such as \"127.0.0.1:7000\"")]
     InvalidAddress {
         /// The key in the file.
         key: &'static str,
-        /// What stands there.
+        /// The value of the key.
         text: String,
     },
-    /// The file is for two roles.
-    #[error("a second role; one of [node], [forward] and [plan] is wanted")]
+    /// The file has sections of two roles.
+    #[error("more than one role; only one of [node], [forward] and [plan] is allowed")]
     MultipleRoles,
-    /// A fleet where there can be none.
+    /// A `[fleet]` section in the file of a forwarder or planner, or beside peers that are listed one by one.
     #[error(
-        "fleet: only a node takes part, with neither messages nor [[peer]]: members are its peers"
+        "fleet: allowed only for a node with neither messages nor [[peer]], because the members are its peers"
     )]
     FleetConflict,
-    /// A fleet though gossip is disabled.
-    #[error("fleet: policy_limits.peers in the papers is false")]
+    /// A `[fleet]` section although gossip is disabled.
+    #[error("fleet: policy_limits.peers in the node configuration is false")]
     FleetWithoutGossip,
-    /// The fleet's own address is unreachable.
-    #[error("address {0} can't be reached by others")]
+    /// The address of this node in the fleet has no port or host, or is of another family than the listening address.
+    #[error("address {0} is unreachable for other members; it needs a host, a port and the family of listen")]
     UnreachableAddress(SocketAddr),
-    /// A seed of the fleet is unreachable, or a duplicate.
-    #[error("seed {0} can't be reached, or stands here twice")]
+    /// A seed of the fleet has no port or host, is of another family than this node's address, or is a duplicate.
+    #[error(
+        "seed {0} is unreachable or a duplicate; it needs a host, a port and the family of address"
+    )]
     InvalidSeed(SocketAddr),
-    /// The fleet's name or the node's is too long.
-    #[error("a fleet's name has 64 bytes at most, a node's 1 to 64")]
+    /// The name of the fleet or node is too long, or the node has no name.
+    #[error("the name of a fleet must have at most 64 bytes, that of a node 1 to 64")]
     NameLength,
-    /// A peer of a forwarder or planner.
-    #[error("peer: only a node has peers; planners hear their forwarders")]
+    /// The file of a forwarder or planner lists a peer.
+    #[error("peer: only a node has peers; forwarders report to planners instead")]
     PeersOfOtherRole,
     /// Gossip is enabled for a forwarder or planner.
-    #[error("policy_limits.peers: forwarders and planners send no messages")]
+    #[error(
+        "policy_limits.peers: must be false for forwarders and planners, which send no gossip"
+    )]
     GossipOfOtherRole,
-    /// Gossip and peers contradict each other.
+    /// The list of peers is invalid, or contradicts the settings of gossip.
     #[error(transparent)]
     Peers(#[from] PeerListError),
-    /// A forwarder without planners.
-    #[error("a forwarder needs a [[planner]] or more")]
+    /// The file of a forwarder lists no planner.
+    #[error("forward: at least one [[planner]] is required")]
     NoPlanners,
-    /// A node with planners.
-    #[error("a node follows no planner; [forward] or [plan] is wanted")]
+    /// The file of a node lists a planner.
+    #[error("planner: a node follows no planner; the file needs [forward] or [plan]")]
     PlannersWithoutRole,
     /// A planner's name is empty or too long.
-    #[error("a planner's name has 1 to 256 bytes")]
+    #[error("the name of a planner must have 1 to 256 bytes")]
     PlannerNameLength,
     /// Two planners have the same name or address.
-    #[error("planner {0:?} or its address stands here twice")]
+    #[error("planner {0:?}: duplicate name or address")]
     DuplicatePlanner(String),
     /// The planner's own name is not among the planners.
-    #[error("{0:?} is none of the [[planner]] below")]
+    #[error("name {0:?} is not in the list of [[planner]]")]
     UnknownPlanner(String),
-    /// The drain grace is too short for any lease.
-    #[error("the papers grant {} ms for drains; a planner's word needs 90 ms or more", drain_grace / MILLI)]
+    /// The drain grace is too short for the default lease.
+    #[error("contract.drain_grace in the node configuration is {} ms; a forwarder needs at least 90 ms", drain_grace / MILLI)]
     DrainGraceTooShort {
         /// The drain grace of the node configuration.
         drain_grace: Nanos,
     },
 }
 
-/// How gossip and peers contradict each other.
+/// The reason why a list of peers is rejected.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PeerListError {
-    /// Peers though gossip is disabled.
-    #[error("peers without leave: policy_limits.peers in the papers is false")]
+    /// There are peers or an address for gossip although gossip is disabled.
+    #[error("peer and messages: not allowed where policy_limits.peers in the node configuration is false")]
     GossipDisabled,
-    /// No address at which gossip is received.
-    #[error("policy_limits.peers: messages in [node] of an operator's file is missing")]
+    /// Gossip is enabled, but there is no address at which to receive it.
+    #[error("policy_limits.peers: needs messages in [node] of an operator's file")]
     MissingAddress,
-    /// Nobody to gossip with.
-    #[error("policy_limits.peers: messages are allowed and there is no [[peer]]")]
+    /// Gossip is enabled, but there are no peers.
+    #[error("policy_limits.peers: needs at least one [[peer]]")]
     NoPeers,
-    /// One of the peers can't be one.
+    /// A peer is invalid.
     #[error("peer {address} {reason}")]
     Peer {
-        /// Its index in the list of peers.
+        /// The index of the peer in the list of peers, from 0.
         index: usize,
-        /// Its address.
+        /// The address of the peer.
         address: SocketAddr,
-        /// Why it can't be a peer.
+        /// The reason why the peer is rejected.
         reason: PeerRejection,
     },
 }
 
-/// Why a peer can't be one.
+/// The reason why a peer is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PeerRejection {
-    /// Its address has no port, no host or another family.
-    #[error("cannot be reached from messages")]
+    /// The address of the peer has no port or host, or is of another family than this node's.
+    #[error("is unreachable; it needs a host, a port and the family of messages")]
     Unreachable,
-    /// It has this node's address.
-    #[error("is this node itself")]
+    /// The peer has this node's address.
+    #[error("is the address of this node")]
     OwnAddress,
-    /// It is listed before.
-    #[error("stands here twice")]
+    /// The peer is listed more than once.
+    #[error("is a duplicate")]
     Duplicate,
-    /// There are more peers than nodes.
-    #[error("is one too many: settings.balancers counts this node and all its peers")]
+    /// There are more peers than other nodes.
+    #[error("exceeds settings.balancers, which counts this node and all its peers")]
     TooMany,
 }
 
-/// A duration as operators write it.
+/// Formats a duration with its unit, as operators write it.
 struct DisplayDuration(Nanos);
 
 impl fmt::Display for DisplayDuration {
--- a/node/src/operators/operator_config/fleet.rs
+++ b/node/src/operators/operator_config/fleet.rs
@@ -1,4 +1,4 @@
-//! The section of a fleet: where its members reach this node, and how they keep records for each other.
+//! Checks the section `[fleet]`: the address at which members reach this node, the seeds, and the replication of requests.
 
 use super::error::{OperatorConfigError, Problem};
 use super::sections::{FleetSection, ReplicationSection};
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use toml::Spanned;
 
-/// The configuration of the fleet that a node takes part in.
+/// Returns the configuration of the fleet of which a node is a member.
 pub(super) fn fleet_config(
     source: &SourceFile,
     section: &Spanned<FleetSection>,
@@ -58,19 +58,23 @@
     })
 }
 
+/// Returns whether an address has a port and a host.
 fn is_reachable(address: SocketAddr) -> bool {
     address.port() != 0 && !address.ip().is_unspecified()
 }
 
+/// Returns the addresses of the seeds, which must be reachable, unique and of the same family as this node's address.
 fn seeds(
     source: &SourceFile,
     section: &FleetSection,
-    own: SocketAddr,
+    own_address: SocketAddr,
 ) -> Result<Vec<SocketAddr>, OperatorConfigError> {
     let mut seeds = Vec::new();
     for seed in &section.seeds {
         let address = source.address("seed", seed)?;
-        if !is_reachable(address) || address.is_ipv4() != own.is_ipv4() || seeds.contains(&address)
+        if !is_reachable(address)
+            || address.is_ipv4() != own_address.is_ipv4()
+            || seeds.contains(&address)
         {
             return Err(source.error(&seed.span(), Problem::InvalidSeed(address)));
         }
--- a/node/src/operators/operator_config/mod.rs
+++ b/node/src/operators/operator_config/mod.rs
@@ -1,6 +1,6 @@
-//! The operator's file: in which role the program runs, and the options of that role. This module owns the form of the file, its
-//! units, and what contradicts what. It must never let a program start, or go on with, a file that is not valid throughout:
-//! whatever is wrong is one line that names the line and what would be right.
+//! The operator's file: the role in which the program runs, and the options of that role. This module defines the keys of the file,
+//! their units and ranges, and which of them exclude each other. It must never accept a file with any error, neither at the start
+//! nor on a reload. Each error is one line that names the line of the file and what is allowed there.
 
 mod control_plane;
 mod error;
@@ -27,37 +27,37 @@
 /// The options of a forwarder.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ForwarderOptions {
-    /// How long a planner's decisions hold. Shorter than the drain grace.
+    /// The time for which a planner's decisions are valid. It is shorter than the drain grace.
     pub lease: Nanos,
-    /// How long a planner may take to decide.
+    /// The time within which a planner must decide.
     pub decision_timeout: Nanos,
-    /// The most requests that await a planner's decision.
+    /// The maximum number of requests that await a planner's decision.
     pub max_awaiting_decision: usize,
-    /// How long a preferred planner must have been healthy before it is followed again.
+    /// The time for which a preferred planner must have been healthy before it is followed again.
     pub failback_delay: Nanos,
 }
 
 /// The options of a planner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannerOptions {
-    /// Its name among the planners.
+    /// The name of this planner in the list of planners.
     pub name: String,
-    /// Its index among the planners.
+    /// The index of this planner in the list of planners, from 0.
     pub planner_index: u32,
-    /// Where forwarders connect.
+    /// The address at which forwarders connect.
     pub listen: SocketAddr,
-    /// How long a forwarder may be silent.
+    /// The time for which a forwarder may send nothing before its requests are dropped.
     pub silence_timeout: Nanos,
-    /// How long a zone without followers waits for others to report their connections.
+    /// The time for which a zone without followers waits for forwarders to report their open connections.
     pub settle_time: Nanos,
-    /// The most requests of one forwarder.
+    /// The maximum number of requests of one forwarder.
     pub max_requests_per_forwarder: usize,
 }
 
-/// The role that the program runs in.
+/// The role of the program, with its options.
 #[derive(Debug, PartialEq)]
 pub enum Role {
-    /// A standalone node, with the peers that it exchanges messages with.
+    /// A standalone node, with the peers that it exchanges gossip with; `None` if gossip is disabled.
     Node(Option<GossipConfig>),
     /// A forwarder.
     Forward(ForwarderOptions),
@@ -66,7 +66,7 @@
 }
 
 impl Role {
-    /// The command that starts it.
+    /// Returns the command that starts this role.
     pub fn command(&self) -> &'static str {
         match self {
             Role::Node(_) => "node",
@@ -76,15 +76,15 @@
     }
 }
 
-/// An operator's file that is valid throughout.
+/// A decoded and checked operator's file, with the node configuration that it names.
 pub struct OperatorConfig {
-    /// The node configuration that it names.
+    /// The node configuration that the file names.
     pub node_config: NodeConfig,
-    /// Where that stands.
+    /// The path of the node configuration.
     pub node_config_path: PathBuf,
-    /// The role that the file is for.
+    /// The role that the file configures.
     pub role: Role,
-    /// All planners of the installation.
+    /// All planners of the installation; empty for a standalone node.
     pub planners: Vec<PlannerAddress>,
 }
 
@@ -92,7 +92,7 @@
     /// Reads a file and the node configuration that it names.
     ///
     /// # Errors
-    /// One line with the file, the line and what would be right there.
+    /// Returns an error of one line with the file, the line and the problem, or only the file if it cannot be read.
     pub fn read(path: &Path) -> Result<OperatorConfig, OperatorConfigError> {
         let text = String::from_utf8(config_files::read(path)?)
             .map_err(|_| OperatorConfigError::NotUtf8(path.to_path_buf()))?;
@@ -122,7 +122,7 @@
 
 fn parse(source: &SourceFile) -> Result<FileSections, OperatorConfigError> {
     toml::from_str(source.text).map_err(|error| {
-        let first_line = error.message().lines().next().unwrap_or("cannot be read");
+        let first_line = error.message().lines().next().unwrap_or("invalid TOML");
         source.error(
             &error.span().unwrap_or(0..0),
             Problem::Syntax(first_line.to_string()),
@@ -130,6 +130,7 @@
     })
 }
 
+/// Checks that the file has at most one of the sections `[node]`, `[forward]` and `[plan]`.
 fn check_single_role(
     source: &SourceFile,
     sections: &FileSections,
@@ -149,7 +150,7 @@
     }
 }
 
-/// The role of the file, with its options.
+/// Returns the role of the file with its options. A file without a section of a role is that of a node.
 fn role(
     source: &SourceFile,
     sections: &FileSections,
@@ -174,7 +175,7 @@
     Ok(Role::Node(gossip_config))
 }
 
-/// The peers of a node, which no other role has.
+/// Returns the gossip configuration of a node, or `None` if gossip is disabled or the role is another one.
 fn gossip_config(
     source: &SourceFile,
     sections: &FileSections,
@@ -220,7 +221,7 @@
         .map_err(|error| source.error(&peer_error_span(sections, &error), error))
 }
 
-/// Forwarders and planners exchange no messages with peers.
+/// Checks that the file of a forwarder or planner does not enable gossip, which these roles do not use.
 fn check_no_gossip(
     source: &SourceFile,
     sections: &FileSections,
@@ -235,7 +236,8 @@
     Ok(())
 }
 
-/// Where an error about peers is reported: at the peer, or else at the first peer, the node's section or the node configuration.
+/// Returns the place at which an error about peers is reported: the peer that it names, or else the first peer, the `[node]` section
+/// or the path of the node configuration.
 fn peer_error_span(sections: &FileSections, error: &PeerListError) -> Span {
     let index = match error {
         PeerListError::Peer { index, .. } => *index,
--- a/node/src/operators/operator_config/peers.rs
+++ b/node/src/operators/operator_config/peers.rs
@@ -1,15 +1,16 @@
-//! Which peers a node exchanges gossip messages with. Gossip without peers, or peers without gossip, is a mix of two shapes of
-//! deployment, and is refused.
+//! Checks the peers that a node exchanges gossip with. Gossip without peers, and peers without gossip, are options of different
+//! deployment modes, and are rejected.
 
 use super::error::{PeerListError, PeerRejection};
 use crate::operators::node_config::NodeConfig;
 use crate::peers::GossipConfig;
 use std::net::SocketAddr;
 
-/// The peers of a node, with the address at which its own messages come and go.
+/// Returns the gossip configuration of a node that lists its peers one by one, or `None` if gossip is disabled. `address` is where
+/// the node sends and receives gossip.
 ///
 /// # Errors
-/// What contradicts what, and at which of the peers where it is one of them.
+/// Returns the contradiction between the settings and the list, or the first invalid peer.
 pub fn gossip_peers(
     node_config: &NodeConfig,
     address: Option<SocketAddr>,
@@ -42,18 +43,18 @@
     }))
 }
 
-/// Why the peer of this index can't be one.
+/// Returns the reason why the peer with this index is rejected, or `None` if it is valid.
 fn rejection(
-    own: SocketAddr,
+    own_address: SocketAddr,
     peers: &[SocketAddr],
     index: usize,
     node_count: usize,
 ) -> Option<PeerRejection> {
     let peer = peers[index];
-    if peer.port() == 0 || peer.ip().is_unspecified() || peer.is_ipv4() != own.is_ipv4() {
+    if peer.port() == 0 || peer.ip().is_unspecified() || peer.is_ipv4() != own_address.is_ipv4() {
         return Some(PeerRejection::Unreachable);
     }
-    if peer == own {
+    if peer == own_address {
         return Some(PeerRejection::OwnAddress);
     }
     if peers[..index].contains(&peer) {
--- a/node/src/operators/operator_config/sections.rs
+++ b/node/src/operators/operator_config/sections.rs
@@ -1,5 +1,5 @@
-//! The sections and keys of an operator's file, as they are written. The texts of type
-//! errors, which users see, are fixed by `expecting`.
+//! The sections and keys of an operator's file, as they are written in TOML. Fields have the names that the code uses; `rename`
+//! gives the key where it differs. `expecting` fixes the texts of type errors, which users see.
 
 use serde::Deserialize;
 use std::path::PathBuf;
@@ -22,7 +22,7 @@
     pub fleet: Option<Spanned<FleetSection>>,
 }
 
-/// `[node]`
+/// The section `[node]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "struct NodeSheet")]
@@ -31,7 +31,7 @@
     pub gossip_address: Option<Spanned<String>>,
 }
 
-/// `[[peer]]`
+/// One entry of `[[peer]]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "struct PeerSheet")]
@@ -39,7 +39,7 @@
     pub address: Spanned<String>,
 }
 
-/// `[fleet]`
+/// The section `[fleet]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "struct FleetSheet")]
@@ -55,7 +55,7 @@
     pub replication: Option<ReplicationSection>,
 }
 
-/// `[fleet.wards]`
+/// The section `[fleet.wards]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "struct WardSheet")]
@@ -68,7 +68,7 @@
     pub max_records: Option<Spanned<usize>>,
 }
 
-/// `[forward]`
+/// The section `[forward]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "struct ForwardSheet")]
@@ -82,7 +82,7 @@
     pub failback_delay: Option<Spanned<String>>,
 }
 
-/// `[plan]`
+/// The section `[plan]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "struct PlanSheet")]
@@ -97,7 +97,7 @@
     pub max_requests_per_forwarder: Option<Spanned<usize>>,
 }
 
-/// `[[planner]]`
+/// One entry of `[[planner]]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "struct PlannerSheet")]
--- a/node/src/operators/operator_config/source.rs
+++ b/node/src/operators/operator_config/source.rs
@@ -1,4 +1,4 @@
-//! The text of an operator's file, by which an error names its line, and the values that have a range.
+//! The text of an operator's file, from which an error gets its line number, and the decoding of values with a range.
 
 use super::error::{OperatorConfigError, Problem};
 use reedferry::Nanos;
@@ -7,17 +7,17 @@
 use std::path::Path;
 use toml::Spanned;
 
-/// Where something stands in the text, in bytes.
+/// A range of byte offsets in the text.
 pub(super) type Span = Range<usize>;
 
-/// A file's path and text.
+/// The path and the text of an operator's file.
 pub(super) struct SourceFile<'a> {
     pub path: &'a Path,
     pub text: &'a str,
 }
 
 impl SourceFile<'_> {
-    /// The error at a place of the text.
+    /// Returns the error for a problem at this place of the text.
     pub fn error(&self, span: &Span, problem: impl Into<Problem>) -> OperatorConfigError {
         let before = &self.text.as_bytes()[..span.start.min(self.text.len())];
         OperatorConfigError::Invalid {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// A duration with its unit, within these bounds.
+    /// Decodes a duration with a unit, and checks that it is within the bounds. Returns the default if there is no text.
     pub fn duration(
         &self,
         key: &'static str,
@@ -54,7 +54,7 @@
         Ok(duration)
     }
 
-    /// A number of 1 to `max`.
+    /// Checks that a number is from 1 to `max`, inclusive. Returns the default if there is no number.
     pub fn count(
         &self,
         key: &'static str,
@@ -75,7 +75,7 @@
         Ok(count)
     }
 
-    /// An address with its port.
+    /// Decodes an address with a port.
     pub fn address(
         &self,
         key: &'static str,
--- a/node/src/operators/operator_config/tests.rs
+++ b/node/src/operators/operator_config/tests.rs
@@ -1,4 +1,4 @@
-//! What an operator's file may say, and how a wrong one is reported.
+//! Tests which operator's files are accepted, and how an invalid one is reported.
 
 use super::*;
 use reedferry::{MILLI, SECOND};
@@ -10,43 +10,44 @@
     OperatorConfig::decode(&folder.join("x.toml"), text).map_err(String::from)
 }
 
-fn wrong(text: &str) -> (usize, String) {
-    let why = read(text).err().expect("it was taken");
-    let rest = why
+/// Returns the line and the text of the error of an invalid file.
+fn read_error(text: &str) -> (usize, String) {
+    let error = read(text).err().expect("an invalid file was accepted");
+    let rest = error
         .split("x.toml:")
         .nth(1)
-        .unwrap_or_else(|| panic!("no place: {why}"));
-    let (line, what) = rest.split_once(": ").unwrap();
-    (line.parse().unwrap(), what.to_string())
+        .unwrap_or_else(|| panic!("no line number: {error}"));
+    let (line, problem) = rest.split_once(": ").unwrap();
+    (line.parse().unwrap(), problem.to_string())
 }
 
 #[test]
-fn the_annotated_examples_are_valid_and_say_what_they_are_for() {
+fn the_example_files_are_valid_and_have_the_role_of_their_name() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy");
-    for word in ["node", "forward", "plan"] {
+    for command in ["node", "forward", "plan"] {
         let operator_config =
-            OperatorConfig::read(&folder.join(format!("{word}.example.toml"))).unwrap();
-        assert_eq!(operator_config.role.command(), word);
+            OperatorConfig::read(&folder.join(format!("{command}.example.toml"))).unwrap();
+        assert_eq!(operator_config.role.command(), command);
     }
 }
 
 #[test]
-fn times_have_units_and_a_lease_is_under_the_grace() {
+fn durations_need_units_and_a_lease_is_shorter_than_the_drain_grace() {
     let head = "papers = \"node_config.example.json\"\n[forward]\n";
     let role = |text: &str| read(&format!("{head}{text}{PLANNERS}")).map(|config| config.role);
-    let usual = ForwarderOptions {
+    let defaults = ForwarderOptions {
         lease: 250 * MILLI,
         decision_timeout: 375 * MILLI,
         max_awaiting_decision: 1024,
         failback_delay: 2 * SECOND,
     };
-    assert_eq!(role(""), Ok(Role::Forward(usual)));
-    for (text, why) in [
+    assert_eq!(role(""), Ok(Role::Forward(defaults)));
+    for (text, reason) in [
         (
             "lease = \"300ms\"\n",
             "lease is 300ms, not between 40ms and 299ms",
         ),
-        ("lease = \"250\"\n", "not a time with its unit"),
+        ("lease = \"250\"\n", "not a duration with a unit"),
         ("lease = 250\n", "invalid type"),
         (
             "lease = \"200ms\"\ndecide_within = \"100ms\"\n",
@@ -55,18 +56,20 @@
         ("most_asked = 0\n", "between 1 and"),
         ("leese = \"200ms\"\n", "unknown field"),
     ] {
-        let (line, what) = wrong(&format!("{head}{text}{PLANNERS}"));
+        let (line, problem) = read_error(&format!("{head}{text}{PLANNERS}"));
         assert!(
-            what.contains(why) && line == 2 + text.lines().count(),
-            "{line}: {what}"
+            problem.contains(reason) && line == 2 + text.lines().count(),
+            "{line}: {problem}"
         );
     }
 }
 
-/// A node's file, with a configuration of four nodes that allows gossip or not.
+/// Reads a node's file whose node configuration has four nodes and enables gossip or not.
 fn node_file(name: &str, gossip: bool, text: &str) -> Result<OperatorConfig, String> {
-    let folder =
-        std::env::temp_dir().join(format!("reedferry-articles-{}-{name}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!(
+        "reedferry-operator-config-{}-{name}",
+        std::process::id()
+    ));
     std::fs::create_dir_all(&folder).unwrap();
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/node_config.example.json");
     let mut node_config: serde_json::Value =
@@ -86,22 +89,22 @@
 fn assert_rejected(name: &str, gossip: bool, text: &str, reason: &str) {
     let error = node_file(name, gossip, text)
         .err()
-        .unwrap_or_else(|| panic!("taken: {text}"));
+        .unwrap_or_else(|| panic!("accepted: {text}"));
     assert!(
         error.contains(reason) && error.contains("x.toml:") && !error.contains('\n'),
         "{error}"
     );
 }
 
-/// Prevents a node that may send messages and has no peers, or that has peers and may not send any.
+/// Guards against a node that has gossip enabled but no peers, or peers but gossip disabled.
 #[test]
-fn messages_and_peers_come_together_or_not_at_all() {
+fn gossip_needs_peers_and_peers_need_gossip() {
     let node = "[node]\nmessages = \"127.0.0.1:7100\"\n";
     let peer = |at: &str| format!("[[peer]]\naddress = \"{at}\"\n");
     let (one, two) = (peer("127.0.0.1:7101"), peer("127.0.0.1:7102"));
     let good = node_file("good", true, &format!("{node}{one}{two}")).unwrap();
     let Role::Node(Some(gossip_config)) = good.role else {
-        panic!("no gossip_config")
+        panic!("no gossip configuration")
     };
     assert_eq!(
         (gossip_config.listen.port(), gossip_config.peers.len()),
@@ -114,25 +117,33 @@
     let forward = format!("[forward]\n{PLANNERS}");
     let rejected =
         |gossip: bool, text: &str, reason: &str| assert_rejected("bad", gossip, text, reason);
-    rejected(true, "[node]\n", "policy_limits.peers: messages in [node]");
-    rejected(true, &one, "policy_limits.peers: messages in [node]");
+    rejected(
+        true,
+        "[node]\n",
+        "policy_limits.peers: needs messages in [node]",
+    );
+    rejected(true, &one, "policy_limits.peers: needs messages in [node]");
     rejected(
         true,
         node,
-        "policy_limits.peers: messages are allowed and there is no [[peer]]",
+        "policy_limits.peers: needs at least one [[peer]]",
     );
     for text in [&format!("{node}{one}"), node, &one] {
-        rejected(false, text, "policy_limits.peers in the papers is false");
+        rejected(
+            false,
+            text,
+            "policy_limits.peers in the node configuration is false",
+        );
     }
     rejected(
         true,
         &node.replace("7100", "x"),
-        "messages \"127.0.0.1:x\" is no address",
+        "messages \"127.0.0.1:x\" is not an address",
     );
     rejected(
         true,
         &forward,
-        "policy_limits.peers: forwarders and planners",
+        "policy_limits.peers: must be false for forwarders and planners",
     );
     rejected(
         false,
@@ -141,29 +152,29 @@
     );
 }
 
-/// Prevents a node that has a peer which is none, or more peers than nodes.
+/// Guards against a node with an invalid peer, or with more peers than there are other nodes.
 #[test]
-fn each_peer_is_another_node_that_can_be_reached() {
+fn each_peer_is_another_reachable_node_and_listed_once() {
     let node = "[node]\nmessages = \"127.0.0.1:7100\"\n";
     let peer = |at: &str| format!("[[peer]]\naddress = \"{at}\"\n");
     let (one, two) = (peer("127.0.0.1:7101"), peer("127.0.0.1:7102"));
     let rejected = |peers: &str, reason: &str| {
         assert_rejected("bad-peer", true, &format!("{node}{peers}"), reason);
     };
-    rejected(&peer("over there"), "address \"over there\" is no address");
-    rejected(&peer("127.0.0.1"), "is no address");
-    rejected(&peer("127.0.0.1:0"), "cannot be reached");
-    rejected(&peer("0.0.0.0:7101"), "cannot be reached");
-    rejected(&peer("[::1]:7101"), "cannot be reached");
-    rejected(&format!("{one}{one}"), "stands here twice");
-    rejected(&peer("127.0.0.1:7100"), "is this node itself");
+    rejected(&peer("nowhere"), "address \"nowhere\" is not an address");
+    rejected(&peer("127.0.0.1"), "is not an address");
+    rejected(&peer("127.0.0.1:0"), "is unreachable");
+    rejected(&peer("0.0.0.0:7101"), "is unreachable");
+    rejected(&peer("[::1]:7101"), "is unreachable");
+    rejected(&format!("{one}{one}"), "is a duplicate");
+    rejected(&peer("127.0.0.1:7100"), "is the address of this node");
     let four = [one, two, peer("127.0.0.1:1"), peer("127.0.0.1:2")].concat();
-    rejected(&four, "one too many");
+    rejected(&four, "exceeds settings.balancers");
 }
 
-/// Prevents a node that takes part in a fleet without leave, or under an address that nobody can reach.
+/// Guards against a node that joins a fleet although gossip is disabled, or with an address that no member can reach.
 #[test]
-fn a_fleet_has_leave_and_addresses_that_can_be_reached() {
+fn a_fleet_needs_gossip_and_reachable_addresses() {
     let fleet = |more: &str| {
         format!("[fleet]\naddress = \"127.0.0.1:7400\"\nseeds = [\"127.0.0.1:7401\"]\n{more}")
     };
@@ -189,7 +200,7 @@
     rejected(
         false,
         &fleet(""),
-        "policy_limits.peers in the papers is false",
+        "policy_limits.peers in the node configuration is false",
     );
     rejected(true, &fleet(peer), "neither messages nor [[peer]]");
     rejected(
@@ -200,17 +211,17 @@
     rejected(
         true,
         &fleet("").replace("7400", "0"),
-        "can't be reached by others",
+        "is unreachable for other members",
     );
     rejected(
         true,
         &fleet("").replace("7401", "0"),
-        "seed 127.0.0.1:0 can't be reached",
+        "seed 127.0.0.1:0 is unreachable",
     );
     rejected(
         true,
         &fleet("").replace("\"127.0.0.1:7401\"", "\"[::1]:7401\""),
-        "can't be reached",
+        "seed [::1]:7401 is unreachable",
     );
     rejected(
         true,
@@ -222,28 +233,28 @@
 }
 
 #[test]
-fn contradictions_are_refused_at_their_line() {
+fn contradictions_are_rejected_with_their_line() {
     let head = "papers = \"node_config.example.json\"\n";
-    assert_eq!(wrong(&format!("{head}[forward]\n")).0, 2);
-    assert_eq!(wrong(&format!("{head}{PLANNERS}")).0, 2);
+    assert_eq!(read_error(&format!("{head}[forward]\n")).0, 2);
+    assert_eq!(read_error(&format!("{head}{PLANNERS}")).0, 2);
     assert_eq!(
-        wrong(&format!("{head}[plan]\nname = \"p9\"\n{PLANNERS}")).0,
+        read_error(&format!("{head}[plan]\nname = \"p9\"\n{PLANNERS}")).0,
         3
     );
     assert_eq!(
-        wrong(&format!(
+        read_error(&format!(
             "{head}[plan]\nname = \"p0\"\n[forward]\n{PLANNERS}"
         ))
         .0,
         4
     );
     assert_eq!(
-        wrong(&format!("{head}[forward]\n{PLANNERS}{PLANNERS}")).0,
+        read_error(&format!("{head}[forward]\n{PLANNERS}{PLANNERS}")).0,
         6
     );
-    assert_eq!(wrong("papers = \"no such.json\"\n").0, 1);
+    assert_eq!(read_error("papers = \"no such.json\"\n").0, 1);
     assert_eq!(
-        wrong(&format!(
+        read_error(&format!(
             "{head}[forward]\n{}",
             PLANNERS.replace("127.0.0.1", "here")
         ))
