--- a/node/src/operators/config_files.rs
+++ b/node/src/operators/config_files.rs
@@ -42,8 +42,8 @@
     })
 }
 
-/// Calls `load` until it succeeds, fails permanently, or the timeout has passed. This blocks, and so is only for a process that has
-/// nothing else to do yet.
+/// Calls `load` until it succeeds, fails permanently, or the timeout has passed. This blocks, and so is only for a process that
+/// has nothing else to do yet.
 ///
 /// # Errors
 /// Returns the error of the last attempt.
--- a/node/src/operators/operator_config/control_plane.rs
+++ b/node/src/operators/operator_config/control_plane.rs
@@ -11,7 +11,9 @@
 
 /// The difference between the drain grace and the default lease.
 const DEFAULT_LEASE_MARGIN: Nanos = 50 * MILLI;
+/// The shortest lease that the file may set.
 const MIN_LEASE: Nanos = 40 * MILLI;
+/// The longest lease that the file may set; the drain grace limits it further.
 const MAX_LEASE: Nanos = 2 * SECOND;
 
 /// Returns all planners of the installation, whose names and addresses must be unique.
--- a/node/src/operators/operator_config/mod.rs
+++ b/node/src/operators/operator_config/mod.rs
@@ -1,6 +1,6 @@
-//! The operator's file: the role in which the program runs, and the options of that role. This module defines the keys of the file,
-//! their units and ranges, and which of them exclude each other. It must never accept a file with any error, neither at the start
-//! nor on a reload. Each error is one line that names the line of the file and what is allowed there.
+//! The operator's file: the role in which the program runs, and the options of that role. This module defines the keys of the
+//! file, their units and ranges, and which of them exclude each other. It must never accept a file with any error, neither at
+//! the start nor on a reload. Each error is one line that names the line of the file and what is allowed there.
 
 mod control_plane;
 mod error;
@@ -236,8 +236,8 @@
     Ok(())
 }
 
-/// Returns the place at which an error about peers is reported: the peer that it names, or else the first peer, the `[node]` section
-/// or the path of the node configuration.
+/// Returns the place at which an error about peers is reported: the peer that it names, or else the first peer, the `[node]`
+/// section or the key of the node configuration's path.
 fn peer_error_span(sections: &FileSections, error: &PeerListError) -> Span {
     let index = match error {
         PeerListError::Peer { index, .. } => *index,
