--- a/runtime/src/channel.rs
+++ b/runtime/src/channel.rs
@@ -1,5 +1,6 @@
-//! A channel between two processes of this machine: whole messages, and descriptors with them. Must
-//! never accept what another user's process sends, nor leave a descriptor that came uncounted.
+//! Unix sockets that carry whole messages and descriptors between two processes of this machine.
+//! Connections from processes of other users are refused, and the descriptor budget counts every
+//! received descriptor.
 
 use crate::{DescriptorBudget, Socket};
 use rustix::io::Errno;
@@ -14,9 +15,9 @@
 use std::os::fd::{AsFd, BorrowedFd};
 use std::path::Path;
 
-/// The longest message.
+/// The size of the longest message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 48 << 10;
-/// The most descriptors that go with one message.
+/// The maximum number of descriptors sent with one message.
 const MAX_DESCRIPTORS_PER_MESSAGE: usize = 4;
 const LISTEN_BACKLOG: i32 = 4;
 
@@ -31,14 +32,15 @@
         )?))
     }
 
-    /// Listens at this path, in place of whoever did.
+    /// Listens at `path` and replaces the socket or file that is there. The socket is bound under a
+    /// temporary name and then renamed, so `path` never refers to a socket that does not listen.
     ///
     /// # Errors
-    /// Where the socket can't be made, bound or put at the path.
+    /// Returns an error if the socket cannot be created, bound or renamed to `path`.
     pub fn listen_unix(&self, path: &Path) -> Result<Socket, Errno> {
         let socket = self.unix_socket()?;
         let temporary = path.with_extension(std::process::id().to_string());
-        // Left by a process that had the same id.
+        // An earlier process with the same id may have left the temporary file behind.
         _ = std::fs::remove_file(&temporary);
         net::bind(&socket, &SocketAddrUnix::new(&temporary)?)?;
         net::listen(&socket, LISTEN_BACKLOG)?;
@@ -47,20 +49,20 @@
         Ok(socket)
     }
 
-    /// Connects to whoever listens at this path.
+    /// Connects to the process that listens at `path`.
     ///
     /// # Errors
-    /// Where nobody does.
+    /// Returns an error if no process listens there.
     pub fn connect_unix(&self, path: &Path) -> Result<Socket, Errno> {
         let socket = self.unix_socket()?;
         net::connect(&socket, &SocketAddrUnix::new(path)?)?;
         Ok(socket)
     }
 
-    /// The next connection that waits, if it is of a process of the same user.
+    /// Accepts the next pending connection, which has to come from a process of the same user.
     ///
     /// # Errors
-    /// `AGAIN` where none waits, `PERM` where it is another user's.
+    /// Returns `AGAIN` if no connection is pending and `PERM` if it comes from another user.
     pub fn accept_unix(&self, listener: &Socket) -> Result<Socket, Errno> {
         let fd = net::accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC)?;
         let socket = self.track(fd);
@@ -70,29 +72,30 @@
         }
     }
 
-    /// Receives the next message into a buffer that has to hold the longest one: its length, and
-    /// the descriptors that came with it. A length of 0 is the end.
+    /// Receives the next message into `into`, which has to hold the longest message, and returns
+    /// the message's length and its descriptors. A length of 0 means that the peer has closed the
+    /// channel.
     ///
     /// # Errors
-    /// `AGAIN` where none has arrived, and those of the system.
+    /// Returns `AGAIN` if no message has arrived, or another error of the system call.
     pub fn receive_with_descriptors(
         &self,
         from: &Socket,
         into: &mut [u8],
     ) -> Result<(usize, Vec<Socket>), Errno> {
-        let mut space =
+        let mut control_space =
             [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_MESSAGE))];
-        let mut ancillary = RecvAncillaryBuffer::new(&mut space);
+        let mut ancillary = RecvAncillaryBuffer::new(&mut control_space);
         let message = loop {
-            let mut pieces = [IoSliceMut::new(&mut *into)];
-            match net::recvmsg(from, &mut pieces, &mut ancillary, RecvFlags::CMSG_CLOEXEC) {
+            let mut slices = [IoSliceMut::new(&mut *into)];
+            match net::recvmsg(from, &mut slices, &mut ancillary, RecvFlags::CMSG_CLOEXEC) {
                 Err(Errno::INTR) => {}
                 other => break other?,
             }
         };
         let mut received = Vec::new();
-        for one in ancillary.drain() {
-            if let RecvAncillaryMessage::ScmRights(descriptors) = one {
+        for control_message in ancillary.drain() {
+            if let RecvAncillaryMessage::ScmRights(descriptors) = control_message {
                 received.extend(descriptors.map(|fd| self.track(fd)));
             }
         }
@@ -101,25 +104,25 @@
 }
 
 impl Socket {
-    /// Sends a whole message, and these descriptors with it, or nothing.
+    /// Sends a whole message together with `descriptors`, or nothing.
     ///
     /// # Errors
-    /// Those of the system; `INVAL` where there are too many descriptors.
+    /// Returns `INVAL` if there are too many descriptors, or the error of the system call.
     pub fn send_with_descriptors(
         &self,
         message: &[u8],
         descriptors: &[BorrowedFd<'_>],
     ) -> Result<(), Errno> {
-        let mut space =
+        let mut control_space =
             [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_MESSAGE))];
-        let mut ancillary = SendAncillaryBuffer::new(&mut space);
+        let mut ancillary = SendAncillaryBuffer::new(&mut control_space);
         if !descriptors.is_empty() && !ancillary.push(SendAncillaryMessage::ScmRights(descriptors))
         {
             return Err(Errno::INVAL);
         }
         loop {
-            let pieces = [IoSlice::new(message)];
-            match net::sendmsg(self.as_fd(), &pieces, &mut ancillary, SendFlags::NOSIGNAL) {
+            let slices = [IoSlice::new(message)];
+            match net::sendmsg(self.as_fd(), &slices, &mut ancillary, SendFlags::NOSIGNAL) {
                 Err(Errno::INTR) => {}
                 other => return other.map(|_| ()),
             }
--- a/runtime/src/channel_tests.rs
+++ b/runtime/src/channel_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of channels between processes.
+//! Tests for channels between processes.
 
 use super::*;
 
@@ -17,26 +17,26 @@
     predecessor
         .send_with_descriptors(b"two", &[handed_over.as_fd()])
         .unwrap();
-    let mut space = [0; 16];
+    let mut buffer = [0; 16];
     assert!(
-        matches!(budget.receive_with_descriptors(&successor, &mut space), Ok((3, none)) if none.is_empty())
+        matches!(budget.receive_with_descriptors(&successor, &mut buffer), Ok((3, none)) if none.is_empty())
     );
     let (length, received) = budget
-        .receive_with_descriptors(&successor, &mut space)
+        .receive_with_descriptors(&successor, &mut buffer)
         .unwrap();
     assert_eq!(
-        (&space[..length], received[0].local_address()),
+        (&buffer[..length], received[0].local_address()),
         (&b"two"[..], handed_over.local_address())
     );
     assert_eq!(
         budget
-            .receive_with_descriptors(&successor, &mut space)
+            .receive_with_descriptors(&successor, &mut buffer)
             .err(),
         Some(Errno::AGAIN)
     );
     drop((predecessor, received));
     assert!(matches!(
-        budget.receive_with_descriptors(&successor, &mut space),
+        budget.receive_with_descriptors(&successor, &mut buffer),
         Ok((0, _))
     ));
     drop((listener, successor, handed_over));
--- a/runtime/src/clock.rs
+++ b/runtime/src/clock.rs
@@ -1,5 +1,5 @@
-//! The clock. Owns the one reading of the system's wall clock at the start. Must never go back,
-//! whatever the system's time does.
+//! The clock. It reads the system's wall clock once, at the start, and advances with the monotonic
+//! clock, so it never goes back when the system's time is changed.
 
 use crate::Nanos;
 use rustix::event::Timespec;
@@ -10,15 +10,15 @@
 
 const NANOS_PER_SECOND: Nanos = 1_000_000_000;
 
-/// Unix time that never goes back: the machine's monotonic clock, and how far the wall clock was
-/// ahead of it at the start. Clones are one clock.
+/// Unix time that never goes back: the time of the machine's monotonic clock plus a fixed offset,
+/// by which the wall clock was ahead at the start. Clones share the offset.
 #[derive(Clone, Debug)]
 pub struct Clock {
-    /// How far this clock is ahead of the monotonic one.
+    /// The time by which this clock is ahead of the monotonic clock.
     offset: Rc<Cell<Nanos>>,
 }
 
-/// The machine's monotonic clock, which is one for all its processes.
+/// Returns the time of the monotonic clock, which all processes of the machine share.
 fn monotonic() -> Nanos {
     nanoseconds(clock_gettime(ClockId::Monotonic))
 }
@@ -27,21 +27,21 @@
     time.tv_sec as Nanos * NANOS_PER_SECOND + time.tv_nsec as Nanos
 }
 
-/// A span of time as the system takes it.
-pub(crate) fn timespec(span: Nanos) -> Timespec {
+/// Converts a duration to the type that system calls expect.
+pub(crate) fn timespec(duration: Nanos) -> Timespec {
     Timespec {
-        tv_sec: (span / NANOS_PER_SECOND) as i64,
-        tv_nsec: (span % NANOS_PER_SECOND) as _,
+        tv_sec: (duration / NANOS_PER_SECOND) as i64,
+        tv_nsec: (duration % NANOS_PER_SECOND) as _,
     }
 }
 
-/// The processor time that the calling thread has used.
+/// Returns the processor time that the calling thread has used.
 pub fn processor_time() -> Nanos {
     nanoseconds(clock_gettime(ClockId::ThreadCPUTime))
 }
 
 impl Clock {
-    /// A clock that goes by the wall clock of this moment.
+    /// Starts a clock at the current time of the wall clock.
     pub fn start() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -51,20 +51,20 @@
         }
     }
 
-    /// The time in nanoseconds since 1970.
+    /// Returns the current time in nanoseconds since the Unix epoch.
     pub fn read(&self) -> Nanos {
         self.offset.get() + monotonic()
     }
 
-    /// How far it is ahead of the machine's steady clock.
+    /// Returns the time by which this clock is ahead of the monotonic clock.
     pub fn offset(&self) -> Nanos {
         self.offset.get()
     }
 
-    /// Goes by the clock of another process of this machine, which is so far ahead of the monotonic
-    /// one. Without this, times that pass between two processes would be read by the one's wall
-    /// clock and compared with the other's after a step. To be called before anything was timed by
-    /// it.
+    /// Adopts the offset of another process on this machine, so that both clocks read the same
+    /// time. With separate offsets, a step of the wall clock between the starts of the two
+    /// processes would make the times that they exchange incomparable. Call this before the clock
+    /// is used to time anything.
     pub fn set_offset(&self, offset: Nanos) {
         self.offset.set(offset);
     }
--- a/runtime/src/clock_tests.rs
+++ b/runtime/src/clock_tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the clock.
+//! Tests for the clock.
 
 use super::*;
 
 #[test]
-fn clones_are_one_clock_that_goes_by_the_wall_clock_or_by_that_of_another_process() {
+fn clones_share_an_offset_from_the_wall_clock_or_from_another_process() {
     let clock = Clock::start();
     let unix = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/runtime/src/descriptor_budget.rs
+++ b/runtime/src/descriptor_budget.rs
@@ -1,15 +1,15 @@
-//! The descriptor budget. Owns the count of open descriptors. Must never let new work use up the reserve: a
-//! client that the machine has accepted already still gets its answer from it.
+//! The descriptor budget, which counts and limits open descriptors. New work cannot use the
+//! reserve, so clients whose connections the kernel has already established can still be answered.
 
 use rustix::process::{getrlimit, setrlimit, Resource};
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Descriptors that are open from the start: standard streams, the poller, the signals' pairs and a little
-/// more.
+/// The number of descriptors that are open from the start: the standard streams, the poller, the
+/// socket pairs of the signals and a few more.
 const BASE_DESCRIPTORS: usize = 12;
 
-/// How many descriptors the program may have open, and has.
+/// The number of descriptors that are open and the number that may be open.
 pub struct DescriptorBudget {
     in_use: Rc<Cell<usize>>,
     limit: usize,
@@ -17,9 +17,9 @@
 }
 
 impl DescriptorBudget {
-    /// A budget of so many descriptors, or of what the system allows.
+    /// Creates a budget of `limit` descriptors, or of as many as the system allows if that is less.
     pub fn new(limit: usize) -> Self {
-        let limit = granted(limit);
+        let limit = raise_descriptor_limit(limit);
         DescriptorBudget {
             in_use: Rc::new(Cell::new(BASE_DESCRIPTORS)),
             limit: limit.max(2 * BASE_DESCRIPTORS),
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Sets so many descriptors aside for one part alone: the others can't use them up, nor it
-    /// theirs.
+    /// Sets `count` descriptors aside for one component and returns a separate budget for them:
+    /// neither that component nor the others can use up each other's descriptors.
     pub fn split_off(&self, count: usize) -> DescriptorBudget {
         self.in_use.set(self.in_use.get() + count);
         DescriptorBudget {
@@ -38,28 +38,28 @@
         }
     }
 
-    /// Whether so many more may be opened for new work.
+    /// Returns whether new work may open `count` more descriptors, which leaves the reserve unused.
     pub fn has_capacity(&self, count: usize) -> bool {
         self.in_use.get() + count + self.reserve <= self.limit
     }
 
-    /// Whether the reserve itself runs out.
+    /// Returns whether more than half of the reserve is in use.
     pub fn nearly_exhausted(&self) -> bool {
         self.in_use.get() + self.reserve / 2 > self.limit
     }
 
-    /// How many are open.
+    /// Returns the number of open descriptors, including those set aside for components.
     pub fn in_use(&self) -> usize {
         self.in_use.get()
     }
 
-    /// Whether no more may be opened, for whatever purpose.
+    /// Returns whether the limit is reached, so that no descriptor may be opened for any purpose.
     pub(crate) fn is_exhausted(&self) -> bool {
         self.in_use.get() >= self.limit
     }
 
-    /// Counts a descriptor that has been opened.
-    pub(crate) fn count_one(&self) -> CountedDescriptor {
+    /// Counts a descriptor as open until the returned guard is dropped.
+    pub(crate) fn count_descriptor(&self) -> CountedDescriptor {
         self.in_use.set(self.in_use.get() + 1);
         CountedDescriptor {
             in_use: Rc::clone(&self.in_use),
@@ -67,7 +67,7 @@
     }
 }
 
-/// A descriptor that counts as open until this is dropped.
+/// Guard that counts one descriptor as open until it is dropped.
 pub(crate) struct CountedDescriptor {
     in_use: Rc<Cell<usize>>,
 }
@@ -78,18 +78,19 @@
     }
 }
 
-/// How many descriptors the system lets the program have, of those it is to have.
-fn granted(limit: usize) -> usize {
-    let mut system = getrlimit(Resource::Nofile);
-    let wanted = system
+/// Raises the system's soft limit on open descriptors towards `limit`, as far as the hard limit
+/// allows, and returns how many of `limit` descriptors the program may open.
+fn raise_descriptor_limit(limit: usize) -> usize {
+    let mut rlimit = getrlimit(Resource::Nofile);
+    let wanted = rlimit
         .maximum
-        .map_or(limit as u64, |most| most.min(limit as u64));
-    if system.current.is_some_and(|now| now < wanted) {
-        // Where raising the limit is not allowed, what is there must do.
-        system.current = Some(wanted);
-        _ = setrlimit(Resource::Nofile, system);
+        .map_or(limit as u64, |hard_limit| hard_limit.min(limit as u64));
+    if rlimit.current.is_some_and(|soft_limit| soft_limit < wanted) {
+        // If the limit cannot be raised, the current one applies.
+        rlimit.current = Some(wanted);
+        _ = setrlimit(Resource::Nofile, rlimit);
     }
     getrlimit(Resource::Nofile)
         .current
-        .map_or(limit, |now| (now as usize).min(limit))
+        .map_or(limit, |soft_limit| (soft_limit as usize).min(limit))
 }
--- a/runtime/src/errors.rs
+++ b/runtime/src/errors.rs
@@ -1,7 +1,6 @@
-//! Whom a failed system call blames: one table for all callers. Owns which errors are a transient
-//! shortage of this machine, which say that a connection is over, and which blame the other end.
-//! Must never guess: what is not named here counts against the connection, or the peer that was
-//! called.
+//! Classifies the errors of system calls for all callers: which errors are a transient resource
+//! shortage of this machine, which end a connection and which are the peer's fault. Errors that are
+//! not listed here count as the end of the connection, or as the fault of the peer in a connect.
 
 use rustix::io::Errno;
 use std::thread;
@@ -10,38 +9,38 @@
 /// Why a call on an established connection failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IoFailure {
-    /// Nothing can be moved now; the poller tells when it can.
+    /// No bytes can be transferred now; the poller reports when they can.
     WouldBlock,
-    /// This machine was short of something. The connection stands; the poller may not tell when to
-    /// retry.
+    /// This machine lacked a resource. The connection remains established, but the poller may not
+    /// report when to retry.
     LocalResources,
-    /// The connection is over.
+    /// The connection has ended.
     Disconnected,
 }
 
-/// Why a connection to a peer could not be made.
+/// Why a connection to a peer could not be established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectFailure {
-    /// This machine was short of descriptors, memory or ports, or would not let the connection out.
+    /// This machine lacked descriptors, memory or ports, or does not permit the connection.
     LocalResources,
-    /// This machine knew no route: its own fault, or that of the way to this one peer.
+    /// There is no route to the peer: either this machine's network failed or only that route did.
     Route,
-    /// The peer refused, reset or was silent.
+    /// The peer refused or reset the connection, or did not respond.
     Peer,
 }
 
-/// Why no connection was accepted.
+/// Why accepting a connection failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// None waits.
+    /// No connection is pending.
     NoneWaiting,
-    /// This one was gone before it was accepted; others may wait.
+    /// The connection ended before it was accepted; others may be pending.
     AbortedConnection,
-    /// This machine was short of something; those that wait have to be accepted later.
+    /// This machine lacked a resource; the pending connections have to be accepted later.
     LocalResources,
 }
 
-/// Whether a call that failed so may succeed a moment later, with nothing else done.
+/// Returns whether a call that failed with `error` may succeed when it is merely repeated later.
 pub fn is_transient(error: Errno) -> bool {
     matches!(
         error,
@@ -65,7 +64,7 @@
     }
 }
 
-/// Classifies the error of a connect that failed at once, or of what it needs.
+/// Classifies the error of a connect that failed at once, or of creating the socket for it.
 pub fn classify_connect(error: Errno) -> ConnectFailure {
     match error {
         Errno::NETUNREACH | Errno::HOSTUNREACH | Errno::NETDOWN => ConnectFailure::Route,
@@ -75,8 +74,8 @@
     }
 }
 
-/// Classifies the error of an accept. Linux reports errors of the connection that would have been
-/// accepted.
+/// Classifies the error of an accept. On Linux, accept also returns pending network errors of the
+/// new connection, so errors that are not listed apply to that connection and not to the listener.
 pub fn classify_accept(error: Errno) -> AcceptFailure {
     match error {
         Errno::AGAIN => AcceptFailure::NoneWaiting,
@@ -85,14 +84,14 @@
     }
 }
 
-/// The pause between two attempts of [`retry_for`].
+/// The pause between attempts of [`retry_for`].
 const RETRY_PAUSE: Duration = Duration::from_millis(5);
 
-/// Retries what fails transiently, for at most this time. Blocks: for a process that has nothing
-/// else to do yet.
+/// Repeats `attempt` while it fails with a transient error, until `timeout` has passed. This blocks
+/// the thread, so it is meant for a process that has no other work yet.
 ///
 /// # Errors
-/// That of the last attempt.
+/// Returns the error of the last attempt.
 pub fn retry_for<T>(
     timeout: Duration,
     mut attempt: impl FnMut() -> Result<T, Errno>,
--- a/runtime/src/errors_tests.rs
+++ b/runtime/src/errors_tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the classification of errors.
+//! Tests for the classification of errors.
 
 use super::*;
 
 #[test]
-fn each_error_blames_one_side() {
+fn errors_are_classified_by_the_side_at_fault() {
     for error in [Errno::NOBUFS, Errno::NOMEM, Errno::NFILE, Errno::MFILE] {
         assert_eq!(classify_io(error), IoFailure::LocalResources);
         assert_eq!(classify_connect(error), ConnectFailure::LocalResources);
--- a/runtime/src/lib.rs
+++ b/runtime/src/lib.rs
@@ -1,7 +1,8 @@
-//! What every reedferry program is built on: the poller and its timers, sockets with their
-//! descriptor budget, the buffer pool, the clock, signals and the log. Owns descriptors, buffers
-//! and what is still to be logged. Must never know what flows through a socket, nor take any
-//! decision.
+//! The I/O layer of all reedferry programs: the poller and its timers, sockets and their descriptor
+//! budget, the buffer pool, the clock, signals and the log.
+//!
+//! This crate owns all descriptors, all buffers and the log lines that are not yet written. It does
+//! not interpret the bytes that pass through a socket and makes no placement decisions.
 
 pub mod channel;
 pub mod clock;
@@ -21,5 +22,5 @@
 pub use signals::Signal;
 pub use sockets::Socket;
 
-/// Time or a span of time in whole nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
--- a/runtime/src/log.rs
+++ b/runtime/src/log.rs
@@ -1,6 +1,6 @@
-//! The log. Owns what is still to be written to standard error. Must never hold up the loop: lines
-//! wait in a bounded backlog, are written only while the other end takes them, and are counted and
-//! dropped where it does not.
+//! The log, which writes to standard error without blocking the event loop. Lines wait in a bounded
+//! backlog and are written only while standard error accepts them. Lines that do not fit the
+//! backlog are dropped and counted.
 
 use crate::Nanos;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
@@ -10,10 +10,11 @@
 use std::sync::{Arc, Mutex};
 
 const SECOND: Nanos = 1_000_000_000;
-/// The most that waits; a line beyond it is dropped.
+/// The maximum size of the backlog; a line that would exceed it is dropped.
 const MAX_BACKLOG_BYTES: usize = 256 * 1024;
-/// What is written at once: a pipe that polls as writable takes this much.
-const WRITE_BYTES: usize = 4096;
+/// The maximum size of one write. A pipe that polls as writable accepts this many bytes without
+/// blocking.
+const MAX_WRITE_BYTES: usize = 4096;
 
 #[derive(Default)]
 struct Lines {
@@ -21,7 +22,7 @@
     dropped_lines: u64,
 }
 
-/// Lines of the log that are still to be written. Clones are one backlog.
+/// Log lines that are not yet written. Clones share one backlog.
 #[derive(Clone, Default)]
 pub struct LogBacklog(Arc<Mutex<Lines>>);
 
@@ -43,23 +44,23 @@
 }
 
 impl LogBacklog {
-    /// Writes what standard error takes without waiting.
+    /// Writes as many bytes as standard error accepts without blocking.
     pub fn drain(&self) {
         let Ok(mut lines) = self.0.lock() else { return };
         let stderr = io::stderr();
         while !lines.pending.is_empty() {
-            let mut polled = [PollFd::new(&stderr, PollFlags::OUT)];
-            let now = Timespec {
+            let mut poll_fds = [PollFd::new(&stderr, PollFlags::OUT)];
+            let no_wait = Timespec {
                 tv_sec: 0,
                 tv_nsec: 0,
             };
-            let ready = poll(&mut polled, Some(&now)).is_ok_and(|n| n > 0);
-            if !ready || !polled[0].revents().contains(PollFlags::OUT) {
+            let ready = poll(&mut poll_fds, Some(&no_wait)).is_ok_and(|n| n > 0);
+            if !ready || !poll_fds[0].revents().contains(PollFlags::OUT) {
                 return;
             }
             let (front, _) = lines.pending.as_slices();
-            let piece = &front[..front.len().min(WRITE_BYTES)];
-            let Ok(count) = stderr.lock().write(piece) else {
+            let chunk = &front[..front.len().min(MAX_WRITE_BYTES)];
+            let Ok(count) = stderr.lock().write(chunk) else {
                 return;
             };
             lines.pending.drain(..count);
@@ -72,8 +73,8 @@
     }
 }
 
-/// A limit on log lines of one kind, so that what happens thousands of times a second does not fill
-/// the log.
+/// A rate limit for log lines of one kind, so that events that occur thousands of times a second do
+/// not fill the log.
 #[derive(Debug)]
 pub struct LogRateLimit {
     max_lines_per_second: u32,
@@ -83,7 +84,7 @@
 }
 
 impl LogRateLimit {
-    /// Lets so many lines a second through.
+    /// Creates a limit of `max_lines_per_second` lines a second.
     pub fn new(max_lines_per_second: u32) -> Self {
         LogRateLimit {
             max_lines_per_second,
@@ -93,7 +94,8 @@
         }
     }
 
-    /// Whether one more line may be written in this second; one that may not is counted.
+    /// Returns whether another line may be written in the current second, and counts the line as
+    /// suppressed if not.
     pub fn allow(&mut self, now: Nanos) -> bool {
         if now >= self.second_start + SECOND {
             (self.second_start, self.lines) = (now, 0);
@@ -104,14 +106,16 @@
         allowed
     }
 
-    /// How many lines were suppressed, once their second is over.
+    /// Returns the number of suppressed lines and resets it, or `None` if no line was suppressed or
+    /// the second in which they were suppressed is not over.
     pub fn take_suppressed(&mut self, now: Nanos) -> Option<u64> {
         let second_over = self.suppressed > 0 && now >= self.second_start + SECOND;
         second_over.then(|| std::mem::take(&mut self.suppressed))
     }
 }
 
-/// The logger of a node, and the backlog that its loop drains once a turn.
+/// Returns the logger of a node, and the backlog that the node's event loop has to drain in each
+/// iteration.
 pub fn logger(node: &str) -> (Logger, LogBacklog) {
     let backlog = LogBacklog::default();
     let plain = slog_term::PlainDecorator::new(backlog.clone());
--- a/runtime/src/log_tests.rs
+++ b/runtime/src/log_tests.rs
@@ -1,25 +1,28 @@
-//! Tests of the log rate limit.
+//! Tests for the log rate limit.
 
 use super::*;
 
 #[test]
-fn a_limit_allows_so_many_lines_a_second_and_counts_the_rest() {
+fn rate_limit_allows_its_lines_per_second_and_counts_the_rest() {
     let mut limit = LogRateLimit::new(2);
-    let through = |limit: &mut LogRateLimit, now| (0..5).filter(|_| limit.allow(now)).count();
+    let count_allowed = |limit: &mut LogRateLimit, now| (0..5).filter(|_| limit.allow(now)).count();
     assert_eq!(
-        (through(&mut limit, SECOND), limit.take_suppressed(SECOND)),
+        (
+            count_allowed(&mut limit, SECOND),
+            limit.take_suppressed(SECOND)
+        ),
         (2, None)
     );
     assert_eq!(
         (
-            through(&mut limit, 2 * SECOND - 1),
+            count_allowed(&mut limit, 2 * SECOND - 1),
             limit.take_suppressed(2 * SECOND)
         ),
         (0, Some(8))
     );
     assert_eq!(
         (
-            through(&mut limit, 2 * SECOND),
+            count_allowed(&mut limit, 2 * SECOND),
             limit.take_suppressed(3 * SECOND)
         ),
         (2, Some(3))
--- a/runtime/src/poller.rs
+++ b/runtime/src/poller.rs
@@ -1,6 +1,6 @@
-//! The poller and the timers. Owns the epoll instance and the heap of timers. Must never know what
-//! a [`PollToken`] stands for: it carries tokens and gives them back. Sockets are watched
-//! edge-triggered, so whoever is told of one reads or writes until the kernel has no more.
+//! The poller, which owns the epoll instance and the heap of timers. It returns each [`PollToken`]
+//! as it was registered and does not interpret it. Sockets are watched edge-triggered, so a caller
+//! that learns of a ready socket has to read or write until the call would block.
 
 use crate::{clock, Nanos};
 use rustix::event::epoll::{self, CreateFlags, EventData, EventFlags};
@@ -9,15 +9,15 @@
 use std::collections::{BinaryHeap, HashMap};
 use std::os::fd::{AsFd, OwnedFd};
 
-/// Whose socket it is. The generation prevents an event of a closed socket from meeting the next
-/// one in its slot.
+/// Identifies the owner of a socket or timer. The generation prevents an event of a closed socket
+/// from being attributed to the next socket in the same slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PollToken {
-    /// A part of the program.
+    /// The component of the program that owns the socket or timer.
     pub component: u8,
-    /// A slot of that part; 24 bits of it are kept.
+    /// A slot of that component. The slot of a socket has to fit in 24 bits.
     pub slot: u32,
-    /// A number that no later holder of the slot has.
+    /// A number that differs from those of all later occupants of the slot.
     pub generation: u32,
 }
 
@@ -25,7 +25,7 @@
     .union(EventFlags::OUT)
     .union(EventFlags::RDHUP)
     .union(EventFlags::ET);
-/// How many bits of a slot pass through the kernel.
+/// The number of bits of a slot that are kept in the event data of epoll.
 const SLOT_BITS: u32 = 24;
 
 impl PollToken {
@@ -33,74 +33,74 @@
         u64::from(self.component) << 56 | u64::from(self.slot) << 32 | u64::from(self.generation)
     }
 
-    fn from_bits(word: u64) -> Self {
+    fn from_bits(bits: u64) -> Self {
         PollToken {
-            component: (word >> 56) as u8,
-            slot: (word >> 32) as u32 & ((1 << SLOT_BITS) - 1),
-            generation: word as u32,
+            component: (bits >> 56) as u8,
+            slot: (bits >> 32) as u32 & ((1 << SLOT_BITS) - 1),
+            generation: bits as u32,
         }
     }
 }
 
-/// What has become possible on a socket.
+/// The operations for which a socket has become ready.
 #[derive(Clone, Copy, Debug)]
 pub struct Readiness {
-    /// Whose socket it is.
+    /// The token under which the socket is registered.
     pub token: PollToken,
-    /// It can be read, or has ended.
+    /// Whether the socket can be read, was closed by the peer or is broken.
     pub readable: bool,
-    /// It can be written, or is broken.
+    /// Whether the socket can be written or is broken.
     pub writable: bool,
 }
 
-/// Puts what is ready now behind what was left from before, each socket once, in the order in which
-/// it was first reported. Without merging, the list of those left would grow with each turn of a
-/// program that is behind.
-pub fn merge_readiness(left_over: Vec<Readiness>, now: Vec<Readiness>) -> Vec<Readiness> {
+/// Appends newly ready sockets to those left over from the previous iteration. Each socket appears
+/// once, in the order of its first report. Without merging, the list would grow with each iteration
+/// of a program that cannot keep up.
+pub fn merge_readiness(left_over: Vec<Readiness>, ready_now: Vec<Readiness>) -> Vec<Readiness> {
     if left_over.is_empty() {
-        return now;
+        return ready_now;
     }
     let mut positions: HashMap<PollToken, usize> = HashMap::new();
-    let mut merged: Vec<Readiness> = Vec::with_capacity(left_over.len() + now.len());
-    for one in left_over.into_iter().chain(now) {
-        let position = *positions.entry(one.token).or_insert(merged.len());
+    let mut merged: Vec<Readiness> = Vec::with_capacity(left_over.len() + ready_now.len());
+    for readiness in left_over.into_iter().chain(ready_now) {
+        let position = *positions.entry(readiness.token).or_insert(merged.len());
         match merged.get_mut(position) {
-            Some(known) => {
-                (known.readable, known.writable) = (
-                    known.readable || one.readable,
-                    known.writable || one.writable,
+            Some(earlier) => {
+                (earlier.readable, earlier.writable) = (
+                    earlier.readable || readiness.readable,
+                    earlier.writable || readiness.writable,
                 );
             }
-            None => merged.push(one),
+            None => merged.push(readiness),
         }
     }
     merged
 }
 
-/// A timer. The order of the fields is the order of expiry.
+/// A timer. Timers expire in the order of the fields: by time, then by sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
     time: Nanos,
-    /// Grows with each timer that is set.
+    /// Increases with each timer that is set.
     sequence: u64,
     token: PollToken,
-    word: u64,
+    data: u64,
 }
 
-/// Sockets and timers that are waited for.
+/// Waits for the readiness of sockets and the expiry of timers.
 pub struct Poller {
     epoll: OwnedFd,
     events: Vec<epoll::Event>,
     timers: BinaryHeap<Reverse<Timer>>,
-    /// How many timers have been set.
+    /// The number of timers set so far.
     timers_set: u64,
 }
 
 impl Poller {
-    /// A poller with nothing to wait for.
+    /// Creates a poller without sockets or timers.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the system call.
     pub fn new() -> Result<Self, Errno> {
         let epoll = epoll::create(CreateFlags::CLOEXEC)?;
         Ok(Poller {
@@ -114,7 +114,7 @@
     /// Watches a socket until it is closed.
     ///
     /// # Errors
-    /// Those of the system; `EXIST` where it is watched already.
+    /// Returns `EXIST` if the socket is already watched, or another error of the system call.
     pub fn register(&self, socket: &impl AsFd, token: PollToken) -> Result<(), Errno> {
         epoll::add(
             &self.epoll,
@@ -124,10 +124,10 @@
         )
     }
 
-    /// Watches a socket under this token, whether or not it was watched before.
+    /// Watches a socket under `token`, whether or not it is already watched.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the system call.
     pub fn register_or_update(&self, socket: &impl AsFd, token: PollToken) -> Result<(), Errno> {
         match self.register(socket, token) {
             Err(Errno::EXIST) => self.update_registration(socket, token),
@@ -135,10 +135,11 @@
         }
     }
 
-    /// Watches a socket under another token from now on, and reports afresh what it is ready for.
+    /// Changes the token of a watched socket to `token` and reports the socket's current readiness
+    /// again.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the system call.
     pub fn update_registration(&self, socket: &impl AsFd, token: PollToken) -> Result<(), Errno> {
         epoll::modify(
             &self.epoll,
@@ -148,45 +149,49 @@
         )
     }
 
-    /// Watches a socket no longer. Without this, a listener that another process has open too would
-    /// be reported for ever after it was closed here.
+    /// Stops watching a socket. Without this call, a listener that another process also holds open
+    /// would still be reported after it is closed here.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the system call.
     pub fn deregister(&self, socket: &impl AsFd) -> Result<(), Errno> {
         epoll::delete(&self.epoll, socket)
     }
 
-    /// Has `token` come back with `word` at `time`. Timers of the same time come back in the order
-    /// in which they were set.
-    pub fn set_timer(&mut self, time: Nanos, token: PollToken, word: u64) {
+    /// Sets a timer that expires at `time` and returns `token` and `data` from
+    /// [`Poller::pop_expired`]. Timers with the same time expire in the order in which they were
+    /// set.
+    pub fn set_timer(&mut self, time: Nanos, token: PollToken, data: u64) {
         self.timers_set += 1;
         self.timers.push(Reverse(Timer {
             time,
             sequence: self.timers_set,
             token,
-            word,
+            data,
         }));
     }
 
-    /// When the first timer expires.
+    /// Returns the time at which the next timer expires, or `None` if no timer is set.
     pub fn next_deadline(&self) -> Option<Nanos> {
         self.timers.peek().map(|Reverse(timer)| timer.time)
     }
 
-    /// The next timer that has expired at `now`.
+    /// Removes the next timer whose time is `now` or earlier and returns its token and data, or
+    /// `None` if no timer has expired.
     pub fn pop_expired(&mut self, now: Nanos) -> Option<(PollToken, u64)> {
         if self.next_deadline()? > now {
             return None;
         }
         let Reverse(timer) = self.timers.pop()?;
-        Some((timer.token, timer.word))
+        Some((timer.token, timer.data))
     }
 
-    /// Waits until something is ready or a timer expires, or not at all, and appends what is ready.
+    /// Waits until a socket is ready or the next timer expires, and appends the ready sockets to
+    /// `into`. If `without_waiting` is set, appends those that are ready now and returns at once.
+    /// A signal may end the wait early.
     ///
     /// # Errors
-    /// Those of the system, but for interruptions.
+    /// Returns the error of the system call, except for interruptions.
     pub fn wait(
         &mut self,
         now: Nanos,
--- a/runtime/src/poller_tests.rs
+++ b/runtime/src/poller_tests.rs
@@ -1,10 +1,10 @@
-//! Tests of the poller and its timers.
+//! Tests for the poller and its timers.
 
 use super::*;
 
 #[test]
-fn what_was_left_over_goes_first_and_each_socket_appears_once() {
-    let one = |slot, read, write| Readiness {
+fn left_over_sockets_come_first_and_each_socket_appears_once() {
+    let readiness = |slot, read, write| Readiness {
         token: PollToken {
             component: 4,
             slot,
@@ -13,10 +13,14 @@
         readable: read,
         writable: write,
     };
-    let left = vec![one(7, true, false), one(2, false, true)];
+    let left = vec![readiness(7, true, false), readiness(2, false, true)];
     let merged = merge_readiness(
         left,
-        vec![one(2, true, false), one(5, true, false), one(7, true, true)],
+        vec![
+            readiness(2, true, false),
+            readiness(5, true, false),
+            readiness(7, true, true),
+        ],
     );
     let all: Vec<(u32, bool, bool)> = merged
         .iter()
@@ -26,7 +30,7 @@
 }
 
 #[test]
-fn tokens_come_back_whole_and_timers_in_order() {
+fn tokens_are_returned_unchanged_and_timers_expire_in_order() {
     let token = PollToken {
         component: 3,
         slot: 0xab_cdef,
@@ -34,11 +38,11 @@
     };
     assert_eq!(PollToken::from_bits(token.to_bits()), token);
     let mut poller = Poller::new().unwrap();
-    for (time, word) in [(20, 1), (10, 2), (20, 3)] {
-        poller.set_timer(time, token, word);
+    for (time, data) in [(20, 1), (10, 2), (20, 3)] {
+        poller.set_timer(time, token, data);
     }
     let all: Vec<u64> = std::iter::from_fn(|| poller.pop_expired(20))
-        .map(|(_, word)| word)
+        .map(|(_, data)| data)
         .collect();
     assert_eq!(all, [2, 1, 3]);
     assert!(poller.pop_expired(u64::MAX).is_none());
--- a/runtime/src/pool.rs
+++ b/runtime/src/pool.rs
@@ -1,27 +1,27 @@
-//! The buffer pool. Owns every buffer of the program: all have one size, and what is given back is
-//! used again. A buffer goes back in one place, when it is dropped. The pool must never hold more
-//! than its share of the memory limit; where it is empty the caller waits, so a slow peer holds up
-//! only itself.
+//! The buffer pool, which owns all buffers of the program. All buffers have the same size and
+//! return to the pool for reuse when they are dropped. The number of buffers is limited so that the
+//! pool stays within its share of the memory limit. A caller that finds the pool empty has to wait,
+//! so a slow peer delays only its own connection.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The size of a buffer: twice the longest line, so that a whole line always fits beside the rest
-/// of another.
+/// The size of a buffer, in bytes: twice that of the longest line, so that a whole line always fits
+/// behind the rest of another.
 pub const BUFFER_BYTES: usize = 8192;
 
 struct FreeList {
     free: Vec<Box<[u8]>>,
-    /// How many more may be allocated.
+    /// The number of buffers that may still be allocated.
     allocatable: usize,
 }
 
-/// The buffers that may be taken. Clones are one pool.
+/// A pool of buffers. Clones share the same buffers.
 #[derive(Clone)]
 pub struct BufferPool(Rc<RefCell<FreeList>>);
 
 impl BufferPool {
-    /// A pool of at most so many buffers, none of which is allocated yet.
+    /// Creates a pool of at most `max_buffers` buffers, each allocated when it is first needed.
     pub fn new(max_buffers: usize) -> Self {
         BufferPool(Rc::new(RefCell::new(FreeList {
             free: Vec::new(),
@@ -29,7 +29,7 @@
         })))
     }
 
-    /// A buffer, unless all are in use.
+    /// Returns an empty buffer, or `None` if all buffers are in use.
     pub fn take(&self) -> Option<Buffer> {
         let mut free_list = self.0.borrow_mut();
         let bytes = match free_list.free.pop() {
@@ -47,8 +47,8 @@
         })
     }
 
-    /// A buffer, allocated beyond the limit where that is reached. For final answers: there are no
-    /// more of these than connections.
+    /// Returns an empty buffer and allocates it beyond the limit if all buffers are in use. This is
+    /// meant for final answers, of which there are no more than connections.
     pub fn take_beyond_limit(&self) -> Buffer {
         self.take().unwrap_or_else(|| {
             let bytes = vec![0; BUFFER_BYTES].into_boxed_slice();
@@ -61,14 +61,14 @@
         })
     }
 
-    /// How many may still be taken.
+    /// Returns the number of buffers that can still be taken within the limit.
     pub fn available(&self) -> usize {
         let free_list = self.0.borrow();
         free_list.free.len() + free_list.allocatable
     }
 }
 
-/// Bytes on their way: filled at one end, emptied at the other.
+/// A buffer for bytes in transit: they are appended at the end and consumed from the front.
 pub struct Buffer {
     bytes: Box<[u8]>,
     start: usize,
@@ -77,17 +77,17 @@
 }
 
 impl Buffer {
-    /// The bytes that wait.
+    /// Returns the bytes that were written and not yet consumed.
     pub fn unsent(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
-    /// Whether none wait.
+    /// Returns whether there are no unsent bytes.
     pub fn is_empty(&self) -> bool {
         self.start == self.end
     }
 
-    /// Where more bytes may be put; followed by [`Buffer::commit`].
+    /// Returns the space for more bytes. After writing there, call [`Buffer::commit`].
     pub fn free_space(&mut self) -> &mut [u8] {
         if self.is_empty() {
             (self.start, self.end) = (0, 0);
@@ -95,22 +95,23 @@
         &mut self.bytes[self.end..]
     }
 
-    /// So many bytes were put into the free space.
+    /// Adds the first `count` bytes of the free space to the unsent bytes.
     pub fn commit(&mut self, count: usize) {
         self.end = (self.end + count).min(BUFFER_BYTES);
     }
 
-    /// So many bytes of those that wait are done with.
+    /// Removes the first `count` unsent bytes.
     pub fn consume(&mut self, count: usize) {
         self.start = (self.start + count).min(self.end);
     }
 
-    /// Drops all bytes that wait.
+    /// Discards all unsent bytes.
     pub fn clear(&mut self) {
         (self.start, self.end) = (0, 0);
     }
 
-    /// Puts `bytes` behind what waits; false, and nothing put, where they do not fit.
+    /// Appends `bytes` to the unsent bytes and returns `true`. If they do not fit, appends nothing
+    /// and returns `false`.
     pub fn append(&mut self, bytes: &[u8]) -> bool {
         let fits = self.free_space().len() >= bytes.len();
         if fits {
--- a/runtime/src/pool_tests.rs
+++ b/runtime/src/pool_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the buffer pool.
+//! Tests for the buffer pool.
 
 use super::*;
 
@@ -12,9 +12,9 @@
     assert_eq!(buffer.unsent(), b"b");
     drop(buffer);
     assert!(pool.take().unwrap().is_empty() && pool.available() == 1);
-    let _all = pool.take().unwrap();
+    let _last = pool.take().unwrap();
     assert!(
         pool.take_beyond_limit().append(b"ERR") && pool.available() == 1,
-        "kept once it was allocated"
+        "a buffer beyond the limit stays in the pool after it is dropped"
     );
 }
--- a/runtime/src/signals.rs
+++ b/runtime/src/signals.rs
@@ -1,6 +1,5 @@
-//! Signals as something to poll for. Owns a flag for each signal, and the pair of sockets that
-//! wakes the poller. Must never do anything in the signal handler but raise the flag and write one
-//! byte.
+//! Signals that wake the poller. Each signal has a flag and a pair of sockets. The signal handler
+//! only sets the flag and writes one byte to the pair.
 
 use crate::errors::retry_for;
 use rustix::io::Errno;
@@ -14,15 +13,15 @@
 
 pub use signal_hook::consts::{SIGHUP, SIGTERM};
 
-/// For how long a start waits for a pair of sockets.
-const START_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long creating a socket pair is retried while the system lacks resources.
+const SOCKET_PAIR_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a signal can't be handled.
+/// Why a signal handler could not be registered.
 #[derive(Debug)]
 pub enum SignalError {
-    /// The system gives no pair of sockets.
+    /// The socket pair that wakes the poller could not be created.
     SocketPair(Errno),
-    /// The handler can't be set up.
+    /// The handler could not be installed.
     Handler(io::Error),
 }
 
@@ -30,46 +29,52 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             SignalError::SocketPair(error) => {
-                write!(formatter, "cannot make a pair of sockets: {error}")
+                write!(
+                    formatter,
+                    "cannot create a socket pair for a signal handler: {error}"
+                )
+            }
+            SignalError::Handler(error) => {
+                write!(formatter, "cannot install a signal handler: {error}")
             }
-            SignalError::Handler(error) => write!(formatter, "cannot set up signals: {error}"),
         }
     }
 }
 
 impl std::error::Error for SignalError {}
 
-/// A signal that is handled from now on.
+/// A registered signal.
 pub struct Signal {
     raised: Arc<AtomicBool>,
     wake_receiver: UnixStream,
 }
 
 impl Signal {
-    /// Handles a signal.
+    /// Registers a handler for the signal with number `signal`.
     ///
     /// # Errors
-    /// Where the system lets the program have no pair of sockets or no handler.
-    pub fn register(which: i32) -> Result<Signal, SignalError> {
-        let pair = || UnixStream::pair().map_err(|e| Errno::from_io_error(&e).unwrap_or(Errno::IO));
+    /// Returns an error if the socket pair cannot be created or the handler cannot be installed.
+    pub fn register(signal: i32) -> Result<Signal, SignalError> {
+        let create_pair =
+            || UnixStream::pair().map_err(|e| Errno::from_io_error(&e).unwrap_or(Errno::IO));
         let (wake_receiver, wake_sender) =
-            retry_for(START_TIMEOUT, pair).map_err(SignalError::SocketPair)?;
+            retry_for(SOCKET_PAIR_TIMEOUT, create_pair).map_err(SignalError::SocketPair)?;
         wake_receiver
             .set_nonblocking(true)
             .map_err(SignalError::Handler)?;
         let raised = Arc::new(AtomicBool::new(false));
-        // The flag first: whoever is woken finds it raised.
-        signal_hook::flag::register(which, raised.clone()).map_err(SignalError::Handler)?;
-        signal_hook::low_level::pipe::register(which, wake_sender).map_err(SignalError::Handler)?;
+        // Handlers run in the order of registration: the flag is set before the poller wakes.
+        signal_hook::flag::register(signal, raised.clone()).map_err(SignalError::Handler)?;
+        signal_hook::low_level::pipe::register(signal, wake_sender)
+            .map_err(SignalError::Handler)?;
         Ok(Signal {
             raised,
             wake_receiver,
         })
     }
 
-    /// Whether the signal came since this was last called. To be called at any time, whatever the
-    /// poller reports: without that, a signal would be missed whose byte could not be written or
-    /// read.
+    /// Returns whether the signal has arrived since the last call. Call this regardless of what the
+    /// poller reports: otherwise a signal whose byte could not be written or read would be missed.
     pub fn take(&self) -> bool {
         if !self.raised.swap(false, Ordering::SeqCst) {
             return false;
--- a/runtime/src/sockets.rs
+++ b/runtime/src/sockets.rs
@@ -1,5 +1,5 @@
-//! Sockets. A [`Socket`] is counted by the [`DescriptorBudget`] when it is opened, and given back in one
-//! place, when it is dropped.
+//! Non-blocking sockets. The [`DescriptorBudget`] counts each [`Socket`] from when it is opened
+//! until it is dropped.
 
 use crate::descriptor_budget::CountedDescriptor;
 use crate::{clock, DescriptorBudget, Nanos};
@@ -15,11 +15,11 @@
 const LISTEN_BACKLOG: i32 = 4096;
 
 impl DescriptorBudget {
-    /// Counts a socket that has been opened.
+    /// Counts an open descriptor and wraps it in a [`Socket`].
     pub(crate) fn track(&self, fd: OwnedFd) -> Socket {
         Socket {
             fd,
-            _counted: self.count_one(),
+            _guard: self.count_descriptor(),
         }
     }
 
@@ -36,20 +36,20 @@
         Ok(self.track(net::socket_with(family, kind, flags, None)?))
     }
 
-    /// A socket for datagrams that come to this address and leave from it.
+    /// Opens a datagram socket that receives and sends on `address`.
     ///
     /// # Errors
-    /// Those of the system; `MFILE` where the budget is used up.
+    /// Returns `MFILE` if the budget is exhausted, or the error of the system call.
     pub fn bind_datagram(&self, address: &SocketAddr) -> Result<Socket, Errno> {
         let socket = self.socket(address, SocketType::DGRAM)?;
         net::bind(&socket, address)?;
         Ok(socket)
     }
 
-    /// A listener at this address.
+    /// Opens a listener on `address`.
     ///
     /// # Errors
-    /// Those of the system; `MFILE` where the budget is used up.
+    /// Returns `MFILE` if the budget is exhausted, or the error of the system call.
     pub fn listen(&self, address: &SocketAddr) -> Result<Socket, Errno> {
         let socket = self.socket(address, SocketType::STREAM)?;
         sockopt::set_socket_reuseaddr(&socket, true)?;
@@ -58,20 +58,21 @@
         Ok(socket)
     }
 
-    /// A listener that whoever started the program holds open, as this descriptor. It is never shut
-    /// down here: it is one open file for all processes that have it, its waiting connections
-    /// theirs together.
+    /// Duplicates a listener that the program inherited from its parent as the descriptor with this
+    /// number. The program never shuts the listener down, because all processes that have it open
+    /// share one open file and its pending connections.
     ///
     /// # Errors
-    /// Where the descriptor is not open, or no listener.
+    /// Returns an error if the descriptor is not open or not a listener, or if the budget is
+    /// exhausted.
     pub fn inherit_listener(&self, number: i32) -> Result<Socket, Errno> {
-        // No descriptor that the program has opened itself may be meant: a listener is none of
-        // those.
+        // A number that belongs to a descriptor which the program itself has opened is rejected by
+        // the check for a listener below, because none of these is one.
         if self.is_exhausted() || number < 0 {
             return Err(Errno::BADF);
         }
-        // SAFETY: the borrow ends in this function, in which nothing closes a descriptor; what is not open
-        // is an error of the first call.
+        // SAFETY: the borrow ends in this function, which closes no descriptor. If no descriptor
+        // with this number is open, the first call returns an error.
         let borrowed = unsafe { BorrowedFd::borrow_raw(number) };
         let fd = rustix::io::fcntl_dupfd_cloexec(borrowed, 0)?;
         if !sockopt::socket_acceptconn(&fd)? {
@@ -81,10 +82,10 @@
         Ok(self.track(fd))
     }
 
-    /// The next connection that waits to be accepted.
+    /// Accepts the next pending connection.
     ///
     /// # Errors
-    /// Those of the system; `MFILE` where the budget is used up.
+    /// Returns `MFILE` if the budget is exhausted, or the error of the system call.
     pub fn accept(&self, listener: &Socket) -> Result<Socket, Errno> {
         if self.is_exhausted() {
             return Err(Errno::MFILE);
@@ -95,10 +96,11 @@
         Ok(socket)
     }
 
-    /// A connection on its way, and whether it is established already.
+    /// Starts to connect to `address`. Returns the socket and whether the connection is already
+    /// established.
     ///
     /// # Errors
-    /// Those of the system; `MFILE` where the budget is used up.
+    /// Returns `MFILE` if the budget is exhausted, or the error of the system call.
     pub fn connect(&self, address: &SocketAddr) -> Result<(Socket, bool), Errno> {
         let socket = self.socket(address, SocketType::STREAM)?;
         socket.set_options();
@@ -110,29 +112,29 @@
     }
 }
 
-/// An open socket, which is counted.
+/// An open socket that is counted by a [`DescriptorBudget`].
 pub struct Socket {
     fd: OwnedFd,
-    _counted: CountedDescriptor,
+    _guard: CountedDescriptor,
 }
 
 impl Socket {
-    /// Sets what is usual for a connection.
+    /// Disables Nagle's algorithm and enables keepalive probes.
     fn set_options(&self) {
-        // Neither matters enough to refuse a connection over it.
+        // The connection works without these options, so errors are ignored.
         let _ = sockopt::set_tcp_nodelay(self, true);
         let _ = sockopt::set_socket_keepalive(self, true);
     }
 
-    /// The address that it is bound to.
+    /// Returns the address to which the socket is bound, or `None` if it has no IP address.
     pub fn local_address(&self) -> Option<SocketAddr> {
         net::getsockname(self).ok().and_then(|a| a.try_into().ok())
     }
 
-    /// Receives what has arrived; 0 is the end.
+    /// Receives bytes that have arrived and returns their number; 0 means the end of the stream.
     ///
     /// # Errors
-    /// Those of the system, but for interruptions.
+    /// Returns the error of the system call, except for interruptions.
     pub fn receive(&self, into: &mut [u8]) -> Result<usize, Errno> {
         loop {
             match net::recv(self, &mut *into, RecvFlags::empty()) {
@@ -142,10 +144,11 @@
         }
     }
 
-    /// Receives as much as `space` holds and discards it; nothing is put there.
+    /// Discards at most as many received bytes as `space` holds, without writing to it, and returns
+    /// their number; 0 means the end of the stream.
     ///
     /// # Errors
-    /// Those of the system, but for interruptions.
+    /// Returns the error of the system call, except for interruptions.
     pub fn discard(&self, space: &mut [u8]) -> Result<usize, Errno> {
         loop {
             match net::recv(self, &mut *space, RecvFlags::TRUNC) {
@@ -155,10 +158,10 @@
         }
     }
 
-    /// Sends what the connection takes.
+    /// Sends as many bytes as the connection accepts and returns their number.
     ///
     /// # Errors
-    /// Those of the system, but for interruptions.
+    /// Returns the error of the system call, except for interruptions.
     pub fn send(&self, bytes: &[u8]) -> Result<usize, Errno> {
         loop {
             match net::send(self, bytes, SendFlags::NOSIGNAL) {
@@ -168,19 +171,19 @@
         }
     }
 
-    /// Sends one datagram, or not.
+    /// Sends `bytes` as one datagram and returns their number.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the system call.
     pub fn send_to(&self, bytes: &[u8], to: &SocketAddr) -> Result<usize, Errno> {
         net::sendto(self, bytes, SendFlags::NOSIGNAL, to)
     }
 
-    /// The next datagram: its whole length, of which no more than fits is put there, and its
-    /// sender.
+    /// Receives the next datagram into `into`, which takes as many of its bytes as fit. Returns the
+    /// datagram's full length and its sender, or `None` for a sender without an IP address.
     ///
     /// # Errors
-    /// Those of the system, but for interruptions.
+    /// Returns the error of the system call, except for interruptions.
     pub fn receive_from(&self, into: &mut [u8]) -> Result<(usize, Option<SocketAddr>), Errno> {
         loop {
             match net::recvfrom(self, &mut *into, RecvFlags::TRUNC) {
@@ -193,38 +196,40 @@
         }
     }
 
-    /// Waits until something can be read from it, for a process that has nothing else to do yet.
+    /// Blocks until the socket is readable, for at most `timeout`, and returns whether it may be
+    /// readable; an interruption also returns `true`. This is meant for a process that has no other
+    /// work yet.
     pub fn wait_readable(&self, timeout: Nanos) -> bool {
-        let mut polled = [PollFd::new(self, PollFlags::IN)];
-        let ready = poll(&mut polled, Some(&clock::timespec(timeout)));
+        let mut poll_fds = [PollFd::new(self, PollFlags::IN)];
+        let ready = poll(&mut poll_fds, Some(&clock::timespec(timeout)));
         matches!(ready, Ok(1..) | Err(Errno::INTR))
     }
 
-    /// Whether the connection is established, whatever the poller has reported so far.
+    /// Returns whether the connection is established, regardless of what the poller has reported.
     pub fn is_connected(&self) -> bool {
         net::getpeername(self).is_ok_and(|peer| peer.is_some())
     }
 
-    /// How the connect went.
+    /// Returns the result of a connect that was in progress.
     ///
     /// # Errors
-    /// That of the connect.
+    /// Returns the error of the connect.
     pub fn connect_result(&self) -> Result<(), Errno> {
         sockopt::socket_error(self)?
     }
 
-    /// Ends the sending; the other side can still send.
+    /// Shuts down the sending direction; the peer can still send.
     pub fn shutdown_write(&self) {
         let _ = net::shutdown(self, Shutdown::Write);
     }
 
-    /// Receives nothing that is sent from now on: on a channel of this machine each later message
-    /// fails at its sender, and what came before can still be read.
+    /// Shuts down the receiving direction. On a Unix socket, the peer's later messages fail at the
+    /// sender, and messages that arrived before can still be received.
     pub fn shutdown_read(&self) {
         let _ = net::shutdown(self, Shutdown::Read);
     }
 
-    /// Ends the connection by a reset instead of an orderly end.
+    /// Closes the connection with a reset instead of an orderly shutdown.
     pub fn reset(self) {
         let _ = sockopt::set_socket_linger(&self, Some(Duration::ZERO));
     }
