--- a/adapter/src/batch.rs
+++ b/adapter/src/batch.rs
@@ -1,4 +1,5 @@
-//! Batches of events: a header, records of a fixed size, and a tail that records point into.
+//! Decodes batches of events. A batch consists of a header, records of a fixed size and a tail that
+//! holds the data of variable length to which records refer.
 
 use crate::error::{AdapterError, RecordError};
 use crate::fields::{
@@ -15,12 +16,14 @@
 pub(crate) const RECORD_BYTES: usize = 56;
 /// The size of an entry of an endpoint list, in bytes.
 const ENDPOINT_BYTES: usize = 24;
-/// Marks of a request: its load is known; it arrives in mid-stream.
-const LOAD_IS_KNOWN: u16 = 1;
-const MID_STREAM: u16 = 8;
-/// The bench counts work a second in milliseconds, the module in cores.
+/// The flag of a request whose load is known.
+const LOAD_KNOWN_FLAG: u16 = 1;
+/// The flag of a request that arrives in the middle of its stream.
+const MID_STREAM_FLAG: u16 = 8;
+/// The load of a request is given in milliseconds of work per second, and the decision module
+/// expects cores.
 const LOAD_UNITS_PER_CORE: f64 = 1e3;
-/// The bench measures load in millionths of a core.
+/// Measured load is given in millionths of a core.
 const MEASURED_UNITS_PER_CORE: f64 = 1e6;
 
 /// The header of a batch.
@@ -28,11 +31,11 @@
 pub struct Header {
     /// The batch's number.
     pub batch: u32,
-    /// The bench's clock.
+    /// The time of the simulator's clock.
     pub now: Nanos,
-    /// Bytes of the body that follows.
+    /// The size of the body that follows the header, in bytes.
     pub body_bytes: usize,
-    /// Records in that body.
+    /// The number of records in the body.
     pub records: usize,
 }
 
@@ -40,7 +43,7 @@
     /// Decodes a header.
     ///
     /// # Errors
-    /// [`AdapterError::InvalidClock`] where its clock is no time.
+    /// Returns [`AdapterError::InvalidClock`] if the clock is negative or not finite.
     pub fn decode(bytes: &[u8; HEADER_BYTES]) -> Result<Self, AdapterError> {
         let batch = u32_at(bytes, 0);
         let clock = f64_at(bytes, 4);
@@ -56,21 +59,21 @@
     }
 }
 
-/// What a record asks for.
+/// The operation that a record requests.
 #[derive(Debug)]
 pub enum Command<'a> {
-    /// Starts an instance of the module.
+    /// Starts an instance of the decision module.
     Start {
-        /// The seed of its random choices.
+        /// The seed of the instance's random numbers.
         seed: u64,
-        /// Its settings, as JSON.
+        /// The settings of the instance, as JSON.
         settings: &'a [u8],
     },
-    /// Ends an instance.
+    /// Stops an instance.
     Stop,
-    /// Hands an event to an instance.
+    /// Passes an event to an instance.
     Event(Event),
-    /// Nothing that the module knows.
+    /// Does nothing: the record holds a measurement that the decision module does not use.
     Ignore,
 }
 
@@ -82,10 +85,10 @@
 }
 
 impl<'a> Batch<'a> {
-    /// Divides the body of a batch into its records and its tail.
+    /// Splits the body of a batch into its records and its tail.
     ///
     /// # Errors
-    /// [`AdapterError::TooManyRecords`] where the body is too short for its records.
+    /// Returns [`AdapterError::TooManyRecords`] if the body is too short for its records.
     pub fn new(number: u32, records: usize, body: &'a [u8]) -> Result<Self, AdapterError> {
         let needed = records.saturating_mul(RECORD_BYTES);
         let Some((records, tail)) = body.split_at_checked(needed) else {
@@ -103,12 +106,12 @@
         })
     }
 
-    /// How many records there are.
+    /// Returns the number of records.
     pub fn len(&self) -> usize {
         self.records.len() / RECORD_BYTES
     }
 
-    /// An error of the record with this index.
+    /// Returns `error` together with the number of the batch and the index of the record.
     pub fn record_error(&self, index: usize, error: RecordError) -> AdapterError {
         AdapterError::Record {
             batch: self.number,
@@ -117,10 +120,10 @@
         }
     }
 
-    /// The instance that a record is for, and what it asks for.
+    /// Decodes a record and returns the number of its instance and the requested operation.
     ///
     /// # Errors
-    /// [`AdapterError::Record`] where the record is malformed.
+    /// Returns [`AdapterError::Record`] if the record is malformed.
     pub fn command(&self, index: usize) -> Result<(u32, Command<'a>), AdapterError> {
         let record = &self.records[index * RECORD_BYTES..(index + 1) * RECORD_BYTES];
         let command = self
@@ -138,8 +141,8 @@
                     settings: self.tail_at(record, 13, 1)?,
                 })
             }
-            1 => self.endpoints_updated(record)?,
-            2 => Event::RequestArrived(incoming_request(record)),
+            1 => self.decode_endpoints_updated(record)?,
+            2 => Event::RequestArrived(decode_request(record)),
             3 => Event::ConnectionEstablished {
                 id,
                 took: nanos(f64_at(record, 16)),
@@ -149,7 +152,7 @@
                 attempt: u32::from(record[25]),
                 host: host_at(record, 17),
                 request_over: record[23] != 0,
-                ending: outcome(record[24])?,
+                ending: decode_outcome(record[24])?,
                 load_metrics: load_metrics_at(record, 26),
             },
             5 => Event::ClientLeft { id },
@@ -158,15 +161,15 @@
             },
             7 => Event::ProbeEnded {
                 host: host_at(record, 14),
-                ending: outcome(record[13])?,
+                ending: decode_outcome(record[13])?,
                 load_metrics: load_metrics_at(record, 20),
             },
             8 => Event::GossipReceived {
                 message: self.tail_at(record, 7, 1)?.to_vec(),
             },
             9 => return Ok(Command::Stop),
-            10 => Event::ConnectionFound(incoming_request(record), host_at(record, 46)),
-            11 => match measurement(record, id) {
+            10 => Event::ConnectionFound(decode_request(record), host_at(record, 46)),
+            11 => match decode_measurement(record, id) {
                 Some(event) => event,
                 None => return Ok(Command::Ignore),
             },
@@ -174,7 +177,8 @@
         }))
     }
 
-    /// The part of the tail that a field points at, of `unit` bytes for each item.
+    /// Returns the part of the tail to which the field at byte `field` refers: its offset in bytes
+    /// and its length in items of `unit` bytes.
     fn tail_at(&self, record: &[u8], field: usize, unit: usize) -> Result<&'a [u8], RecordError> {
         let offset = u32_at(record, field) as usize;
         let length = u32_at(record, field + 4) as usize;
@@ -190,7 +194,7 @@
             })
     }
 
-    fn endpoints_updated(&self, record: &[u8]) -> Result<Event, RecordError> {
+    fn decode_endpoints_updated(&self, record: &[u8]) -> Result<Event, RecordError> {
         let kind = match record[5] {
             0 => EndpointUpdate::Failed,
             2 => EndpointUpdate::Delta,
@@ -201,13 +205,13 @@
         let entries = self.tail_at(record, 10, ENDPOINT_BYTES)?;
         let endpoints = entries
             .chunks_exact(ENDPOINT_BYTES)
-            .map(endpoint)
+            .map(decode_endpoint)
             .collect::<Result<_, _>>()?;
         Ok(Event::EndpointsUpdated { kind, endpoints })
     }
 }
 
-fn endpoint(entry: &[u8]) -> Result<Endpoint, RecordError> {
+fn decode_endpoint(entry: &[u8]) -> Result<Endpoint, RecordError> {
     let started = f64_at(entry, 16);
     Ok(Endpoint {
         id: host_at(entry, 0),
@@ -224,8 +228,8 @@
     })
 }
 
-fn incoming_request(record: &[u8]) -> IncomingRequest {
-    let marks = u16_at(record, 44);
+fn decode_request(record: &[u8]) -> IncomingRequest {
+    let flags = u16_at(record, 44);
     let non_zero = |number: u64| (number != 0).then_some(number);
     let load = finite_or_zero(f64_at(record, 28)).max(0.0) / LOAD_UNITS_PER_CORE;
     IncomingRequest {
@@ -233,14 +237,15 @@
         class: usize::from(record[9]),
         key: non_zero(u64_at(record, 12)),
         time_left: nanos(f64_at(record, 20)),
-        usual_load: (marks & LOAD_IS_KNOWN != 0).then_some(load),
+        usual_load: (flags & LOAD_KNOWN_FLAG != 0).then_some(load),
         group: non_zero(u64_at(record, 36)),
-        mid_stream: marks & MID_STREAM != 0,
+        mid_stream: flags & MID_STREAM_FLAG != 0,
     }
 }
 
-/// A measurement at an open connection; `None` for one that the module does not know.
-fn measurement(record: &[u8], id: RequestId) -> Option<Event> {
+/// Decodes a measurement on an open connection, or returns `None` for a kind that the decision
+/// module does not use.
+fn decode_measurement(record: &[u8], id: RequestId) -> Option<Event> {
     let value = f32_at(record, 17);
     match record[16] {
         1 => Some(Event::LoadMeasured {
@@ -255,7 +260,7 @@
     }
 }
 
-fn outcome(code: u8) -> Result<AttemptOutcome, RecordError> {
+fn decode_outcome(code: u8) -> Result<AttemptOutcome, RecordError> {
     Ok(match code {
         0 => AttemptOutcome::Completed,
         1 => AttemptOutcome::Error,
--- a/adapter/src/batch_tests.rs
+++ b/adapter/src/batch_tests.rs
@@ -1,12 +1,12 @@
-//! Tests of how batches are decoded, by the worked examples of the wire's description.
+//! Tests for the decoding of batches, with the examples of the protocol description.
 
 use super::*;
 use crate::hex::{hex, padded};
 use crate::reply::Reply;
 use reedferry::{Action, HostId};
 
-/// The instance and the event of the record with this index.
-fn event(body: &[u8], index: usize) -> (u32, Event) {
+/// Returns the instance and the event of the record with this index.
+fn decode_event(body: &[u8], index: usize) -> (u32, Event) {
     let batch = Batch::new(1, body.len() / RECORD_BYTES, body).unwrap();
     match batch.command(index).unwrap() {
         (instance, Command::Event(event)) => (instance, event),
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn decodes_the_worked_batch() {
+fn decodes_the_example_batch() {
     let head = hex("0000000c 40c06e2000000000 000000a8 00000003")
         .try_into()
         .unwrap();
@@ -35,7 +35,7 @@
     );
     body.extend(padded("06 00000003 000000000000004d", RECORD_BYTES));
     body.extend(padded("05 00000005 0e6f2b19", RECORD_BYTES));
-    let (instance, Event::RequestArrived(incoming)) = event(&body, 0) else {
+    let (instance, Event::RequestArrived(incoming)) = decode_event(&body, 0) else {
         panic!()
     };
     assert_eq!(
@@ -47,11 +47,11 @@
         (Some(0.012), false)
     );
     assert!(matches!(
-        event(&body, 1),
+        decode_event(&body, 1),
         (3, Event::TimerFired { timer: 77 })
     ));
     assert!(matches!(
-        event(&body, 2),
+        decode_event(&body, 2),
         (
             5,
             Event::ClientLeft {
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn decodes_the_worked_endpoint_list() {
+fn decodes_the_example_endpoint_list() {
     let mut body = padded("01 00000003 03 00000029 00000000 00000002", RECORD_BYTES);
     body.extend(hex(
         "0a124a07 1f43 0000 00 0000 01 3f800000 0000000000000000",
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn decodes_the_worked_records() {
+fn decodes_the_example_records() {
     let ended = padded(
         "04 00000003 5d3a91c4 4032800000000000 0a124a07 1f43 01 00 00 00",
         RECORD_BYTES,
@@ -101,7 +101,7 @@
             attempt,
             ..
         },
-    ) = event(&ended, 0)
+    ) = decode_event(&ended, 0)
     else {
         panic!()
     };
@@ -114,7 +114,7 @@
         RECORD_BYTES,
     );
     assert!(matches!(
-        event(&established, 0).1,
+        decode_event(&established, 0).1,
         Event::ConnectionEstablished {
             took: 9_250_000,
             ..
@@ -124,13 +124,15 @@
         "0b 00000003 5d3a91c4 00 0a124a07 1f43 01 3f000000",
         RECORD_BYTES,
     );
-    assert!(matches!(event(&measured, 0).1, Event::LoadMeasured { load, .. } if load == 0.5e-6));
+    assert!(
+        matches!(decode_event(&measured, 0).1, Event::LoadMeasured { load, .. } if load == 0.5e-6)
+    );
     let probed = padded(
         "07 00000003 3ff6666666666666 00 0a9011f2 1f6c 00",
         RECORD_BYTES,
     );
     assert!(matches!(
-        event(&probed, 0).1,
+        decode_event(&probed, 0).1,
         Event::ProbeEnded {
             ending: AttemptOutcome::Completed,
             ..
@@ -138,14 +140,14 @@
     ));
     let open = "0a 00000003 0e6f2b19 00 0000 91f03b7c55d20a64 406e000000000000 4028000000000000
         2b8e6401d9f37c10 0001 0a9011f2 1f6c";
-    let (_, Event::ConnectionFound(_, host)) = event(&padded(open, RECORD_BYTES), 0) else {
+    let (_, Event::ConnectionFound(_, host)) = decode_event(&padded(open, RECORD_BYTES), 0) else {
         panic!()
     };
     assert_eq!(host, HostId(0x0a90_11f2_1f6c));
 }
 
 #[test]
-fn gossip_is_decoded_and_encoded_as_worked() {
+fn gossip_is_decoded_and_encoded_as_in_the_example() {
     let mut body = padded("08 00000003 0002 00000000 00000004", RECORD_BYTES);
     body.extend(hex("68692037"));
     let batch = Batch::new(1, 1, &body).unwrap();
@@ -155,14 +157,14 @@
     assert_eq!(message, b"hi 7");
     let mut reply = Reply::new(1);
     reply.push(3, &Action::Gossip { message });
-    let mut wanted = hex("00000001 00000001 0000001c");
-    wanted.extend(padded("09 00000003 ffffffff 00000000 00000004", 24));
-    wanted.extend(hex("68692037"));
-    assert_eq!(reply.finish(), wanted);
+    let mut expected = hex("00000001 00000001 0000001c");
+    expected.extend(padded("09 00000003 ffffffff 00000000 00000004", 24));
+    expected.extend(hex("68692037"));
+    assert_eq!(reply.finish(), expected);
 }
 
 #[test]
-fn says_what_is_malformed_and_where() {
+fn malformed_batches_are_rejected_with_their_position() {
     assert!(Header::decode(
         &hex("00000001 7ff8000000000000 00000000 00000000")
             .try_into()
@@ -170,13 +172,16 @@
     )
     .is_err());
     assert!(Batch::new(1, 2, &[0; RECORD_BYTES]).is_err());
-    for (record, what) in [
+    for (record, expected) in [
         ("63 00000003", "unknown event code 99"),
         ("01 00000003 09", "unknown list kind 9"),
-        ("01 00000003 04 00000001 00000000 00000003", "points at 0+3"),
+        (
+            "01 00000003 04 00000001 00000000 00000003",
+            "offset 0 with length 3",
+        ),
         (
             "01 00000003 04 00000001 ffffffff ffffffff",
-            "tail has 0 bytes",
+            "outside the tail of 0 bytes",
         ),
         (
             "04 00000003 00000001 0000000000000000 00000000 0000 00 09",
@@ -190,7 +195,7 @@
             .unwrap_err()
             .to_string();
         assert!(
-            error.starts_with("batch 7, record 0: ") && error.contains(what),
+            error.starts_with("batch 7, record 0: ") && error.contains(expected),
             "{error}"
         );
     }
@@ -198,10 +203,10 @@
         .unwrap_err()
         .to_string()
         .starts_with("settings: "));
-    let bare =
+    let minimal =
         br#"{"balancers": 1, "index": 0, "offerings": [], "policy_limits": {"most_hand_offs": 1},
         "contract": {"cold": 1, "cold_from": 1, "tip_after": 1, "tip_multiple": 1}}"#;
-    assert!(reedferry_settings::balancer_settings(bare)
+    assert!(reedferry_settings::balancer_settings(minimal)
         .unwrap_err()
         .to_string()
         .contains("no offering"));
--- a/adapter/src/error.rs
+++ b/adapter/src/error.rs
@@ -1,30 +1,30 @@
-//! What can be wrong with the bench's input, and where.
+//! Errors in the simulator's input, with the position at which they occur.
 
 use std::io;
 use thiserror::Error;
 
-/// Why the adapter cannot go on.
+/// Why the adapter stops.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    /// The input ended within a batch header.
+    /// The input ended inside a batch header.
     #[error("input ended after {received} of {expected} bytes of a batch header")]
     TruncatedHeader {
-        /// Bytes of it that arrived.
+        /// The number of header bytes that arrived.
         received: usize,
-        /// Bytes of a header.
+        /// The size of a header, in bytes.
         expected: usize,
     },
     /// A batch header could not be read.
     #[error("cannot read a batch header: {0}")]
     ReadHeader(#[source] io::Error),
-    /// The input ended within the body of a batch.
+    /// The input ended inside the body of a batch.
     #[error("batch {batch}: input ended after {received} of {expected} body bytes")]
     TruncatedBody {
         /// The batch's number.
         batch: u32,
-        /// Bytes of it that arrived.
+        /// The number of body bytes that arrived.
         received: usize,
-        /// Bytes that its header announced.
+        /// The size of the body according to the header, in bytes.
         expected: usize,
     },
     /// The body of a batch could not be read.
@@ -32,73 +32,76 @@
     ReadBody {
         /// The batch's number.
         batch: u32,
-        /// Why.
+        /// The error of the read.
         source: io::Error,
     },
     /// A reply could not be written.
     #[error("cannot write the reply: {0}")]
     WriteReply(#[source] io::Error),
-    /// The clock of a batch is no time.
-    #[error("batch {batch}: the clock reads {clock}")]
+    /// The clock of a batch is negative or not finite.
+    #[error("batch {batch}: invalid clock {clock}, expected a finite number of at least 0")]
     InvalidClock {
         /// The batch's number.
         batch: u32,
-        /// What the clock reads, in milliseconds.
+        /// The value of the clock, in milliseconds.
         clock: f64,
     },
-    /// A batch has fewer bytes than its records take.
-    #[error("batch {batch}: {records} records take {needed} bytes, body has {available}")]
+    /// The body of a batch is too short for its records.
+    #[error("batch {batch}: {records} records need {needed} bytes, the body has {available}")]
     TooManyRecords {
         /// The batch's number.
         batch: u32,
-        /// How many records its header announced.
+        /// The number of records according to the header.
         records: usize,
-        /// The bytes that these take.
+        /// The size of these records, in bytes.
         needed: usize,
-        /// The bytes that there are.
+        /// The size of the body, in bytes.
         available: usize,
     },
-    /// A record is malformed, or cannot be handled.
+    /// A record is malformed or cannot be handled.
     #[error("batch {batch}, record {index}: {error}")]
     Record {
         /// The batch's number.
         batch: u32,
-        /// Which of its records, from 0.
+        /// The index of the record in the batch, starting at 0.
         index: usize,
-        /// What is wrong with it.
+        /// The error in the record.
         error: RecordError,
     },
 }
 
-/// What is wrong with one record.
+/// An error in a single record.
 #[derive(Debug, Error)]
 pub enum RecordError {
     /// No event has this code.
-    #[error("unknown event code {0}")]
+    #[error("unknown event code {0}, expected 0 to 11")]
     UnknownEventCode(u8),
     /// No kind of endpoint list has this code.
-    #[error("unknown list kind {0}")]
+    #[error("unknown list kind {0}, expected 0, 2, 3 or 4")]
     UnknownListKind(u8),
     /// No host state has this code.
-    #[error("unknown host state {0}")]
+    #[error("unknown host state {0}, expected 0, 1 or 2")]
     UnknownHostState(u8),
     /// No outcome of an attempt has this code.
-    #[error("unknown outcome {0}")]
+    #[error("unknown outcome {0}, expected 0 to 7")]
     UnknownOutcome(u8),
-    /// A field points outside the batch's tail.
-    #[error("field at byte {field} points at {offset}+{length}, tail has {available} bytes")]
+    /// A field refers to data outside the tail of the batch.
+    #[error(
+        "field at byte {field}: offset {offset} with length {length} is outside the tail of \
+         {available} bytes"
+    )]
     OutsideTail {
-        /// Where the field stands in the record.
+        /// The offset of the field in the record, in bytes.
         field: usize,
-        /// Where it points in the tail.
+        /// The offset in the tail to which the field refers, in bytes.
         offset: usize,
-        /// How many items it announces there.
+        /// The number of items at that offset.
         length: usize,
-        /// The bytes of the tail.
+        /// The size of the tail, in bytes.
         available: usize,
     },
-    /// The event is for an instance that was not started.
-    #[error("instance {0} has not been started")]
+    /// The event is for an instance that has not been started or was stopped.
+    #[error("instance {0} has not been started or was stopped")]
     NotStarted(u32),
     /// The settings of an instance are invalid.
     #[error("{0}")]
--- a/adapter/src/hex_tests.rs
+++ b/adapter/src/hex_tests.rs
@@ -1,5 +1,6 @@
-//! Bytes written as hexadecimal digits, for tests.
+//! Test helpers that decode bytes from hexadecimal digits.
 
+/// Decodes hexadecimal digits and ignores all other characters.
 pub fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
     digits
@@ -8,9 +9,9 @@
         .collect()
 }
 
-/// A record or another part of a fixed size, filled up with zeros.
+/// Decodes hexadecimal digits and pads the bytes with zeros to `size`.
 pub fn padded(text: &str, size: usize) -> Vec<u8> {
-    let mut all = hex(text);
-    all.resize(size, 0);
-    all
+    let mut bytes = hex(text);
+    bytes.resize(size, 0);
+    bytes
 }
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs instances of the decision module on the bench's wire: batches of events on standard input,
-//! replies with actions on standard output.
+//! Runs instances of the decision module for a simulator. The adapter reads batches of events from
+//! standard input and writes a reply with the resulting actions to standard output for each batch.
 
 mod batch;
 mod error;
@@ -16,7 +16,7 @@
 use std::collections::HashMap;
 use std::io::{self, BufReader, BufWriter, Read, Write};
 
-/// The size of the buffers of input and output, in bytes.
+/// The size of the input buffer and of the output buffer, in bytes.
 const BUFFER_BYTES: usize = 1 << 16;
 
 fn main() {
@@ -46,7 +46,7 @@
     Ok(())
 }
 
-/// Reads the next header; `None` at the end of the input.
+/// Reads the next header, or returns `None` at the end of the input.
 fn read_header(input: &mut impl Read) -> Result<Option<Header>, AdapterError> {
     let mut bytes = [0; HEADER_BYTES];
     let mut received = 0;
@@ -67,8 +67,8 @@
     Header::decode(&bytes).map(Some)
 }
 
-/// Reads the body that a header announces. The buffer grows with what really arrives, so that a
-/// wrong length does not claim the memory at once.
+/// Reads the body that follows a header. The buffer grows with the bytes that arrive, so a wrong
+/// length in the header does not allocate that much memory at once.
 fn read_body(
     input: &mut impl Read,
     header: &Header,
@@ -92,7 +92,7 @@
     Ok(())
 }
 
-/// The instances of the module, by the bench's numbers.
+/// The running instances of the decision module, by the simulator's instance numbers.
 #[derive(Default)]
 struct Instances {
     balancers: HashMap<u32, Balancer>,
@@ -100,7 +100,7 @@
 }
 
 impl Instances {
-    /// Does what a record asks for, and appends the actions that this leads to.
+    /// Executes the operation of a record and appends the resulting actions to the reply.
     fn handle(
         &mut self,
         batch: &Batch,
--- a/adapter/src/reply.rs
+++ b/adapter/src/reply.rs
@@ -1,4 +1,5 @@
-//! Replies to batches: a header, one record for each action, and a tail of texts and messages.
+//! Encodes replies to batches. A reply consists of a header, one record for each action, and a tail
+//! that holds log texts and gossip messages.
 
 use crate::fields::{host_bytes, milliseconds_bytes};
 use reedferry::{Action, RequestId};
@@ -7,8 +8,8 @@
 const HEADER_BYTES: usize = 12;
 /// The size of a record, in bytes.
 const RECORD_BYTES: usize = 24;
-/// The address of all other instances.
-const TO_ALL: [u8; 4] = [0xff; 4];
+/// The address that stands for all other instances.
+const BROADCAST_ADDRESS: [u8; 4] = [0xff; 4];
 
 /// The reply to one batch.
 pub struct Reply {
@@ -18,7 +19,7 @@
 }
 
 impl Reply {
-    /// An empty reply to the batch with this number.
+    /// Creates an empty reply to the batch with this number.
     pub fn new(batch: u32) -> Self {
         Reply {
             batch,
@@ -30,23 +31,23 @@
     /// Appends an action of an instance.
     pub fn push(&mut self, instance: u32, action: &Action) {
         let end = self.records.len() + RECORD_BYTES;
-        self.records.push(code(action));
+        self.records.push(action_code(action));
         self.records.extend(instance.to_be_bytes());
         match action {
             Action::StartAttempt {
                 id, host, until, ..
             } => {
-                self.push_request(*id);
+                self.push_request_id(*id);
                 self.records.extend(host_bytes(*host));
                 self.records.extend(milliseconds_bytes(*until));
             }
             Action::Reject { id, retry_after } => {
-                self.push_request(*id);
+                self.push_request_id(*id);
                 self.records.extend(milliseconds_bytes(*retry_after));
             }
-            Action::Fail { id } | Action::Migrate { id } => self.push_request(*id),
+            Action::Fail { id } | Action::Migrate { id } => self.push_request_id(*id),
             Action::CancelAttempt { id, attempt } => {
-                self.push_request(*id);
+                self.push_request_id(*id);
                 self.records.push(*attempt as u8);
             }
             Action::SetTimer { time, timer } => {
@@ -54,11 +55,11 @@
                 self.records.extend(timer.to_be_bytes());
             }
             Action::PollEndpoints => {}
-            // All changes, from here on.
+            // Requests all changes from now on.
             Action::WatchEndpoints => self.records.push(1),
             Action::Probe { host } => self.records.extend(host_bytes(*host)),
             Action::Gossip { message } => {
-                self.records.extend(TO_ALL);
+                self.records.extend(BROADCAST_ADDRESS);
                 self.push_tail(message);
             }
             Action::Log(text) => self.push_tail(text.as_bytes()),
@@ -66,7 +67,7 @@
         self.records.resize(end, 0);
     }
 
-    /// The bytes of the reply.
+    /// Returns the encoded reply.
     pub fn finish(self) -> Vec<u8> {
         let records = self.records.len() / RECORD_BYTES;
         let body_bytes = self.records.len() + self.tail.len();
@@ -79,11 +80,11 @@
         bytes
     }
 
-    fn push_request(&mut self, id: RequestId) {
+    fn push_request_id(&mut self, id: RequestId) {
         self.records.extend((id.0 as u32).to_be_bytes());
     }
 
-    /// Appends bytes to the tail, and where they stand to the record.
+    /// Appends bytes to the tail, and their offset and length to the record.
     fn push_tail(&mut self, bytes: &[u8]) {
         let offset = self.tail.len() as u32;
         self.records.extend(offset.to_be_bytes());
@@ -92,8 +93,8 @@
     }
 }
 
-/// The code of an action on the wire.
-fn code(action: &Action) -> u8 {
+/// Returns the protocol's code of an action.
+fn action_code(action: &Action) -> u8 {
     match action {
         Action::Log(_) => 0,
         Action::Reject { .. } => 1,
--- a/adapter/src/reply_tests.rs
+++ b/adapter/src/reply_tests.rs
@@ -1,11 +1,11 @@
-//! Tests of how replies are encoded, by the worked examples of the wire's description.
+//! Tests for the encoding of replies, with the examples of the protocol description.
 
 use super::*;
 use crate::hex::{hex, padded};
 use reedferry::HostId;
 
 #[test]
-fn encodes_the_worked_reply() {
+fn encodes_the_example_reply() {
     let mut reply = Reply::new(12);
     let (id, host) = (RequestId(0x5d3a91c4), HostId(0x0a12_4a07_1f43));
     reply.push(
@@ -25,21 +25,21 @@
         },
     );
     reply.push(5, &Action::Log("two servers known".into()));
-    let mut wanted = hex("0000000c 00000003 00000059");
-    wanted.extend(padded(
+    let mut expected = hex("0000000c 00000003 00000059");
+    expected.extend(padded(
         "05 00000003 5d3a91c4 0a124a07 1f43 40c0962000000000",
         24,
     ));
-    wanted.extend(padded("06 00000003 40c1682000000000 000000000000004d", 24));
-    wanted.extend(padded("00 00000005 00000000 00000011", 24));
-    wanted.extend(hex("74776f2073657276657273206b6e6f776e"));
-    assert_eq!(reply.finish(), wanted);
+    expected.extend(padded("06 00000003 40c1682000000000 000000000000004d", 24));
+    expected.extend(padded("00 00000005 00000000 00000011", 24));
+    expected.extend(hex("74776f2073657276657273206b6e6f776e"));
+    assert_eq!(reply.finish(), expected);
 }
 
 #[test]
-fn encodes_the_other_worked_actions() {
+fn encodes_the_other_example_actions() {
     let (id, host) = (RequestId(0x0e6f2b19), HostId(0x0a90_11f2_1f6c));
-    for (action, wanted) in [
+    for (action, expected) in [
         (
             Action::Reject {
                 id,
@@ -59,6 +59,6 @@
     ] {
         let mut reply = Reply::new(1);
         reply.push(3, &action);
-        assert_eq!(reply.finish()[12..], padded(wanted, 24), "{action:?}");
+        assert_eq!(reply.finish()[12..], padded(expected, 24), "{action:?}");
     }
 }
--- a/adapter/tests/size.rs
+++ b/adapter/tests/size.rs
@@ -1,4 +1,4 @@
-//! The adapter as the bench starts it, with many hosts and nodes.
+//! Runs the adapter as a child process with many hosts and nodes, as a simulator does.
 
 use std::io::{Read, Write};
 use std::process::{Command, Stdio};
@@ -30,12 +30,12 @@
 const NODE: u32 = 7;
 const RECORD_BYTES: usize = 24;
 
-/// Where a part of the tail stands.
-fn pointer(offset: usize, length: usize) -> Vec<u8> {
+/// Encodes the offset and length of a part of the tail.
+fn tail_reference(offset: usize, length: usize) -> Vec<u8> {
     [(offset as u32).to_be_bytes(), (length as u32).to_be_bytes()].concat()
 }
 
-/// The settings of the last of as many nodes as there are hosts.
+/// Returns the settings of the last of `HOSTS` nodes.
 fn settings() -> String {
     format!(
         r#"{{"balancers":{HOSTS},"index":{},"zone":0,"zones":["a"],"registry_mode":"on_request","round":4.0,
@@ -47,7 +47,7 @@
     )
 }
 
-/// An entry of the endpoint list; all hosts but the last are draining.
+/// Encodes an entry of the endpoint list. All hosts except the last are draining.
 fn endpoint(host: u32) -> Vec<u8> {
     let state = if host + 1 == HOSTS { 1u8 } else { 2 };
     let mut entry = [
@@ -63,7 +63,7 @@
     entry
 }
 
-/// A request that arrives.
+/// Encodes the arrival of a request.
 fn request(id: u32) -> Vec<u8> {
     record(&[
         &[2],
@@ -75,7 +75,7 @@
     ])
 }
 
-/// What the adapter replies to this input.
+/// Returns the adapter's replies to `input`.
 fn replies(input: &[u8]) -> Vec<u8> {
     let mut adapter = Command::new(env!("CARGO_BIN_EXE_reedferry-adapter"))
         .stdin(Stdio::piped())
@@ -90,8 +90,8 @@
     replies
 }
 
-/// Prevents lists and fleets from being cut off at some bound, and a node beyond one from being
-/// taken for another.
+/// Guards against a limit that cuts off endpoint lists or fleets, and against a node whose index is
+/// beyond such a limit being mistaken for another node.
 #[test]
 fn eleven_hundred_hosts_and_nodes_are_all_known() {
     let settings = settings();
@@ -100,14 +100,14 @@
         &[0],
         &NODE.to_be_bytes(),
         &3u64.to_be_bytes(),
-        &pointer(0, settings.len()),
+        &tail_reference(0, settings.len()),
     ]);
     let list = record(&[
         &[1],
         &NODE.to_be_bytes(),
         &[3],
         &1u32.to_be_bytes(),
-        &pointer(settings.len(), HOSTS as usize),
+        &tail_reference(settings.len(), HOSTS as usize),
     ]);
     let tail = [settings.as_bytes(), &endpoints].concat();
     let mut input = batch(0, 1000.0, &[start, list], &tail);
@@ -115,14 +115,14 @@
     input.extend(batch(1, 1004.0, &requests, &[]));
 
     let replies = replies(&input);
-    let number = |offset: usize| {
+    let read_u32 = |offset: usize| {
         u32::from_be_bytes(replies[offset..offset + 4].try_into().unwrap()) as usize
     };
-    let second = 12 + number(8);
-    assert_eq!(number(second), 1);
-    let actions = replies[second + 12..]
+    let second_reply = 12 + read_u32(8);
+    assert_eq!(read_u32(second_reply), 1);
+    let actions = replies[second_reply + 12..]
         .chunks(RECORD_BYTES)
-        .take(number(second + 4));
+        .take(read_u32(second_reply + 4));
     let hosts: Vec<u32> = actions
         .filter(|action| action[0] == 5)
         .map(|action| u32::from_be_bytes(action[9..13].try_into().unwrap()))
