--- a/runtime/src/descriptor_budget.rs
+++ b/runtime/src/descriptor_budget.rs
@@ -9,7 +9,7 @@
 /// socket pairs of the signals and a few more.
 const BASE_DESCRIPTORS: usize = 12;
 
-/// The number of descriptors that are open and the number that may be open.
+/// Counts the open descriptors of the program, or of one component, and limits their number.
 pub struct DescriptorBudget {
     in_use: Rc<Cell<usize>>,
     limit: usize,
--- a/runtime/src/signals.rs
+++ b/runtime/src/signals.rs
@@ -21,7 +21,7 @@
 pub enum SignalError {
     /// The socket pair that wakes the poller could not be created.
     SocketPair(Errno),
-    /// The handler could not be installed.
+    /// The handler could not be installed, or its socket could not be made non-blocking.
     Handler(io::Error),
 }
 
