--- a/runtime/src/pool.rs
+++ b/runtime/src/pool.rs
@@ -61,7 +61,7 @@
         })
     }
 
-    /// Returns the number of buffers that can still be taken within the limit.
+    /// Returns the number of buffers that [`BufferPool::take`] can still return.
     pub fn available(&self) -> usize {
         let free_list = self.0.borrow();
         free_list.free.len() + free_list.allocatable
