--- a/node/src/roles/hot_restart/mod.rs
+++ b/node/src/roles/hot_restart/mod.rs
@@ -82,9 +82,11 @@
                 ..HotRestart::default()
             });
         };
-        let descriptor = value.parse().map_err(|_| FatalError::NoDescriptor(value))?;
+        let descriptor = value
+            .parse()
+            .map_err(|_| FatalError::InvalidDescriptor(value))?;
         Ok(HotRestart {
-            listener: Some(context.inherit(descriptor)?),
+            listener: Some(context.inherit_listener(descriptor)?),
             listener_is_shared: true,
             ..HotRestart::default()
         })
