--- a/node/src/connections/attempts.rs
+++ b/node/src/connections/attempts.rs
@@ -84,7 +84,7 @@
         let address = context.hosts.record(host).address;
         let address = address.ok_or(AttemptOutcome::ConnectFailed)?;
         // A client with a request goes before one without.
-        self.make_room(context, 1);
+        self.free_descriptors(context, 1);
         let (socket, connected) = open_socket(context, &address)?;
         let token = context.watch(&socket, HOST, slot).map_err(|_| {
             context.record_transient_failure("epoll_ctl");
--- a/node/src/connections/idle.rs
+++ b/node/src/connections/idle.rs
@@ -30,7 +30,7 @@
 
 impl Connections {
     /// Closes idle connections until so many descriptors may be opened, as far as there are any.
-    pub fn make_room(&mut self, context: &mut Context, descriptors: usize) {
+    pub fn free_descriptors(&mut self, context: &mut Context, descriptors: usize) {
         while !context.budget.has_capacity(descriptors) && self.evict_idle(context, 0) {}
     }
 
--- a/node/src/connections/link.rs
+++ b/node/src/connections/link.rs
@@ -109,7 +109,7 @@
 /// All connections of a role, by its core's number for each.
 pub struct LinkConnections {
     /// The connections.
-    pub by_line: BTreeMap<u32, LinkConnection>,
+    pub by_id: BTreeMap<u32, LinkConnection>,
     /// Some have more to read than a turn's share.
     pub more_to_read: bool,
     read_buffer: Vec<u8>,
@@ -121,7 +121,7 @@
 impl Default for LinkConnections {
     fn default() -> Self {
         LinkConnections {
-            by_line: BTreeMap::new(),
+            by_id: BTreeMap::new(),
             more_to_read: false,
             read_buffer: vec![0; READ_BUFFER_BYTES],
         }
@@ -133,7 +133,7 @@
     pub fn read(&mut self, mut on_bytes: impl FnMut(u32, &[u8])) -> ClosedConnections {
         self.more_to_read = false;
         let mut closed = Vec::new();
-        for (&line, connection) in &mut self.by_line {
+        for (&line, connection) in &mut self.by_id {
             match connection.read(&mut self.read_buffer, |bytes| on_bytes(line, bytes)) {
                 Ok(more) => self.more_to_read |= more,
                 Err(reason) => closed.push((line, reason)),
@@ -148,7 +148,7 @@
         mut write_one: impl FnMut(u32, &mut LinkConnection) -> Result<(), &'static str>,
     ) -> ClosedConnections {
         let mut closed = Vec::new();
-        for (&line, connection) in &mut self.by_line {
+        for (&line, connection) in &mut self.by_id {
             if let Err(reason) = write_one(line, connection) {
                 closed.push((line, reason));
             }
--- a/node/src/connections/mod.rs
+++ b/node/src/connections/mod.rs
@@ -40,7 +40,7 @@
 use reedferry::{Action, RequestClass, RequestId};
 use reedferry_runtime::{Readiness, Socket};
 use resource_retry::RetryQueue;
-pub use resource_retry::RETRY_AFTER;
+pub use resource_retry::LOCAL_RETRY_DELAY;
 use slab::Slab;
 
 /// All connections of a node or forwarder.
--- a/node/src/connections/resource_retry.rs
+++ b/node/src/connections/resource_retry.rs
@@ -7,7 +7,7 @@
 use reedferry_runtime::{PollToken, Socket};
 
 /// After which time what failed for want of local resources is retried.
-pub const RETRY_AFTER: Nanos = 10 * MILLI;
+pub const LOCAL_RETRY_DELAY: Nanos = 10 * MILLI;
 
 /// What waits for the next retry.
 #[derive(Default)]
@@ -22,7 +22,7 @@
 impl RetryQueue {
     fn schedule(&mut self, context: &mut Context) {
         if !std::mem::replace(&mut self.scheduled, true) {
-            let due = context.now + RETRY_AFTER;
+            let due = context.now + LOCAL_RETRY_DELAY;
             let token = context::token(context::CONNECTION_RETRY);
             context.poller.set_timer(due, token, 0);
         }
--- a/node/src/roles/forward.rs
+++ b/node/src/roles/forward.rs
@@ -195,7 +195,7 @@
         let connection = readiness.token.slot;
         let Some(socket) = self
             .planner_sockets
-            .by_line
+            .by_id
             .get_mut(&connection)
             .filter(|socket| socket.generation == readiness.token.generation)
         else {
@@ -210,7 +210,7 @@
     }
 
     fn planner_connection_lost(&mut self, connection: u32, why: &str) {
-        self.planner_sockets.by_line.remove(&connection);
+        self.planner_sockets.by_id.remove(&connection);
         self.forwarder
             .connection_lost(self.context.now, connection, why, &mut self.actions);
     }
@@ -262,7 +262,7 @@
                 address,
             } => self.connect_planner(connection, address),
             ForwarderAction::DisconnectPlanner { connection } => {
-                self.planner_sockets.by_line.remove(&connection);
+                self.planner_sockets.by_id.remove(&connection);
             }
             ForwarderAction::HostLearned(entry) => {
                 let log = context.log.clone();
@@ -285,7 +285,7 @@
             Ok(LinkConnection::new(socket, token.generation, false))
         });
         match opened {
-            Ok(socket) => _ = self.planner_sockets.by_line.insert(connection, socket),
+            Ok(socket) => _ = self.planner_sockets.by_id.insert(connection, socket),
             Err(_) => self.planner_connection_lost(connection, "unconnected"),
         }
     }
--- a/node/src/roles/hot_restart/mod.rs
+++ b/node/src/roles/hot_restart/mod.rs
@@ -9,7 +9,7 @@
 
 pub use messages::TransferredState;
 
-use crate::connections::{Connections, RETRY_AFTER};
+use crate::connections::{Connections, LOCAL_RETRY_DELAY};
 use crate::context::{self, Context, PREDECESSOR, SUCCESSOR, SUCCESSOR_LISTENER};
 use crate::error::FatalError;
 use crate::operators::node_config::NodeConfig;
@@ -165,7 +165,7 @@
         context.record_transient_failure(system_call);
         if !std::mem::replace(&mut self.retry_scheduled, true) {
             context.poller.set_timer(
-                context.now + RETRY_AFTER,
+                context.now + LOCAL_RETRY_DELAY,
                 context::token(context::CHANNEL_RETRY),
                 0,
             );
--- a/node/src/roles/hot_restart/predecessor.rs
+++ b/node/src/roles/hot_restart/predecessor.rs
@@ -101,7 +101,7 @@
         let mut buffer = vec![0; channel::MAX_MESSAGE_BYTES];
         for _ in 0..MAX_ADOPTED_PER_TURN {
             self.reply(context, connections)?;
-            connections.make_room(context, MAX_DESCRIPTORS_PER_CONNECTION);
+            connections.free_descriptors(context, MAX_DESCRIPTORS_PER_CONNECTION);
             let (length, sockets) = match context
                 .budget
                 .receive_with_descriptors(&self.channel, &mut buffer)
--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -187,7 +187,7 @@
                 continue;
             }
             let socket = LinkConnection::new(socket, stamp, true);
-            self.forwarder_sockets.by_line.insert(stamp, socket);
+            self.forwarder_sockets.by_id.insert(stamp, socket);
             self.planner.accept(context.now, stamp, &mut self.actions);
         }
     }
@@ -195,7 +195,7 @@
     fn handle_forwarder_readiness(&mut self, readiness: Readiness) {
         if let Some(socket) = self
             .forwarder_sockets
-            .by_line
+            .by_id
             .get_mut(&readiness.token.generation)
         {
             socket.on_ready(readiness);
@@ -203,7 +203,7 @@
     }
 
     fn connection_lost(&mut self, connection: u32, why: &str) {
-        self.forwarder_sockets.by_line.remove(&connection);
+        self.forwarder_sockets.by_id.remove(&connection);
         self.planner
             .connection_lost(connection, why, &mut self.actions);
     }
