--- a/node/src/connections/protocol/client.rs
+++ b/node/src/connections/protocol/client.rs
@@ -1,47 +1,52 @@
-//! What a client sends: `PING`, or `OPEN` with an id, an idempotency key and a list of fields. Owns the
-//! mapping of the fields' short names to those of [`OpenRequest`], and the line as it is forwarded.
+//! The lines that a client sends: `PING`, or `OPEN` with an id, an idempotency key and a list of fields. Maps
+//! the short field names to the fields of [`OpenRequest`] and builds the line that is forwarded to a host.
 
 use super::keys::key_from_text;
 use super::LineError;
 use reedferry::{Nanos, MILLI};
 
-/// The longest id of a request.
+/// The length of the longest valid request id in bytes.
 const MAX_ID_BYTES: usize = 128;
-/// From here on a number in a field is out of range.
-const FIELD_LIMIT: f64 = 1e9;
+/// Numbers in fields must be below this value.
+const FIELD_VALUE_LIMIT: f64 = 1e9;
 
-/// What a client's first line asks for.
+/// A client's first line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClientMessage<'a> {
-    /// Whether the node accepts clients.
+    /// `PING`: asks whether the node accepts clients.
     Ping,
-    /// A connection to a host.
+    /// `OPEN`: asks for a connection to a host.
     Request(OpenRequest<'a>),
 }
 
-/// The fields of an `OPEN` line.
+/// The contents of an `OPEN` line.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OpenRequest<'a> {
-    /// The client's id for it, unique among the open ones.
+    /// The client's id for the request, unique among the open requests.
     pub id: &'a str,
-    /// The idempotency key.
+    /// The idempotency key, or `None` if the request has none.
     pub key: Option<u64>,
-    /// The request class (`c`).
+    /// The name of the request class (`c`), empty if the field is missing.
     pub class: &'a str,
-    /// The tenant (`t`).
+    /// The name of the tenant (`t`), empty if the field is missing.
     pub tenant: &'a str,
-    /// How long the client waits for an answer (`d`).
+    /// How long the client waits for an answer (`d`, in milliseconds).
     pub timeout: Nanos,
-    /// The group within which the key is known (`g`).
+    /// The group within which the key is known (`g`), or `None` if the request names none.
     pub group: Option<u64>,
-    /// The host that the connection was open to before (`at`).
+    /// The host that the client was connected to before (`at`), or `None` for a new request.
     pub previous_host: Option<&'a str>,
-    /// The load it usually causes, as a share of a core (`h`).
+    /// The load that the request usually causes, as a share of a core (`h`, in milliseconds of work per
+    /// second), or `None` if the request does not state it.
     pub usual_load: Option<f64>,
 }
 
 impl<'a> OpenRequest<'a> {
-    /// Reads the list of fields, each `name=value`. Unknown names are left to the host.
+    /// Parses the comma-separated list of fields, each `name=value`. Ignores unknown names, which are for the
+    /// host.
+    ///
+    /// # Errors
+    /// Returns why the list is malformed.
     fn parse_fields(&mut self, list: &'a str) -> Result<(), LineError> {
         let mut has_timeout = false;
         for (position, field) in list.split(',').enumerate() {
@@ -64,7 +69,7 @@
                 }
                 "g" => self.group = key_from_text(value),
                 "at" => self.previous_host = Some(value),
-                // In milliseconds of work a second.
+                // In milliseconds of work per second.
                 "h" => {
                     let load = bounded_number(value).ok_or(LineError::InvalidLoad)?;
                     self.usual_load = Some(load / 1e3);
@@ -80,19 +85,19 @@
     }
 }
 
-/// A plain decimal number below [`FIELD_LIMIT`]. Rejects `1e9`, `inf`, `nan` and signs, which the parser of
-/// floats accepts.
+/// Parses a plain decimal number below [`FIELD_VALUE_LIMIT`]. Returns `None` for any other text, including
+/// `1e9`, `inf`, `nan` and signs, which the standard float parser accepts.
 fn bounded_number(text: &str) -> Option<f64> {
     let plain =
         text.bytes().all(|b| b.is_ascii_digit() || b == b'.') && text.starts_with(|c| c != '.');
     let number: f64 = text.parse().ok().filter(|_| plain)?;
-    (number < FIELD_LIMIT).then_some(number)
+    (number < FIELD_VALUE_LIMIT).then_some(number)
 }
 
-/// Reads a client's first line, given without its CRLF.
+/// Parses a client's first line, given without its CRLF.
 ///
 /// # Errors
-/// Why it is malformed.
+/// Returns why the line is malformed.
 pub fn parse_client_line(line: &[u8]) -> Result<ClientMessage<'_>, LineError> {
     let text = std::str::from_utf8(line).map_err(|_| LineError::NotText)?;
     if text == "PING" {
@@ -125,8 +130,9 @@
     Ok(ClientMessage::Request(request))
 }
 
-/// An `OPEN` line as the host is to read it, in pieces: unchanged but for the timeout, which is what is left
-/// of it. `digits` holds the new number.
+/// Returns the pieces of an `OPEN` line as it is forwarded to a host: unchanged except that the timeout is
+/// replaced by `time_left`, in milliseconds and at least 1. `digits` stores the text of the new number.
+/// `line` comes without its CRLF, the result with it.
 pub fn forwarded_line<'a>(
     line: &'a [u8],
     time_left: Nanos,
--- a/node/src/connections/protocol/error.rs
+++ b/node/src/connections/protocol/error.rs
@@ -1,55 +1,55 @@
-//! Why a line is malformed, with the text that is logged for each reason.
+//! The errors of malformed lines and their texts for the log.
 
 use std::fmt;
 
-/// Why a line can't be read.
+/// Why a line cannot be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineError {
-    /// It ends in a bare line feed.
+    /// The line ends in a line feed without a carriage return.
     NotCrlf,
-    /// It is longer than [`MAX_LINE_BYTES`](super::MAX_LINE_BYTES).
+    /// The line is longer than [`MAX_LINE_BYTES`](super::MAX_LINE_BYTES), its CRLF included.
     TooLong,
-    /// It is not UTF-8.
+    /// The line is not valid UTF-8.
     NotText,
-    /// It contains a control character.
+    /// The line contains an ASCII control character.
     ControlCharacter,
-    /// Its first word is no command of a client.
+    /// The first word is neither `PING` nor `OPEN`.
     UnknownCommand,
-    /// `OPEN` is not followed by exactly an id, a key and a list of fields.
+    /// `OPEN` is not followed by exactly three words: an id, a key and a list of fields.
     WordCount,
-    /// The id is missing or too long.
+    /// The id is empty, `-` or longer than 128 bytes.
     InvalidId,
     /// The idempotency key is empty.
     MissingKey,
-    /// An entry of the list is not `name=value`.
+    /// An entry of the field list is not `name=value`.
     UnnamedField,
-    /// A field stands twice.
+    /// A field occurs more than once.
     DuplicateField,
-    /// The timeout is no plain decimal number, or out of range.
+    /// The timeout (`d`) is not a plain decimal number below 1e9.
     InvalidTimeout,
-    /// The usual load is no plain decimal number, or out of range.
+    /// The usual load (`h`) is not a plain decimal number below 1e9.
     InvalidLoad,
-    /// There is no timeout.
+    /// The timeout (`d`) is missing.
     MissingTimeout,
 }
 
 impl LineError {
-    /// Its text in the log.
+    /// Returns the text for the log.
     pub fn message(self) -> &'static str {
         match self {
-            LineError::NotCrlf => "a line that does not end in CRLF",
-            LineError::TooLong => "a line that is too long",
-            LineError::NotText => "a line that is no text",
-            LineError::ControlCharacter => "a control character",
-            LineError::UnknownCommand => "neither PING nor OPEN",
-            LineError::WordCount => "not three words after OPEN",
-            LineError::InvalidId => "no id, or one that is too long",
-            LineError::MissingKey => "no key",
-            LineError::UnnamedField => "a figure without a name",
-            LineError::DuplicateField => "a figure told twice",
-            LineError::InvalidTimeout => "a wild wait",
-            LineError::InvalidLoad => "a wild load",
-            LineError::MissingTimeout => "no wait",
+            LineError::NotCrlf => "line does not end in CRLF",
+            LineError::TooLong => "line longer than 4096 bytes",
+            LineError::NotText => "line is not UTF-8",
+            LineError::ControlCharacter => "control character in the line",
+            LineError::UnknownCommand => "command is neither PING nor OPEN",
+            LineError::WordCount => "OPEN not followed by an id, a key and a list of fields",
+            LineError::InvalidId => "request id empty, - or longer than 128 bytes",
+            LineError::MissingKey => "idempotency key empty",
+            LineError::UnnamedField => "field is not name=value",
+            LineError::DuplicateField => "duplicate field",
+            LineError::InvalidTimeout => "timeout (d) not plain decimal or too large",
+            LineError::InvalidLoad => "usual load (h) not plain decimal or too large",
+            LineError::MissingTimeout => "no timeout (d)",
         }
     }
 }
--- a/node/src/connections/protocol/host.rs
+++ b/node/src/connections/protocol/host.rs
@@ -1,29 +1,29 @@
-//! What a host sends: its answer to a request, its load, that it closes or wants the client elsewhere, and
-//! the load report that answers a health check.
+//! The lines that a host sends: its answer to a request, load reports, the announcement of an end or a
+//! migration, and the answer to a probe.
 
-/// What a line from a host says.
+/// The meaning of a line from a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum HostMessage {
-    /// `UP`: it has accepted the request.
+    /// `UP`: the host has accepted the request.
     Accepted,
-    /// `BUSY`: it rejects the request for now.
+    /// `BUSY`: the host rejects the request for now.
     Busy,
     /// `ERR`: the request failed.
     Err,
-    /// `BYE`: it ends the connection in order.
+    /// `BYE`: the host closes the connection in order.
     Bye,
-    /// `MOVE`: the client is to connect again.
+    /// `MOVE`: the client should connect elsewhere.
     Migrate,
-    /// `LOAD`: its load now, as a share of a core.
+    /// `LOAD`: the current load of the connection at the host, as a share of a core.
     Load(f64),
-    /// `PONG`: the answer to a health check.
+    /// `PONG`: the answer to a health check or load probe.
     Pong,
-    /// Any other line, which is for the client.
+    /// Any other line, which is meant for the client.
     Other,
 }
 
 impl HostMessage {
-    /// Reads a line, or as much of it as was kept, given without its CRLF.
+    /// Parses a line, given without its CRLF. The beginning of a long line is enough.
     pub fn parse(line: &[u8]) -> HostMessage {
         let mut words = line.split(|&b| b == b' ');
         let command = words.next().unwrap_or(b"");
@@ -38,7 +38,7 @@
                 .next()
                 .and_then(|word| std::str::from_utf8(word).ok())
                 .and_then(|word| word.parse::<f64>().ok())
-                // In microseconds of work a second.
+                // The line states microseconds of work per second.
                 .filter(|load| (0.0..1e12).contains(load))
                 .map_or(HostMessage::Other, |load| HostMessage::Load(load / 1e6)),
             _ => HostMessage::Other,
@@ -46,8 +46,9 @@
     }
 }
 
-/// The values of a load report behind a host's answer, in the order of `names`; empty where one is
-/// missing. They stand as `name=value` or `name:value`, or bare in that order.
+/// Parses the load report that follows the first word of a host's answer to a probe. Returns the values in
+/// the order of `names`, or an empty list if a value is missing or not finite. The values are given as
+/// `name=value` or `name:value` in any order, or without names in the order of `names`.
 pub fn parse_load_report(line: &[u8], names: &[String]) -> Vec<f64> {
     let text = std::str::from_utf8(line).unwrap_or("");
     let words = || {
--- a/node/src/connections/protocol/mod.rs
+++ b/node/src/connections/protocol/mod.rs
@@ -1,8 +1,8 @@
-//! The line protocol that clients and hosts speak: text lines that end in CRLF. The first line of a client
-//! opens a connection ([`client`]), a host answers and reports on it ([`host`]), and a scanner finds the
-//! lines in a proxied stream ([`scanner`]). The words and keys of the protocol are mapped to the terms of
-//! the code here and nowhere else. Nothing here needs more of a line than it is given, and nothing panics:
-//! a line that is split, too long or malformed is reported as such.
+//! The line protocol of clients and hosts: text lines that end in CRLF. A client's first line opens a
+//! connection ([`client`]), a host answers it and reports on the connection ([`host`]), and a scanner finds
+//! the lines in a proxied stream ([`scanner`]). Only this module parses the commands and keys of lines; the
+//! rest of the code uses its types. Its functions never panic on any input: a line that is incomplete, too
+//! long or malformed is reported as such.
 
 mod client;
 mod error;
@@ -15,12 +15,12 @@
 pub use host::{parse_load_report, HostMessage};
 pub use scanner::LineScanner;
 
-/// The longest line, its CRLF included.
+/// The length of the longest valid line in bytes, its CRLF included.
 pub const MAX_LINE_BYTES: usize = 4096;
 
-/// Answers that the client may retry.
+/// Rejects a request for now; the client may retry it.
 pub const BUSY_LINE: &[u8] = b"BUSY\r\n";
-/// Answers that a request failed, or is not served.
+/// Reports that a request failed or is not served.
 pub const ERROR_LINE: &[u8] = b"ERR\r\n";
 /// Tells a client to connect elsewhere.
 pub const MOVE_LINE: &[u8] = b"MOVE\r\n";
@@ -28,16 +28,16 @@
 /// The first line of a buffer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line<'a> {
-    /// Its bytes without the CRLF.
+    /// The bytes of the line without its CRLF.
     pub text: &'a [u8],
-    /// How many bytes of the buffer it takes, the CRLF included.
+    /// The length of the line in the buffer, its CRLF included.
     pub length: usize,
 }
 
-/// The first line among `bytes`, or none while it is not complete.
+/// Returns the first line in `bytes`, or `None` if it is not complete yet.
 ///
 /// # Errors
-/// Where there will never be one: it is too long, or does not end in CRLF.
+/// Returns an error if the line is too long or does not end in CRLF.
 pub fn split_first_line(bytes: &[u8]) -> Result<Option<Line<'_>>, LineError> {
     match bytes.iter().take(MAX_LINE_BYTES).position(|&b| b == b'\n') {
         Some(end) if end > 0 && bytes[end - 1] == b'\r' => Ok(Some(Line {
--- a/node/src/connections/protocol/protocol_tests.rs
+++ b/node/src/connections/protocol/protocol_tests.rs
@@ -6,7 +6,7 @@
 const LINE: &[u8] = b"OPEN 9b1f 7f3a9c21e0b4d655 c=chat,t=acme,d=2000,g=5c0f,at=s-1,h=12.5,zz=1";
 
 #[test]
-fn reads_a_request_line_and_rewrites_only_its_timeout() {
+fn request_line_is_parsed_and_forwarded_with_only_its_timeout_changed() {
     let Ok(ClientMessage::Request(request)) = parse_client_line(LINE) else {
         panic!()
     };
@@ -23,17 +23,17 @@
         (Some(0x7f3a_9c21_e0b4_d655), Some(0.0125))
     );
     let mut digits = String::new();
-    let sent = forwarded_line(LINE, 1_234_900_000, &mut digits).concat();
-    let wanted = String::from_utf8(LINE.to_vec())
+    let forwarded = forwarded_line(LINE, 1_234_900_000, &mut digits).concat();
+    let expected = String::from_utf8(LINE.to_vec())
         .unwrap()
         .replace("d=2000", "d=1234")
         + "\r\n";
-    assert_eq!(String::from_utf8(sent).unwrap(), wanted);
+    assert_eq!(String::from_utf8(forwarded).unwrap(), expected);
     assert_eq!(parse_client_line(b"PING"), Ok(ClientMessage::Ping));
 }
 
 #[test]
-fn reports_what_is_malformed() {
+fn malformed_lines_are_rejected() {
     for line in [
         "",
         "OPEN",
@@ -74,31 +74,31 @@
 }
 
 #[test]
-fn reads_a_load_report_by_name_or_in_order() {
+fn load_report_is_read_by_name_or_by_position() {
     let names = ["x0".to_string(), "x1".to_string()];
     assert_eq!(parse_load_report(b"PONG x1=0.5,x0=2", &names), [2.0, 0.5]);
     assert_eq!(parse_load_report(b"PONG 2 0.5", &names), [2.0, 0.5]);
-    for poor in [
+    for invalid in [
         &b"PONG"[..],
         b"PONG x0=2",
         b"PONG x0=nan,x1=1",
         b"PONG \xff",
         b"ERR no such thing",
     ] {
-        assert!(parse_load_report(poor, &names).is_empty());
+        assert!(parse_load_report(invalid, &names).is_empty());
     }
 }
 
 #[test]
-fn finds_lines_however_they_are_split() {
+fn scanner_finds_lines_in_pieces_of_any_size() {
     let text = b"UP 17\r\nLOAD 2500\r\nhello there\r\nBYE\r\nMO";
     for size in 1..text.len() {
         let (mut scanner, mut messages) = (LineScanner::default(), Vec::new());
         for piece in text.chunks(size) {
-            let mut at = 0;
-            while at < piece.len() {
-                let (consumed, message) = scanner.step(&piece[at..]).unwrap();
-                at += consumed;
+            let mut position = 0;
+            while position < piece.len() {
+                let (consumed, message) = scanner.step(&piece[position..]).unwrap();
+                position += consumed;
                 messages.extend(message);
             }
         }
--- a/node/src/connections/protocol/scanner.rs
+++ b/node/src/connections/protocol/scanner.rs
@@ -1,39 +1,44 @@
-//! A scanner for lines in a proxied stream. Its form passes between two processes of a hot restart.
+//! A scanner for the lines in a proxied stream. Its serialized form is sent to the successor in a hot
+//! restart, so the order and the types of its fields are fixed.
 
 use super::{HostMessage, LineError, MAX_LINE_BYTES};
 use serde::{Deserialize, Serialize};
 
-/// How much of a line is kept: enough for every [`HostMessage`].
+/// How many bytes of a line are kept: enough to parse every [`HostMessage`].
 const HEAD_BYTES: usize = 32;
 
-/// Finds the lines in a stream, however it is split, and keeps no more than the head of one.
+/// Finds the lines in a stream that arrives in pieces of any size. Keeps only the first [`HEAD_BYTES`] bytes
+/// of the current line.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct LineScanner {
+    /// The first bytes of the current line.
     head: [u8; HEAD_BYTES],
+    /// The number of bytes of the current line that have arrived, 0 between two lines.
     length: u16,
 }
 
 impl LineScanner {
-    /// Whether the stream stands between two lines.
+    /// Returns whether the stream is between two lines.
     pub fn between_lines(&self) -> bool {
         self.length == 0
     }
 
-    /// Reads to the end of a line or of `bytes`: how many bytes that took, and what the line said.
+    /// Scans up to the end of the current line or of `bytes`, whichever comes first. Returns the number of
+    /// bytes consumed and the message if the line is complete.
     ///
     /// # Errors
-    /// [`LineError::TooLong`], after which the stream can't be read on.
+    /// Returns [`LineError::TooLong`], after which the stream cannot be scanned further.
     pub fn step(&mut self, bytes: &[u8]) -> Result<(usize, Option<HostMessage>), LineError> {
         let end = bytes.iter().position(|&b| b == b'\n');
         let piece = &bytes[..end.unwrap_or(bytes.len())];
-        let before = usize::from(self.length);
-        let length = before + piece.len();
+        let previous_length = usize::from(self.length);
+        let length = previous_length + piece.len();
         if length >= MAX_LINE_BYTES {
             return Err(LineError::TooLong);
         }
-        if before < HEAD_BYTES {
-            let taken = piece.len().min(HEAD_BYTES - before);
-            self.head[before..before + taken].copy_from_slice(&piece[..taken]);
+        if previous_length < HEAD_BYTES {
+            let copied = piece.len().min(HEAD_BYTES - previous_length);
+            self.head[previous_length..previous_length + copied].copy_from_slice(&piece[..copied]);
         }
         self.length = length as u16;
         let Some(end) = end else {
