--- a/node/src/connections/attempt_progress.rs
+++ b/node/src/connections/attempt_progress.rs
@@ -1,6 +1,6 @@
-//! The progress of an attempt: the host's connection is established, the request line written, the host's
-//! answer read. Must never write a request line later than it may, nor begin one that is not permitted at
-//! that moment.
+//! The steps of an attempt: establish the host connection, write the request line, read the host's answer. No
+//! part of a request line is written after its time limit, and its first byte only if
+//! [`reedferry::permission`] allows it at that moment.
 
 use super::connection::Stage;
 use super::host_connection::MessageRecorder;
@@ -15,7 +15,7 @@
 use reedferry_runtime::Buffer;
 
 impl Connections {
-    /// Brings an attempt as far as its socket allows.
+    /// Advances an attempt as far as its socket allows without blocking.
     pub(super) fn advance_attempt(&mut self, context: &mut Context, slot: usize) {
         if !self.check_connected(context, slot) {
             return;
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Whether the connection to the host is established.
+    /// Returns whether the host connection is established. Ends the attempt if the connect has failed.
     fn check_connected(&mut self, context: &mut Context, slot: usize) -> bool {
         let Some(connection) = self.slab.get_mut(slot) else {
             return false;
@@ -49,8 +49,11 @@
         true
     }
 
-    /// Whether more of the request line may be written now, by the clock of this moment: the turn's one
-    /// reading may be old, and the process may have been stalled since the host's connection was established.
+    /// Checks whether the request line may be begun or continued now. Reads the clock again, as the turn's
+    /// reading may be old and the process may have stalled since the host connection was established.
+    ///
+    /// # Errors
+    /// Returns why the request line must not be written.
     fn check_write_permission(
         &mut self,
         context: &mut Context,
@@ -70,8 +73,8 @@
         let attempt_deadline = started_at + connection.attempt_timeout;
         let deadline = attempt_deadline.min(connection.answer_deadline());
         let repeats = connection.may_have_run_since.is_some();
-        // The client is checked last: the process may be stalled behind its reading of the clock, which the
-        // other limits allow for.
+        // Checks the client after reading the clock. The process may stall in between: the time limits leave
+        // a margin for that, while an earlier check of the client would be out of date.
         let now = context.clock.read();
         let client_waits = self.client_still_waits(context, slot);
         let record = context.hosts.record(host);
@@ -89,22 +92,22 @@
         })
     }
 
-    /// Ends an attempt whose request line may not be written, or not to its end, and so never ran.
+    /// Ends an attempt whose request line must not be begun or completed, so that the host never runs it.
     fn abort_unwritten(&mut self, context: &mut Context, slot: usize, refusal: Refusal) {
         context.metrics.add(Counter::NotStarted(refusal));
         match refusal {
-            // The attempt has ended already.
+            // The check of the client has already ended the attempt.
             Refusal::ClientGone => {}
-            // Its connection was established too late, or the host is draining.
+            // The host connection was established too late, or the host is draining.
             Refusal::HostDraining | Refusal::OutsideWindow => {
                 self.end_attempt(context, slot, AttemptOutcome::ConnectFailed);
             }
-            // The host is not to blame.
+            // The host must not be blamed.
             _ => self.end_attempt(context, slot, AttemptOutcome::NeverSent),
         }
     }
 
-    /// Writes what it can of the request line, and tells whether the host has all of it.
+    /// Writes as much of the request line as the socket takes. Returns whether all of it is written.
     fn write_request(&mut self, context: &mut Context, slot: usize) -> bool {
         let Some(connection) = self.slab.get_mut(slot) else {
             return false;
@@ -155,7 +158,7 @@
         true
     }
 
-    /// Reads the host's answer, its first line.
+    /// Reads the host's first line, which is its answer, and opens the connection or ends the attempt.
     fn read_answer(&mut self, context: &mut Context, slot: usize) {
         let Some(connection) = self.slab.get_mut(slot) else {
             return;
@@ -196,8 +199,9 @@
         self.end_attempt(context, slot, outcome);
     }
 
-    /// The host has accepted the request: from here on lines are proxied both ways. `messages` came with the
-    /// answer; without them, a first load report in one piece with it would be lost.
+    /// Opens the connection after the host has accepted the request, and starts to proxy lines in both
+    /// directions. `messages` are the lines that came together with the answer. Without them, a load report
+    /// sent right after the answer would be lost.
     fn open_connection(&mut self, context: &mut Context, slot: usize, messages: &[HostMessage]) {
         let connection = &mut self.slab[slot];
         let Some(host_connection) = connection.host_connection.as_mut() else {
@@ -227,7 +231,7 @@
             id,
             host: host_connection.host,
             now: context.now,
-            statements: &mut host_connection.statements,
+            reports: &mut host_connection.reports,
             unanswered_lines: &mut connection.unanswered_lines,
             events: &mut context.events,
             hosts: &mut context.hosts,
--- a/node/src/connections/attempts.rs
+++ b/node/src/connections/attempts.rs
@@ -1,8 +1,8 @@
-//! Attempts: from the connect to a host until they are answered, fail or time out. Owns the timers of an
-//! attempt and what is reported of its end. Must never report more than one end of an attempt.
+//! Attempts, from the connect to a host until the host answers or the attempt fails or times out. This module
+//! owns the timers of an attempt and reports its end. It never reports more than one end of an attempt.
 
 use super::connection::{Connection, Stage};
-use super::host_connection::{HostConnection, HostStatements};
+use super::host_connection::{HostConnection, HostReports};
 use super::peer_socket::PeerSocket;
 use super::protocol::ERROR_LINE;
 use super::relay::Relay;
@@ -15,17 +15,17 @@
 use slog::{info, warn};
 use std::net::SocketAddr;
 
-/// Buffers that new attempts leave for the answers to clients that are accepted already.
+/// The number of buffers that new attempts leave free for the answers to clients that are already accepted.
 const RESERVED_BUFFERS: usize = 16;
 
-/// The timer by which the host's connection has to be established.
+/// The timer that expires when the host connection must be established.
 const CONNECT_TIMER: u64 = 0;
-/// The timer by which the host has to have answered.
+/// The timer that expires when the host must have answered.
 const ATTEMPT_TIMER: u64 = 1;
 
 impl Connections {
-    /// Starts an attempt whose request line is to be written by `write_by`, and whose answer is waited for
-    /// until `until`.
+    /// Starts an attempt at `host`. Its request line must be written by `write_by`, and its answer is awaited
+    /// until `until`. If the attempt cannot start, reports its end at once.
     pub fn start_attempt(
         &mut self,
         context: &mut Context,
@@ -34,12 +34,15 @@
         until: Nanos,
         write_by: Nanos,
     ) {
-        let waits = |c: &Connection| {
+        let awaits_attempt = |c: &Connection| {
             c.stage == Stage::Pending && c.host_connection.is_none() && c.client.is_some()
         };
-        let slot = self.slot_of(id).filter(|&slot| waits(&self.slab[slot]));
+        let slot = self
+            .slot_of(id)
+            .filter(|&slot| awaits_attempt(&self.slab[slot]));
         let Some(slot) = slot.filter(|&slot| self.client_still_waits(context, slot)) else {
-            // Without this, the decision module would keep the record of a client that left while it chose.
+            // Reports that the request is over. Without this, the decision module would keep the record of a
+            // client that left while the host was being chosen.
             return context.events.push(Event::AttemptEnded {
                 id,
                 attempt: 0,
@@ -53,7 +56,7 @@
         let attempt = connection.attempts;
         connection.attempts += 1;
         let started = match context.hosts.index(host) {
-            // Hosts may be draining by now of which this node has not heard.
+            // The endpoint list may be stale, so the host may be draining without this node knowing it.
             Some(_) if context.stale_window.contains(&context.now) => {
                 Err(AttemptOutcome::NeverSent)
             }
@@ -72,7 +75,10 @@
         }
     }
 
-    /// Connects to a host, and sets the timers of the attempt.
+    /// Starts to connect to a host and sets the timers of the attempt.
+    ///
+    /// # Errors
+    /// Returns the outcome of an attempt that could not be started.
     pub(super) fn connect_to_host(
         &mut self,
         context: &mut Context,
@@ -83,7 +89,7 @@
     ) -> Result<(), AttemptOutcome> {
         let address = context.hosts.record(host).address;
         let address = address.ok_or(AttemptOutcome::ConnectFailed)?;
-        // A client with a request goes before one without.
+        // A client with a request has priority over idle ones, which are closed if descriptors are short.
         self.free_descriptors(context, 1);
         let (socket, connected) = open_socket(context, &address)?;
         let token = context.watch(&socket, HOST, slot).map_err(|_| {
@@ -106,7 +112,7 @@
             connected,
             request_written: false,
             request_written_at: 0,
-            statements: HostStatements::default(),
+            reports: HostReports::default(),
         });
         connection.to_client = Relay::default();
         connection.to_host = Relay::default();
@@ -122,7 +128,7 @@
         Ok(())
     }
 
-    /// Cancels an attempt, unless it has been answered.
+    /// Cancels an attempt unless the host has answered it.
     pub fn cancel_attempt(&mut self, context: &mut Context, id: RequestId, attempt: u32) {
         let Some(slot) = self.slot_of(id) else { return };
         let connection = &self.slab[slot];
@@ -132,14 +138,14 @@
         }
     }
 
-    /// A timer of an attempt has expired.
+    /// Handles an expired timer of an attempt: times the attempt out unless it has progressed meanwhile.
     pub fn on_timer(&mut self, context: &mut Context, token: PollToken, timer: u64) {
         let slot = token.slot as usize;
         let Some(attempt) = self.attempt_in_flight(slot, token.generation) else {
             return;
         };
-        // Without this, a host whose connection came up while this process was stalled or busy would be
-        // taken for unreachable.
+        // Checks the socket itself. Without this, a host would be taken for unreachable if its connection was
+        // established while this process was stalled or busy.
         if !attempt.connected && attempt.peer.socket.is_connected() {
             attempt.peer.writable = true;
             self.advance_attempt(context, slot);
@@ -154,14 +160,15 @@
         }
     }
 
-    /// The attempt of this generation, while its request waits for an answer.
+    /// Returns the attempt in a slot, or `None` if its socket is of another generation or its request no
+    /// longer waits for an answer.
     fn attempt_in_flight(&mut self, slot: usize, generation: u32) -> Option<&mut HostConnection> {
         let connection = self.slab.get_mut(slot).filter(|c| c.awaits_answer())?;
         let attempt = connection.host_connection.as_mut()?;
         (attempt.peer.generation == generation).then_some(attempt)
     }
 
-    /// The attempt in flight has had its time, or the request has: the attempt ends, unless its answer has
+    /// Ends the attempt in flight because its time or that of its request is over, unless its answer has
     /// arrived.
     pub(super) fn on_attempt_timeout(&mut self, context: &mut Context, slot: usize) {
         let Some(connection) = self.slab.get(slot) else {
@@ -172,8 +179,8 @@
         };
         let generation = attempt.peer.generation;
         if attempt.request_written && context.now <= connection.answer_deadline() {
-            // One turn takes in no more than what is before it: without this, the attempt would fail while
-            // its answer lies unread in the socket.
+            // Reads the socket once more, as the answer may have arrived after the poller last reported.
+            // Without this, the attempt would fail while its answer lies unread in the socket.
             self.slab[slot].assume_host_readable();
             self.advance_attempt(context, slot);
         }
@@ -183,7 +190,7 @@
         }
     }
 
-    /// Ends an attempt that no connection has come of.
+    /// Ends an attempt that has not become an open connection, and reports its outcome.
     pub(super) fn end_attempt(
         &mut self,
         context: &mut Context,
@@ -196,7 +203,8 @@
         };
         let record = context.hosts.record(attempt.host);
         let readdressed = record.readdressed.is_some_and(|at| at > attempt.started_at);
-        // Without this, a host would be avoided at its new address, as nobody answers at the old one.
+        // Does not blame the host for a failed connect to an address that it has left since. Without this, it
+        // would be avoided at its new address because nobody answers at the old one.
         let outcome = if readdressed && outcome == AttemptOutcome::ConnectFailed {
             AttemptOutcome::NeverSent
         } else {
@@ -237,8 +245,11 @@
     }
 }
 
-/// A socket on its way to a host, and whether it is connected already. Leaves enough descriptors and buffers
-/// to answer the clients that are accepted.
+/// Opens a socket and starts to connect it to a host. Returns the socket and whether it is connected already.
+/// Leaves enough descriptors and buffers free to answer the clients that are accepted.
+///
+/// # Errors
+/// Returns the outcome of an attempt that could not be started.
 fn open_socket(
     context: &mut Context,
     address: &SocketAddr,
--- a/node/src/connections/closing.rs
+++ b/node/src/connections/closing.rs
@@ -1,6 +1,6 @@
-//! Closing: the final answer where no host gave one, and the end of a client's connection. Owns what is
-//! discarded of clients that go on sending. Must never answer twice, nor lose an answer in the reset that
-//! closing over unread input brings.
+//! Sends the final answer if no host gave one, and closes client connections. Input that arrives after the
+//! final answer is read and discarded here, within limits: closing a socket with unread input resets the
+//! connection, and the client could lose its answer. No client is answered twice.
 
 use super::connection::Stage;
 use super::protocol::{BUSY_LINE, ERROR_LINE};
@@ -12,17 +12,19 @@
 use reedferry::{Nanos, RequestId, MILLI};
 use reedferry_runtime::errors::{classify_io, IoFailure};
 
-/// For how long the client's end is waited for, after its connection began to close or it last sent.
+/// How long to wait for a client to close its connection, counted from when closing began or the client last
+/// sent.
 pub(super) const LINGER_TIMEOUT: Nanos = 900 * MILLI;
-/// For how long a client that goes on sending is waited for, since it connected.
+/// How long to wait for a client that keeps sending to close its connection, counted from when it connected.
 const MAX_LINGER: Nanos = 5500 * MILLI;
-/// What is discarded of one connection between two sweeps.
-const MAX_DISCARDED_PER_CONNECTION: usize = 2 << 20;
-/// What is discarded of all connections between two sweeps.
-pub(super) const MAX_DISCARDED_TOTAL: usize = 8 << 20;
+/// The most bytes that are discarded of one connection between two sweeps.
+const MAX_DISCARDED_BYTES_PER_CONNECTION: usize = 2 << 20;
+/// The most bytes that are discarded of all connections between two sweeps.
+pub(super) const MAX_DISCARDED_BYTES_TOTAL: usize = 8 << 20;
 
 impl Connections {
-    /// Rejects a request, with the time after which it may be retried.
+    /// Rejects a request. The client is told to retry it after `retry_after`, or without a time if that is
+    /// less than a millisecond.
     pub fn reject(&mut self, context: &mut Context, id: RequestId, retry_after: Nanos) {
         let Some(slot) = self.slot_of(id) else { return };
         if retry_after >= MILLI {
@@ -33,14 +35,14 @@
         }
     }
 
-    /// Answers that a request failed.
+    /// Tells the client that its request failed.
     pub fn fail(&mut self, context: &mut Context, id: RequestId) {
         if let Some(slot) = self.slot_of(id) {
             self.send_final_answer(context, slot, ERROR_LINE);
         }
     }
 
-    /// Writes a last line to the client and closes its connection.
+    /// Queues `line` as the final answer to the client and begins to close its connection.
     pub(super) fn send_final_answer(&mut self, context: &mut Context, slot: usize, line: &[u8]) {
         let rejected = line.starts_with(b"BUSY");
         self.check_answer(context, slot, rejected);
@@ -62,7 +64,8 @@
         if connection.client.is_none() {
             return self.remove(context, slot, CloseReason::ClientEnded);
         }
-        // Without this, an answer to a ping that the client has a part of would be cut within its line.
+        // Sends the rest of an answer to a ping first. Without this, the client would get the final answer in
+        // the middle of that line.
         let unsent = connection
             .to_client
             .buffer
@@ -77,7 +80,7 @@
         self.begin_close(context, slot);
     }
 
-    /// Closes the client's connection in order, once all that waits is sent.
+    /// Begins to close the client's connection in order, after all queued bytes are sent.
     pub(super) fn begin_close(&mut self, context: &mut Context, slot: usize) {
         self.release_id(slot);
         let connection = &mut self.slab[slot];
@@ -91,9 +94,9 @@
         self.linger(context, slot);
     }
 
-    /// Sends what waits for the client, and then discards what it sends until it ends. Without the
-    /// discarding, its answer would be lost in the reset that closing over unread input brings; the limits
-    /// keep a client that sends without end from taking up the loop.
+    /// Sends the queued bytes to the client, then discards its input until it closes. Without the discarding,
+    /// closing with unread input would reset the connection and the client could lose its answer. The limits
+    /// keep a client that sends without end from blocking the event loop.
     pub(super) fn linger(&mut self, context: &mut Context, slot: usize) {
         let connection = &mut self.slab[slot];
         let Some(client) = connection.client.as_mut() else {
@@ -115,7 +118,7 @@
             return;
         };
         while client.readable
-            && connection.discarded < MAX_DISCARDED_PER_CONNECTION
+            && connection.discarded < MAX_DISCARDED_BYTES_PER_CONNECTION
             && self.discard_allowance > 0
         {
             match client.socket.discard(buffer.free_space()) {
@@ -123,8 +126,9 @@
                 Ok(count) => {
                     connection.discarded += count;
                     self.discard_allowance = self.discard_allowance.saturating_sub(count);
-                    let longest = connection.accepted_at + MAX_LINGER;
-                    connection.stage = Stage::Closing((context.now + LINGER_TIMEOUT).min(longest));
+                    let linger_deadline = connection.accepted_at + MAX_LINGER;
+                    connection.stage =
+                        Stage::Closing((context.now + LINGER_TIMEOUT).min(linger_deadline));
                 }
                 Err(error) => match classify_io(error) {
                     IoFailure::WouldBlock => client.readable = false,
@@ -140,7 +144,8 @@
         }
     }
 
-    /// The one place where a connection's sockets and buffers are given back.
+    /// Removes a connection and releases its sockets and buffers. No other function does so. Resets the
+    /// client's socket if `reason` demands it.
     pub(super) fn remove(&mut self, context: &mut Context, slot: usize, reason: CloseReason) {
         self.check_close(context, slot, reason);
         self.release_id(slot);
--- a/node/src/connections/connection.rs
+++ b/node/src/connections/connection.rs
@@ -1,5 +1,5 @@
-//! The record of one client's connection: its state from the first line to the end. Changed by the modules
-//! beside this one, each for its stage.
+//! The state of one client connection from its first line to its end. Each sibling module changes it during
+//! the stage that the module is responsible for.
 
 use super::host_connection::HostConnection;
 use super::peer_socket::PeerSocket;
@@ -9,77 +9,84 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Where a connection has got to.
+/// The stage of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Stage {
-    /// The client's first line is not complete.
+    /// The client has not sent a complete first line yet.
     AwaitingRequest,
-    /// The request is with the decision module, which owes it an answer.
+    /// The decision module has the request and has not answered it yet.
     Pending,
-    /// The client was connected to a host before this node started, and is connected to it again; the time
-    /// of the next attempt.
+    /// The client was connected to a host before this node started, and the node is reconnecting it. Holds
+    /// the time of the next attempt.
     Reconnecting(Nanos),
-    /// A host has accepted it: lines are proxied both ways.
+    /// A host has accepted the request, and lines are proxied in both directions.
     Open,
-    /// Another process is to go on with it; whether it was open, or had sent no request yet.
+    /// The connection is being handed over between processes. Holds whether it was open; otherwise it had
+    /// sent no request yet.
     HandingOver(bool),
-    /// The final answer is given, or the host is gone; until when the client's end is waited for.
+    /// The final answer has been given, or the host has closed. Holds the time until which the node
+    /// waits for the client to close.
     Closing(Nanos),
 }
 
-/// A client's connection and what belongs to it.
+/// A client connection with its request and its host connection.
 pub(super) struct Connection {
-    /// The client's side; none once the client has gone.
+    /// The client's socket, or `None` once the client has gone.
     pub(super) client: Option<PeerSocket>,
-    /// The host's side, from the attempt on.
+    /// The attempt in flight or the open host connection.
     pub(super) host_connection: Option<HostConnection>,
     pub(super) stage: Stage,
     /// When the client connected.
     pub(super) accepted_at: Nanos,
-    /// When the request arrived or, for want of one, the client; then when closing began.
+    /// When the request arrived, or the client if there is no request yet. Once the connection is closing,
+    /// when closing began.
     pub(super) started_at: Nanos,
-    /// The request as the decision module knows it.
+    /// The request as reported to the decision module.
     pub(super) incoming: IncomingRequest,
-    /// The client's id for the request, while it is open.
+    /// The client's id for the request, from its arrival until closing begins.
     pub(super) wire_id: Option<Rc<str>>,
+    /// The number of pings answered.
     pub(super) pings: u32,
-    /// How many hosts have answered with an error.
+    /// The number of attempts that a host has answered with an error.
     pub(super) host_errors: u32,
-    /// Bytes discarded since the last sweep.
+    /// The number of bytes discarded since the last sweep.
     pub(super) discarded: usize,
-    /// The client's first line, kept until a host has accepted it.
+    /// What the client has sent of its first line, kept until a host accepts it or the final answer is given.
     pub(super) request_line: Option<Buffer>,
-    /// The length of that line without its CRLF.
+    /// The length in bytes of the complete first line without its CRLF.
     pub(super) request_line_length: usize,
-    /// The host that the client was connected to before this node started.
+    /// The host that the client was connected to before this node started, or `None` for a new request.
     pub(super) previous_host: Option<HostId>,
-    /// How long the client waits for an answer.
+    /// How long the client waits for an answer, counted from `started_at`.
     pub(super) timeout: Nanos,
-    /// How long the attempt in flight may take.
+    /// How long the attempt in flight may take, counted from its start.
     pub(super) attempt_timeout: Nanos,
-    /// What flows from the client to the host.
+    /// The relay from the client to the host.
     pub(super) to_host: Relay,
-    /// What flows from the host to the client.
+    /// The relay from the host to the client.
     pub(super) to_client: Relay,
+    /// The number of attempts started.
     pub(super) attempts: u32,
-    /// How its last attempt ended, where that failed.
+    /// How the last failed attempt ended, or `None` if none has failed.
     pub(super) last_failure: Option<AttemptOutcome>,
-    /// When the first attempt that may have run was written.
+    /// When the request line of the first attempt that the host may have run was written, or `None` if no
+    /// attempt can have run.
     pub(super) may_have_run_since: Option<Nanos>,
-    /// When each line of the client passed that its host has not answered.
+    /// When each client line that the host has not answered yet was forwarded, the oldest first.
     pub(super) unanswered_lines: VecDeque<Nanos>,
-    /// The client is to connect elsewhere; until when the end of a line is waited for.
+    /// Until when a migration waits for the end of the client's line, or `None` if the client is not to be
+    /// migrated.
     pub(super) migrate_by: Option<Nanos>,
-    /// What a migration is reported as.
+    /// The outcome to report when the connection is migrated.
     pub(super) migration_outcome: AttemptOutcome,
-    /// When the client ended its sending.
+    /// When the client half-closed its connection, or `None` if it still sends.
     pub(super) client_finished_at: Option<Nanos>,
-    /// The next process of a hot restart has refused it.
+    /// Whether the successor of a hot restart has refused to adopt it.
     pub(super) handover_rejected: bool,
 }
 
 impl Connection {
-    /// One that has just been accepted in `slot`.
+    /// Creates the connection for a client that has just been accepted, to be stored in `slot`.
     pub(super) fn new(client: PeerSocket, slot: usize, now: Nanos) -> Self {
         let id = RequestId(u64::from(client.generation) << 32 | slot as u64);
         Connection {
@@ -114,58 +121,59 @@
         }
     }
 
-    /// Whether its request waits for its answer.
+    /// Returns whether the request has arrived and waits for its answer.
     pub(super) fn awaits_answer(&self) -> bool {
         matches!(self.stage, Stage::Pending | Stage::Reconnecting(_))
     }
 
-    /// Whether it has no request: none has arrived yet, or it has been answered.
+    /// Returns whether the connection holds no pending or open request: none has arrived yet, or the
+    /// connection is closing.
     pub(super) fn is_idle(&self) -> bool {
         matches!(self.stage, Stage::AwaitingRequest | Stage::Closing(_))
     }
 
-    /// Whether this is the connection of the client with this generation.
+    /// Returns whether the client's socket has this generation.
     pub(super) fn has_client(&self, generation: u32) -> bool {
         self.client_generation() == Some(generation)
     }
 
-    /// The generation of the client's socket, while there is a client.
+    /// Returns the generation of the client's socket, or `None` once the client has gone.
     pub(super) fn client_generation(&self) -> Option<u32> {
         self.client.as_ref().map(|client| client.generation)
     }
 
-    /// Has the client's socket read from, whatever the poller has reported so far.
+    /// Marks the client's socket as readable, so that it is read even if the poller has not reported it.
     pub(super) fn assume_client_readable(&mut self) {
         if let Some(client) = &mut self.client {
             client.readable = true;
         }
     }
 
-    /// Has the host's socket read from, whatever the poller has reported so far.
+    /// Marks the host's socket as readable, so that it is read even if the poller has not reported it.
     pub(super) fn assume_host_readable(&mut self) {
         if let Some(host_connection) = &mut self.host_connection {
             host_connection.peer.readable = true;
         }
     }
 
-    /// The two ends that stand, the client's first.
+    /// Returns the sockets that exist, the client's first and then the host's.
     pub(super) fn peers(&self) -> impl Iterator<Item = &PeerSocket> {
         let host = self.host_connection.as_ref().map(|host| &host.peer);
         self.client.iter().chain(host)
     }
 
-    /// The two ends that stand, the client's first.
+    /// Returns the sockets that exist for modification, the client's first and then the host's.
     pub(super) fn peers_mut(&mut self) -> impl Iterator<Item = &mut PeerSocket> {
         let host = self.host_connection.as_mut().map(|host| &mut host.peer);
         self.client.iter_mut().chain(host)
     }
 
-    /// By when its final answer has to be out.
+    /// Returns the time by which the final answer must be sent.
     pub(super) fn answer_deadline(&self) -> Nanos {
         self.started_at.saturating_add(self.timeout)
     }
 
-    /// The client's id for its request, for the log.
+    /// Returns the client's id for its request as it is logged, `-` if there is none.
     pub(super) fn log_id(&self) -> &str {
         self.wire_id.as_deref().unwrap_or("-")
     }
--- a/node/src/connections/first_line.rs
+++ b/node/src/connections/first_line.rs
@@ -1,5 +1,5 @@
-//! The client's first line: reads it, answers pings before it, and admits the request that it opens. Must
-//! never pass a request on to the decision module that is malformed or that this node does not serve.
+//! Reads a client's first line, answers the pings that precede it, and admits the request that it opens. A
+//! request that is malformed or not served by this node is rejected and never reaches the decision module.
 
 use super::connection::{Connection, Stage};
 use super::listener::Listener;
@@ -16,25 +16,25 @@
 use reedferry_runtime::BufferPool;
 use std::rc::Rc;
 
-/// How many pings a connection may send.
+/// The most pings that are answered on one connection.
 const MAX_PINGS: u32 = 16;
 const PING_LINE: &[u8] = b"PING\r\n";
 const PONG_LINE: &[u8] = b"PONG\r\n";
 const CRLF_BYTES: usize = 2;
-/// A timeout so many times the longest one that the settings allow is rejected.
+/// A timeout of more than this many times the longest one that the settings allow is rejected.
 const MAX_TIMEOUT_FACTOR: u64 = 10;
 
-/// Why a client's first line could not be read now.
+/// Why reading a client's first line failed.
 enum ReceiveFailure {
-    /// No buffer is free.
+    /// The buffer pool is exhausted.
     NoBuffer,
-    /// This machine is short of something.
+    /// This machine is short of a resource, such as memory. The connection stands.
     LocalResources,
-    /// The connection broke.
+    /// The connection is closed.
     Disconnected,
 }
 
-/// A request that this node serves.
+/// A valid request that this node serves.
 struct AdmittedRequest {
     incoming: IncomingRequest,
     wire_id: Rc<str>,
@@ -42,7 +42,7 @@
 }
 
 impl Connection {
-    /// Reads what the client has sent, and tells whether it has ended its sending.
+    /// Reads what the client has sent into `request_line`. Returns whether the client has ended its sending.
     fn receive_first_line(&mut self, pool: &BufferPool) -> Result<bool, ReceiveFailure> {
         if self.request_line.is_none() {
             self.request_line = pool.take();
@@ -65,8 +65,8 @@
         Ok(false)
     }
 
-    /// Puts the answers to the pings that have arrived on their way. Their number is limited, so that a
-    /// flood of pings neither holds up the loop nor fills a connection that nobody reads.
+    /// Queues the answers to the pings that have arrived. Stops at [`MAX_PINGS`], so that a flood of pings
+    /// neither blocks the event loop nor fills the send buffer of a client that does not read.
     fn answer_pings(&mut self, context: &Context) {
         let Some(line) = self.request_line.as_mut() else {
             return;
@@ -88,7 +88,7 @@
 }
 
 impl Connections {
-    /// Reads the client's first line.
+    /// Reads the client's first line and starts or rejects its request once the line is complete.
     pub(super) fn read_request(&mut self, context: &mut Context, slot: usize) {
         loop {
             let connection = &mut self.slab[slot];
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Sends the answers to pings, and tells whether the client has all of them: what follows waits for that.
+    /// Sends the queued answers to pings. Returns whether all are sent; the request is not processed before.
     fn send_ping_answers(&mut self, context: &mut Context, slot: usize) -> bool {
         let connection = &mut self.slab[slot];
         let Some(client) = connection.client.as_mut() else {
@@ -154,7 +154,8 @@
         false
     }
 
-    /// Takes a request up: it waits for the decision module, or for the host it was connected to before.
+    /// Starts an admitted request: reports it to the decision module, or reconnects it to its previous host
+    /// if it names one.
     fn start_request(
         &mut self,
         context: &mut Context,
@@ -181,7 +182,10 @@
     }
 }
 
-/// Reads a client's first line, and admits the request that it opens.
+/// Parses a client's first line and admits its request.
+///
+/// # Errors
+/// Returns why the line or the request is rejected.
 fn admit_line(
     context: &Context,
     listener: &Listener,
@@ -203,7 +207,10 @@
     })
 }
 
-/// What the decision module is told of a request, or why this node does not serve it.
+/// Checks a request against the settings and returns it in the form for the decision module.
+///
+/// # Errors
+/// Returns why this node does not serve the request.
 fn admit_request(
     context: &Context,
     id: RequestId,
@@ -217,7 +224,8 @@
         return Err(RejectReason::UnknownTenant);
     }
     let reconnects = request.previous_host.is_some();
-    // Without this, a client that says it was connected before would be kept for as long as it likes.
+    // Accepts reconnects only shortly after the start. Their timeout is not limited, so without this a client
+    // that claims to reconnect could stay for as long as it asks.
     if reconnects && context.now > context.start + 2 * RECONNECT_TIMEOUT {
         return Err(RejectReason::LateReconnect);
     }
--- a/node/src/connections/handover.rs
+++ b/node/src/connections/handover.rs
@@ -1,10 +1,10 @@
-//! Handover: a connection goes on in the next process of a hot restart. Two processes must never read or
-//! write on it at once: the one that gives lets go first, and the one that adopts says so before its first
-//! byte.
+//! Hands connections over to the successor in a hot restart, and adopts those of the predecessor. The two
+//! processes never use a connection at the same time: the predecessor stops using it before it sends it, and
+//! the successor confirms the adoption before it reads or writes a byte.
 
 use super::connection::{Connection, Stage};
 use super::handover_snapshot::{ConnectionHandover, OpenSnapshot};
-use super::host_connection::{HostConnection, HostStatements};
+use super::host_connection::{HostConnection, HostReports};
 use super::peer_socket::PeerSocket;
 use super::Connections;
 use crate::context::{Context, CLIENT, HOST};
@@ -15,11 +15,13 @@
 use std::os::fd::{AsFd, BorrowedFd};
 use std::rc::Rc;
 
-/// A connection with more unanswered lines is migrated instead: a message has no space for them.
+/// The most unanswered lines of a connection that is handed over. One with more is migrated instead, as a
+/// message to the successor has no space for them.
 const MAX_UNANSWERED_LINES: usize = 1024;
 
 impl Connection {
-    /// Whether another process can go on with it: it is open, or still without a complete first line.
+    /// Returns whether the successor can adopt the connection: it is open or waits for a complete first line,
+    /// and the successor has not refused it before.
     fn can_be_handed_over(&self) -> bool {
         if self.client.is_none() || self.handover_rejected {
             return false;
@@ -34,8 +36,8 @@
         }
     }
 
-    /// Takes up what was open in the process before this one. None where buffers or the host's socket are
-    /// missing.
+    /// Restores the state of a connection that was open in the predecessor. Returns `None` if the host's
+    /// socket is missing or no buffers are free.
     fn restore_open(
         &mut self,
         context: &mut Context,
@@ -48,7 +50,7 @@
         let peer = adopted_peer(context, host_socket);
         let index = context.hosts.adopt(context.now, &open.host);
         let record_lease = context.hosts.record(index).lease.clone();
-        let statements = HostStatements {
+        let reports = HostReports {
             bye: open.bye,
             migrating: open.migrating,
             last_load: open.load,
@@ -59,7 +61,7 @@
             index,
             record_lease,
             opened_at,
-            statements,
+            reports,
         ));
         self.to_host = to_host;
         self.to_client = to_client;
@@ -76,7 +78,7 @@
     }
 }
 
-/// A socket that the process before this one has sent.
+/// Wraps a socket that the predecessor has sent. It is not registered with the poller yet.
 fn adopted_peer(context: &mut Context, socket: Socket) -> PeerSocket {
     PeerSocket {
         socket,
@@ -87,7 +89,7 @@
 }
 
 impl Connections {
-    /// The slots of the connections that another process can go on with.
+    /// Returns the slots of the connections that the successor can adopt.
     pub fn handover_candidates(&self) -> Vec<usize> {
         self.slab
             .iter()
@@ -96,7 +98,8 @@
             .collect()
     }
 
-    /// Lets go of a candidate, and tells what the next process must know of it.
+    /// Stops using a candidate, reports its attempt as handed over, and returns its snapshot for the
+    /// successor together with its request id.
     pub fn begin_handover(
         &mut self,
         context: &mut Context,
@@ -123,26 +126,27 @@
         (handover, id)
     }
 
-    /// The descriptors that go with a connection: its client's, and its host's.
+    /// Returns the descriptors of a connection, the client's first and then the host's.
     pub fn descriptors(&self, slot: usize) -> Vec<BorrowedFd<'_>> {
         let peers = self.slab[slot].peers();
         peers.map(|peer| peer.socket.as_fd()).collect()
     }
 
+    /// Returns the slot of a request whose connection is in handover, or `None` if there is none.
     fn slot_in_handover(&self, id: RequestId) -> Option<usize> {
         self.slot_of(id)
             .filter(|&slot| matches!(self.slab[slot].stage, Stage::HandingOver(_)))
     }
 
-    /// The next process has adopted it.
+    /// Removes a connection that the successor has adopted.
     pub fn complete_handover(&mut self, context: &mut Context, id: RequestId) {
         if let Some(slot) = self.slot_in_handover(id) {
             self.remove(context, slot, CloseReason::HandedOver);
         }
     }
 
-    /// This process goes on with a connection in handover: the next one never got it, or it has come from
-    /// the one before, which was told so.
+    /// Resumes a connection in handover in this process. Either the successor never got it, or this process
+    /// has adopted it and has told the predecessor so.
     pub fn resume_connection(&mut self, context: &mut Context, id: RequestId) {
         let Some(slot) = self.slot_in_handover(id) else {
             return;
@@ -169,7 +173,7 @@
             self.retry_queue.register(context, &peer.socket, token);
         }
         if let Some(host_connection) = &connection.host_connection {
-            let (incoming, load) = (connection.incoming, host_connection.statements.last_load);
+            let (incoming, load) = (connection.incoming, host_connection.reports.last_load);
             context.events.push(Event::ConnectionHandedOver(
                 incoming,
                 context.hosts.record(host_connection.host).id,
@@ -185,8 +189,8 @@
         self.runnable.push(slot);
     }
 
-    /// The next process has refused a connection: this one goes on with it, and has it migrated. Without
-    /// that, it would be offered and refused again and again until the program is ended.
+    /// Resumes a connection that the successor has refused, and starts its migration. Without the migration,
+    /// the connection would be offered and refused repeatedly until this process ends.
     pub fn resume_after_rejection(&mut self, context: &mut Context, id: RequestId) {
         self.resume_connection(context, id);
         if let Some(slot) = self.slot_of(id) {
@@ -195,16 +199,19 @@
         }
     }
 
-    /// Drops an adopted connection with nothing sent on it: the process before goes on with it after all.
+    /// Drops an adopted connection without sending anything on it, as the predecessor keeps it after all.
     pub fn abandon_adopted(&mut self, context: &mut Context, id: RequestId) {
         if let Some(slot) = self.slot_in_handover(id) {
             self.remove(context, slot, CloseReason::HandedOver);
         }
     }
 
-    /// Adopts a connection that the process before this one has let go of, under this id; none where that
-    /// cannot be. Nothing is read or written on it before [`Connections::resume_connection`]: the process before takes
-    /// it back where it is not told in time, and bytes would be lost between the two.
+    /// Adopts a connection that the predecessor has stopped using. Returns its new request id, or `None` if
+    /// the request class is no longer served, sockets are missing or no buffers are free.
+    ///
+    /// Nothing is read or written before [`Connections::resume_connection`]. The predecessor takes the
+    /// connection back if the adoption is not confirmed in time, and bytes that this process had read by then
+    /// would be lost.
     pub fn adopt(
         &mut self,
         context: &mut Context,
@@ -212,7 +219,8 @@
         sockets: Vec<Socket>,
     ) -> Option<RequestId> {
         let handover = handover.with_clock_offset(context.clock.offset());
-        // A class that is no longer served must not stand for another one.
+        // Finds the class by name and settings. Without this, a class that is no longer served could be taken
+        // for another one with the same index.
         let class = handover.class.as_ref().and_then(|(name, class)| {
             let served = context.settings.classes.as_slice();
             reload::find_class(&context.classes, served, name, class)
--- a/node/src/connections/handover_bytes_tests.rs
+++ b/node/src/connections/handover_bytes_tests.rs
@@ -1,4 +1,5 @@
-//! The exact bytes of a connection that goes on in another process.
+//! Tests that compare the exact bytes of a connection that is sent to the successor. A change of the bytes
+//! would break the hot restart between two versions.
 
 use super::*;
 use reedferry::{Idempotency, IdempotencyGroup};
@@ -11,9 +12,9 @@
         .collect()
 }
 
-fn relay_snapshot(unsent: &[u8], unfinished: &[u8]) -> RelaySnapshot {
+fn relay_snapshot(unsent: &[u8], partial_line: &[u8]) -> RelaySnapshot {
     let mut scanner = LineScanner::default();
-    scanner.step(unfinished).unwrap();
+    scanner.step(partial_line).unwrap();
     RelaySnapshot {
         unsent: unsent.to_vec(),
         scanner,
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn an_open_connection_keeps_its_bytes() {
+fn open_connection_serializes_to_fixed_bytes() {
     let open = OpenSnapshot {
         host: "s-1".into(),
         load: Some(0.5),
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn a_client_without_a_whole_first_line_keeps_its_bytes() {
+fn client_without_complete_first_line_serializes_to_fixed_bytes() {
     let handover = ConnectionHandover {
         clock_offset: 5,
         accepted_at: 6,
--- a/node/src/connections/handover_snapshot.rs
+++ b/node/src/connections/handover_snapshot.rs
@@ -1,6 +1,6 @@
-//! The form in which a connection passes to the next process of a hot restart: what that one must know of
-//! it. Its bytes must stay the same, as an older and a newer process meet: the order of the fields is part
-//! of them, their names are not.
+//! The serialized form in which a connection is sent to the successor in a hot restart. The predecessor and
+//! the successor may be of different versions, so the bytes must not change. The order of the fields
+//! determines the bytes; their names do not.
 
 use super::connection::Connection;
 use super::protocol::LineScanner;
@@ -10,53 +10,72 @@
 use reedferry_runtime::{Buffer, BufferPool};
 use serde::{Deserialize, Serialize};
 
-/// What flows one way, as it was left.
+/// The state of one direction of an open connection when this process stopped using it.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct RelaySnapshot {
+    /// Received bytes that are not sent yet.
     unsent: Vec<u8>,
+    /// The position in the line being received.
     scanner: LineScanner,
+    /// Whether the sender has ended its sending.
     finished: bool,
 }
 
-/// An open connection between its client and its host.
+/// The state of an open connection between a client and a host.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct OpenSnapshot {
     /// The host's name.
     pub(super) host: String,
-    /// The load that the host reported last.
+    /// The load that the host reported last, as a share of a core, or `None` if it has reported none.
     pub(super) load: Option<f64>,
     pub(super) to_host: RelaySnapshot,
     pub(super) to_client: RelaySnapshot,
+    /// When each client line that the host has not answered yet was forwarded, the oldest first.
     pub(super) unanswered_lines: Vec<Nanos>,
+    /// Until when a migration waits for the end of the client's line, or `None` if the client is not to be
+    /// migrated.
     pub(super) migrate_by: Option<Nanos>,
-    /// Whether a migration is reported as a connection that the host lost.
+    /// Whether a migration is reported as [`AttemptOutcome::ConnectionLost`], which counts against the host.
     pub(super) host_faulty: bool,
+    /// When the client half-closed its connection, or `None` if it still sends.
     pub(super) client_finished_at: Option<Nanos>,
+    /// Whether the host has announced that it closes the connection in order.
     pub(super) bye: bool,
+    /// Whether the host has asked the client to connect elsewhere.
     pub(super) migrating: bool,
 }
 
-/// A client with its open request, or before it has sent one.
+/// A client connection whose request is open or has not arrived yet.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ConnectionHandover {
-    /// How far the clock of these times is ahead of the machine's monotonic one.
+    /// By how many nanoseconds the clock of the times in this message is ahead of the machine's monotonic
+    /// clock.
     pub(super) clock_offset: Nanos,
+    /// When the client connected.
     pub(super) accepted_at: Nanos,
+    /// When the request arrived, or the client if there is no request yet.
     pub(super) started_at: Nanos,
+    /// The number of pings answered.
     pub(super) pings: u32,
-    /// What has arrived of the first line.
+    /// The part of the first line that has arrived. Empty if the request is open.
     pub(super) request_line: Vec<u8>,
+    /// The client's id for the request, or `None` before the request.
     pub(super) wire_id: Option<String>,
-    /// The name and the terms of the request's class.
+    /// The name and the settings of the request's class, or `None` before the request.
     pub(super) class: Option<(String, RequestClass)>,
+    /// The idempotency key, or `None` if the request has none.
     pub(super) key: Option<u64>,
+    /// The group within which the key is known, or `None` if the request names none.
     pub(super) group: Option<u64>,
+    /// The load that the request usually causes, as a share of a core, or `None` if it names none.
     pub(super) usual_load: Option<f64>,
+    /// The state of the open connection, or `None` before the request.
     pub(super) open: Option<OpenSnapshot>,
 }
 
 impl ConnectionHandover {
-    /// The snapshot of a connection that this process no longer reads or writes.
+    /// Captures a connection that this process no longer reads or writes. `open` tells whether its request is
+    /// open.
     pub(super) fn capture(connection: &Connection, open: bool, context: &Context) -> Self {
         let incoming = connection.incoming;
         let open = open
@@ -83,7 +102,7 @@
         }
     }
 
-    /// The same, with its times by a clock that is `offset` ahead of the machine's monotonic one.
+    /// Converts all times to a clock that is `offset` nanoseconds ahead of the machine's monotonic clock.
     pub(super) fn with_clock_offset(mut self, offset: Nanos) -> Self {
         let old_offset = std::mem::replace(&mut self.clock_offset, offset);
         let convert = |time: Nanos| time.saturating_sub(old_offset).saturating_add(offset);
@@ -103,18 +122,18 @@
 impl OpenSnapshot {
     fn capture(connection: &Connection, context: &Context) -> Option<Self> {
         let host_connection = connection.host_connection.as_ref()?;
-        let statements = &host_connection.statements;
+        let reports = &host_connection.reports;
         Some(OpenSnapshot {
             host: context.hosts.record(host_connection.host).name.clone(),
-            load: statements.last_load,
+            load: reports.last_load,
             to_host: RelaySnapshot::capture(&connection.to_host),
             to_client: RelaySnapshot::capture(&connection.to_client),
             unanswered_lines: connection.unanswered_lines.iter().copied().collect(),
             migrate_by: connection.migrate_by,
             host_faulty: connection.migration_outcome == AttemptOutcome::ConnectionLost,
             client_finished_at: connection.client_finished_at,
-            bye: statements.bye,
-            migrating: statements.migrating,
+            bye: reports.bye,
+            migrating: reports.migrating,
         })
     }
 }
@@ -128,7 +147,7 @@
         }
     }
 
-    /// None where no buffer is free, or the bytes do not fit one.
+    /// Restores the relay. Returns `None` if no buffer is free or the unsent bytes do not fit into one.
     pub(super) fn restore(&self, pool: &BufferPool) -> Option<Relay> {
         let mut buffer = None;
         if !self.unsent.is_empty() {
--- a/node/src/connections/host_connection.rs
+++ b/node/src/connections/host_connection.rs
@@ -1,5 +1,5 @@
-//! The host's side of a connection: the attempt in flight, or the connection that came of it, and what the
-//! host has said on it.
+//! The host's side of a connection: the attempt in flight or the open connection that it became, and what the
+//! host has reported on it.
 
 use super::peer_socket::PeerSocket;
 use super::protocol::HostMessage;
@@ -8,34 +8,35 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// An attempt, or the connection that came of it.
+/// An attempt in flight, or the open connection that it became.
 pub(super) struct HostConnection {
     pub(super) peer: PeerSocket,
     /// The index of the host's record.
     pub(super) host: usize,
     /// Keeps the host's record from being reused for another host.
     pub(super) _record_lease: Rc<()>,
-    /// The number of this attempt of its request.
+    /// The number of this attempt among those of its request, from 0.
     pub(super) attempt: u32,
+    /// When the attempt started, or since when the connection has been open if it was adopted.
     pub(super) started_at: Nanos,
-    /// By when the last byte of the request line must be written.
+    /// The latest time at which the last byte of the request line may be written.
     pub(super) write_by: Nanos,
     pub(super) connected: bool,
-    /// Whether the last byte of the request line is written.
+    /// Whether the whole request line has been written.
     pub(super) request_written: bool,
-    /// When it was.
+    /// When the last byte of the request line was written, or 0 if it has not been.
     pub(super) request_written_at: Nanos,
-    pub(super) statements: HostStatements,
+    pub(super) reports: HostReports,
 }
 
 impl HostConnection {
-    /// One that has been open since `opened_at`, in the process before this one.
+    /// Creates a host connection that has been open in the predecessor since `opened_at`.
     pub(super) fn adopted(
         peer: PeerSocket,
         host: usize,
         record_lease: Rc<()>,
         opened_at: Nanos,
-        statements: HostStatements,
+        reports: HostReports,
     ) -> Self {
         HostConnection {
             peer,
@@ -47,54 +48,55 @@
             connected: true,
             request_written: true,
             request_written_at: opened_at,
-            statements,
+            reports,
         }
     }
 
-    /// What an attempt whose time is over is reported as.
+    /// Returns the outcome of an attempt that has timed out.
     pub(super) fn timeout_outcome(&self) -> AttemptOutcome {
         match (self.request_written, self.connected) {
             (true, _) => AttemptOutcome::TimedOut,
-            // The line was not written for want of something at this machine: the host is not to blame.
+            // This machine was short of a resource for the write. The host must not be blamed for it.
             (false, true) => AttemptOutcome::NeverSent,
             (false, false) => AttemptOutcome::ConnectFailed,
         }
     }
 }
 
-/// What a host has said that bears on the end of the connection.
+/// What a host has reported on an open connection.
 #[derive(Default)]
-pub(super) struct HostStatements {
-    /// It ends the connection in order.
+pub(super) struct HostReports {
+    /// Whether it has announced that it closes the connection in order (`BYE`).
     pub(super) bye: bool,
-    /// The client is to connect elsewhere.
+    /// Whether it has asked the client to connect elsewhere (`MOVE`).
     pub(super) migrating: bool,
-    /// The load that it reported last.
+    /// The load that it reported last, as a share of a core, or `None` if it has reported none.
     pub(super) last_load: Option<f64>,
 }
 
-/// Records what a host says on an open connection.
+/// Records the messages of a host on an open connection.
 pub(super) struct MessageRecorder<'a> {
     pub(super) id: RequestId,
     /// The index of the host's record.
     pub(super) host: usize,
     pub(super) now: Nanos,
-    pub(super) statements: &'a mut HostStatements,
+    pub(super) reports: &'a mut HostReports,
     pub(super) unanswered_lines: &'a mut VecDeque<Nanos>,
     pub(super) events: &'a mut Vec<Event>,
     pub(super) hosts: &'a mut Hosts,
 }
 
 impl MessageRecorder<'_> {
-    /// Records one line.
+    /// Records one message: a load report, the announcement of an end or a migration, or the answer to the
+    /// oldest unanswered line of the client.
     pub(super) fn record(&mut self, message: HostMessage) {
         match message {
             HostMessage::Load(load) => {
-                self.statements.last_load = Some(load);
+                self.reports.last_load = Some(load);
                 self.events.push(Event::LoadMeasured { id: self.id, load });
             }
-            HostMessage::Bye => self.statements.bye = true,
-            HostMessage::Migrate => self.statements.migrating = true,
+            HostMessage::Bye => self.reports.bye = true,
+            HostMessage::Migrate => self.reports.migrating = true,
             _ => {
                 if let Some(asked_at) = self.unanswered_lines.pop_front() {
                     self.hosts.record_answer(self.host, asked_at, self.now);
--- a/node/src/connections/idle.rs
+++ b/node/src/connections/idle.rs
@@ -1,5 +1,5 @@
-//! Clients that hold a connection without a request: they are rejected when their time is over, or when
-//! their descriptor is needed. A client that says nothing must never keep a descriptor that others need.
+//! Idle clients, whose connections carry no request. They are rejected when their time is over or when their
+//! descriptor is needed, so that an idle client does not keep a descriptor that another connection needs.
 
 use super::connection::{Connection, Stage};
 use super::peer_socket::SendResult;
@@ -10,47 +10,50 @@
 use crate::operators::counters::CloseReason;
 use reedferry::{Nanos, MILLI, SECOND};
 
-/// How long a connection may stay without a first line. With [`LINGER_TIMEOUT`](super::closing::LINGER_TIMEOUT)
-/// it has to stay under the three seconds within which every client is to have an answer.
+/// How long a connection may stay without a complete first line. Together with
+/// [`LINGER_TIMEOUT`](super::closing::LINGER_TIMEOUT) it must stay under three seconds, within which every
+/// client must have an answer.
 pub(super) const FIRST_LINE_TIMEOUT: Nanos = 2 * SECOND;
-/// For how long a connection without a request is safe from being closed in favour of another.
+/// How long a connection must have been idle before a client that connects may evict it.
 pub(super) const MIN_IDLE_AGE: Nanos = 50 * MILLI;
-/// Reads of what crosses the end of a connection that is closed in favour of another.
-const MAX_CROSSING_READS: usize = 16;
-const DISCARD_BYTES: usize = 512;
+/// The most reads of input that arrives while an idle connection is evicted.
+const MAX_EVICTION_READS: usize = 16;
+const DISCARD_BUFFER_BYTES: usize = 512;
 
-/// How far an idle client has been told to retry.
+/// How much of the answer to an evicted client has been sent.
 enum IdleRejection {
+    /// The client has been answered in full, or its connection is already closing or broken.
     Sent,
-    /// A part of the answer is sent; the connection closes after the rest.
+    /// A part of the answer is sent. The connection closes after the rest.
     Partial,
     /// Nothing can be sent now.
     Blocked,
 }
 
 impl Connections {
-    /// Closes idle connections until so many descriptors may be opened, as far as there are any.
+    /// Evicts idle connections until `descriptors` more descriptors may be opened or no connection can be
+    /// evicted.
     pub fn free_descriptors(&mut self, context: &mut Context, descriptors: usize) {
         while !context.budget.has_capacity(descriptors) && self.evict_idle(context, 0) {}
     }
 
-    /// Closes the connection that has been without a request longest, and tells whether that freed a
-    /// descriptor. One younger than `min_age` is not closed, nor one whose request has arrived meanwhile.
+    /// Evicts the connection that has been idle longest, and returns whether that freed a descriptor. Spares
+    /// connections that have been idle for less than `min_age` and those whose request has arrived meanwhile.
     pub(super) fn evict_idle(&mut self, context: &mut Context, min_age: Nanos) -> bool {
         while let Some(&(slot, generation)) = self.listener.idle.front() {
-            let same = |c: &&Connection| c.is_idle() && c.has_client(generation);
-            let Some(connection) = self.slab.get(slot).filter(same) else {
+            let same_client = |c: &&Connection| c.is_idle() && c.has_client(generation);
+            let Some(connection) = self.slab.get(slot).filter(same_client) else {
                 self.listener.idle.pop_front();
                 continue;
             };
             if context.now < connection.started_at + min_age {
                 return false;
             }
-            // Without this, a request that lies unread in its socket would be lost in the reset that
-            // closing over unread input brings.
+            // Reads the socket first. Without this, a request that lies unread there would be lost: closing
+            // with unread input resets the connection.
             if connection.stage == Stage::AwaitingRequest {
                 self.read_pending_input(context, slot);
-                let Some(connection) = self.slab.get(slot).filter(same) else {
+                let Some(connection) = self.slab.get(slot).filter(same_client) else {
                     let client_gone = |c: &Connection| {
                         c.client_generation()
                             .is_none_or(|current| current != generation)
@@ -58,11 +61,11 @@
                     if self.slab.get(slot).is_none_or(client_gone) {
                         return true;
                     }
-                    // Its request has arrived.
+                    // The request has arrived, so the connection is no longer idle.
                     continue;
                 };
                 if connection.stage != Stage::AwaitingRequest {
-                    // It has been rejected, and lingers as long as others do.
+                    // The client has been rejected because of its input, and lingers as long as others do.
                     self.listener.idle.pop_front();
                     continue;
                 }
@@ -71,7 +74,8 @@
                 IdleRejection::Sent => self.remove(context, slot, CloseReason::Evicted),
                 IdleRejection::Partial => return !self.slab.contains(slot),
                 IdleRejection::Blocked => {
-                    // The next one may take its answer.
+                    // Moves the connection to the back of the queue. The next client may be able to take its
+                    // answer.
                     self.listener.idle.rotate_left(1);
                     return false;
                 }
@@ -81,44 +85,45 @@
         false
     }
 
-    /// Tells a client without a request to retry, and reads what crosses that. Without the reading, the
-    /// answer would be lost in the reset that closing over unread input brings.
+    /// Tells an idle client to retry, and discards input that arrives meanwhile. Without the discarding,
+    /// closing with unread input would reset the connection and the client could lose the answer.
     fn reject_idle(&mut self, context: &mut Context, slot: usize) -> IdleRejection {
         let connection = &mut self.slab[slot];
         let (Stage::AwaitingRequest, Some(client)) = (connection.stage, &connection.client) else {
             return IdleRejection::Sent;
         };
         if connection.to_client.buffer.is_some() {
-            // A part of an answer to a ping is on its way.
+            // The answer to a ping is not sent in full yet.
             return IdleRejection::Blocked;
         }
         match client.send_once(BUSY_LINE) {
             SendResult::Whole | SendResult::Disconnected => client.socket.shutdown_write(),
             SendResult::Partial(0) => return IdleRejection::Blocked,
             SendResult::Partial(count) => {
-                self.listener.rejections.count(RejectReason::NoDescriptors);
+                self.listener.rejections.count(RejectReason::Evicted);
                 self.send_final_answer(context, slot, &BUSY_LINE[count..]);
                 return IdleRejection::Partial;
             }
         }
-        let mut space = [0; DISCARD_BYTES];
-        for _ in 0..MAX_CROSSING_READS {
-            if !matches!(client.socket.discard(&mut space), Ok(1..)) {
+        let mut scratch = [0; DISCARD_BUFFER_BYTES];
+        for _ in 0..MAX_EVICTION_READS {
+            if !matches!(client.socket.discard(&mut scratch), Ok(1..)) {
                 break;
             }
         }
-        self.listener.rejections.count(RejectReason::NoDescriptors);
+        self.listener.rejections.count(RejectReason::Evicted);
         IdleRejection::Sent
     }
 
-    /// Reads what a client without a request has sent by now, whatever the poller has reported so far.
+    /// Reads and processes what an idle client has sent, even if the poller has not reported it.
     fn read_pending_input(&mut self, context: &mut Context, slot: usize) {
         self.slab[slot].assume_client_readable();
         self.read_request(context, slot);
     }
 
-    /// Closes a connection on which no complete line has come in time. Reads once more before: a request
-    /// may lie unread in the socket, and one that crosses the end is to be told that it may retry.
+    /// Closes a connection on which no complete first line has arrived in time. Reads the socket once more
+    /// before, as a request may lie unread in it. A client that has sent nothing is told that it may retry,
+    /// as its request may be on the way.
     pub(super) fn on_first_line_timeout(&mut self, context: &mut Context, slot: usize) {
         let generation = self.slab[slot].client_generation();
         self.read_pending_input(context, slot);
@@ -136,12 +141,12 @@
         self.send_busy(context, slot);
     }
 
-    /// Tells a client that has sent no request to retry.
+    /// Tells an idle client to retry, and closes its connection.
     pub(super) fn send_busy(&mut self, context: &mut Context, slot: usize) {
         self.send_final_answer(context, slot, BUSY_LINE);
     }
 
-    /// Rejects a client that is not to be served.
+    /// Rejects a client with an error and closes its connection.
     pub(super) fn reject_client(
         &mut self,
         context: &mut Context,
--- a/node/src/connections/invariants.rs
+++ b/node/src/connections/invariants.rs
@@ -1,7 +1,7 @@
-//! Invariant checks: run-time checks of the rules on what has just been done on a socket. Owns what is
-//! counted and logged as a violation, with the request's id and the figures. Must never prevent anything:
-//! what may be done is decided in [`reedferry::permission`] before; what is found here in spite of that is a
-//! fault of the program.
+//! Run-time checks that what has just been done on a socket kept the rules on requests. Violations are
+//! counted and logged with the request's id and the time by which a limit was exceeded. The checks never
+//! prevent an operation: [`reedferry::permission`] decides beforehand what is allowed, so a violation found
+//! here is a fault of the program.
 
 use super::connection::{Connection, Stage};
 use super::Connections;
@@ -11,15 +11,16 @@
 use reedferry::{Idempotency, Nanos, RequestClass, MILLI};
 use slog::{error, info};
 
-/// What the rules allow on sockets beyond each time limit.
+/// How far a socket operation may exceed a time limit before that counts as a violation.
 const TOLERANCE: Nanos = 50 * MILLI;
 
 impl Connection {
+    /// Returns the class of the request, or `None` if there is none at its index.
     fn request_class<'a>(&self, context: &'a Context) -> Option<&'a RequestClass> {
         context.classes.get(self.incoming.class)
     }
 
-    /// Counts and logs a violation; `excess` is by how much time.
+    /// Counts and logs a violation. `excess` is the time by which the limit was exceeded.
     fn report_violation(&self, context: &mut Context, rule: Violation, excess: Nanos) {
         context.metrics.add(Counter::Violated(rule));
         error!(context.log, "rule violated"; "rule" => rule.name(), "id" => self.log_id(),
@@ -28,7 +29,7 @@
 }
 
 impl Connections {
-    /// Checks the rules on an attempt; the last byte of its request line has just been written.
+    /// Checks the rules on an attempt right after the last byte of its request line has been written.
     pub(super) fn check_attempt(&self, context: &mut Context, slot: usize) {
         let connection = &self.slab[slot];
         if connection.stage != Stage::Pending {
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Checks the rules on a final answer, which goes out now.
+    /// Checks the rules on a final answer that is about to be sent. `rejected` tells whether it is a `BUSY`.
     pub(super) fn check_answer(&self, context: &mut Context, slot: usize, rejected: bool) {
         let connection = &self.slab[slot];
         if connection.stage != Stage::Pending || connection.client.is_none() {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Checks the rules on a client's connection, which is closed now, and counts why it is.
+    /// Counts why a client's connection is closed, and checks that its request has been answered.
     pub(super) fn check_close(&self, context: &mut Context, slot: usize, reason: CloseReason) {
         context.metrics.add(Counter::Closed(reason));
         let connection = &self.slab[slot];
@@ -96,7 +97,7 @@
             CloseReason::Answered | CloseReason::ClientEnded | CloseReason::HandedOver
         );
         if !ordinary && context.request_lines.allow(context.now) {
-            info!(context.log, "closed"; "id" => connection.log_id(), "why" => reason.name());
+            info!(context.log, "connection closed"; "id" => connection.log_id(), "why" => reason.name());
         }
     }
 }
--- a/node/src/connections/link.rs
+++ b/node/src/connections/link.rs
@@ -1,30 +1,31 @@
-//! The connections between forwarders and planners on their sockets, at either end. Owns the sockets and
-//! what the poller has last reported of them. Must never read more in a turn than a connection's share, nor
-//! know what passes on it.
+//! The sockets of the connections between forwarders and planners, used by both roles. This module owns the
+//! sockets and their readiness as last reported by the poller. It reads at most [`MAX_BYTES_PER_TURN`] of a
+//! connection in a turn and does not interpret the bytes.
 
 use reedferry_runtime::errors::{classify_io, IoFailure};
 use reedferry_runtime::{Errno, Readiness, Socket};
 use std::collections::BTreeMap;
 
-/// What is read of one connection in a turn, so that a planner's forwarders take turns.
+/// The most bytes that are read from one connection in a turn, so that one forwarder cannot starve the
+/// others.
 const MAX_BYTES_PER_TURN: usize = 128 << 10;
-/// What is read at once.
+/// The size of the buffer for one read.
 const READ_BUFFER_BYTES: usize = 32 << 10;
 
-/// One connection.
+/// One connection between a forwarder and a planner.
 pub struct LinkConnection {
-    /// Its socket.
+    /// The connection's socket.
     pub socket: Socket,
-    /// Tells it from an earlier one.
+    /// Distinguishes this connection from earlier ones.
     pub generation: u32,
-    /// Whether it is established; an outgoing one may not be yet.
+    /// Whether the connection is established. `false` only for an outgoing connection that is being set up.
     pub connected: bool,
     readable: bool,
     writable: bool,
 }
 
 impl LinkConnection {
-    /// One that has been accepted, or is on its way.
+    /// Creates a connection that has been accepted (`connected`) or is being set up.
     pub fn new(socket: Socket, generation: u32, connected: bool) -> Self {
         LinkConnection {
             socket,
@@ -35,16 +36,16 @@
         }
     }
 
-    /// The poller has reported its readiness.
+    /// Records the readiness that the poller has reported.
     pub fn on_ready(&mut self, ready: Readiness) {
         self.readable |= ready.readable;
         self.writable |= ready.writable;
     }
 
-    /// Whether an outgoing connection has just been established.
+    /// Returns whether an outgoing connection has been established since the last call.
     ///
     /// # Errors
-    /// Where it never will be.
+    /// Returns the error of the connect if it failed.
     pub fn check_established(&mut self) -> Result<bool, Errno> {
         if self.connected || !self.writable {
             return Ok(false);
@@ -54,41 +55,42 @@
         Ok(true)
     }
 
-    /// Reads its share of a turn, and tells whether there may be more.
+    /// Reads at most [`MAX_BYTES_PER_TURN`] bytes and passes them to `on_bytes`. Returns whether there may be
+    /// more to read.
     ///
     /// # Errors
-    /// How the connection ended, in a word.
+    /// Returns how the connection ended, as a text for the log.
     pub fn read(
         &mut self,
         buffer: &mut [u8],
         mut on_bytes: impl FnMut(&[u8]),
     ) -> Result<bool, &'static str> {
-        let mut left = MAX_BYTES_PER_TURN;
+        let mut remaining = MAX_BYTES_PER_TURN;
         while self.readable && self.connected {
-            if left == 0 {
+            if remaining == 0 {
                 return Ok(true);
             }
-            let limit = buffer.len().min(left);
+            let limit = buffer.len().min(remaining);
             match self.socket.receive(&mut buffer[..limit]) {
-                Ok(0) => return Err("ended"),
+                Ok(0) => return Err("closed by peer"),
                 Ok(count) => {
-                    left -= count;
+                    remaining -= count;
                     on_bytes(&buffer[..count]);
                 }
                 Err(error) => match classify_io(error) {
                     IoFailure::WouldBlock => self.readable = false,
                     IoFailure::LocalResources => return Ok(true),
-                    IoFailure::Disconnected => return Err("broken"),
+                    IoFailure::Disconnected => return Err("connection broken"),
                 },
             }
         }
         Ok(false)
     }
 
-    /// Sends of `bytes` what the connection takes, and tells how much that was.
+    /// Sends as much of `bytes` as the connection takes without blocking. Returns the number of bytes sent.
     ///
     /// # Errors
-    /// How the connection ended, in a word.
+    /// Returns how the connection ended, as a text for the log.
     pub fn write(&mut self, bytes: &[u8]) -> Result<usize, &'static str> {
         let mut sent = 0;
         while self.writable && self.connected && sent < bytes.len() {
@@ -96,9 +98,9 @@
                 Ok(count) => sent += count,
                 Err(error) => match classify_io(error) {
                     IoFailure::WouldBlock => self.writable = false,
-                    // The next turn goes on.
+                    // The next turn sends the rest.
                     IoFailure::LocalResources => return Ok(sent),
-                    IoFailure::Disconnected => return Err("broken"),
+                    IoFailure::Disconnected => return Err("connection broken"),
                 },
             }
         }
@@ -106,16 +108,16 @@
     }
 }
 
-/// All connections of a role, by its core's number for each.
+/// All forwarder-planner connections of a process.
 pub struct LinkConnections {
-    /// The connections.
+    /// The connections by the id that the role's core uses for them.
     pub by_id: BTreeMap<u32, LinkConnection>,
-    /// Some have more to read than a turn's share.
+    /// Whether the last read left more to read on some connection.
     pub more_to_read: bool,
     read_buffer: Vec<u8>,
 }
 
-/// The connections that have ended, and how.
+/// The ids of connections that have ended, with how each ended as a text for the log.
 pub type ClosedConnections = Vec<(u32, &'static str)>;
 
 impl Default for LinkConnections {
@@ -129,28 +131,30 @@
 }
 
 impl LinkConnections {
-    /// Reads of each its share of a turn.
+    /// Reads from each connection, at most [`MAX_BYTES_PER_TURN`] bytes. Returns the connections that have
+    /// ended.
     pub fn read(&mut self, mut on_bytes: impl FnMut(u32, &[u8])) -> ClosedConnections {
         self.more_to_read = false;
         let mut closed = Vec::new();
-        for (&line, connection) in &mut self.by_id {
-            match connection.read(&mut self.read_buffer, |bytes| on_bytes(line, bytes)) {
+        for (&id, connection) in &mut self.by_id {
+            match connection.read(&mut self.read_buffer, |bytes| on_bytes(id, bytes)) {
                 Ok(more) => self.more_to_read |= more,
-                Err(reason) => closed.push((line, reason)),
+                Err(reason) => closed.push((id, reason)),
             }
         }
         closed
     }
 
-    /// Has `write_one` write what waits for each connection.
+    /// Calls `write_one` for each connection to send its pending bytes. Returns the connections that have
+    /// ended.
     pub fn write(
         &mut self,
         mut write_one: impl FnMut(u32, &mut LinkConnection) -> Result<(), &'static str>,
     ) -> ClosedConnections {
         let mut closed = Vec::new();
-        for (&line, connection) in &mut self.by_id {
-            if let Err(reason) = write_one(line, connection) {
-                closed.push((line, reason));
+        for (&id, connection) in &mut self.by_id {
+            if let Err(reason) = write_one(id, connection) {
+                closed.push((id, reason));
             }
         }
         closed
--- a/node/src/connections/listener.rs
+++ b/node/src/connections/listener.rs
@@ -1,5 +1,5 @@
-//! The listener: accepts clients, and knows which of their ids are in use. Must never let the ids of two
-//! open requests be the same, as hosts could not tell them apart.
+//! Accepts clients and tracks which request ids are in use. No two open requests may have the same id, as
+//! hosts could not tell them apart.
 
 use super::connection::{Connection, Stage};
 use super::idle::MIN_IDLE_AGE;
@@ -12,29 +12,31 @@
 use std::collections::{HashSet, VecDeque};
 use std::rc::Rc;
 
-/// How many ids are remembered that hosts have refused.
+/// The most rejected ids that are remembered; the oldest is dropped first.
 const MAX_REJECTED_IDS: usize = 1024;
-/// How many hosts have to refuse an id.
+/// The number of attempts at one request that hosts have to answer with an error before its id is rejected.
 const HOST_ERRORS_TO_REJECT_ID: u32 = 2;
 const MAX_ACCEPTS_PER_TURN: usize = 256;
 
-/// What is known of the clients as a whole.
+/// State that concerns all clients rather than one connection.
 #[derive(Default)]
 pub(super) struct Listener {
-    /// Connections without a request, by slot and generation, in the order in which they became so.
+    /// Slot and client generation of each connection without a request, in the order in which they became
+    /// idle. Entries may be out of date and must be checked against the connection.
     pub(super) idle: VecDeque<(usize, u32)>,
     /// The ids of the open requests.
     pub(super) open_ids: HashSet<Rc<str>>,
-    /// Ids that hosts have refused, the oldest first.
+    /// Ids whose requests hosts have answered with errors, the oldest first.
     rejected_ids: VecDeque<Rc<str>>,
     pub(super) rejections: Rejections,
-    /// Whether more clients may wait to be accepted.
+    /// Whether the last call of `accept` reached its limit, so that more clients may wait.
     pub(super) may_have_pending: bool,
 }
 
 impl Listener {
-    /// Whether a new request can't have this id. Prevents one that uses the id of another's open request,
-    /// which hosts would tell from a good one only by an error, and the same again and again.
+    /// Returns whether a new request must not use this id: an open request has it, or hosts have answered it
+    /// with errors. Without this, a request with the id of another open request would be sent to host after
+    /// host, and each would answer it with an error.
     pub(super) fn is_id_taken(&self, id: &str) -> bool {
         self.open_ids.contains(id) || self.rejected_ids.iter().any(|rejected| **rejected == *id)
     }
@@ -48,13 +50,14 @@
 }
 
 impl Connections {
-    /// Accepts the clients that wait at the listener.
+    /// Accepts up to [`MAX_ACCEPTS_PER_TURN`] clients from the listening socket.
     pub fn accept(&mut self, context: &mut Context, listener: Option<&Socket>) {
         self.listener.may_have_pending = false;
         let Some(listener) = listener else { return };
         for _ in 0..MAX_ACCEPTS_PER_TURN {
-            // Without this, hundreds that connect and say nothing would keep usual clients out. Where all
-            // have just come, those behind them wait at the listener until the next sweep.
+            // Evicts an idle connection when descriptors are short. Without this, hundreds of clients that
+            // connect and send nothing would keep others out. If all idle connections are too young to be
+            // evicted, the clients behind them wait in the queue of the socket until the next sweep.
             if !context.budget.has_capacity(1)
                 && !self.evict_idle(context, MIN_IDLE_AGE)
                 && context.budget.nearly_exhausted()
@@ -95,7 +98,8 @@
         self.slab.insert(Connection::new(client, slot, context.now));
     }
 
-    /// The id of a request that is answered or gone is no longer in use, unless hosts have refused it.
+    /// Releases the id of a request that is answered or gone. Keeps rejecting the id if hosts have answered
+    /// the request with errors.
     pub(super) fn release_id(&mut self, slot: usize) {
         let connection = &mut self.slab[slot];
         let Some(id) = connection.wire_id.take() else {
--- a/node/src/connections/migration.rs
+++ b/node/src/connections/migration.rs
@@ -1,5 +1,5 @@
-//! Migration: a client of an open connection is told to connect elsewhere. Must never cut into a line that
-//! the client is being sent.
+//! Migrates clients: tells the client of an open connection to connect elsewhere. Never interrupts a line
+//! that is being sent to the client.
 
 use super::closing::LINGER_TIMEOUT;
 use super::connection::{Connection, Stage};
@@ -12,9 +12,10 @@
 use reedferry_runtime::Buffer;
 
 impl Connection {
-    /// Passes on to the host what has come from the client, reported by the poller or not. Returns whether the
-    /// host has all of it, as far as its connection goes on.
-    fn pass_on_arrived(&mut self, context: &mut Context) -> bool {
+    /// Forwards to the host what has arrived from the client, even if the poller has not reported it. Returns
+    /// whether nothing is left to forward, either because the host has it all or because one side has ended
+    /// or broken.
+    fn forward_pending_input(&mut self, context: &mut Context) -> bool {
         self.assume_client_readable();
         let status = self.transfer_to_host(context).unwrap_or(RelayStatus::Idle);
         match status {
@@ -29,7 +30,7 @@
 }
 
 impl Connections {
-    /// Has a client connect elsewhere, as soon as its connection stands between two lines.
+    /// Starts the migration of a client. It completes once the connection is between two lines.
     pub fn migrate(&mut self, context: &mut Context, id: RequestId) {
         let Some(slot) = self.slot_of(id) else { return };
         let connection = &mut self.slab[slot];
@@ -40,8 +41,8 @@
         }
     }
 
-    /// Tells a client that is to be migrated so, once its connection stands between two lines and its host has
-    /// all that it sent. A line that the client has begun is waited for until the migration is due.
+    /// Completes a pending migration once the connection is between two lines and the host has all that the
+    /// client sent. Waits until `migrate_by` for the end of a line that the client has begun.
     pub(super) fn try_migrate(&mut self, context: &mut Context, slot: usize) {
         let Some(connection) = self.slab.get_mut(slot) else {
             return;
@@ -52,14 +53,15 @@
         let Some(migrate_by) = connection.migrate_by else {
             return;
         };
-        // Without this, a line that the client sent before it is told to go would reach no host.
-        let all_passed_on = connection.pass_on_arrived(context);
+        // Forwards the client's input first. Without this, a line that the client sent before it is told to
+        // connect elsewhere would reach no host.
+        let all_forwarded = connection.forward_pending_input(context);
         let to_client = &connection.to_client;
         let all_sent = to_client.buffer.as_ref().is_none_or(Buffer::is_empty);
         if !all_sent || !to_client.scanner.between_lines() {
             return;
         }
-        let is_complete = all_passed_on && connection.to_host.scanner.between_lines();
+        let is_complete = all_forwarded && connection.to_host.scanner.between_lines();
         if !is_complete && context.now < migrate_by {
             return;
         }
@@ -68,13 +70,14 @@
         self.send_final_answer(context, slot, MOVE_LINE);
     }
 
-    /// Migrates a client that is due to be, also because the node has to be empty. Ends the connection where
-    /// the host has stopped in the middle of a line.
+    /// Continues a pending migration, and migrates any client once the node must be empty. Closes the
+    /// connection if the migration is overdue because the host stopped in the middle of a line.
     pub(super) fn check_migration(&mut self, context: &mut Context, slot: usize) {
         let now = context.now;
         let empty_deadline = context.empty_deadline();
         if now >= empty_deadline {
-            // Between two lines, or within one of the client's, it can still be migrated.
+            // Migrates without waiting for the end of the client's line. This works unless the host is in the
+            // middle of a line.
             let migrate_by = self.slab[slot].migrate_by.get_or_insert(now);
             *migrate_by = now.min(*migrate_by);
             self.try_migrate(context, slot);
@@ -86,7 +89,7 @@
         let Some(connection) = self.slab.get_mut(slot) else {
             return;
         };
-        let overdue = |by: Nanos| now >= (by + LINGER_TIMEOUT).min(empty_deadline);
+        let overdue = |deadline: Nanos| now >= (deadline + LINGER_TIMEOUT).min(empty_deadline);
         if connection.migrate_by.is_some_and(overdue) {
             self.detach_host(context, slot, AttemptOutcome::ConnectionLost);
             return self.remove(context, slot, CloseReason::HostStalled);
--- a/node/src/connections/mod.rs
+++ b/node/src/connections/mod.rs
@@ -1,13 +1,15 @@
-//! The connections of clients, each with that to its host, from the first line to the end of both. Owns
-//! their sockets and what is on its way between them; reports events and performs actions, whoever decides.
+//! Client connections and their host connections, from the first line until both are closed. This module owns
+//! the sockets and the bytes in transit between them. It reports events to the decision module and performs
+//! the actions that come back.
 //!
-//! A connection is accepted ([`listener`], [`idle`]), sends its first line ([`first_line`]), waits for its
-//! answer ([`waiting_client`]) while attempts are made ([`attempts`], [`attempt_progress`], [`reconnect`]),
-//! is open ([`proxying`], [`migration`]) and closes ([`closing`]), or goes on in another process
-//! ([`handover`]).
+//! A client is accepted ([`listener`], [`idle`]), sends its first line ([`first_line`]) and waits for the
+//! answer ([`waiting_client`]) while attempts are made ([`attempts`], [`attempt_progress`], [`reconnect`]).
+//! Its connection is then open ([`proxying`], [`migration`]) until it closes ([`closing`]) or is handed over
+//! to another process ([`handover`]).
 //!
-//! Must never choose a host or an answer, answer a request twice or not at all, or pass on what is no proper
-//! request: that is rejected here, whatever the client sends or leaves unsent.
+//! Invariants: the module chooses neither hosts nor answers, it answers every request exactly once, and it
+//! forwards valid requests only. Anything else that a client sends, or fails to send in time, is rejected
+//! here.
 
 mod attempt_progress;
 mod attempts;
@@ -48,27 +50,27 @@
 pub struct Connections {
     slab: Slab<Connection>,
     listener: Listener,
-    /// How many bytes may still be discarded before the next sweep.
+    /// The number of bytes that may still be discarded, over all connections, before the next sweep.
     discard_allowance: usize,
-    /// Those with more to do than a turn allows.
+    /// The slots of connections to advance in the next turn without waiting for their sockets.
     runnable: Vec<usize>,
     retry_queue: RetryQueue,
 }
 
 impl Connections {
-    /// How many there are, in any state.
+    /// Returns the number of connections in any state.
     pub fn count(&self) -> usize {
         self.slab.len()
     }
 
-    /// Whether any request is of the class at this index.
+    /// Returns whether a pending or open request is of the class at index `class`.
     pub fn uses_class(&self, class: usize) -> bool {
         self.slab
             .iter()
             .any(|(_, connection)| !connection.is_idle() && connection.incoming.class == class)
     }
 
-    /// The classes that any request is of, with their names.
+    /// Returns the names and settings of the classes that pending or open requests are of.
     pub fn classes_in_use(&self, context: &Context) -> Vec<(String, RequestClass)> {
         let names = context.settings.classes.iter();
         names
@@ -79,7 +81,7 @@
             .collect()
     }
 
-    /// The clients whose request waits for an answer or is open.
+    /// Returns the number of connected clients whose request waits for its answer or is open.
     pub fn in_flight(&self) -> usize {
         self.slab
             .iter()
@@ -90,12 +92,12 @@
             .count()
     }
 
-    /// Whether something is left to do without waiting.
+    /// Returns whether the next turn has work to do even if no socket is ready.
     pub fn has_runnable(&self) -> bool {
         !self.runnable.is_empty() || self.listener.may_have_pending
     }
 
-    /// The slot of a request that is known here.
+    /// Returns the slot of a request, or `None` if no connection has it.
     fn slot_of(&self, id: RequestId) -> Option<usize> {
         let slot = id.0 as u32 as usize;
         self.slab
@@ -104,7 +106,8 @@
             .map(|_| slot)
     }
 
-    /// A socket of a client or host is ready.
+    /// Records that a client or host socket is ready and advances its connection. Ignores the event if the
+    /// socket is no longer the one that the token was made for.
     pub fn on_ready(&mut self, context: &mut Context, ready: Readiness) {
         let slot = ready.token.slot as usize;
         let Some(connection) = self.slab.get_mut(slot) else {
@@ -125,7 +128,7 @@
         self.advance(context, slot);
     }
 
-    /// Goes on with those that had more to do.
+    /// Continues accepting clients and advances the runnable connections.
     pub fn resume_runnable(&mut self, context: &mut Context, listener: Option<&Socket>) {
         if self.listener.may_have_pending {
             self.accept(context, listener);
@@ -135,7 +138,7 @@
         }
     }
 
-    /// Brings a connection as far as its sockets allow.
+    /// Advances a connection as far as its sockets allow without blocking.
     fn advance(&mut self, context: &mut Context, slot: usize) {
         let Some(connection) = self.slab.get(slot) else {
             return;
@@ -152,7 +155,7 @@
         }
     }
 
-    /// Performs an action on a request, whoever decided it, and gives back any other action.
+    /// Performs an action that concerns a request. Returns any other action to the caller.
     pub fn perform(&mut self, context: &mut Context, action: Action) -> Option<Action> {
         match action {
             Action::StartAttempt {
--- a/node/src/connections/peer_socket.rs
+++ b/node/src/connections/peer_socket.rs
@@ -1,28 +1,29 @@
-//! The socket of a client or a host, and what the poller has last reported of its readiness.
+//! The socket of a client or a host, with its readiness as last reported by the poller.
 
 use reedferry_runtime::errors::{classify_io, IoFailure};
 use reedferry_runtime::Socket;
 
-/// One end of a connection.
+/// One end of a proxied connection.
 pub(super) struct PeerSocket {
     pub(super) socket: Socket,
-    /// Tells it from an earlier one in the same slot.
+    /// Distinguishes this socket from earlier ones in the same slot.
     pub(super) generation: u32,
     pub(super) readable: bool,
     pub(super) writable: bool,
 }
 
-/// What one call has sent of a line.
+/// The result of sending a line with one call.
 pub(super) enum SendResult {
+    /// The whole line was sent.
     Whole,
-    /// So many bytes: the rest has to wait.
+    /// This many bytes were sent, possibly 0. The rest has to be sent later.
     Partial(usize),
-    /// Nothing more can be sent.
+    /// The connection is closed, and nothing more can be sent.
     Disconnected,
 }
 
 impl PeerSocket {
-    /// Sends a line by one call.
+    /// Sends as much of a line as one call to the socket takes.
     pub(super) fn send_once(&self, line: &[u8]) -> SendResult {
         match self.socket.send(line) {
             Ok(count) if count >= line.len() => SendResult::Whole,
--- a/node/src/connections/probe.rs
+++ b/node/src/connections/probe.rs
@@ -1,5 +1,5 @@
-//! Probes: health checks and load probes of hosts, each on a connection of its own. Must never send a probe
-//! that the decision module did not ask for, nor let one outlast its time.
+//! Health checks and load probes of hosts, each on a separate connection. Probes are sent only at the request
+//! of the decision module, and each ends within its timeout.
 
 use super::protocol::{self, HostMessage, LineScanner};
 use crate::context::{Context, PROBE};
@@ -12,19 +12,22 @@
 /// Asks a host for its load metrics.
 const LOAD_PROBE_LINE: &[u8] = b"STATS\r\n";
 
+/// A probe whose answer is awaited.
 struct PendingProbe {
     host: HostId,
     socket: Socket,
-    /// Tells it from an earlier one in the same slot.
+    /// Distinguishes this probe from earlier ones in the same slot.
     generation: u32,
     request_sent: bool,
-    /// What has arrived of the answer.
+    /// The part of the answer that has arrived, or `None` if none has.
     received: Option<Buffer>,
 }
 
-/// How a probe ended.
+/// The result of a probe.
 struct ProbeResult {
     outcome: AttemptOutcome,
+    /// The values of the load metrics in the order of the settings, empty if the host did not report all of
+    /// them.
     load_metrics: Vec<f64>,
 }
 
@@ -44,7 +47,7 @@
 }
 
 impl Probes {
-    /// Sends a probe to a host.
+    /// Sends a probe to a host. Its result is reported as an event, at once if it cannot be sent.
     pub fn send(&mut self, context: &mut Context, host: HostId) {
         let index = context.hosts.index(host);
         let address = index.and_then(|index| context.hosts.record(index).address);
@@ -72,8 +75,8 @@
         context.poller.set_timer(deadline, token, 0);
     }
 
-    /// A probe has had its time. Reads once more before: without that, a host would be taken for silent, and
-    /// overloaded, while its answer lies unread in a process that was stalled.
+    /// Ends a probe that has timed out, after reading its socket once more. Without the reading, a host would
+    /// be taken for silent and overloaded while its answer lies unread because this process was stalled.
     pub fn on_timeout(&mut self, context: &mut Context, token: PollToken) {
         let slot = token.slot as usize;
         if self.pending(token).is_some_and(|probe| probe.request_sent) {
@@ -89,7 +92,7 @@
         }
     }
 
-    /// The socket of a probe is ready.
+    /// Sends the request or reads the answer of a probe whose socket is ready.
     pub fn on_ready(&mut self, context: &mut Context, ready: Readiness) {
         let slot = ready.token.slot as usize;
         let Some(probe) = self.pending_mut(ready.token) else {
@@ -111,7 +114,7 @@
         }
     }
 
-    /// The probe of this token, while it is in flight.
+    /// Returns the probe that the token was made for, or `None` if it has ended.
     fn pending(&self, token: PollToken) -> Option<&PendingProbe> {
         self.slab
             .get(token.slot as usize)
@@ -124,7 +127,7 @@
             .filter(|probe| probe.generation == token.generation)
     }
 
-    /// Reads what the host has answered by now.
+    /// Reads what has arrived of the answer, and ends the probe once the line is complete or an error occurs.
     fn read_answer(&mut self, context: &mut Context, slot: usize) {
         let probe = &mut self.slab[slot];
         let Some(mut buffer) = probe.received.take().or_else(|| context.pool.take()) else {
@@ -161,7 +164,10 @@
     });
 }
 
-/// Reads all that has arrived; an error is what the probe ends with.
+/// Reads all that has arrived.
+///
+/// # Errors
+/// Returns the outcome of the probe if the connection has ended or the answer does not fit the buffer.
 fn receive_all(socket: &Socket, buffer: &mut Buffer) -> Result<(), AttemptOutcome> {
     loop {
         if buffer.free_space().is_empty() {
@@ -176,7 +182,7 @@
     }
 }
 
-/// What an answer, a whole line, makes of the probe.
+/// Returns the outcome of a probe that was answered with this line, its CRLF included.
 fn answer_outcome(line: &[u8]) -> AttemptOutcome {
     match LineScanner::default().step(line) {
         Ok((_, Some(HostMessage::Pong))) => AttemptOutcome::Completed,
--- a/node/src/connections/proxying.rs
+++ b/node/src/connections/proxying.rs
@@ -1,5 +1,6 @@
-//! Open connections: lines are proxied both ways until one side ends. Owns which lines wait for an answer,
-//! and notices a host that no longer answers. Must never read more than it can pass on.
+//! Open connections: proxies lines in both directions until one side ends. This module tracks which client
+//! lines wait for an answer and detects a host that no longer answers. It never reads more than it can
+//! forward.
 
 use super::connection::{Connection, Stage};
 use super::host_connection::{HostConnection, MessageRecorder};
@@ -10,25 +11,25 @@
 use reedferry::{AttemptOutcome, Event, Nanos, MILLI, SECOND};
 use slog::{info, warn};
 
-/// How long a client's line may go unanswered before its host counts as silent. With
-/// [`MAX_MIGRATION_WAIT`], which a migration waits for the end of a line, it has to stay under the seven seconds
-/// within which the client of such a host is migrated.
+/// How long a client's line may stay unanswered before its host counts as silent. Together with
+/// [`MAX_MIGRATION_WAIT`], for which a migration waits for the end of a line, it must stay under seven
+/// seconds: within that time, the client of a silent host has to be migrated.
 const HOST_SILENCE_TIMEOUT: Nanos = 4500 * MILLI;
-/// For how long a client that has ended its sending still gets what its host sends.
+/// How long a client that has half-closed its connection still receives what its host sends.
 const HALF_CLOSED_TIMEOUT: Nanos = 2 * SECOND;
 
-/// How far the two directions of a connection have got.
+/// The results of a transfer in both directions of a connection.
 struct TransferStatus {
     to_client: RelayStatus,
     to_host: RelayStatus,
 }
 
 impl Connection {
-    /// What the end of the connection by its host is reported as.
+    /// Returns the outcome to report if the host has closed the connection in order.
     fn host_close_outcome(&self) -> AttemptOutcome {
-        let statements = self.host_connection.as_ref().map(|host| &host.statements);
-        let bye = statements.is_some_and(|said| said.bye);
-        let migrating = statements.is_some_and(|said| said.migrating);
+        let reports = self.host_connection.as_ref().map(|host| &host.reports);
+        let bye = reports.is_some_and(|reports| reports.bye);
+        let migrating = reports.is_some_and(|reports| reports.migrating);
         match (bye, migrating, self.client_finished_at) {
             (true, ..) => AttemptOutcome::Completed,
             (_, false, None) => AttemptOutcome::ConnectionLost,
@@ -36,17 +37,18 @@
         }
     }
 
-    /// What a break of the host's connection is reported as.
+    /// Returns the outcome to report if the host connection broke.
     fn host_break_outcome(&self) -> AttemptOutcome {
         let host = self.host_connection.as_ref();
-        if host.is_some_and(|host| host.statements.bye) {
+        if host.is_some_and(|host| host.reports.bye) {
             AttemptOutcome::Completed
         } else {
             AttemptOutcome::ConnectionLost
         }
     }
 
-    /// Moves the client's lines to its host, as far as the sockets allow.
+    /// Copies bytes from the client to its host as far as the sockets allow. Returns `None` if either is
+    /// gone.
     pub(super) fn transfer_to_host(&mut self, context: &Context) -> Option<RelayStatus> {
         let client = self.client.as_mut()?;
         let host = self.host_connection.as_mut()?;
@@ -59,7 +61,7 @@
         Some(relay.transfer(&context.pool, client, &mut host.peer, record_line))
     }
 
-    /// Moves lines both ways, as far as the sockets allow.
+    /// Copies bytes in both directions as far as the sockets allow. Returns `None` if either side is gone.
     fn transfer_lines(&mut self, context: &mut Context) -> Option<TransferStatus> {
         let to_host = self.transfer_to_host(context)?;
         let client = self.client.as_mut()?;
@@ -69,7 +71,7 @@
             id: self.incoming.id,
             host: host.host,
             now: context.now,
-            statements: &mut host.statements,
+            reports: &mut host.reports,
             unanswered_lines,
             events: &mut context.events,
             hosts: &mut context.hosts,
@@ -82,8 +84,8 @@
         Some(TransferStatus { to_client, to_host })
     }
 
-    /// The client has ended its sending, and its host is told so.
-    fn finish_client(&mut self, now: Nanos) {
+    /// Records that the client has half-closed its connection, and half-closes that of the host likewise.
+    fn propagate_half_close(&mut self, now: Nanos) {
         if let Some(host) = &self.host_connection {
             host.peer.socket.shutdown_write();
         }
@@ -92,7 +94,7 @@
 }
 
 impl Connections {
-    /// Proxies lines both ways, and ends the one side as the other ended.
+    /// Proxies lines in both directions. If one side has ended or broken, ends the other in the same way.
     pub(super) fn relay_lines(&mut self, context: &mut Context, slot: usize) {
         let connection = &mut self.slab[slot];
         let Some(status) = connection.transfer_lines(context) else {
@@ -110,7 +112,7 @@
                 return self.remove(context, slot, CloseReason::HostBroke);
             }
             (RelayStatus::Malformed, _) => {
-                info!(context.log, "connection aborted"; "why" => "a host's line that is too long");
+                info!(context.log, "connection aborted"; "why" => "host line longer than 4096 bytes");
                 self.detach_host(context, slot, AttemptOutcome::ConnectionLost);
                 return self.remove(context, slot, CloseReason::Malformed);
             }
@@ -118,11 +120,11 @@
                 return self.reset_both(context, slot);
             }
             (_, RelayStatus::Malformed) => {
-                info!(context.log, "connection aborted"; "why" => "a client's line that is too long");
+                info!(context.log, "connection aborted"; "why" => "client line longer than 4096 bytes");
                 return self.reset_both(context, slot);
             }
-            (_, RelayStatus::Finished) => connection.finish_client(context.now),
-            // The host reads no more: what it still sends, or its end, goes to the client.
+            (_, RelayStatus::Finished) => connection.propagate_half_close(context.now),
+            // The host no longer reads. The client still receives what the host sends, until the host closes.
             (_, RelayStatus::ReceiverBroken) => connection.to_host.buffer = None,
             (RelayStatus::MoreToDo, _) | (_, RelayStatus::MoreToDo) => self.runnable.push(slot),
             (RelayStatus::LocalResources, _) | (_, RelayStatus::LocalResources) => {
@@ -133,7 +135,7 @@
         self.try_migrate(context, slot);
     }
 
-    /// The client's connection broke: its host's is reset in turn.
+    /// Resets both sides after the client's connection broke or the client sent a line that is too long.
     fn reset_both(&mut self, context: &mut Context, slot: usize) {
         if let Some(host) = self.detach_host(context, slot, AttemptOutcome::Cancelled) {
             host.peer.socket.reset();
@@ -141,7 +143,8 @@
         self.remove(context, slot, CloseReason::ClientBroke);
     }
 
-    /// Reports how an open connection ended, and takes its host's side off.
+    /// Reports the outcome of an open connection, and removes and returns its host connection. Returns `None`
+    /// if it has been removed before.
     pub(super) fn detach_host(
         &mut self,
         context: &mut Context,
@@ -161,15 +164,16 @@
         Some(host_connection)
     }
 
-    /// Looks after an open connection: its host may be silent, its client half closed, a migration due.
+    /// Checks the time limits of an open connection: of a silent host, a half-closed client and a pending
+    /// migration.
     pub(super) fn check_open_connection(&mut self, context: &mut Context, slot: usize) {
         let now = context.now;
         let connection = &mut self.slab[slot];
         let oldest_line = connection.unanswered_lines.front();
         let silent = oldest_line.is_some_and(|&at| now >= at + HOST_SILENCE_TIMEOUT);
         if silent && connection.migrate_by.is_none() {
-            // One turn takes in no more than what is before it: without this, a host would be taken for
-            // silent while its answer lies unread.
+            // Reads the host's socket once more, as its answer may have arrived after the poller last
+            // reported. Without this, a host would be taken for silent while its answer lies unread.
             connection.assume_host_readable();
             self.relay_lines(context, slot);
         }
@@ -188,7 +192,7 @@
         self.check_migration(context, slot);
     }
 
-    /// Has the client migrated whose host leaves its line unanswered.
+    /// Starts the migration of the client if its host has been silent for too long.
     fn check_host_silence(&mut self, context: &mut Context, slot: usize) {
         let now = context.now;
         let connection = &mut self.slab[slot];
@@ -205,7 +209,8 @@
         }
         warn!(context.log, "host silent"; "host" => &context.hosts.record(host).name);
         connection.migrate_by = Some(now + MAX_MIGRATION_WAIT);
-        // Without this, a host that answers all others would be ejected for one connection.
+        // Blames the host only if it has answered no later line on any connection. Without this, a host that
+        // answers all other clients would be ejected for one connection.
         connection.migration_outcome = if context.hosts.has_answered_since(host, sent_at) {
             AttemptOutcome::Cancelled
         } else {
--- a/node/src/connections/rejection.rs
+++ b/node/src/connections/rejection.rs
@@ -1,52 +1,53 @@
-//! Why this node rejects a client that no host has seen, and how often it did since that was last logged.
+//! The reasons for which this node rejects a client by itself, and how often each has occurred since they
+//! were last logged.
 
 use super::protocol::LineError;
 use reedferry::{Nanos, SECOND};
 use slog::{info, Logger};
 use std::collections::BTreeMap;
 
-/// Why a client is rejected before its request is anybody's.
+/// Why this node rejects a client by itself, without a decision by a host or the decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RejectReason {
-    /// Its first line is malformed.
+    /// The first line is malformed.
     Malformed(LineError),
-    /// It sent more pings than a connection may.
+    /// The client sent more pings than are answered on one connection.
     TooManyPings,
-    /// Its id is that of an open request, or one that hosts have refused.
+    /// The id is that of an open request, or hosts have answered it with errors.
     IdInUse,
-    /// It names a request class that is not served.
+    /// The request class is not served.
     UnknownClass,
-    /// It names a tenant that is not served.
+    /// The tenant is not served.
     UnknownTenant,
-    /// It says that it was connected before, long after the node started.
+    /// The request is a reconnect, but the node started too long ago for that.
     LateReconnect,
-    /// It would wait for much longer than any request may.
+    /// The timeout is many times longer than the longest one allowed.
     ExcessiveTimeout,
-    /// It sent more than its first line before its answer.
+    /// The client sent more than its first line before it was answered.
     MoreThanOneLine,
-    /// Its first line was not complete in time.
+    /// The client sent only a part of its first line in time.
     IncompleteLine,
-    /// It sent nothing in time.
+    /// The client sent no part of a first line in time.
     NoLine,
-    /// It had sent nothing, and another client needed its descriptor.
-    NoDescriptors,
+    /// The client was idle, and another connection needed its descriptor.
+    Evicted,
 }
 
 impl RejectReason {
-    /// Its text in the log, by which rejections are counted.
+    /// Returns the text for the log. Rejections with the same text are counted together.
     fn message(self) -> &'static str {
         match self {
             RejectReason::Malformed(error) => error.message(),
-            RejectReason::TooManyPings => "too many pings",
-            RejectReason::IdInUse => "an id that is in use",
-            RejectReason::UnknownClass => "an unknown offering",
-            RejectReason::UnknownTenant => "an unknown tenant",
-            RejectReason::LateReconnect => "a standing connection long after the start",
-            RejectReason::ExcessiveTimeout => "a wild wait",
-            RejectReason::MoreThanOneLine => "more than one line before its answer",
-            RejectReason::IncompleteLine => "no whole line in time",
-            RejectReason::NoLine => "nothing in time",
-            RejectReason::NoDescriptors => "no descriptors for the silent",
+            RejectReason::TooManyPings => "more than 16 pings",
+            RejectReason::IdInUse => "request id in use or refused by hosts",
+            RejectReason::UnknownClass => "unknown request class",
+            RejectReason::UnknownTenant => "unknown tenant",
+            RejectReason::LateReconnect => "reconnect (at) over 80 s after the start",
+            RejectReason::ExcessiveTimeout => "timeout (d) not plain decimal or too large",
+            RejectReason::MoreThanOneLine => "more than one line before the answer",
+            RejectReason::IncompleteLine => "first line not complete in time",
+            RejectReason::NoLine => "no first line in time",
+            RejectReason::Evicted => "idle client evicted to free its descriptor",
         }
     }
 }
@@ -57,7 +58,7 @@
     }
 }
 
-/// Rejections since they were last logged.
+/// The number of rejections for each reason since they were last logged.
 #[derive(Default)]
 pub(super) struct Rejections {
     counts: BTreeMap<&'static str, u32>,
@@ -65,12 +66,12 @@
 }
 
 impl Rejections {
-    /// Counts one more.
+    /// Counts one rejection.
     pub(super) fn count(&mut self, reason: RejectReason) {
         *self.counts.entry(reason.message()).or_default() += 1;
     }
 
-    /// Logs the counts once a second. Prevents bad clients from filling the log.
+    /// Logs and resets the counts, at most once a second, so that misbehaving clients cannot flood the log.
     pub(super) fn log(&mut self, now: Nanos, log: &Logger) {
         if now < self.logged_at + SECOND {
             return;
--- a/node/src/connections/relay.rs
+++ b/node/src/connections/relay.rs
@@ -1,34 +1,37 @@
-//! One direction of a proxied connection: bytes flow from one socket to the other, a buffer at a time. Must
-//! never read more than it can pass on, so that a slow receiver holds up its sender alone, nor keep a buffer
-//! while nothing flows.
+//! One direction of a proxied connection: copies bytes from one socket to the other, one buffer at a time. It
+//! reads the next bytes only when the last ones are sent, so that a slow receiver blocks its own sender
+//! alone. An idle relay holds no buffer.
 
 use super::peer_socket::PeerSocket;
 use super::protocol::{HostMessage, LineError, LineScanner};
 use reedferry_runtime::errors::{classify_io, IoFailure};
 use reedferry_runtime::{Buffer, BufferPool};
 
-/// Buffers moved for one connection before the others have their turn.
+/// The most buffers that are copied in one direction of a connection before others get their turn.
 const MAX_BUFFERS_PER_TURN: usize = 8;
 
-/// What flows one way, and how far its lines have been read.
+/// The state of one direction: the bytes not sent yet and the position in the line being received.
 #[derive(Default)]
 pub(super) struct Relay {
+    /// Received bytes that are not sent yet, or `None` if there are none.
     pub(super) buffer: Option<Buffer>,
+    /// Finds the lines in the received bytes.
     pub(super) scanner: LineScanner,
-    /// Whether the sender has ended its sending.
+    /// Whether the sender has ended its sending. While closing, whether the client has been sent all its
+    /// bytes.
     pub(super) finished: bool,
 }
 
-/// How far a relay has got.
+/// The result of a transfer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum RelayStatus {
     /// Nothing can be done until a socket is ready.
     Idle,
-    /// There is more to do.
+    /// The limit for one turn was reached, and there may be more to copy.
     MoreToDo,
-    /// This machine is short of a buffer, or of memory: to be retried soon.
+    /// This machine is short of buffers or memory. The transfer must be retried soon.
     LocalResources,
-    /// The sender has ended in order, and all that it sent is passed on.
+    /// The sender has ended its sending in order, and all that it sent is forwarded.
     Finished,
     /// The sender's connection broke.
     SenderBroken,
@@ -39,7 +42,7 @@
 }
 
 impl Relay {
-    /// Passes on what it can in one turn, and calls `on_message` for each line.
+    /// Copies up to [`MAX_BUFFERS_PER_TURN`] buffers and calls `on_message` for each line received.
     pub(super) fn transfer(
         &mut self,
         pool: &BufferPool,
@@ -66,7 +69,7 @@
         RelayStatus::MoreToDo
     }
 
-    /// Sends what waits; `Finished` once nothing does.
+    /// Sends the buffered bytes. Returns `Finished` once none are left.
     pub(super) fn write_to(&mut self, to: &mut PeerSocket) -> RelayStatus {
         while let Some(buffer) = self.buffer.as_mut().filter(|b| !b.is_empty()) {
             if !to.writable {
@@ -86,7 +89,7 @@
         RelayStatus::Finished
     }
 
-    /// Reads once; `Idle` where that went as it should.
+    /// Reads once from the sender. Returns `Idle` unless an error occurred.
     pub(super) fn read_from(
         &mut self,
         pool: &BufferPool,
@@ -99,12 +102,12 @@
         let Some(buffer) = self.buffer.as_mut() else {
             return RelayStatus::LocalResources;
         };
-        let scanned = buffer.unsent().len();
+        let already_scanned = buffer.unsent().len();
         match from.socket.receive(buffer.free_space()) {
             Ok(0) => self.finished = true,
             Ok(count) => {
                 buffer.commit(count);
-                let received = &buffer.unsent()[scanned..];
+                let received = &buffer.unsent()[already_scanned..];
                 if scan_lines(&mut self.scanner, received, on_message).is_err() {
                     return RelayStatus::Malformed;
                 }
@@ -119,7 +122,7 @@
     }
 }
 
-/// Reads the lines that end in `bytes`.
+/// Calls `on_message` for each line that ends in `bytes`.
 fn scan_lines(
     scanner: &mut LineScanner,
     mut bytes: &[u8],
--- a/node/src/connections/resource_retry.rs
+++ b/node/src/connections/resource_retry.rs
@@ -1,25 +1,27 @@
-//! What this machine was short of something for is retried after a fixed time, as nothing else tells when
-//! it may succeed.
+//! Retries operations that failed because this machine was short of a resource, such as memory or buffers.
+//! The poller does not report when such an operation may succeed, so it is retried after a fixed delay.
 
 use super::Connections;
 use crate::context::{self, Context};
 use reedferry::{Nanos, MILLI};
 use reedferry_runtime::{PollToken, Socket};
 
-/// After which time what failed for want of local resources is retried.
+/// The delay after which an operation that failed for lack of local resources is retried.
 pub const LOCAL_RETRY_DELAY: Nanos = 10 * MILLI;
 
-/// What waits for the next retry.
+/// The connections and sockets that wait for the next retry.
 #[derive(Default)]
 pub(super) struct RetryQueue {
-    /// The connections that wait for local resources.
+    /// The slots of the connections to advance at the next retry.
     slots: Vec<usize>,
-    /// Sockets that could not be registered with the poller.
+    /// The tokens of sockets that could not be registered with the poller.
     unregistered: Vec<PollToken>,
+    /// Whether the timer of the next retry is set.
     scheduled: bool,
 }
 
 impl RetryQueue {
+    /// Sets the timer of the next retry unless it is set already.
     fn schedule(&mut self, context: &mut Context) {
         if !std::mem::replace(&mut self.scheduled, true) {
             let due = context.now + LOCAL_RETRY_DELAY;
@@ -28,7 +30,7 @@
         }
     }
 
-    /// Registers a socket with the poller, now or at a retry.
+    /// Registers a socket with the poller. If that fails, it is repeated at the next retry.
     pub(super) fn register(&mut self, context: &mut Context, socket: &Socket, token: PollToken) {
         if context.poller.register_or_update(socket, token).is_err() {
             context.record_transient_failure("epoll_ctl");
@@ -39,13 +41,14 @@
 }
 
 impl Connections {
-    /// Goes on with this connection at the next retry.
+    /// Schedules a connection to be advanced at the next retry.
     pub(super) fn retry_soon(&mut self, context: &mut Context, slot: usize) {
         self.retry_queue.slots.push(slot);
         self.retry_queue.schedule(context);
     }
 
-    /// Retries what this machine was short of something for.
+    /// Registers the sockets that could not be registered before, and marks the waiting connections as
+    /// runnable.
     pub fn retry(&mut self, context: &mut Context) {
         self.retry_queue.scheduled = false;
         self.runnable.append(&mut self.retry_queue.slots);
@@ -59,7 +62,8 @@
                 continue;
             };
             let registered = context.poller.register_or_update(&peer.socket, token);
-            // Registered or not, the socket is tried.
+            // Tries the socket even if the registration failed again, as the poller may have missed its
+            // readiness.
             peer.readable = true;
             peer.writable = true;
             self.runnable.push(slot);
--- a/node/src/connections/sweep.rs
+++ b/node/src/connections/sweep.rs
@@ -1,6 +1,7 @@
-//! The sweep, at a fixed interval: what has waited too long, and what is counted from one sweep to the next.
+//! The sweep over all connections at a fixed interval: enforces their time limits and renews the limits that
+//! apply between two sweeps.
 
-use super::closing::MAX_DISCARDED_TOTAL;
+use super::closing::MAX_DISCARDED_BYTES_TOTAL;
 use super::connection::Stage;
 use super::idle::FIRST_LINE_TIMEOUT;
 use super::Connections;
@@ -9,9 +10,9 @@
 use reedferry::Nanos;
 
 impl Connections {
-    /// Looks over all connections.
+    /// Checks all connections, and logs what has been counted since the last sweep.
     pub fn sweep(&mut self, context: &mut Context) {
-        self.discard_allowance = MAX_DISCARDED_TOTAL;
+        self.discard_allowance = MAX_DISCARDED_BYTES_TOTAL;
         let slots: Vec<usize> = self.slab.iter().map(|(slot, _)| slot).collect();
         for slot in slots {
             self.sweep_one(context, slot);
@@ -25,10 +26,11 @@
         self.listener.rejections.log(context.now, &context.log);
     }
 
+    /// Checks one connection.
     fn sweep_one(&mut self, context: &mut Context, slot: usize) {
         let now = context.now;
-        // Without this, clients that wait or are idle when the program is ended from outside would never
-        // have an answer.
+        // Once the shutdown deadline has passed, answers idle clients and times out attempts in flight.
+        // Without this, clients that wait or are idle would get no answer before the process is killed.
         let stopping = now >= context.shutdown_deadline.unwrap_or(Nanos::MAX);
         let Some(connection) = self.slab.get_mut(slot) else {
             return;
--- a/node/src/connections/waiting_client.rs
+++ b/node/src/connections/waiting_client.rs
@@ -1,5 +1,5 @@
-//! The client while its request waits for an answer: notices that it leaves, or goes on sending. Must never
-//! leave such a client without an answer that it can still read.
+//! Watches a client whose request waits for an answer, in case it leaves or sends more than its first line. A
+//! client that can still read always gets an answer.
 
 use super::connection::{Connection, Stage};
 use super::peer_socket::{PeerSocket, SendResult};
@@ -12,35 +12,37 @@
 use reedferry_runtime::errors::{classify_io, IoFailure};
 use reedferry_runtime::PollToken;
 
-/// How a client has left its request.
+/// How a client has given up its request.
 enum ClientDeparture {
+    /// Its connection is closed.
     Gone,
     /// It has sent more than its first line.
     SentMore,
-    /// It has ended its sending, and still reads the rest of its answer.
+    /// It has ended its sending but may still read. Holds the part of its answer that is not sent yet.
     HalfClosed(&'static [u8]),
 }
 
 impl Connections {
-    /// Notices a client that leaves while it waits, or that goes on sending.
+    /// Checks whether a waiting client has left or sent more than its first line, and ends its request if so.
     pub(super) fn check_client(&mut self, context: &mut Context, slot: usize) {
         let connection = &mut self.slab[slot];
         let Some(client) = connection.client.as_mut().filter(|client| client.readable) else {
             return;
         };
-        // Read into a buffer of its own: the end would never be seen behind a first line that fills its buffer.
+        // Reads into a separate buffer. The one of the first line may be full, and then the client's end
+        // would never be seen.
         let departure = match client.socket.receive(&mut [0; 64]) {
             Err(error) if classify_io(error) == IoFailure::WouldBlock => {
                 client.readable = false;
                 return;
             }
-            // Whether it has gone can't be told now.
+            // Whether the client has gone is unknown until the read can be retried.
             Err(error) if classify_io(error) == IoFailure::LocalResources => {
                 context.record_transient_failure("receive");
                 return self.retry_soon(context, slot);
             }
             Ok(1..) => ClientDeparture::SentMore,
-            // It may have ended its sending alone: then it still reads its answer.
+            // The client may only have half-closed its connection, and then it still reads its answer.
             Ok(0) => match client.send_once(ERROR_LINE) {
                 SendResult::Partial(count) => ClientDeparture::HalfClosed(&ERROR_LINE[count..]),
                 SendResult::Whole | SendResult::Disconnected => ClientDeparture::Gone,
@@ -53,8 +55,8 @@
         }
     }
 
-    /// Takes the client off its request. An attempt in flight ends when the decision module cancels it or it
-    /// ends by itself.
+    /// Separates the client from its request and returns its socket. An attempt whose request line is written
+    /// goes on until the decision module cancels it or it ends by itself.
     fn abandon_request(&mut self, context: &mut Context, slot: usize) -> Option<PeerSocket> {
         let connection = &mut self.slab[slot];
         let client = connection.client.take();
@@ -68,16 +70,16 @@
         let attempt = connection.host_connection.as_ref().filter(|_| pending);
         match attempt.map(|attempt| attempt.request_written) {
             None => self.remove(context, slot, CloseReason::ClientEnded),
-            // Without this, a line would begin for a client that left while its host's connection came up,
-            // where the settings allow no attempt to be cancelled: it has not begun, and never does.
+            // Ends an attempt whose request line is not written. Without this, the line would be written for
+            // a client that left during the connect if the settings do not allow attempts to be cancelled.
             Some(false) => self.end_attempt(context, slot, AttemptOutcome::NeverSent),
             Some(true) => {}
         }
         client
     }
 
-    /// Answers a client that has left its request but may still read. It gets a record of its own, as it may
-    /// send hundreds of lines at once, and its answer may go out in parts.
+    /// Answers a client that has given up its request but may still read. The client gets a connection record
+    /// of its own, as it may send hundreds of lines at once and its answer may have to be sent in parts.
     fn answer_departed(
         &mut self,
         context: &mut Context,
@@ -98,7 +100,7 @@
         }
     }
 
-    /// A record of its own for a client that has left its request.
+    /// Creates a separate connection record for a client that has given up its request, and returns its slot.
     fn detach_client(
         &mut self,
         context: &mut Context,
@@ -119,9 +121,9 @@
         })
     }
 
-    /// Whether the client still waits, as its socket has it now, whatever the poller has reported so far.
-    /// Without this, an attempt would begin for a client that has gone, and whose end waits behind many
-    /// events or a process that was stalled.
+    /// Returns whether the client still waits, by reading its socket now rather than relying on the poller.
+    /// Without this, an attempt would begin for a client whose end has arrived but is not processed yet,
+    /// because many other events come first or the process was stalled.
     pub(super) fn client_still_waits(&mut self, context: &mut Context, slot: usize) -> bool {
         let id = self.slab[slot].incoming.id;
         self.slab[slot].assume_client_readable();
