--- a/node/tests/hot_restart.rs
+++ b/node/tests/hot_restart.rs
@@ -1,4 +1,4 @@
-//! Hot restart: one process replaces another, both started and spoken to over sockets, at a listener that the test holds.
+//! Tests of hot restart on sockets: one process replaces another at a listener that the test holds open for both.
 
 use reedferry_runtime::DescriptorBudget;
 use reedferry_testkit::simulated::{self, Clients, HostBehavior, InvariantChecker};
@@ -9,43 +9,45 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-struct Site {
+/// A list service, hosts and the listener and folder that the processes of a hot restart share.
+struct Fixture {
     hosts: Hosts,
-    _discovery: Discovery,
+    discovery: Discovery,
     node_config: Value,
     listener: TcpListener,
     folder: PathBuf,
 }
 
-impl Site {
+impl Fixture {
     fn new(hosts: usize) -> Self {
         let (hosts, discovery) = (Hosts::start(hosts), Discovery::start());
         let mut node_config = node_config(&hosts, discovery.address);
         node_config["ops"] = json!("127.0.0.1:0");
-        Site {
+        Fixture {
             hosts,
-            _discovery: discovery,
+            discovery,
             node_config,
             listener: listener(),
             folder: folder(),
         }
     }
 
+    /// Starts a process at the shared listener and waits until it is ready.
     fn start(&self) -> Node {
         let mut node = Node::start_at(&self.node_config, &self.listener, &self.folder);
         node.address = self.listener.local_addr().unwrap();
-        eventually("ready", || node.call("GET /status").0 == 200);
+        eventually("the node is ready", || node.call("GET /status").0 == 200);
         node
     }
 }
 
-impl Drop for Site {
+impl Drop for Fixture {
     fn drop(&mut self) {
         _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// Lines pass both ways.
+/// Checks that a line passes in each direction.
 fn exchange_lines(client: &mut Peer, host: &mut Peer) {
     client.send_line("up 1");
     host.expect_line("up 1");
@@ -53,36 +55,39 @@
     client.expect_line("down 1");
 }
 
-fn wait_for_end(node: &mut Node) {
+/// Waits until the process has exited and checks that it succeeded.
+fn expect_clean_exit(node: &mut Node) {
     assert!(node.wait().success());
 }
 
-/// Prevents that clients are migrated, or their lines lost or doubled, in a hot restart.
+/// Guards against a hot restart that migrates clients, or loses or duplicates partial lines. Two hot restarts in a row are played.
 #[test]
-fn open_connections_go_on_in_the_successor_with_what_was_in_flight() {
-    let site = Site::new(3);
-    let mut predecessor = site.start();
-    let mut open: Vec<_> = (0..40).map(|_| predecessor.served(&site.hosts)).collect();
+fn open_connections_and_partial_lines_are_handed_over_to_the_successor() {
+    let fixture = Fixture::new(3);
+    let mut predecessor = fixture.start();
+    let mut open: Vec<_> = (0..40)
+        .map(|_| predecessor.served(&fixture.hosts))
+        .collect();
     for (client, _, host) in &mut open {
         client.write("ha");
         host.write("do");
     }
-    eventually("half a line has come", || {
+    eventually("every client has received half a line", || {
         open.iter_mut()
             .all(|(client, ..)| client.stream.peek(&mut [0; 2]).is_ok())
     });
-    let mut twice = Vec::new();
+    let mut predecessors = Vec::new();
     for _ in 0..2 {
-        let successor = site.start();
+        let successor = fixture.start();
         predecessor.stop();
-        let asked = Instant::now();
-        wait_for_end(&mut predecessor);
+        let stop_requested_at = Instant::now();
+        expect_clean_exit(&mut predecessor);
         assert!(
-            asked.elapsed() < Duration::from_secs(2),
-            "it leaves early: {:?}",
-            asked.elapsed()
+            stop_requested_at.elapsed() < Duration::from_secs(2),
+            "the predecessor took {:?} to exit",
+            stop_requested_at.elapsed()
         );
-        twice.push(std::mem::replace(&mut predecessor, successor));
+        predecessors.push(std::mem::replace(&mut predecessor, successor));
     }
     for (client, _, host) in &mut open {
         client.write("lf\r\n");
@@ -91,94 +96,99 @@
         client.expect_line("down");
         exchange_lines(client, host);
     }
-    let _one = predecessor.served(&site.hosts);
+    let _client = predecessor.served(&fixture.hosts);
     assert_eq!(predecessor.metric("in_flight"), 41);
     assert_eq!(predecessor.metric("requests.chat.served"), 1);
-    // What one side ends, the other is told of, as ever.
+    // The end of one side is still passed on to the other.
     let (mut client, _, host) = open.pop().unwrap();
     host.end_sending();
     client.expect_line("end");
-    // And the rest is moved when nobody follows.
+    // A shutdown without a successor migrates the other clients.
     predecessor.stop();
     open.iter_mut()
         .for_each(|(client, ..)| client.expect_line("MOVE"));
-    wait_for_end(&mut predecessor);
+    expect_clean_exit(&mut predecessor);
 }
 
 #[test]
-fn requests_that_wait_or_are_incomplete_are_served_after_a_hot_restart() {
-    let site = Site::new(1);
-    let mut predecessor = site.start();
-    let mut waits = predecessor.open(OPEN);
-    let (_, mut host) = site.hosts.accept();
+fn pending_and_incomplete_requests_are_served_after_a_hot_restart() {
+    let fixture = Fixture::new(1);
+    let mut predecessor = fixture.start();
+    let mut waiting = predecessor.open(OPEN);
+    let (_, mut host) = fixture.hosts.accept();
     host.receive_line();
-    let mut asks = Peer::connect(predecessor.address);
-    asks.write("PING\r\n");
-    asks.expect_line("PONG");
-    asks.write("OPEN 77 7f3a c=ch");
+    let mut incomplete = Peer::connect(predecessor.address);
+    incomplete.write("PING\r\n");
+    incomplete.expect_line("PONG");
+    incomplete.write("OPEN 77 7f3a c=ch");
     eventually("read", || predecessor.metric("in_flight") == 1);
-    let successor = site.start();
+    let successor = fixture.start();
     predecessor.stop();
     predecessor.wait_for_log("asked to stop");
-    asks.write("at,t=acme,d=2000\r\n");
-    let (_, mut other) = site.hosts.accept();
+    incomplete.write("at,t=acme,d=2000\r\n");
+    let (_, mut other) = fixture.hosts.accept();
     assert!(other.receive_line().starts_with("OPEN 77 7f3a c=chat"));
     other.send_line("UP 2");
-    asks.expect_line("UP 2");
+    incomplete.expect_line("UP 2");
     host.send_line("UP 1");
-    waits.expect_line("UP 1");
-    wait_for_end(&mut predecessor);
-    exchange_lines(&mut waits, &mut host);
-    exchange_lines(&mut asks, &mut other);
+    waiting.expect_line("UP 1");
+    expect_clean_exit(&mut predecessor);
+    exchange_lines(&mut waiting, &mut host);
+    exchange_lines(&mut incomplete, &mut other);
     assert_eq!(successor.metric("in_flight"), 2);
 }
 
-/// Prevents that clients are handed over to a process that is gone, and that a node stops serving since one was to replace it.
+/// Guards against clients that are handed over to a process that no longer runs, and against a node that stops serving because its
+/// successor has died.
 #[test]
-fn a_successor_that_dies_leaves_the_predecessor_as_it_was() {
-    let site = Site::new(2);
-    let mut predecessor = site.start();
-    let mut open = predecessor.served(&site.hosts);
+fn a_predecessor_keeps_serving_when_its_successor_dies() {
+    let fixture = Fixture::new(2);
+    let mut predecessor = fixture.start();
+    let mut open = predecessor.served(&fixture.hosts);
     for _ in 0..2 {
-        let mut successor = site.start();
+        let mut successor = fixture.start();
         successor.kill();
         predecessor.wait_for_log("successor disconnected");
         exchange_lines(&mut open.0, &mut open.2);
         assert_eq!(predecessor.call("GET /status").0, 200);
-        predecessor.served(&site.hosts);
+        predecessor.served(&fixture.hosts);
     }
     predecessor.stop();
     open.0.expect_line("MOVE");
-    wait_for_end(&mut predecessor);
+    expect_clean_exit(&mut predecessor);
 }
 
 #[test]
-fn a_predecessor_migrates_its_clients_in_time_where_the_successor_stands_still() {
-    let site = Site::new(2);
-    let mut predecessor = site.start();
-    let mut open: Vec<_> = (0..40).map(|_| predecessor.served(&site.hosts)).collect();
-    let mut successor = site.start();
+fn a_predecessor_migrates_its_clients_in_time_if_its_successor_is_suspended() {
+    let fixture = Fixture::new(2);
+    let mut predecessor = fixture.start();
+    let mut open: Vec<_> = (0..40)
+        .map(|_| predecessor.served(&fixture.hosts))
+        .collect();
+    let mut successor = fixture.start();
     successor.suspend();
     predecessor.stop();
-    let asked = Instant::now();
+    let stop_requested_at = Instant::now();
     open.iter_mut()
         .for_each(|(client, ..)| client.expect_line("MOVE"));
-    // The longest expiry, and what is granted beyond it.
+    // The longest expiry of 2000 ms, and the 700 ms that a process has beyond it.
     assert!(
-        asked.elapsed() < Duration::from_millis(2700),
+        stop_requested_at.elapsed() < Duration::from_millis(2700),
         "{:?}",
-        asked.elapsed()
+        stop_requested_at.elapsed()
     );
-    wait_for_end(&mut predecessor);
+    expect_clean_exit(&mut predecessor);
     successor.unsuspend();
-    let _served = successor.served(&site.hosts);
-    eventually("none of the others", || successor.metric("in_flight") == 1);
+    let _served = successor.served(&fixture.hosts);
+    eventually("the successor holds only its own client", || {
+        successor.metric("in_flight") == 1
+    });
     successor.stop();
     assert!(successor.wait().success());
 }
 
 #[test]
-fn a_node_starts_and_hands_over_whatever_is_in_the_folder() {
+fn a_stale_socket_does_not_prevent_a_hot_restart_nor_a_bad_folder_a_start() {
     let garbled = |at: &Path| std::fs::write(at.join("reedferry.next"), "garbled").unwrap();
     let stale = |at: &Path| {
         drop(
@@ -189,90 +199,95 @@
     };
     let prepared: [&dyn Fn(&Path); 2] = [&garbled, &stale];
     for prepare in prepared {
-        let site = Site::new(1);
-        prepare(&site.folder);
-        let mut predecessor = site.start();
-        let mut open = predecessor.served(&site.hosts);
-        let _successor = site.start();
+        let fixture = Fixture::new(1);
+        prepare(&fixture.folder);
+        let mut predecessor = fixture.start();
+        let mut open = predecessor.served(&fixture.hosts);
+        let _successor = fixture.start();
         predecessor.stop();
-        wait_for_end(&mut predecessor);
+        expect_clean_exit(&mut predecessor);
         exchange_lines(&mut open.0, &mut open.2);
     }
-    // A folder that is none, or whose path is too long for a socket's: it serves, and nobody can follow.
+    // In a path that is no folder, or that is too long for a socket's path, the node serves but cannot have a successor.
     for folder in ["/dev/null", &format!("/tmp/{}", "long".repeat(40))] {
-        let site = Site::new(1);
-        let node = Node::start_at(&site.node_config, &site.listener, Path::new(folder));
+        let fixture = Fixture::new(1);
+        let node = Node::start_at(&fixture.node_config, &fixture.listener, Path::new(folder));
         assert_eq!(node.call("GET /status").0, 200);
     }
 }
 
-/// Prevents that a node is led astray by whoever else connects where the successor would.
+/// Guards against connections handed over to, or a hot restart blocked by, a process that connects to the channel but is no successor.
 #[test]
-fn an_invalid_peer_on_the_channel_is_dropped_and_gets_nothing() {
-    let site = Site::new(1);
-    let predecessor = site.start();
-    let mut open = predecessor.served(&site.hosts);
-    let path = site.folder.join("reedferry.next");
+fn an_invalid_peer_on_the_hot_restart_channel_receives_no_connections() {
+    let fixture = Fixture::new(1);
+    let predecessor = fixture.start();
+    let mut open = predecessor.served(&fixture.hosts);
+    let path = fixture.folder.join("reedferry.next");
     let budget = DescriptorBudget::new(64);
-    for said in [&b"what"[..], &[0, 99], &[0, 1], &[7; 40_000]] {
-        let line = budget.connect_unix(&path).unwrap();
-        _ = line.send_with_descriptors(said, &[]);
+    for bytes in [&b"what"[..], &[0, 99], &[0, 1], &[7; 40_000]] {
+        let channel = budget.connect_unix(&path).unwrap();
+        _ = channel.send_with_descriptors(bytes, &[]);
         exchange_lines(&mut open.0, &mut open.2);
     }
     let _silent = budget.connect_unix(&path).unwrap();
     let mut predecessor = predecessor;
-    let _successor = site.start();
+    let _successor = fixture.start();
     predecessor.stop();
-    wait_for_end(&mut predecessor);
+    expect_clean_exit(&mut predecessor);
     exchange_lines(&mut open.0, &mut open.2);
 }
 
-/// Prevents that a node starts beside the one that holds its listener, or without any.
+/// Guards against a node that starts without a listener, or at another one than the platform holds for it.
 #[test]
-fn a_descriptor_that_is_no_listener_is_one_line_and_no_start() {
-    let site = Site::new(1);
-    for named in ["three", "", "-1", "999", "0", "99999999999999999999"] {
-        let output = program_at(&site.node_config.to_string(), named, &site.folder)
-            .output()
-            .unwrap();
-        let said = String::from_utf8(output.stderr).unwrap();
+fn a_descriptor_that_is_no_listener_fails_the_start_with_one_error_line() {
+    let fixture = Fixture::new(1);
+    for descriptor in ["three", "", "-1", "999", "0", "99999999999999999999"] {
+        let output = program_at(
+            &fixture.node_config.to_string(),
+            descriptor,
+            &fixture.folder,
+        )
+        .output()
+        .unwrap();
+        let errors = String::from_utf8(output.stderr).unwrap();
         assert_eq!(
-            (output.status.code(), said.lines().count()),
+            (output.status.code(), errors.lines().count()),
             (Some(1), 1),
-            "{named}: {said}"
+            "{descriptor}: {errors}"
         );
-        assert!(said.contains("GW_ACCEPT_FD"), "{said}");
+        assert!(errors.contains("GW_ACCEPT_FD"), "{errors}");
     }
 }
 
 #[test]
-fn ejections_and_drains_of_a_predecessor_hold_in_its_successor() {
-    let mut site = Site::new(2);
-    site.node_config["settings"]["policy_limits"]["most_hand_offs"] = json!(2);
-    let mut predecessor = site.start();
-    // One host breaks off what it is asked: it is left alone, also by the next process.
+fn ejections_of_the_predecessor_hold_in_the_successor() {
+    let mut fixture = Fixture::new(2);
+    fixture.node_config["settings"]["policy_limits"]["most_hand_offs"] = json!(2);
+    let mut predecessor = fixture.start();
+    // A host that resets the connection of an attempt is ejected, and stays ejected in the successor.
     let mut client = predecessor.open(OPEN);
-    let (bad, host) = site.hosts.accept();
+    let (bad, host) = fixture.hosts.accept();
     host.reset();
     let ejected_at = Instant::now();
-    let (good, mut host) = site.hosts.accept();
+    let (good, mut host) = fixture.hosts.accept();
     assert_ne!(bad, good);
     host.receive_line();
     host.send_line("UP 1");
     client.expect_line("UP 1");
     assert_eq!(predecessor.metric("hosts_excluded"), 1);
-    let successor = site.start();
+    let successor = fixture.start();
     predecessor.stop();
-    wait_for_end(&mut predecessor);
+    expect_clean_exit(&mut predecessor);
     assert_eq!(successor.metric("hosts_excluded"), 1);
-    let (_, number, _) = successor.served(&site.hosts);
-    // A mask is over after 2.25 s at the soonest.
+    let (_, number, _) = successor.served(&fixture.hosts);
+    // An ejection lasts at least 2.25 s.
     assert!(number == good || ejected_at.elapsed() > Duration::from_secs(2));
 }
 
-/// The invariants over both processes, by what hosts and clients saw, among faulty hosts.
+/// Checks the invariants over three hot restarts under load, with one failing and one silent host, by what hosts and clients observed.
+/// Also guards against clients that are lost at the shared listener.
 #[test]
-fn under_load_every_client_has_one_answer_and_none_is_lost_at_the_listener() {
+fn every_client_gets_one_answer_during_hot_restarts_under_load() {
     let checker = InvariantChecker::default();
     let hosts = simulated::Hosts::start(5, &checker);
     hosts.go(3, HostBehavior::Fails);
@@ -282,25 +297,25 @@
         json!({"name": name, "contract_time": 200.0, "expiry": 2000.0, "effect": idempotency, "group": group,
             "payoff": 1.0, "repeat_window": 1000.0})
     };
-    let mut site = Site::new(0);
-    site.node_config["discovery"] = json!(discovery.address.to_string());
-    site.node_config["known"]["members"] = hosts.members();
-    site.node_config["settings"]["offerings"] = json!([
+    let mut fixture = Fixture::new(0);
+    fixture.node_config["discovery"] = json!(discovery.address.to_string());
+    fixture.node_config["known"]["members"] = hosts.members();
+    fixture.node_config["settings"]["offerings"] = json!([
         class("free", "free", "all"),
         class("mark", "guarded", "cell"),
         class("once", "single_shot", "all")
     ]);
-    let mut predecessor = site.start();
+    let mut predecessor = fixture.start();
     let mut clients = Clients::new(vec![predecessor.address], &checker, 7);
     let ms = Duration::from_millis;
-    let mut before = Vec::new();
+    let mut predecessors = Vec::new();
     for _ in 0..3 {
         clients.load(150.0, ms(400), &[0, 1, 2], ms(1500));
-        let successor = site.start();
+        let successor = fixture.start();
         clients.load(150.0, ms(100), &[0, 1, 2], ms(1500));
         predecessor.stop();
         clients.load(150.0, ms(600), &[0, 1, 2], ms(1500));
-        before.push(std::mem::replace(&mut predecessor, successor));
+        predecessors.push(std::mem::replace(&mut predecessor, successor));
     }
     clients.end();
     let broken = checker.broken(ms(150));
@@ -308,29 +323,29 @@
     assert_eq!(
         checker.observations().len(),
         clients.started(),
-        "some were lost at the listener"
+        "clients were lost at the listener"
     );
 }
 
-/// A class of the settings.
+/// Returns a request class of the settings.
 fn class(name: &str, idempotency: &str) -> Value {
     json!({"name": name, "contract_time": 500.0, "expiry": 2000.0, "effect": idempotency, "group": "all", "payoff": 1.0,
         "repeat_window": 900.0})
 }
 
-/// Prevents that one customer's connection goes by another's terms, or is cut, in a hot restart where the successor's settings name
-/// the classes in another order, without one of them, with one that means something else and with a new one.
+/// Guards against connections that are cut, or that get the class of another request, in a hot restart where the successor's settings
+/// list the classes in another order: one is removed, one has another effect and one is new.
 #[test]
 fn connections_keep_their_class_in_a_successor_with_other_settings() {
-    let mut site = Site::new(2);
+    let mut fixture = Fixture::new(2);
     std::env::set_var("REEDFERRY_TRACE", "1");
-    site.node_config["settings"]["offerings"] = json!([
+    fixture.node_config["settings"]["offerings"] = json!([
         class("chat", "free"),
         class("till", "single_shot"),
         class("seat", "guarded")
     ]);
-    site.node_config["settings"]["tenants"] = json!([{"name": "acme"}, {"name": "zeta"}]);
-    let mut predecessor = site.start();
+    fixture.node_config["settings"]["tenants"] = json!([{"name": "acme"}, {"name": "zeta"}]);
+    let mut predecessor = fixture.start();
     let mut open = Vec::new();
     for (name, tenant) in [
         ("chat", "acme"),
@@ -340,42 +355,45 @@
     ] {
         let mut client =
             predecessor.open(&OPEN.replace("c=chat,t=acme", &format!("c={name},t={tenant}")));
-        let (_, mut host) = site.hosts.accept();
+        let (_, mut host) = fixture.hosts.accept();
         host.receive_line();
         host.send_line("UP 77aa");
         client.expect_line("UP 77aa");
         open.push((client, host));
     }
-    // `chat` is gone, `seat` means something else, `late` is new and stands first.
-    site.node_config["settings"]["offerings"] = json!([
+    // `chat` is removed, `seat` has another effect, and `late` is new and comes first.
+    fixture.node_config["settings"]["offerings"] = json!([
         class("late", "single_shot"),
         class("seat", "free"),
         class("till", "single_shot")
     ]);
-    let mut successor = site.start();
+    let mut successor = fixture.start();
     predecessor.stop();
-    wait_for_end(&mut predecessor);
-    let mut places = Vec::new();
+    expect_clean_exit(&mut predecessor);
+    let mut class_indices = Vec::new();
     for _ in 0..open.len() {
         let line = successor.wait_for_log("event ConnectionHandedOver");
-        let place = line
+        let class_index = line
             .split(" class: ")
             .nth(1)
             .and_then(|rest| rest.split(',').next()?.parse::<usize>().ok());
-        places.push(place.unwrap());
+        class_indices.push(class_index.unwrap());
     }
-    places.sort_unstable();
-    // `till` as it stands there; of what is not offered so any more, each its own place.
-    assert!(places[0] == 2 && places[1] > 2, "{places:?}");
-    places.dedup();
-    assert_eq!(places.len(), 3, "{places:?}");
+    class_indices.sort_unstable();
+    // `till` has its index in the new settings. Each class that is no longer offered in the same form has an index of its own.
+    assert!(
+        class_indices[0] == 2 && class_indices[1] > 2,
+        "{class_indices:?}"
+    );
+    class_indices.dedup();
+    assert_eq!(class_indices.len(), 3, "{class_indices:?}");
     for (client, host) in &mut open {
         exchange_lines(client, host);
     }
-    // No more comes of what is gone, and what is new is served.
+    // New requests of the removed class fail, and those of the new class are served.
     assert_eq!(successor.open(OPEN).receive_line(), "ERR");
     let mut client = successor.open(&OPEN.replace("c=chat", "c=late"));
-    let (_, mut host) = site.hosts.accept();
+    let (_, mut host) = fixture.hosts.accept();
     host.receive_line();
     host.send_line("UP 1");
     client.expect_line("UP 1");
@@ -383,35 +401,39 @@
     for (client, _) in &mut open {
         client.expect_line("MOVE");
     }
-    wait_for_end(&mut successor);
+    expect_clean_exit(&mut successor);
 }
 
-/// A test's own successor, which speaks the protocol of a hot restart.
+/// A successor that the test plays itself: it speaks the protocol of a hot restart.
 struct TestSuccessor {
     budget: DescriptorBudget,
-    line: reedferry_runtime::Socket,
+    channel: reedferry_runtime::Socket,
 }
 
 impl TestSuccessor {
+    /// Connects to the predecessor at `path` and receives its state.
     fn connect(path: &Path) -> Self {
         let budget = DescriptorBudget::new(64);
-        let line = budget.connect_unix(path).unwrap();
-        // It says hello in this version.
-        line.send_with_descriptors(&[0, 3], &[]).unwrap();
-        let one = TestSuccessor { budget, line };
-        // The chunks of the predecessor's state, to the last.
-        while one.receive_line().last() != Some(&1) {}
-        one
+        let channel = budget.connect_unix(path).unwrap();
+        // The greeting: variant 0, protocol version 3.
+        channel.send_with_descriptors(&[0, 3], &[]).unwrap();
+        let successor = TestSuccessor { budget, channel };
+        // The chunks of the predecessor's state: 1 at the end marks the last one.
+        while successor.receive_message().last() != Some(&1) {}
+        successor
     }
 
-    /// The next message, or nothing at the end.
-    fn receive_line(&self) -> Vec<u8> {
-        let (mut space, until) = (vec![0; 48 << 10], Instant::now() + Duration::from_secs(20));
+    /// Returns the next message, or an empty one once the channel is closed.
+    fn receive_message(&self) -> Vec<u8> {
+        let (mut buffer, deadline) = (vec![0; 48 << 10], Instant::now() + Duration::from_secs(20));
         loop {
-            match self.budget.receive_with_descriptors(&self.line, &mut space) {
-                Ok((length, _given)) => return space[..length].to_vec(),
+            match self
+                .budget
+                .receive_with_descriptors(&self.channel, &mut buffer)
+            {
+                Ok((length, _descriptors)) => return buffer[..length].to_vec(),
                 Err(e) if e.raw_os_error() == 11 => {
-                    assert!(Instant::now() < until, "nothing comes");
+                    assert!(Instant::now() < deadline, "no message arrived in time");
                 }
                 Err(_) => return Vec::new(),
             }
@@ -419,65 +441,71 @@
         }
     }
 
-    /// Receives a connection, and rejects it.
+    /// Receives a connection and rejects it.
     fn reject(&self) {
-        assert!(!self.receive_line().is_empty(), "none is given");
-        self.line.send_with_descriptors(&[1, 0], &[]).unwrap();
+        assert!(!self.receive_message().is_empty(), "no connection arrived");
+        self.channel.send_with_descriptors(&[1, 0], &[]).unwrap();
     }
 }
 
-/// Prevents that a connection which the successor rejects is handed over again and again, or held until the process is killed, as it
-/// is neither handed over nor migrated.
+/// Guards against a connection that the successor rejects and that is then handed over again and again, or held until the process is
+/// killed because it is neither handed over nor migrated.
 #[test]
 fn a_connection_that_the_successor_rejects_is_migrated_by_the_predecessor() {
-    let site = Site::new(1);
-    let mut predecessor = site.start();
-    let mut open: Vec<_> = (0..5).map(|_| predecessor.served(&site.hosts)).collect();
-    let mut rests = Peer::connect(predecessor.address);
-    rests.send_line("PING");
-    rests.expect_line("PONG");
-    let stranger = TestSuccessor::connect(&site.folder.join("reedferry.next"));
+    let fixture = Fixture::new(1);
+    let mut predecessor = fixture.start();
+    let mut open: Vec<_> = (0..5).map(|_| predecessor.served(&fixture.hosts)).collect();
+    let mut idle = Peer::connect(predecessor.address);
+    idle.send_line("PING");
+    idle.expect_line("PONG");
+    let successor = TestSuccessor::connect(&fixture.folder.join("reedferry.next"));
     predecessor.stop();
-    let asked = Instant::now();
-    // The one that has not asked too.
-    (0..6).for_each(|_| stranger.reject());
+    let stop_requested_at = Instant::now();
+    // The five open connections and the idle one.
+    (0..6).for_each(|_| successor.reject());
     for (client, _, host) in &mut open {
         client.expect_line("MOVE");
         client.expect_line("end");
         host.expect_line("end");
     }
-    rests.expect_line("BUSY");
+    idle.expect_line("BUSY");
     assert!(
-        asked.elapsed() < Duration::from_millis(2700),
+        stop_requested_at.elapsed() < Duration::from_millis(2700),
         "{:?}",
-        asked.elapsed()
+        stop_requested_at.elapsed()
+    );
+    assert!(
+        successor.receive_message().is_empty(),
+        "a rejected connection was handed over again"
     );
-    assert!(stranger.receive_line().is_empty(), "given again");
-    wait_for_end(&mut predecessor);
+    expect_clean_exit(&mut predecessor);
 }
 
-/// Guards against a process that takes over in a crowd of idle clients, and hears of no drain as they hold all descriptors.
+/// Guards against a successor whose descriptors are all held by idle clients, so that it cannot call the discovery service and
+/// learns of no drain.
 #[test]
-fn a_process_that_takes_over_in_a_crowd_has_its_list_within_the_polling_time() {
+fn a_successor_crowded_by_idle_clients_gets_its_list_within_a_poll_interval() {
     const SOCKETS: u64 = 192;
     const SUCCESSOR: u64 = 2;
-    let mut site = Site::new(3);
-    site.node_config["limits"]["sockets"] = json!(SOCKETS);
-    let predecessor = site.start();
-    let _open: Vec<_> = (0..50).map(|_| predecessor.served(&site.hosts)).collect();
+    let mut fixture = Fixture::new(3);
+    fixture.node_config["limits"]["sockets"] = json!(SOCKETS);
+    let predecessor = fixture.start();
+    let _open: Vec<_> = (0..50)
+        .map(|_| predecessor.served(&fixture.hosts))
+        .collect();
     let crowd = Crowd::start(predecessor.address, SOCKETS as usize + 32);
-    // The successor is crowded from its first moment on.
+    // The crowd has filled the predecessor, so the successor is crowded from its start on.
     predecessor.wait_for_log("made_room");
-    let service = site._discovery.listen_for(SUCCESSOR);
-    site.node_config["discovery"] = json!(service.to_string());
+    let service = fixture.discovery.listen_for(SUCCESSOR);
+    fixture.node_config["discovery"] = json!(service.to_string());
     let started = Instant::now();
-    let successor = site.start();
+    let successor = fixture.start();
     predecessor.stop();
     let max_poll_interval = Duration::from_secs(1);
     while started.elapsed() < 2 * max_poll_interval {
         std::thread::yield_now();
     }
-    let calls = site._discovery.history().calls;
+    let calls = fixture.discovery.history().calls;
     let answered = calls
         .iter()
         .filter(|call| call.caller == SUCCESSOR)
