--- a/node/tests/closing.rs
+++ b/node/tests/closing.rs
@@ -1,58 +1,62 @@
-//! Connections that are closed while bytes lie unread on one side, or while descriptors are short: what was asked has its
-//! answer, and what was answered can be read.
+//! Connections that are closed while bytes lie unread on one side, or while descriptors are scarce: every request gets an
+//! answer, and the client can read it.
 
 use reedferry_testkit::*;
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
+/// Starts a node whose configuration `adjust` has changed.
 fn start(hosts: &Hosts, discovery: &Discovery, adjust: impl FnOnce(&mut Value)) -> Node {
     let mut node_config = node_config(hosts, discovery.address);
     adjust(&mut node_config);
     Node::start(&node_config)
 }
 
-fn line(n: usize) -> String {
+/// Returns the request of client `n`.
+fn open_line(n: usize) -> String {
     format!("OPEN {n:x} 7f3a c=chat,t=acme,d=2000,g=5c0f")
 }
 
-/// So many clients that rest, all taken in and past the time in which one that has just come is spared.
-fn resting(node: &Node, count: usize) -> Vec<Peer> {
-    let mut all: Vec<Peer> = (0..count).map(|_| Peer::connect(node.address)).collect();
-    for client in &mut all {
+/// Connects `count` clients, and waits until all of them are accepted and old enough to be closed for being idle: a connection is
+/// safe from that in its first 50 ms.
+fn connect_idle_clients(node: &Node, count: usize) -> Vec<Peer> {
+    let mut clients: Vec<Peer> = (0..count).map(|_| Peer::connect(node.address)).collect();
+    for client in &mut clients {
         client.send_line("PING");
         client.expect_line("PONG");
     }
     let since = Instant::now();
-    eventually("no time passes", || {
+    eventually("the time has passed", || {
         since.elapsed() > Duration::from_millis(100)
     });
-    all
+    clients
 }
 
-/// Prevents that a client which has just sent its request is closed to free a descriptor: the request would be lost in the reset
-/// that closing over unread bytes brings.
+/// Guards against a client that is closed to free a descriptor when it has just sent its request: closing a socket with unread
+/// bytes resets the connection, and the request would be lost.
 #[test]
-fn a_client_that_has_just_asked_is_not_ended_to_make_room() {
+fn a_client_that_has_just_sent_a_request_is_not_closed_to_free_descriptors() {
     let hosts = Hosts::start(2);
     let discovery = Discovery::start();
     let node = start(&hosts, &discovery, |p| p["limits"]["sockets"] = json!(64));
-    // All that new work may have, less a little for what comes after.
-    let mut all = resting(&node, 30);
+    // Almost all descriptors that new connections may use.
+    let mut idle = connect_idle_clients(&node, 30);
     node.suspend();
-    // They come first, and whoever is oldest asks behind them.
+    // The node finds these connections, which need descriptors, before the requests of the oldest clients, which it would close
+    // first.
     let _crowd: Vec<Peer> = (0..40).map(|_| Peer::connect(node.address)).collect();
-    for (n, client) in all.iter_mut().take(6).enumerate() {
-        client.send_line(&line(n));
+    for (n, client) in idle.iter_mut().take(6).enumerate() {
+        client.send_line(&open_line(n));
     }
     node.unsuspend();
-    for client in all.iter_mut().take(6) {
+    for client in idle.iter_mut().take(6) {
         let answer = match hosts.accept_soon() {
             Some((_, mut host)) => {
                 host.receive_line();
                 host.send_line("UP 1");
                 client.receive_line()
             }
-            // There was no descriptor for a host: refused, in a line that it can read.
+            // No descriptor was left for a host: the client is rejected with a line that it can read.
             None => client.receive_line(),
         };
         assert!(
@@ -60,9 +64,9 @@
             "{answer}"
         );
     }
-    let asked = all.drain(..6);
-    for mut client in asked {
-        // Each is still there, or was ended in order behind its answer; none was reset.
+    let answered = idle.drain(..6);
+    for mut client in answered {
+        // Each is still open, or was closed in order after its answer. None was reset.
         client
             .stream
             .set_read_timeout(Some(Duration::from_millis(50)))
@@ -71,15 +75,15 @@
         let read = std::io::Read::read(&mut client.stream, &mut byte);
         assert!(
             !matches!(read, Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset),
-            "reset"
+            "the client was reset"
         );
     }
 }
 
-/// Prevents that a node can't watch the discovery service, as idle clients took all descriptors while the service was down; it is
-/// back with a draining host.
+/// Guards against a node that cannot watch the discovery service because idle clients took all descriptors while the service was
+/// down. The service comes back with a draining host.
 #[test]
-fn the_list_service_is_heard_though_resting_clients_hold_all_descriptors() {
+fn a_watch_begins_again_while_idle_clients_hold_all_descriptors() {
     for mode in ["on_request", "pushed"] {
         let hosts = Hosts::start(2);
         let discovery = Discovery::start();
@@ -90,16 +94,16 @@
         discovery.calls(1);
         discovery.go_down();
         node.wait_for_log("discovery call failed");
-        // They come again whenever they are ended.
+        // More than the node has descriptors for. More clients connect below, in place of those that the node closes.
         let mut crowd: Vec<Peer> = (0..200).map(|_| Peer::connect(node.address)).collect();
         let mut last = Peer::connect(node.address);
         last.send_line("PING");
         assert!(["PONG", "BUSY", "end", "reset"].contains(&last.receive_line().as_str()));
         discovery.change(member(0, &hosts.addresses[0].to_string(), "leaving"));
         discovery.come_up();
-        let back = Instant::now();
-        let told = Duration::from_secs(6);
-        while back.elapsed() < told {
+        let up_at = Instant::now();
+        let timeout = Duration::from_secs(6);
+        while up_at.elapsed() < timeout {
             crowd.push(Peer::connect(node.address));
             if crowd.len() > 260 {
                 crowd.drain(..60);
@@ -108,18 +112,18 @@
                 break;
             }
         }
-        assert!(back.elapsed() < told, "{mode}: not heard in time");
+        assert!(up_at.elapsed() < timeout, "{mode}: no watch in time");
         drop(crowd);
-        let before = Instant::now();
-        eventually("nobody is served", || {
+        let crowd_gone_at = Instant::now();
+        eventually("a client is served", || {
             let mut client = node.open(OPEN);
             match hosts.accept_soon() {
-                Some((at, mut host)) => {
+                Some((number, mut host)) => {
                     assert_eq!(
-                        at,
+                        number,
                         1,
-                        "{mode}: sent to a host that drains {:?} after",
-                        before.elapsed()
+                        "{mode}: sent to a draining host after {:?}",
+                        crowd_gone_at.elapsed()
                     );
                     host.send_line("UP 1");
                     client.receive_line().starts_with("UP")
@@ -130,21 +134,21 @@
     }
 }
 
-/// Prevents that an answer is lost in a reset, as its client goes on sending while it is closed.
+/// Guards against an answer that is lost in a reset because its client keeps sending while its connection is closed.
 #[test]
-fn answers_are_read_by_clients_that_go_on_sending() {
+fn clients_that_keep_sending_can_read_their_answer_and_its_end() {
     for n in 0..8 {
-        // A host that turned one away is left alone for a while.
+        // Each round has a host of its own, as a host that rejects a request is ejected for a while.
         let hosts = Hosts::start(1);
         let discovery = Discovery::start();
         let node = start(&hosts, &discovery, |_| {});
         let mut client = Peer::connect(node.address);
-        client.send_line(&line(n));
+        client.send_line(&open_line(n));
         let (_, mut host) = hosts.accept();
         host.receive_line();
-        // The answer and more of the client's bytes are there in one turn.
+        // One turn of the event loop finds both the answer and more bytes of the client.
         node.suspend();
-        client.send_line("more than was asked for");
+        client.send_line("more than a request");
         host.send_line("BUSY");
         host.end_sending();
         node.unsuspend();
@@ -154,9 +158,10 @@
     }
 }
 
-/// Prevents that the last line of a host, in pieces right before its end, is lost or cut short on its way to a client that sends.
+/// Guards against the last lines of a host, sent in pieces right before its end, that are lost or truncated on their way to a client
+/// that is sending.
 #[test]
-fn a_hosts_last_words_arrive_over_its_end_and_the_clients_own_lines() {
+fn the_last_lines_of_a_host_reach_a_client_that_is_sending() {
     let hosts = Hosts::start(1);
     let discovery = Discovery::start();
     let node = start(&hosts, &discovery, |_| {});
@@ -180,47 +185,51 @@
     }
 }
 
-/// Prevents that a request which lies unread in the socket of an idle client is rejected as the client is closed for being idle; and
-/// that one which crosses that end is told that it failed, though it may be retried.
+/// Guards against a request that lies unread in its socket and is rejected because its client is closed for being idle, and against
+/// a request that crosses this end and fails with `ERR` although it may be retried.
 #[test]
-fn a_client_that_asks_in_the_moment_in_which_it_is_ended_for_resting_is_served() {
+fn a_request_that_arrives_when_its_idle_client_times_out_is_served() {
     let hosts = Hosts::start(1);
     let discovery = Discovery::start();
     let node = start(&hosts, &discovery, |p| p["limits"]["sockets"] = json!(2048));
-    let mut all = resting(&node, 3);
-    let (mut crosses, mut half) = (all.pop().unwrap(), all.pop().unwrap());
+    let mut idle = connect_idle_clients(&node, 3);
+    let (mut crossing, mut half) = (idle.pop().unwrap(), idle.pop().unwrap());
     half.write("OPEN 7 7f3a c=ch");
-    // Past the time in which it is ended: its request and that moment come in one turn, which takes in no more than what
-    // hundreds of others have sent before it.
+    // The node is suspended past the idle timeout, so that the request and the timeout fall into one turn of the event loop. That
+    // turn reads no more than what hundreds of other clients have sent before the request.
     let since = Instant::now();
     let mut crowd: Vec<Peer> = (0..700).map(|_| Peer::connect(node.address)).collect();
-    // All of them have been taken in once one that came behind them is answered.
+    // All of them are accepted once a client that connected after them is answered.
     let mut last = Peer::connect(node.address);
     last.send_line("PING");
     last.expect_line("PONG");
     node.suspend();
-    eventually("no time passes", || {
+    eventually("the time has passed", || {
         since.elapsed() > Duration::from_millis(2600)
     });
     crowd.iter_mut().for_each(|other| other.write("O"));
-    all[0].send_line(&line(1));
+    idle[0].send_line(&open_line(1));
     node.unsuspend();
     let (_, mut host) = hosts.accept();
     assert!(host.receive_line().starts_with("OPEN 1 "));
     host.send_line("UP 1");
-    all[0].expect_line("UP 1");
-    // One that had nothing to say may come again, and what it then says is not sent on; half a line is no request.
-    crosses.send_line(&line(2));
-    crosses.expect_line("BUSY");
-    crosses.expect_line("end");
+    idle[0].expect_line("UP 1");
+    // A client that sent nothing is told to retry, and a request that it then sends is not forwarded. Half a line is invalid.
+    crossing.send_line(&open_line(2));
+    crossing.expect_line("BUSY");
+    crossing.expect_line("end");
     half.expect_line("ERR");
     half.expect_line("end");
-    assert!(hosts.accept_soon().is_none(), "sent on after its end");
+    assert!(
+        hosts.accept_soon().is_none(),
+        "forwarded after the connection was closed"
+    );
 }
 
-/// Prevents that a host is taken for silent, and its client migrated, though its answer lies unread behind more than one turn serves.
+/// Guards against a host that counts as silent, so that its client is migrated, although its answer lies unread: more sockets are
+/// ready before it than one turn of the event loop serves.
 #[test]
-fn a_host_whose_answer_lies_unread_is_not_taken_for_silent() {
+fn a_host_whose_answer_is_unread_does_not_count_as_silent() {
     let hosts = Hosts::start(1);
     let discovery = Discovery::start();
     let node = start(&hosts, &discovery, |p| p["limits"]["sockets"] = json!(2048));
@@ -232,7 +241,7 @@
     let since = Instant::now();
     crowd.iter_mut().for_each(|other| other.write("O"));
     host.send_line("down 1");
-    eventually("no time passes", || {
+    eventually("the time has passed", || {
         since.elapsed() > Duration::from_millis(4700)
     });
     node.unsuspend();
@@ -241,13 +250,13 @@
         node.drain_log()
             .iter()
             .all(|line| !line.contains("host silent")),
-        "taken for silent"
+        "an unread answer counted as silence"
     );
 }
 
-/// Prevents that the rest of an answer to a ping, of which a client took a part, is lost as the client is closed for being idle.
+/// Guards against a partially sent answer to a ping whose rest is lost because the client is closed for being idle.
 #[test]
-fn the_rest_of_a_pings_answer_goes_out_before_the_end() {
+fn the_rest_of_a_pings_answer_is_sent_before_the_connection_closes() {
     use reedferry_testkit::syscalls::{Call, Fault, Outcome, SyscallInjector};
     use rustix::io::Errno;
     let (hosts, discovery, injector) = (
@@ -257,7 +266,7 @@
     );
     let node = Node::start_injected(&node_config(&hosts, discovery.address), &injector);
     let mut client = Peer::connect(node.address);
-    // One byte of each answer goes out, and then none for a while.
+    // One byte of the answers goes out, and then none until after the idle timeout.
     let short = Fault {
         call: Call::Send,
         outcome: Outcome::Short,
@@ -274,12 +283,12 @@
     injector.set(&[Fault { every: 1, ..fails }]);
     std::thread::sleep(std::time::Duration::from_millis(2300));
     injector.clear();
-    let mut heard = vec!["P".to_string() + &client.receive_line()];
-    while heard
+    let mut received = vec!["P".to_string() + &client.receive_line()];
+    while received
         .last()
         .is_some_and(|line| line != "end" && line != "reset")
     {
-        heard.push(client.receive_line());
+        received.push(client.receive_line());
     }
-    assert_eq!(heard, ["PONG", "PONG", "BUSY", "end"]);
+    assert_eq!(received, ["PONG", "PONG", "BUSY", "end"]);
 }
--- a/node/tests/process_stalls.rs
+++ b/node/tests/process_stalls.rs
@@ -1,5 +1,5 @@
-//! A process that stands still for a while, or is delayed again and again, as its machine is, blames no host for what it did not
-//! see meanwhile.
+//! A process that is suspended for a while, or delayed repeatedly because its machine is, must not count what it did not see
+//! meanwhile against a host.
 
 use reedferry_testkit::syscalls::{Call, Fault, Outcome, SyscallInjector};
 use reedferry_testkit::*;
@@ -7,19 +7,21 @@
 use std::time::{Duration, Instant};
 
 const HOSTS: usize = 4;
-/// How long a probe waits for its answer, by the settings of trials.
-const PROBE_WITHIN: Duration = Duration::from_millis(500);
+/// How long a probe waits for its answer in the test configuration.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 const OPEN_CONNECTIONS: usize = 12;
-const PAUSE: Duration = Duration::from_millis(2500);
-/// How long clients come behind the pause, one after the other.
-const AFTERMATH: Duration = Duration::from_secs(3);
+/// How long the process is suspended or delayed.
+const STALL: Duration = Duration::from_millis(2500);
+/// How long clients arrive after the stall, one after the other.
+const ARRIVALS_AFTER_STALL: Duration = Duration::from_secs(3);
 
-/// Open connections that send one line after the other all the time, as their answers come, until then.
+/// The threads of open connections, each of which sends its next line 20 ms after the answer to the last one.
 struct OpenTraffic(Vec<thread::JoinHandle<()>>);
 
 impl OpenTraffic {
+    /// Starts a thread for each of these connections, which ends after `until`.
     fn start(open: Vec<Peer>, until: Instant) -> OpenTraffic {
-        let talk = |mut client: Peer| {
+        let send_lines = |mut client: Peer| {
             thread::spawn(move || {
                 while Instant::now() < until {
                     client.send_line("hello");
@@ -30,22 +32,24 @@
                 }
             })
         };
-        OpenTraffic(open.into_iter().map(talk).collect())
+        OpenTraffic(open.into_iter().map(send_lines).collect())
     }
 
-    fn end(self) {
-        self.0.into_iter().for_each(|one| one.join().unwrap());
+    /// Waits for the threads to end.
+    fn join(self) {
+        self.0.into_iter().for_each(|thread| thread.join().unwrap());
     }
 }
 
-struct Site {
+/// A node whose system calls the test controls, beside hosts that serve every request.
+struct Fixture {
     node: Node,
     injector: SyscallInjector,
     _discovery: Discovery,
 }
 
-impl Site {
-    fn start() -> Site {
+impl Fixture {
+    fn start() -> Fixture {
         let (checker, discovery) = (simulated::InvariantChecker::default(), Discovery::start());
         let hosts = simulated::Hosts::start(HOSTS, &checker);
         let mut node_config = program::node_config_of(hosts.members(), discovery.address);
@@ -53,79 +57,80 @@
         let injector = SyscallInjector::default();
         let node = Node::start_injected(&node_config, &injector);
         discovery.calls(1);
-        Site {
+        Fixture {
             node,
             injector,
             _discovery: discovery,
         }
     }
 
-    /// One client more: its connection, and its answer.
-    fn ask(&self, number: usize) -> (Peer, String) {
+    /// Sends the request of client `number`. Returns the connection and the answer.
+    fn request(&self, number: usize) -> (Peer, String) {
         let mut client = Peer::connect(self.node.address);
         client.send_line(&format!("OPEN c{number} {number:x} c=free,t=acme,d=2000"));
-        let said = client.receive_line();
-        (client, said)
+        let answer = client.receive_line();
+        (client, answer)
     }
 
+    /// Opens connections and sends lines on them until 1.5 s after the stall.
     fn open_traffic(&self) -> OpenTraffic {
-        let one = |number| {
-            let (client, said) = self.ask(number);
-            assert!(said.starts_with("UP"), "{said}");
+        let open = |number| {
+            let (client, answer) = self.request(number);
+            assert!(answer.starts_with("UP"), "{answer}");
             client
         };
-        let open = (0..OPEN_CONNECTIONS).map(one).collect();
-        OpenTraffic::start(open, Instant::now() + PAUSE + Duration::from_millis(1500))
+        let open = (0..OPEN_CONNECTIONS).map(open).collect();
+        OpenTraffic::start(open, Instant::now() + STALL + Duration::from_millis(1500))
     }
 
-    /// Nine in ten of those that come now are served.
-    fn serves(&self) {
+    /// Checks that at least nine in ten of the clients that arrive from now on are served.
+    fn expect_service(&self) {
         let from = Instant::now();
-        let (mut served, mut heard) = (0, Vec::new());
-        while from.elapsed() < AFTERMATH {
-            let (_client, said) = self.ask(1000 + heard.len());
-            served += usize::from(said.starts_with("UP"));
-            heard.push(said);
+        let (mut served, mut answers) = (0, Vec::new());
+        while from.elapsed() < ARRIVALS_AFTER_STALL {
+            let (_client, answer) = self.request(1000 + answers.len());
+            served += usize::from(answer.starts_with("UP"));
+            answers.push(answer);
             thread::sleep(Duration::from_millis(20));
         }
         let log = self.node.drain_log();
         assert!(
-            served * 10 >= heard.len() * 9,
+            served * 10 >= answers.len() * 9,
             "{served} of {} served: {log:#?}",
-            heard.len()
+            answers.len()
         );
     }
 }
 
-/// Prevents that hosts are taken for slow, and every client is rejected for long, as answers lay unread while the process stood
-/// still.
+/// Guards against hosts that count as slow, so that every client is rejected for a long time, because answers lay unread while the
+/// process was suspended.
 #[test]
-fn clients_are_served_right_after_the_process_stood_still() {
-    let site = Site::start();
-    let open_traffic = site.open_traffic();
+fn clients_are_served_right_after_the_process_was_suspended() {
+    let fixture = Fixture::start();
+    let open_traffic = fixture.open_traffic();
     thread::sleep(Duration::from_millis(500));
-    site.node.suspend();
-    thread::sleep(PAUSE);
-    site.node.unsuspend();
-    site.serves();
-    open_traffic.end();
+    fixture.node.suspend();
+    thread::sleep(STALL);
+    fixture.node.unsuspend();
+    fixture.expect_service();
+    open_traffic.join();
 }
 
-/// Prevents the same where each turn of the process takes long.
+/// Guards against the same fault where each turn of the event loop takes long.
 #[test]
-fn clients_are_served_right_after_the_process_was_delayed_again_and_again() {
-    let site = Site::start();
-    let open_traffic = site.open_traffic();
+fn clients_are_served_right_after_the_process_was_delayed_repeatedly() {
+    let fixture = Fixture::start();
+    let open_traffic = fixture.open_traffic();
     let held = Outcome::HeldUp(Duration::from_millis(140));
-    site.injector.set(&[Fault {
+    fixture.injector.set(&[Fault {
         call: Call::Send,
         outcome: held,
         every: 2,
     }]);
-    let until = Instant::now() + PAUSE;
+    let until = Instant::now() + STALL;
     let mut clients = Vec::new();
     while Instant::now() < until {
-        let mut client = Peer::connect(site.node.address);
+        let mut client = Peer::connect(fixture.node.address);
         client.send_line(&format!(
             "OPEN h{0} {0:x} c=free,t=acme,d=2000",
             clients.len()
@@ -133,15 +138,16 @@
         clients.push(client);
         thread::sleep(Duration::from_millis(40));
     }
-    site.injector.clear();
-    site.serves();
-    open_traffic.end();
+    fixture.injector.clear();
+    fixture.expect_service();
+    open_traffic.join();
 }
 
-/// Prevents that an answer which is due is late, as a turn goes on with hundreds of others, each of which may delay it.
+/// Guards against an answer that is due but late because a turn of the event loop first serves many other connections, each of
+/// which may delay it.
 #[test]
-fn due_requests_are_answered_in_time_though_each_turn_has_much_to_do() {
-    const TALKING: usize = 60;
+fn due_requests_are_answered_in_time_while_each_turn_serves_many_connections() {
+    const BUSY_CONNECTIONS: usize = 60;
     let (hosts, discovery, injector) = (
         Hosts::start(1),
         Discovery::start(),
@@ -150,10 +156,10 @@
     let mut node_config = node_config(&hosts, discovery.address);
     node_config["settings"]["offerings"][0]["contract_time"] = serde_json::json!(2000.0);
     let node = Node::start_injected(&node_config, &injector);
-    let mut open: Vec<_> = (0..TALKING).map(|_| node.served(&hosts)).collect();
-    // Its host says nothing.
-    let mut waits = node.open(&OPEN.replace("d=2000", "d=1000"));
-    let asked = Instant::now();
+    let mut open: Vec<_> = (0..BUSY_CONNECTIONS).map(|_| node.served(&hosts)).collect();
+    // Its host sends no answer.
+    let mut waiting = node.open(&OPEN.replace("d=2000", "d=1000"));
+    let requested_at = Instant::now();
     let (_, mut silent) = hosts.accept();
     assert!(silent.receive_line().starts_with("OPEN"));
     let held = Outcome::HeldUp(Duration::from_millis(100));
@@ -162,23 +168,27 @@
         outcome: held,
         every: 2,
     }]);
-    // All their lines lie ready in the moment in which the answer is due.
-    while asked.elapsed() < Duration::from_millis(900) {
+    // The lines of all connections are ready at the moment at which the answer is due.
+    while requested_at.elapsed() < Duration::from_millis(900) {
         thread::sleep(Duration::from_millis(10));
     }
     open.iter_mut()
         .for_each(|(client, ..)| client.send_line("hello"));
-    let said = waits.receive_line();
-    let took = asked.elapsed();
-    assert!(said == "ERR" || said.starts_with("BUSY"), "{said}");
-    // One turn more, its own sending, and what the first turn had begun.
-    assert!(took < Duration::from_millis(1450), "{said} after {took:?}");
+    let answer = waiting.receive_line();
+    let took = requested_at.elapsed();
+    assert!(answer == "ERR" || answer.starts_with("BUSY"), "{answer}");
+    // The deadline of 1000 ms, another turn, the sending of the answer, and what the first turn had begun.
+    assert!(
+        took < Duration::from_millis(1450),
+        "{answer} after {took:?}"
+    );
     injector.clear();
     for (_, _, host) in &mut open {
         host.expect_line("hello");
     }
 }
 
+/// Has each wait of the event loop fail with `EINTR`.
 fn interrupt_waits(injector: &SyscallInjector) {
     let outcome = Outcome::Fails(rustix::io::Errno::INTR);
     injector.set(&[Fault {
@@ -188,7 +198,7 @@
     }]);
 }
 
-/// The process goes on; its waits are interrupted at first, so that what is due is seen before what is ready.
+/// Continues the process. Its waits are interrupted at first, so that it handles due timers before it sees ready sockets.
 fn resume_with_timers_first(node: &Node, injector: &SyscallInjector) {
     interrupt_waits(injector);
     node.unsuspend();
@@ -196,14 +206,14 @@
     injector.clear();
 }
 
-/// Prevents that a host is taken for unreachable, as the connection to it was established while the process stood still.
+/// Guards against a host that counts as unreachable because the connection to it was established while the process was suspended.
 #[test]
-fn a_connection_that_was_established_while_the_process_stood_still_is_used() {
+fn a_connection_established_while_the_process_was_suspended_is_used() {
     let (listener, first) = full_listener();
     let discovery = Discovery::start();
     let late = member(5, &listener.local_addr().unwrap().to_string(), "active");
     let mut node_config = program::node_config_of(serde_json::json!([late]), discovery.address);
-    // The system asks for a connection again a second after the first time.
+    // The kernel repeats the SYN after a second.
     node_config["settings"]["policy_limits"]["connect_timeout"] = serde_json::json!(1500.0);
     node_config["settings"]["offerings"][0]["expiry"] = serde_json::json!(6000.0);
     node_config["settings"]["offerings"][0]["contract_time"] = serde_json::json!(6000.0);
@@ -229,9 +239,9 @@
     client.expect_line("UP 1");
 }
 
-/// Prevents that a host is taken for silent, and full, as its answer to a probe lies unread in a process that stood still.
+/// Guards against a host that counts as silent and full because its answer to a probe lies unread in a process that was suspended.
 #[test]
-fn a_probe_that_was_answered_while_the_process_stood_still_counts_as_answered() {
+fn a_probe_answered_while_the_process_was_suspended_counts_as_answered() {
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
     let mut node_config = node_config(&hosts, discovery.address);
     node_config["settings"]["reporting"] =
@@ -243,23 +253,23 @@
     interrupt_waits(&injector);
     node.suspend();
     probe.send_line("PONG util=0.2,x0=0.2");
-    thread::sleep(2 * PROBE_WITHIN);
+    thread::sleep(2 * PROBE_TIMEOUT);
     resume_with_timers_first(&node, &injector);
     let mut client = node.open(OPEN);
-    let mut asked = false;
-    while let Some((_, mut host)) = hosts.accept_soon().filter(|_| !asked) {
-        asked = host.receive_line().starts_with("OPEN");
-        if asked {
+    let mut requested = false;
+    while let Some((_, mut host)) = hosts.accept_soon().filter(|_| !requested) {
+        requested = host.receive_line().starts_with("OPEN");
+        if requested {
             host.send_line("UP 1");
             client.expect_line("UP 1");
         }
     }
-    assert!(asked, "{}", client.receive_line());
+    assert!(requested, "{}", client.receive_line());
 }
 
-/// Guards against a line lost that lay unread, as the process stood still, when its client was told to move.
+/// Guards against a line that is lost because it lay unread in a suspended process when its client was migrated.
 #[test]
-fn a_line_that_came_before_its_client_was_told_to_move_reaches_the_host() {
+fn a_line_sent_before_its_client_was_migrated_reaches_the_host() {
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
     let injector = SyscallInjector::default();
     let node = Node::start_injected(&node_config(&hosts, discovery.address), &injector);
@@ -269,7 +279,7 @@
     interrupt_waits(&injector);
     node.suspend();
     client.send_line("hello");
-    // By then all clients were to be moved.
+    // After this time all clients are due to be migrated.
     thread::sleep(Duration::from_millis(2450));
     resume_with_timers_first(&node, &injector);
     host.expect_line("hello");
