--- a/node/tests/reload.rs
+++ b/node/tests/reload.rs
@@ -1,8 +1,10 @@
-//! The reload of a running node's settings: whole or not at all, and what is under way keeps the class that it came by.
+//! Reloads of a running node's configuration: a file takes effect completely or not at all, and pending requests and open
+//! connections keep the class that they arrived with.
 
 use reedferry_testkit::*;
 use serde_json::{json, Value};
 
+/// Starts a node with an operators' API. Returns it with its configuration and its discovery service.
 fn start(hosts: &Hosts) -> (Node, Value, Discovery) {
     let discovery = Discovery::start();
     let mut node_config = node_config(hosts, discovery.address);
@@ -10,29 +12,31 @@
     (Node::start(&node_config), node_config, discovery)
 }
 
+/// Returns a request class of the settings.
 fn class(name: &str, idempotency: &str) -> Value {
     json!({"name": name, "contract_time": 500.0, "expiry": 2000.0, "effect": idempotency, "group": "all", "payoff": 1.0})
 }
 
-/// Has the node reload this, and waits until that is counted.
-fn reload(node: &Node, text: &str, taken: bool) {
-    let name = if taken {
+/// Has the node reload `text` and waits until the success or failure is counted.
+fn reload(node: &Node, text: &str, succeeds: bool) {
+    let metric = if succeeds {
         "reloads_ok"
     } else {
         "reloads_failed"
     };
-    let before = node.metric(name);
+    let before = node.metric(metric);
     node.reload(text);
-    eventually(&format!("{name} after {text:.60}"), || {
-        node.metric(name) == before + 1
+    eventually(&format!("{metric} after {text:.60}"), || {
+        node.metric(metric) == before + 1
     });
 }
 
+/// Returns a request of this class.
 fn open_line(name: &str) -> String {
     OPEN.replace("chat", name)
 }
 
-/// A request of this class is served at the first host that is tried.
+/// Checks that a request of this class is served by its first attempt.
 fn assert_served(node: &Node, hosts: &Hosts, name: &str) {
     let mut client = node.open(&open_line(name));
     let (_, mut host) = hosts.accept();
@@ -41,25 +45,25 @@
     client.expect_line("UP 1");
 }
 
-/// Files that are cut short, lack a key or have a wrong value. Each would show by another discovery and another class, were any of it
-/// taken up.
+/// Returns files that are truncated, lack a key or have a wrong value. Each of them names another discovery service and another
+/// class, so that a partial reload would be noticed.
 fn broken_files(node_config: &Value) -> Vec<String> {
     let mut other = node_config.clone();
     other["discovery"] = json!(nowhere().to_string());
     other["settings"]["offerings"] = json!([class("talk", "free")]);
-    let whole = other.to_string();
-    let cut_short = (0..whole.len())
+    let complete = other.to_string();
+    let cut_short = (0..complete.len())
         .step_by(67)
-        .map(|cut| whole[..cut].to_string());
+        .map(|cut| complete[..cut].to_string());
     cut_short
         .chain(files_without_a_key(node_config, &other))
         .chain(files_with_a_wrong_value(&other))
         .collect()
 }
 
-/// Each key of these parts is missing once.
+/// Returns, for each key of these objects but `known`, a file without that key.
 fn files_without_a_key(node_config: &Value, other: &Value) -> Vec<String> {
-    let parts = [
+    let pointers = [
         "",
         "/settings",
         "/settings/contract",
@@ -67,36 +71,41 @@
         "/settings/offerings/0",
     ];
     let mut files = Vec::new();
-    for part in parts {
-        let keys = node_config.pointer(part).unwrap().as_object().unwrap();
+    for pointer in pointers {
+        let keys = node_config.pointer(pointer).unwrap().as_object().unwrap();
         for key in keys.keys().filter(|key| *key != "known") {
-            let mut short = other.clone();
-            let object = short.pointer_mut(part).unwrap().as_object_mut().unwrap();
+            let mut incomplete = other.clone();
+            let object = incomplete
+                .pointer_mut(pointer)
+                .unwrap()
+                .as_object_mut()
+                .unwrap();
             object.remove(key);
-            files.push(short.to_string());
+            files.push(incomplete.to_string());
         }
     }
     files
 }
 
+/// Returns files in which one value is out of range, of a wrong type or a duplicate.
 fn files_with_a_wrong_value(other: &Value) -> Vec<String> {
     let mut files = Vec::new();
-    let mut set = |place: &str, value: Value| {
+    let mut set = |setting: &str, value: Value| {
         let mut wrong = other.clone();
-        *wrong.pointer_mut(&format!("/settings/{place}")).unwrap() = value;
+        *wrong.pointer_mut(&format!("/settings/{setting}")).unwrap() = value;
         files.push(wrong.to_string());
     };
-    for place in [
+    for setting in [
         "offerings/0/expiry",
         "offerings/0/contract_time",
         "policy_limits/most_hand_offs",
     ] {
-        set(place, json!(0));
-        set(place, json!(-5));
-        set(place, json!("soon"));
-        set(place, json!(null));
-        set(place, json!([]));
-        set(place, json!(true));
+        set(setting, json!(0));
+        set(setting, json!(-5));
+        set(setting, json!("soon"));
+        set(setting, json!(null));
+        set(setting, json!([]));
+        set(setting, json!(true));
     }
     set("offerings", json!([]));
     set(
@@ -107,7 +116,7 @@
     files
 }
 
-/// Prevents that half of a file is in force, or that a node goes on without what the file no longer says.
+/// Guards against a reload that applies a part of an invalid file, and against a node that loses what an incomplete file lacks.
 #[test]
 fn an_invalid_file_changes_nothing() {
     let hosts = Hosts::start(2);
@@ -123,7 +132,7 @@
         .drain_log()
         .iter()
         .all(|line| !line.contains("discovery call failed")));
-    // Good and bad ones in quick alternation.
+    // Valid and invalid files in quick alternation.
     for n in 0..20 {
         reload(&node, &broken[n * broken.len() / 20], false);
         reload(&node, &node_config.to_string(), true);
@@ -132,36 +141,37 @@
 }
 
 #[test]
-fn classes_appear_and_vanish_and_requests_under_way_keep_their_own() {
-    // Enough that some are left where others broke off what they were asked.
+fn pending_requests_keep_their_class_when_classes_are_added_and_removed() {
+    // Enough hosts that some remain when others are ejected for broken attempts.
     let hosts = Hosts::start(8);
     let (node, mut node_config, _discovery) = start(&hosts);
     let (mut open, _, mut standing) = node.served(&hosts);
-    let mut waits = node.open(&open_line("chat"));
+    let mut waiting = node.open(&open_line("chat"));
     let (_, mut host) = hosts.accept();
     host.receive_line();
     node_config["settings"]["offerings"] = json!([class("talk", "single_shot")]);
     reload(&node, &node_config.to_string(), true);
     assert_served(&node, &hosts, "talk");
     node.open(&open_line("chat")).expect_line("ERR");
-    // The one that waited was redoable, and still is: what may have run at one host goes to another.
+    // The pending request was idempotent when it arrived and still is: it is retried although an attempt may have run.
     drop(host);
     let (_, mut host) = hosts.accept();
     assert!(host.receive_line().contains("c=chat,"));
     host.send_line("UP 2");
-    waits.expect_line("UP 2");
+    waiting.expect_line("UP 2");
     open.send_line("up 1");
     standing.expect_line("up 1");
     assert_eq!(node.metric("requests.chat.served"), 2);
-    // The same name comes again under stricter terms: not for what came before.
-    let mut waits = node.open(&open_line("talk"));
+    // `talk` becomes idempotent, but its pending request does not. `chat` comes back as a class that is not idempotent, and a new
+    // request of it is not retried.
+    let mut waiting = node.open(&open_line("talk"));
     let (_, mut host) = hosts.accept();
     host.receive_line();
     node_config["settings"]["offerings"] =
         json!([class("chat", "single_shot"), class("talk", "free")]);
     reload(&node, &node_config.to_string(), true);
     drop(host);
-    waits.expect_line("ERR");
+    waiting.expect_line("ERR");
     let mut strict = node.open(&open_line("chat"));
     let (_, mut host) = hosts.accept();
     host.receive_line();
@@ -178,7 +188,7 @@
 }
 
 #[test]
-fn fewer_attempts_hold_for_what_comes_from_then_on() {
+fn a_lower_attempt_limit_applies_to_requests_after_the_reload() {
     let hosts = Hosts::start(3);
     let (node, mut node_config, _discovery) = start(&hosts);
     let mut before = node.open(OPEN);
@@ -192,9 +202,7 @@
         host.send_line("BUSY");
     }
     assert!(before.receive_line().starts_with("BUSY"));
-    eventually("hosts are taken again", || {
-        node.metric("hosts_excluded") == 0
-    });
+    eventually("no host is ejected", || node.metric("hosts_excluded") == 0);
     let mut after = node.open(OPEN);
     let (_, mut host) = hosts.accept();
     host.receive_line();
@@ -203,9 +211,9 @@
     assert!(hosts.accept_soon().is_none());
 }
 
-/// Prevents that hosts are taken for those of another zone where the names of zones change their indices.
+/// Guards against hosts that are assigned to another zone when a reload changes the indices of the zones' names.
 #[test]
-fn zones_may_change_their_indices() {
+fn hosts_keep_their_zone_when_a_reload_reorders_the_zones() {
     let hosts = Hosts::start(2);
     let (node, mut node_config, _discovery) = start(&hosts);
     node_config["settings"]["zones"] = json!(["b", "a"]);
@@ -215,17 +223,17 @@
     assert_served(&node, &hosts, "chat");
 }
 
-/// A connection of a class and a tenant.
+/// Sends a request of this class and tenant. Returns the client.
 fn open_with(node: &Node, name: &str, tenant: &str) -> Peer {
     node.open(&OPEN.replace("c=chat,t=acme", &format!("c={name},t={tenant}")))
 }
 
-/// Prevents that one customer's connection goes by another's terms, or is cut, where classes are renamed, reordered, added and
-/// removed by SIGHUP, and tenants too, while requests are pending and connections open.
+/// Guards against pending requests and open connections that are cut, or that get the class or tenant of others, when a reload
+/// renames, reorders, adds and removes classes and tenants.
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one story, of which each step needs the one before"
+    reason = "a sequence in which each step depends on the one before"
 )]
 fn pending_requests_and_open_connections_keep_their_class_over_a_reload() {
     let hosts = Hosts::start(12);
@@ -248,16 +256,17 @@
     ]);
     node_config["settings"]["tenants"] = json!([{"name": "acme"}, {"name": "zeta"}]);
     let node = Node::start(&node_config);
-    // What each is answered when its host breaks: sent on, failed as it may have run, or dismissed as its window is over.
-    let kinds = [
+    // The class, the tenant and the answer when the host resets the connection: a retry succeeds, the request fails as it may have
+    // run, or it is rejected as its window for retries is over.
+    let cases = [
         ("chat", "acme", "UP 2"),
         ("till", "zeta", "ERR"),
         ("seat", "acme", "BUSY"),
         ("seat", "zeta", "BUSY"),
     ];
     let mut open = Vec::new();
-    let mut held = Vec::new();
-    for (name, tenant, then) in kinds {
+    let mut pending = Vec::new();
+    for (name, tenant, expected) in cases {
         let mut client = open_with(&node, name, tenant);
         let (_, mut host) = hosts.accept();
         host.receive_line();
@@ -267,9 +276,9 @@
         let client = open_with(&node, name, tenant);
         let (_, mut host) = hosts.accept();
         host.receive_line();
-        held.push((client, host, then));
+        pending.push((client, host, expected));
     }
-    // Each name means what another meant, in another order, one is new; a tenant is gone, one new.
+    // Each class has another effect than before, the order changes, and `late` is new. `acme` is removed and `omega` is new.
     node_config["settings"]["offerings"] = json!([
         class("late", "single_shot", 0.0),
         class("seat", "free", 0.0),
@@ -278,21 +287,21 @@
     ]);
     node_config["settings"]["tenants"] = json!([{"name": "omega"}, {"name": "zeta"}]);
     reload(&node, &node_config.to_string(), true);
-    for (mut client, host, then) in held {
+    for (mut client, host, expected) in pending {
         host.reset();
-        if then.starts_with("UP") {
+        if expected.starts_with("UP") {
             let (_, mut host) = hosts.accept();
             assert!(host.receive_line().contains("c=chat,t=acme"));
-            host.send_line(then);
-            client.expect_line(then);
+            host.send_line(expected);
+            client.expect_line(expected);
             open.push((client, host));
         } else {
-            assert!(client.receive_line().starts_with(then), "{then}");
+            assert!(client.receive_line().starts_with(expected), "{expected}");
             client.expect_line("end");
-            assert!(hosts.accept_soon().is_none(), "{then}: sent on");
+            assert!(hosts.accept_soon().is_none(), "{expected}: retried");
         }
     }
-    // By the names as they are now: nothing more may run twice, a tenant is unknown, and what is new is served.
+    // New requests follow the new settings: `chat` is not retried, `acme` is unknown, and `late` is served.
     let mut strict = open_with(&node, "chat", "zeta");
     let (_, mut host) = hosts.accept();
     host.receive_line();
@@ -300,7 +309,7 @@
     strict.expect_line("ERR");
     assert!(
         hosts.accept_soon().is_none(),
-        "sent on by what its name meant before"
+        "retried by the former effect of its class"
     );
     open_with(&node, "late", "acme").expect_line("ERR");
     let mut new = open_with(&node, "late", "omega");
@@ -309,7 +318,7 @@
     host.send_line("UP 3");
     new.expect_line("UP 3");
     open.push((new, host));
-    // Again with all but one taken away: nothing open is cut.
+    // A second reload removes all classes but one and replaces the tenants. No open connection is cut.
     node_config["settings"]["offerings"] = json!([class("seat", "single_shot", 0.0)]);
     node_config["settings"]["tenants"] = json!([{"name": "acme"}]);
     reload(&node, &node_config.to_string(), true);
--- a/node/tests/repeats.rs
+++ b/node/tests/repeats.rs
@@ -1,4 +1,4 @@
-//! Retries: a further attempt at the last instant at which its idempotency allows one, and past it.
+//! Retries: when and where the idempotency of a request allows a further attempt, and that its client gets one answer.
 
 mod shared;
 
@@ -8,11 +8,11 @@
 use shared::{answer_late_request, request_class, wait_until_read, LATE_CONNECTION_TIMEOUT};
 use std::time::{Duration, Instant};
 
-/// Guards against a retry that was chosen inside the window in which others drop it, and whose line went out
-/// after it, as the connection came up late.
+/// Guards against a retry that is chosen within the window in which hosts drop duplicates, but sent after it because its connection
+/// was established late.
 #[test]
 fn a_retry_whose_connection_is_established_past_its_window_is_not_sent() {
-    for (idempotency, window, sent, answer) in [
+    for (idempotency, window, sent, expected) in [
         ("free", 0, true, "UP 2"),
         ("guarded", 6000, true, "UP 2"),
         ("guarded", 800, false, "BUSY"),
@@ -32,7 +32,7 @@
         let started = Instant::now();
         let (_, mut host) = hosts.accept();
         host.receive_line();
-        // The only other host is one whose connections come up late.
+        // The only other host is one whose connections are established late.
         discovery.change(member(
             5,
             &listener.local_addr().unwrap().to_string(),
@@ -46,39 +46,49 @@
             let elapsed = started.elapsed();
             assert!(
                 elapsed > Duration::from_millis(900),
-                "too tame: {elapsed:?}"
+                "the connection was established too early: {elapsed:?}"
             );
         }
         assert_eq!(late.is_some(), sent, "{idempotency}, {window} ms");
-        let said = client.receive_line();
+        let answer = client.receive_line();
         assert!(
-            said.starts_with(answer),
-            "{idempotency}, {window} ms: {said}"
+            answer.starts_with(expected),
+            "{idempotency}, {window} ms: {answer}"
         );
     }
 }
 
-/// Guards against a retry sent out of the group that drops it: where the settings name neither host's zone,
-/// where the host that may have run it has left and no more is said of it, and where the settings change the
-/// order of zones after that.
+/// Guards against a retry at a host outside the idempotency group, which would not drop the duplicate: if the settings name neither
+/// host's zone, if the host that may have run the request has left and its entry no longer has a zone or cell, and if a reload
+/// reorders the zones after that.
 #[test]
 fn a_retry_stays_in_the_group_of_the_host_that_may_have_run_it() {
-    for (what, idempotency_group, zones, left) in [
+    for (case, idempotency_group, zones, left) in [
         (
             "zones that the settings do not name",
             "zone",
             ["x", "y"],
             false,
         ),
-        ("a zone of which no more is said", "zone", ["b", ""], true),
-        ("a cell of which no more is said", "cell", ["a", "a"], true),
+        (
+            "a host that leaves and is listed without its zone",
+            "zone",
+            ["b", ""],
+            true,
+        ),
+        (
+            "a host that leaves and is listed without its cell",
+            "cell",
+            ["a", "a"],
+            true,
+        ),
         ("zones that change their order", "zone", ["a", "b"], true),
     ] {
         let hosts = Hosts::start(2);
         let discovery = Discovery::start();
         let named = |host: usize| {
             let mut member = member(host, &hosts.addresses[host].to_string(), "active");
-            // One of them is in the cell that stands for none.
+            // Host 1 is in cell 0, which is also the default of an entry without a cell.
             (member["locality"], member["cell"]) = (json!(zones[host]), json!(3 * (1 - host)));
             member
         };
@@ -92,11 +102,11 @@
         let (first, mut host) = hosts.accept();
         assert_eq!(first, 0);
         host.receive_line();
-        // Each change has been applied once the next call has come.
+        // The node has applied a change once its next call arrives.
         discovery.change(named(1));
         discovery.calls(2);
         if left {
-            let mut gone = if what.contains("no more") {
+            let mut gone = if case.contains("listed without") {
                 json!({"id": "s-0"})
             } else {
                 named(0)
@@ -105,7 +115,7 @@
             discovery.change(gone);
             discovery.calls(3);
         }
-        if what.contains("change their order") {
+        if case.contains("change their order") {
             node_config["settings"]["zones"] = json!(["b", "a"]);
             node_config["settings"]["zone"] = json!(1);
             node.reload(&node_config.to_string());
@@ -115,12 +125,12 @@
         client.expect_line("ERR");
         assert!(
             hosts.accept_soon().is_none(),
-            "{what}: sent out of its group"
+            "{case}: retried outside its group"
         );
     }
 }
 
-/// Guards against the same kept so narrowly that nothing is retried at all.
+/// Guards against a check of the idempotency group that is so strict that nothing is retried.
 #[test]
 fn a_retry_goes_to_another_host_of_the_same_group() {
     for idempotency_group in ["zone", "cell", "all"] {
@@ -147,9 +157,9 @@
     }
 }
 
-/// Guards against hosts taken for ones of the same cell, as theirs are no small numbers or are missing.
+/// Guards against hosts that count as being in the same cell because their cells are strings, large numbers or missing.
 #[test]
-fn a_retry_goes_by_cells_of_any_form() {
+fn a_retry_stays_in_its_cell_whatever_the_type_of_the_cell() {
     for (first, second, same) in [
         (json!("x"), json!("y"), false),
         (json!("x"), json!("x"), true),
@@ -175,7 +185,7 @@
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
         let (_, mut host) = hosts.accept();
         host.receive_line();
-        // The change has been applied once the next call has come.
+        // The node has applied the change once its next call arrives.
         discovery.change(named(1, &second));
         discovery.calls(2);
         host.reset();
@@ -192,21 +202,20 @@
     }
 }
 
-/// Checks that the client gets this answer, and nothing behind it.
-fn expect_only_answer(client: &mut Peer, wanted: &str, what: &str) {
-    let said = client.receive_line();
-    assert!(said.starts_with(wanted), "{what}: {said}");
+/// Checks that the client's answer starts with `wanted` and that the connection then closes, unless it is open to a host.
+fn expect_only_answer(client: &mut Peer, wanted: &str, case: &str) {
+    let answer = client.receive_line();
+    assert!(answer.starts_with(wanted), "{case}: {answer}");
     if !wanted.starts_with("UP") {
         client.expect_line("end");
     }
 }
 
-/// Guards against two answers for one request, a further attempt beside one that was accepted, or an answer taken
-/// for another's, where a host answers twice, with the wrong word, in pieces, or at the moment its attempt times
-/// out.
+/// Guards against two answers to one request, a further attempt beside an accepted one, and an answer that counts for another
+/// attempt, if a host answers twice, with an invalid word or in pieces.
 #[test]
-fn an_answer_that_comes_twice_late_or_in_pieces_is_one() {
-    // The host's answer, what it sends right behind it, the client's answer, and whether another host gets a retry.
+fn a_client_gets_one_answer_if_its_host_answers_twice_or_in_pieces() {
+    // The effect, the host's answer, what it sends right after it, the client's answer, and whether another host gets a retry.
     let cases = [
         ("free", "UP 7\r\n", "UP 8\r\n", "UP 7", false),
         ("free", "BUSY\r\n", "UP 8\r\n", "UP 2", true),
@@ -220,7 +229,7 @@
     for ((idempotency, first, second, wanted, retried), apart) in
         cases.into_iter().flat_map(|c| [(c, false), (c, true)])
     {
-        let what = format!("{idempotency}, {first:?} and {second:?}, apart {apart}");
+        let case = format!("{idempotency}, {first:?} and {second:?}, apart {apart}");
         let hosts = Hosts::start(2);
         let discovery = Discovery::start();
         let mut node_config = node_config_of(hosts.members(), discovery.address);
@@ -229,7 +238,7 @@
         let mut client = node.open(OPEN);
         let (one, mut host) = hosts.accept();
         host.receive_line();
-        // Both are there in one turn; or the first in two pieces, and the second once the node has read that.
+        // The node finds both in one turn of its event loop, or it reads two pieces of the first and then the second.
         if apart {
             host.write(&first[..1]);
             wait_until_read(&node);
@@ -244,30 +253,30 @@
         }
         if retried {
             let (other, mut host) = hosts.accept();
-            assert_ne!(one, other, "{what}");
+            assert_ne!(one, other, "{case}");
             host.receive_line();
             host.send_line("UP 2");
-            expect_only_answer(&mut client, wanted, &what);
+            expect_only_answer(&mut client, wanted, &case);
         } else {
-            expect_only_answer(&mut client, wanted, &what);
+            expect_only_answer(&mut client, wanted, &case);
         }
-        assert!(hosts.accept_soon().is_none(), "{what}: sent again");
+        assert!(hosts.accept_soon().is_none(), "{case}: another attempt");
         if wanted.starts_with("UP 7") {
-            // From there on the connection is the host's.
+            // The connection is open: the host's next line is forwarded.
             client.expect_line(second.trim_end());
         }
     }
 }
 
-/// Guards against a second answer where one is there while its attempt times out: the node is stopped over both and
-/// finds them in one turn, by itself or behind more than one turn takes in; and one that comes just after.
+/// Guards against a second answer if the host's answer is unread when its attempt times out, or arrives just after that. A suspended
+/// node finds the answer and the timeout in one turn of its event loop, with or without more ready sockets than one turn serves.
 #[test]
-fn an_answer_at_the_moment_its_attempt_times_out_is_the_only_one() {
-    for (idempotency, comes) in ["free", "single_shot"]
+fn an_answer_at_the_time_at_which_its_attempt_times_out_is_the_only_one() {
+    for (idempotency, arrival) in ["free", "single_shot"]
         .into_iter()
-        .flat_map(|e| ["with it", "behind", "after"].map(|c| (e, c)))
+        .flat_map(|e| ["in one turn", "behind a crowd", "after the timeout"].map(|c| (e, c)))
     {
-        let what = format!("{idempotency}, {comes}");
+        let case = format!("{idempotency}, {arrival}");
         let hosts = Hosts::start(2);
         let discovery = Discovery::start();
         let mut node_config = node_config_of(hosts.members(), discovery.address);
@@ -277,42 +286,45 @@
         node_config["settings"]["round"] = json!(200.0);
         node_config["limits"]["sockets"] = json!(2048);
         let node = Node::start(&node_config);
-        let mut crowd: Vec<Peer> = match comes {
-            "behind" => (0..700).map(|_| Peer::connect(node.address)).collect(),
+        let mut crowd: Vec<Peer> = match arrival {
+            "behind a crowd" => (0..700).map(|_| Peer::connect(node.address)).collect(),
             _ => Vec::new(),
         };
         wait_until_read(&node);
         let mut client = node.open(OPEN);
         let (one, mut host) = hosts.accept();
-        let asked = Instant::now();
+        let requested_at = Instant::now();
         host.receive_line();
-        if comes == "after" {
-            // Timed out: its connection has ended, and what it then sends is nobody's.
+        if arrival == "after the timeout" {
+            // The attempt has timed out and its connection is closed: what the host then sends is ignored.
             host.expect_line("end");
             _ = std::io::Write::write_all(&mut host.stream, b"UP 7\r\n");
             if idempotency == "single_shot" {
-                expect_only_answer(&mut client, "ERR", &what);
+                expect_only_answer(&mut client, "ERR", &case);
             } else {
                 let (other, mut host) = hosts.accept();
-                assert_ne!(one, other, "{what}");
+                assert_ne!(one, other, "{case}");
                 host.receive_line();
                 host.send_line("UP 2");
-                expect_only_answer(&mut client, "UP 2", &what);
+                expect_only_answer(&mut client, "UP 2", &case);
             }
         } else {
             node.suspend();
-            // What is not idempotent is waited for as long as its client waits, less two round trips.
-            let up = Duration::from_millis(if idempotency == "single_shot" {
+            // The attempt has timed out by then. That of a request that is not idempotent times out two round trips before the
+            // client's deadline.
+            let timed_out_after = Duration::from_millis(if idempotency == "single_shot" {
                 1650
             } else {
                 700
             });
             crowd.iter_mut().for_each(|other| other.write("O"));
             host.send_line("UP 7");
-            eventually("no time passes", || asked.elapsed() > up);
+            eventually("the time has passed", || {
+                requested_at.elapsed() > timed_out_after
+            });
             node.unsuspend();
-            expect_only_answer(&mut client, "UP 7", &what);
+            expect_only_answer(&mut client, "UP 7", &case);
         }
-        assert!(hosts.accept_soon().is_none(), "{what}: sent again");
+        assert!(hosts.accept_soon().is_none(), "{case}: another attempt");
     }
 }
