--- a/node/tests/operator_api.rs
+++ b/node/tests/operator_api.rs
@@ -4,6 +4,7 @@
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
+/// Starts a node with an operators' API whose configuration `adjust` has changed.
 fn start(hosts: &Hosts, adjust: impl FnOnce(&mut Value)) -> (Node, Discovery) {
     let discovery = Discovery::start();
     let mut node_config = node_config(hosts, discovery.address);
@@ -15,7 +16,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn the_metrics_tell_what_happened_on_the_sockets() {
+fn the_metrics_count_what_happens_on_the_sockets() {
     let hosts = Hosts::start(2);
     let (node, _discovery) = start(&hosts, |_| {});
     assert_eq!(node.call("GET /status"), (200, "ready\n".into()));
@@ -35,7 +36,7 @@
         ),
         (1, 1)
     );
-    // Two hosts that turn it away, one by one: refused, and two attempts more.
+    // Two hosts reject the request one after the other: it is refused after two more attempts.
     let mut refused = node.open(OPEN);
     for _ in 0..2 {
         let (_, mut host) = hosts.accept();
@@ -58,7 +59,9 @@
     host.end_sending();
     client.expect_line("BYE");
     client.expect_line("end");
-    eventually("none in flight", || node.metric("in_flight") == 0);
+    eventually("no connection is in flight", || {
+        node.metric("in_flight") == 0
+    });
     assert_eq!(
         (
             node.metric("requests.chat.served"),
@@ -88,14 +91,18 @@
     );
     let config_text = node.config_file();
     node.reload("{");
-    eventually("turned down", || node.metric("reloads_failed") == 1);
+    eventually("the reload has failed", || {
+        node.metric("reloads_failed") == 1
+    });
     node.reload(&config_text);
-    eventually("taken up", || node.metric("reloads_ok") == 1);
+    eventually("the reload has succeeded", || {
+        node.metric("reloads_ok") == 1
+    });
 }
 
-/// Prevents that requests which are malformed, endless or for something else are answered with another error than that of their kind.
+/// Guards against malformed, oversized and unsupported requests that are answered with the wrong status or that have an effect.
 #[test]
-fn invalid_requests_are_told_what_is_wrong_and_end_alone() {
+fn invalid_requests_get_the_status_of_their_error_and_have_no_effect() {
     let hosts = Hosts::start(1);
     let (node, _discovery) = start(&hosts, |_| {});
     let at = node.ops.unwrap();
@@ -132,13 +139,14 @@
     ] {
         assert_eq!(ask(at, &sent).0, status, "{}", &sent[..sent.len().min(60)]);
     }
-    // None of them had an effect.
+    // None of them had an effect, and the API still answers.
     assert_eq!(node.call("GET /status?x=1").0, 200);
     let with_body = head("POST /active", "Content-Length: 5\r\nX-Odd: \"a:b\"\r\n") + "hello";
     assert_eq!(ask(at, &with_body), (200, "active\n".into()));
 }
 
-/// Prevents that operators are shut out by callers that never finish, and that a request is lost where it comes in pieces.
+/// Guards against callers that never finish their request and keep operators from being answered, and against a request that is lost
+/// because it arrives in pieces.
 #[test]
 fn a_request_is_answered_within_a_second_whatever_other_callers_do() {
     let hosts = Hosts::start(1);
@@ -156,28 +164,28 @@
         slow.write(byte);
     }
     assert_eq!(answered(&mut slow).0, 200);
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     assert_eq!(node.call("GET /status").0, 200);
-    assert!(asked.elapsed() < SECOND);
-    // One that reads nothing of its answers, and one that leaves at once.
-    let mut deaf = Peer::connect(at);
-    deaf.write("GET /status/metrics HTTP/1.1\r\n\r\n");
+    assert!(requested_at.elapsed() < SECOND);
+    // One caller reads nothing of its answer, and one resets its connection at once.
+    let mut unread = Peer::connect(at);
+    unread.write("GET /status/metrics HTTP/1.1\r\n\r\n");
     Peer::connect(at).reset();
     assert_eq!(node.call("GET /status").0, 200);
     let mut late = Peer::connect(at);
     late.write("GET /status HTTP/1.1\r\n");
     assert_eq!(answered(&mut late).0, 408);
-    eventually("all given back", || node.descriptors() < 16);
+    eventually("all descriptors are released", || node.descriptors() < 16);
 }
 
 #[test]
-fn operators_are_answered_with_the_table_of_clients_full_and_the_reverse() {
+fn a_crowd_of_clients_does_not_block_operators_nor_the_reverse() {
     let hosts = Hosts::start(1);
     let (node, _discovery) = start(&hosts, |p| p["limits"]["sockets"] = json!(64));
     let crowd: Vec<Peer> = (0..200).map(|_| Peer::connect(node.address)).collect();
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     assert_eq!(node.call("GET /status").0, 200);
-    assert!(asked.elapsed() < SECOND);
+    assert!(requested_at.elapsed() < SECOND);
     drop(crowd);
     let callers: Vec<Peer> = (0..100).map(|_| Peer::connect(node.ops.unwrap())).collect();
     node.served(&hosts);
@@ -185,45 +193,49 @@
 }
 
 #[test]
-fn standby_empties_the_node_and_active_has_it_take_clients_again() {
+fn standby_migrates_all_clients_and_active_accepts_clients_again() {
     let hosts = Hosts::start(2);
     let (node, _discovery) = start(&hosts, |_| {});
     let ping = || {
-        let mut front = Peer::connect(node.address);
-        front.send_line("PING");
-        front.receive_line()
+        let mut client = Peer::connect(node.address);
+        client.send_line("PING");
+        client.receive_line()
     };
     assert_eq!(ping(), "PONG");
     let mut open: Vec<_> = (0..8).map(|_| node.served(&hosts)).collect();
-    // One more waits for its answer meanwhile.
-    let mut waits = node.open(OPEN);
+    // Another request is pending meanwhile.
+    let mut waiting = node.open(OPEN);
     let (_, mut host) = hosts.accept();
     host.receive_line();
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     assert_eq!(node.call("POST /standby"), (200, "standby\n".into()));
     assert_eq!((node.call("GET /status").0, ping().as_str()), (503, "BUSY"));
     assert_eq!(node.call("POST /standby").0, 200);
     host.send_line("UP 5");
-    waits.expect_line("UP 5");
-    // What still comes has an answer.
+    waiting.expect_line("UP 5");
+    // A client that still arrives gets an answer.
     let late = node.open(OPEN).receive_line();
     assert!(late.starts_with("BUSY") || late.starts_with("UP"), "{late}");
     for (client, ..) in &mut open {
         client.expect_line("MOVE");
         client.expect_line("end");
     }
-    waits.expect_line("MOVE");
-    assert!(asked.elapsed() < 4 * SECOND, "{:?}", asked.elapsed());
+    waiting.expect_line("MOVE");
+    assert!(
+        requested_at.elapsed() < 4 * SECOND,
+        "{:?}",
+        requested_at.elapsed()
+    );
     assert_eq!(node.call("POST /active"), (200, "active\n".into()));
     assert_eq!((node.call("GET /status").0, ping().as_str()), (200, "PONG"));
     assert_eq!(node.call("POST /active").0, 200);
     node.served(&hosts);
 }
 
-/// Prevents that clients of a node that has left standby are migrated by what was begun before, that an operator undoes a shutdown,
-/// and that a shutdown waits for a standby to end.
+/// Guards against migrations of a former standby that continue after the node has left it, against an operator's request that cancels
+/// a shutdown, and against a shutdown that waits for the end of a standby.
 #[test]
-fn active_ends_a_standby_and_a_shutdown_wins_over_both() {
+fn active_ends_a_standby_and_a_shutdown_overrides_both() {
     let hosts = Hosts::start(2);
     let (mut node, _discovery) = start(&hosts, |_| {});
     let (mut client, _, mut host) = node.served(&hosts);
@@ -231,7 +243,7 @@
     node.call("POST /active");
     node.call("POST /standby");
     node.call("POST /active");
-    // Past the time by which a node that stands by is empty.
+    // A node in standby would have moved its clients within this time.
     let until = Instant::now() + 4 * SECOND;
     while Instant::now() < until {
         client.send_line("up 1");
@@ -241,7 +253,7 @@
     }
     node.call("POST /standby");
     node.stop();
-    eventually("asked to stop", || {
+    eventually("the node is stopping", || {
         node.call("GET /status") == (503, "stopping\n".into())
     });
     assert_eq!(node.call("POST /active").0, 409);
@@ -251,18 +263,18 @@
 }
 
 #[test]
-fn a_port_that_cannot_be_bound_is_one_line_and_no_start() {
+fn an_address_that_cannot_be_bound_fails_the_start_with_one_error_line() {
     let hosts = Hosts::start(1);
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     for ops in [taken.local_addr().unwrap().to_string(), "nowhere".into()] {
         let mut node_config = node_config(&hosts, nowhere());
         node_config["ops"] = json!(ops);
         let output = program(&node_config.to_string()).output().unwrap();
-        let said = String::from_utf8(output.stderr).unwrap();
+        let errors = String::from_utf8(output.stderr).unwrap();
         assert_eq!(
-            (output.status.code(), said.lines().count()),
+            (output.status.code(), errors.lines().count()),
             (Some(1), 1),
-            "{said}"
+            "{errors}"
         );
     }
 }
--- a/node/tests/shutdown.rs
+++ b/node/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! A process that is asked to stop at each point of a connection's life: everyone has one answer that can be read, nothing is sent
-//! after it, and nobody is held any more when the process may be killed.
+//! A process that is told to stop at each stage of a connection: every client gets one answer that it can read, nothing is sent to
+//! hosts after it, and no connection is left when the process may be killed.
 
 use reedferry_testkit::program::node_config_of;
 use reedferry_testkit::*;
@@ -10,6 +10,7 @@
     Duration::from_millis(n)
 }
 
+/// Starts a node whose configuration `adjust` has changed.
 fn start(hosts: &Hosts, adjust: impl FnOnce(&mut Value)) -> (Node, Discovery) {
     let discovery = Discovery::start();
     let mut node_config = node_config(hosts, discovery.address);
@@ -18,27 +19,28 @@
     (Node::start(&node_config), discovery)
 }
 
-/// When a process with this longest deadline may be killed at the earliest.
+/// Returns how long after SIGTERM a process may be killed at the earliest, for a longest request deadline in milliseconds.
 fn kill_time(deadline: u64) -> Duration {
     ms(deadline.min(3000) + 700)
 }
 
+/// Sets the expiry and the latency objective of the only class, in milliseconds.
 fn set_deadline(node_config: &mut Value, deadline: u64) {
     node_config["settings"]["offerings"][0]["expiry"] = json!(deadline as f64);
     node_config["settings"]["offerings"][0]["contract_time"] = json!(deadline as f64);
 }
 
-/// Whoever answers this has read all that came before.
+/// Waits until the node has read all that was sent to it before.
 fn wait_until_read(node: &Node) {
     let mut other = Peer::connect(node.address);
     other.send_line("PING");
     other.expect_line("PONG");
 }
 
-/// Prevents that connections whose host has stopped within a line are held until the process is killed, as their turn to be
-/// migrated comes late: each would be lost.
+/// Guards against connections whose host has stopped within a line and that are held until the process is killed, because they are
+/// due for migration too late: each of them would be lost.
 #[test]
-fn connections_whose_host_stopped_within_a_line_are_closed_before_the_process_ends() {
+fn connections_whose_host_stopped_within_a_line_close_before_the_process_ends() {
     let hosts = Hosts::start(1);
     let (mut node, _discovery) = start(&hosts, |_| {});
     let mut all: Vec<_> = (0..12).map(|_| node.served(&hosts)).collect();
@@ -60,7 +62,7 @@
     assert!(node.wait().success());
 }
 
-/// Prevents the same where clients stopped within a line of theirs: these can still be migrated.
+/// Guards against the same fault if clients have stopped within a line: these can still be migrated.
 #[test]
 fn clients_that_stopped_within_a_line_are_migrated_before_the_process_ends() {
     let hosts = Hosts::start(1);
@@ -83,12 +85,11 @@
     assert!(node.wait().success());
 }
 
-/// Prevents that an answer comes only after the process was killed, where clients may wait for longer than that leaves, and that a
-/// request which may have run is rejected as though it had not.
+/// Guards against a client that may wait for longer than the process has left and gets no answer before the process is killed, and
+/// against a request that may have run but is rejected as if it had not.
 #[test]
-fn requests_without_an_answer_of_a_host_are_answered_before_the_process_ends_whatever_their_deadline(
-) {
-    for (idempotency, answer) in [("free", "BUSY"), ("single_shot", "ERR")] {
+fn pending_requests_are_answered_before_the_process_ends_despite_long_deadlines() {
+    for (idempotency, expected) in [("free", "BUSY"), ("single_shot", "ERR")] {
         let hosts = Hosts::start(1);
         let (mut node, _discovery) = start(&hosts, |p| {
             set_deadline(p, 9000);
@@ -99,8 +100,8 @@
         host.receive_line();
         let began = Instant::now();
         node.stop();
-        let said = client.receive_line();
-        assert!(said.starts_with(answer), "{idempotency}: {said}");
+        let answer = client.receive_line();
+        assert!(answer.starts_with(expected), "{idempotency}: {answer}");
         assert!(
             began.elapsed() < kill_time(9000),
             "{idempotency}: {:?}",
@@ -109,14 +110,11 @@
         client.expect_line("end");
         host.expect_line("end");
         assert!(node.wait().success());
-        assert!(
-            hosts.accept_soon().is_none(),
-            "{idempotency}: sent on again"
-        );
+        assert!(hosts.accept_soon().is_none(), "{idempotency}: retried");
     }
 }
 
-/// Prevents that idle clients and those that have sent half of their line are held when the process ends.
+/// Guards against idle clients, and clients that have sent half a line, that are still connected when the process ends.
 #[test]
 fn clients_without_a_request_are_rejected_before_the_process_ends() {
     let hosts = Hosts::start(1);
@@ -127,7 +125,7 @@
     let began = Instant::now();
     node.stop();
     node.wait_for_log("asked to stop");
-    // One that comes after the signal, and asks only when it is told to go, is not sent on.
+    // The request of a client that connects after the signal, and sends it only after its rejection, is not forwarded.
     let mut late = Peer::connect(node.address);
     late.expect_line("BUSY");
     late.send_line("OPEN 99 88 c=chat,t=acme,d=900");
@@ -142,10 +140,14 @@
         began.elapsed()
     );
     assert!(node.wait().success());
-    assert!(hosts.accept_soon().is_none(), "sent on after the shutdown");
+    assert!(
+        hosts.accept_soon().is_none(),
+        "forwarded after the shutdown"
+    );
 }
 
-/// A host's listener that a test takes connections from when it likes, and the list that names it.
+/// Returns the listener of a host that accepts no connection before the test does, the connection that fills its backlog, and the
+/// endpoint list with this host.
 fn unaccepting_host() -> (std::net::TcpListener, std::net::TcpStream, Value) {
     let (listener, first) = full_listener();
     let members = json!([member(
@@ -156,10 +158,10 @@
     (listener, first, members)
 }
 
-/// Prevents that a request is lost, or sent to a host after its answer, where the signal comes while the connection to its host is
-/// established.
+/// Guards against a request that is lost, or sent to a host after its answer, if the signal arrives while the connection to its host
+/// is being established.
 #[test]
-fn a_shutdown_while_the_connection_to_the_host_is_established() {
+fn a_shutdown_while_the_host_is_being_connected_rejects_the_request_once() {
     let (listener, first, members) = unaccepting_host();
     let discovery = Discovery::start();
     let mut node_config = node_config_of(members, discovery.address);
@@ -174,7 +176,7 @@
     client.expect_line("end");
     assert!(began.elapsed() < kill_time(1500));
     assert!(node.wait().success());
-    // What came up at all was ended without a byte; first in the way was the test's own.
+    // Any connection that was established was closed without a byte. The first one in the backlog is the test's own.
     drop(first);
     listener.set_nonblocking(true).unwrap();
     while let Ok((late, _)) = listener.accept() {
@@ -184,10 +186,10 @@
     }
 }
 
-/// Prevents that an answer on its way from the host is dropped by a shutdown, that a second signal or a reload in the middle cuts what
-/// is under way, and that answers are lost in a reset as clients go on sending.
+/// Guards against a shutdown that drops an answer on its way from the host, against a second signal or a reload during the shutdown
+/// that cuts connections, and against answers that are lost in a reset because their clients keep sending.
 #[test]
-fn an_answer_in_flight_is_forwarded_over_two_signals_and_a_reload() {
+fn an_answer_in_flight_is_forwarded_despite_two_signals_and_a_reload() {
     let hosts = Hosts::start(1);
     let (mut node, discovery) = start(&hosts, |_| {});
     let mut waiting = node.open(OPEN);
@@ -198,9 +200,9 @@
     let began = Instant::now();
     node.stop();
     node.wait_for_log("asked to stop");
-    let mut fresh = node_config(&hosts, discovery.address);
-    fresh["settings"]["offerings"][0]["payoff"] = json!(2.0);
-    node.reload(&fresh.to_string());
+    let mut changed_config = node_config(&hosts, discovery.address);
+    changed_config["settings"]["offerings"][0]["payoff"] = json!(2.0);
+    node.reload(&changed_config.to_string());
     node.wait_for_log("configuration reloaded");
     node.stop();
     host.write("7aa\r\n");
@@ -211,7 +213,7 @@
     waiting.expect_line("so am I");
     for (client, host) in [(&mut waiting, &mut host), (&mut open, &mut other)] {
         client.expect_line("MOVE");
-        // What it sends into the closing connection takes nothing back, and reaches no host.
+        // A line that is sent into the closing connection causes no reset and reaches no host.
         client.send_line("too late");
         client.expect_line("end");
         host.expect_line("end");
@@ -220,10 +222,10 @@
     assert!(node.wait().success());
 }
 
-/// Prevents that a request which may have run fails though it was accepted, as its answer lies unread, behind more than one turn
-/// serves, at the last moment by which anybody is held.
+/// Guards against a request that fails although its host has accepted it: at the end of the shutdown the answer lies unread, and more
+/// sockets are ready before it than one turn of the event loop serves.
 #[test]
-fn an_unread_answer_at_the_last_moment_of_a_shutdown_is_forwarded() {
+fn an_unread_answer_is_forwarded_at_the_end_of_a_shutdown() {
     let hosts = Hosts::start(1);
     let (mut node, _discovery) = start(&hosts, |p| {
         set_deadline(p, 9000);
@@ -235,14 +237,14 @@
     host.receive_line();
     let began = Instant::now();
     node.stop();
-    eventually("no time passes", || began.elapsed() > ms(2000));
-    // They rest for less than two seconds by then, and write first.
+    eventually("the time has passed", || began.elapsed() > ms(2000));
+    // These clients are idle for less than the timeout of two seconds by then, and write before the host.
     let mut crowd: Vec<Peer> = (0..700).map(|_| Peer::connect(node.address)).collect();
     wait_until_read(&node);
     node.suspend();
     crowd.iter_mut().for_each(|other| other.write("O"));
     host.send_line("UP 7");
-    eventually("no time passes", || {
+    eventually("the time has passed", || {
         began.elapsed() > kill_time(9000) - ms(170)
     });
     node.unsuspend();
