--- a/node/tests/clocks.rs
+++ b/node/tests/clocks.rs
@@ -1,5 +1,5 @@
-//! A wall clock that is stepped, by seconds or an hour: waits, windows and the ages of hosts are spans of real time, in one
-//! process and where one takes the place of another.
+//! A wall clock that is stepped by seconds or an hour: timeouts and the ages of hosts are measured in real time, in one process
+//! and across a hot restart.
 
 use reedferry_testkit::program::node_config_of;
 use reedferry_testkit::simulated::{self, Clients, Hosts, InvariantChecker};
@@ -9,13 +9,16 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// The length of a host's warm-up.
 const WARM_UP_SECONDS: f64 = 3.0;
+/// The part of its full load that a host may be sent at its start.
 const INITIAL_SHARE: f64 = 0.2;
 const OPEN_CONNECTIONS: usize = 40;
+/// Requests a second.
 const RATE: f64 = 100.0;
-/// The time in milliseconds within which messages are wanted: longer than any here takes.
+/// The latency objective for messages, in milliseconds: longer than any message takes in these tests.
 const LENIENT_MESSAGE_TIME: f64 = 5000.0;
-/// How far the wall clock of the node and of the host's machine are off, in seconds.
+/// The offsets of the wall clocks of the node and of the host's machine from the true time, in seconds.
 const CLOCK_OFFSETS: [(i64, i64); 6] = [
     (0, 0),
     (3600, 0),
@@ -24,7 +27,7 @@
     (0, 3600),
     (0, -20),
 ];
-/// So many of these are played at once: each is hundreds of threads and a traced process.
+/// The number of trials that run at once: each of them has hundreds of threads and a traced process.
 const CONCURRENT_TRIALS: usize = 2;
 
 fn node_config(service: &Discovery, members: Value) -> Value {
@@ -33,12 +36,12 @@
     settings["offerings"][0]["name"] = json!("free");
     settings["contract"]["cold"] = json!(1000.0 * WARM_UP_SECONDS);
     settings["contract"]["cold_from"] = json!(INITIAL_SHARE);
-    // What a host is given is to go by its age alone here, not by how late its threads run.
+    // A host's limit must depend on its age alone here, not on how late its threads run.
     settings["extra"]["message_aim"] = json!([LENIENT_MESSAGE_TIME]);
     node_config
 }
 
-/// The wall clock of a machine that is off by so many seconds, in milliseconds.
+/// Returns the time in milliseconds on a wall clock that is off by `off` seconds.
 fn wall_clock_ms(off: i64) -> i64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -47,25 +50,26 @@
         + 1000 * off
 }
 
-/// Prevents that a host which has just started is taken for a warm one, and overloaded, or a warm one for one in its slow start for
-/// an hour, as its machine's wall clock or the node's was stepped since the other read it.
+/// Guards against a host that has just started but counts as warm and is overloaded, and against a warm host that stays in its slow
+/// start for an hour, because the wall clock of its machine or of the node was stepped.
 #[test]
-fn a_host_that_starts_has_its_slow_start_whatever_the_wall_clocks_say() {
-    for some in CLOCK_OFFSETS.chunks(CONCURRENT_TRIALS) {
+fn a_starting_host_gets_its_slow_start_whatever_the_wall_clocks_say() {
+    for trials in CLOCK_OFFSETS.chunks(CONCURRENT_TRIALS) {
         thread::scope(|scope| {
-            for (node_off, host_off) in some {
-                scope.spawn(move || warms_up(*node_off, *host_off));
+            for (node_off, host_off) in trials {
+                scope.spawn(move || check_warm_up(*node_off, *host_off));
             }
         });
     }
 }
 
-/// One node whose clock is off by so many seconds, and a host that starts with one that is off by so many.
+/// Starts a host beside a node under load, with these offsets of their wall clocks in seconds, and checks what the host is sent in
+/// its warm-up and after it.
 #[expect(
     clippy::too_many_lines,
-    reason = "one trial: its start, its load and what was measured"
+    reason = "one trial: its setup, its load and its checks"
 )]
-fn warms_up(node_off: i64, host_off: i64) {
+fn check_warm_up(node_off: i64, host_off: i64) {
     let (service, checker, injector) = (
         Discovery::start(),
         InvariantChecker::default(),
@@ -76,14 +80,14 @@
     injector.step_clock(node_off);
     let node = Node::start_injected(&node_config(&service, warm), &injector);
     service.calls(2);
-    let mut standing = Clients::new(vec![node.address], &checker, 1);
-    standing.load(
+    let mut long_clients = Clients::new(vec![node.address], &checker, 1);
+    long_clients.load(
         400.0,
         Duration::from_millis(100),
         &[0],
         Duration::from_secs(60),
     );
-    eventually("they do not stand", || {
+    eventually("the long connections are open", || {
         hosts.standing().iter().sum::<u32>() as usize >= OPEN_CONNECTIONS * 9 / 10
     });
     let mut new = hosts.member(2, "active");
@@ -112,17 +116,17 @@
             .take_while(|at| **at < first + 1.0)
             .count() as f64;
         let warmth = INITIAL_SHARE + (1.0 - INITIAL_SHARE) * (first + 1.0) / WARM_UP_SECONDS;
-        // What stands at warm hosts is taken for a quarter of what one bears.
-        let bears = 4.0 * (OPEN_CONNECTIONS as f64 + RATE * 0.1) / 2.0;
-        let budget = 3.0 * warmth * bears / WARM_UP_SECONDS;
-        let chance = if budget < 30.0 {
+        // The connections at a warm host count as a quarter of what it can sustain.
+        let capacity = 4.0 * (OPEN_CONNECTIONS as f64 + RATE * 0.1) / 2.0;
+        let budget = 3.0 * warmth * capacity / WARM_UP_SECONDS;
+        let tolerance = if budget < 30.0 {
             3.0 * budget.sqrt() + 3.0
         } else {
             2.0 * budget.sqrt() + 2.0
         };
-        let most = budget + chance;
+        let limit = budget + tolerance;
         assert!(
-            came <= most,
+            came <= limit,
             "{node_off}, {host_off}: {came} of {budget:.1} in a second from {first:.2} s on"
         );
     }
@@ -142,26 +146,30 @@
         times.last().unwrap_or(&0.0)
     );
     clients.end();
-    standing.end();
+    long_clients.end();
 }
 
-/// Prevents that a silent client is kept, or an open connection migrated, by a process that counts what passed before it by another
-/// wall clock.
+/// Guards against a successor that keeps a silent client for too long, or migrates an open connection, because its wall clock differs
+/// from that of its predecessor.
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one story, of which each step needs the one before"
+    reason = "a sequence in which each step depends on the one before"
 )]
-fn a_successor_goes_on_with_real_spans_of_time_though_the_wall_clock_was_stepped() {
+fn a_successor_keeps_timeouts_in_real_time_although_the_wall_clock_was_stepped() {
     for off in [-3600, 3600, -5, 5] {
         let (hosts, service) = (reedferry_testkit::Hosts::start(1), Discovery::start());
         let node_config = reedferry_testkit::node_config(&hosts, service.address);
-        let (held, folder) = (listener(), folder());
-        let mut predecessor =
-            Node::start_injected_at(&node_config, &held, &folder, &SyscallInjector::default());
-        predecessor.address = held.local_addr().unwrap();
+        let (shared_listener, folder) = (listener(), folder());
+        let mut predecessor = Node::start_injected_at(
+            &node_config,
+            &shared_listener,
+            &folder,
+            &SyscallInjector::default(),
+        );
+        predecessor.address = shared_listener.local_addr().unwrap();
         let (mut client, _, mut host) = predecessor.served(&hosts);
-        // A line without an answer goes over with the connection.
+        // The unanswered line is handed over with the connection.
         client.send_line("first");
         host.expect_line("first");
         let mut silent = Peer::connect(predecessor.address);
@@ -172,7 +180,8 @@
         pinged.expect_line("PONG");
         let injector = SyscallInjector::default();
         injector.step_clock(off);
-        let mut successor = Node::start_injected_at(&node_config, &held, &folder, &injector);
+        let mut successor =
+            Node::start_injected_at(&node_config, &shared_listener, &folder, &injector);
         successor.address = predecessor.address;
         predecessor.stop();
         assert!(predecessor.wait().success());
@@ -187,7 +196,7 @@
             "{off}: {:?}",
             came.elapsed()
         );
-        // It stands as long as a host may be silent, and is sent away then.
+        // The client must not be migrated before its host has been silent for the timeout, and must be migrated then.
         client
             .stream
             .set_read_timeout(Some(Duration::from_millis(150)))
--- a/node/tests/departed_clients.rs
+++ b/node/tests/departed_clients.rs
@@ -1,16 +1,17 @@
-//! Clients that leave: before they are accepted, while they wait, while the connection to their host is established, between two
-//! attempts, behind much else. No attempt begins for them after that, by what the hosts see.
+//! Clients that leave: before they are accepted, during an attempt, while the connection to their host is established, between two
+//! attempts, or while many other sockets are ready. The hosts must see no attempt for them after that.
 
 use reedferry_testkit::program::node_config_of;
 use reedferry_testkit::*;
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-/// How a client goes.
+/// The ways in which a client leaves.
 const DEPARTURES: [&str; 4] = ["closes", "ends its sending", "resets", "floods and closes"];
 
-fn depart(mut client: Peer, way: &str) -> Option<Peer> {
-    match way {
+/// Has the client leave in this way. Returns its connection if the client can still read from it.
+fn depart(mut client: Peer, departure: &str) -> Option<Peer> {
+    match departure {
         "closes" => drop(client),
         "ends its sending" => {
             client.end_sending();
@@ -18,13 +19,14 @@
         }
         "resets" => client.reset(),
         _ => {
-            // What the node no longer takes is lost with the connection.
+            // What the node does not read is lost with the connection.
             _ = std::io::Write::write_all(&mut client.stream, &[b'x'; 100_000]);
         }
     }
     None
 }
 
+/// Starts a node with long timeouts, many attempts and these members. `cancel` says whether it may cancel attempts.
 fn start(members: Value, discovery: &Discovery, cancel: bool) -> Node {
     let mut node_config = node_config_of(members, discovery.address);
     node_config["limits"]["sockets"] = json!(2048);
@@ -37,32 +39,34 @@
     Node::start(&node_config)
 }
 
-fn line(n: usize) -> String {
+/// Returns the request of client `n`.
+fn open_line(n: usize) -> String {
     format!("OPEN {n:x} 7f3a c=chat,t=acme,d=8000,g=5c0f")
 }
 
-/// A client whose first attempt is out.
-fn attempt(node: &Node, hosts: &Hosts) -> (Peer, Peer) {
+/// Returns a client whose first attempt has reached a host, and the host's end of it.
+fn start_attempt(node: &Node, hosts: &Hosts) -> (Peer, Peer) {
     let mut client = Peer::connect(node.address);
-    client.send_line(&line(1));
+    client.send_line(&open_line(1));
     let (_, mut host) = hosts.accept();
     host.receive_line();
     (client, host)
 }
 
-/// Whoever answers this has read all that came before.
+/// Waits until the node has read all that was sent to it before.
 fn wait_until_read(node: &Node) {
     let mut other = Peer::connect(node.address);
     other.send_line("PING");
     other.expect_line("PONG");
 }
 
-/// Prevents an attempt at a host whose connection is established after the client has left, where settings allow no cancellation.
+/// Guards against an attempt at a host whose connection is established after the client has left, also if the settings allow no
+/// cancellation.
 #[test]
 fn a_client_that_leaves_while_its_hosts_connection_is_established_gets_no_attempt() {
-    for (cancel, way) in [true, false]
+    for (cancel, departure) in [true, false]
         .into_iter()
-        .flat_map(|c| DEPARTURES.map(|way| (c, way)))
+        .flat_map(|c| DEPARTURES.map(|departure| (c, departure)))
     {
         let (listener, first) = full_listener();
         let discovery = Discovery::start();
@@ -73,14 +77,14 @@
         )]);
         let node = start(members, &discovery, cancel);
         let mut client = Peer::connect(node.address);
-        client.send_line(&line(1));
+        client.send_line(&open_line(1));
         wait_until_read(&node);
-        let kept = depart(client, way);
+        let half_closed = depart(client, departure);
         wait_until_read(&node);
         drop(first);
         drop(listener.accept());
         listener.set_nonblocking(true).unwrap();
-        // The system asks for the connection again a second after the first time, if it is still wanted.
+        // The kernel repeats the SYN after a second if the node still wants the connection.
         let until = Instant::now() + Duration::from_millis(1600);
         while Instant::now() < until {
             if let Ok((late, _)) = listener.accept() {
@@ -88,83 +92,86 @@
                 let end = Peer::new(late).receive_line();
                 assert!(
                     ["end", "reset"].contains(&end.as_str()),
-                    "cancel {cancel}, {way}: {end}"
+                    "cancel {cancel}, {departure}: {end}"
                 );
             }
             std::thread::yield_now();
         }
-        if let Some(mut client) = kept {
+        if let Some(mut client) = half_closed {
             client.expect_line("ERR");
         }
     }
 }
 
-/// Prevents a retry for a client that left during the attempt before.
+/// Guards against a retry for a client that has left during its previous attempt.
 #[test]
 fn a_client_that_leaves_between_two_attempts_gets_no_retry() {
-    for (cancel, way) in [true, false]
+    for (cancel, departure) in [true, false]
         .into_iter()
-        .flat_map(|c| DEPARTURES.map(|way| (c, way)))
+        .flat_map(|c| DEPARTURES.map(|departure| (c, departure)))
     {
         let hosts = Hosts::start(3);
         let discovery = Discovery::start();
         let node = start(hosts.members(), &discovery, cancel);
-        let (client, mut host) = attempt(&node, &hosts);
-        // Both wait for the node when it goes on: the end of the attempt, and of the client.
+        let (client, mut host) = start_attempt(&node, &hosts);
+        // When the node continues it finds both the end of the attempt and the end of the client.
         node.suspend();
         host.send_line("BUSY");
         host.end_sending();
-        let kept = depart(client, way);
+        let half_closed = depart(client, departure);
         node.unsuspend();
         wait_until_read(&node);
         assert!(
             hosts.accept_soon().is_none(),
-            "cancel {cancel}, {way}: sent on"
+            "cancel {cancel}, {departure}: retried"
         );
-        drop(kept);
+        drop(half_closed);
     }
 }
 
-/// Prevents attempts by a process that stood still for clients that left before it accepted them or read their line; the one that
-/// stayed is served.
+/// Guards against attempts by a process that was suspended, for clients that left before it accepted them or read their line. A client
+/// that stayed is served.
 #[test]
-fn clients_that_left_while_the_process_stood_still_get_no_attempt() {
+fn clients_that_left_while_the_process_was_suspended_get_no_attempt() {
     let hosts = Hosts::start(2);
     let discovery = Discovery::start();
     let node = start(hosts.members(), &discovery, false);
-    let mut before: Vec<Peer> = (0..40).map(|_| Peer::connect(node.address)).collect();
-    before.iter_mut().for_each(|client| {
+    let mut connected: Vec<Peer> = (0..40).map(|_| Peer::connect(node.address)).collect();
+    connected.iter_mut().for_each(|client| {
         client.send_line("PING");
         client.expect_line("PONG");
     });
     node.suspend();
-    let mut kept = Vec::new();
+    let mut half_closed = Vec::new();
     let fresh = (0..40).map(|_| Peer::connect(node.address));
-    for (n, mut client) in before.into_iter().chain(fresh).enumerate() {
-        client.send_line(&line(n));
-        kept.extend(depart(client, DEPARTURES[n % DEPARTURES.len()]));
+    for (n, mut client) in connected.into_iter().chain(fresh).enumerate() {
+        client.send_line(&open_line(n));
+        half_closed.extend(depart(client, DEPARTURES[n % DEPARTURES.len()]));
     }
-    let mut stays = Peer::connect(node.address);
-    stays.send_line(&line(999));
+    let mut remaining = Peer::connect(node.address);
+    remaining.send_line(&open_line(999));
     node.unsuspend();
     let (_, mut host) = hosts.accept();
     assert!(
         host.receive_line().starts_with("OPEN 3e7 "),
-        "one that had gone"
+        "an attempt for a client that had left"
     );
     host.send_line("UP 1");
-    stays.expect_line("UP 1");
-    assert!(hosts.accept_soon().is_none(), "one that had gone");
+    remaining.expect_line("UP 1");
+    assert!(
+        hosts.accept_soon().is_none(),
+        "an attempt for a client that had left"
+    );
 }
 
-/// Prevents that the end of a client is never seen behind a first line of the greatest length.
+/// Guards against the end of a client that is never noticed because its first line fills the input buffer.
 #[test]
-fn the_end_of_a_client_with_the_longest_line_is_seen() {
+fn the_end_of_a_client_with_a_first_line_of_maximum_length_is_noticed() {
     let hosts = Hosts::start(2);
     let discovery = Discovery::start();
     let node = start(hosts.members(), &discovery, true);
     let mut client = Peer::connect(node.address);
-    let short = line(1);
+    let short = open_line(1);
     client.send_line(&format!(
         "{short},zz={}",
         "z".repeat(4096 - short.len() - 6)
@@ -176,31 +183,31 @@
     assert!(hosts.accept_soon().is_none());
 }
 
-/// Prevents a retry for a client that has left, and whose end waits behind more than one turn serves.
+/// Guards against a retry for a client whose end lies unread: more sockets are ready before it than one turn of the event loop serves.
 #[test]
-fn a_client_whose_end_waits_behind_hundreds_of_others_gets_no_retry() {
-    for (cancel, way) in [true, false]
+fn a_client_whose_end_is_unread_behind_a_crowd_gets_no_retry() {
+    for (cancel, departure) in [true, false]
         .into_iter()
-        .flat_map(|c| DEPARTURES.map(|way| (c, way)))
+        .flat_map(|c| DEPARTURES.map(|departure| (c, departure)))
     {
         let hosts = Hosts::start(3);
         let discovery = Discovery::start();
         let node = start(hosts.members(), &discovery, cancel);
         let mut crowd: Vec<Peer> = (0..700).map(|_| Peer::connect(node.address)).collect();
         wait_until_read(&node);
-        let (client, mut host) = attempt(&node, &hosts);
+        let (client, mut host) = start_attempt(&node, &hosts);
         node.suspend();
         host.send_line("BUSY");
         host.end_sending();
-        // What is ready first is told first, so many in one turn.
+        // One turn of the event loop serves a limited number of sockets, in the order in which they became ready.
         crowd.iter_mut().for_each(|other| other.write("O"));
-        let kept = depart(client, way);
+        let half_closed = depart(client, departure);
         node.unsuspend();
         wait_until_read(&node);
         assert!(
             hosts.accept_soon().is_none(),
-            "cancel {cancel}, {way}: sent on"
+            "cancel {cancel}, {departure}: retried"
         );
-        drop(kept);
+        drop(half_closed);
     }
 }
--- a/node/tests/handover.rs
+++ b/node/tests/handover.rs
@@ -1,5 +1,5 @@
-//! A connection that is handed over to a successor has one owner at each moment, also where a message between both can't be sent or
-//! read for a while, or the successor stands still.
+//! A connection that is handed over to a successor has exactly one owner at any time, also if a message between the two processes
+//! cannot be sent or read for a while, or if the successor is suspended.
 
 use reedferry_testkit::syscalls::{Call, Fault, Outcome, SyscallInjector};
 use reedferry_testkit::*;
@@ -11,10 +11,11 @@
 use std::time::{Duration, Instant};
 
 /// Longer than a process waits for its successor to acknowledge a connection.
-const LONGER_THAN_THE_ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(1900);
+const PAST_ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(1900);
 const CONNECTIONS: usize = 20;
 
-fn never_succeeds(call: Call) -> Fault {
+/// Returns the fault in which every call of this kind fails with `ENOBUFS`.
+fn fails_always(call: Call) -> Fault {
     Fault {
         call,
         outcome: Outcome::Fails(Errno::NOBUFS),
@@ -22,8 +23,8 @@
     }
 }
 
-/// A node with open connections, at a listener that the test holds.
-struct Site {
+/// Hosts, a list service, and the listener and folder that predecessor and successor share.
+struct Fixture {
     hosts: Hosts,
     _discovery: Discovery,
     node_config: Value,
@@ -31,11 +32,11 @@
     folder: PathBuf,
 }
 
-impl Site {
+impl Fixture {
     fn new() -> Self {
         let (hosts, discovery) = (Hosts::start(2), Discovery::start());
         let node_config = node_config(&hosts, discovery.address);
-        Site {
+        Fixture {
             hosts,
             _discovery: discovery,
             node_config,
@@ -44,6 +45,7 @@
         }
     }
 
+    /// Starts a process at the shared listener whose system calls `injector` controls.
     fn start(&self, injector: &SyscallInjector) -> Node {
         let mut node =
             Node::start_injected_at(&self.node_config, &self.listener, &self.folder, injector);
@@ -52,25 +54,25 @@
     }
 }
 
-impl Drop for Site {
+impl Drop for Fixture {
     fn drop(&mut self) {
         _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// Prevents that both processes go on with a connection, as the predecessor gives up waiting for messages that lie unread.
+/// Guards against a connection that both processes use because the predecessor stops waiting for acknowledgements that lie unread.
 #[test]
-fn connections_that_the_successor_adopted_stay_with_it_though_its_acknowledgement_is_read_late() {
-    let site = Site::new();
+fn connections_stay_with_the_successor_if_its_acknowledgement_is_read_late() {
+    let fixture = Fixture::new();
     let injector = SyscallInjector::default();
-    let mut predecessor = site.start(&injector);
+    let mut predecessor = fixture.start(&injector);
     let mut open: Vec<_> = (0..CONNECTIONS)
-        .map(|_| predecessor.served(&site.hosts))
+        .map(|_| predecessor.served(&fixture.hosts))
         .collect();
-    let _successor = site.start(&SyscallInjector::default());
-    injector.set(&[never_succeeds(Call::ReceiveMessage)]);
+    let _successor = fixture.start(&SyscallInjector::default());
+    injector.set(&[fails_always(Call::ReceiveMessage)]);
     predecessor.stop();
-    thread::sleep(LONGER_THAN_THE_ACKNOWLEDGE_TIMEOUT);
+    thread::sleep(PAST_ACKNOWLEDGE_TIMEOUT);
     injector.clear();
     assert!(predecessor.wait().success());
     for (number, (client, _, host)) in open.iter_mut().enumerate() {
@@ -83,32 +85,34 @@
     }
 }
 
-/// Prevents that the successor reads bytes of a connection before it has acknowledged it.
+/// Guards against a successor that reads from a connection before its acknowledgement is sent: the predecessor may still take it back.
 #[test]
-fn the_successor_reads_nothing_of_a_connection_before_it_has_acknowledged_it() {
-    let site = Site::new();
+fn a_successor_does_not_read_from_a_connection_before_it_acknowledges_it() {
+    let fixture = Fixture::new();
     let injector = SyscallInjector::default();
-    let mut predecessor = site.start(&SyscallInjector::default());
+    let mut predecessor = fixture.start(&SyscallInjector::default());
     let mut open: Vec<_> = (0..CONNECTIONS)
-        .map(|_| predecessor.served(&site.hosts))
+        .map(|_| predecessor.served(&fixture.hosts))
         .collect();
-    let _successor = site.start(&injector);
-    injector.set(&[never_succeeds(Call::SendMessage)]);
+    let _successor = fixture.start(&injector);
+    injector.set(&[fails_always(Call::SendMessage)]);
     predecessor.stop();
-    eventually("the first connection came", || injector.injected() > 0);
+    eventually("the first connection has arrived", || {
+        injector.injected() > 0
+    });
     for (client, ..) in &mut open {
         client.send_line("early");
     }
-    // Within the time that the process before waits for its word.
+    // The predecessor still waits for the acknowledgement during this time.
     let until = Instant::now() + Duration::from_millis(600);
     while Instant::now() < until {
         for (_, _, host) in &open {
             host.stream.set_nonblocking(true).unwrap();
-            let came = host.stream.peek(&mut [0; 8]);
+            let received = host.stream.peek(&mut [0; 8]);
             host.stream.set_nonblocking(false).unwrap();
             assert!(
-                came.is_err(),
-                "it touched a connection that it had not answered for: {came:?}"
+                received.is_err(),
+                "the successor used a connection that it had not acknowledged: {received:?}"
             );
         }
         thread::sleep(Duration::from_millis(20));
@@ -122,30 +126,29 @@
     assert!(predecessor.wait().success());
 }
 
-/// Prevents that clients of a process that ends are held for a successor that stands still, until the process is killed.
+/// Guards against clients of an ending process that are held for a suspended successor until the process is killed.
 #[test]
-fn clients_are_migrated_in_time_where_the_successor_stands_still_and_the_longest_deadline_is_short()
-{
-    let mut site = Site::new();
-    site.node_config["settings"]["offerings"][0]["expiry"] = json!(500.0);
-    site.node_config["settings"]["offerings"][0]["contract_time"] = json!(300.0);
-    let mut predecessor = site.start(&SyscallInjector::default());
+fn clients_with_short_deadlines_are_migrated_in_time_beside_a_suspended_successor() {
+    let mut fixture = Fixture::new();
+    fixture.node_config["settings"]["offerings"][0]["expiry"] = json!(500.0);
+    fixture.node_config["settings"]["offerings"][0]["contract_time"] = json!(300.0);
+    let mut predecessor = fixture.start(&SyscallInjector::default());
     let mut open: Vec<_> = (0..CONNECTIONS)
-        .map(|_| predecessor.served(&site.hosts))
+        .map(|_| predecessor.served(&fixture.hosts))
         .collect();
-    let successor = site.start(&SyscallInjector::default());
+    let successor = fixture.start(&SyscallInjector::default());
     successor.suspend();
-    // It stands still once this is said of it.
+    // `suspend` has returned: the successor is suspended from here on.
     predecessor.stop();
-    let asked = Instant::now();
+    let stop_requested_at = Instant::now();
     for (client, ..) in &mut open {
         client.expect_line("MOVE");
     }
-    // The longest expiry and what a node may take beyond it.
+    // The longest expiry of 500 ms, and the 700 ms that a process has beyond it.
     assert!(
-        asked.elapsed() < Duration::from_millis(1200),
+        stop_requested_at.elapsed() < Duration::from_millis(1200),
         "{:?}",
-        asked.elapsed()
+        stop_requested_at.elapsed()
     );
     successor.unsuspend();
     assert!(predecessor.wait().success());
--- a/node/tests/relisted.rs
+++ b/node/tests/relisted.rs
@@ -1,5 +1,5 @@
-//! Hosts that the list puts into another group or at another address: what was chosen for them before goes by
-//! where they were.
+//! Hosts that the endpoint list moves to another idempotency group or address: attempts that were chosen before the change are
+//! judged by the former group and address.
 
 mod shared;
 
@@ -10,22 +10,22 @@
 use std::thread::yield_now;
 use std::time::{Duration, Instant};
 
-/// Longer than the grace for draining hosts in the configuration of trials.
+/// Longer than the grace for draining hosts in the test configuration.
 const PAST_GRACE: Duration = Duration::from_millis(500);
 
-/// Guards against a retry matched against the idempotency group in which the host of the first attempt is
-/// listed by now, and not the one in which it may have run it: its name has come back in another.
+/// Guards against a retry in the idempotency group in which the host of the first attempt is listed now, instead of the one in which
+/// it was when it may have run the request.
 #[test]
 fn a_retry_stays_in_the_group_in_which_the_first_attempt_may_have_run() {
     for idempotency_group in ["zone", "cell"] {
         let hosts = Hosts::start(2);
         let discovery = Discovery::start();
-        let named = |host: usize, place: usize| {
+        let listed = |host: usize, index: usize| {
             let mut member = member(host, &hosts.addresses[host].to_string(), "active");
-            (member["locality"], member["cell"]) = (json!(["a", "b"][place]), json!(place));
+            (member["locality"], member["cell"]) = (json!(["a", "b"][index]), json!(index));
             member
         };
-        let mut node_config = node_config_of(json!([named(0, 0)]), discovery.address);
+        let mut node_config = node_config_of(json!([listed(0, 0)]), discovery.address);
         let settings = &mut node_config["settings"];
         settings["zones"] = json!(["a", "b"]);
         settings["offerings"][0] = request_class("guarded", idempotency_group, 1500.0);
@@ -34,24 +34,24 @@
         let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
         let (_, mut host) = hosts.accept();
         host.receive_line();
-        // Each change has been applied once the next call has come.
-        discovery.change(named(1, 1));
+        // The node has applied a change once its next call arrives.
+        discovery.change(listed(1, 1));
         discovery.calls(2);
-        discovery.change(named(0, 1));
+        discovery.change(listed(0, 1));
         discovery.calls(3);
         host.reset();
         client.expect_line("ERR");
         assert!(
             hosts.accept_soon().is_none(),
-            "{idempotency_group}: sent out of its group"
+            "{idempotency_group}: retried outside its group"
         );
     }
 }
 
-/// Guards against a retry sent to a host that was in the group when it was chosen, and is listed in another by
-/// the time its connection is established.
+/// Guards against a retry at a host that was in the idempotency group when it was chosen, but is listed in another one when its
+/// connection is established.
 #[test]
-fn a_retry_is_not_sent_where_its_host_has_left_the_group_while_it_was_connected() {
+fn a_retry_is_not_sent_if_its_host_leaves_the_group_while_it_is_connected() {
     for (moves, sent) in [(false, true), (true, false)] {
         let hosts = Hosts::start(1);
         let (listener, first) = full_listener();
@@ -81,18 +81,18 @@
         let deadline = Instant::now() + LATE_CONNECTION_TIMEOUT;
         let late = answer_late_request(&listener, first, deadline);
         assert_eq!(late.is_some(), sent, "moves {moves}");
-        let said = client.receive_line();
+        let answer = client.receive_line();
         assert!(
-            said.starts_with(if sent { "UP 2" } else { "ERR" }),
-            "moves {moves}: {said}"
+            answer.starts_with(if sent { "UP 2" } else { "ERR" }),
+            "moves {moves}: {answer}"
         );
     }
 }
 
-/// Guards against new work for an address that a host has left: it is listed at another one while its connection
-/// is being established, which takes longer than the grace.
+/// Guards against an attempt at an address that its host has left: the host is listed at another address while the connection is
+/// being established, which takes longer than the grace for draining hosts.
 #[test]
-fn a_host_listed_at_another_address_gets_nothing_new_at_the_old_one() {
+fn a_host_listed_at_another_address_gets_no_attempt_at_the_old_one() {
     let (listener, first) = full_listener();
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
     let old = member(0, &listener.local_addr().unwrap().to_string(), "active");
@@ -114,7 +114,7 @@
     drop(first);
     drop(listener.accept().unwrap());
     listener.set_nonblocking(true).unwrap();
-    // The system asks for the connection again a second after the first time, if it is still wanted.
+    // The kernel repeats the SYN after a second if the node still wants the connection.
     let mut at_new_address = None;
     while changed.elapsed() < LATE_CONNECTION_TIMEOUT && at_new_address.is_none() {
         at_new_address = hosts.accept_soon();
@@ -127,15 +127,15 @@
             );
         }
     }
-    let (_, mut host) = at_new_address.expect("nothing came to the new address");
+    let (_, mut host) = at_new_address.expect("no connection arrived at the new address");
     host.receive_line();
     host.send_line("UP 2");
     client.expect_line("UP 2");
 }
 
-/// Guards against a host avoided at its new address, as nobody accepts the connection at the old one.
+/// Guards against a host that is ejected at its new address because the connection to the old one is not accepted.
 #[test]
-fn a_host_is_not_avoided_for_what_happens_at_its_old_address() {
+fn a_host_is_not_ejected_for_a_failure_at_its_old_address() {
     let (listener, first) = full_listener();
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
     let old = member(0, &listener.local_addr().unwrap().to_string(), "active");
--- a/node/tests/soak.rs
+++ b/node/tests/soak.rs
@@ -1,12 +1,12 @@
-//! The soak, in short: a dozen processes under faults that overlap, judged by the rules. `reedferry-testkit soak` plays more
-//! seeds, larger and longer.
+//! A short soak: a dozen processes under overlapping faults must break no rule. `reedferry-testkit soak` plays more seeds, with more
+//! processes and for longer.
 
 use reedferry_testkit::soak::soak_faults::{PlannedFault, SoakFault, SoakSchedule};
 use reedferry_testkit::soak::{play, play_schedule, SoakSize};
 use std::time::Duration;
 
-/// Prevents broken rules where stops, reloads, replacements, failing calls, stepped clocks and peers that
-/// misbehave meet.
+/// Guards against rules that are broken when stops, reloads, hot restarts, failing system calls, stepped clocks and misbehaving peers
+/// coincide.
 #[test]
 fn no_rule_is_broken_where_faults_overlap() {
     let size = SoakSize {
@@ -17,9 +17,9 @@
         overlap: 3,
     };
     for seed in [1, 2, 6] {
-        let found = play(seed, &size);
+        let report = play(seed, &size);
         let count = |name: &str| {
-            found
+            report
                 .figures
                 .get(name)
                 .and_then(serde_json::value::Value::as_u64)
@@ -27,21 +27,22 @@
         };
         assert!(
             count("served") > 100 && count("calls spoilt") > 20,
-            "too tame: {:?}",
-            found.figures
+            "too few requests or faults: {:?}",
+            report.figures
         );
-        let drawn = SoakSchedule::draw(seed, &size);
+        let schedule = SoakSchedule::draw(seed, &size);
         assert!(
-            found.broken.is_empty(),
-            "seed {seed}: {:#?} under\n{drawn}",
-            found.broken
+            report.broken.is_empty(),
+            "seed {seed}: {:#?} under\n{schedule}",
+            report.broken
         );
     }
 }
 
-/// Guards against a drain held against a process whose watch fell silent before it, and may wait on.
+/// Guards against a soak that reports a violation for a drain of which a process could not learn: its watch fell silent before the
+/// drain, and the process may still wait for it.
 #[test]
-fn a_drain_that_a_silent_watch_hides_is_no_violation_before_the_watch_has_to_end() {
+fn a_drain_hidden_by_a_silent_watch_is_no_violation_before_the_watch_must_end() {
     const DRAINED: usize = 1;
     let size = SoakSize {
         processes: 4,
@@ -55,7 +56,7 @@
         duration: Duration::from_millis(duration),
         fault,
     };
-    // The times of soak 77002.
+    // The times at which the soak with seed 77002 reported such a violation.
     let schedule = SoakSchedule {
         seed: 77002,
         planned: vec![
@@ -63,6 +64,6 @@
             planned(9558, 993, SoakFault::Drain(DRAINED)),
         ],
     };
-    let found = play_schedule(&schedule, &size);
-    assert!(found.broken.is_empty(), "{:#?}", found.broken);
+    let report = play_schedule(&schedule, &size);
+    assert!(report.broken.is_empty(), "{:#?}", report.broken);
 }
--- a/node/tests/upgrade.rs
+++ b/node/tests/upgrade.rs
@@ -1,5 +1,5 @@
-//! An older and a newer build work together, both ways: one replaces the other with open connections, they share a
-//! fleet view and keep request records for each other, and they are the two ends of the control plane.
+//! An older and a newer build work together in both orders: each replaces the other with open connections, they share a
+//! fleet view and keep request records for each other, and they are forwarder and planner of one control plane.
 //!
 //! `REEDFERRY_PREVIOUS` names the program of the older build; without it both are the build under test.
 
@@ -17,15 +17,17 @@
 use std::thread;
 use std::time::Duration;
 
+/// The gossip period.
 const PERIOD: Duration = Duration::from_millis(100);
 /// How long request records are kept.
 const RECORD_LIFETIME: Duration = Duration::from_secs(2);
 
+/// Returns the program of the older build.
 fn previous_build() -> PathBuf {
     std::env::var_os("REEDFERRY_PREVIOUS").map_or_else(path, PathBuf::from)
 }
 
-/// The two orders: which build comes first, which second.
+/// Returns the two builds in both orders.
 fn both_ways() -> [(PathBuf, PathBuf); 2] {
     [(previous_build(), path()), (path(), previous_build())]
 }
@@ -40,7 +42,7 @@
         let start = |program: &PathBuf| {
             let mut node = Node::start_build_at(program, &config, &listener, &folder);
             node.address = listener.local_addr().unwrap();
-            eventually("ready", || node.call("GET /status").0 == 200);
+            eventually("the node is ready", || node.call("GET /status").0 == 200);
             node
         };
         let mut predecessor = start(&older);
@@ -63,7 +65,7 @@
     }
 }
 
-/// A fleet in which nodes of the two builds alternate.
+/// Starts a fleet with a view, in which nodes of the two builds alternate: those with an odd number are of the older build.
 fn mixed_fleet(
     nodes: usize,
     service: &Discovery,
@@ -101,62 +103,73 @@
         fleet.kill(node, Duration::ZERO);
         assert!(
             fleet.agrees_within(PERIOD * 60).is_some(),
-            "after a death: {:?}",
+            "views differ after a node was killed: {:?}",
             fleet.held()
         );
     }
 }
 
-/// How often the lines of each key reached a host that answers nothing.
-type Lines = Arc<Mutex<HashMap<String, usize>>>;
+/// The number of request lines of each key that reached a host.
+type LineCounts = Arc<Mutex<HashMap<String, usize>>>;
 
-fn host_that_counts() -> (serde_json::Value, Lines) {
+/// Starts a host that counts request lines and answers none. Returns its entry of the endpoint list and the counts.
+fn start_counting_host() -> (serde_json::Value, LineCounts) {
     let host = TcpListener::bind("127.0.0.1:0").unwrap();
     let member = json!({"id": "s-0", "host_port": host.local_addr().unwrap().to_string(), "locality": "a",
         "flavor": "m", "cell": 0, "phase": "active", "size": 1.0, "up_since_ms": 0});
-    let lines = Lines::default();
-    let seen = lines.clone();
+    let line_counts = LineCounts::default();
+    let counts = line_counts.clone();
     thread::spawn(move || {
         for stream in host.incoming().flatten() {
-            let seen = seen.clone();
+            let counts = counts.clone();
             thread::spawn(move || {
                 for line in BufReader::new(stream).lines().map_while(Result::ok) {
                     let key = line.split(' ').nth(1).unwrap_or("").to_string();
-                    *seen.lock().unwrap().entry(key).or_default() += 1;
+                    *counts.lock().unwrap().entry(key).or_default() += 1;
                 }
             });
         }
     });
-    (member, lines)
+    (member, line_counts)
 }
 
-/// Non-idempotent requests whose node dies are not sent again, whichever build the node and the replicas are of.
+/// Guards against requests that are not idempotent and that are sent again when their node dies, whichever build the node and the
+/// replicas are of.
 #[test]
-fn nodes_of_two_builds_keep_records_for_each_other() {
+fn nodes_of_two_builds_keep_request_records_for_each_other() {
     let _turn = one_test_at_a_time();
-    let (member, lines) = host_that_counts();
+    let (member, line_counts) = start_counting_host();
     let service = Discovery::start();
     service.change(member.clone());
     let mut fleet = mixed_fleet(6, &service, &[member], |fleet| {
         fleet.class("single_shot", Some(RECORD_LIFETIME))
     });
-    // A replica that has just started does not vote before a record's lifetime is over.
+    // A replica does not vote until a record's lifetime has passed since its start.
     thread::sleep(RECORD_LIFETIME + PERIOD);
-    let ask = |fleet: &Fleet, node: usize, key: usize| {
+    let request = |fleet: &Fleet, node: usize, key: usize| {
         let mut client = Peer::connect(fleet.nodes[node].as_ref().unwrap().address);
         client.send_line(&format!("OPEN {key:x} {key:x} c=chat,t=acme,d=2000"));
         client
     };
-    let sent = |key: usize| lines.lock().unwrap().get(&format!("{key:x}")).copied();
+    let sent = |key: usize| {
+        line_counts
+            .lock()
+            .unwrap()
+            .get(&format!("{key:x}"))
+            .copied()
+    };
     let keys = 0x1000..0x1014_usize;
-    let waiting: Vec<Peer> = keys.clone().map(|key| ask(&fleet, key % 2, key)).collect();
-    eventually("each is sent once", || {
+    let waiting: Vec<Peer> = keys
+        .clone()
+        .map(|key| request(&fleet, key % 2, key))
+        .collect();
+    eventually("each request is sent once", || {
         keys.clone().all(|key| sent(key) == Some(1))
     });
     fleet.kill(0, Duration::ZERO);
     fleet.kill(1, Duration::ZERO);
     for key in keys.clone() {
-        let answer = ask(&fleet, 2 + key % 4, key).receive_line();
+        let answer = request(&fleet, 2 + key % 4, key).receive_line();
         assert!(
             answer.starts_with("ERR") || answer.starts_with("BUSY"),
             "{key:x}: {answer}"
@@ -167,7 +180,8 @@
         let status = fleet.status(node).unwrap();
         status["wards"]["taken_over"].as_u64().unwrap()
     };
-    // Those of which two replicas died with their nodes are rejected until these vote again.
+    // Requests two of whose replicas were on the killed nodes are rejected until these replicas vote again. The others are taken
+    // over by nodes of both builds.
     for (build, nodes) in [("this build", [2, 4]), ("the previous build", [3, 5])] {
         assert!(
             nodes.into_iter().map(taken_over).sum::<u64>() > 0,
@@ -199,8 +213,8 @@
         );
         let forwarder = Node::start_build_as(&forwarder, "forward", &text, &config);
         let mut open = Vec::new();
-        // Before the planner has been heard the forwarder rejects.
-        eventually("twenty are served", || {
+        // The forwarder rejects clients until the planner has answered.
+        eventually("twenty clients are served", || {
             let mut client = forwarder.open(OPEN);
             if client.receive_line().starts_with("UP") {
                 open.push(client);
