--- a/node/tests/clocks.rs
+++ b/node/tests/clocks.rs
@@ -41,13 +41,13 @@
     node_config
 }
 
-/// Returns the time in milliseconds on a wall clock that is off by `off` seconds.
-fn wall_clock_ms(off: i64) -> i64 {
+/// Returns the time in milliseconds on a wall clock that is off by `offset` seconds.
+fn wall_clock_ms(offset: i64) -> i64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap()
         .as_millis() as i64
-        + 1000 * off
+        + 1000 * offset
 }
 
 /// Guards against a host that has just started but counts as warm and is overloaded, and against a warm host that stays in its slow
@@ -56,8 +56,8 @@
 fn a_starting_host_gets_its_slow_start_whatever_the_wall_clocks_say() {
     for trials in CLOCK_OFFSETS.chunks(CONCURRENT_TRIALS) {
         thread::scope(|scope| {
-            for (node_off, host_off) in trials {
-                scope.spawn(move || check_warm_up(*node_off, *host_off));
+            for (node_offset, host_offset) in trials {
+                scope.spawn(move || check_warm_up(*node_offset, *host_offset));
             }
         });
     }
@@ -69,7 +69,7 @@
     clippy::too_many_lines,
     reason = "one trial: its setup, its load and its checks"
 )]
-fn check_warm_up(node_off: i64, host_off: i64) {
+fn check_warm_up(node_offset: i64, host_offset: i64) {
     let (service, checker, injector) = (
         Discovery::start(),
         InvariantChecker::default(),
@@ -77,7 +77,7 @@
     );
     let hosts = Hosts::start(3, &checker);
     let warm: Value = (0..2).map(|host| hosts.member(host, "active")).collect();
-    injector.step_clock(node_off);
+    injector.step_clock(node_offset);
     let node = Node::start_injected(&node_config(&service, warm), &injector);
     service.calls(2);
     let mut long_clients = Clients::new(vec![node.address], &checker, 1);
@@ -91,7 +91,7 @@
         hosts.standing().iter().sum::<u32>() as usize >= OPEN_CONNECTIONS * 9 / 10
     });
     let mut new = hosts.member(2, "active");
-    new["up_since_ms"] = json!(wall_clock_ms(host_off));
+    new["up_since_ms"] = json!(wall_clock_ms(host_offset));
     let start = Instant::now();
     service.change(new);
     let mut clients = Clients::new(vec![node.address], &checker, 2);
@@ -102,8 +102,8 @@
         Duration::from_millis(100),
     );
     let mut times: Vec<f64> = Vec::new();
-    for one in checker.reached().iter().filter(|one| one.host == 2) {
-        times.push(one.at.saturating_duration_since(start).as_secs_f64());
+    for attempt in checker.reached().iter().filter(|attempt| attempt.host == 2) {
+        times.push(attempt.at.saturating_duration_since(start).as_secs_f64());
     }
     times.sort_by(f64::total_cmp);
     for (n, first) in times
@@ -111,14 +111,14 @@
         .enumerate()
         .filter(|(_, first)| **first < WARM_UP_SECONDS - 1.0)
     {
-        let came = times[n..]
+        let arrived = times[n..]
             .iter()
             .take_while(|at| **at < first + 1.0)
             .count() as f64;
-        let warmth = INITIAL_SHARE + (1.0 - INITIAL_SHARE) * (first + 1.0) / WARM_UP_SECONDS;
+        let share = INITIAL_SHARE + (1.0 - INITIAL_SHARE) * (first + 1.0) / WARM_UP_SECONDS;
         // The connections at a warm host count as a quarter of what it can sustain.
         let capacity = 4.0 * (OPEN_CONNECTIONS as f64 + RATE * 0.1) / 2.0;
-        let budget = 3.0 * warmth * capacity / WARM_UP_SECONDS;
+        let budget = 3.0 * share * capacity / WARM_UP_SECONDS;
         let tolerance = if budget < 30.0 {
             3.0 * budget.sqrt() + 3.0
         } else {
@@ -126,8 +126,8 @@
         };
         let limit = budget + tolerance;
         assert!(
-            came <= limit,
-            "{node_off}, {host_off}: {came} of {budget:.1} in a second from {first:.2} s on"
+            arrived <= limit,
+            "{node_offset}, {host_offset}: {arrived} of {budget:.1} in a second from {first:.2} s on"
         );
     }
     let warmed = times
@@ -136,13 +136,13 @@
         .count();
     let log = node.drain_log();
     let log = &log[log.len().saturating_sub(12)..];
-    let last_second = |one: &&simulated::ObservedAttempt| {
-        one.at > start + Duration::from_secs_f64(WARM_UP_SECONDS + 1.0)
+    let last_second = |attempt: &&simulated::ObservedAttempt| {
+        attempt.at > start + Duration::from_secs_f64(WARM_UP_SECONDS + 1.0)
     };
     let anywhere = checker.reached().iter().filter(last_second).count();
     assert!(
         warmed as f64 > RATE / 6.0,
-        "{node_off}, {host_off}: {warmed} of {anywhere} in the second after the warm-up, {:.2} s the last: {log:#?}",
+        "{node_offset}, {host_offset}: {warmed} of {anywhere} in the second after the warm-up, {:.2} s the last: {log:#?}",
         times.last().unwrap_or(&0.0)
     );
     clients.end();
@@ -157,7 +157,7 @@
     reason = "a sequence in which each step depends on the one before"
 )]
 fn a_successor_keeps_timeouts_in_real_time_although_the_wall_clock_was_stepped() {
-    for off in [-3600, 3600, -5, 5] {
+    for offset in [-3600, 3600, -5, 5] {
         let (hosts, service) = (reedferry_testkit::Hosts::start(1), Discovery::start());
         let node_config = reedferry_testkit::node_config(&hosts, service.address);
         let (shared_listener, folder) = (listener(), folder());
@@ -173,13 +173,13 @@
         client.send_line("first");
         host.expect_line("first");
         let mut silent = Peer::connect(predecessor.address);
-        let came = Instant::now();
+        let connected_at = Instant::now();
         silent.write("OPEN half");
         let mut pinged = Peer::connect(predecessor.address);
         pinged.send_line("PING");
         pinged.expect_line("PONG");
         let injector = SyscallInjector::default();
-        injector.step_clock(off);
+        injector.step_clock(offset);
         let mut successor =
             Node::start_injected_at(&node_config, &shared_listener, &folder, &injector);
         successor.address = predecessor.address;
@@ -187,14 +187,14 @@
         assert!(predecessor.wait().success());
         silent.expect_line("ERR");
         assert!(
-            came.elapsed() < Duration::from_secs(3),
-            "{off}: {:?}",
-            came.elapsed()
+            connected_at.elapsed() < Duration::from_secs(3),
+            "{offset}: {:?}",
+            connected_at.elapsed()
         );
         assert!(
-            came.elapsed() > Duration::from_millis(1500),
-            "{off}: {:?}",
-            came.elapsed()
+            connected_at.elapsed() > Duration::from_millis(1500),
+            "{offset}: {:?}",
+            connected_at.elapsed()
         );
         // The client must not be migrated before its host has been silent for the timeout, and must be migrated then.
         client
@@ -205,8 +205,8 @@
         let early = std::io::Read::read(&mut client.stream, &mut read);
         assert!(
             early.is_err(),
-            "{off}: {early:?} {read:?} after {:?}, {:?}",
-            came.elapsed(),
+            "{offset}: {early:?} {read:?} after {:?}, {:?}",
+            connected_at.elapsed(),
             successor.drain_log()
         );
         host.send_line("answer");
@@ -221,7 +221,7 @@
         client.expect_line("MOVE");
         assert!(
             since.elapsed() < Duration::from_secs(7),
-            "{off}: {:?}",
+            "{offset}: {:?}",
             since.elapsed()
         );
         assert_eq!(
--- a/node/tests/departed_clients.rs
+++ b/node/tests/departed_clients.rs
@@ -143,8 +143,8 @@
     });
     node.suspend();
     let mut half_closed = Vec::new();
-    let fresh = (0..40).map(|_| Peer::connect(node.address));
-    for (n, mut client) in connected.into_iter().chain(fresh).enumerate() {
+    let new_clients = (0..40).map(|_| Peer::connect(node.address));
+    for (n, mut client) in connected.into_iter().chain(new_clients).enumerate() {
         client.send_line(&open_line(n));
         half_closed.extend(depart(client, DEPARTURES[n % DEPARTURES.len()]));
     }
--- a/node/tests/handover.rs
+++ b/node/tests/handover.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// Hosts, a list service, and the listener and folder that predecessor and successor share.
+/// Hosts, a discovery service, and the listener and folder that predecessor and successor share.
 struct Fixture {
     hosts: Hosts,
     _discovery: Discovery,
--- a/node/tests/hot_restart.rs
+++ b/node/tests/hot_restart.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// A list service, hosts and the listener and folder that the processes of a hot restart share.
+/// Hosts, a discovery service, and the listener and folder that predecessor and successor share.
 struct Fixture {
     hosts: Hosts,
     discovery: Discovery,
@@ -60,7 +60,7 @@
     assert!(node.wait().success());
 }
 
-/// Guards against a hot restart that migrates clients, or loses or duplicates partial lines. Two hot restarts in a row are played.
+/// Guards against a hot restart that migrates clients, or loses or duplicates partial lines. Two hot restarts follow each other.
 #[test]
 fn open_connections_and_partial_lines_are_handed_over_to_the_successor() {
     let fixture = Fixture::new(3);
@@ -216,7 +216,8 @@
     }
 }
 
-/// Guards against connections handed over to, or a hot restart blocked by, a process that connects to the channel but is no successor.
+/// Guards against a process that connects to the channel without being a successor: it must not receive connections or block a hot
+/// restart.
 #[test]
 fn an_invalid_peer_on_the_hot_restart_channel_receives_no_connections() {
     let fixture = Fixture::new(1);
@@ -370,23 +371,20 @@
     let mut successor = fixture.start();
     predecessor.stop();
     expect_clean_exit(&mut predecessor);
-    let mut class_indices = Vec::new();
+    let mut indices = Vec::new();
     for _ in 0..open.len() {
         let line = successor.wait_for_log("event ConnectionHandedOver");
-        let class_index = line
+        let index = line
             .split(" class: ")
             .nth(1)
             .and_then(|rest| rest.split(',').next()?.parse::<usize>().ok());
-        class_indices.push(class_index.unwrap());
+        indices.push(index.unwrap());
     }
-    class_indices.sort_unstable();
+    indices.sort_unstable();
     // `till` has its index in the new settings. Each class that is no longer offered in the same form has an index of its own.
-    assert!(
-        class_indices[0] == 2 && class_indices[1] > 2,
-        "{class_indices:?}"
-    );
-    class_indices.dedup();
-    assert_eq!(class_indices.len(), 3, "{class_indices:?}");
+    assert!(indices[0] == 2 && indices[1] > 2, "{indices:?}");
+    indices.dedup();
+    assert_eq!(indices.len(), 3, "{indices:?}");
     for (client, host) in &mut open {
         exchange_lines(client, host);
     }
--- a/node/tests/operator_api.rs
+++ b/node/tests/operator_api.rs
@@ -1,4 +1,4 @@
-//! The operators' API: status, metrics, standby.
+//! The operators' API: status, metrics and standby.
 
 use reedferry_testkit::*;
 use serde_json::{json, Value};
--- a/node/tests/process_stalls.rs
+++ b/node/tests/process_stalls.rs
@@ -85,9 +85,9 @@
 
     /// Checks that at least nine in ten of the clients that arrive from now on are served.
     fn expect_service(&self) {
-        let from = Instant::now();
+        let start = Instant::now();
         let (mut served, mut answers) = (0, Vec::new());
-        while from.elapsed() < ARRIVALS_AFTER_STALL {
+        while start.elapsed() < ARRIVALS_AFTER_STALL {
             let (_client, answer) = self.request(1000 + answers.len());
             served += usize::from(answer.starts_with("UP"));
             answers.push(answer);
@@ -121,10 +121,10 @@
 fn clients_are_served_right_after_the_process_was_delayed_repeatedly() {
     let fixture = Fixture::start();
     let open_traffic = fixture.open_traffic();
-    let held = Outcome::HeldUp(Duration::from_millis(140));
+    let delay = Outcome::HeldUp(Duration::from_millis(140));
     fixture.injector.set(&[Fault {
         call: Call::Send,
-        outcome: held,
+        outcome: delay,
         every: 2,
     }]);
     let until = Instant::now() + STALL;
@@ -162,10 +162,10 @@
     let requested_at = Instant::now();
     let (_, mut silent) = hosts.accept();
     assert!(silent.receive_line().starts_with("OPEN"));
-    let held = Outcome::HeldUp(Duration::from_millis(100));
+    let delay = Outcome::HeldUp(Duration::from_millis(100));
     injector.set(&[Fault {
         call: Call::Send,
-        outcome: held,
+        outcome: delay,
         every: 2,
     }]);
     // The lines of all connections are ready at the moment at which the answer is due.
--- a/node/tests/reload.rs
+++ b/node/tests/reload.rs
@@ -47,7 +47,7 @@
 
 /// Returns files that are truncated, lack a key or have a wrong value. Each of them names another discovery service and another
 /// class, so that a partial reload would be noticed.
-fn broken_files(node_config: &Value) -> Vec<String> {
+fn invalid_files(node_config: &Value) -> Vec<String> {
     let mut other = node_config.clone();
     other["discovery"] = json!(nowhere().to_string());
     other["settings"]["offerings"] = json!([class("talk", "free")]);
@@ -90,7 +90,7 @@
 /// Returns files in which one value is out of range, of a wrong type or a duplicate.
 fn files_with_a_wrong_value(other: &Value) -> Vec<String> {
     let mut files = Vec::new();
-    let mut set = |setting: &str, value: Value| {
+    let mut add = |setting: &str, value: Value| {
         let mut wrong = other.clone();
         *wrong.pointer_mut(&format!("/settings/{setting}")).unwrap() = value;
         files.push(wrong.to_string());
@@ -100,19 +100,19 @@
         "offerings/0/contract_time",
         "policy_limits/most_hand_offs",
     ] {
-        set(setting, json!(0));
-        set(setting, json!(-5));
-        set(setting, json!("soon"));
-        set(setting, json!(null));
-        set(setting, json!([]));
-        set(setting, json!(true));
+        add(setting, json!(0));
+        add(setting, json!(-5));
+        add(setting, json!("soon"));
+        add(setting, json!(null));
+        add(setting, json!([]));
+        add(setting, json!(true));
     }
-    set("offerings", json!([]));
-    set(
+    add("offerings", json!([]));
+    add(
         "offerings",
         json!([class("talk", "free"), class("talk", "free")]),
     );
-    set("offerings", json!(7));
+    add("offerings", json!(7));
     files
 }
 
@@ -121,8 +121,8 @@
 fn an_invalid_file_changes_nothing() {
     let hosts = Hosts::start(2);
     let (node, node_config, _discovery) = start(&hosts);
-    let broken = broken_files(&node_config);
-    for text in &broken {
+    let invalid = invalid_files(&node_config);
+    for text in &invalid {
         reload(&node, text, false);
     }
     assert_eq!(node.metric("reloads_ok"), 0);
@@ -134,7 +134,7 @@
         .all(|line| !line.contains("discovery call failed")));
     // Valid and invalid files in quick alternation.
     for n in 0..20 {
-        reload(&node, &broken[n * broken.len() / 20], false);
+        reload(&node, &invalid[n * invalid.len() / 20], false);
         reload(&node, &node_config.to_string(), true);
     }
     assert_served(&node, &hosts, "chat");
@@ -145,7 +145,7 @@
     // Enough hosts that some remain when others are ejected for broken attempts.
     let hosts = Hosts::start(8);
     let (node, mut node_config, _discovery) = start(&hosts);
-    let (mut open, _, mut standing) = node.served(&hosts);
+    let (mut open, _, mut open_host) = node.served(&hosts);
     let mut waiting = node.open(&open_line("chat"));
     let (_, mut host) = hosts.accept();
     host.receive_line();
@@ -160,7 +160,7 @@
     host.send_line("UP 2");
     waiting.expect_line("UP 2");
     open.send_line("up 1");
-    standing.expect_line("up 1");
+    open_host.expect_line("up 1");
     assert_eq!(node.metric("requests.chat.served"), 2);
     // `talk` becomes idempotent, but its pending request does not. `chat` comes back as a class that is not idempotent, and a new
     // request of it is not retried.
--- a/node/tests/repeats.rs
+++ b/node/tests/repeats.rs
@@ -63,36 +63,26 @@
 /// reorders the zones after that.
 #[test]
 fn a_retry_stays_in_the_group_of_the_host_that_may_have_run_it() {
-    for (case, idempotency_group, zones, left) in [
+    for (case, idempotency_group, zones, has_left) in [
         (
             "zones that the settings do not name",
             "zone",
             ["x", "y"],
             false,
         ),
-        (
-            "a host that leaves and is listed without its zone",
-            "zone",
-            ["b", ""],
-            true,
-        ),
-        (
-            "a host that leaves and is listed without its cell",
-            "cell",
-            ["a", "a"],
-            true,
-        ),
+        ("a host listed without its zone", "zone", ["b", ""], true),
+        ("a host listed without its cell", "cell", ["a", "a"], true),
         ("zones that change their order", "zone", ["a", "b"], true),
     ] {
         let hosts = Hosts::start(2);
         let discovery = Discovery::start();
-        let named = |host: usize| {
+        let listed = |host: usize| {
             let mut member = member(host, &hosts.addresses[host].to_string(), "active");
             // Host 1 is in cell 0, which is also the default of an entry without a cell.
             (member["locality"], member["cell"]) = (json!(zones[host]), json!(3 * (1 - host)));
             member
         };
-        let mut node_config = node_config_of(json!([named(0)]), discovery.address);
+        let mut node_config = node_config_of(json!([listed(0)]), discovery.address);
         let settings = &mut node_config["settings"];
         settings["zones"] = json!(["a", "b"]);
         settings["offerings"][0] = request_class("guarded", idempotency_group, 1500.0);
@@ -103,13 +93,13 @@
         assert_eq!(first, 0);
         host.receive_line();
         // The node has applied a change once its next call arrives.
-        discovery.change(named(1));
+        discovery.change(listed(1));
         discovery.calls(2);
-        if left {
+        if has_left {
             let mut gone = if case.contains("listed without") {
                 json!({"id": "s-0"})
             } else {
-                named(0)
+                listed(0)
             };
             gone["phase"] = json!("left");
             discovery.change(gone);
@@ -136,12 +126,12 @@
     for idempotency_group in ["zone", "cell", "all"] {
         let hosts = Hosts::start(2);
         let discovery = Discovery::start();
-        let named = |host: usize| {
+        let listed = |host: usize| {
             let mut member = member(host, &hosts.addresses[host].to_string(), "active");
             (member["locality"], member["cell"]) = (json!("x"), json!(7));
             member
         };
-        let mut node_config = node_config_of(json!([named(0), named(1)]), discovery.address);
+        let mut node_config = node_config_of(json!([listed(0), listed(1)]), discovery.address);
         node_config["settings"]["offerings"][0] =
             request_class("guarded", idempotency_group, 1500.0);
         let node = Node::start(&node_config);
@@ -170,7 +160,7 @@
     ] {
         let hosts = Hosts::start(2);
         let discovery = Discovery::start();
-        let named = |host: usize, cell: &serde_json::Value| {
+        let listed = |host: usize, cell: &serde_json::Value| {
             let mut member = member(host, &hosts.addresses[host].to_string(), "active");
             member["cell"] = cell.clone();
             if cell.is_null() {
@@ -178,7 +168,7 @@
             }
             member
         };
-        let mut node_config = node_config_of(json!([named(0, &first)]), discovery.address);
+        let mut node_config = node_config_of(json!([listed(0, &first)]), discovery.address);
         node_config["settings"]["offerings"][0] = request_class("guarded", "cell", 1500.0);
         let node = Node::start(&node_config);
         discovery.calls(1);
@@ -186,7 +176,7 @@
         let (_, mut host) = hosts.accept();
         host.receive_line();
         // The node has applied the change once its next call arrives.
-        discovery.change(named(1, &second));
+        discovery.change(listed(1, &second));
         discovery.calls(2);
         host.reset();
         let retry = hosts.accept_soon();
--- a/node/tests/replication.rs
+++ b/node/tests/replication.rs
@@ -71,7 +71,7 @@
             .class(idempotency, retention);
         fleet.start(&(0..nodes).collect::<Vec<_>>(), &[member], 1);
         assert!(fleet.agrees_within(PERIOD * 60).is_some());
-        // Replicas that have just started do not vote.
+        // Replicas do not vote until the retention has passed since their start.
         thread::sleep(retention.map_or(Duration::ZERO, |retention| retention + PERIOD));
         Fixture {
             _service: service,
--- a/node/tests/shutdown.rs
+++ b/node/tests/shutdown.rs
@@ -20,7 +20,7 @@
 }
 
 /// Returns how long after SIGTERM a process may be killed at the earliest, for a longest request deadline in milliseconds.
-fn kill_time(deadline: u64) -> Duration {
+fn earliest_kill(deadline: u64) -> Duration {
     ms(deadline.min(3000) + 700)
 }
 
@@ -43,20 +43,20 @@
 fn connections_whose_host_stopped_within_a_line_close_before_the_process_ends() {
     let hosts = Hosts::start(1);
     let (mut node, _discovery) = start(&hosts, |_| {});
-    let mut all: Vec<_> = (0..12).map(|_| node.served(&hosts)).collect();
-    for (client, _, host) in &mut all {
+    let mut open: Vec<_> = (0..12).map(|_| node.served(&hosts)).collect();
+    for (client, _, host) in &mut open {
         host.write("half");
         assert_eq!(client.bytes(4), b"half");
     }
-    let began = Instant::now();
+    let stop_requested_at = Instant::now();
     node.stop();
-    for (mut client, _, _host) in all {
+    for (mut client, _, _host) in open {
         let end = client.receive_line();
         assert!(["end", "reset"].contains(&end.as_str()), "{end}");
         assert!(
-            began.elapsed() < kill_time(2000),
+            stop_requested_at.elapsed() < earliest_kill(2000),
             "held for {:?}",
-            began.elapsed()
+            stop_requested_at.elapsed()
         );
     }
     assert!(node.wait().success());
@@ -67,19 +67,19 @@
 fn clients_that_stopped_within_a_line_are_migrated_before_the_process_ends() {
     let hosts = Hosts::start(1);
     let (mut node, _discovery) = start(&hosts, |p| set_deadline(p, 1000));
-    let mut all: Vec<_> = (0..12).map(|_| node.served(&hosts)).collect();
-    for (client, _, host) in &mut all {
+    let mut open: Vec<_> = (0..12).map(|_| node.served(&hosts)).collect();
+    for (client, _, host) in &mut open {
         client.write("half");
         assert_eq!(host.bytes(4), b"half");
     }
-    let began = Instant::now();
+    let stop_requested_at = Instant::now();
     node.stop();
-    for (mut client, _, _host) in all {
+    for (mut client, _, _host) in open {
         client.expect_line("MOVE");
         assert!(
-            began.elapsed() < kill_time(1000),
+            stop_requested_at.elapsed() < earliest_kill(1000),
             "held for {:?}",
-            began.elapsed()
+            stop_requested_at.elapsed()
         );
     }
     assert!(node.wait().success());
@@ -98,14 +98,14 @@
         let mut client = node.open(&OPEN.replace("d=2000", "d=9000"));
         let (_, mut host) = hosts.accept();
         host.receive_line();
-        let began = Instant::now();
+        let stop_requested_at = Instant::now();
         node.stop();
         let answer = client.receive_line();
         assert!(answer.starts_with(expected), "{idempotency}: {answer}");
         assert!(
-            began.elapsed() < kill_time(9000),
+            stop_requested_at.elapsed() < earliest_kill(9000),
             "{idempotency}: {:?}",
-            began.elapsed()
+            stop_requested_at.elapsed()
         );
         client.expect_line("end");
         host.expect_line("end");
@@ -122,7 +122,7 @@
     let mut clients = [Peer::connect(node.address), Peer::connect(node.address)];
     clients[1].write("OPEN 77 88 c=chat");
     wait_until_read(&node);
-    let began = Instant::now();
+    let stop_requested_at = Instant::now();
     node.stop();
     node.wait_for_log("asked to stop");
     // The request of a client that connects after the signal, and sends it only after its rejection, is not forwarded.
@@ -135,9 +135,9 @@
         client.expect_line("end");
     }
     assert!(
-        began.elapsed() < kill_time(900),
+        stop_requested_at.elapsed() < earliest_kill(900),
         "held for {:?}",
-        began.elapsed()
+        stop_requested_at.elapsed()
     );
     assert!(node.wait().success());
     assert!(
@@ -170,11 +170,11 @@
     let mut node = Node::start(&node_config);
     let mut client = node.open(&OPEN.replace("d=2000", "d=1500"));
     wait_until_read(&node);
-    let began = Instant::now();
+    let stop_requested_at = Instant::now();
     node.stop();
     assert!(client.receive_line().starts_with("BUSY"));
     client.expect_line("end");
-    assert!(began.elapsed() < kill_time(1500));
+    assert!(stop_requested_at.elapsed() < earliest_kill(1500));
     assert!(node.wait().success());
     // Any connection that was established was closed without a byte. The first one in the backlog is the test's own.
     drop(first);
@@ -197,7 +197,7 @@
     host.receive_line();
     host.write("UP 7");
     let (mut open, _, mut other) = node.served(&hosts);
-    let began = Instant::now();
+    let stop_requested_at = Instant::now();
     node.stop();
     node.wait_for_log("asked to stop");
     let mut changed_config = node_config(&hosts, discovery.address);
@@ -218,7 +218,11 @@
         client.expect_line("end");
         host.expect_line("end");
     }
-    assert!(began.elapsed() < kill_time(2000), "{:?}", began.elapsed());
+    assert!(
+        stop_requested_at.elapsed() < earliest_kill(2000),
+        "{:?}",
+        stop_requested_at.elapsed()
+    );
     assert!(node.wait().success());
 }
 
@@ -235,9 +239,11 @@
     let mut client = node.open(&OPEN.replace("d=2000", "d=9000"));
     let (_, mut host) = hosts.accept();
     host.receive_line();
-    let began = Instant::now();
+    let stop_requested_at = Instant::now();
     node.stop();
-    eventually("the time has passed", || began.elapsed() > ms(2000));
+    eventually("the time has passed", || {
+        stop_requested_at.elapsed() > ms(2000)
+    });
     // These clients are idle for less than the timeout of two seconds by then, and write before the host.
     let mut crowd: Vec<Peer> = (0..700).map(|_| Peer::connect(node.address)).collect();
     wait_until_read(&node);
@@ -245,7 +251,7 @@
     crowd.iter_mut().for_each(|other| other.write("O"));
     host.send_line("UP 7");
     eventually("the time has passed", || {
-        began.elapsed() > kill_time(9000) - ms(170)
+        stop_requested_at.elapsed() > earliest_kill(9000) - ms(170)
     });
     node.unsuspend();
     client.expect_line("UP 7");
--- a/node/tests/slow_start.rs
+++ b/node/tests/slow_start.rs
@@ -93,8 +93,8 @@
     let mut times: Vec<Instant> = checker
         .reached()
         .iter()
-        .filter(|one| one.host == WARM_HOSTS)
-        .map(|one| one.at)
+        .filter(|attempt| attempt.host == WARM_HOSTS)
+        .map(|attempt| attempt.at)
         .collect();
     times.sort();
     assert!(
