--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -9,7 +9,7 @@
 use crate::discovery::client::DiscoveryClient;
 use crate::operators::node_config::NodeConfig;
 use crate::operators::operator_config::{OperatorConfig, PlannerOptions, Role};
-use crate::{Signals, SWEEP};
+use crate::{Signals, SWEEP_INTERVAL};
 use reedferry::{Endpoint, Event, Nanos, MILLI};
 use reedferry_control_plane::{HostEntry, Planner, PlannerAction, PlannerConfig};
 use reedferry_runtime::log::LogBacklog;
@@ -103,7 +103,7 @@
         let revision = context.load_known_endpoints(&node_config)?;
         info!(context.log, "started"; "listen" => %listen, "role" => "plan", "name" => &role_config.name,
             "hosts" => context.hosts.count(), "revision" => revision);
-        let next_sweep = context.now + SWEEP;
+        let next_sweep = context.now + SWEEP_INTERVAL;
         context
             .poller
             .set_timer(next_sweep, token(context::SWEEP), 0);
@@ -187,7 +187,7 @@
                 continue;
             }
             let socket = LinkConnection::new(socket, stamp, true);
-            self.forwarder_sockets.by_line.insert(stamp, socket);
+            self.forwarder_sockets.by_id.insert(stamp, socket);
             self.planner.accept(context.now, stamp, &mut self.actions);
         }
     }
@@ -195,7 +195,7 @@
     fn handle_forwarder_readiness(&mut self, readiness: Readiness) {
         if let Some(socket) = self
             .forwarder_sockets
-            .by_line
+            .by_id
             .get_mut(&readiness.token.generation)
         {
             socket.on_ready(readiness);
@@ -203,7 +203,7 @@
     }
 
     fn connection_lost(&mut self, connection: u32, why: &str) {
-        self.forwarder_sockets.by_line.remove(&connection);
+        self.forwarder_sockets.by_id.remove(&connection);
         self.planner
             .connection_lost(connection, why, &mut self.actions);
     }
@@ -252,10 +252,10 @@
                 context::PROBE => self.probes.on_timeout(&mut self.context, due),
                 context::SWEEP => {
                     self.discovery.sweep(&mut self.context);
-                    self.context.note_spare_descriptors();
+                    self.context.check_descriptor_recovery();
                     self.context
                         .poller
-                        .set_timer(now + SWEEP, token(context::SWEEP), 0);
+                        .set_timer(now + SWEEP_INTERVAL, token(context::SWEEP), 0);
                 }
                 _ => {}
             }
