--- a/node/tests/fleet_recovery.rs
+++ b/node/tests/fleet_recovery.rs
@@ -54,7 +54,7 @@
 
     fn drains(&mut self, host: usize) {
         self.list[host] = self.hosts.member(host, "leaving");
-        self.hosts.drains(host);
+        self.hosts.note_drain(host);
         self.service.change(self.list[host].clone());
     }
 
@@ -69,7 +69,7 @@
     /// One client at each node.
     fn one_each(&self, seed: u64) -> ReturningClients {
         let addresses = self.fleet.addresses();
-        ReturningClients::come(
+        ReturningClients::start(
             addresses.len(),
             &self.fleet.front,
             Duration::ZERO,
@@ -81,8 +81,8 @@
     /// Clients that the front deals out, until they stand.
     fn returning_clients(&self, count: usize, seed: u64) -> ReturningClients {
         let returning_clients =
-            ReturningClients::come(count, &self.fleet.front, ms(500), None, seed);
-        eventually("all stand", || returning_clients.standing() == count);
+            ReturningClients::start(count, &self.fleet.front, ms(500), None, seed);
+        eventually("all stand", || returning_clients.connected() == count);
         returning_clients
     }
 
@@ -95,9 +95,9 @@
     }
 
     fn assert_nothing_broken(&self, mut returning_clients: ReturningClients) {
-        returning_clients.end();
-        let mut broken = self.hosts.broken(ms(300));
-        broken.extend(self.fleet.broken(&returning_clients));
+        returning_clients.stop();
+        let mut broken = self.hosts.violations(ms(300));
+        broken.extend(self.fleet.violations(&returning_clients));
         assert!(broken.is_empty(), "{broken:#?}");
     }
 }
@@ -109,7 +109,7 @@
     site.hosts(4, false);
     site.start(0..40, false);
     let returning_clients = site.one_each(1);
-    eventually("each node serves", || returning_clients.standing() == 40);
+    eventually("each node serves", || returning_clients.connected() == 40);
     let took = site.from.elapsed();
     site.at(6500);
     let (called, turned_away) = site.service.seen();
@@ -131,7 +131,7 @@
     site.hosts(2, false);
     site.start(0..1, false);
     let returning_clients = site.one_each(8);
-    eventually("it serves", || returning_clients.standing() == 1);
+    eventually("it serves", || returning_clients.connected() == 1);
     let took = site.from.elapsed();
     assert!(took <= ms(1500), "it served after {took:?}");
     site.assert_nothing_broken(returning_clients);
@@ -156,13 +156,13 @@
         (20..=90).contains(&down),
         "{down} calls of 20 nodes in 3.5 s"
     );
-    assert_eq!(returning_clients.standing(), 0);
+    assert_eq!(returning_clients.connected(), 0);
     site.service.reject_of_ten(9);
     site.service.come_up();
     site.at(5500);
     site.service.reject_of_ten(0);
     let well = Instant::now();
-    eventually("each node serves", || returning_clients.standing() == 20);
+    eventually("each node serves", || returning_clients.connected() == 20);
     let took = well.elapsed();
     assert!(
         took <= ms(2500),
@@ -199,7 +199,7 @@
     site.start(0..14, false);
     let returning_clients = site.one_each(7);
     // How soon hangs on what writes the list here.
-    eventually("each node serves", || returning_clients.standing() == 14);
+    eventually("each node serves", || returning_clients.connected() == 14);
     site.at(6500);
     let calls = site.calls();
     site.assert_nothing_broken(returning_clients);
@@ -242,8 +242,8 @@
     }
     thread::sleep((from + ms(6500)).saturating_duration_since(Instant::now()));
     let (there, all) = (
-        site.hosts.standing(new.clone()),
-        site.hosts.standing(0..new.end),
+        site.hosts.open_connections(new.clone()),
+        site.hosts.open_connections(0..new.end),
     );
     site.assert_nothing_broken(returning_clients);
     // They are twelve of the twenty hosts that stay.
@@ -260,11 +260,11 @@
     let returning_clients = site.returning_clients(96, 5);
     for host in [0, 1] {
         site.service.change(site.hosts.member(host, "leaving"));
-        site.hosts.drains(host);
+        site.hosts.note_drain(host);
     }
     // They leave evenly over the longest expiry.
     eventually("the hosts that drain are empty", || {
-        site.hosts.standing(0..2) == 0
+        site.hosts.open_connections(0..2) == 0
     });
     // It knows of 0 to 2 alone, and not that two of them drain.
     let before = site.calls();
@@ -289,16 +289,16 @@
     for node in 0..8 {
         drop(site.fleet.stop(node, ms(50)));
     }
-    eventually("all stand again", || returning_clients.standing() == 96);
+    eventually("all stand again", || returning_clients.connected() == 96);
     let calls = site.calls() - before;
     assert!(calls <= 16 * 4, "{calls} calls of 16 nodes");
-    let pieces = site.hosts.arrived(4).len();
+    let pieces = site.hosts.arrivals(4).len();
     site.list[3..]
         .iter()
         .for_each(|member| site.service.change(member.clone()));
     drop(site.fleet.stop(8, ms(50)));
     eventually("hosts that the pieces named are used again", || {
-        site.hosts.arrived(4).len() > pieces
+        site.hosts.arrivals(4).len() > pieces
     });
     site.assert_nothing_broken(returning_clients);
 }
@@ -324,7 +324,7 @@
     }
     thread::sleep((from + ms(3300)).saturating_duration_since(Instant::now()));
     (14..16).for_each(|node| site.fleet.unsuspend(node));
-    eventually("all stand again", || returning_clients.standing() == 160);
+    eventually("all stand again", || returning_clients.connected() == 160);
     let took = from.elapsed();
     thread::sleep((from + ms(6000)).saturating_duration_since(Instant::now()));
     site.assert_nothing_broken(returning_clients);
--- a/node/tests/membership.rs
+++ b/node/tests/membership.rs
@@ -4,7 +4,7 @@
 use reedferry_testkit::fleet::{
     one_test_at_a_time, Fleet, FleetOptions, ReturningClients, WarmingHosts,
 };
-use reedferry_testkit::fleet_view::{started, FleetView};
+use reedferry_testkit::fleet_view::{start_fleet, FleetView};
 use reedferry_testkit::network::{FaultyNetwork, LinkFaults};
 use reedferry_testkit::schedule::{play, FaultSchedule};
 use reedferry_testkit::{eventually, Discovery};
@@ -17,14 +17,14 @@
 const SLACK: u32 = 3;
 
 fn converged_fleet(nodes: usize, seed: u64) -> (Discovery, Fleet) {
-    let (service, fleet) = started(nodes, PERIOD, seed);
+    let (service, fleet) = start_fleet(nodes, PERIOD, seed);
     assert_converges(&fleet, 20, "at the start");
     (service, fleet)
 }
 
 fn assert_converges(fleet: &Fleet, periods: u32, when: &str) {
     let took = fleet.agrees_within(PERIOD * periods * SLACK);
-    assert!(took.is_some(), "tables differ {when}: {:?}", fleet.held());
+    assert!(took.is_some(), "tables differ {when}: {:?}", fleet.views());
 }
 
 /// Log lines on members that were declared dead though they run.
@@ -71,7 +71,7 @@
     let _turn = one_test_at_a_time();
     let (_service, fleet) = converged_fleet(20, 2);
     for (periods, parts) in [(20, 2), (30, 3)] {
-        fleet.fleet_view().network.split(|node| node % parts);
+        fleet.fleet_view().network.partition(|node| node % parts);
         thread::sleep(PERIOD * periods);
         fleet.fleet_view().network.heal();
         assert_converges(&fleet, 10, "after a cut");
@@ -79,16 +79,19 @@
     fleet
         .fleet_view()
         .network
-        .split(|node| usize::from(node == 19));
+        .partition(|node| usize::from(node == 19));
     thread::sleep(PERIOD * 30);
     fleet.fleet_view().network.heal();
     assert_converges(&fleet, 10, "after one was cut off");
     fleet.members_declared_dead();
     let cut = |from, to| (from, to) == (3, 4) || (from, to) == (4, 3) || (from, to) == (7, 8);
-    fleet.fleet_view().network.set(|from, to| LinkFaults {
-        cut: cut(from, to),
-        ..LinkFaults::default()
-    });
+    fleet
+        .fleet_view()
+        .network
+        .set_faults(|from, to| LinkFaults {
+            cut: cut(from, to),
+            ..LinkFaults::default()
+        });
     thread::sleep(PERIOD * 40);
     assert_eq!(false_deaths(&fleet, &[]), [""; 0]);
 }
@@ -100,7 +103,7 @@
     let _turn = one_test_at_a_time();
     let (_service, mut fleet) = converged_fleet(12, 3);
     let delay = PERIOD / 10;
-    fleet.fleet_view().network.set(|_, _| LinkFaults {
+    fleet.fleet_view().network.set_faults(|_, _| LinkFaults {
         loss: 0.2,
         duplicate: 0.1,
         delay,
@@ -279,8 +282,8 @@
     let mut fleet = Fleet::new(10, service.address, FleetOptions::TRIAL).with_view(fleet_view);
     fleet.start(&(0..10).collect::<Vec<_>>(), &list, 6);
     let mut returning_clients =
-        ReturningClients::come(60, &fleet.front, Duration::from_millis(500), None, 5);
-    eventually("all stand", || returning_clients.standing() == 60);
+        ReturningClients::start(60, &fleet.front, Duration::from_millis(500), None, 5);
+    eventually("all stand", || returning_clients.connected() == 60);
     assert_converges(&fleet, 20, "at the start");
     let from = Instant::now();
     for node in 0..10 {
@@ -297,10 +300,10 @@
     }
     assert_converges(&fleet, 10, "after all were restarted");
     assert!(from.elapsed() < Duration::from_secs(60));
-    eventually("all stand again", || returning_clients.standing() == 60);
-    returning_clients.end();
-    assert_eq!(hosts.broken(Duration::from_millis(300)), [""; 0]);
-    assert_eq!(fleet.broken(&returning_clients), [""; 0]);
+    eventually("all stand again", || returning_clients.connected() == 60);
+    returning_clients.stop();
+    assert_eq!(hosts.violations(Duration::from_millis(300)), [""; 0]);
+    assert_eq!(fleet.violations(&returning_clients), [""; 0]);
     let suspect = fleet
         .nodes
         .iter()
@@ -328,7 +331,7 @@
 fn count_probes(hosts: &WarmingHosts, from: Instant, rounds: u32) -> ProbeCounts {
     thread::sleep((from + PROBE_ROUND * rounds).saturating_duration_since(Instant::now()));
     let probes_of = |host: usize| -> Vec<Instant> {
-        let probes = hosts.probed(host).into_iter();
+        let probes = hosts.probes(host).into_iter();
         probes.filter(|at| *at >= from).collect()
     };
     let in_round = |probes: &[Instant], start: Instant| {
@@ -429,7 +432,7 @@
     let mut fleet = Fleet::new(6, service.address, FleetOptions::TRIAL).with_view(fleet_view);
     fleet.start(&(0..6).collect::<Vec<_>>(), &list, 4);
     let mut returning_clients =
-        ReturningClients::come(60, &fleet.front, Duration::from_millis(300), None, 7);
+        ReturningClients::start(60, &fleet.front, Duration::from_millis(300), None, 7);
     assert_converges(&fleet, 20, "at the start");
     let mut cold = |count: usize| {
         for member in hosts.members(hosts.start(count, true)) {
@@ -450,7 +453,7 @@
     expect(&fleet, 6.0, "all is used");
     fleet.kill(5, Duration::from_millis(200));
     expect(&fleet, 5.5, "the half of the dead one that is lent is used");
-    fleet.fleet_view().network.split(|node| node % 2);
+    fleet.fleet_view().network.partition(|node| node % 2);
     // Three of six are no majority, and neither are two.
     expect(
         &fleet,
@@ -465,7 +468,7 @@
     fleet
         .fleet_view()
         .network
-        .split(|node| usize::from(node < 2));
+        .partition(|node| usize::from(node < 2));
     fleet.resize_cluster(0..2, 4, &known, 7);
     expect(
         &fleet,
@@ -477,10 +480,10 @@
     fleet.start(&[5], &known, 7);
     expect(&fleet, 6.0, "with all again");
     assert!(max_used <= 6.0 + 1e-6, "{max_used} of 6 were used");
-    eventually("all stand", || returning_clients.standing() == 60);
-    returning_clients.end();
-    assert_eq!(hosts.broken(Duration::from_millis(300)), [""; 0]);
-    assert_eq!(fleet.broken(&returning_clients), [""; 0]);
+    eventually("all stand", || returning_clients.connected() == 60);
+    returning_clients.stop();
+    assert_eq!(hosts.violations(Duration::from_millis(300)), [""; 0]);
+    assert_eq!(fleet.violations(&returning_clients), [""; 0]);
 }
 
 /// Prevents an invariant broken, clients lost or tables that differ for ever where two faults overlap. Seed 31 flips bits
--- a/node/tests/replication.rs
+++ b/node/tests/replication.rs
@@ -65,7 +65,7 @@
         };
         let mut fleet = Fleet::new(nodes, service.address, OPTIONS)
             .with_view(fleet_view)
-            .class(idempotency, retention);
+            .with_effect(idempotency, retention);
         fleet.start(&(0..nodes).collect::<Vec<_>>(), &[member], 1);
         assert!(fleet.agrees_within(PERIOD * 60).is_some());
         // Replicas that have just started do not vote.
--- a/node/tests/upgrade.rs
+++ b/node/tests/upgrade.rs
@@ -82,12 +82,12 @@
     let mut fleet = build(Fleet::new(nodes, service.address, options).with_view(fleet_view));
     let (even, odd): (Vec<usize>, Vec<usize>) = (0..nodes).partition(|node| node % 2 == 0);
     fleet.start(&even, known, 1);
-    fleet = fleet.of(previous_build());
+    fleet = fleet.with_program(previous_build());
     fleet.start(&odd, known, 1);
     assert!(
         fleet.agrees_within(PERIOD * 60).is_some(),
         "views differ: {:?}",
-        fleet.held()
+        fleet.views()
     );
     fleet
 }
@@ -102,7 +102,7 @@
         assert!(
             fleet.agrees_within(PERIOD * 60).is_some(),
             "after a death: {:?}",
-            fleet.held()
+            fleet.views()
         );
     }
 }
@@ -138,7 +138,7 @@
     let service = Discovery::start();
     service.change(member.clone());
     let mut fleet = mixed_fleet(6, &service, &[member], |fleet| {
-        fleet.class("single_shot", Some(RECORD_LIFETIME))
+        fleet.with_effect("single_shot", Some(RECORD_LIFETIME))
     });
     // A replica that has just started does not vote before a record's lifetime is over.
     thread::sleep(RECORD_LIFETIME + PERIOD);
--- a/testkit/src/coldstart/scenario.rs
+++ b/testkit/src/coldstart/scenario.rs
@@ -80,7 +80,7 @@
         }
         let mut fleet = Fleet::new(size.nodes, service.address, options);
         if let Some(program) = program {
-            fleet = fleet.of(program.clone());
+            fleet = fleet.with_program(program.clone());
         }
         if mode == StartMode::Alone {
             fleet = fleet.with_each_configured_alone();
@@ -102,10 +102,10 @@
         let (calls, rejected) = self.service.seen();
         let attempts: Vec<Instant> = self
             .host_numbers
-            .flat_map(|host| self.hosts.arrived(host))
+            .flat_map(|host| self.hosts.arrivals(host))
             .collect();
-        let mut violations = self.fleet.broken(returning_clients);
-        violations.extend(self.hosts.broken(Duration::ZERO));
+        let mut violations = self.fleet.violations(returning_clients);
+        violations.extend(self.hosts.violations(Duration::ZERO));
         StartResult {
             calls: calls.len(),
             rejected: rejected.len(),
@@ -137,7 +137,7 @@
     let nodes: Vec<usize> = (0..size.nodes).collect();
     scenario.fleet.start(&nodes, &[], 0);
     let addresses = scenario.fleet.addresses();
-    let mut returning_clients = ReturningClients::come(
+    let mut returning_clients = ReturningClients::start(
         clients,
         &scenario.fleet.front,
         Duration::ZERO,
@@ -149,15 +149,15 @@
     let service_up = start + size.down;
     // Long enough for a service that rejects half of the calls, three times over.
     let time_limit = Duration::from_secs_f64(6.0 * size.nodes as f64 / size.rate + 10.0);
-    while returning_clients.standing() < clients && Instant::now() < service_up + time_limit {
+    while returning_clients.connected() < clients && Instant::now() < service_up + time_limit {
         thread::sleep(Duration::from_millis(20));
     }
     // Nodes have begun their next polls by then: the last list came at half of the poll interval, or later.
     let polled = service_up + OPTIONS.max_poll_interval * 3 / 2;
     thread::sleep(polled.saturating_duration_since(Instant::now()));
-    let first = returning_clients.first(service_up);
+    let first = returning_clients.first_connections(service_up);
     let mut first_clients: Vec<Duration> = first.into_iter().flatten().collect();
     first_clients.sort_unstable();
-    returning_clients.end();
+    returning_clients.stop();
     scenario.result(start, first_clients, &returning_clients)
 }
--- a/testkit/src/fleet/processes.rs
+++ b/testkit/src/fleet/processes.rs
@@ -65,7 +65,7 @@
     }
 
     /// With another build of the program.
-    pub fn of(mut self, program: PathBuf) -> Self {
+    pub fn with_program(mut self, program: PathBuf) -> Self {
         self.program = program;
         self
     }
@@ -97,7 +97,7 @@
     }
 
     /// With requests of this effect, whose records replicas keep for so long, where that is given.
-    pub fn class(mut self, effect: &'static str, record_lifetime: Option<Duration>) -> Self {
+    pub fn with_effect(mut self, effect: &'static str, record_lifetime: Option<Duration>) -> Self {
         (self.effect, self.record_lifetime) = (effect, record_lifetime);
         self
     }
@@ -291,11 +291,11 @@
 
     /// Violations of rule 1 as the clients saw them: a client whose node ended or was suspended by then may have had no
     /// answer, or a late one.
-    pub fn broken(&self, returning_clients: &ReturningClients) -> Vec<String> {
+    pub fn violations(&self, returning_clients: &ReturningClients) -> Vec<String> {
         let mut violations = Vec::new();
-        for (number, client) in returning_clients.seen.iter().enumerate() {
+        for (number, client) in returning_clients.records.iter().enumerate() {
             let client = client.lock().unwrap();
-            violations.extend(client.asks.iter().filter_map(|request| {
+            violations.extend(client.requests.iter().filter_map(|request| {
                 let violation = answer_violation(number, request)?;
                 (!self.ended_near(request)).then_some(violation)
             }));
@@ -308,8 +308,8 @@
     fn ended_near(&self, request: &RequestRecord) -> bool {
         self.ended.iter().any(|ended| {
             ended.address == request.node
-                && request.at < ended.at + REQUEST_TIMEOUT
-                && ended.at < request.at + REQUEST_TIMEOUT + SOCKET_SLACK
+                && request.sent_at < ended.at + REQUEST_TIMEOUT
+                && ended.at < request.sent_at + REQUEST_TIMEOUT + SOCKET_SLACK
         })
     }
 }
@@ -335,7 +335,7 @@
 
 /// How the answer to a request violates rule 1, where it does.
 fn answer_violation(client: usize, request: &RequestRecord) -> Option<String> {
-    match request.answered {
+    match request.answered_after {
         None => Some(format!("rule 1: guest {client} had no answer")),
         Some(took) if took > REQUEST_TIMEOUT + SOCKET_SLACK + SOCKET_SLACK => Some(format!(
             "rule 1: guest {client} was answered after {took:?}"
--- a/testkit/src/fleet/processes_tests.rs
+++ b/testkit/src/fleet/processes_tests.rs
@@ -28,15 +28,15 @@
         ended: Vec::new(),
     };
     fleet.front.add(address);
-    let mut returning_clients = ReturningClients::come(1, &fleet.front, Duration::ZERO, None, 1);
+    let mut returning_clients = ReturningClients::start(1, &fleet.front, Duration::ZERO, None, 1);
     eventually("it has sent two requests", || {
-        returning_clients.seen[0].lock().unwrap().asks.len() > 1
+        returning_clients.records[0].lock().unwrap().requests.len() > 1
     });
-    returning_clients.end();
-    assert!(!fleet.broken(&returning_clients).is_empty());
+    returning_clients.stop();
+    assert!(!fleet.violations(&returning_clients).is_empty());
     fleet.ended.push(EndedProcess {
         address,
         at: Instant::now(),
     });
-    assert!(fleet.broken(&returning_clients).is_empty());
+    assert!(fleet.violations(&returning_clients).is_empty());
 }
--- a/testkit/src/fleet/returning_clients.rs
+++ b/testkit/src/fleet/returning_clients.rs
@@ -24,45 +24,45 @@
 /// A request that a client sent, and its answer.
 pub struct RequestRecord {
     /// When the request was sent.
-    pub at: Instant,
+    pub sent_at: Instant,
     pub(super) node: SocketAddr,
     /// How long the answer took, where one came.
-    pub answered: Option<Duration>,
+    pub answered_after: Option<Duration>,
     /// Whether the answer accepted it.
-    pub up: bool,
+    pub accepted: bool,
 }
 
 /// What one client has seen so far.
 #[derive(Default)]
 pub struct ClientRecord {
     /// All requests that it sent.
-    pub asks: Vec<RequestRecord>,
+    pub requests: Vec<RequestRecord>,
     /// Since when its connection is open, if it is.
-    pub stands: Option<Instant>,
+    pub connected_since: Option<Instant>,
 }
 
 /// Clients that want a connection each, and reconnect under the same key whenever it ends.
 pub struct ReturningClients {
     /// What each client has seen.
-    pub seen: Arc<Vec<Mutex<ClientRecord>>>,
+    pub records: Arc<Vec<Mutex<ClientRecord>>>,
     stopped: Arc<AtomicBool>,
     threads: Vec<thread::JoinHandle<()>>,
 }
 
 impl ReturningClients {
     /// Starts so many clients within `spread`; where `nodes` is given, each stays with the node of its number.
-    pub fn come(
+    pub fn start(
         count: usize,
         front: &Front,
         spread: Duration,
         nodes: Option<&[SocketAddr]>,
         seed: u64,
     ) -> Self {
-        let seen: Arc<Vec<Mutex<ClientRecord>>> =
+        let records: Arc<Vec<Mutex<ClientRecord>>> =
             Arc::new((0..count).map(|_| Mutex::default()).collect());
         let stopped = Arc::new(AtomicBool::new(false));
         let spawn = |number: usize| {
-            let (seen, front) = (seen.clone(), front.clone());
+            let (records, front) = (records.clone(), front.clone());
             let own_node = nodes.map(|nodes| nodes[number % nodes.len()]);
             let mut rng = ChaCha8Rng::seed_from_u64(seed << 20 | number as u64);
             let stopped = stopped.clone();
@@ -71,7 +71,7 @@
                 let client = ReturningClient {
                     key: rng.random(),
                     rng,
-                    record: &seen[number],
+                    record: &records[number],
                     stopped: &stopped,
                     was_connected: false,
                 };
@@ -80,32 +80,32 @@
         };
         let threads = (0..count).map(spawn).collect();
         ReturningClients {
-            seen,
+            records,
             stopped,
             threads,
         }
     }
 
     /// How many have an open connection now.
-    pub fn standing(&self) -> usize {
-        self.seen
+    pub fn connected(&self) -> usize {
+        self.records
             .iter()
-            .filter(|record| record.lock().unwrap().stands.is_some())
+            .filter(|record| record.lock().unwrap().connected_since.is_some())
             .count()
     }
 
     /// How long after `from` each client's first connection opened, where one did.
-    pub fn first(&self, from: Instant) -> Vec<Option<Duration>> {
+    pub fn first_connections(&self, from: Instant) -> Vec<Option<Duration>> {
         let first = |record: &Mutex<ClientRecord>| {
             let record = record.lock().unwrap();
-            let accepted = record.asks.iter().find(|request| request.up)?;
-            Some((accepted.at + accepted.answered?).saturating_duration_since(from))
+            let accepted = record.requests.iter().find(|request| request.accepted)?;
+            Some((accepted.sent_at + accepted.answered_after?).saturating_duration_since(from))
         };
-        self.seen.iter().map(first).collect()
+        self.records.iter().map(first).collect()
     }
 
     /// Ends all clients and waits for them.
-    pub fn end(&mut self) {
+    pub fn stop(&mut self) {
         self.stopped.store(true, SeqCst);
         for client in self.threads.drain(..) {
             client.join().expect("a client panicked");
@@ -162,7 +162,7 @@
             return retry_after(&answer).unwrap_or(backoff);
         }
         self.hold(&mut stream, &mut reader);
-        self.record.lock().unwrap().stands = None;
+        self.record.lock().unwrap().connected_since = None;
         self.was_connected = true;
         backoff
     }
@@ -178,22 +178,22 @@
     }
 
     /// Notes a request, and returns its number.
-    fn note_request(&self, at: Instant, node: SocketAddr) -> usize {
+    fn note_request(&self, sent_at: Instant, node: SocketAddr) -> usize {
         let mut record = self.record.lock().unwrap();
-        record.asks.push(RequestRecord {
-            at,
+        record.requests.push(RequestRecord {
+            sent_at,
             node,
-            answered: None,
-            up: false,
+            answered_after: None,
+            accepted: false,
         });
-        record.asks.len() - 1
+        record.requests.len() - 1
     }
 
     fn note_answer(&self, number: usize, took: Duration, accepted: bool) {
         let mut record = self.record.lock().unwrap();
-        let request = &mut record.asks[number];
-        (request.answered, request.up) = (Some(took), accepted);
-        record.stands = accepted.then(Instant::now);
+        let request = &mut record.requests[number];
+        (request.answered_after, request.accepted) = (Some(took), accepted);
+        record.connected_since = accepted.then(Instant::now);
     }
 
     /// Sends a line now and then and expects it back, until either side ends the connection.
--- a/testkit/src/fleet/warming_hosts.rs
+++ b/testkit/src/fleet/warming_hosts.rs
@@ -22,8 +22,8 @@
     address: SocketAddr,
     /// When a host that started cold was started.
     started: Option<StartTime>,
-    arrived: Mutex<Vec<Instant>>,
-    probed: Mutex<Vec<Instant>>,
+    arrivals: Mutex<Vec<Instant>>,
+    probes: Mutex<Vec<Instant>>,
     drain_announced: Mutex<Option<Instant>>,
     open: AtomicU32,
     overloaded: AtomicBool,
@@ -62,8 +62,8 @@
             let host = Arc::new(WarmingHost {
                 address: listener.local_addr().unwrap(),
                 started: cold.then(StartTime::now),
-                arrived: Mutex::default(),
-                probed: Mutex::default(),
+                arrivals: Mutex::default(),
+                probes: Mutex::default(),
                 drain_announced: Mutex::default(),
                 open: AtomicU32::new(0),
                 overloaded: AtomicBool::new(false),
@@ -100,27 +100,27 @@
     }
 
     /// Notes that the list service announces from now on that this host drains.
-    pub fn drains(&self, host: usize) {
+    pub fn note_drain(&self, host: usize) {
         *self.host(host).drain_announced.lock().unwrap() = Some(Instant::now());
     }
 
     /// Connections that are open at these hosts.
-    pub fn standing(&self, hosts: impl Iterator<Item = usize>) -> u32 {
+    pub fn open_connections(&self, hosts: impl Iterator<Item = usize>) -> u32 {
         hosts.map(|host| self.host(host).open.load(SeqCst)).sum()
     }
 
     /// When connections with a request reached this host.
-    pub fn arrived(&self, host: usize) -> Vec<Instant> {
-        self.host(host).arrived.lock().unwrap().clone()
+    pub fn arrivals(&self, host: usize) -> Vec<Instant> {
+        self.host(host).arrivals.lock().unwrap().clone()
     }
 
     /// When nodes probed the load of this host.
-    pub fn probed(&self, host: usize) -> Vec<Instant> {
-        self.host(host).probed.lock().unwrap().clone()
+    pub fn probes(&self, host: usize) -> Vec<Instant> {
+        self.host(host).probes.lock().unwrap().clone()
     }
 
     /// Violations of rules 3 and 4, one a line; `notice_delay` is how long the news of a drain may take to the nodes.
-    pub fn broken(&self, notice_delay: Duration) -> Vec<String> {
+    pub fn violations(&self, notice_delay: Duration) -> Vec<String> {
         let mut violations = Vec::new();
         for (number, host) in self.hosts.lock().unwrap().iter().enumerate() {
             if host.overloaded.load(SeqCst) {
@@ -143,8 +143,8 @@
             return 0;
         };
         let deadline = announced + DRAIN_GRACE + SOCKET_SLACK + notice_delay;
-        let arrived = self.arrived.lock().unwrap();
-        arrived.iter().filter(|at| **at > deadline).count()
+        let arrivals = self.arrivals.lock().unwrap();
+        arrivals.iter().filter(|at| **at > deadline).count()
     }
 
     fn serve(&self, mut stream: TcpStream, options: FleetOptions) {
@@ -152,7 +152,7 @@
             return;
         };
         while line.starts_with("STATS") {
-            self.probed.lock().unwrap().push(Instant::now());
+            self.probes.lock().unwrap().push(Instant::now());
             line.clear();
             if stream.write_all(b"PONG util=0.2,x0=0.2\r\n").is_err()
                 || !matches!(reader.read_line(&mut line), Ok(1..))
@@ -172,9 +172,9 @@
     /// Notes a connection with a request, and whether it overloads the host. Only hosts that warm up are overloaded.
     fn note_arrival(&self, options: FleetOptions) {
         let now = Instant::now();
-        let mut arrived = self.arrived.lock().unwrap();
-        arrived.push(now);
-        let in_window = arrived
+        let mut arrivals = self.arrivals.lock().unwrap();
+        arrivals.push(now);
+        let in_window = arrivals
             .iter()
             .rev()
             .take_while(|at| **at + options.overload_window > now)
--- a/testkit/src/fleet/warming_hosts_tests.rs
+++ b/testkit/src/fleet/warming_hosts_tests.rs
@@ -28,17 +28,17 @@
     let _within_budget: Vec<TcpStream> = [0, 0, 2, 2, 2, 2]
         .map(|host| send_request(hosts.host(host).address))
         .into();
-    eventually("six stand", || hosts.standing(0..3) == 6);
-    assert_eq!(hosts.broken(Duration::ZERO), Vec::<String>::new());
+    eventually("six stand", || hosts.open_connections(0..3) == 6);
+    assert_eq!(hosts.violations(Duration::ZERO), Vec::<String>::new());
     let _flood: Vec<TcpStream> = (0..4)
         .map(|_| send_request(hosts.host(1).address))
         .collect();
-    eventually("four came", || hosts.arrived(1).len() == 4);
-    hosts.drains(2);
+    eventually("four came", || hosts.arrivals(1).len() == 4);
+    hosts.note_drain(2);
     thread::sleep(DRAIN_GRACE + SOCKET_SLACK + Duration::from_millis(10));
     let _late = send_request(hosts.host(2).address);
-    eventually("one came late", || hosts.arrived(2).len() == 5);
-    let violations = hosts.broken(Duration::ZERO);
+    eventually("one came late", || hosts.arrivals(2).len() == 5);
+    let violations = hosts.violations(Duration::ZERO);
     assert_eq!(violations.len(), 2, "{violations:?}");
     assert!(
         violations[0].starts_with("rule 4: host 1")
--- a/testkit/src/fleet_view/measure.rs
+++ b/testkit/src/fleet_view/measure.rs
@@ -1,7 +1,7 @@
 //! Measurement of the fleet view: how fast it settles after a start, a death and a partition, and what it costs a node.
 //! Owns the promised bounds and the figures.
 
-use super::started;
+use super::start_fleet;
 use crate::fleet::Fleet;
 use crate::network::LinkFaults;
 use crate::two_tier::Report;
@@ -91,7 +91,7 @@
     }
 
     fn sent(&self) -> u64 {
-        self.fleet.fleet_view().network.passed().sent.iter().sum()
+        self.fleet.fleet_view().network.traffic().sent.iter().sum()
     }
 
     fn measure_quiet(&self) -> QuietCost {
@@ -167,7 +167,7 @@
     /// Partitions the network, and returns how long the views took to agree after it healed.
     fn measure_partition(&self, periods: u32, parts: usize) -> f64 {
         let network = &self.fleet.fleet_view().network;
-        network.split(|node| node % parts);
+        network.partition(|node| node % parts);
         thread::sleep(self.period * periods);
         network.heal();
         self.periods_to_agree().unwrap_or(f64::INFINITY)
@@ -182,7 +182,10 @@
             delay: self.period / 10,
             ..Default::default()
         };
-        self.fleet.fleet_view().network.set(|_, _| link_faults);
+        self.fleet
+            .fleet_view()
+            .network
+            .set_faults(|_, _| link_faults);
         thread::sleep(self.period * LOSSY_PERIODS);
         self.wrongly_declared_dead += self.fleet.members_declared_dead().len();
     }
@@ -221,7 +224,7 @@
     network_faults: bool,
 ) -> Option<Measurement> {
     let start = Instant::now();
-    let (_service, fleet) = started(nodes, period, seed);
+    let (_service, fleet) = start_fleet(nodes, period, seed);
     let start_millis = start.elapsed().as_secs_f64() * 1000.0 / nodes as f64;
     let mut scenario = Scenario {
         fleet,
--- a/testkit/src/fleet_view/mod.rs
+++ b/testkit/src/fleet_view/mod.rs
@@ -53,7 +53,7 @@
     }
 
     /// The view of each node that runs: the states of the other members by their names, those that are gone left out.
-    pub fn held(&self) -> Vec<(usize, MemberStates)> {
+    pub fn views(&self) -> Vec<(usize, MemberStates)> {
         (0..self.cluster_size)
             .filter_map(|node| Some((node, self.view(node)?)))
             .collect()
@@ -72,7 +72,7 @@
 
     /// Whether each node that runs sees all that run, and them alone, to be at work.
     pub fn agrees(&self) -> bool {
-        let views = self.held();
+        let views = self.views();
         views.iter().all(|(node, view)| {
             let at_work = |other: &usize| {
                 view.get(&format!("n{other}"))
@@ -115,7 +115,7 @@
 }
 
 /// Starts a fleet that keeps a view, with a list service of its own.
-pub fn started(nodes: usize, period: Duration, seed: u64) -> (Discovery, Fleet) {
+pub fn start_fleet(nodes: usize, period: Duration, seed: u64) -> (Discovery, Fleet) {
     let service = Discovery::start();
     let fleet_view = FleetView {
         network: FaultyNetwork::new(nodes + 1, seed),
--- a/testkit/src/network/connection.rs
+++ b/testkit/src/network/connection.rs
@@ -109,13 +109,13 @@
         if happens(link_faults.corrupt) {
             let middle = bytes.len() / 2;
             bytes[middle] ^= 0x55;
-            traffic.garbled += 1;
+            traffic.corrupted += 1;
         } else if happens(link_faults.truncate) {
             bytes.truncate(bytes.len() / 2);
             self.broken = true;
-            traffic.shortened += 1;
+            traffic.truncated += 1;
         }
-        traffic.held_up += u64::from(!link_faults.delay.is_zero());
+        traffic.delayed += u64::from(!link_faults.delay.is_zero());
         let delay = link_faults.delay.mul_f64(rng.random());
         // Never before what was sent earlier.
         let previous = self.in_transit[end].back();
--- a/testkit/src/network/event_loop.rs
+++ b/testkit/src/network/event_loop.rs
@@ -228,17 +228,17 @@
         } else {
             1
         };
-        traffic.doubled += copies - 1;
+        traffic.duplicated += copies - 1;
         let length = datagram.bytes.len();
         if happens(rng, link_faults.corrupt) && length > 0 {
             let index = rng.random_range(0..length);
             datagram.bytes[index] ^= rng.random_range(1..=255u8);
-            traffic.garbled += 1;
+            traffic.corrupted += 1;
         } else if happens(rng, link_faults.truncate) && length > 0 {
             datagram.bytes.truncate(rng.random_range(0..length));
-            traffic.shortened += 1;
+            traffic.truncated += 1;
         }
-        traffic.held_up += u64::from(!link_faults.delay.is_zero());
+        traffic.delayed += u64::from(!link_faults.delay.is_zero());
         drop(shared);
         for _ in 0..copies {
             self.send_after(datagram.clone(), link_faults.delay);
--- a/testkit/src/network/mod.rs
+++ b/testkit/src/network/mod.rs
@@ -41,13 +41,13 @@
     /// Datagrams that were lost.
     pub lost: u64,
     /// Datagrams that came twice.
-    pub doubled: u64,
+    pub duplicated: u64,
     /// Datagrams and pieces with a changed byte.
-    pub garbled: u64,
+    pub corrupted: u64,
     /// Datagrams and pieces that were cut short.
-    pub shortened: u64,
+    pub truncated: u64,
     /// Datagrams and pieces that were delayed.
-    pub held_up: u64,
+    pub delayed: u64,
 }
 
 /// A datagram between two processes.
@@ -113,7 +113,7 @@
     }
 
     /// Sets the faults of all links, by sender and receiver.
-    pub fn set(&self, link_faults: impl Fn(usize, usize) -> LinkFaults) {
+    pub fn set_faults(&self, link_faults: impl Fn(usize, usize) -> LinkFaults) {
         let mut shared = self.shared.lock().unwrap();
         for (from, row) in shared.link_faults.iter_mut().enumerate() {
             row.iter_mut()
@@ -123,7 +123,7 @@
     }
 
     /// Changes the faults of all links, by sender and receiver.
-    pub fn change(&self, change: impl Fn(usize, usize, &mut LinkFaults)) {
+    pub fn change_faults(&self, change: impl Fn(usize, usize, &mut LinkFaults)) {
         let mut shared = self.shared.lock().unwrap();
         for (from, row) in shared.link_faults.iter_mut().enumerate() {
             row.iter_mut()
@@ -133,8 +133,8 @@
     }
 
     /// Cuts the network into parts that do not hear each other; other faults stay.
-    pub fn split(&self, part: impl Fn(usize) -> usize) {
-        self.change(|from, to, link_faults| link_faults.cut = part(from) != part(to));
+    pub fn partition(&self, part: impl Fn(usize) -> usize) {
+        self.change_faults(|from, to, link_faults| link_faults.cut = part(from) != part(to));
     }
 
     /// Records all datagrams that are sent from now on.
@@ -158,11 +158,11 @@
 
     /// Takes all faults away.
     pub fn heal(&self) {
-        self.set(|_, _| LinkFaults::default());
+        self.set_faults(|_, _| LinkFaults::default());
     }
 
     /// What was seen on the wire so far.
-    pub fn passed(&self) -> TrafficCounts {
+    pub fn traffic(&self) -> TrafficCounts {
         self.shared.lock().unwrap().traffic.clone()
     }
 }
--- a/testkit/src/network/network_tests.rs
+++ b/testkit/src/network/network_tests.rs
@@ -24,7 +24,7 @@
             .map(|(length, from)| (space[..length].to_vec(), from))
     };
     let passes = |link_faults: LinkFaults| {
-        network.set(|from, _| {
+        network.set_faults(|from, _| {
             if from == 0 {
                 link_faults
             } else {
@@ -89,18 +89,18 @@
     })
     .unwrap();
     assert!(received(1).is_some(), "not doubled");
-    let passed = network.passed();
+    let traffic = network.traffic();
     assert_eq!(
         (
-            passed.lost,
-            passed.doubled,
-            passed.garbled,
-            passed.shortened,
-            passed.held_up
+            traffic.lost,
+            traffic.duplicated,
+            traffic.corrupted,
+            traffic.truncated,
+            traffic.delayed
         ),
         (2, 1, 1, 1, 8)
     );
-    assert_eq!(passed.sent, [14, 14]);
+    assert_eq!(traffic.sent, [14, 14]);
 }
 
 /// A connection from one process's address to the other's face.
@@ -142,7 +142,7 @@
     drop(far);
     assert_eq!(writes.join().unwrap(), "thanks");
     let injected = |link_faults: LinkFaults| {
-        network.set(|from, _| {
+        network.set_faults(|from, _| {
             if from == 0 {
                 link_faults
             } else {
@@ -181,6 +181,6 @@
         far.read_to_end(&mut rest).is_ok() && rest == b"th",
         "{rest:?}"
     );
-    let passed = network.passed();
-    assert!(passed.held_up >= 1 && passed.garbled == 1 && passed.shortened == 1);
+    let traffic = network.traffic();
+    assert!(traffic.delayed >= 1 && traffic.corrupted == 1 && traffic.truncated == 1);
 }
--- a/testkit/src/schedule/play.rs
+++ b/testkit/src/schedule/play.rs
@@ -40,7 +40,7 @@
 pub fn play(schedule: &FaultSchedule, program: Option<&PathBuf>) -> Vec<String> {
     let mut playback = Playback::start(schedule, program);
     let clients = CLIENTS_PER_NODE * schedule.nodes;
-    let mut returning_clients = ReturningClients::come(
+    let mut returning_clients = ReturningClients::start(
         clients,
         &playback.fleet.front,
         CLIENT_SPREAD,
@@ -63,13 +63,13 @@
     if !playback.views_agree_in_time() {
         violations.push(format!(
             "the views do not agree: {:?}",
-            playback.fleet.held()
+            playback.fleet.views()
         ));
     }
     violations.extend(wait_for_clients(&returning_clients, clients, ended));
-    returning_clients.end();
-    violations.extend(playback.hosts.broken(NOTICE_DELAY));
-    violations.extend(playback.fleet.broken(&returning_clients));
+    returning_clients.stop();
+    violations.extend(playback.hosts.violations(NOTICE_DELAY));
+    violations.extend(playback.fleet.violations(&returning_clients));
     violations
 }
 
@@ -79,9 +79,9 @@
     clients: usize,
     ended: Instant,
 ) -> Option<String> {
-    while returning_clients.standing() < clients {
+    while returning_clients.connected() < clients {
         if ended.elapsed() > RECONNECT_TIMEOUT {
-            let standing = returning_clients.standing();
+            let standing = returning_clients.connected();
             return Some(format!("{standing} of {clients} clients stand"));
         }
         thread::sleep(Duration::from_millis(20));
@@ -170,7 +170,7 @@
             .with_cluster_size(nodes)
             .with_view(fleet_view);
         if let Some(program) = program {
-            fleet = fleet.of(program.clone());
+            fleet = fleet.with_program(program.clone());
         }
         fleet.start(&(0..nodes).collect::<Vec<_>>(), &list, FIRST_REVISION);
         Playback {
@@ -307,7 +307,7 @@
         self.fleet
             .fleet_view()
             .network
-            .set(|from, to| link_faults(&active, from, to));
+            .set_faults(|from, to| link_faults(&active, from, to));
     }
 }
 
