--- a/testkit/src/fleet/front.rs
+++ b/testkit/src/fleet/front.rs
@@ -1,4 +1,4 @@
-//! The front: distributes clients over nodes at random, and notices late that a node has ended.
+//! The front load balancer: sends each client to a random node, and notices the end of a node only after a delay.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -6,18 +6,18 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// Distributes clients over nodes, and notices late that one has ended.
+/// A load balancer in front of the nodes. Clones share their backends.
 #[derive(Clone, Default)]
 pub struct Front(Arc<Mutex<Vec<Backend>>>);
 
 struct Backend {
     address: SocketAddr,
-    /// From when on it is left out.
+    /// When the backend stops receiving clients; `None` while no end is known.
     removed_at: Option<Instant>,
 }
 
 impl Front {
-    /// Sends clients to this address from now on.
+    /// Adds a backend, which receives clients from now on.
     pub(super) fn add(&self, address: SocketAddr) {
         self.0.lock().unwrap().push(Backend {
             address,
@@ -25,7 +25,7 @@
         });
     }
 
-    /// Sends no more clients to this address from that moment on.
+    /// Stops sending clients to the backends with this address from the time `at` on.
     pub(super) fn remove_at(&self, address: SocketAddr, at: Instant) {
         self.0
             .lock()
@@ -35,7 +35,7 @@
             .for_each(|backend| backend.removed_at = Some(at));
     }
 
-    /// A random backend, if there is any.
+    /// Returns the address of a random backend, or `None` if there is none.
     pub(super) fn pick(&self, rng: &mut ChaCha8Rng) -> Option<SocketAddr> {
         let mut backends = self.0.lock().unwrap();
         backends.retain(|backend| backend.removed_at.is_none_or(|at| at > Instant::now()));
--- a/testkit/src/fleet/options.rs
+++ b/testkit/src/fleet/options.rs
@@ -1,27 +1,27 @@
-//! The options that all processes and hosts of a fleet share: how hosts warm up and when they are overloaded.
+//! The options that all processes and hosts of a fleet share.
 
 use std::time::Duration;
 
 /// How hosts warm up, when they are overloaded, and how often nodes poll the list service.
 #[derive(Clone, Copy)]
 pub struct FleetOptions {
-    /// How long a host warms up.
+    /// How long a host warms up after its start.
     pub warm_up: Duration,
-    /// The share of its capacity that a host has at its start.
+    /// The share of its warm capacity that a host has at its start, 0 to 1.
     pub warm_up_initial_share: f64,
-    /// The window in which a host's overload is counted.
+    /// The window in which connections to a host are counted to find an overload.
     pub overload_window: Duration,
-    /// How many times its current capacity a host bears within one window.
+    /// The multiple of its current capacity that a host bears within one window.
     pub overload_factor: f64,
-    /// The longest interval between two calls of a node to the list service.
+    /// The longest interval between two calls of one node to the list service.
     pub max_poll_interval: Duration,
-    /// Connections that fill a warm host.
+    /// The number of connections that fill a warm host.
     pub warm_capacity: f64,
 }
 
 impl FleetOptions {
-    /// The options of tests with more than ten nodes. A warm host bears six times its capacity here, where nodes count
-    /// on four: with small numbers, chance and a busy machine make connections arrive in bunches.
+    /// The options of tests with more than ten nodes. A warm host bears six times its capacity, while nodes count on
+    /// four times only: with small numbers, chance and a busy machine make connections arrive in bunches.
     pub const TRIAL: FleetOptions = FleetOptions {
         warm_up: Duration::from_secs(5),
         warm_up_initial_share: 0.2,
@@ -31,7 +31,7 @@
         warm_capacity: 120.0,
     };
 
-    /// How many connections a host of this age may be sent within one overload window.
+    /// Returns how many connections a host of this age may be sent within one overload window.
     pub fn budget(&self, age: Duration) -> f64 {
         let progress = (age.as_secs_f64() / self.warm_up.as_secs_f64()).min(1.0);
         let capacity_share =
--- a/testkit/src/fleet/processes.rs
+++ b/testkit/src/fleet/processes.rs
@@ -1,5 +1,5 @@
-//! The processes of a fleet: their configs, how they are started, reconfigured, suspended and ended. Owns when each of
-//! them ended, by which rule 1 is checked against what clients saw.
+//! The processes of a fleet: writes their configs, and starts, reconfigures, suspends and ends them. Records when each
+//! process ended, so that rule 1 can be checked against what the clients saw.
 
 use super::returning_clients::RequestRecord;
 use super::{FleetOptions, Front, ReturningClients, IDEMPOTENCY_WINDOW, REQUEST_TIMEOUT};
@@ -13,30 +13,30 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How many processes a fleet starts at a time.
+/// The number of threads that start processes, one process each at a time.
 const START_THREADS: usize = 16;
 
 /// Processes of the program that share a list service and hosts.
 pub struct Fleet {
-    /// The running processes by their numbers.
+    /// The processes by number; `None` where none runs.
     pub nodes: Vec<Option<Node>>,
-    /// The front that distributes clients.
+    /// The load balancer that sends clients to the processes.
     pub front: Front,
     program: PathBuf,
     discovery: SocketAddr,
     options: FleetOptions,
-    /// Each process is configured as if it were the only one.
+    /// Whether each process is configured as if it were the only one.
     configured_alone: bool,
-    /// Nodes learn the loads of hosts by probes alone.
+    /// Whether nodes learn the loads of hosts by probes alone.
     load_probes: bool,
-    /// The effect of all requests.
+    /// The `effect` setting of the request class.
     effect: &'static str,
-    /// How long request records are kept by replicas, where they are.
+    /// How long replicas keep request records; `None` leaves their section out of the operator config.
     record_lifetime: Option<Duration>,
-    /// The cluster size that settings name, where some of the processes have no index of their own.
+    /// The cluster size in the settings; processes with higher numbers have no index of their own.
     pub(crate) cluster_size: usize,
     fleet_view: Option<FleetView>,
-    /// Where a process was killed, suspended or asked to stop, and when.
+    /// The processes that were killed, suspended or asked to stop.
     ended: Vec<EndedProcess>,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl Fleet {
-    /// A fleet of which no process runs yet.
+    /// Creates a fleet of `nodes` processes, none of which runs yet.
     pub fn new(nodes: usize, discovery: SocketAddr, options: FleetOptions) -> Self {
         Fleet {
             nodes: (0..nodes).map(|_| None).collect(),
@@ -64,51 +64,54 @@
         }
     }
 
-    /// With another build of the program.
+    /// Uses another build of the program.
     pub fn with_program(mut self, program: PathBuf) -> Self {
         self.program = program;
         self
     }
 
-    /// With a fleet view in each process.
+    /// Makes each process run the membership protocol.
     pub fn with_view(mut self, fleet_view: FleetView) -> Self {
         self.fleet_view = Some(fleet_view);
         self
     }
 
-    /// The network and settings of the fleet view.
+    /// Returns the network and settings of the membership protocol.
     ///
     /// # Panics
-    /// Where the fleet keeps no view.
+    /// If the fleet does not run the membership protocol.
     pub fn fleet_view(&self) -> &FleetView {
-        self.fleet_view.as_ref().expect("a fleet with a view")
+        self.fleet_view
+            .as_ref()
+            .expect("the fleet must run the membership protocol")
     }
 
-    /// With this cluster size; any process beyond it is started as a second one of another.
+    /// Sets the cluster size. Processes beyond it are started as second processes of other nodes.
     pub fn with_cluster_size(mut self, cluster_size: usize) -> Self {
         self.cluster_size = cluster_size;
         self
     }
 
-    /// With loads of hosts that are learned by probes alone.
+    /// Makes nodes learn the loads of hosts by probes alone.
     pub fn with_load_probes(mut self) -> Self {
         self.load_probes = true;
         self
     }
 
-    /// With requests of this effect, whose records replicas keep for so long, where that is given.
+    /// Sets the effect of all requests, and how long replicas keep request records; with `None` the config has no section
+    /// for request records.
     pub fn with_effect(mut self, effect: &'static str, record_lifetime: Option<Duration>) -> Self {
         (self.effect, self.record_lifetime) = (effect, record_lifetime);
         self
     }
 
-    /// With processes that are configured as if each were the only one at the list service.
+    /// Configures each process as if it were the only one that calls the list service.
     pub fn with_each_configured_alone(mut self) -> Self {
         self.configured_alone = true;
         self
     }
 
-    /// Where the running processes accept clients, by their numbers.
+    /// Returns the client addresses of the running processes, in the order of their numbers.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.nodes
             .iter()
@@ -157,7 +160,7 @@
         contract["ask_within"] = millis(self.options.max_poll_interval);
     }
 
-    /// Starts these processes at once, each with this endpoint list, and adds them to the front.
+    /// Starts these processes in parallel, each with this endpoint list, and adds them to the front.
     pub fn start(&mut self, numbers: &[usize], known: &[Value], revision: u64) {
         let configs: Vec<ProcessConfig> = numbers
             .iter()
@@ -178,7 +181,7 @@
                 .collect();
             threads
                 .into_iter()
-                .flat_map(|thread| thread.join().expect("a node did not start"))
+                .flat_map(|thread| thread.join().expect("a thread that starts nodes panicked"))
                 .collect()
         });
         for (number, node) in started {
@@ -202,13 +205,13 @@
         }
     }
 
-    /// Has all running processes reload a config that names another address of the list service.
+    /// Makes all running processes reload a config with another address of the list service.
     pub fn move_discovery(&mut self, discovery: SocketAddr, known: &[Value], revision: u64) {
         self.discovery = discovery;
         self.reload(0..self.nodes.len(), known, revision);
     }
 
-    /// Has these processes reload a config that names another cluster size.
+    /// Makes these processes reload a config with another cluster size.
     pub fn resize_cluster(
         &mut self,
         numbers: Range<usize>,
@@ -229,8 +232,8 @@
         }
     }
 
-    /// Starts a second process under the name of this one, with a fleet address of its own: the first beyond the
-    /// cluster size.
+    /// Starts a second process under the name of node `of`. It takes the first number beyond the cluster size, and the
+    /// fleet address of that number.
     pub fn start_twin(&mut self, of: usize, known: &[Value], revision: u64) {
         let mut node_config = self.node_config(of, known, revision);
         node_config["listen"] = json!("127.0.0.1:0");
@@ -240,17 +243,17 @@
         self.nodes[self.cluster_size] = Some(twin);
     }
 
-    /// Suspends a process for a moment, in which the front still sends clients to it.
+    /// Suspends a process for a short time; the front goes on sending clients to it.
     pub fn pause(&self, node: usize) {
         self.nodes[node].iter().for_each(Node::suspend);
     }
 
-    /// Ends [`Fleet::pause`].
+    /// Continues a process after [`Fleet::pause`].
     pub fn resume(&self, node: usize) {
         self.nodes[node].iter().for_each(Node::unsuspend);
     }
 
-    /// Notes the end of a process, and has the front notice it after this delay.
+    /// Records the end of a process, and makes the front notice it after this delay.
     fn note_end(&mut self, node: usize, notice_delay: Duration) {
         if let Some(address) = self.nodes[node].as_ref().map(|node| node.address) {
             self.ended.push(EndedProcess {
@@ -261,13 +264,14 @@
         }
     }
 
-    /// Kills a process; the front notices after this delay.
+    /// Kills a process; the front notices it after this delay.
     pub fn kill(&mut self, node: usize, notice_delay: Duration) {
         self.note_end(node, notice_delay);
         self.nodes[node] = None;
     }
 
-    /// Suspends a process until [`Fleet::unsuspend`]; requests that it had accepted may be answered late.
+    /// Suspends a process until [`Fleet::unsuspend`] and removes it from the front. Requests that it has accepted may be
+    /// answered late.
     pub fn suspend(&mut self, node: usize) {
         self.note_end(node, Duration::ZERO);
         self.nodes[node].iter().for_each(Node::suspend);
@@ -281,7 +285,7 @@
         }
     }
 
-    /// Asks a process to stop, and returns it to whoever waits for its end.
+    /// Asks a process to stop, and returns it so that the caller can wait for its end; `None` if it does not run.
     pub fn stop(&mut self, node: usize, notice_delay: Duration) -> Option<Node> {
         self.note_end(node, notice_delay);
         let node = self.nodes[node].take()?;
@@ -289,8 +293,8 @@
         Some(node)
     }
 
-    /// Violations of rule 1 as the clients saw them: a client whose node ended or was suspended by then may have had no
-    /// answer, or a late one.
+    /// Returns the violations of rule 1 that the clients saw. A missing or late answer is no violation if the client's
+    /// node ended or was suspended at about that time.
     pub fn violations(&self, returning_clients: &ReturningClients) -> Vec<String> {
         let mut violations = Vec::new();
         for (number, client) in returning_clients.records.iter().enumerate() {
@@ -303,8 +307,8 @@
         violations
     }
 
-    /// Whether the node of a request ended about when it was sent. Until a front has left a node out, and up to
-    /// [`REQUEST_TIMEOUT`] after that, some requests still reach it.
+    /// Returns whether the node of a request ended at about the time when the request was sent. Requests still reach an
+    /// ended node until the front notices the end, and wait up to [`REQUEST_TIMEOUT`] for their answers.
     fn ended_near(&self, request: &RequestRecord) -> bool {
         self.ended.iter().any(|ended| {
             ended.address == request.node
@@ -314,10 +318,10 @@
     }
 }
 
-/// What one process is started with.
+/// The config that one process is started with.
 struct ProcessConfig {
     number: usize,
-    /// Only where the fleet keeps a view.
+    /// The operator config; `None` if the fleet does not run the membership protocol.
     operator_config: Option<String>,
     node_config: Value,
 }
@@ -333,12 +337,12 @@
     }
 }
 
-/// How the answer to a request violates rule 1, where it does.
+/// Describes how the answer to a request violates rule 1; `None` if it does not.
 fn answer_violation(client: usize, request: &RequestRecord) -> Option<String> {
     match request.answered_after {
-        None => Some(format!("rule 1: guest {client} had no answer")),
+        None => Some(format!("rule 1: client {client} had no answer")),
         Some(took) if took > REQUEST_TIMEOUT + SOCKET_SLACK + SOCKET_SLACK => Some(format!(
-            "rule 1: guest {client} was answered after {took:?}"
+            "rule 1: client {client} was answered after {took:?}"
         )),
         Some(_) => None,
     }
--- a/testkit/src/fleet/processes_tests.rs
+++ b/testkit/src/fleet/processes_tests.rs
@@ -3,9 +3,9 @@
 use std::io::{BufRead, BufReader};
 use std::net::TcpListener;
 
-/// Prevents clients left without an answer that nobody notices, and those of a node that died held against it.
+/// Guards against a checker that misses a client without an answer, or that reports one whose node had ended.
 #[test]
-fn a_client_without_an_answer_is_noticed_unless_its_node_died() {
+fn a_client_without_an_answer_is_a_violation_unless_its_node_ended() {
     let silent_node = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = silent_node.local_addr().unwrap();
     thread::spawn(move || {
@@ -29,7 +29,7 @@
     };
     fleet.front.add(address);
     let mut returning_clients = ReturningClients::start(1, &fleet.front, Duration::ZERO, None, 1);
-    eventually("it has sent two requests", || {
+    eventually("the client has sent two requests", || {
         returning_clients.records[0].lock().unwrap().requests.len() > 1
     });
     returning_clients.stop();
--- a/testkit/src/fleet/returning_clients.rs
+++ b/testkit/src/fleet/returning_clients.rs
@@ -1,4 +1,5 @@
-//! Clients that want a connection each, and reconnect under the same key whenever it ends. Owns what each of them saw.
+//! Clients that each hold one connection, and reconnect under the same affinity key whenever it ends. Records what each
+//! of them saw.
 
 use super::{Front, REQUEST_TIMEOUT};
 use crate::simulated::spawn_thread;
@@ -11,14 +12,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a client with a node of its own waits at the longest before it reconnects, as it observes when the node
-/// serves again.
+/// The longest time that a client with a fixed node waits before it reconnects. It is short because such clients measure
+/// when their node serves again.
 const MAX_OWN_NODE_BACKOFF: Duration = Duration::from_millis(100);
-/// How long a client waits for a front that knows no node.
+/// How long a client waits before it asks the front again if that has no backend.
 const EMPTY_FRONT_BACKOFF: Duration = Duration::from_millis(50);
-/// The pause between two lines on an open connection.
+/// The pause between two lines that a client sends on an open connection.
 const ECHO_INTERVAL: Duration = Duration::from_millis(100);
-/// How long an open connection is read without a line before the client looks whether it is to end.
+/// How long a client waits for a line on an open connection before it checks whether it has to stop.
 const ECHO_READ_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A request that a client sent, and its answer.
@@ -26,31 +27,32 @@
     /// When the request was sent.
     pub sent_at: Instant,
     pub(super) node: SocketAddr,
-    /// How long the answer took, where one came.
+    /// How long the answer took; `None` if none came.
     pub answered_after: Option<Duration>,
-    /// Whether the answer accepted it.
+    /// Whether the answer accepted the request.
     pub accepted: bool,
 }
 
 /// What one client has seen so far.
 #[derive(Default)]
 pub struct ClientRecord {
-    /// All requests that it sent.
+    /// All requests that it sent, oldest first.
     pub requests: Vec<RequestRecord>,
-    /// Since when its connection is open, if it is.
+    /// Since when its connection is open; `None` if it has no connection.
     pub connected_since: Option<Instant>,
 }
 
-/// Clients that want a connection each, and reconnect under the same key whenever it ends.
+/// A group of clients that each hold one connection, and reconnect under the same key whenever it ends.
 pub struct ReturningClients {
-    /// What each client has seen.
+    /// What each client has seen so far, by client number.
     pub records: Arc<Vec<Mutex<ClientRecord>>>,
     stopped: Arc<AtomicBool>,
     threads: Vec<thread::JoinHandle<()>>,
 }
 
 impl ReturningClients {
-    /// Starts so many clients within `spread`; where `nodes` is given, each stays with the node of its number.
+    /// Starts `count` clients at random times within `spread`. If `nodes` is given, each client uses only the node at its
+    /// own number modulo the number of nodes; otherwise the front picks a node for each request.
     pub fn start(
         count: usize,
         front: &Front,
@@ -86,7 +88,7 @@
         }
     }
 
-    /// How many have an open connection now.
+    /// Returns how many clients have an open connection.
     pub fn connected(&self) -> usize {
         self.records
             .iter()
@@ -94,7 +96,7 @@
             .count()
     }
 
-    /// How long after `from` each client's first connection opened, where one did.
+    /// Returns how long after `from` each client's first connection opened; `None` for a client that never had one.
     pub fn first_connections(&self, from: Instant) -> Vec<Option<Duration>> {
         let first = |record: &Mutex<ClientRecord>| {
             let record = record.lock().unwrap();
@@ -104,22 +106,22 @@
         self.records.iter().map(first).collect()
     }
 
-    /// Ends all clients and waits for them.
+    /// Stops all clients and waits for their threads.
     pub fn stop(&mut self) {
         self.stopped.store(true, SeqCst);
         for client in self.threads.drain(..) {
-            client.join().expect("a client panicked");
+            client.join().expect("a client thread panicked");
         }
     }
 }
 
 struct ReturningClient<'a> {
-    /// The key of all its requests.
+    /// The affinity key of all its requests.
     key: u64,
     rng: ChaCha8Rng,
     record: &'a Mutex<ClientRecord>,
     stopped: &'a AtomicBool,
-    /// Whether it had a connection before, which its requests tell.
+    /// Whether it had a connection before; its requests say so.
     was_connected: bool,
 }
 
@@ -138,7 +140,8 @@
         }
     }
 
-    /// Sends one request and holds the connection where it opens. Returns how long to wait before the next attempt.
+    /// Sends one request and, if it is accepted, holds the connection until it ends. Returns how long to wait before the
+    /// next attempt.
     fn attempt(&mut self, node: SocketAddr) -> Duration {
         let backoff = Duration::from_millis(self.rng.random_range(100..400));
         let Ok(mut stream) = TcpStream::connect(node) else {
@@ -151,7 +154,10 @@
         }
         let number = self.note_request(sent_at, node);
         _ = stream.set_read_timeout(Some(REQUEST_TIMEOUT + Duration::from_secs(1)));
-        let mut reader = BufReader::with_capacity(512, stream.try_clone().expect("a descriptor"));
+        let mut reader = BufReader::with_capacity(
+            512,
+            stream.try_clone().expect("the socket cannot be duplicated"),
+        );
         let mut answer = String::new();
         if !matches!(reader.read_line(&mut answer), Ok(1..)) {
             return backoff;
@@ -169,15 +175,15 @@
 
     fn request_line(&mut self) -> String {
         let id: u64 = self.rng.random();
-        let mark = if self.was_connected { ",again=1" } else { "" };
+        let again_field = if self.was_connected { ",again=1" } else { "" };
         format!(
-            "OPEN {id:x} {:x} c=chat,t=acme,d={}{mark}\r\n",
+            "OPEN {id:x} {:x} c=chat,t=acme,d={}{again_field}\r\n",
             self.key,
             REQUEST_TIMEOUT.as_millis()
         )
     }
 
-    /// Notes a request, and returns its number.
+    /// Records a request, and returns its index in the record.
     fn note_request(&self, sent_at: Instant, node: SocketAddr) -> usize {
         let mut record = self.record.lock().unwrap();
         record.requests.push(RequestRecord {
@@ -196,7 +202,7 @@
         record.connected_since = accepted.then(Instant::now);
     }
 
-    /// Sends a line now and then and expects it back, until either side ends the connection.
+    /// Sends a line at intervals and expects it back, until either side ends the connection or the clients are stopped.
     fn hold(&self, stream: &mut TcpStream, reader: &mut BufReader<TcpStream>) {
         _ = stream.set_read_timeout(Some(ECHO_READ_TIMEOUT));
         let mut line = String::new();
@@ -215,7 +221,7 @@
     }
 }
 
-/// How long an answer asks the client to wait, where it does.
+/// Returns how long an answer asks the client to wait; `None` if it does not ask for that.
 fn retry_after(answer: &str) -> Option<Duration> {
     let millis = answer.strip_prefix("BUSY ")?.trim().parse().ok()?;
     Some(Duration::from_millis(millis))
--- a/testkit/src/fleet/warming_hosts.rs
+++ b/testkit/src/fleet/warming_hosts.rs
@@ -1,5 +1,5 @@
-//! Hosts that warm up after their start, and fail for good once they are overloaded. Owns what reached them and when;
-//! rules 3 and 4 are checked by these records alone.
+//! Hosts that warm up after their start, and stay broken once they are overloaded. Records what reached each of them and
+//! when; rules 3 and 4 are checked by these records alone.
 
 use super::FleetOptions;
 use crate::simulated::{echo_lines, first_line, spawn_thread, DRAIN_GRACE, SOCKET_SLACK};
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Hosts that accept all connections until they are overloaded.
+/// A group of hosts that accept all connections until they are overloaded. Clones share the hosts.
 #[derive(Clone)]
 pub struct WarmingHosts {
     hosts: Arc<Mutex<Vec<Arc<WarmingHost>>>>,
@@ -20,7 +20,7 @@
 
 struct WarmingHost {
     address: SocketAddr,
-    /// When a host that started cold was started.
+    /// When the host was started, if it started cold; `None` for a warm host.
     started: Option<StartTime>,
     arrivals: Mutex<Vec<Instant>>,
     probes: Mutex<Vec<Instant>>,
@@ -46,7 +46,7 @@
 }
 
 impl WarmingHosts {
-    /// Has no hosts yet; those it starts work under these options.
+    /// Creates a group without hosts; the options apply to all hosts that it starts.
     pub fn new(options: FleetOptions) -> Self {
         WarmingHosts {
             hosts: Arc::default(),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Starts so many hosts, cold or warm, and returns their numbers.
+    /// Starts `count` hosts, all cold or all warm, and returns their numbers.
     pub fn start(&self, count: usize, cold: bool) -> Range<usize> {
         let first = self.hosts.lock().unwrap().len();
         for _ in 0..count {
@@ -84,7 +84,7 @@
         self.hosts.lock().unwrap()[number].clone()
     }
 
-    /// A host as an entry of the endpoint list.
+    /// Returns a host as an entry of the endpoint list.
     pub fn member(&self, host: usize, phase: &str) -> Value {
         let warming_host = self.host(host);
         let up_since = warming_host
@@ -94,42 +94,43 @@
             "flavor": "m", "cell": host % 2, "phase": phase, "size": 1.0, "up_since_ms": up_since})
     }
 
-    /// These hosts as entries of the endpoint list, all active.
+    /// Returns these hosts as entries of the endpoint list, all of them active.
     pub fn members(&self, hosts: impl Iterator<Item = usize>) -> Vec<Value> {
         hosts.map(|host| self.member(host, "active")).collect()
     }
 
-    /// Notes that the list service announces from now on that this host drains.
+    /// Records that the list service announces the drain of this host from now on.
     pub fn note_drain(&self, host: usize) {
         *self.host(host).drain_announced.lock().unwrap() = Some(Instant::now());
     }
 
-    /// Connections that are open at these hosts.
+    /// Returns the number of open connections at these hosts.
     pub fn open_connections(&self, hosts: impl Iterator<Item = usize>) -> u32 {
         hosts.map(|host| self.host(host).open.load(SeqCst)).sum()
     }
 
-    /// When connections with a request reached this host.
+    /// Returns when connections with a request reached this host, oldest first.
     pub fn arrivals(&self, host: usize) -> Vec<Instant> {
         self.host(host).arrivals.lock().unwrap().clone()
     }
 
-    /// When nodes probed the load of this host.
+    /// Returns when nodes probed the load of this host, oldest first.
     pub fn probes(&self, host: usize) -> Vec<Instant> {
         self.host(host).probes.lock().unwrap().clone()
     }
 
-    /// Violations of rules 3 and 4, one a line; `notice_delay` is how long the news of a drain may take to the nodes.
+    /// Returns the violations of rules 3 and 4. `notice_delay` is how long the announcement of a drain may take to reach
+    /// the nodes.
     pub fn violations(&self, notice_delay: Duration) -> Vec<String> {
         let mut violations = Vec::new();
         for (number, host) in self.hosts.lock().unwrap().iter().enumerate() {
             if host.overloaded.load(SeqCst) {
-                violations.push(format!("rule 4: host {number} was pushed over"));
+                violations.push(format!("rule 4: host {number} was overloaded"));
             }
             let after_drain = host.arrivals_after_drain(notice_delay);
             if after_drain > 0 {
                 violations.push(format!(
-                    "rule 3: {after_drain} came to host {number} after its drain"
+                    "rule 3: {after_drain} reached host {number} after its drain"
                 ));
             }
         }
@@ -169,7 +170,8 @@
         self.open.fetch_sub(1, SeqCst);
     }
 
-    /// Notes a connection with a request, and whether it overloads the host. Only hosts that warm up are overloaded.
+    /// Records a connection with a request, and marks the host as overloaded if it is one too many. Only hosts that are
+    /// still warming up can be overloaded.
     fn note_arrival(&self, options: FleetOptions) {
         let now = Instant::now();
         let mut arrivals = self.arrivals.lock().unwrap();
--- a/testkit/src/fleet/warming_hosts_tests.rs
+++ b/testkit/src/fleet/warming_hosts_tests.rs
@@ -18,30 +18,34 @@
     stream
 }
 
-/// Prevents a checker that finds no violation whatever happens.
+/// Guards against a checker that finds no violation whatever happens.
 #[test]
-fn planted_breaks_are_caught() {
+fn an_overload_and_a_late_request_after_a_drain_are_found() {
     let hosts = WarmingHosts::new(OPTIONS);
     hosts.start(2, true);
     hosts.start(1, false);
-    // Two within a second are what a host that has just started can take; a warm one takes more.
+    // A host that has just started can take two connections within a second; a warm one takes more.
     let _within_budget: Vec<TcpStream> = [0, 0, 2, 2, 2, 2]
         .map(|host| send_request(hosts.host(host).address))
         .into();
-    eventually("six stand", || hosts.open_connections(0..3) == 6);
+    eventually("six connections are open", || {
+        hosts.open_connections(0..3) == 6
+    });
     assert_eq!(hosts.violations(Duration::ZERO), Vec::<String>::new());
     let _flood: Vec<TcpStream> = (0..4)
         .map(|_| send_request(hosts.host(1).address))
         .collect();
-    eventually("four came", || hosts.arrivals(1).len() == 4);
+    eventually("four connections arrived", || hosts.arrivals(1).len() == 4);
     hosts.note_drain(2);
     thread::sleep(DRAIN_GRACE + SOCKET_SLACK + Duration::from_millis(10));
     let _late = send_request(hosts.host(2).address);
-    eventually("one came late", || hosts.arrivals(2).len() == 5);
+    eventually("one connection arrived late", || {
+        hosts.arrivals(2).len() == 5
+    });
     let violations = hosts.violations(Duration::ZERO);
     assert_eq!(violations.len(), 2, "{violations:?}");
     assert!(
         violations[0].starts_with("rule 4: host 1")
-            && violations[1].starts_with("rule 3: 1 came to host 2")
+            && violations[1].starts_with("rule 3: 1 reached host 2")
     );
 }
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -1,5 +1,13 @@
-//! What tests and measurements share: stand-ins on loopback for everything that the program talks to, the program as a
-//! child process, relays and networks with faults, and a checker of the four rules. Never linked into the program.
+//! Shared code of the integration tests and the measurements: simulated peers on loopback for everything that the
+//! program talks to, the program as a child process, and relays and networks that inject faults. This crate is never
+//! linked into the program.
+//!
+//! The checkers judge a run by four rules, from what hosts and clients recorded:
+//!
+//! 1. Each request gets exactly one answer, in time, and no attempt starts after the answer.
+//! 2. A request that may have run is repeated only where, and for as long as, its class allows, one attempt at a time.
+//! 3. No request reaches a host later than the drain grace after the announcement of its drain.
+//! 4. No host is sent more connections than it can take while it warms up.
 
 pub mod coldstart;
 pub mod discovery;
--- a/testkit/src/main.rs
+++ b/testkit/src/main.rs
@@ -1,5 +1,5 @@
-//! `reedferry-testkit`: measurements on stand-ins on loopback, one command each. Owns how figures are printed and the
-//! exit code: 0 where all that a measurement promises held, 1 where something fell short, 2 for wrong usage.
+//! `reedferry-testkit`: runs measurements against simulated peers on loopback, one command each. This module prints the
+//! figures and sets the exit code: 0 if all bounds and rules hold, 1 if any of them does not, 2 for wrong usage.
 
 use clap::{Args, Parser, Subcommand};
 use reedferry_testkit::schedule::{self, FaultSchedule, ScheduleError};
@@ -11,64 +11,64 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Attachments a second at the most.
-const MOST_A_SECOND: f64 = 1000.0;
+/// The highest rate at which new clients may connect, per second.
+const MAX_CLIENTS_PER_SECOND: f64 = 1000.0;
 
-/// Measures the program on stand-ins on loopback.
+/// Measures the program against simulated peers on loopback.
 #[derive(Parser)]
 struct CommandLine {
     #[command(subcommand)]
-    what: Measurement,
+    measurement: Measurement,
 }
 
 #[derive(Subcommand)]
 enum Measurement {
-    /// Forwarders and planners beside as many single nodes.
+    /// Compares forwarders and planners with as many single nodes.
     TwoTier(TwoTierOptions),
-    /// Schedules of faults over processes, drawn by seeds or read from a file.
+    /// Plays fault schedules against processes; the schedules are drawn from seeds or read from a file.
     Schedule(ScheduleOptions),
-    /// Nodes that keep a view of their fleet, over ways that are made faulty.
+    /// Measures the membership protocol of nodes on a faulty network.
     Fleet(FleetViewOptions),
-    /// Processes under faults that overlap, judged by the rules.
+    /// Injects overlapping faults into processes and checks the rules.
     Soak(SoakOptions),
-    /// Nodes that start at once and know nothing, beside a list service of some capacity.
+    /// Starts all nodes at once without a known endpoint list, with a list service of limited capacity.
     Coldstart(ColdStartOptions),
 }
 
 #[derive(Args)]
 struct TwoTierOptions {
-    /// What chance is drawn from.
+    /// The seed of all random draws.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Single nodes, and forwarders; there are a few more hosts than that.
+    /// The number of single nodes, and of forwarders. The number of hosts is slightly higher.
     #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u64).range(1..=64))]
     size: u64,
-    /// The last line is one object.
+    /// Prints the results as one JSON object on the last line.
     #[arg(long)]
     json: bool,
 }
 
 #[derive(Args)]
 struct ScheduleOptions {
-    /// What the first schedule is drawn from; each further one from the next number.
+    /// The seed of the first schedule; each further schedule is drawn from the next number.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Nodes.
+    /// The number of nodes.
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(3..=40))]
     size: u64,
-    /// Schedules.
+    /// The number of schedules.
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=1000))]
     count: u64,
-    /// Faults that overlap in each.
+    /// The number of overlapping faults in each schedule.
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..=10))]
     faults: u64,
-    /// Plays this schedule instead.
+    /// Plays the schedule in this file instead of drawn ones.
     #[arg(long)]
     replay: Option<PathBuf>,
-    /// Another build of the program.
+    /// Runs this build of the program instead of the current one.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// The last line is one object.
+    /// Prints the results as one JSON object on the last line.
     #[arg(long)]
     json: bool,
 }
@@ -85,35 +85,38 @@
         }
     }
 
-    /// Plays all schedules one after the other; one that fails is shrunk and printed.
+    /// Plays all schedules one after the other. Prints each schedule that fails, and shrinks it.
     fn play(&self) -> Result<Report, ScheduleFileError> {
         let (mut figures, mut broken) = (serde_json::Map::new(), Vec::new());
         let schedules = self.schedules()?;
         figures.insert("schedules".into(), json!(schedules.len()));
         for schedule in schedules {
-            let wrong = schedule::play(&schedule, self.program.as_ref());
-            if wrong.is_empty() {
+            let violations = schedule::play(&schedule, self.program.as_ref());
+            if violations.is_empty() {
                 continue;
             }
             eprint!("{schedule}");
-            wrong.iter().for_each(|what| eprintln!("  {what}"));
-            let mut fails =
-                |less: &FaultSchedule| !schedule::play(less, self.program.as_ref()).is_empty();
+            violations
+                .iter()
+                .for_each(|violation| eprintln!("  {violation}"));
+            let mut fails = |candidate: &FaultSchedule| {
+                !schedule::play(candidate, self.program.as_ref()).is_empty()
+            };
             eprint!(
-                "still fails:\n{}",
+                "smallest schedule that still fails:\n{}",
                 schedule::shrink(&schedule, 3, &mut fails)
             );
             broken.extend(
-                wrong
+                violations
                     .into_iter()
-                    .map(|what| format!("seed {}: {what}", schedule.seed)),
+                    .map(|violation| format!("seed {}: {violation}", schedule.seed)),
             );
         }
         Ok(Report { figures, broken })
     }
 }
 
-/// Why a file gives no schedule.
+/// Why a schedule could not be read from a file.
 enum ScheduleFileError {
     Unreadable(PathBuf, io::Error),
     Malformed(PathBuf, ScheduleError),
@@ -122,92 +125,95 @@
 impl fmt::Display for ScheduleFileError {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            ScheduleFileError::Unreadable(path, why) => write!(out, "{}: {why}", path.display()),
-            ScheduleFileError::Malformed(path, why) => write!(out, "{}: {why}", path.display()),
+            ScheduleFileError::Unreadable(path, error) => {
+                write!(out, "{}: {error}", path.display())
+            }
+            ScheduleFileError::Malformed(path, error) => write!(out, "{}: {error}", path.display()),
         }
     }
 }
 
 fn read_schedule(path: &Path) -> Result<FaultSchedule, ScheduleFileError> {
     let text = std::fs::read_to_string(path)
-        .map_err(|why| ScheduleFileError::Unreadable(path.into(), why))?;
+        .map_err(|error| ScheduleFileError::Unreadable(path.into(), error))?;
     text.parse()
-        .map_err(|why| ScheduleFileError::Malformed(path.into(), why))
+        .map_err(|error| ScheduleFileError::Malformed(path.into(), error))
 }
 
 #[derive(Args)]
 struct SoakOptions {
-    /// What the first soak is drawn from; each further one from the next number.
+    /// The seed of the first soak; each further soak uses the next number.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Processes.
+    /// The number of processes.
     #[arg(long, default_value_t = 24, value_parser = clap::value_parser!(u64).range(1..=100))]
     size: u64,
-    /// Seeds that are played one after the other.
+    /// The number of soaks, run one after the other.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=1000))]
     count: u64,
-    /// For how many seconds faults come.
+    /// How long faults are injected, in seconds.
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(1..=3600))]
     seconds: u64,
-    /// Faults at a time.
+    /// The number of faults that are active at a time.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=10))]
     overlap: u64,
-    /// Clients a second.
+    /// New clients per second.
     #[arg(long, default_value_t = 120.0)]
     rate: f64,
-    /// Restarts by the terms of the users' pages, in place of faults that overlap: `--overlap` counts for nothing then.
+    /// Restarts processes as the user documentation allows, instead of injecting overlapping faults; `--overlap` has no
+    /// effect then.
     #[arg(long)]
     restarts: bool,
-    /// The last line is one object.
+    /// Prints the results as one JSON object on the last line.
     #[arg(long)]
     json: bool,
 }
 
 #[derive(Args)]
 struct FleetViewOptions {
-    /// What chance is drawn from.
+    /// The seed of all random draws.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Nodes.
+    /// The number of nodes.
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(3..=300))]
     size: u64,
-    /// The unit of the fleet view's times, in milliseconds.
+    /// The period of the membership protocol, in milliseconds.
     #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u64).range(50..=2000))]
     period: u64,
-    /// The last line is one object.
+    /// Prints the results as one JSON object on the last line.
     #[arg(long)]
     json: bool,
 }
 
 #[derive(Args)]
 struct ColdStartOptions {
-    /// What chance is drawn from.
+    /// The seed of all random draws.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Nodes.
+    /// The number of nodes.
     #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u64).range(1..=400))]
     size: u64,
-    /// The last line is one object.
+    /// Prints the results as one JSON object on the last line.
     #[arg(long)]
     json: bool,
-    /// Calls that the list service works off in a second.
+    /// The number of calls that the list service answers per second.
     #[arg(long, default_value_t = 40.0)]
     rate: f64,
-    /// For how long calls may wait there before it turns them away, in milliseconds.
+    /// How long a call may wait at the list service before it is rejected, in milliseconds.
     #[arg(long, default_value_t = 1000)]
     queue: u64,
-    /// For how long it is down at first, in milliseconds.
+    /// How long the list service is down at the start, in milliseconds.
     #[arg(long, default_value_t = 0)]
     down: u64,
-    /// Another build of the program, played in the same run.
+    /// Another build of the program, which is measured in the same run for comparison.
     #[arg(long)]
     before: Option<PathBuf>,
-    /// A page of HTML with what was counted by second.
+    /// Writes the counts of each second to this file as an HTML page.
     #[arg(long)]
     plot: Option<PathBuf>,
 }
 
-/// A finished measurement, with what the JSON line says of it.
+/// A finished measurement with the values that are printed.
 struct Run {
     name: &'static str,
     seed: u64,
@@ -216,28 +222,28 @@
     report: Report,
 }
 
-/// Ends the program for wrong usage.
-fn usage_error(why: impl std::fmt::Display) -> ! {
-    eprintln!("reedferry-testkit: {why}");
+/// Prints an error and ends the program with the exit code for wrong usage.
+fn usage_error(error: impl std::fmt::Display) -> ! {
+    eprintln!("reedferry-testkit: {error}");
     std::process::exit(2);
 }
 
 fn run_two_tier(options: &TwoTierOptions) -> Run {
     let nodes = options.size as usize;
-    // No more than leaves the ports of one machine to spare: connections that ended keep theirs for a minute,
-    // and what then cannot connect is rejected.
-    let rate = (40.0 * nodes as f64).min(MOST_A_SECOND);
+    // The rate is limited so that the machine does not run out of local ports: a closed connection occupies its port
+    // for a minute, and requests that cannot connect for lack of a port are rejected.
+    let rate = (40.0 * nodes as f64).min(MAX_CLIENTS_PER_SECOND);
     let size = two_tier::Size {
         nodes,
         hosts: nodes + 2,
         rate,
         span: Duration::from_secs(6),
     };
-    let report = two_tier::measure(size, options.seed).unwrap_or_else(|why| {
-        eprintln!("reedferry-testkit: {why}");
+    let report = two_tier::measure(size, options.seed).unwrap_or_else(|error| {
+        eprintln!("reedferry-testkit: {error}");
         Report {
             figures: Default::default(),
-            broken: vec![why],
+            broken: vec![error],
         }
     });
     Run {
@@ -255,7 +261,7 @@
         seed: options.seed,
         size: options.size,
         print_json: options.json,
-        report: options.play().unwrap_or_else(|why| usage_error(why)),
+        report: options.play().unwrap_or_else(|error| usage_error(error)),
     }
 }
 
@@ -271,9 +277,9 @@
 }
 
 fn run_soak(options: &SoakOptions) -> Run {
-    if !options.rate.is_finite() || !(0.1..=MOST_A_SECOND).contains(&options.rate) {
+    if !options.rate.is_finite() || !(0.1..=MAX_CLIENTS_PER_SECOND).contains(&options.rate) {
         usage_error(format_args!(
-            "--rate takes clients a second, 0.1 to {MOST_A_SECOND}"
+            "--rate must be 0.1 to {MAX_CLIENTS_PER_SECOND} clients per second"
         ));
     }
     let size = soak::SoakSize {
@@ -298,10 +304,10 @@
 
 fn run_coldstart(options: ColdStartOptions) -> Run {
     if !options.rate.is_finite() || options.rate <= 0.0 {
-        usage_error("--rate takes calls a second, over 0");
+        usage_error("--rate must be over 0 calls per second");
     }
     if options.before.as_ref().is_some_and(|path| !path.is_file()) {
-        usage_error("--before names no file");
+        usage_error("--before must name an existing file");
     }
     let size = coldstart::ColdStartSize {
         nodes: options.size as usize,
@@ -331,7 +337,7 @@
 }
 
 fn main() {
-    let run = match CommandLine::parse().what {
+    let run = match CommandLine::parse().measurement {
         Measurement::TwoTier(options) => run_two_tier(&options),
         Measurement::Schedule(options) => run_schedule(&options),
         Measurement::Fleet(options) => run_fleet(&options),
@@ -342,8 +348,8 @@
     for (name, value) in &figures {
         println!("{name:36} {value}");
     }
-    for what in &broken {
-        println!("fell short: {what}");
+    for violation in &broken {
+        println!("fell short: {violation}");
     }
     let ok = broken.is_empty();
     if run.print_json {
