--- a/testkit/src/fleet/processes.rs
+++ b/testkit/src/fleet/processes.rs
@@ -31,7 +31,7 @@
     load_probes: bool,
     /// The `effect` setting of the request class.
     effect: &'static str,
-    /// How long replicas keep request records; `None` leaves their section out of the operator config.
+    /// How long replicas keep request records; `None` if requests are not replicated.
     record_lifetime: Option<Duration>,
     /// The cluster size in the settings; processes with higher numbers have no index of their own.
     pub(crate) cluster_size: usize,
@@ -98,8 +98,8 @@
         self
     }
 
-    /// Sets the effect of all requests, and how long replicas keep request records; with `None` the config has no section
-    /// for request records.
+    /// Sets the effect of all requests, and how long replicas keep request records; with `None`, requests are not
+    /// replicated.
     pub fn with_effect(mut self, effect: &'static str, record_lifetime: Option<Duration>) -> Self {
         (self.effect, self.record_lifetime) = (effect, record_lifetime);
         self
--- a/testkit/src/fleet_view/measure.rs
+++ b/testkit/src/fleet_view/measure.rs
@@ -1,5 +1,5 @@
-//! Measurement of the fleet view: how fast it settles after a start, a death and a partition, and what it costs a node.
-//! Owns the promised bounds and the figures.
+//! Measures the membership protocol: how fast the views converge after a start, a death and a partition, and what the
+//! protocol costs a node. Owns the bounds and the figures.
 
 use super::start_fleet;
 use crate::fleet::Fleet;
@@ -11,48 +11,49 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Nodes of the small fleet that the cost of gossip is compared to.
+/// The size of the small fleet with which the cost of gossip is compared.
 const SMALL_FLEET: usize = 20;
-/// Nodes of the large fleet that are killed.
+/// The number of nodes of the large fleet that are killed, one after the other.
 const KILLS: usize = 3;
-/// How long views have to agree at all, in periods.
+/// How long the views may take to agree before the measurement is given up, in periods.
 const MAX_PERIODS_TO_AGREE: u32 = 100;
 /// How long a fleet is observed at rest, in periods.
 const QUIET_PERIODS: u32 = 20;
 /// How long a fleet with lossy links is observed, in periods.
 const LOSSY_PERIODS: u32 = 50;
-/// Partitions: how many periods they last, and into how many parts.
+/// The partitions: how many periods each lasts, and into how many parts it divides the network.
 const PARTITIONS: [(u32, usize); 3] = [(10, 2), (30, 2), (30, 3)];
 
-/// The bounds that are promised, times in periods.
+// The bounds of the measurement; times are in periods, limits are inclusive.
 const MAX_MEDIAN_DETECTION: f64 = 2.0;
 const MAX_HEALING: f64 = 10.0;
 const MAX_GOSSIP_DEVIATION: f64 = 0.1;
 const MAX_CORE_SHARE: f64 = 0.01;
 
-/// How soon a death is known to all, in periods.
+/// Returns within how many periods all nodes must know of a death.
 fn max_spreading(nodes: usize) -> f64 {
     2.0 + 2.0 * (nodes as f64).log2()
 }
 
-/// What a fleet of one size showed; times in periods where nothing else is said.
+/// The results for a fleet of one size; times are in periods unless stated otherwise.
 struct Measurement {
-    /// Milliseconds to start a process.
+    /// The time to start a process, in milliseconds.
     start_millis: f64,
-    /// Megabytes that a process takes.
+    /// The memory of a process, in megabytes.
     memory_megabytes: f64,
+    /// The time until all views agreed after the start.
     settled: f64,
-    /// Gossip messages a node and period.
+    /// The number of gossip messages per node and period.
     gossip_messages: f64,
-    /// The share of a core that a node takes.
+    /// The share of a processor core that a node takes, 0 to 1.
     core_share: f64,
-    /// By kill: until the first node suspected it or declared it dead.
+    /// By kill: the time until the first node suspected the killed one or declared it dead.
     detected: Vec<f64>,
-    /// By kill: until all nodes declared it dead.
+    /// By kill: the time until all nodes had declared the killed one dead; infinite if not all did.
     spread: Vec<f64>,
-    /// By partition: until the views agreed again.
+    /// By partition: the time from its end until the views agreed again; infinite if they never did.
     healed: Vec<f64>,
-    /// Nodes that ran and were declared dead.
+    /// The number of declarations that a running node is dead.
     wrongly_declared_dead: usize,
 }
 
@@ -64,14 +65,14 @@
     wrongly_declared_dead: usize,
 }
 
-/// What a fleet costs at rest.
+/// What a fleet costs while its membership does not change.
 struct QuietCost {
     gossip_messages: f64,
     memory_megabytes: f64,
     core_share: f64,
 }
 
-/// How a death spread.
+/// How long the news of a death took, in periods: to the first node, and to all nodes.
 struct Spreading {
     detected: f64,
     spread: f64,
@@ -82,7 +83,7 @@
         span.as_secs_f64() / self.period.as_secs_f64()
     }
 
-    /// How long the views took to agree; nothing where they never did.
+    /// Waits until the views agree, and returns how many periods that took; `None` if they never did.
     fn periods_to_agree(&self) -> Option<f64> {
         let took = self
             .fleet
@@ -96,7 +97,7 @@
 
     fn measure_quiet(&self) -> QuietCost {
         let nodes = self.nodes as f64;
-        // Changes are gossiped for some more periods.
+        // Changes are still gossiped for some periods after the views agree.
         thread::sleep(self.period * (15 + self.nodes as u32 / 4));
         let (start, sent, cpu_time) = (Instant::now(), self.sent(), self.fleet.cpu_time());
         thread::sleep(self.period * QUIET_PERIODS);
@@ -112,7 +113,8 @@
         }
     }
 
-    /// Kills a node, observes how the others learn it, and starts it again.
+    /// Kills a node, observes how the others learn of its death, and starts it again. Returns `None` if the views do not
+    /// agree after that.
     fn measure_kill(&mut self, node: usize) -> Option<Spreading> {
         self.fleet.members_declared_dead();
         let killed_at = Instant::now();
@@ -152,7 +154,8 @@
         Some(spreading)
     }
 
-    /// What the nodes logged of members since they were asked last: who, when and what.
+    /// Returns the events that running nodes have logged since their logs were last read: the observer, the time and the
+    /// event. `node` is the killed node.
     fn member_events(&self, node: usize) -> Vec<(usize, Instant, MemberEvent)> {
         let mut events = Vec::new();
         for (observer, process) in self.fleet.nodes.iter().enumerate() {
@@ -164,7 +167,7 @@
         events
     }
 
-    /// Partitions the network, and returns how long the views took to agree after it healed.
+    /// Partitions the network for some periods, and returns how many periods the views took to agree after it healed.
     fn measure_partition(&self, periods: u32, parts: usize) -> f64 {
         let network = &self.fleet.fleet_view().network;
         network.partition(|node| node % parts);
@@ -173,7 +176,7 @@
         self.periods_to_agree().unwrap_or(f64::INFINITY)
     }
 
-    /// Has all links lose, repeat and delay datagrams for a while.
+    /// Makes all links lose, duplicate and delay datagrams, and counts the nodes that are wrongly declared dead meanwhile.
     fn measure_lossy_links(&mut self) {
         self.fleet.members_declared_dead();
         let link_faults = LinkFaults {
@@ -191,15 +194,16 @@
     }
 }
 
-/// What a log line says of a member that was killed, or of another one.
+/// An event in a node's log about the killed member or another one.
 enum MemberEvent {
     Suspected,
     DeclaredDead,
-    /// A member that runs was declared dead.
+    /// A member other than the killed one was declared dead, although it runs.
     OtherDeclaredDead,
 }
 
 impl MemberEvent {
+    /// Returns the event of a log line; `None` if the line is about something else.
     fn parse(line: &str, killed: usize) -> Option<MemberEvent> {
         let of_killed = format!("{line},").contains(&format!("name: n{killed},"));
         if of_killed && line.contains("member suspect") {
@@ -214,8 +218,8 @@
     }
 }
 
-/// Starts a fleet, lets it rest, kills some of it, and makes its network faulty where that is wanted. Returns nothing
-/// where the views never agreed.
+/// Starts a fleet, observes it without changes, kills `kills` nodes, and injects network faults if `network_faults` is
+/// set. Returns `None` if the views did not agree after the start or after a kill.
 fn run(
     nodes: usize,
     period: Duration,
@@ -272,7 +276,7 @@
     values.iter().copied().fold(0.0, f64::max)
 }
 
-/// Measures a fleet of this size, and a small one beside it for what gossip costs.
+/// Measures a fleet of this size, and before it a small fleet with which the cost of gossip is compared.
 pub fn measure(nodes: usize, period: Duration, seed: u64) -> Report {
     let small = run(nodes.min(SMALL_FLEET), period, seed, 0, false);
     let both = small.and_then(|small| Some((small, run(nodes, period, seed, KILLS, true)?)));
@@ -283,7 +287,7 @@
         },
         None => Report {
             figures: Map::new(),
-            broken: vec!["views never agreed".into()],
+            broken: vec!["the views of the members never agreed".into()],
         },
     }
 }
@@ -311,7 +315,7 @@
         .collect()
 }
 
-/// The promised bounds that a measurement missed, one a line.
+/// Returns a description of each bound that the measurement exceeds.
 fn missed_bounds(nodes: usize, small: &Measurement, large: &Measurement) -> Vec<String> {
     let detected = median(large.detected.clone());
     let (spread, max_spread) = (max(&large.spread), max_spreading(nodes));
@@ -320,27 +324,32 @@
     let bounds = [
         (
             detected <= MAX_MEDIAN_DETECTION,
-            format!("a death found after {detected:.1} periods at the median"),
+            format!("a death is detected after {detected:.1} periods at the median"),
         ),
         (
             spread <= max_spread,
-            format!("a death known to all after {spread:.1} periods of {max_spread:.1}"),
+            format!(
+                "a death is known to all nodes after {spread:.1} periods, over {max_spread:.1}"
+            ),
         ),
         (
             healed <= MAX_HEALING,
-            format!("views agree {healed:.1} periods after a cut"),
+            format!("the views agree {healed:.1} periods after the end of a partition"),
         ),
         (
             large.wrongly_declared_dead == 0,
-            format!("{} wrongly held gone", large.wrongly_declared_dead),
+            format!(
+                "{} wrong declarations that a node is dead",
+                large.wrongly_declared_dead
+            ),
         ),
         (
             (gossip_ratio - 1.0).abs() <= MAX_GOSSIP_DEVIATION,
-            format!("{gossip_ratio:.2} times the letters of 20 nodes"),
+            format!("{gossip_ratio:.2} times the gossip messages of 20 nodes"),
         ),
         (
             large.core_share <= MAX_CORE_SHARE,
-            format!("{:.4} of a core each", large.core_share),
+            format!("each node takes {:.4} of a core", large.core_share),
         ),
     ];
     bounds
--- a/testkit/src/fleet_view/mod.rs
+++ b/testkit/src/fleet_view/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet whose processes run the membership protocol over a faulty network: how they are started, how their views are
-//! read, and the measurement of both. No rule is checked by what a process says of itself.
+//! A fleet whose processes run the membership protocol on a faulty network. Starts the processes, reads their views of
+//! the members, and measures how these converge. What a process says of itself is never used to check a rule.
 
 mod measure;
 
@@ -13,18 +13,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a fleet needs to keep a view.
+/// The network and settings by which the processes of a fleet run the membership protocol.
 pub struct FleetView {
     /// The network between the processes.
     pub network: FaultyNetwork,
-    /// The unit of the fleet view's times.
+    /// The period of the membership protocol.
     pub period: Duration,
-    /// The numbers of the nodes that others contact first.
+    /// The numbers of the seeds: the nodes that the others contact first.
     pub seeds: Vec<usize>,
 }
 
 impl FleetView {
-    /// The operator config of a node.
+    /// Returns the operator config of a node.
     pub fn operator_config(&self, node: usize) -> String {
         let public_address = self.network.public_addresses[node];
         let process_address = self.network.process_addresses[node];
@@ -41,18 +41,18 @@
     }
 }
 
-/// The states of the other members that a node sees, by their names; those that are gone are left out.
+/// The states of the other members as one node sees them, by name, without those that are gone.
 type MemberStates = HashMap<String, String>;
 
 impl Fleet {
-    /// What a node's operators see of the fleet.
+    /// Returns a node's status page of the fleet; `None` if the node does not run.
     pub fn status(&self, node: usize) -> Option<Value> {
         let (status, text) = self.nodes[node].as_ref()?.call("GET /status/fleet");
         assert_eq!(status, 200, "{text}");
         serde_json::from_str(&text).ok()
     }
 
-    /// The view of each node that runs: the states of the other members by their names, those that are gone left out.
+    /// Returns the number and the view of each running node.
     pub fn views(&self) -> Vec<(usize, MemberStates)> {
         (0..self.cluster_size)
             .filter_map(|node| Some((node, self.view(node)?)))
@@ -70,7 +70,7 @@
         Some(members.iter().filter_map(member_state).collect())
     }
 
-    /// Whether each node that runs sees all that run, and them alone, to be at work.
+    /// Returns whether each running node sees exactly the other running nodes, all of them in the state "at work".
     pub fn agrees(&self) -> bool {
         let views = self.views();
         views.iter().all(|(node, view)| {
@@ -83,21 +83,21 @@
         })
     }
 
-    /// How long it takes until the views agree; nothing where it takes longer than the timeout.
+    /// Waits until the views agree, and returns how long that took; `None` if it takes longer than the timeout.
     pub fn agrees_within(&self, timeout: Duration) -> Option<Duration> {
         let start = Instant::now();
         while !self.agrees() {
             if start.elapsed() > timeout {
                 return None;
             }
-            // Each look takes processor time from all nodes.
+            // Reading the views takes processor time from all nodes, so larger fleets are read less often.
             let millis = (self.nodes.len() as u64).max(10);
             thread::sleep(Duration::from_millis(millis));
         }
         Some(start.elapsed())
     }
 
-    /// The log lines by which nodes that run have declared members dead since their logs were read last.
+    /// Returns the log lines by which running nodes have declared members dead since their logs were last read.
     pub fn members_declared_dead(&self) -> Vec<String> {
         let mut declarations = Vec::new();
         for (node, process) in self.nodes.iter().enumerate() {
@@ -108,13 +108,13 @@
         declarations
     }
 
-    /// Processor time that all nodes that run have taken.
+    /// Returns the processor time that all running nodes have taken.
     fn cpu_time(&self) -> Duration {
         self.nodes.iter().flatten().map(Node::cpu_time).sum()
     }
 }
 
-/// Starts a fleet that keeps a view, with a list service of its own.
+/// Starts a fleet of `nodes` processes that run the membership protocol, with a list service of its own.
 pub fn start_fleet(nodes: usize, period: Duration, seed: u64) -> (Discovery, Fleet) {
     let service = Discovery::start();
     let fleet_view = FleetView {
--- a/testkit/src/network/connection.rs
+++ b/testkit/src/network/connection.rs
@@ -1,4 +1,4 @@
-//! A TCP connection between two processes, passed on under the faults of its links.
+//! A TCP connection between two processes, which is proxied with the faults of the links between them.
 
 use super::{LinkFaults, TrafficCounts};
 use rand::Rng;
@@ -8,21 +8,21 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Instant;
 
-/// The most bytes of one direction of a connection that are in transit.
+/// The maximum number of bytes in transit in one direction of a connection.
 const MAX_IN_TRANSIT_BYTES: usize = 64 << 10;
-/// The most bytes that are read at a time.
+/// The maximum number of bytes of a piece, which is what one read returns.
 const MAX_PIECE_BYTES: usize = 16 << 10;
 
-/// A connection between two processes; what is kept by end concerns the bytes that come from it.
+/// A connection between two processes. Its state is kept by end, and concerns the bytes that come from that end.
 pub(super) struct ProxiedConnection {
     ends: [TcpStream; 2],
     /// By end: the number of its process.
     nodes: [usize; 2],
-    /// By end: what is in transit, and when it is due.
+    /// By end: the pieces in transit, in the order in which they are due.
     in_transit: [VecDeque<DelayedBytes>; 2],
-    /// By end: whether it has closed its direction.
+    /// By end: whether it has closed its sending direction.
     closed: [bool; 2],
-    /// By end: whether the other one was told that it has.
+    /// By end: whether its close was forwarded to the other end.
     close_forwarded: [bool; 2],
     broken: bool,
 }
@@ -33,7 +33,7 @@
 }
 
 impl ProxiedConnection {
-    /// Passes on what comes between a client of one process and the process of another.
+    /// Creates a proxied connection between the two ends. `nodes` are the numbers of the processes at these ends.
     pub(super) fn new(ends: [TcpStream; 2], nodes: [usize; 2]) -> Self {
         for end in &ends {
             _ = end
@@ -67,13 +67,13 @@
         !self.closed[end] && self.bytes_in_transit(end) < MAX_IN_TRANSIT_BYTES
     }
 
-    /// The ends that are to be read.
+    /// Returns the ends from which the proxy would read.
     pub(super) fn readable_ends(&self) -> impl Iterator<Item = &TcpStream> {
         let readable = |end: &usize| self.accepts_from(*end);
         (0..2).filter(readable).map(|end| &self.ends[end])
     }
 
-    /// Reads both ends and writes what is due to the other one, under the faults of the links by sender and receiver.
+    /// Reads from both ends and writes to each what is due. `link_faults` holds the faults by sender and receiver.
     pub(super) fn pass(
         &mut self,
         link_faults: &[Vec<LinkFaults>],
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Reads what an end sent, and applies the faults of its link.
+    /// Reads one piece from an end and applies the faults of its link. Reads nothing while the link is cut.
     fn read(
         &mut self,
         end: usize,
@@ -117,14 +117,14 @@
         }
         traffic.delayed += u64::from(!link_faults.delay.is_zero());
         let delay = link_faults.delay.mul_f64(rng.random());
-        // Never before what was sent earlier.
+        // Random delays must not reorder the bytes of a connection.
         let previous = self.in_transit[end].back();
         let not_before = previous.map_or(Instant::now(), |previous| previous.due);
         let due = not_before.max(Instant::now() + delay);
         self.in_transit[end].push_back(DelayedBytes { due, bytes });
     }
 
-    /// Writes what came from an end, and is due, to the other one.
+    /// Writes what came from one end and is due to the other end, and then forwards a close.
     fn write_due(&mut self, end: usize) {
         let receiver = 1 - end;
         while let Some(DelayedBytes { due, bytes }) = self.in_transit[end].front_mut() {
--- a/testkit/src/network/event_loop.rs
+++ b/testkit/src/network/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop of the network: receives datagrams and connections at the public addresses, and forwards them to the
-//! processes under the faults of their links.
+//! The event loop of the network: receives datagrams and connections at the public addresses, applies the faults of
+//! their links, and forwards them to the processes.
 
 use super::connection::ProxiedConnection;
 use super::{Datagram, SharedState};
@@ -14,35 +14,37 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long the loop waits while bytes of connections are in transit.
+/// How long the loop waits for input while bytes of connections are in transit.
 const BUSY_WAIT: Duration = Duration::from_millis(1);
-/// How long the loop waits at the most.
+/// The longest time that the loop waits for input.
 const MAX_WAIT: Duration = Duration::from_millis(20);
-/// The most bytes of a datagram.
+/// The maximum number of bytes of a datagram; longer ones are truncated.
 const MAX_DATAGRAM_BYTES: usize = 2048;
-/// The most datagrams that are read from one socket at a time.
+/// The maximum number of datagrams that are read from one socket in one turn of the loop.
 const MAX_DATAGRAMS_AT_ONCE: usize = 256;
-/// How long a process may take to accept a connection.
+/// The time limit for a connection to the process behind a public address.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// The share of delayed datagrams that are delayed for [`LONG_DELAY_FACTOR`] times as long.
+/// The share of delayed datagrams whose maximum delay is multiplied by [`LONG_DELAY_FACTOR`].
 const LONG_DELAY_SHARE: f64 = 0.05;
+/// The factor of the maximum delay of the datagrams that are delayed for long.
 const LONG_DELAY_FACTOR: f64 = 5.0;
 
-/// A datagram that is delayed, ordered by when it is due.
+/// A delayed datagram. The order is by the time at which it is due.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DelayedDatagram {
     due: Instant,
-    /// Orders what is due at one moment.
+    /// Orders datagrams that are due at the same time.
     sequence: u64,
     datagram: Datagram,
 }
 
-/// The sockets, the listeners and the connections of a network, and the thread that serves them.
+/// The sockets, the listeners and the connections of a network, which one thread serves.
 pub(super) struct NetworkLoop {
-    /// By process: the sockets at its public address.
+    /// By process: the UDP socket at its public address.
     sockets: Vec<UdpSocket>,
-    /// By process: the listeners at its public address.
+    /// By process: the TCP listener at its public address.
     listeners: Vec<TcpListener>,
+    /// The numbers of the processes by the IP addresses from which they send.
     by_address: HashMap<IpAddr, usize>,
     process_addresses: Vec<SocketAddr>,
     shared: Arc<Mutex<SharedState>>,
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Serves the network until it is stopped.
+    /// Serves the network until `stopped` is set.
     pub(super) fn run(mut self, stopped: &AtomicBool) {
         while !stopped.load(SeqCst) {
             self.send_due();
@@ -100,7 +102,7 @@
         _ = self.sockets[datagram.from].send_to(&datagram.bytes, address);
     }
 
-    /// Forwards the datagrams whose delay is over.
+    /// Sends the delayed datagrams that are due.
     fn send_due(&mut self) {
         while let Some(Reverse(next)) = self.delayed.peek() {
             if next.due > Instant::now() {
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Sends the datagrams that a test replays.
+    /// Sends the datagrams that a test replays, without faults.
     fn send_replayed(&mut self) {
         let replayed = std::mem::take(&mut self.shared.lock().unwrap().replayed);
         for datagram in &replayed {
@@ -120,7 +122,7 @@
         }
     }
 
-    /// How long to wait for input at the most.
+    /// Returns how long the loop may wait for input.
     fn wait_time(&self) -> Duration {
         let in_transit = ProxiedConnection::has_bytes_in_transit;
         if self.connections.iter().any(in_transit) {
@@ -135,7 +137,8 @@
         }
     }
 
-    /// Waits, and returns the indices of what is readable: the sockets first, then the listeners, then connections.
+    /// Waits for input and returns the indices of what is readable. The indices count the sockets first, then the
+    /// listeners, then the ends of connections.
     fn wait_for_input(&self) -> Vec<usize> {
         let sockets = self
             .sockets
@@ -164,13 +167,13 @@
             .collect()
     }
 
-    /// Accepts connections to one process, and connects to it for them.
+    /// Accepts connections to one process, and opens a connection to that process for each of them.
     fn accept(&mut self, to: usize) {
         while let Ok((client, from)) = self.listeners[to].accept() {
             let Some(&from) = self.by_address.get(&from.ip()) else {
                 continue;
             };
-            // Who connects to a process that does not run learns so by the end of its connection.
+            // If the process does not run, the accepted connection is dropped, and so closed.
             let address = &self.process_addresses[to];
             if let Ok(process) = TcpStream::connect_timeout(address, CONNECT_TIMEOUT) {
                 let connection = ProxiedConnection::new([client, process], [from, to]);
@@ -192,14 +195,14 @@
         self.connections.retain(|connection| !connection.is_over());
     }
 
-    /// Reads what was sent to one process.
+    /// Receives and forwards the datagrams that were sent to one process.
     fn receive_datagrams(&mut self, to: usize) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         for _ in 0..MAX_DATAGRAMS_AT_ONCE {
             let (length, address) = match self.sockets[to].recv_from(&mut buffer) {
                 Ok(received) => received,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                // The system reports here that an earlier datagram reached no process.
+                // The system reports here that an earlier datagram from this socket reached no process.
                 Err(_) => continue,
             };
             if let Some(&from) = self.by_address.get(&address.ip()) {
@@ -209,7 +212,7 @@
         }
     }
 
-    /// Forwards a datagram under the faults of its link.
+    /// Applies the faults of its link to a datagram and forwards it.
     fn forward(&mut self, mut datagram: Datagram) {
         let mut shared = self.shared.lock().unwrap();
         let link_faults = shared.link_faults[datagram.from][datagram.to];
@@ -245,7 +248,7 @@
         }
     }
 
-    /// Sends a datagram now, or after a random delay where there is any.
+    /// Sends a datagram after a random delay, or at once if `max_delay` is zero.
     fn send_after(&mut self, datagram: Datagram, max_delay: Duration) {
         self.sequence += 1;
         if max_delay.is_zero() {
@@ -266,7 +269,7 @@
     }
 }
 
-/// Whether what happens to this share happens now. Draws nothing where it never does.
+/// Returns true with the probability `share`. Draws no random number if the share is 0.
 fn happens(rng: &mut ChaCha8Rng, share: f64) -> bool {
     share > 0.0 && rng.random::<f64>() < share
 }
--- a/testkit/src/network/mod.rs
+++ b/testkit/src/network/mod.rs
@@ -1,7 +1,7 @@
-//! A network between processes: each process has a public address that the others use, one UDP socket and one TCP
-//! listener of the event loop here, and what arrives there is forwarded to the process behind it, datagrams from the
-//! sender's own public address. Owns what is lost, delayed, duplicated, corrupted or truncated from whom to whom, and
-//! never looks into what passes.
+//! A network with faults between processes. Each process has a public address that the others use; the event loop of
+//! this module has a UDP socket and a TCP listener there and forwards what arrives to the process. Datagrams are
+//! forwarded from the public address of their sender. The module decides what is lost, delayed, duplicated, corrupted or
+//! truncated, by sender and receiver, and does not interpret the bytes.
 
 mod connection;
 mod event_loop;
@@ -13,44 +13,44 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The port of all processes; they differ by their addresses.
+/// The port on which all processes listen; their IP addresses differ.
 const PROCESS_PORT: u16 = 7400;
 
-/// The faults of a link from one process to another; shares of all that passes.
+/// The faults of a link from one process to another. Shares are from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFaults {
-    /// Nothing passes.
+    /// Whether the link passes nothing.
     pub cut: bool,
-    /// Datagrams that are lost.
+    /// The share of datagrams that are lost.
     pub loss: f64,
-    /// Datagrams that come twice.
+    /// The share of datagrams that are delivered twice.
     pub duplicate: f64,
-    /// Datagrams, or pieces of a connection, with a changed byte.
+    /// The share of datagrams, and of pieces of a connection, in which a byte is changed.
     pub corrupt: f64,
-    /// Datagrams that are cut short; connections that break in the middle of a piece.
+    /// The share of datagrams that are truncated, and of pieces of a connection in whose middle the connection breaks.
     pub truncate: f64,
-    /// Delayed for a time up to this, one of twenty for up to five times as long.
+    /// The maximum of the random delays. One datagram of twenty is delayed for up to five times as long.
     pub delay: Duration,
 }
 
-/// What was seen on the wire.
+/// Counts of what was sent, and of the faults that were injected.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficCounts {
-    /// Sent by each process, whatever became of it.
+    /// By process: the datagrams that it sent, including those that were lost.
     pub sent: Vec<u64>,
     /// Datagrams that were lost.
     pub lost: u64,
-    /// Datagrams that came twice.
+    /// Datagrams that were delivered twice.
     pub duplicated: u64,
     /// Datagrams and pieces with a changed byte.
     pub corrupted: u64,
-    /// Datagrams and pieces that were cut short.
+    /// Datagrams and pieces that were truncated.
     pub truncated: u64,
     /// Datagrams and pieces that were delayed.
     pub delayed: u64,
 }
 
-/// A datagram between two processes.
+/// A datagram between two processes, which are named by their numbers.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Datagram {
     from: usize,
@@ -58,29 +58,30 @@
     bytes: Vec<u8>,
 }
 
-/// What tests and the event loop share.
+/// The state that tests and the event loop share.
 struct SharedState {
-    /// By sender, then by receiver.
+    /// The faults of all links, by sender, then by receiver.
     link_faults: Vec<Vec<LinkFaults>>,
     traffic: TrafficCounts,
-    /// What was sent since [`FaultyNetwork::record_datagrams`].
+    /// The datagrams that were sent since [`FaultyNetwork::record_datagrams`]; `None` if it was not called.
     recorded: Option<Vec<Datagram>>,
-    /// What the event loop is to send once more.
+    /// The datagrams that the event loop has to send once more.
     replayed: Vec<Datagram>,
 }
 
-/// The network between the processes of a test, with faults by sender and receiver.
+/// The network between the processes of a test, with faults by sender and receiver. Dropping it stops its event loop.
 pub struct FaultyNetwork {
-    /// Where others reach each process.
+    /// The addresses at which the others reach each process.
     pub public_addresses: Vec<SocketAddr>,
-    /// Where each process listens itself.
+    /// The addresses at which each process itself listens.
     pub process_addresses: Vec<SocketAddr>,
     shared: Arc<Mutex<SharedState>>,
     stopped: Arc<AtomicBool>,
 }
 
 impl FaultyNetwork {
-    /// A network without faults between so many processes; `seed` draws the faults set later.
+    /// Creates a network without faults between `count` processes. `seed` is the seed of the random draws by which faults
+    /// happen later.
     pub fn new(count: usize, seed: u64) -> FaultyNetwork {
         let public: Vec<(UdpSocket, TcpListener)> =
             (0..count).map(|_| bind_public_address()).collect();
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Changes the faults of all links, by sender and receiver.
+    /// Modifies the current faults of all links, by sender and receiver.
     pub fn change_faults(&self, change: impl Fn(usize, usize, &mut LinkFaults)) {
         let mut shared = self.shared.lock().unwrap();
         for (from, row) in shared.link_faults.iter_mut().enumerate() {
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Cuts the network into parts that do not hear each other; other faults stay.
+    /// Partitions the network: nothing passes between processes with a different `part`. Other faults stay.
     pub fn partition(&self, part: impl Fn(usize) -> usize) {
         self.change_faults(|from, to, link_faults| link_faults.cut = part(from) != part(to));
     }
@@ -142,8 +143,8 @@
         self.shared.lock().unwrap().recorded = Some(Vec::new());
     }
 
-    /// Sends all recorded datagrams once more, changed by this, from the same sender to the same receiver. Returns how
-    /// many.
+    /// Sends all recorded datagrams once more, modified by `change`, from the same sender to the same receiver. Returns
+    /// their number.
     pub fn replay(&self, change: impl Fn(&mut Vec<u8>)) -> usize {
         let mut shared = self.shared.lock().unwrap();
         let mut datagrams = shared.recorded.take().unwrap_or_default();
@@ -156,12 +157,12 @@
         count
     }
 
-    /// Takes all faults away.
+    /// Removes all faults.
     pub fn heal(&self) {
         self.set_faults(|_, _| LinkFaults::default());
     }
 
-    /// What was seen on the wire so far.
+    /// Returns the counts so far.
     pub fn traffic(&self) -> TrafficCounts {
         self.shared.lock().unwrap().traffic.clone()
     }
@@ -173,7 +174,8 @@
     }
 }
 
-/// An address of 127.0.0.0/8 that no other process of this or another test has.
+/// Returns an address of 127.0.0.0/8 that this test process has not used before. The second byte comes from the process
+/// id, so that test processes that run at the same time hardly ever share an address.
 fn unique_process_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, SeqCst);
@@ -187,11 +189,11 @@
     SocketAddr::from((address, PROCESS_PORT))
 }
 
-/// A UDP socket and a TCP listener at one port.
+/// Returns a UDP socket and a TCP listener with the same port.
 fn bind_public_address() -> (UdpSocket, TcpListener) {
     loop {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-        // A connection may have that port already.
+        // A TCP connection may already occupy the port of the new UDP socket.
         let Ok(listener) = TcpListener::bind(socket.local_addr().unwrap()) else {
             continue;
         };
--- a/testkit/src/network/network_tests.rs
+++ b/testkit/src/network/network_tests.rs
@@ -3,27 +3,29 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Instant;
 
-/// Prevents a fault that is set and does not happen, or happens in the other direction too.
+/// Guards against a fault that is set and does not happen, or that also happens in the other direction.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one case for each fault")]
-fn each_fault_happens_on_the_wire_and_one_way_alone() {
+fn each_fault_affects_datagrams_of_its_direction_only() {
     let network = FaultyNetwork::new(2, 1);
-    let ends: Vec<UdpSocket> = network
+    let sockets: Vec<UdpSocket> = network
         .process_addresses
         .iter()
         .map(|at| UdpSocket::bind(at).unwrap())
         .collect();
-    ends.iter().for_each(|end| {
-        end.set_read_timeout(Some(Duration::from_millis(200)))
+    sockets.iter().for_each(|socket| {
+        socket
+            .set_read_timeout(Some(Duration::from_millis(200)))
             .unwrap();
     });
-    let received = |end: usize| {
-        let mut space = [0; 64];
-        let came = ends[end].recv_from(&mut space);
-        came.ok()
-            .map(|(length, from)| (space[..length].to_vec(), from))
+    let receive = |end: usize| {
+        let mut buffer = [0; 64];
+        let datagram = sockets[end].recv_from(&mut buffer);
+        datagram
+            .ok()
+            .map(|(length, from)| (buffer[..length].to_vec(), from))
     };
-    let passes = |link_faults: LinkFaults| {
+    let send_with = |link_faults: LinkFaults| {
         network.set_faults(|from, _| {
             if from == 0 {
                 link_faults
@@ -31,64 +33,76 @@
                 LinkFaults::default()
             }
         });
-        ends[0]
-            .send_to(b"well met", network.public_addresses[1])
+        sockets[0]
+            .send_to(b"datagram", network.public_addresses[1])
             .unwrap();
-        let there = received(1);
-        ends[1]
-            .send_to(b"and you", network.public_addresses[0])
+        let delivered = receive(1);
+        sockets[1]
+            .send_to(b"reply", network.public_addresses[0])
             .unwrap();
         assert_eq!(
-            received(0),
-            Some((b"and you".to_vec(), network.public_addresses[1])),
-            "the way back is spoilt"
+            receive(0),
+            Some((b"reply".to_vec(), network.public_addresses[1])),
+            "the other direction has a fault"
         );
-        there
+        delivered
     };
-    let well = LinkFaults::default();
+    let no_faults = LinkFaults::default();
     assert_eq!(
-        passes(well),
-        Some((b"well met".to_vec(), network.public_addresses[0]))
+        send_with(no_faults),
+        Some((b"datagram".to_vec(), network.public_addresses[0]))
     );
-    assert_eq!(passes(LinkFaults { cut: true, ..well }), None);
-    assert_eq!(passes(LinkFaults { loss: 1.0, ..well }), None);
-    let garbled = passes(LinkFaults {
+    assert_eq!(
+        send_with(LinkFaults {
+            cut: true,
+            ..no_faults
+        }),
+        None
+    );
+    assert_eq!(
+        send_with(LinkFaults {
+            loss: 1.0,
+            ..no_faults
+        }),
+        None
+    );
+    let corrupted = send_with(LinkFaults {
         corrupt: 1.0,
-        ..well
+        ..no_faults
     })
     .unwrap()
     .0;
-    assert!(garbled.len() == 8 && garbled != b"well met");
+    assert!(corrupted.len() == 8 && corrupted != b"datagram");
     assert!(
-        passes(LinkFaults {
+        send_with(LinkFaults {
             truncate: 1.0,
-            ..well
+            ..no_faults
         })
         .unwrap()
         .0
         .len()
             < 8
     );
-    let from = Instant::now();
-    let late = (0..8)
+    let start = Instant::now();
+    let delivered = (0..8)
         .map(|_| {
-            passes(LinkFaults {
+            send_with(LinkFaults {
                 delay: Duration::from_millis(40),
-                ..well
+                ..no_faults
             })
         })
         .filter(Option::is_some)
         .count();
     assert!(
-        late == 8 && from.elapsed() >= Duration::from_millis(40),
-        "nothing was held up"
+        delivered == 8 && start.elapsed() >= Duration::from_millis(40),
+        "no datagram was delayed"
     );
-    passes(LinkFaults {
+    send_with(LinkFaults {
         duplicate: 1.0,
-        ..well
+        ..no_faults
     })
     .unwrap();
-    assert!(received(1).is_some(), "not doubled");
+    assert!(receive(1).is_some(), "the datagram was not duplicated");
     let traffic = network.traffic();
     assert_eq!(
         (
@@ -103,45 +117,52 @@
     assert_eq!(traffic.sent, [14, 14]);
 }
 
-/// A connection from one process's address to the other's face.
+/// Connects from the address of one process to the public address of another.
 fn connect(network: &FaultyNetwork, from: usize, to: usize) -> TcpStream {
     use rustix::net::{bind, connect, socket, AddressFamily, SocketType};
-    let end = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
+    let stream = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
     bind(
-        &end,
+        &stream,
         &SocketAddr::new(network.process_addresses[from].ip(), 0),
     )
     .unwrap();
-    connect(&end, &network.public_addresses[to]).unwrap();
-    let end = TcpStream::from(end);
-    end.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-    end
+    connect(&stream, &network.public_addresses[to]).unwrap();
+    let stream = TcpStream::from(stream);
+    stream
+        .set_read_timeout(Some(Duration::from_secs(5)))
+        .unwrap();
+    stream
 }
 
-/// Prevents connections between processes that faults pass by, or that lose what they are to carry whole.
+/// Guards against connections that faults do not affect, and against lost or changed bytes on those without faults.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one case for each fault")]
-fn connections_pass_whole_and_are_cut_held_up_garbled_and_cut_short() {
+fn each_fault_affects_connections_and_others_pass_all_bytes() {
     let network = FaultyNetwork::new(2, 2);
-    let door = TcpListener::bind(network.process_addresses[1]).unwrap();
-    let both = || (connect(&network, 0, 1), door.accept().unwrap().0);
-    let (mut near, mut far) = both();
+    let listener = TcpListener::bind(network.process_addresses[1]).unwrap();
+    let open_connection = || (connect(&network, 0, 1), listener.accept().unwrap().0);
+    let (mut near, mut far) = open_connection();
     let long: Vec<u8> = (0..300_000u32).map(|n| n as u8).collect();
     let sent = long.clone();
-    let writes = std::thread::spawn(move || {
+    let writer = std::thread::spawn(move || {
         near.write_all(&sent).unwrap();
         near.shutdown(Shutdown::Write).unwrap();
         let mut answer = String::new();
         near.read_to_string(&mut answer).unwrap();
         answer
     });
-    let mut came = Vec::new();
-    far.read_to_end(&mut came).unwrap();
-    assert!(came == long, "{} of {} bytes", came.len(), long.len());
+    let mut received = Vec::new();
+    far.read_to_end(&mut received).unwrap();
+    assert!(
+        received == long,
+        "{} of {} bytes",
+        received.len(),
+        long.len()
+    );
     far.write_all(b"thanks").unwrap();
     drop(far);
-    assert_eq!(writes.join().unwrap(), "thanks");
-    let injected = |link_faults: LinkFaults| {
+    assert_eq!(writer.join().unwrap(), "thanks");
+    let set_faults = |link_faults: LinkFaults| {
         network.set_faults(|from, _| {
             if from == 0 {
                 link_faults
@@ -150,28 +171,28 @@
             }
         });
     };
-    let (mut near, mut far) = both();
-    injected(LinkFaults {
+    let (mut near, mut far) = open_connection();
+    set_faults(LinkFaults {
         cut: true,
         ..LinkFaults::default()
     });
     near.write_all(b"one").unwrap();
     far.set_read_timeout(Some(Duration::from_millis(150)))
         .unwrap();
-    let mut space = [0; 8];
-    assert!(far.read(&mut space).is_err(), "a cut way carries");
-    injected(LinkFaults {
+    let mut buffer = [0; 8];
+    assert!(far.read(&mut buffer).is_err(), "a cut link passes bytes");
+    set_faults(LinkFaults {
         delay: Duration::from_millis(30),
         ..LinkFaults::default()
     });
-    assert_eq!(far.read(&mut space).unwrap(), 3);
-    injected(LinkFaults {
+    assert_eq!(far.read(&mut buffer).unwrap(), 3);
+    set_faults(LinkFaults {
         corrupt: 1.0,
         ..LinkFaults::default()
     });
     near.write_all(b"two").unwrap();
-    assert!(far.read(&mut space).unwrap() == 3 && &space[..3] != b"two");
-    injected(LinkFaults {
+    assert!(far.read(&mut buffer).unwrap() == 3 && &buffer[..3] != b"two");
+    set_faults(LinkFaults {
         truncate: 1.0,
         ..LinkFaults::default()
     });
--- a/testkit/src/schedule/draw.rs
+++ b/testkit/src/schedule/draw.rs
@@ -1,4 +1,5 @@
-//! Draws schedules of overlapping faults by a seed. The order of the random draws is part of what a seed means.
+//! Draws schedules of overlapping faults from a seed. A change to the order of the random draws changes the schedule of
+//! every seed.
 
 use super::{FaultSchedule, PlannedFault, ScheduledFault};
 use crate::network::LinkFaults;
@@ -7,12 +8,12 @@
 use std::time::Duration;
 
 impl FaultSchedule {
-    /// Draws so many faults that overlap.
+    /// Draws a schedule of `faults` overlapping faults for a fleet of `nodes` nodes.
     pub fn draw(seed: u64, nodes: usize, faults: usize) -> FaultSchedule {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let first_millis = rng.random_range(300..800);
         let draw = |number: u64| {
-            // From about the shortest suspicion of a member to several times that.
+            // Durations range from about the shortest time for which a member is suspected to several times that.
             let start_millis = first_millis + number * rng.random_range(100..600);
             let duration_millis = rng.random_range(300..3000);
             PlannedFault {
@@ -54,7 +55,7 @@
     }
 }
 
-/// The fields are drawn in the order in which they stand.
+/// Draws the faults of a lossy network, in the order of the fields.
 fn draw_link_faults(rng: &mut ChaCha8Rng) -> LinkFaults {
     let mut share = |max: f64| (rng.random::<f64>() * max * 100.0).round() / 100.0;
     let (loss, duplicate, corrupt, truncate) = (share(0.3), share(0.3), share(0.1), share(0.1));
--- a/testkit/src/schedule/mod.rs
+++ b/testkit/src/schedule/mod.rs
@@ -1,6 +1,6 @@
-//! Fault schedules: what happens to a fleet, when and for how long. They are drawn by a seed, written as small text
-//! files, played over processes and shrunk by leaving faults out. What is checked is what hosts and clients saw, and
-//! whether the views agree at the end.
+//! Fault schedules: which faults happen to a fleet, when and for how long. Schedules are drawn from a seed, written as
+//! small text files, played against processes, and shrunk by leaving faults out. A run is checked by what hosts and
+//! clients saw, and by whether the views of the members agree at the end.
 
 mod draw;
 mod play;
@@ -16,51 +16,51 @@
 /// A fault of a process, of the network or of the list service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ScheduledFault {
-    /// Killed, and started again from nothing under the same name and address when it is over.
+    /// The node is killed, and started again without its state under the same name and address at the end.
     Kill(usize),
-    /// Suspended, and continued when it is over.
+    /// The node is suspended, and continued at the end.
     Pause(usize),
-    /// Suspended and continued ten times a second, so that it runs a tenth of the time.
+    /// The node is suspended and continued ten times per second, so that it runs a tenth of the time.
     Slow(usize),
-    /// Started a second time under the same name, and ended when it is over.
+    /// A second process is started under the name of the node, and killed at the end.
     StartTwin(usize),
-    /// The part of each node; nodes in different parts do not hear each other.
+    /// The network is partitioned; holds the part of each node. Nothing passes between different parts.
     Partition(Vec<usize>),
-    /// The second does not hear the first.
+    /// Nothing passes from the first node to the second.
     DropOneWay(usize, usize),
-    /// Faults on all links.
+    /// All links have these faults.
     Lossy(LinkFaults),
     /// The list service is down.
     Down,
     /// The list service accepts calls and answers none.
     Hang,
-    /// It begins answers and goes silent.
+    /// The list service begins each answer and never finishes it.
     Silent,
-    /// It answers five calls a second.
+    /// The list service answers five calls per second.
     Sluggish,
-    /// It rejects so many of ten calls.
+    /// The list service rejects this number of every ten calls.
     Refuse(usize),
-    /// It restarts with an older list.
+    /// The list service restarts with an older list, and gets the current one back at the end.
     Older,
 }
 
-/// A fault, when it begins and how long it lasts.
+/// A fault with its start and duration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedFault {
-    /// When it begins, from the start of the schedule.
+    /// When the fault begins, in milliseconds from the start of the schedule.
     pub start_millis: u64,
-    /// How long it lasts.
+    /// How long the fault lasts, in milliseconds.
     pub duration_millis: u64,
-    /// What happens.
+    /// The fault.
     pub fault: ScheduledFault,
 }
 
-/// Faults over time for a fleet of some size.
+/// The faults that are injected into a fleet of a given size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultSchedule {
-    /// What the schedule, and the chance within it, was drawn from.
+    /// The seed of the schedule and of all random draws while it is played.
     pub seed: u64,
-    /// Nodes of the fleet.
+    /// The number of nodes of the fleet.
     pub nodes: usize,
     /// The faults in the order in which they were drawn.
     pub faults: Vec<PlannedFault>,
--- a/testkit/src/schedule/play.rs
+++ b/testkit/src/schedule/play.rs
@@ -1,5 +1,5 @@
-//! Plays a schedule over processes: begins and ends its faults in time, then checks that the fleet recovered and that no
-//! rule was violated.
+//! Plays a schedule against processes: begins and ends each fault at its time, then checks that the fleet recovered and
+//! that no rule was violated.
 
 use super::{FaultSchedule, PlannedFault, ScheduledFault};
 use crate::fleet::{Fleet, FleetOptions, ReturningClients, WarmingHosts};
@@ -11,32 +11,38 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The period of the fleet view.
+/// The period of the membership protocol.
 const PERIOD: Duration = Duration::from_millis(100);
 const CLIENTS_PER_NODE: usize = 6;
-/// How long the clients come at the start.
+/// The time within which the clients start.
 const CLIENT_SPREAD: Duration = Duration::from_millis(500);
 const HOSTS: usize = 5;
-/// Hosts that start cold at the start of the schedule.
+/// The number of further hosts, which start cold when the schedule begins.
 const COLD_HOSTS: usize = 2;
-/// The revision of the list before the cold hosts, with them, and of the older list.
+/// The revision of the endpoint list before the cold hosts are added.
 const FIRST_REVISION: u64 = HOSTS as u64;
+/// The revision of the endpoint list with the cold hosts.
 const FULL_REVISION: u64 = FIRST_REVISION + COLD_HOSTS as u64;
+/// The revision of the older list that [`ScheduledFault::Older`] restores, which is also the number of its hosts.
 const OLDER_REVISION: u64 = 3;
-/// How long the front takes to notice that a node was killed, and the news of a drain to reach the nodes.
+/// How long the front takes to notice that a node was killed, and how long the announcement of a drain may take to reach
+/// the nodes.
 const NOTICE_DELAY: Duration = Duration::from_millis(300);
-/// How soon after the last fault the views agree again, in periods.
+/// Within how many periods the views have to agree, at the start and after the last fault.
 const PERIODS_TO_AGREE: u32 = 40;
-/// How soon after the last fault all clients have a connection again.
+/// Within what time after the last fault all clients need to have a connection again.
 const RECONNECT_TIMEOUT: Duration = Duration::from_secs(12);
-/// What the list service answers while it is sluggish, in calls a second, and how long calls wait there.
+/// How many calls the list service answers per second while it is sluggish.
 const SLUGGISH_RATE: f64 = 5.0;
+/// How long calls wait at the list service while it is sluggish.
 const SLUGGISH_QUEUE: Duration = Duration::from_secs(1);
-/// A slow node runs for the end of each cycle.
+/// The length of a cycle in which a slow node is suspended and then runs.
 const SLOW_CYCLE_MILLIS: u64 = 100;
+/// How long a slow node is suspended, from the start of each cycle.
 const SLOW_SUSPENDED_MILLIS: u64 = 90;
 
-/// Plays a schedule over processes, of another build where one is named, and returns the violations.
+/// Plays a schedule against processes and returns the violations. `program` names another build of the program; with
+/// `None` the current one runs.
 pub fn play(schedule: &FaultSchedule, program: Option<&PathBuf>) -> Vec<String> {
     let mut playback = Playback::start(schedule, program);
     let clients = CLIENTS_PER_NODE * schedule.nodes;
@@ -49,7 +55,7 @@
     );
     let mut violations = Vec::new();
     if !playback.views_agree_in_time() {
-        violations.push("the views did not agree at the start".into());
+        violations.push("the views of the members did not agree at the start".into());
     }
     let start = Instant::now();
     playback.start_cold_hosts();
@@ -62,7 +68,7 @@
     playback.restart_superseded();
     if !playback.views_agree_in_time() {
         violations.push(format!(
-            "the views do not agree: {:?}",
+            "the views of the members do not agree: {:?}",
             playback.fleet.views()
         ));
     }
@@ -73,7 +79,8 @@
     violations
 }
 
-/// Waits until all clients have a connection; says how many have where that takes too long after the last fault.
+/// Waits until all clients have a connection. Returns a violation if that takes longer than [`RECONNECT_TIMEOUT`] after
+/// `ended`, the end of the last fault.
 fn wait_for_clients(
     returning_clients: &ReturningClients,
     clients: usize,
@@ -81,8 +88,8 @@
 ) -> Option<String> {
     while returning_clients.connected() < clients {
         if ended.elapsed() > RECONNECT_TIMEOUT {
-            let standing = returning_clients.connected();
-            return Some(format!("{standing} of {clients} clients stand"));
+            let connected = returning_clients.connected();
+            return Some(format!("{connected} of {clients} clients are connected"));
         }
         thread::sleep(Duration::from_millis(20));
     }
@@ -95,16 +102,17 @@
     End,
 }
 
-/// A step of a fault, at its moment.
+/// The begin or end of a fault, with its time.
 struct Transition {
+    /// When the step happens, in milliseconds from the start of the schedule.
     at_millis: u64,
-    /// The number of the fault in the schedule.
+    /// The index of the fault in the schedule.
     fault: usize,
     step: Step,
 }
 
 impl FaultSchedule {
-    /// The steps of all faults in the order of their moments.
+    /// Returns the transitions of all faults in the order of their times.
     fn transitions(&self) -> Vec<Transition> {
         let mut transitions: Vec<Transition> = self
             .faults
@@ -118,6 +126,7 @@
 }
 
 impl PlannedFault {
+    /// Returns the transitions of this fault; a slow node has several pairs of them.
     fn transitions(&self, fault: usize) -> Vec<Transition> {
         let end_millis = self.start_millis + self.duration_millis;
         let from_to = |from: u64, to: u64| {
@@ -137,7 +146,7 @@
     }
 }
 
-/// A fleet with its hosts and its list service, and the faults that are on.
+/// A fleet with its hosts and its list service while a schedule is played, and the active faults.
 struct Playback<'a> {
     schedule: &'a FaultSchedule,
     fleet: Fleet,
@@ -145,14 +154,14 @@
     service: Discovery,
     /// All hosts as entries of the endpoint list.
     list: Vec<Value>,
-    /// By fault: whether it is on.
+    /// By fault: whether it is active.
     active: Vec<bool>,
-    /// By node: how many faults suspend it now.
+    /// By node: the number of active faults that suspend it.
     suspensions: Vec<u32>,
 }
 
 impl<'a> Playback<'a> {
-    /// Starts the list service, hosts that are warm, and the nodes.
+    /// Starts the list service, the warm hosts, and the nodes.
     fn start(schedule: &'a FaultSchedule, program: Option<&PathBuf>) -> Self {
         let nodes = schedule.nodes;
         let service = Discovery::start();
@@ -160,7 +169,7 @@
         let list = hosts.members(hosts.start(HOSTS, false));
         list.iter()
             .for_each(|member| service.change(member.clone()));
-        // One process more than nodes: the second one of a twin.
+        // The network has one process more than there are nodes: the second process of [`ScheduledFault::StartTwin`].
         let fleet_view = FleetView {
             network: FaultyNetwork::new(nodes + 1, schedule.seed),
             period: PERIOD,
@@ -198,7 +207,8 @@
             .is_some()
     }
 
-    /// Restarts processes that another one superseded, as operators would: until then they take no part.
+    /// Restarts the processes that another one of the same name has superseded, as an operator would. Until then they take
+    /// no part in the fleet.
     fn restart_superseded(&mut self) {
         for node in 0..self.schedule.nodes {
             let status = self.fleet.status(node);
@@ -256,13 +266,13 @@
         }
     }
 
-    /// Whether this is the first of the faults that suspend a node now: two may overlap.
+    /// Counts a fault that suspends a node. Returns whether it is the only active one, as such faults may overlap.
     fn begin_suspension(&mut self, node: usize) -> bool {
         self.suspensions[node] += 1;
         self.suspensions[node] == 1
     }
 
-    /// Whether this was the last of the faults that suspend a node.
+    /// Removes a fault that suspends a node. Returns whether no other one is active.
     fn end_suspension(&mut self, node: usize) -> bool {
         self.suspensions[node] -= 1;
         self.suspensions[node] == 0
@@ -294,7 +304,7 @@
         }
     }
 
-    /// Sets the faults of all links by the faults that are on.
+    /// Sets the faults of all links as the active faults require.
     fn apply_link_faults(&self) {
         let active: Vec<&ScheduledFault> = self
             .schedule
@@ -311,7 +321,8 @@
     }
 }
 
-/// The faults of a link where these are on: cuts add up, of other faults the last one counts.
+/// Returns the faults of a link while these faults are active. The link is cut if any fault cuts it; the other link
+/// faults are those of the last [`ScheduledFault::Lossy`].
 fn link_faults(active: &[&ScheduledFault], from: usize, to: usize) -> LinkFaults {
     let mut combined = LinkFaults::default();
     for fault in active {
--- a/testkit/src/schedule/shrink.rs
+++ b/testkit/src/schedule/shrink.rs
@@ -2,7 +2,8 @@
 
 use super::FaultSchedule;
 
-/// Leaves faults out one by one for as long as what remains still fails, in one of `tries` runs.
+/// Leaves out each fault without which the schedule still fails, and returns what remains, at least one fault. A
+/// candidate counts as failing if at least one of `tries` runs fails.
 pub fn shrink(
     schedule: &FaultSchedule,
     tries: usize,
--- a/testkit/src/schedule/text.rs
+++ b/testkit/src/schedule/text.rs
@@ -1,5 +1,5 @@
-//! The text form of a schedule: a line each for the seed, the count of nodes, and each fault. What is behind a `#` is a
-//! comment.
+//! The text form of a schedule: one line each for the seed, the number of nodes, and every fault. A `#` starts a comment
+//! that ends with the line.
 
 use super::{FaultSchedule, PlannedFault, ScheduledFault};
 use crate::network::LinkFaults;
@@ -7,28 +7,28 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Parts of a partition are written as letters from `a` on.
+/// The letter of the first part of a partition; the others follow in the order of the alphabet.
 const FIRST_PART: u8 = b'a';
 const MAX_PARTS: usize = 26;
 
-/// Why a text is no schedule.
+/// Why a text could not be parsed as a schedule.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ScheduleError {
-    /// A line that is none of the known ones.
+    /// A line is not in one of the known forms.
     BadLine {
-        /// The number of the line, from 1 on.
+        /// The number of the line, counted from 1.
         number: usize,
-        /// The line.
+        /// The text of the line.
         line: String,
     },
     /// A fault names nodes that the fleet does not have.
     DoesNotFit {
         /// The fault.
         fault: ScheduledFault,
-        /// Nodes of the fleet.
+        /// The number of nodes of the fleet.
         nodes: usize,
     },
-    /// No line says how many nodes there are.
+    /// No line sets the number of nodes, or it is 0.
     NodesMissing,
 }
 
@@ -36,12 +36,12 @@
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
             ScheduleError::BadLine { number, line } => {
-                write!(out, "line {number}: {line:?} is no part of a schedule")
+                write!(out, "line {number}: {line:?} is not a valid schedule line")
             }
             ScheduleError::DoesNotFit { fault, nodes } => {
                 write!(out, "{fault:?} does not fit {nodes} nodes")
             }
-            ScheduleError::NodesMissing => out.write_str("nodes are missing"),
+            ScheduleError::NodesMissing => out.write_str("the number of nodes is missing or 0"),
         }
     }
 }
@@ -121,7 +121,7 @@
 }
 
 impl FaultSchedule {
-    /// Takes over what a line says; `None` where it says nothing that is known.
+    /// Applies one line to the schedule; `None` if the line is malformed.
     fn parse_line(&mut self, words: &[&str]) -> Option<()> {
         match words {
             ["seed", seed] => self.seed = seed.parse().ok()?,
@@ -136,6 +136,7 @@
         Some(())
     }
 
+    /// Checks that the number of nodes is set and that each fault fits it.
     fn check_nodes(&self) -> Result<(), ScheduleError> {
         let misfit = self
             .faults
@@ -153,7 +154,7 @@
 }
 
 impl ScheduledFault {
-    /// Whether a fleet of so many nodes has all that the fault names.
+    /// Returns whether a fleet of this many nodes has all the nodes that the fault refers to.
     fn fits(&self, nodes: usize) -> bool {
         match self {
             ScheduledFault::Kill(node)
