--- a/testkit/src/coldstart/mod.rs
+++ b/testkit/src/coldstart/mod.rs
@@ -1,6 +1,6 @@
-//! Measurement of a cold start: many processes start at once, know nothing, and share a list service of a stated
-//! capacity. Each run also plays the baseline (every node calls when it likes), another build if one is named, and hosts
-//! that are all warming up. Owns the promised bounds and the figures.
+//! Measures a cold start: many processes start at once without a known endpoint list and share a list service of
+//! limited capacity. Each run also measures the baseline, in which the nodes do not coordinate their calls, another
+//! build if one is named, and a start in which all hosts are warming up. Owns the bounds and the figures.
 
 mod scenario;
 
@@ -12,22 +12,23 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The size of a cold-start measurement.
+/// The size and conditions of a cold-start measurement.
 pub struct ColdStartSize {
-    /// Nodes that start at once.
+    /// The number of nodes that start at once.
     pub nodes: usize,
-    /// Hosts that serve.
+    /// The number of hosts.
     pub hosts: usize,
-    /// Calls that the list service answers in a second.
+    /// The number of calls that the list service answers per second.
     pub rate: f64,
     /// How long a call may wait at the list service before it is rejected.
     pub queue: Duration,
     /// How long the list service is down at the start.
     pub down: Duration,
-    /// Another build of the program, measured in the same run.
+    /// Another build of the program, which is measured in the same run; `None` if there is none.
     pub before: Option<PathBuf>,
 }
 
+/// The options of all starts; the capacity of the hosts is replaced where they are cold.
 const OPTIONS: FleetOptions = FleetOptions {
     warm_up: Duration::from_secs(20),
     warm_up_initial_share: 0.12,
@@ -37,26 +38,32 @@
     warm_capacity: 1e6,
 };
 
-/// Clients of each node where the hosts are cold: enough that chance does not send most of them to one host.
+/// The number of clients per node where the hosts are cold: enough that chance does not send most of them to one host.
 const CLIENTS_PER_NODE: usize = 4;
-/// The capacity that nodes may count on where hosts are cold, in shares of the clients that a host is to hold.
+/// The capacity of a cold host on which nodes may count, as a multiple of its share of all clients.
 const PROMISED_CAPACITY: f64 = 4.0;
-/// The capacity that the hosts have there, in the same shares.
+/// The actual capacity of a cold host, as a multiple of its share of all clients.
 const ACTUAL_CAPACITY: f64 = 8.0;
-/// The part of the promised capacity by which the time limit of cold hosts is reckoned.
+/// The part of the promised capacity from which the time limit for cold hosts is calculated.
 const USED_SHARE: f64 = 0.5;
-/// The step in which the warm-up of hosts is summed up, in seconds.
+/// The step of the sum over the warm-up of the hosts, in seconds.
 const BUDGET_STEP: f64 = 0.01;
 
-/// The bounds that are promised.
+// The bounds of the measurement; all limits are inclusive.
+
+/// The calls in the busiest second, as a multiple of what the list service answers per second.
 const MAX_RATE_FACTOR: f64 = 1.2;
+/// The share of the calls that the list service rejects.
 const MAX_REJECTED_SHARE: f64 = 0.05;
+/// The calls to the list service per node.
 const MAX_CALLS_PER_NODE: f64 = 2.2;
+/// The time until 99% of the clients are served, as a multiple of the calculated time limit.
 const MAX_TIME_FACTOR: f64 = 1.3;
+/// The connections that reach cold hosts, as a multiple of the number of clients.
 const MAX_ATTEMPT_FACTOR: f64 = 1.2;
 
 impl ColdStartSize {
-    /// The options where hosts are cold and have this multiple of the capacity that all clients need.
+    /// Returns the options for cold hosts whose capacity is this multiple of what all clients need.
     fn options(&self, capacity: f64) -> FleetOptions {
         FleetOptions {
             warm_capacity: capacity * (CLIENTS_PER_NODE * self.nodes) as f64 / self.hosts as f64,
@@ -64,13 +71,13 @@
         }
     }
 
-    /// How soon the list service can answer each node once, in seconds.
+    /// Returns the time that the list service takes to answer each node once, in seconds.
     fn service_time_limit(&self) -> f64 {
         self.nodes as f64 / self.rate
     }
 
-    /// How soon hosts that are all cold may have accepted all clients, in seconds, where they are sent this share of
-    /// their budget.
+    /// Returns the time until cold hosts have accepted all clients if they are sent this share of their budget, in
+    /// seconds.
     fn hosts_time_limit(&self, capacity: f64, share: f64) -> f64 {
         let options = self.options(capacity);
         let window = options.overload_window.as_secs_f64();
@@ -84,13 +91,13 @@
     }
 }
 
-/// The ways of starting, as figures and texts name them.
+// The names of the start modes in figures and charts.
 const BASELINE: &str = "plain";
 const OTHER_BUILD: &str = "before";
 const COORDINATED: &str = "now";
 const COLD_HOSTS: &str = "cold hosts";
 
-/// Starts the fleet in each way in turn. Returns the report, and counts by second for a chart.
+/// Starts the fleet in each mode in turn. Returns the report, and the counts of each second for a chart.
 pub fn measure(size: &ColdStartSize, seed: u64) -> (Report, Vec<Row>) {
     let hosts_limit = size.hosts_time_limit(PROMISED_CAPACITY, USED_SHARE);
     let budget_limit = size.hosts_time_limit(ACTUAL_CAPACITY, 1.0);
@@ -156,7 +163,7 @@
     })
 }
 
-/// The texts of the bounds that do not hold.
+/// Returns the texts of the bounds that do not hold.
 fn missed(bounds: impl IntoIterator<Item = (bool, String)>) -> Vec<String> {
     bounds
         .into_iter()
@@ -168,7 +175,7 @@
 fn missed_by_coordinated(size: &ColdStartSize, result: &StartResult) -> Vec<String> {
     let (nodes, limit) = (size.nodes as f64, size.service_time_limit());
     let served = result.first_clients.len();
-    // The calls of the first second come before anything can be known.
+    // In the first second nodes call before they can learn anything of the others.
     let seconds = result.calls_by_second.iter().skip(1);
     let busiest = seconds.max().copied().unwrap_or(0);
     let rejected_share = result.rejected as f64 / result.calls.max(1) as f64;
@@ -177,23 +184,28 @@
     missed([
         (
             served == size.nodes,
-            format!("{served} of {nodes} nodes served"),
+            format!("{served} of {nodes} nodes served a client"),
         ),
         (
             busiest as f64 <= MAX_RATE_FACTOR * size.rate,
-            format!("{busiest} calls in a second, {} can be done", size.rate),
+            format!(
+                "{busiest} calls in one second, the list service answers {}",
+                size.rate
+            ),
         ),
         (
             rejected_share <= MAX_REJECTED_SHARE,
-            format!("{rejected_share:.2} of the calls turned away"),
+            format!("{rejected_share:.2} of the calls were rejected"),
         ),
         (
             result.calls as f64 <= MAX_CALLS_PER_NODE * nodes,
-            format!("{calls_per_node:.2} calls a node"),
+            format!("{calls_per_node:.2} calls per node"),
         ),
         (
             last <= MAX_TIME_FACTOR * limit,
-            format!("99% serve after {last:.1} s of {limit:.1}"),
+            format!(
+                "99% of the nodes serve after {last:.1} s, the list service needs {limit:.1} s"
+            ),
         ),
     ])
 }
@@ -210,15 +222,15 @@
     missed([
         (
             served == clients,
-            format!("{served} of {clients} clients served by cold hosts"),
+            format!("cold hosts served {served} of {clients} clients"),
         ),
         (
             last <= MAX_TIME_FACTOR * limit,
-            format!("99% served by cold hosts after {last:.1} s of {limit:.1}"),
+            format!("cold hosts serve 99% of the clients after {last:.1} s, the calculated limit is {limit:.1} s"),
         ),
         (
             attempts as f64 <= MAX_ATTEMPT_FACTOR * clients as f64,
-            format!("{attempts} asked at cold hosts for {clients} clients"),
+            format!("{attempts} connections reached cold hosts for {clients} clients"),
         ),
     ])
 }
--- a/testkit/src/coldstart/scenario.rs
+++ b/testkit/src/coldstart/scenario.rs
@@ -1,4 +1,4 @@
-//! One cold start: the fleet, its hosts, its list service and its clients, and what was seen of it.
+//! One cold start: starts the list service, the hosts, the nodes and the clients, and counts what they do.
 
 use super::{ColdStartSize, ACTUAL_CAPACITY, CLIENTS_PER_NODE, OPTIONS};
 use crate::fleet::{Fleet, FleetOptions, ReturningClients, WarmingHosts};
@@ -8,32 +8,35 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How a fleet is started.
+/// The conditions under which a fleet is started.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum StartMode {
-    /// Each node is configured as if it were the only one.
+    /// Each node is configured as if it were the only one, and the hosts are warm.
     Alone,
+    /// The nodes know the cluster size, and the hosts are warm.
     Together,
-    /// Together, and the hosts are cold.
+    /// The nodes know the cluster size, and the hosts are cold.
     ColdHosts,
 }
 
-/// What one way of starting showed.
+/// The results of one start.
 pub(super) struct StartResult {
-    /// Calls at the list service.
+    /// The number of calls that reached the list service.
     pub calls: usize,
-    /// Calls that it rejected.
+    /// The number of calls that the list service rejected.
     pub rejected: usize,
     pub calls_by_second: Vec<usize>,
-    /// Connections with a request that reached hosts.
+    /// By second: the number of connections with a request that reached hosts.
     pub attempts_by_second: Vec<usize>,
-    /// By client, sorted: from the start to its first connection; clients that had none are missing.
+    /// The times from the start of the list service to the first connection of each client, in ascending order. Clients
+    /// without a connection are left out.
     pub first_clients: Vec<Duration>,
     pub violations: Vec<String>,
 }
 
 impl StartResult {
-    /// The time by which this share of the clients had their first connection, in seconds.
+    /// Returns the time by which this share of the connected clients had their first connection, in seconds; infinite
+    /// if no client had one.
     pub(super) fn first_client(&self, share: f64) -> f64 {
         let rank = (self.first_clients.len() as f64 * share).ceil() as usize;
         self.first_clients
@@ -46,7 +49,7 @@
     }
 }
 
-/// How many fell in each second from a moment on.
+/// Returns how many of these moments fall in each second after `start`.
 fn count_by_second(start: Instant, moments: &[Instant]) -> Vec<usize> {
     let mut counts = Vec::new();
     for at in moments {
@@ -57,6 +60,7 @@
     counts
 }
 
+/// The list service, the hosts and the nodes of one start.
 struct Scenario {
     service: Discovery,
     hosts: WarmingHosts,
@@ -65,7 +69,7 @@
 }
 
 impl Scenario {
-    /// Starts the list service and the hosts; no process runs yet.
+    /// Starts the list service and the hosts, but no node yet.
     fn new(
         size: &ColdStartSize,
         mode: StartMode,
@@ -117,8 +121,8 @@
     }
 }
 
-/// Starts a fleet in this way, with clients that wait for it, and watches until all of them are served or it has taken
-/// too long.
+/// Starts a fleet in this mode together with its clients, waits until all clients are connected or a time limit is
+/// over, and returns the results.
 pub(super) fn start(
     size: &ColdStartSize,
     seed: u64,
@@ -147,16 +151,17 @@
     thread::sleep(size.down.saturating_sub(start.elapsed()));
     scenario.service.come_up();
     let service_up = start + size.down;
-    // Long enough for a service that rejects half of the calls, three times over.
+    // Three times as long as a service takes that rejects half of the calls.
     let time_limit = Duration::from_secs_f64(6.0 * size.nodes as f64 / size.rate + 10.0);
     while returning_clients.connected() < clients && Instant::now() < service_up + time_limit {
         thread::sleep(Duration::from_millis(20));
     }
-    // Nodes have begun their next polls by then: the last list came at half of the poll interval, or later.
+    // Waits until the nodes have begun their next polls, so that these are counted too. The last list came at half of
+    // the poll interval or later.
     let polled = service_up + OPTIONS.max_poll_interval * 3 / 2;
     thread::sleep(polled.saturating_duration_since(Instant::now()));
-    let first = returning_clients.first_connections(service_up);
-    let mut first_clients: Vec<Duration> = first.into_iter().flatten().collect();
+    let first_connections = returning_clients.first_connections(service_up);
+    let mut first_clients: Vec<Duration> = first_connections.into_iter().flatten().collect();
     first_clients.sort_unstable();
     returning_clients.stop();
     scenario.result(start, first_clients, &returning_clients)
--- a/testkit/src/fleet/processes.rs
+++ b/testkit/src/fleet/processes.rs
@@ -270,8 +270,8 @@
         self.nodes[node] = None;
     }
 
-    /// Suspends a process until [`Fleet::unsuspend`] and removes it from the front. Requests that it has accepted may be
-    /// answered late.
+    /// Suspends a process until [`Fleet::unsuspend`] and removes it from the front. Requests that it has accepted may
+    /// be answered late.
     pub fn suspend(&mut self, node: usize) {
         self.note_end(node, Duration::ZERO);
         self.nodes[node].iter().for_each(Node::suspend);
--- a/testkit/src/fleet/returning_clients.rs
+++ b/testkit/src/fleet/returning_clients.rs
@@ -12,8 +12,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest time that a client with a fixed node waits before it reconnects. It is short because such clients measure
-/// when their node serves again.
+/// The longest time that a client with a fixed node waits before it reconnects. It is short because such clients
+/// measure when their node serves again.
 const MAX_OWN_NODE_BACKOFF: Duration = Duration::from_millis(100);
 /// How long a client waits before it asks the front again if that has no backend.
 const EMPTY_FRONT_BACKOFF: Duration = Duration::from_millis(50);
@@ -51,8 +51,8 @@
 }
 
 impl ReturningClients {
-    /// Starts `count` clients at random times within `spread`. If `nodes` is given, each client uses only the node at its
-    /// own number modulo the number of nodes; otherwise the front picks a node for each request.
+    /// Starts `count` clients at random times within `spread`. If `nodes` is given, each client uses only the node at
+    /// its own number modulo the number of nodes; otherwise the front picks a node for each request.
     pub fn start(
         count: usize,
         front: &Front,
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Sends one request and, if it is accepted, holds the connection until it ends. Returns how long to wait before the
-    /// next attempt.
+    /// Sends one request and, if it is accepted, holds the connection until it ends. Returns how long to wait before
+    /// the next attempt.
     fn attempt(&mut self, node: SocketAddr) -> Duration {
         let backoff = Duration::from_millis(self.rng.random_range(100..400));
         let Ok(mut stream) = TcpStream::connect(node) else {
--- a/testkit/src/fleet/warming_hosts.rs
+++ b/testkit/src/fleet/warming_hosts.rs
@@ -1,5 +1,5 @@
-//! Hosts that warm up after their start, and stay broken once they are overloaded. Records what reached each of them and
-//! when; rules 3 and 4 are checked by these records alone.
+//! Hosts that warm up after their start, and stay broken once they are overloaded. Records what reached each of them
+//! and when; rules 3 and 4 are checked by these records alone.
 
 use super::FleetOptions;
 use crate::simulated::{echo_lines, first_line, spawn_thread, DRAIN_GRACE, SOCKET_SLACK};
@@ -119,8 +119,8 @@
         self.host(host).probes.lock().unwrap().clone()
     }
 
-    /// Returns the violations of rules 3 and 4. `notice_delay` is how long the announcement of a drain may take to reach
-    /// the nodes.
+    /// Returns the violations of rules 3 and 4. `notice_delay` is how long the announcement of a drain may take to
+    /// reach the nodes.
     pub fn violations(&self, notice_delay: Duration) -> Vec<String> {
         let mut violations = Vec::new();
         for (number, host) in self.hosts.lock().unwrap().iter().enumerate() {
--- a/testkit/src/fleet_view/measure.rs
+++ b/testkit/src/fleet_view/measure.rs
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Kills a node, observes how the others learn of its death, and starts it again. Returns `None` if the views do not
-    /// agree after that.
+    /// Kills a node, observes how the others learn of its death, and starts it again. Returns `None` if the views do
+    /// not agree after that.
     fn measure_kill(&mut self, node: usize) -> Option<Spreading> {
         self.fleet.members_declared_dead();
         let killed_at = Instant::now();
@@ -154,8 +154,8 @@
         Some(spreading)
     }
 
-    /// Returns the events that running nodes have logged since their logs were last read: the observer, the time and the
-    /// event. `node` is the killed node.
+    /// Returns the events that running nodes have logged since their logs were last read: the observer, the time and
+    /// the event. `node` is the killed node.
     fn member_events(&self, node: usize) -> Vec<(usize, Instant, MemberEvent)> {
         let mut events = Vec::new();
         for (observer, process) in self.fleet.nodes.iter().enumerate() {
@@ -176,7 +176,8 @@
         self.periods_to_agree().unwrap_or(f64::INFINITY)
     }
 
-    /// Makes all links lose, duplicate and delay datagrams, and counts the nodes that are wrongly declared dead meanwhile.
+    /// Makes all links lose, duplicate and delay datagrams, and counts the nodes that are wrongly declared dead
+    /// meanwhile.
     fn measure_lossy_links(&mut self) {
         self.fleet.members_declared_dead();
         let link_faults = LinkFaults {
--- a/testkit/src/html_chart.rs
+++ b/testkit/src/html_chart.rs
@@ -1,26 +1,29 @@
-//! Counts by second as one self-contained HTML page. Knows how to draw them, not what they mean.
+//! Draws counts by second as a self-contained HTML page.
 
 use std::fmt::Write;
 
-/// A name, and what was counted in each second.
+/// A series of counts, one for each second.
 pub struct Row {
-    /// The caption.
+    /// The caption of the series.
     pub name: String,
-    /// The count of each second, from the first.
+    /// The count of each second, starting with the first one.
     pub by_second: Vec<usize>,
 }
 
+/// The width of a chart, in pixels.
 const WIDTH: usize = 900;
+/// The height of a chart, in pixels.
 const HEIGHT: usize = 120;
 
-/// Escapes what HTML would take for markup.
+/// Escapes the characters that HTML would read as markup.
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
         .replace('>', "&gt;")
 }
 
-/// All rows over the same seconds, each to its own height, with its counts as a table below.
+/// Returns a page with a chart for each row, and a table of all counts. The charts share the time axis, and each is
+/// scaled to its own maximum.
 pub fn page(title: &str, rows: &[Row]) -> String {
     let title = escape(title);
     let seconds = rows
@@ -39,7 +42,7 @@
         let sum: usize = row.by_second.iter().sum();
         _ = write!(
             page,
-            "<h2>{}: {sum}, {max} at most in a second</h2>\n<svg width=\"{WIDTH}\" ",
+            "<h2>{}: {sum}, at most {max} in one second</h2>\n<svg width=\"{WIDTH}\" ",
             escape(&row.name)
         );
         _ = writeln!(
--- a/testkit/src/html_chart_tests.rs
+++ b/testkit/src/html_chart_tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Prevents a page that loads something from elsewhere, or leaves a count out.
+/// Guards against a page that loads anything from elsewhere, or that leaves out a count.
 #[test]
-fn every_count_is_on_a_page_that_needs_nothing_else() {
+fn the_page_is_self_contained_and_shows_every_count() {
     let row = |name: &str, by_second: &[usize]| Row {
         name: name.into(),
         by_second: by_second.to_vec(),
--- a/testkit/src/network/mod.rs
+++ b/testkit/src/network/mod.rs
@@ -1,7 +1,7 @@
 //! A network with faults between processes. Each process has a public address that the others use; the event loop of
 //! this module has a UDP socket and a TCP listener there and forwards what arrives to the process. Datagrams are
-//! forwarded from the public address of their sender. The module decides what is lost, delayed, duplicated, corrupted or
-//! truncated, by sender and receiver, and does not interpret the bytes.
+//! forwarded from the public address of their sender. The module decides what is lost, delayed, duplicated, corrupted
+//! or truncated, by sender and receiver, and does not interpret the bytes.
 
 mod connection;
 mod event_loop;
@@ -80,8 +80,8 @@
 }
 
 impl FaultyNetwork {
-    /// Creates a network without faults between `count` processes. `seed` is the seed of the random draws by which faults
-    /// happen later.
+    /// Creates a network without faults between `count` processes. `seed` is the seed of the random draws by which
+    /// faults happen later.
     pub fn new(count: usize, seed: u64) -> FaultyNetwork {
         let public: Vec<(UdpSocket, TcpListener)> =
             (0..count).map(|_| bind_public_address()).collect();
--- a/testkit/src/schedule/play.rs
+++ b/testkit/src/schedule/play.rs
@@ -25,8 +25,8 @@
 const FULL_REVISION: u64 = FIRST_REVISION + COLD_HOSTS as u64;
 /// The revision of the older list that [`ScheduledFault::Older`] restores, which is also the number of its hosts.
 const OLDER_REVISION: u64 = 3;
-/// How long the front takes to notice that a node was killed, and how long the announcement of a drain may take to reach
-/// the nodes.
+/// How long the front takes to notice that a node was killed, and how long the announcement of a drain may take to
+/// reach the nodes.
 const NOTICE_DELAY: Duration = Duration::from_millis(300);
 /// Within how many periods the views have to agree, at the start and after the last fault.
 const PERIODS_TO_AGREE: u32 = 40;
@@ -207,8 +207,8 @@
             .is_some()
     }
 
-    /// Restarts the processes that another one of the same name has superseded, as an operator would. Until then they take
-    /// no part in the fleet.
+    /// Restarts the processes that another one of the same name has superseded, as an operator would. Until then they
+    /// take no part in the fleet.
     fn restart_superseded(&mut self) {
         for node in 0..self.schedule.nodes {
             let status = self.fleet.status(node);
--- a/testkit/src/schedule/text.rs
+++ b/testkit/src/schedule/text.rs
@@ -1,5 +1,5 @@
-//! The text form of a schedule: one line each for the seed, the number of nodes, and every fault. A `#` starts a comment
-//! that ends with the line.
+//! The text form of a schedule: one line each for the seed, the number of nodes, and every fault. A `#` starts a
+//! comment that ends with the line.
 
 use super::{FaultSchedule, PlannedFault, ScheduledFault};
 use crate::network::LinkFaults;
--- a/testkit/src/scripted_forwarder.rs
+++ b/testkit/src/scripted_forwarder.rs
@@ -1,5 +1,5 @@
-//! A forwarder as a planner sees one, without clients or hosts: it speaks the protocol of the link at full speed, for
-//! measurements of a planner alone. It must never be taken for a forwarder: it keeps no rule of one.
+//! A scripted client of a planner, for measurements of a planner alone: it speaks the protocol of a forwarder at full
+//! speed, without clients or hosts. It keeps none of the rules of a forwarder, so it must not be used in its place.
 
 use reedferry_control_plane::codec::{self, FrameReader, FrameWriter, SequenceCheck};
 use reedferry_control_plane::messages::{
@@ -12,14 +12,16 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
+/// How long the session waits for the planner.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 const READ_BUFFER_BYTES: usize = 1 << 16;
-/// Distinct affinity keys of the requests.
+/// The number of distinct affinity keys of the requests.
 const KEY_COUNT: u64 = 4096;
+/// The time in which a request has to be answered.
 const REQUEST_TIMEOUT_NANOS: u64 = 2_000_000_000;
-/// How long the scripted attempts take.
+/// How long each attempt takes according to the script.
 const ATTEMPT_NANOS: u64 = 1_000_000;
-/// Open connections that are reported before bytes are sent.
+/// The number of open connections that are reported between two writes to the socket.
 const REPORT_BATCH: u64 = 1024;
 
 /// Why a session with a planner ended.
@@ -27,7 +29,7 @@
 pub enum SessionError {
     /// The socket failed.
     Io(io::Error),
-    /// The planner rejected the session, or broke the protocol.
+    /// The planner rejected the session, or violated the protocol.
     Link(LinkError),
     /// The planner closed the connection.
     Closed,
@@ -38,7 +40,7 @@
         match self {
             SessionError::Io(error) => error.fmt(f),
             SessionError::Link(error) => error.fmt(f),
-            SessionError::Closed => f.write_str("the planner ended the connection"),
+            SessionError::Closed => f.write_str("the planner closed the connection"),
         }
     }
 }
@@ -57,18 +59,19 @@
     }
 }
 
-/// A session with a planner that follows a script.
+/// A forwarder's session with a planner, in which a script replaces clients and hosts.
 pub struct ScriptedForwarder {
     stream: TcpStream,
     reader: FrameReader,
     writer: FrameWriter,
     sequence_check: SequenceCheck,
-    /// None until the planner's greeting.
+    /// The number of the session; `None` until the planner's greeting.
     session: Option<u64>,
+    /// The id of the last request that was sent; ids start at 1.
     last_request: u64,
 }
 
-/// What a request asks for in these measurements.
+/// Returns the request with this id as these measurements send it.
 pub fn placement_request(id: u64) -> PlacementRequest {
     PlacementRequest {
         class: 0,
@@ -80,10 +83,10 @@
 }
 
 impl ScriptedForwarder {
-    /// Connects to a planner and follows it.
+    /// Connects to a planner and begins to follow it.
     ///
     /// # Errors
-    /// Whatever ends the connection, or that the planner rejects the session.
+    /// If the connection fails or ends, or if the planner rejects the session.
     pub fn follow(
         address: SocketAddr,
         planner: &str,
@@ -133,7 +136,7 @@
         Ok(())
     }
 
-    /// Waits for bytes, and hands on the messages in them.
+    /// Waits for bytes from the planner, and calls `handle` with each message in them.
     fn receive(&mut self, handle: &mut impl FnMut(PlannerMessage)) -> Result<(), SessionError> {
         let mut bytes = [0; READ_BUFFER_BYTES];
         let count = self.stream.read(&mut bytes)?;
@@ -149,7 +152,7 @@
             let Some(number) = *session else {
                 match codec::decode_greeting(body)? {
                     Welcome::Session(number) => *session = Some(number),
-                    Welcome::Refused(why) => return Err(LinkError::RejectedByPeer(why)),
+                    Welcome::Refused(reason) => return Err(LinkError::RejectedByPeer(reason)),
                 }
                 return Ok(());
             };
@@ -174,10 +177,11 @@
         });
     }
 
-    /// Reports so many open connections, spread over the hosts, and waits until the planner has read them.
+    /// Reports `count` open connections, spread evenly over the hosts, and waits until the planner has read the
+    /// reports.
     ///
     /// # Errors
-    /// Whatever ends the connection.
+    /// If the connection fails or ends.
     pub fn report_open_connections(
         &mut self,
         count: u64,
@@ -195,7 +199,7 @@
                 self.flush()?;
             }
         }
-        // What is requested behind them is decided behind them.
+        // The planner decides on this request only after it has read all reports before it.
         self.request_placement();
         self.flush()?;
         let mut decided = false;
@@ -210,11 +214,11 @@
         Ok(())
     }
 
-    /// Has so many requests decided, `window` of them at once, each open until `max_open` have come behind it.
-    /// Returns how many got a host.
+    /// Sends `count` requests, at most `window` of which wait for a decision at a time. Each connection stays open
+    /// until `max_open` newer ones are open. Returns how many requests got a host.
     ///
     /// # Errors
-    /// Whatever ends the connection.
+    /// If the connection fails or ends.
     pub fn request_decisions(
         &mut self,
         count: u64,
--- a/testkit/src/two_tier/load.rs
+++ b/testkit/src/two_tier/load.rs
@@ -1,4 +1,4 @@
-//! Single nodes and the two tiers under the same load, and the death of a planner under it.
+//! Measures single nodes and the two tiers under the same load, and the death of a planner under load.
 
 use super::Size;
 use crate::simulated::{Clients, Hosts, InvariantChecker};
@@ -11,14 +11,15 @@
 const PLANNERS: usize = 2;
 /// How long clients hold their connections.
 const HOLD_TIME: Duration = Duration::from_millis(1500);
-/// How late an update of discovery may reach whoever decides on a busy machine.
+/// How late an update from discovery may reach the deciding node or planner on a busy machine.
 const DISCOVERY_DELAY: Duration = Duration::from_millis(150);
-/// How often the spread over hosts is looked at.
+/// The interval at which the distribution of connections over hosts is sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
-/// Until each forwarder follows its preferred planner.
+/// The time within which each forwarder comes to follow its preferred planner.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
 
-/// Jain's index of fairness: one where all have the same, 1/n where one has all (Jain, Chiu and Hawe 1984).
+/// Returns Jain's fairness index (Jain, Chiu and Hawe 1984): 1 if all shares are equal, 1/n if one of n has everything.
+/// It is 1 if all shares are 0.
 fn jain_index(shares: &[u32]) -> f64 {
     let sum: f64 = shares.iter().map(|share| f64::from(*share)).sum();
     let squares: f64 = shares.iter().map(|share| f64::from(*share).powi(2)).sum();
@@ -30,28 +31,28 @@
 }
 
 fn micros_histogram() -> Histogram<u64> {
-    Histogram::new(3).expect("three digits are allowed")
+    Histogram::new(3).expect("three significant digits are allowed")
 }
 
-/// What one shape showed under the load.
+/// The results of single nodes, or of the two tiers, under load.
 pub struct LoadResult {
-    /// From a client's request to its first attempt, in microseconds.
+    /// The times from a client's request to its first attempt, in microseconds.
     first_attempt: Histogram<u64>,
-    /// The mean of Jain's index of open connections over hosts.
+    /// The mean of the samples of Jain's fairness index of open connections over hosts.
     pub jain_index: f64,
-    /// The part of the requests that got a connection.
+    /// The share of requests that got a connection, 0 to 1.
     pub served_ratio: f64,
     pub violations: Vec<String>,
 }
 
 impl LoadResult {
-    /// The time to the first attempt at a quantile, in microseconds.
+    /// Returns the time to the first attempt at a quantile, in microseconds.
     pub fn first_attempt_micros(&self, quantile: f64) -> f64 {
         self.first_attempt.value_at_quantile(quantile) as f64
     }
 }
 
-/// Applies the load, and samples the spread over hosts meanwhile.
+/// Applies the load, and samples the distribution of connections over hosts meanwhile.
 fn measure_load(
     mut clients: Clients,
     hosts: &Hosts,
@@ -90,7 +91,7 @@
     }
 }
 
-/// The load on single nodes.
+/// Measures single nodes under load.
 pub fn measure_single_nodes(size: Size, seed: u64) -> LoadResult {
     let checker = InvariantChecker::default();
     let hosts = Hosts::start(size.hosts, &checker);
@@ -115,27 +116,29 @@
     (cluster, clients)
 }
 
-/// The load on the two tiers.
+/// Measures the two tiers under load.
 pub fn measure_two_tiers(size: Size, seed: u64) -> LoadResult {
     let (cluster, clients) = start_cluster(size, seed);
     measure_load(clients, &cluster.hosts, &cluster.checker, size)
 }
 
-/// What a planner's death under the load showed.
+/// The results of a planner's death under load.
 pub struct FailoverResult {
+    /// The longest time from a request to its first attempt.
     pub latest_first_attempt: Duration,
-    /// The 95th percentile of the time to the first attempt before the death.
+    /// The 95th percentile of the time to the first attempt before the death, in microseconds.
     pub p95_micros_before: u64,
-    /// The same from a second after the death on.
+    /// The 95th percentile for requests later than a second after the death, in microseconds.
     pub p95_micros_after: u64,
     pub violations: Vec<String>,
 }
 
-/// A planner dies under the load.
+/// Measures the death of the busiest planner under load.
 pub fn measure_failover(size: Size, seed: u64) -> FailoverResult {
     let (mut cluster, mut clients) = start_cluster(size, seed);
     clients.load(size.rate, Duration::from_secs(2), &[0, 1, 2], HOLD_TIME);
-    // The one that is paused for good says nothing, as a machine that is gone.
+    // The planner is suspended and not killed: like a machine that fails, it then sends nothing, not even the end of
+    // its connections.
     let busiest = cluster.busiest_planner();
     cluster.planners[busiest].iter().for_each(Node::suspend);
     let died_at = Instant::now();
--- a/testkit/src/two_tier/mod.rs
+++ b/testkit/src/two_tier/mod.rs
@@ -1,5 +1,5 @@
-//! The measurement of the two tiers beside as many single nodes, with the same simulated hosts and the same load in
-//! one run. It owns what is promised and the figures. It must never report what it did not measure.
+//! Compares the two tiers with as many single nodes, with the same number of simulated hosts and the same load in one
+//! run. Owns the bounds and the figures. It must never report a figure that it did not measure.
 
 mod load;
 mod planner;
@@ -10,33 +10,35 @@
 use serde_json::{json, Map, Value};
 use std::time::Duration;
 
-/// Decisions, connections open meanwhile, and connections open before, in the measurement of a planner alone.
+/// The number of decisions in one round of the measurement of a planner alone.
 const DECISIONS: u64 = 100_000;
+/// The number of connections that are kept open during these decisions.
 const OPEN_DURING_DECISIONS: usize = 2_000;
+/// The number of open connections that forwarders report to the planner.
 const OPEN_CONNECTIONS: u64 = 100_000;
 
-/// How much a measurement takes in.
+/// The size of a measurement.
 #[derive(Clone, Copy)]
 pub struct Size {
-    /// Single nodes, and forwarders.
+    /// The number of single nodes, and of forwarders.
     pub nodes: usize,
-    /// Hosts.
+    /// The number of hosts.
     pub hosts: usize,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How long the load lasts.
+    /// The duration of the load.
     pub span: Duration,
 }
 
-/// What a measurement found.
+/// The results of a measurement.
 pub struct Report {
     /// The figures, by name.
     pub figures: Map<String, Value>,
-    /// The promises and rules that were broken.
+    /// The bounds that are not met and the violations of rules; empty if there are none.
     pub broken: Vec<String>,
 }
 
-/// Collects figures, and the promises that were broken.
+/// Collects the figures and the bounds that are not met.
 #[derive(Default)]
 struct ReportBuilder {
     figures: Map<String, Value>,
@@ -50,17 +52,20 @@
         self.figures.insert(name.into(), json!(rounded));
     }
 
-    /// Notes a promise as broken unless it holds.
-    fn expect(&mut self, promise: &str, holds: bool) {
+    /// Adds the bound to the report unless it holds.
+    fn expect(&mut self, bound: &str, holds: bool) {
         if !holds {
-            self.broken.push(promise.to_string());
+            self.broken.push(bound.to_string());
         }
     }
 
-    /// Notes the rules that were broken under a load.
+    /// Adds the violations of rules under a load.
     fn violations(&mut self, load: &str, violations: &[String]) {
-        self.broken
-            .extend(violations.iter().map(|what| format!("{load}: {what}")));
+        self.broken.extend(
+            violations
+                .iter()
+                .map(|violation| format!("{load}: {violation}")),
+        );
     }
 
     fn load(&mut self, shape: &str, result: &LoadResult) {
@@ -76,22 +81,22 @@
         let ratio = tiers.first_attempt_micros(0.5) / nodes.first_attempt_micros(0.5);
         self.figure("p50_ratio", ratio);
         self.expect(
-            "median to the first hand-off at most twice the nodes'",
+            "the median time to the first attempt is at most twice that of single nodes",
             ratio <= 2.0,
         );
         let added_micros = tiers.first_attempt_micros(0.99) - nodes.first_attempt_micros(0.99);
         self.figure("p99_more_us", added_micros);
         self.expect(
-            "99th percentile at most 1 ms more than the nodes'",
+            "the 99th percentile is at most 1 ms over that of single nodes",
             added_micros <= 1000.0,
         );
         self.figure("jain_more", tiers.jain_index - nodes.jain_index);
         self.expect(
-            "load spread no worse than the nodes'",
+            "the load is distributed as evenly as by single nodes",
             tiers.jain_index >= nodes.jain_index - 0.01,
         );
         self.expect(
-            "served as many as the nodes",
+            "as many requests are served as by single nodes",
             tiers.served_ratio >= nodes.served_ratio - 0.01,
         );
     }
@@ -104,11 +109,11 @@
         self.figure("death_p95_before_us", before as f64);
         self.figure("death_p95_a_second_after_us", after as f64);
         self.expect(
-            "no first hand-off later than 700 ms after a planner's death",
+            "each first attempt takes at most 700 ms when a planner dies",
             result.latest_first_attempt <= Duration::from_millis(700),
         );
         self.expect(
-            "decisions take their usual time a second after it",
+            "decisions take their usual time a second after a planner's death",
             after <= 2 * before + 1000,
         );
     }
@@ -131,24 +136,24 @@
         let max_wait_millis = max_wait.as_secs_f64() * 1e3;
         self.figure("planner_longest_wait_at_their_end_ms", max_wait_millis);
         self.expect(
-            "nobody waits a lease long as 100,000 open attachments end",
+            "no request waits for a lease while 100,000 open connections end",
             max_wait < LEASE,
         );
         self.expect(
-            "a planner decides at least half of what the module does alone",
+            "a planner makes at least half as many decisions per second as the decision core alone",
             planner_rate >= core_rate / 2.0,
         );
         self.expect(
-            "100,000 open attachments in under 100 MB",
+            "100,000 open connections take under 100 MB",
             memory_bytes < 100 << 20,
         );
     }
 }
 
-/// Measures both shapes, a planner's death, and a planner alone.
+/// Measures single nodes, the two tiers, a planner's death, and a planner alone.
 ///
 /// # Errors
-/// If something could not be measured at all.
+/// If the planner alone could not be measured.
 pub fn measure(size: Size, seed: u64) -> Result<Report, String> {
     let mut report = ReportBuilder::default();
     let nodes = load::measure_single_nodes(size, seed);
--- a/testkit/src/two_tier/planner.rs
+++ b/testkit/src/two_tier/planner.rs
@@ -1,4 +1,4 @@
-//! A planner by itself, and the decision core alone beside it.
+//! Measures a planner alone, and compares it with the decision core alone.
 
 use super::{DECISIONS, OPEN_CONNECTIONS, OPEN_DURING_DECISIONS};
 use crate::scripted_forwarder::{placement_request, ScriptedForwarder, SessionError};
@@ -15,34 +15,35 @@
 use std::thread::ScopedJoinHandle;
 use std::time::{Duration, Instant};
 
-/// Forwarders that ask a planner at full speed, so that none of them is what is measured.
+/// The number of forwarders that send requests at full speed: enough that the planner limits the rate, not a forwarder.
 const FORWARDERS: u64 = 4;
-/// Decisions that a forwarder awaits at once.
+/// The number of decisions for which a forwarder waits at the same time.
 const WINDOW: u64 = 512;
+/// The number of rounds in which the core and the planner are measured in turn.
 const ROUNDS: u64 = 6;
-/// How long the core's attempts take.
+/// How long the attempts take that are reported to the core, in nanoseconds.
 const ATTEMPT_TIME: Nanos = 1_000_000;
 
 /// Why a planner could not be measured.
 pub enum MeasureError {
-    /// The settings are wrong.
+    /// The settings are invalid.
     Settings(String),
     /// A session with the planner ended.
     Session(SessionError),
     /// A forwarder's thread panicked.
     Panicked,
-    /// Too few requests got a host.
+    /// Fewer than 90% of the requests got a host.
     TooFewPlaced { placed: u64, requested: u64 },
 }
 
 impl fmt::Display for MeasureError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            MeasureError::Settings(why) => f.write_str(why),
+            MeasureError::Settings(error) => f.write_str(error),
             MeasureError::Session(error) => error.fmt(f),
-            MeasureError::Panicked => f.write_str("a speaker panicked"),
+            MeasureError::Panicked => f.write_str("a forwarder thread panicked"),
             MeasureError::TooFewPlaced { placed, requested } => {
-                write!(f, "{placed} of {requested} were handed to a host")
+                write!(f, "only {placed} of {requested} requests got a host")
             }
         }
     }
@@ -54,22 +55,22 @@
     }
 }
 
-/// What a planner by itself showed.
+/// The results for a planner alone.
 pub struct PlannerResult {
-    /// Decisions of the core alone a second, the best of a few rounds in turns: what else runs on the machine only
-    /// takes away.
+    /// Decisions per second of the core alone. It is the best of several rounds, as other load on the machine can only
+    /// lower the rate.
     pub core_rate: f64,
-    /// The same of the planner.
+    /// Decisions per second of the planner, the best of the same rounds.
     pub planner_rate: f64,
-    /// What the planner's memory grew by for the open connections.
+    /// By how many bytes the planner's memory grew when the open connections were reported.
     pub memory_bytes: usize,
-    /// How long reporting them took.
+    /// How long it took to report the open connections.
     pub report_time: Duration,
-    /// The longest that another forwarder waited while the ones that reported them died.
+    /// The longest time that another forwarder waited for a decision after the reporting ones had disconnected.
     pub max_wait: Duration,
 }
 
-/// A decision core in this process, with the same order of events as in a planner.
+/// A decision core in this process. It handles events in the same order as in a planner.
 struct CoreLoop {
     core: Balancer,
     actions: Vec<Action>,
@@ -142,7 +143,7 @@
     }
 }
 
-/// Decisions a second of the core alone.
+/// Returns the decisions per second of the core alone.
 fn core_rate(settings: BalancerSettings, hosts: usize, seed: u64) -> f64 {
     let start = 1_000 * SECOND;
     let mut core = CoreLoop::new(settings, seed, hosts, start);
@@ -160,7 +161,7 @@
     DECISIONS as f64 / started.elapsed().as_secs_f64()
 }
 
-/// How forwarders reach the planner.
+/// What forwarders need to connect to the planner.
 struct PlannerLink {
     address: SocketAddr,
     fingerprint: u64,
@@ -171,7 +172,7 @@
         ScriptedForwarder::follow(self.address, "p0", name, self.fingerprint)
     }
 
-    /// Decisions a second for several forwarders at once.
+    /// Returns the decisions per second for several forwarders at once.
     fn rate(&self) -> Result<f64, MeasureError> {
         let request_decisions = |n: u64| -> Result<u64, SessionError> {
             let max_open = OPEN_DURING_DECISIONS / FORWARDERS as usize;
@@ -208,7 +209,7 @@
     }
 }
 
-/// Measures a planner by itself.
+/// Measures a planner alone.
 pub fn measure(hosts: usize, seed: u64) -> Result<PlannerResult, MeasureError> {
     let checker = InvariantChecker::default();
     let simulated_hosts = Hosts::start(hosts, &checker);
@@ -223,7 +224,7 @@
         balancer: balancer_settings,
         node: node_settings,
     } = reedferry_settings::Settings::from_value(node_config["settings"].clone())
-        .map_err(|why| MeasureError::Settings(why.to_string()))?;
+        .map_err(|error| MeasureError::Settings(error.to_string()))?;
     let planner = PlannerLink {
         address: node.address,
         fingerprint: reedferry_control_plane::fingerprint(node_settings.names()),
@@ -236,7 +237,7 @@
     }
     let host_ids: Vec<u64> = (0..hosts).map(|h| host_id(&format!("s-{h}"))).collect();
     let (memory_before, started) = (node.memory(), Instant::now());
-    // Two forwarders, as one may have so many requests at the most.
+    // Two forwarders report the connections, as they are too many requests for one forwarder.
     let mut reporting = [planner.follow("t1")?, planner.follow("t2")?];
     for forwarder in &mut reporting {
         forwarder.report_open_connections(OPEN_CONNECTIONS / 2, &host_ids)?;
@@ -245,7 +246,7 @@
     let memory_bytes = node.memory().saturating_sub(memory_before);
     let mut other = planner.follow("t3")?;
     other.request_decisions(10, 1, 10)?;
-    // Both die at once; another one goes on asking, and must not wait long for any answer.
+    // Both disconnect at once. Another forwarder continues to send requests, and must not wait long for any decision.
     drop(reporting);
     Ok(PlannerResult {
         core_rate: best_core_rate,
@@ -256,7 +257,7 @@
     })
 }
 
-/// The longest wait for a decision in a second.
+/// Sends requests one after the other for a second, and returns the longest wait for a decision.
 fn max_wait(forwarder: &mut ScriptedForwarder) -> Result<Duration, SessionError> {
     let (started, mut max_wait) = (Instant::now(), Duration::ZERO);
     while started.elapsed() < Duration::from_secs(1) {
@@ -267,7 +268,7 @@
     Ok(max_wait)
 }
 
-/// FNV-1a, by which the program derives a host's id from its name.
+/// Returns the id that the program derives from a host's name: its 64-bit FNV-1a hash.
 fn host_id(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
--- a/testkit/src/two_tier_cluster.rs
+++ b/testkit/src/two_tier_cluster.rs
@@ -1,6 +1,6 @@
 //! Both tiers as processes on loopback: forwarders and planners, a relay between each pair, simulated hosts and
-//! discovery. It owns how they are started, and the faults that tests draw. It must never judge: that is the
-//! invariant checker's.
+//! discovery. Starts them and injects the faults that tests draw. It does not check any rule; the invariant checker
+//! does.
 
 use crate::program::Node;
 use crate::relay::Relay;
@@ -13,42 +13,42 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::{Duration, Instant};
 
-/// How long a planner's decisions hold in these trials.
+/// The lease that forwarders are configured with.
 pub const LEASE: Duration = Duration::from_millis(250);
-/// How many kinds of faults [`TwoTierCluster::inject_fault`] knows.
+/// The number of kinds of faults that [`TwoTierCluster::inject_fault`] can inject.
 pub const FAULT_KINDS: u64 = 10;
-/// How late a planner is heard where that is the fault.
+/// The delay of a planner's messages where that is the fault, in milliseconds.
 const LATE_MILLIS: u64 = 120;
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// What forwarders log when they follow a planner, up to the number in its name.
+/// The text that forwarders log when they follow a planner, up to the number in the planner's name.
 const FOLLOWING: &str = "following planner=p";
 
-/// Forwarders, planners and all that they meet.
+/// Forwarders and planners with their relays, hosts and discovery.
 pub struct TwoTierCluster {
-    /// Notes what hosts and clients see.
+    /// Records what hosts and clients see, and checks the rules.
     pub checker: InvariantChecker,
-    /// The hosts.
+    /// The simulated hosts.
     pub hosts: Hosts,
-    /// Discovery.
+    /// The stand-in for the list service.
     pub discovery: Discovery,
-    /// The planners, where they run.
+    /// The planners by number; `None` where none runs.
     pub planners: Vec<Option<Node>>,
-    /// The forwarders.
+    /// The forwarders by number.
     pub forwarders: Vec<Node>,
-    /// By forwarder, then by planner.
+    /// The relays on the links, by forwarder, then by planner.
     pub relays: Vec<Vec<Relay>>,
-    /// The planner that each forwarder last said that it follows.
+    /// By forwarder: the planner that its last log line on this says it follows.
     followed_planners: Vec<usize>,
     seed: u64,
 }
 
-/// The planner that a log line says is followed.
+/// Returns the planner that is followed according to a log line; `None` if the line is about something else.
 fn followed_planner(line: &str) -> Option<usize> {
     let (_, rest) = line.split_once(FOLLOWING)?;
     rest.split(' ').next()?.parse().ok()
 }
 
-/// The configuration of one program among these hosts.
+/// Returns the config of one program that uses these hosts and this list service.
 pub fn node_config(name: &str, hosts: &Hosts, discovery: &Discovery, seed: u64) -> Value {
     let idempotencies = ["free", "guarded", "single_shot"];
     let classes: Vec<Value> = CLASS_NAMES
@@ -71,7 +71,7 @@
             "registry_mode": "on_request", "extra": {"message_aim": [100.0, 100.0, 100.0], "mode": "proxy"}}})
 }
 
-/// The list of planners as an operator writes it.
+/// Returns the list of planners in the form of an operator config.
 fn planner_list(addresses: impl Iterator<Item = SocketAddr>) -> String {
     addresses
         .enumerate()
@@ -79,13 +79,14 @@
         .collect()
 }
 
-/// A list of so many planners for the planners themselves, who do not connect to each other.
+/// Returns a list of `count` planners for the planners' own configs. Planners do not connect to each other, so the
+/// addresses are never used.
 fn nominal_planner_list(count: usize) -> String {
     planner_list((0..count).map(|n| SocketAddr::from(([127, 0, 0, 1], n as u16 + 1))))
 }
 
 impl TwoTierCluster {
-    /// Starts so many of each.
+    /// Starts this many forwarders, planners and hosts, and waits until each forwarder follows a planner.
     pub fn start(forwarders: usize, planners: usize, hosts: usize, seed: u64) -> Self {
         let checker = InvariantChecker::default();
         let hosts = Hosts::start(hosts, &checker);
@@ -124,7 +125,7 @@
         self.forwarders.push(forwarder);
     }
 
-    /// A forwarder's file with the first so many planners.
+    /// Returns a forwarder's operator config, which lists the first `planners` planners.
     pub fn operator_config(&self, forwarder: usize, planners: usize) -> String {
         let relays = self.relays[forwarder].iter().take(planners);
         let list = planner_list(relays.map(|relay| relay.address));
@@ -132,7 +133,7 @@
         format!("papers = \"PAPERS\"\n[forward]\nlease = \"{lease}ms\"\nsettle = \"500ms\"\n{list}")
     }
 
-    /// Starts a planner, and leads the forwarders' relays to it.
+    /// Starts a planner, and points the forwarders' relays to it.
     pub fn start_planner(&mut self, index: usize) {
         let name = format!("plan-{index}");
         let seed = self.seed ^ (index as u64 + 99);
@@ -148,14 +149,11 @@
         self.planners[index] = Some(planner);
     }
 
-    /// The planner that most forwarders follow now.
+    /// Returns the planner that most forwarders follow now.
     pub fn busiest_planner(&mut self) -> usize {
         for (forwarder, followed) in self.forwarders.iter().zip(&mut self.followed_planners) {
-            let drain_log = forwarder.drain_log();
-            let last = drain_log
-                .iter()
-                .rev()
-                .find_map(|line| followed_planner(line));
+            let lines = forwarder.drain_log();
+            let last = lines.iter().rev().find_map(|line| followed_planner(line));
             *followed = last.unwrap_or(*followed);
         }
         let followers = |planner: &usize| {
@@ -165,24 +163,24 @@
         (0..self.planners.len()).max_by_key(followers).unwrap_or(0)
     }
 
-    /// Kills a planner. Its connections end with the process, and the relays pass that on.
+    /// Kills a planner. Its connections end with the process, and the relays forward their ends.
     pub fn kill_planner(&mut self, index: usize) {
         self.planners[index] = None;
     }
 
-    /// Where clients connect to.
+    /// Returns the addresses of the forwarders, to which clients connect.
     pub fn client_addresses(&self) -> Vec<SocketAddr> {
         self.forwarders.iter().map(|f| f.address).collect()
     }
 
-    /// Has discovery say that a host drains, or is ready again.
+    /// Makes discovery announce that a host drains, or that it is ready again.
     pub fn set_draining(&self, host: usize, draining: bool) {
         self.checker.drains(host, draining);
         let phase = if draining { "leaving" } else { "active" };
         self.discovery.change(self.hosts.member(host, phase));
     }
 
-    /// Takes back all faults but drains: planners run, relays pass everything on, hosts accept.
+    /// Ends all faults but drains: all planners run, relays forward everything, and hosts accept.
     pub fn heal(&mut self) {
         for index in 0..self.planners.len() {
             self.planners[index].iter().for_each(Node::unsuspend);
@@ -197,7 +195,8 @@
         (0..self.hosts.addresses.len()).for_each(|host| self.hosts.go(host, HostBehavior::Accepts));
     }
 
-    /// Injects a fault of this kind; `a` and `b` draw whom it meets. Returns what it did.
+    /// Injects a fault of this kind, and returns its description. `a` and `b` are random numbers that select the
+    /// forwarder, planner or host.
     pub fn inject_fault(&mut self, kind: u64, a: usize, b: usize) -> String {
         let forwarder = a % self.forwarders.len();
         let planner = b % self.planners.len();
@@ -210,12 +209,12 @@
             }
             1 => {
                 self.planners[planner].iter().for_each(Node::suspend);
-                format!("planner {planner} paused")
+                format!("planner {planner} suspended")
             }
             2 => {
                 relay.up.cut.store(true, SeqCst);
                 relay.down.cut.store(true, SeqCst);
-                format!("link {forwarder}-{planner} cut")
+                format!("link {forwarder}-{planner} cut in both directions")
             }
             3 => {
                 relay.up.cut.store(true, SeqCst);
@@ -229,11 +228,11 @@
                 for relays in &self.relays {
                     relays[planner].down.delay.store(LATE_MILLIS, SeqCst);
                 }
-                format!("planner {planner} heard late")
+                format!("messages of planner {planner} delayed")
             }
             6 => {
                 relay.down.garble.store(true, SeqCst);
-                format!("link {forwarder}-{planner} garbled")
+                format!("link {forwarder}-{planner} corrupted")
             }
             7 => {
                 self.planners[planner].iter().for_each(Node::stop);
@@ -247,7 +246,7 @@
                     HostBehavior::Disconnects,
                 ];
                 self.hosts.go(host, behaviors[b % 4]);
-                format!("host {host} goes wrong, {}", b % 4)
+                format!("host {host} fails in way {}", b % 4)
             }
             _ => {
                 self.set_draining(host, true);
@@ -257,7 +256,7 @@
     }
 }
 
-/// Waits until the condition holds, and returns how long that took; `None` if it did not within the timeout.
+/// Waits until the condition holds, and returns how long that took; `None` if it does not hold within the timeout.
 pub fn wait_until(timeout: Duration, mut condition: impl FnMut() -> bool) -> Option<Duration> {
     let started = Instant::now();
     while !condition() {
