--- a/testkit/src/fleet/returning_clients.rs
+++ b/testkit/src/fleet/returning_clients.rs
@@ -26,6 +26,7 @@
 pub struct RequestRecord {
     /// When the request was sent.
     pub sent_at: Instant,
+    /// The node to which the request was sent.
     pub(super) node: SocketAddr,
     /// How long the answer took; `None` if none came.
     pub answered_after: Option<Duration>,
--- a/testkit/src/fleet_view/measure.rs
+++ b/testkit/src/fleet_view/measure.rs
@@ -17,7 +17,7 @@
 const KILLS: usize = 3;
 /// How long the views may take to agree before the measurement is given up, in periods.
 const MAX_PERIODS_TO_AGREE: u32 = 100;
-/// How long a fleet is observed at rest, in periods.
+/// How long a fleet without changes is observed, in periods.
 const QUIET_PERIODS: u32 = 20;
 /// How long a fleet with lossy links is observed, in periods.
 const LOSSY_PERIODS: u32 = 50;
@@ -30,7 +30,7 @@
 const MAX_GOSSIP_DEVIATION: f64 = 0.1;
 const MAX_CORE_SHARE: f64 = 0.01;
 
-/// Returns within how many periods all nodes must know of a death.
+/// Returns the number of periods within which all nodes must know of a death.
 fn max_spreading(nodes: usize) -> f64 {
     2.0 + 2.0 * (nodes as f64).log2()
 }
--- a/testkit/src/fleet_view/mod.rs
+++ b/testkit/src/fleet_view/mod.rs
@@ -45,7 +45,7 @@
 type MemberStates = HashMap<String, String>;
 
 impl Fleet {
-    /// Returns a node's status page of the fleet; `None` if the node does not run.
+    /// Returns a node's status page of the fleet; `None` if the node does not run or the page is not JSON.
     pub fn status(&self, node: usize) -> Option<Value> {
         let (status, text) = self.nodes[node].as_ref()?.call("GET /status/fleet");
         assert_eq!(status, 200, "{text}");
--- a/testkit/src/schedule/play.rs
+++ b/testkit/src/schedule/play.rs
@@ -28,9 +28,9 @@
 /// How long the front takes to notice that a node was killed, and how long the announcement of a drain may take to
 /// reach the nodes.
 const NOTICE_DELAY: Duration = Duration::from_millis(300);
-/// Within how many periods the views have to agree, at the start and after the last fault.
+/// The number of periods within which the views must agree, at the start and after the last fault.
 const PERIODS_TO_AGREE: u32 = 40;
-/// Within what time after the last fault all clients need to have a connection again.
+/// The time after the last fault within which all clients must have a connection again.
 const RECONNECT_TIMEOUT: Duration = Duration::from_secs(12);
 /// How many calls the list service answers per second while it is sluggish.
 const SLUGGISH_RATE: f64 = 5.0;
