--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -120,7 +120,8 @@
         }
     }
 
-    /// Returns whether the nodes share the budget of any warming host by node slots.
+    /// Returns whether any ready host is warming up and the nodes share its budget by slots in which
+    /// they take turns.
     pub fn uses_slow_start_slots(&self, now: Nanos) -> bool {
         !uses_client_slots(&self.settings)
             && self
--- a/src/balancer/fleet_estimate.rs
+++ b/src/balancer/fleet_estimate.rs
@@ -5,7 +5,8 @@
 use crate::host::{Host, SlowStartInputs, CLIENT_SLOT_TIME, WARM_CAPACITY_FACTOR};
 use crate::time::Nanos;
 
-/// The cost of a connection to another zone, in mean own loads.
+/// The penalty in a host's score for another zone, at a cross-zone cost of 1. In the score, a host
+/// of mean load has a load balance of about 1.
 const CROSS_ZONE_PENALTY: f64 = 18.0;
 /// The upper bound of a host's unseen load, in mean connection loads.
 const MAX_UNSEEN_LOADS: f64 = 50.0;
@@ -14,8 +15,8 @@
 
 /// A node's estimate of the state of the ready hosts.
 pub(super) struct FleetEstimate {
-    /// The mean own load of the hosts that are not ejected. Newcomers count with their blended
-    /// load.
+    /// The mean load per unit of size that this node has placed at the hosts that are not ejected
+    /// (its own load). Newcomers count with their blended load.
     pub mean_load: f64,
     /// The share of a newcomer's load that is replaced by the mean of the other hosts, from 0 to 1.
     pub newcomer_blend: f64,
@@ -40,9 +41,10 @@
     pub connection_load: f64,
     /// The number of ready hosts.
     pub ready_hosts: f64,
-    /// The inputs of slow start. A warm host can sustain [`WARM_CAPACITY_FACTOR`] times the mean,
-    /// and less the more hosts have a load limit. Without that reduction, the new hosts of a
-    /// growing fleet would stay idle.
+    /// The inputs of slow start. A warm host is assumed to sustain [`WARM_CAPACITY_FACTOR`] times
+    /// the mean, and less, down to the mean, the more warm hosts have a load limit. The more it is
+    /// assumed to sustain, the larger is the budget of a warming host; too small a budget would
+    /// leave the new hosts of a growing fleet idle.
     pub slow_start: SlowStartInputs,
 }
 
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -15,11 +15,12 @@
 /// The number of attempts ending with an error after which no other host is tried.
 const MAX_ERRORS: u32 = 2;
 /// How much longer than the latency objective a node of a large fleet waits for a set-up when it
-/// sees hardly any. If probes or connections report load, a hanging host is detected by its load,
-/// and the extra time is shorter.
+/// sees hardly any set-ups and no loads.
 const EXTRA_SETUP_TIME: Nanos = 6 * SECOND;
+/// The same if probes report loads or the loads of connections are measured. It is shorter because
+/// a hanging host is then detected by its load.
 const EXTRA_SETUP_TIME_WITH_LOADS: Nanos = 2 * SECOND;
-/// The arrival rate, in requests per second, at which that extra time is halved.
+/// The arrival rate, in requests per second, at which the extra set-up time is halved.
 const HALVING_ARRIVAL_RATE: f64 = 5.0;
 /// The increase of the set-up timeout when all set-ups fail, as a multiple of the usual timeout.
 const FAILURE_TIMEOUT_FACTOR: f64 = 20.0;
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -221,8 +221,8 @@
         !left_to_successor
             && host.has_load_capacity(now, load, fleet.typical_limit)
             && (self.slow_start_allows(now, host, demand, fleet)
-                // The warm-up is judged by the endpoint list alone, because a node whose own
-                // network was down would take all hosts for just started.
+                // Only a start time in the endpoint list counts here. Otherwise a node whose own
+                // network was down would treat all hosts as just started.
                 || matches!(candidates, Candidates::Any { .. })
                     && has_no_recent_attempt
                     && host.is_listed_as_warm(now, &self.settings))
--- a/src/balancer/shutdown.rs
+++ b/src/balancer/shutdown.rs
@@ -5,8 +5,9 @@
 use crate::messages::RequestMessage;
 use crate::time::{Nanos, SECOND};
 
-/// The shortest time between two rounds of migrations, and the longest as a multiple of it.
+/// The shortest time between two rounds of migrations.
 const MIGRATION_INTERVAL: Nanos = SECOND / 20;
+/// The longest time between two rounds of migrations, as a multiple of the shortest.
 const MAX_MIGRATION_INTERVALS: Nanos = 4;
 
 /// The state of a shutdown.
--- a/src/balancer/tick.rs
+++ b/src/balancer/tick.rs
@@ -54,9 +54,9 @@
     }
 
     /// Migrates the clients whose slot at a warming host has just started. Any node to which they
-    /// reconnect places them there until the host has its share. Without this, connections being
-    /// long-lived, a zone that came back, or hosts that replaced most others, would be idle for
-    /// minutes beside overloaded ones.
+    /// reconnect places them there until the host has its share. Because connections are
+    /// long-lived, a zone that came back, or hosts that replaced most others, would otherwise be
+    /// idle for minutes beside overloaded ones.
     fn migrate_to_warming_hosts(&mut self, now: Nanos, fleet: &FleetEstimate) {
         let warming = self.warming_hosts(now);
         if warming.is_empty() {
@@ -97,7 +97,8 @@
     }
 
     /// Returns the warming hosts to which clients are migrated: those of all zones if a host of
-    /// this node's own zone is warming up, so that the zone is short of warm hosts, otherwise none.
+    /// this node's zone is warming up, because that zone is then short of warm hosts. Otherwise, and
+    /// where clients have no slots, there are none.
     fn warming_hosts(&self, now: Nanos) -> Vec<&Host> {
         if !uses_client_slots(&self.settings) {
             return Vec::new();
--- a/src/connection.rs
+++ b/src/connection.rs
@@ -20,9 +20,9 @@
     pub since: Nanos,
     pub established: bool,
     pub expected_end: Nanos,
-    /// The part of the connection in the host's load over the look-ahead steps.
+    /// How much the connection adds to the host's load over the look-ahead steps.
     pub look_ahead_load: f64,
-    /// The part of the connection in the host's current load.
+    /// How much the connection adds to the host's current load.
     pub counted_load: f64,
     /// The index of the weight vector by which the connection was placed; `None` once the placement
     /// has been evaluated, or where there was none.
--- a/src/connection_history.rs
+++ b/src/connection_history.rs
@@ -70,7 +70,7 @@
             .or(self.mean_duration)
     }
 
-    /// Returns how much longer a connection is expected to last that has outlived its prediction.
+    /// Returns how much longer a connection that has outlived its expected end is expected to last.
     pub fn expected_remaining_duration(&self) -> Nanos {
         (self.mean_duration.unwrap_or(LOOK_AHEAD_NANOS) as Nanos).max(LOOK_AHEAD_STEP)
     }
--- a/src/endpoint_poller.rs
+++ b/src/endpoint_poller.rs
@@ -9,8 +9,8 @@
 /// The maximum delay of the first poll of a node that knows no host, whatever the settings allow.
 /// Nine in ten nodes should serve requests within 10 s of their start.
 const MAX_FIRST_POLL_DELAY: Nanos = 5 * SECOND;
-/// The maximum backoff, before its random spread, of a node that knows no host; for the same
-/// reason.
+/// The maximum backoff, before its random spread, of a node that knows no host. Like
+/// `MAX_FIRST_POLL_DELAY`, it lets nodes serve requests soon after their start.
 const MAX_BACKOFF_WITHOUT_HOSTS: Nanos = 5 * SECOND / 2;
 /// The backoff before its first doubling.
 const BASE_BACKOFF: Nanos = SECOND / 2;
--- a/src/event.rs
+++ b/src/event.rs
@@ -103,7 +103,7 @@
     /// Replaces the slow-start slots that this node may use: the indices of the nodes that own
     /// them, and the share of each slot, from 0 to 1.
     SlowStartSlotsAssigned(Vec<(u32, f64)>),
-    /// Replaces the hosts that this node probes; it probes each of them once in every round.
+    /// Replaces the hosts that this node probes; it probes each of them once per probe interval.
     ProbeTargetsAssigned(Vec<HostId>),
     /// A gossip message of another node has arrived.
     GossipReceived {
--- a/src/host.rs
+++ b/src/host.rs
@@ -38,17 +38,18 @@
     pub id: HostId,
     pub endpoint: Endpoint,
     pub listed: bool,
-    /// When it was last in an endpoint list, or when its record was created if it never was.
+    /// When the host was last in an endpoint list, or when its record was created if it never was.
     last_listed_at: Nanos,
-    /// When it was first listed as draining; meaningful only while it is draining.
+    /// When the host was first listed as draining; meaningful only while it is draining.
     draining_since: Nanos,
-    /// When it was last listed in a zone or cell other than before; `None` if that never happened.
+    /// When the zone or cell of the host last changed in the endpoint list; `None` if it never did.
     group_changed_at: Option<Nanos>,
-    /// When a connection to it last failed to open; recorded in large fleets only.
+    /// When a connection to the host last failed to open; recorded only in large fleets without
+    /// load reports.
     connect_failed_at: Option<Nanos>,
-    /// The number of consecutive attempts for which this machine had no route to it.
+    /// The number of consecutive attempts for which this machine had no route to the host.
     no_route_in_a_row: u32,
-    /// Whether it was listed, or started again, after the node's first endpoint list and its load
+    /// Whether the host was listed, or restarted, after the node's first endpoint list and its load
     /// has not reached the mean since. Its load is blended with the mean of the other hosts.
     pub newcomer: bool,
 
@@ -66,7 +67,7 @@
     /// The number of attempts in flight, and when the last one was sent.
     pending_attempts: u32,
     last_attempt_at: Nanos,
-    /// The number of open connections that it broke since the last tick.
+    /// The number of open connections that the host broke since the last tick.
     broken_connections: u32,
 
     pub ejection: Ejection,
@@ -103,8 +104,8 @@
             .is_none_or(|group_changed_at| group_changed_at < since)
     }
 
-    /// Returns how long ago it started, or `Nanos::MAX` if that is unknown. A failure to connect
-    /// counts as a sign that the host has not started before it. Without this, hosts that came back
+    /// Returns how long ago the host started, or `Nanos::MAX` if that is unknown. It is assumed to
+    /// have started no earlier than the last failure to connect. Without this, hosts that came back
     /// before the endpoint list says so would be overloaded while they warm up.
     fn age(&self, now: Nanos) -> Nanos {
         let started = self
--- a/src/host/ejection.rs
+++ b/src/host/ejection.rs
@@ -25,8 +25,8 @@
         if was_in_use {
             self.count += 1;
         }
-        // The length is random within a quarter of its mean, so that nodes do not use the host
-        // again in step.
+        // The length is random within a quarter of its mean, so that the nodes do not all start to
+        // use the host again at the same time.
         self.until = now + (length as f64 * (0.75 + 0.5 * random)) as Nanos;
         was_in_use
     }
--- a/src/host/events.rs
+++ b/src/host/events.rs
@@ -226,8 +226,9 @@
             AttemptOutcome::TimedOut if !context.setup_failures.are_common() => false,
             _ => return,
         };
-        // The host is treated as just started, but only in a large fleet: retries of a small one
-        // cannot overload the host, and a small fleet must not lose its last host this way.
+        // The host is treated as just started, but only in a large fleet without load reports:
+        // retries of a small fleet cannot overload the host, and a small fleet must not lose its
+        // last host this way.
         if failed_to_connect && uses_client_slots(context.settings) {
             self.connect_failed_at = Some(now);
         }
--- a/src/host/limiting.rs
+++ b/src/host/limiting.rs
@@ -107,8 +107,8 @@
         self.migrate_down_to(limit, context);
     }
 
-    /// Migrates connections, in the order of their cost per priority, until this node's load at the
-    /// host is within the limit.
+    /// Migrates connections, preferably those of the highest cost per priority, until this node's
+    /// load at the host is within the limit or nearly so.
     fn migrate_down_to(&mut self, limit: f64, context: &mut HostContext) {
         let random = context.random.to_bits();
         let mut load = self.own_load();
--- a/src/host/load_limit.rs
+++ b/src/host/load_limit.rs
@@ -21,9 +21,10 @@
 const DRAIN_SECONDS: f64 = 2.0;
 /// The smallest share by which a limit is decreased.
 const MIN_DECREASE: f64 = 0.05;
-/// The share of healthy hosts above which a limit may be decreased to 0, and the largest share by
-/// which it is decreased otherwise.
+/// The share of healthy hosts above which a limit may be decreased to 0.
 const HEALTHY_MAJORITY_SHARE: f64 = 0.7;
+/// The largest share by which a limit is decreased if the share of healthy hosts is not above
+/// [`HEALTHY_MAJORITY_SHARE`].
 const MAX_DECREASE_WHEN_FEW_HEALTHY: f64 = 0.5;
 
 /// The load limit of a host, and the state from which it is computed.
--- a/src/host/slow_start.rs
+++ b/src/host/slow_start.rs
@@ -1,6 +1,7 @@
 //! Slow start: limits what a host that has just started may be sent, so that all nodes together do
 //! not overload it. It computes the budget of a warming host and this node's part of it. The nodes
-//! take turns in slots; in a large fleet, each client has a slot instead. It never chooses a host.
+//! take turns in slots; in a large fleet without load reports, each client has a slot instead. It
+//! never chooses a host.
 
 use super::Host;
 use crate::hashing::hash_to_unit_interval;
@@ -148,8 +149,8 @@
     /// Returns what this node may send to a warming host in the current slot. Nodes take turns by
     /// number, in a different order for each host, and one slot is shared by as many nodes as half
     /// its budget has mean loads, up to a quarter of all. Only half the budget is used, so that two
-    /// adjacent slots together do not overload the host. Sharing keeps the host from staying idle
-    /// if one turn of each of hundreds of nodes takes longer than the warm-up.
+    /// adjacent slots together do not overload the host. If hundreds of nodes did not share slots,
+    /// a cycle of all turns would take longer than the warm-up, and the host would stay idle.
     fn accrued_credit(
         &self,
         now: Nanos,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -24,7 +24,7 @@
 //! assert!(actions.iter().any(|action| matches!(action, Action::StartAttempt { host: HostId(1), .. })));
 //! ```
 
-/// Appends an [`Action::Log`] with the formatted line to the actions; used for changes of mode.
+/// Appends an [`Action::Log`] with the formatted line to the actions.
 macro_rules! log {
     ($actions:expr, $($text:tt)*) => { $actions.push($crate::Action::Log(format!($($text)*))) };
 }
--- a/src/recent_setups.rs
+++ b/src/recent_setups.rs
@@ -11,8 +11,7 @@
 /// The age beyond which the oldest set-up makes the estimate void.
 const MAX_AGE: Nanos = 8 * SECOND;
 
-/// A set-up that timed out counts as lasting longer than its time-out by at least that time-out
-/// divided by this number.
+/// A set-up that timed out counts as taking its timeout plus that timeout divided by this number.
 const BEYOND_TIMEOUT_DIVISOR: Nanos = 4;
 
 /// A set-up that succeeded or timed out.
@@ -33,7 +32,7 @@
         if self.0.len() >= SAMPLES {
             self.0.pop_front();
         }
-        // Without this surcharge, a request with slightly more time left than the time-out would
+        // Without this surcharge, a request with slightly more time left than the timeout would
         // seem to have enough.
         let beyond_timeout = if timed_out {
             took / BEYOND_TIMEOUT_DIVISOR
