--- a/tests/fleet/slow_start.rs
+++ b/tests/fleet/slow_start.rs
@@ -31,7 +31,7 @@
 /// Guards against a new host that stays idle because each node sees too few clients to have one in
 /// its own slot.
 #[test]
-fn a_warming_host_is_filled_by_a_fleet_that_sees_few_clients_each() {
+fn a_warming_host_is_filled_although_each_node_sees_few_clients() {
     // Ten clients per second over a hundred nodes for twenty seconds.
     let clients = |step: u64| {
         if step.is_multiple_of(2) {
@@ -105,8 +105,8 @@
     );
 }
 
-/// Guards against hosts that died and came back before the endpoint list shows it being overloaded
-/// by a hundred nodes that each try them again.
+/// Guards against a hundred nodes that each try a host again which died and came back before the
+/// endpoint list shows it, and together overload it.
 #[test]
 fn a_host_that_refused_connections_warms_up_when_it_accepts_them_again() {
     let mut fleet = Fleet::new(100, |node| settings(node, 100));
--- a/tests/random_events/rules.rs
+++ b/tests/random_events/rules.rs
@@ -134,7 +134,10 @@
 
     /// Checks a final answer, and removes and returns its request.
     fn take_answer(&mut self, id: u64) -> Request {
-        let request = self.requests.remove(&id).expect("second answer");
+        let request = self
+            .requests
+            .remove(&id)
+            .expect("answer to a request that is over");
         assert!(
             request.attempt.is_none(),
             "seed {}: request {id} answered with an attempt in flight",
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -17,12 +17,12 @@
 //!                                    node, with the number of its attempts, the host of the first attempt that may
 //!                                    have run and how long ago that was sent, and the hosts of all attempts
 //!     MS open ID HOST KEY=VALUE ...  a connection that was open before the start is found
-//!     MS established ID [TOOK]       the attempt in flight succeeds, after TOOK milliseconds
+//!     MS established ID [TOOK]       the attempt in flight succeeds; the set-up took TOOK milliseconds, or 20
 //!     MS ended ID OUTCOME            the attempt in flight or the open connection ends
 //!     MS client-left ID              the client disconnects
 //!     MS load ID CORES               the load of an open connection is measured
 //!     MS message-latency HOST MS     the latency of messages at the host is measured
-//!     MS probe-report HOST LOAD|silent   a probe of the host returns its load, or times out
+//!     MS probe-report HOST LOAD|nan|silent   a probe of the host returns its load or an invalid one, or times out
 //!     MS gossip HOST LOAD            another node gossips the host's load
 //!     MS gossip-bytes HEX            another node sends these bytes
 //!     MS slow-start-slots NODE:SHARE ...   assigns the slow-start slots that this node may use, and the share of each
@@ -50,9 +50,11 @@
 //!     probes MIN MAX                 probes sent since probes were last counted
 //!     gossip-messages MIN MAX        gossip messages sent since these were last counted
 //!
-//! In every scenario the player lets attempts time out at their limit and checks four rules: a
-//! request gets one answer, in time; it has one attempt in flight; nothing new goes to hosts that
-//! are draining or gone; a non-idempotent request that may have run is not repeated.
+//! In every scenario the player lets attempts time out at their limit and checks these rules: a
+//! request gets one answer, in time; it has at most one attempt in flight, and no more attempts than
+//! the settings allow; nothing new goes to hosts that are draining or gone; a non-idempotent request
+//! that may have run is neither repeated nor rejected; probes and gossip are sent only if the
+//! settings allow them.
 
 mod scenario_player;
 
--- a/tests/single_node/main.rs
+++ b/tests/single_node/main.rs
@@ -1,4 +1,4 @@
-//! Tests of one node whose hosts accept every attempt at once.
+//! Tests of one node on a simulated clock.
 
 mod load_limit;
 mod node;
