--- a/node/tests/clocks.rs
+++ b/node/tests/clocks.rs
@@ -84,7 +84,7 @@
         Duration::from_secs(60),
     );
     eventually("they do not stand", || {
-        hosts.standing().iter().sum::<u32>() as usize >= OPEN_CONNECTIONS * 9 / 10
+        hosts.open_connections().iter().sum::<u32>() as usize >= OPEN_CONNECTIONS * 9 / 10
     });
     let mut new = hosts.member(2, "active");
     new["up_since_ms"] = json!(wall_clock_ms(host_off));
--- a/node/tests/hot_restart.rs
+++ b/node/tests/hot_restart.rs
@@ -275,8 +275,8 @@
 fn under_load_every_client_has_one_answer_and_none_is_lost_at_the_listener() {
     let checker = InvariantChecker::default();
     let hosts = simulated::Hosts::start(5, &checker);
-    hosts.go(3, HostBehavior::Fails);
-    hosts.go(4, HostBehavior::Silent);
+    hosts.set_behavior(3, HostBehavior::Fails);
+    hosts.set_behavior(4, HostBehavior::Silent);
     let discovery = Discovery::start();
     let class = |name: &str, idempotency: &str, group: &str| {
         json!({"name": name, "contract_time": 200.0, "expiry": 2000.0, "effect": idempotency, "group": group,
--- a/node/tests/local_faults.rs
+++ b/node/tests/local_faults.rs
@@ -275,7 +275,7 @@
     drop(accept(&listener));
     injector.set(&[Fault {
         call: Call::Send,
-        outcome: Outcome::HeldUp(Duration::from_millis(150)),
+        outcome: Outcome::Delayed(Duration::from_millis(150)),
         every: 1,
     }]);
     let mut host = Peer::new(accept(&listener));
@@ -313,7 +313,7 @@
     }
     // Held up right before it waits: what is ready then is seen before what is due. A process that a signal stops is woken
     // with nothing ready, and sees what is due first.
-    let held = Outcome::HeldUp(Duration::from_millis(3000));
+    let held = Outcome::Delayed(Duration::from_millis(3000));
     injector.set(&[Fault {
         call: Call::EpollWait,
         outcome: held,
@@ -462,7 +462,7 @@
     let silent: Vec<_> = clients.iter().map(|_| hosts.accept()).collect();
     injector.set(&[Fault {
         call: Call::EpollWait,
-        outcome: Outcome::HeldUp(Duration::from_millis(75)),
+        outcome: Outcome::Delayed(Duration::from_millis(75)),
         every: 1,
     }]);
     clients
--- a/node/tests/operator_api.rs
+++ b/node/tests/operator_api.rs
@@ -130,12 +130,17 @@
             431,
         ),
     ] {
-        assert_eq!(ask(at, &sent).0, status, "{}", &sent[..sent.len().min(60)]);
+        assert_eq!(
+            send_call(at, &sent).0,
+            status,
+            "{}",
+            &sent[..sent.len().min(60)]
+        );
     }
     // None of them had an effect.
     assert_eq!(node.call("GET /status?x=1").0, 200);
     let with_body = head("POST /active", "Content-Length: 5\r\nX-Odd: \"a:b\"\r\n") + "hello";
-    assert_eq!(ask(at, &with_body), (200, "active\n".into()));
+    assert_eq!(send_call(at, &with_body), (200, "active\n".into()));
 }
 
 /// Prevents that operators are shut out by callers that never finish, and that a request is lost where it comes in pieces.
@@ -155,7 +160,7 @@
     {
         slow.write(byte);
     }
-    assert_eq!(answered(&mut slow).0, 200);
+    assert_eq!(read_response(&mut slow).0, 200);
     let asked = Instant::now();
     assert_eq!(node.call("GET /status").0, 200);
     assert!(asked.elapsed() < SECOND);
@@ -166,7 +171,7 @@
     assert_eq!(node.call("GET /status").0, 200);
     let mut late = Peer::connect(at);
     late.write("GET /status HTTP/1.1\r\n");
-    assert_eq!(answered(&mut late).0, 408);
+    assert_eq!(read_response(&mut late).0, 408);
     eventually("all given back", || node.descriptors() < 16);
 }
 
@@ -255,7 +260,7 @@
     let hosts = Hosts::start(1);
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     for ops in [taken.local_addr().unwrap().to_string(), "nowhere".into()] {
-        let mut node_config = node_config(&hosts, nowhere());
+        let mut node_config = node_config(&hosts, unused_address());
         node_config["ops"] = json!(ops);
         let output = program(&node_config.to_string()).output().unwrap();
         let said = String::from_utf8(output.stderr).unwrap();
--- a/node/tests/process_stalls.rs
+++ b/node/tests/process_stalls.rs
@@ -116,7 +116,7 @@
 fn clients_are_served_right_after_the_process_was_delayed_again_and_again() {
     let site = Site::start();
     let open_traffic = site.open_traffic();
-    let held = Outcome::HeldUp(Duration::from_millis(140));
+    let held = Outcome::Delayed(Duration::from_millis(140));
     site.injector.set(&[Fault {
         call: Call::Send,
         outcome: held,
@@ -156,7 +156,7 @@
     let asked = Instant::now();
     let (_, mut silent) = hosts.accept();
     assert!(silent.receive_line().starts_with("OPEN"));
-    let held = Outcome::HeldUp(Duration::from_millis(100));
+    let held = Outcome::Delayed(Duration::from_millis(100));
     injector.set(&[Fault {
         call: Call::Send,
         outcome: held,
--- a/node/tests/reload.rs
+++ b/node/tests/reload.rs
@@ -45,7 +45,7 @@
 /// taken up.
 fn broken_files(node_config: &Value) -> Vec<String> {
     let mut other = node_config.clone();
-    other["discovery"] = json!(nowhere().to_string());
+    other["discovery"] = json!(unused_address().to_string());
     other["settings"]["offerings"] = json!([class("talk", "free")]);
     let whole = other.to_string();
     let cut_short = (0..whole.len())
--- a/node/tests/silence.rs
+++ b/node/tests/silence.rs
@@ -212,7 +212,7 @@
                     site.service.change(site.hosts.member(HOSTS - 1, "active"));
                     site.service.calls(2);
                     site.drain(0);
-                    site.checker.drains(0, true);
+                    site.checker.note_drain(0, true);
                     site.load(Instant::now() + ms(1500));
                     assert_eq!(
                         site.checker.broken(BUSY_MACHINE_DELAY),
@@ -244,7 +244,7 @@
         site.service.come_up();
         site.service.stop_hanging();
         site.drain(0);
-        site.checker.drains(0, true);
+        site.checker.note_drain(0, true);
         site.load(Instant::now() + ms(1500));
         assert_eq!(
             site.checker.broken(BUSY_MACHINE_DELAY),
@@ -303,7 +303,7 @@
             client.send_line(&format!("OPEN {n:x} {n:x} c=free,t=acme,d=2000"));
         }
         site.drain(0);
-        site.checker.drains(0, true);
+        site.checker.note_drain(0, true);
         let from = Instant::now();
         while from.elapsed() < DRAIN_GRACE + SOCKET_SLACK + BUSY_MACHINE_DELAY + ms(100) {
             thread::yield_now();
--- a/node/tests/slow_start.rs
+++ b/node/tests/slow_start.rs
@@ -52,7 +52,7 @@
         standing.push(clients);
     }
     reedferry_testkit::eventually("they do not stand", || {
-        hosts.standing().iter().sum::<u32>() as usize >= NODES * OPEN_CONNECTIONS * 9 / 10
+        hosts.open_connections().iter().sum::<u32>() as usize >= NODES * OPEN_CONNECTIONS * 9 / 10
     });
     let mut new = hosts.member(WARM, "active");
     let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
--- a/node/tests/sockets.rs
+++ b/node/tests/sockets.rs
@@ -76,7 +76,7 @@
     for answer in ["BUSY\r\n", "ERR\r\n", "", "what\r\n", "UP"] {
         let mut hosts = Hosts::start(3);
         // At one of the three nobody listens.
-        hosts.addresses[0] = nowhere();
+        hosts.addresses[0] = unused_address();
         let (node, _) = start(&hosts, |_| {});
         let mut client = node.open(OPEN);
         let (first, mut host) = hosts.accept();
@@ -94,7 +94,7 @@
 #[test]
 fn what_no_host_accepts_is_rejected_at_once_with_a_retry_after() {
     let mut hosts = Hosts::start(2);
-    hosts.addresses = vec![nowhere(), nowhere()];
+    hosts.addresses = vec![unused_address(), unused_address()];
     let (node, _) = start(&hosts, |_| {});
     let began = Instant::now();
     let mut client = node.open(OPEN);
@@ -551,7 +551,7 @@
 #[test]
 fn a_node_serves_from_the_known_list_while_discovery_is_down() {
     let hosts = Hosts::start(1);
-    let node = Node::start(&node_config(&hosts, nowhere()));
+    let node = Node::start(&node_config(&hosts, unused_address()));
     node.wait_for_log("discovery call failed");
     node.served(&hosts);
 }
@@ -575,7 +575,7 @@
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
     peer.set_read_timeout(Some(MAX_WAIT)).unwrap();
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let mut node_config = node_config(&hosts, nowhere());
+    let mut node_config = node_config(&hosts, unused_address());
     by_probe(&mut node_config, &["util", "x0"]);
     node_config["settings"]["policy_limits"]["peers"] = json!(true);
     node_config["settings"]["balancers"] = json!(2);
@@ -647,7 +647,7 @@
 #[test]
 fn a_mix_of_two_deployment_shapes_is_rejected_at_start_and_on_reload() {
     let hosts = Hosts::start(1);
-    let good = node_config(&hosts, nowhere());
+    let good = node_config(&hosts, unused_address());
     type Mix = (&'static str, fn(&mut Value));
     let mixes: [Mix; 4] = [
         ("reporting.via", |p| {
@@ -851,7 +851,7 @@
 #[test]
 fn a_bad_config_is_one_plain_line_and_no_start() {
     let hosts = Hosts::start(1);
-    let good = node_config(&hosts, nowhere());
+    let good = node_config(&hosts, unused_address());
     let mut all = vec!["".to_string(), "{".into(), "{}".into(), "[1]".into()];
     for (path, value) in [
         ("/listen", json!("nowhere")),
--- a/node/tests/two_tier.rs
+++ b/node/tests/two_tier.rs
@@ -108,14 +108,14 @@
     let _guard = exclusive();
     let mut cluster = TwoTierCluster::start(2, 2, 3, 3);
     let mut open_clients = new_clients(&cluster, 3);
-    (0..200).for_each(|_| open_clients.come(0, Duration::from_secs(30)));
+    (0..200).for_each(|_| open_clients.start_client(0, Duration::from_secs(30)));
     eventually("some connections are open", || {
-        cluster.hosts.standing().iter().sum::<u32>() == 200
+        cluster.hosts.open_connections().iter().sum::<u32>() == 200
     });
     (0..2).for_each(|n| cluster.kill_planner(n));
     std::thread::sleep(ms(300));
     let mut clients = new_clients(&cluster, 4);
-    (0..40).for_each(|n| clients.come(n % 3, HOLD_TIME));
+    (0..40).for_each(|n| clients.start_client(n % 3, HOLD_TIME));
     clients.end();
     let observations = cluster.checker.observations();
     assert_eq!(observations.len(), 40);
@@ -127,7 +127,7 @@
         );
     }
     assert_eq!(
-        cluster.hosts.standing().iter().sum::<u32>(),
+        cluster.hosts.open_connections().iter().sum::<u32>(),
         200,
         "open connections continue"
     );
@@ -191,9 +191,9 @@
     assert!(up * 100 >= count * 95, "{up} of {count} served");
     // A forwarder that is asked to stop rejects new requests, migrates open connections, and ends by itself.
     let mut open_clients = new_clients(&cluster, 7);
-    (0..30).for_each(|_| open_clients.come(0, Duration::from_secs(30)));
+    (0..30).for_each(|_| open_clients.start_client(0, Duration::from_secs(30)));
     eventually("some connections are open", || {
-        cluster.hosts.standing().iter().sum::<u32>() == 30
+        cluster.hosts.open_connections().iter().sum::<u32>() == 30
     });
     let forwarder = &mut cluster.forwarders[0];
     forwarder.stop();
@@ -202,7 +202,7 @@
     client.send_line("OPEN late 1 c=free,t=acme,d=2000");
     assert!(client.receive_line().starts_with("BUSY "));
     assert!(forwarder.wait().success());
-    assert_eq!(cluster.hosts.standing().iter().sum::<u32>(), 20);
+    assert_eq!(cluster.hosts.open_connections().iter().sum::<u32>(), 20);
     open_clients.end();
     assert_no_violation(&cluster, "a forwarder stopped");
 }
@@ -268,7 +268,7 @@
     planner.wait_for_log("no greeting in time");
     assert!(planner.memory() < before + (2 << 20));
     let mut clients = new_clients(&cluster, 9);
-    (0..20).for_each(|_| clients.come(0, HOLD_TIME));
+    (0..20).for_each(|_| clients.start_client(0, HOLD_TIME));
     clients.end();
     assert_eq!(count_answers(&cluster, "UP"), 20);
 }
@@ -320,9 +320,9 @@
 fn a_host_that_breaks_off_non_idempotent_requests_gets_each_once() {
     let _guard = exclusive();
     let cluster = TwoTierCluster::start(1, 1, 3, 20);
-    (0..3).for_each(|h| cluster.hosts.go(h, HostBehavior::Disconnects));
+    (0..3).for_each(|h| cluster.hosts.set_behavior(h, HostBehavior::Disconnects));
     let mut clients = new_clients(&cluster, 20);
-    (0..10).for_each(|_| clients.come(2, HOLD_TIME));
+    (0..10).for_each(|_| clients.start_client(2, HOLD_TIME));
     clients.end();
     assert_no_violation(&cluster, "broken off");
     assert_eq!(
@@ -406,14 +406,14 @@
         client
     };
     let mut active_clients: Vec<Peer> = (0..ACTIVE_CLIENTS).map(open).collect();
-    cluster.hosts.go(0, HostBehavior::Silent);
+    cluster.hosts.set_behavior(0, HostBehavior::Silent);
     let mut waiting = Peer::connect(forwarder.address);
     waiting.send_line("OPEN late 7f c=once,t=acme,d=1000");
     let asked = Instant::now();
     _ = wait_until(ms(1000), || asked.elapsed() >= ms(500));
     injector.set(&[Fault {
         call: Call::Send,
-        outcome: Outcome::HeldUp(ms(100)),
+        outcome: Outcome::Delayed(ms(100)),
         every: 2,
     }]);
     // All their lines lie ready in the moment in which the answer is due.
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -20,4 +20,6 @@
 
 pub use discovery::Discovery;
 pub use peers::*;
-pub use program::{answered, ask, folder, listener, node_config, program, program_at, Node};
+pub use program::{
+    folder, listener, node_config, program, program_at, read_response, send_call, Node,
+};
--- a/testkit/src/peers.rs
+++ b/testkit/src/peers.rs
@@ -143,7 +143,7 @@
 }
 
 /// An address at which nobody listens.
-pub fn nowhere() -> SocketAddr {
+pub fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
--- a/testkit/src/program/mod.rs
+++ b/testkit/src/program/mod.rs
@@ -13,4 +13,4 @@
 pub use files::folder;
 pub use launch::{listener, path, program, program_at};
 pub use node::Node;
-pub use ops_call::{answered, ask};
+pub use ops_call::{read_response, send_call};
--- a/testkit/src/program/node.rs
+++ b/testkit/src/program/node.rs
@@ -3,9 +3,9 @@
 use super::files::unique_number;
 use super::launch::{path, Launch};
 use super::log::Log;
-use super::ops_call::ask;
+use super::ops_call::send_call;
 use super::process::Process;
-use crate::peers::{nowhere, Hosts, Peer, OPEN};
+use crate::peers::{unused_address, Hosts, Peer, OPEN};
 use crate::syscalls::{SyscallInjector, TracedProcess};
 use rustix::process::Signal;
 use serde_json::Value;
@@ -141,7 +141,7 @@
             process,
             node_config_file,
             operator_config_file,
-            address: nowhere(),
+            address: unused_address(),
             ops: None,
             log: Log::read(stderr),
         };
@@ -185,7 +185,7 @@
 
     /// An operator's call: the status of the answer, and its text.
     pub fn call(&self, call: &str) -> (u16, String) {
-        ask(
+        send_call(
             self.ops.unwrap(),
             &format!("{call} HTTP/1.1\r\nHost: it\r\n\r\n"),
         )
--- a/testkit/src/program/ops_call.rs
+++ b/testkit/src/program/ops_call.rs
@@ -4,14 +4,14 @@
 use std::net::SocketAddr;
 
 /// Sends this to where operators call, and reads the answer: its status, and its text.
-pub fn ask(at: SocketAddr, sent: &str) -> (u16, String) {
+pub fn send_call(at: SocketAddr, sent: &str) -> (u16, String) {
     let mut caller = Peer::connect(at);
     caller.write(sent);
-    answered(&mut caller)
+    read_response(&mut caller)
 }
 
 /// The answer to a call, read to the end of its connection: its status, and its text.
-pub fn answered(caller: &mut Peer) -> (u16, String) {
+pub fn read_response(caller: &mut Peer) -> (u16, String) {
     let status_line = caller.receive_line();
     let status = status_line
         .strip_prefix("HTTP/1.1 ")
--- a/testkit/src/relay.rs
+++ b/testkit/src/relay.rs
@@ -79,12 +79,12 @@
     }
 
     /// Where connections lead from now on.
-    pub fn lead_to(&self, to: SocketAddr) {
+    pub fn set_target(&self, to: SocketAddr) {
         *self.to.lock().unwrap() = to;
     }
 
     /// Ends what is open, at both sides.
-    pub fn end_all(&self) {
+    pub fn close_all(&self) {
         for stream in self.open.lock().unwrap().drain(..) {
             _ = stream.shutdown(Shutdown::Both);
         }
--- a/testkit/src/simulated/clients.rs
+++ b/testkit/src/simulated/clients.rs
@@ -69,7 +69,7 @@
     }
 
     /// Starts one more client, of a request class by its number, that holds its connection for so long, or until `end`.
-    pub fn come(&mut self, class: usize, holds: Duration) {
+    pub fn start_client(&mut self, class: usize, holds: Duration) {
         let address = self.addresses[self.started % self.addresses.len()];
         self.started += 1;
         let client = Client {
@@ -94,7 +94,7 @@
         let mut count = 0;
         while next < start + span {
             thread::sleep(next.saturating_duration_since(Instant::now()));
-            self.come(classes[count % classes.len()], holds);
+            self.start_client(classes[count % classes.len()], holds);
             (next, count) = (next + interval, count + 1);
         }
     }
--- a/testkit/src/simulated/hosts.rs
+++ b/testkit/src/simulated/hosts.rs
@@ -92,12 +92,12 @@
     }
 
     /// Sets what a host does from now on.
-    pub fn go(&self, host: usize, behavior: HostBehavior) {
+    pub fn set_behavior(&self, host: usize, behavior: HostBehavior) {
         self.behaviors[host].store(behavior as u8, SeqCst);
     }
 
     /// Connections that are open at each host.
-    pub fn standing(&self) -> Vec<u32> {
+    pub fn open_connections(&self) -> Vec<u32> {
         self.open.iter().map(|open| open.load(SeqCst)).collect()
     }
 
--- a/testkit/src/simulated/invariants.rs
+++ b/testkit/src/simulated/invariants.rs
@@ -61,7 +61,7 @@
     }
 
     /// Notes that the list service was told that the host drains, or is back.
-    pub fn drains(&self, host: usize, drains: bool) {
+    pub fn note_drain(&self, host: usize, drains: bool) {
         let mut record = self.0.lock().unwrap();
         if drains {
             let drain = Drain {
--- a/testkit/src/soak/process_group/faults.rs
+++ b/testkit/src/soak/process_group/faults.rs
@@ -46,7 +46,7 @@
                 self.processes[slot].injector.step_clock(seconds);
             }
             SoakFault::Calls(slot, family) => self.begin_syscall_faults(slot, family),
-            SoakFault::Host(host, behavior) => self.hosts.go(host, behavior),
+            SoakFault::Host(host, behavior) => self.hosts.set_behavior(host, behavior),
             SoakFault::Drain(host) => self.begin_drain(host),
             SoakFault::ServiceDown => self.services.iter().for_each(Discovery::go_down),
             SoakFault::ServiceSilent => self.services.iter().for_each(Discovery::silence_watches),
@@ -66,7 +66,7 @@
             // The other list service takes its turn.
             SoakFault::Reload(slot) => self.reload(slot),
             SoakFault::StandStill(slot) => self.end_suspension(slot),
-            SoakFault::Host(host, _) => self.hosts.go(host, HostBehavior::Accepts),
+            SoakFault::Host(host, _) => self.hosts.set_behavior(host, HostBehavior::Accepts),
             SoakFault::Drain(host) => self.end_drain(host),
             SoakFault::ServiceDown => self.services.iter().for_each(Discovery::come_up),
             SoakFault::ServiceRefuses => self.reject_of_ten(0),
--- a/testkit/src/soak/process_group/mod.rs
+++ b/testkit/src/soak/process_group/mod.rs
@@ -241,7 +241,7 @@
             self.end_stop(slot);
         }
         for host in 0..self.hosts.addresses.len() {
-            self.hosts.go(host, HostBehavior::Accepts);
+            self.hosts.set_behavior(host, HostBehavior::Accepts);
             self.end_drain(host);
         }
         for service in &self.services {
--- a/testkit/src/soak/process_group/restarts.rs
+++ b/testkit/src/soak/process_group/restarts.rs
@@ -40,8 +40,12 @@
                     self.reload(slot);
                 }
             }
-            RestartEvent::HostHangs(host, true) => self.hosts.go(host, HostBehavior::Hangs),
-            RestartEvent::HostHangs(host, false) => self.hosts.go(host, HostBehavior::Accepts),
+            RestartEvent::HostHangs(host, true) => {
+                self.hosts.set_behavior(host, HostBehavior::Hangs);
+            }
+            RestartEvent::HostHangs(host, false) => {
+                self.hosts.set_behavior(host, HostBehavior::Accepts);
+            }
             RestartEvent::HostDrains(host, true) => self.begin_drain(host),
             RestartEvent::HostDrains(host, false) => self.end_drain(host),
             RestartEvent::SendsHeldUp(slot, true) => self.begin_send_delays(slot),
@@ -133,7 +137,7 @@
         let process = &mut self.processes[slot];
         process.syscall_faults = vec![Fault {
             call: Call::Send,
-            outcome: Outcome::HeldUp(SEND_DELAY),
+            outcome: Outcome::Delayed(SEND_DELAY),
             every: SENDS_PER_DELAY,
         }];
         process.injector.set(&process.syscall_faults);
--- a/testkit/src/soak/soak_faults.rs
+++ b/testkit/src/soak/soak_faults.rs
@@ -116,7 +116,7 @@
                 },
             ],
             SyscallFaultFamily::HeldUp => {
-                let outcome = Outcome::HeldUp(Duration::from_millis(140));
+                let outcome = Outcome::Delayed(Duration::from_millis(140));
                 vec![Fault {
                     call: Call::Send,
                     outcome,
--- a/testkit/src/syscalls.rs
+++ b/testkit/src/syscalls.rs
@@ -75,7 +75,7 @@
     /// It moves one byte.
     Short,
     /// It is made so much later.
-    HeldUp(Duration),
+    Delayed(Duration),
 }
 
 /// One of so many calls of a kind has this outcome.
@@ -418,7 +418,7 @@
                 registers.rdx = registers.rdx.min(1);
                 self.set_registers(&registers);
             }
-            Some(Outcome::HeldUp(span)) => thread::sleep(span),
+            Some(Outcome::Delayed(span)) => thread::sleep(span),
         }
     }
 
--- a/testkit/src/two_tier/load.rs
+++ b/testkit/src/two_tier/load.rs
@@ -63,7 +63,7 @@
     while started.elapsed() < size.span {
         clients.load(size.rate, SAMPLE_INTERVAL, &[0], HOLD_TIME);
         if started.elapsed() > HOLD_TIME {
-            samples.push(jain_index(&hosts.standing()));
+            samples.push(jain_index(&hosts.open_connections()));
         }
     }
     clients.end();
--- a/testkit/src/two_tier_cluster.rs
+++ b/testkit/src/two_tier_cluster.rs
@@ -143,7 +143,7 @@
         );
         let planner = Node::start_as("plan", &operator_config, &node_config);
         for relays in &self.relays {
-            relays[index].lead_to(planner.address);
+            relays[index].set_target(planner.address);
         }
         self.planners[index] = Some(planner);
     }
@@ -177,7 +177,7 @@
 
     /// Has discovery say that a host drains, or is ready again.
     pub fn set_draining(&self, host: usize, draining: bool) {
-        self.checker.drains(host, draining);
+        self.checker.note_drain(host, draining);
         let phase = if draining { "leaving" } else { "active" };
         self.discovery.change(self.hosts.member(host, phase));
     }
@@ -194,7 +194,8 @@
             relay.up.clear();
             relay.down.clear();
         }
-        (0..self.hosts.addresses.len()).for_each(|host| self.hosts.go(host, HostBehavior::Accepts));
+        (0..self.hosts.addresses.len())
+            .for_each(|host| self.hosts.set_behavior(host, HostBehavior::Accepts));
     }
 
     /// Injects a fault of this kind; `a` and `b` draw whom it meets. Returns what it did.
@@ -246,7 +247,7 @@
                     HostBehavior::Silent,
                     HostBehavior::Disconnects,
                 ];
-                self.hosts.go(host, behaviors[b % 4]);
+                self.hosts.set_behavior(host, behaviors[b % 4]);
                 format!("host {host} goes wrong, {}", b % 4)
             }
             _ => {
