--- a/testkit/src/discovery/mod.rs
+++ b/testkit/src/discovery/mod.rs
@@ -25,7 +25,7 @@
     revision: u64,
     members: Vec<Member>,
     /// Answers given in place of the list, the next one last.
-    other_answers: Vec<String>,
+    answer_overrides: Vec<String>,
     /// When each call was answered.
     answered: Vec<Instant>,
     /// When each call came.
@@ -44,7 +44,7 @@
     /// Grows with each start: what was begun before ends.
     incarnation: u64,
     /// Grows whenever watches fall silent.
-    silences: u64,
+    silence_count: u64,
     /// The answer to a poll for the whole list.
     cached_list: Option<CachedList>,
     /// What became of each call, and when the service was down.
@@ -150,10 +150,10 @@
     }
 
     /// From now on it works calls off one by one, so many a second, and rejects those that would wait longer than this.
-    pub fn limit_rate(&self, a_second: f64, queue: Duration) {
+    pub fn limit_rate(&self, calls_per_second: f64, max_queue_time: Duration) {
         self.state().rate_limit = Some(RateLimit {
-            time_per_call: Duration::from_secs_f64(1.0 / a_second),
-            max_wait: queue,
+            time_per_call: Duration::from_secs_f64(1.0 / calls_per_second),
+            max_wait: max_queue_time,
         });
     }
 
@@ -183,8 +183,8 @@
     }
 
     /// From now on it accepts calls and answers none, or begins an answer and goes silent; watches stay open.
-    pub fn hang(&self, begins: bool) {
-        self.state().hang = Some(if begins {
+    pub fn hang(&self, within_answer: bool) {
+        self.state().hang = Some(if within_answer {
             Hang::WithinAnswer
         } else {
             Hang::BeforeAnswer
@@ -200,7 +200,7 @@
     /// Watches that wait now are never answered, and stay open; later calls are answered.
     pub fn silence_watches(&self) {
         let mut state = self.state();
-        state.silences += 1;
+        state.silence_count += 1;
         let now = Instant::now();
         let waiting = state.history.calls.iter_mut().filter(|call| call.waiting);
         waiting.for_each(|call| _ = call.silenced_at.get_or_insert(now));
@@ -253,7 +253,7 @@
     /// Has the next calls answered so in place of the list.
     pub fn answer_instead(&self, answers: &[&str]) {
         let answers = answers.iter().rev();
-        self.state().other_answers = answers.map(ToString::to_string).collect();
+        self.state().answer_overrides = answers.map(ToString::to_string).collect();
     }
 
     /// Waits until so many calls have come, and says how long after the last answer each followed.
@@ -322,15 +322,15 @@
         if let Some(kind) = state.hang {
             return Reply::Hang { kind, incarnation };
         }
-        let Some(worked_off) = state.accept(now) else {
+        let Some(served_at) = state.schedule_call(now) else {
             return Reply::Answer(REJECTION.into());
         };
-        if worked_off > now {
+        if served_at > now {
             drop(state);
-            thread::sleep(worked_off.saturating_duration_since(Instant::now()));
+            thread::sleep(served_at.saturating_duration_since(Instant::now()));
             state = self.state();
         }
-        if let Some(answer) = state.other_answers.pop() {
+        if let Some(answer) = state.answer_overrides.pop() {
             state.answered.push(Instant::now());
             return if answer.contains("\r\n\r\n") {
                 Reply::Answer(answer)
@@ -339,7 +339,7 @@
             };
         }
         if let Some(from) = call.from_revision {
-            let silences = state.silences;
+            let silence_count = state.silence_count;
             state.history.calls[record].waiting = true;
             let unchanged =
                 |state: &mut State| state.revision <= from && state.incarnation == incarnation;
@@ -348,7 +348,7 @@
                 .wait_timeout_while(state, call.hold, unchanged);
             state = waited.unwrap().0;
             state.history.calls[record].waiting = false;
-            if state.silences != silences {
+            if state.silence_count != silence_count {
                 return Reply::Silence { record };
             }
         }
@@ -381,22 +381,22 @@
     }
 
     /// Accepts a call, and returns when it will have been worked off; or notes that it is rejected.
-    fn accept(&mut self, now: Instant) -> Option<Instant> {
-        let in_turn = self.called.len() % 10 < self.rejected_of_ten;
+    fn schedule_call(&mut self, now: Instant) -> Option<Instant> {
+        let is_rejected_in_turn = self.called.len() % 10 < self.rejected_of_ten;
         let idle_from = self.idle_from.unwrap_or(now).max(now);
         let max_wait = self
             .rate_limit
             .map_or(Duration::ZERO, |limit| limit.max_wait);
-        if in_turn || idle_from > now + max_wait {
+        if is_rejected_in_turn || idle_from > now + max_wait {
             self.rejected.push(now);
             return None;
         }
         let Some(limit) = self.rate_limit else {
             return Some(now);
         };
-        let worked_off = idle_from + limit.time_per_call;
-        self.idle_from = Some(worked_off);
-        Some(worked_off)
+        let served_at = idle_from + limit.time_per_call;
+        self.idle_from = Some(served_at);
+        Some(served_at)
     }
 
     /// The list, or what has changed in it since a revision.
--- a/testkit/src/relay.rs
+++ b/testkit/src/relay.rs
@@ -67,12 +67,12 @@
                     stream.try_clone().unwrap()
                 });
                 open.lock().unwrap().extend(ends);
-                pass(
+                forward(
                     caller.try_clone().unwrap(),
                     target.try_clone().unwrap(),
                     up.clone(),
                 );
-                pass(target, caller, down.clone());
+                forward(target, caller, down.clone());
             }
         });
         relay
@@ -92,7 +92,7 @@
 }
 
 /// Copies one direction of a connection, until either side ends.
-fn pass(mut from: TcpStream, mut to: TcpStream, direction: Arc<RelayDirection>) {
+fn forward(mut from: TcpStream, mut to: TcpStream, direction: Arc<RelayDirection>) {
     thread::spawn(move || {
         let mut bytes = vec![0; 1 << 16];
         while let Ok(count @ 1..) = from.read(&mut bytes) {
--- a/testkit/src/simulated/clients.rs
+++ b/testkit/src/simulated/clients.rs
@@ -69,14 +69,14 @@
     }
 
     /// Starts one more client, of a request class by its number, that holds its connection for so long, or until `end`.
-    pub fn start_client(&mut self, class: usize, holds: Duration) {
+    pub fn start_client(&mut self, class: usize, hold_duration: Duration) {
         let address = self.addresses[self.started % self.addresses.len()];
         self.started += 1;
         let client = Client {
             name: format!("{:x}-{}", self.seed, self.started),
             key: self.rng.random(),
             class,
-            hold_time: holds,
+            hold_time: hold_duration,
             round: self.round.clone(),
         };
         let checker = self.checker.clone();
@@ -88,13 +88,13 @@
     }
 
     /// Starts so many a second for so long, request classes in turns.
-    pub fn load(&mut self, rate: f64, span: Duration, classes: &[usize], holds: Duration) {
+    pub fn load(&mut self, rate: f64, span: Duration, classes: &[usize], hold_duration: Duration) {
         let (start, interval) = (Instant::now(), Duration::from_secs_f64(1.0 / rate));
         let mut next = start;
         let mut count = 0;
         while next < start + span {
             thread::sleep(next.saturating_duration_since(Instant::now()));
-            self.start_client(classes[count % classes.len()], holds);
+            self.start_client(classes[count % classes.len()], hold_duration);
             (next, count) = (next + interval, count + 1);
         }
     }
--- a/testkit/src/simulated/hosts.rs
+++ b/testkit/src/simulated/hosts.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// How often a host that hangs looks whether it still does.
-const HANG_LOOK_INTERVAL: Duration = Duration::from_millis(10);
+const HANG_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What a host does with a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -52,7 +52,7 @@
     /// What the host did with it.
     pub behavior: HostBehavior,
     /// When the node gave it up, where the host was silent.
-    pub left: Option<Instant>,
+    pub abandoned_at: Option<Instant>,
 }
 
 /// Hosts that act by themselves. Even and odd ones are two idempotency groups.
@@ -132,7 +132,7 @@
 
     fn wait_while_hanging(&self) {
         while self.behavior() == HostBehavior::Hangs {
-            thread::sleep(HANG_LOOK_INTERVAL);
+            thread::sleep(HANG_POLL_INTERVAL);
         }
     }
 
@@ -150,7 +150,7 @@
             host: self.number,
             name,
             behavior,
-            left: None,
+            abandoned_at: None,
         });
         match behavior {
             HostBehavior::Accepts => {
--- a/testkit/src/simulated/invariants.rs
+++ b/testkit/src/simulated/invariants.rs
@@ -2,8 +2,8 @@
 //! of itself.
 
 use super::{
-    ClientObservation, HostBehavior, ObservedAttempt, DRAIN_GRACE, REQUEST_TIMEOUT, SOCKET_SLACK,
-    WINDOW,
+    ClientObservation, HostBehavior, ObservedAttempt, DRAIN_GRACE, REPEAT_WINDOW, REQUEST_TIMEOUT,
+    SOCKET_SLACK,
 };
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -53,7 +53,7 @@
 
     /// Notes that the node has given up this attempt now.
     pub(super) fn note_abandoned(&self, attempt: usize) {
-        self.0.lock().unwrap().attempts[attempt].left = Some(Instant::now());
+        self.0.lock().unwrap().attempts[attempt].abandoned_at = Some(Instant::now());
     }
 
     pub(super) fn note_client(&self, observation: ClientObservation) {
@@ -200,14 +200,14 @@
         CLASS_WITH_KEY
             if may_have_run
                 .iter()
-                .any(|one| one.host % 2 != first.host % 2) =>
+                .any(|attempt| attempt.host % 2 != first.host % 2) =>
         {
             Some(format!("rule 2: {name} left its circle"))
         }
         CLASS_WITH_KEY
             if may_have_run
                 .iter()
-                .any(|one| one.at > first.at + WINDOW + slack) =>
+                .any(|attempt| attempt.at > first.at + REPEAT_WINDOW + slack) =>
         {
             Some(format!("rule 2: {name} went again out of its window"))
         }
@@ -226,7 +226,9 @@
         .filter(|pair| {
             let (previous, next) = (pair[0], pair[1]);
             previous.behavior == HostBehavior::Silent
-                && previous.left.is_none_or(|left| left > next.at + slack)
+                && previous
+                    .abandoned_at
+                    .is_none_or(|abandoned_at| abandoned_at > next.at + slack)
         })
         .map(|_| format!("rule 2: {} had two hand-offs out", client.name))
         .collect()
--- a/testkit/src/simulated/mod.rs
+++ b/testkit/src/simulated/mod.rs
@@ -24,7 +24,7 @@
 /// How long clients wait for their answer.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long an idempotency group drops repeats of a request with an idempotency key.
-pub const WINDOW: Duration = Duration::from_secs(1);
+pub const REPEAT_WINDOW: Duration = Duration::from_secs(1);
 
 /// The stack of a thread that serves or holds one connection.
 const THREAD_STACK_BYTES: usize = 128 << 10;
--- a/testkit/src/soak/clients.rs
+++ b/testkit/src/soak/clients.rs
@@ -20,17 +20,17 @@
 /// The pause between two lines on an open connection.
 const ECHO_INTERVAL: Duration = Duration::from_millis(60);
 /// How many clients for each slot keep a connection for the whole soak.
-const LASTING_PER_SLOT: u64 = 2;
+const LONG_LIVED_CLIENTS_PER_SLOT: u64 = 2;
 /// Longer than any soak of such clients.
-const LASTING_SPAN: Duration = Duration::from_secs(3600);
+const LONG_LIVED_HOLD_TIME: Duration = Duration::from_secs(3600);
 /// The pause between two lines of such a client, by the protocol.
-const LASTING_LINE_INTERVAL: Duration = Duration::from_secs(2);
+const LONG_LIVED_LINE_INTERVAL: Duration = Duration::from_secs(2);
 /// How soon such a client comes again.
-const LASTING_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+const LONG_LIVED_RECONNECT_INTERVAL: Duration = Duration::from_millis(50);
 /// How often a client that rests looks whether the process was told to stop.
-const REST_LOOK_INTERVAL: Duration = Duration::from_millis(5);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// How long after that it sends its request at the most.
-const MAX_REST_AFTER_STOP_MILLIS: u64 = 150;
+const MAX_SEND_DELAY_AFTER_STOP_MILLIS: u64 = 150;
 /// How many requests a pipelining client sends at once.
 const PIPELINED_REQUESTS: usize = 3;
 
@@ -42,19 +42,22 @@
     /// The same, a byte at a time.
     Slow,
     /// Sends a request, and closes before it has its answer.
-    Leaves,
+    LeavesEarly,
     /// Sends half a line, and stays.
-    Half,
+    PartialLine,
     /// Is idle until about the moment in which its connection is closed for that, and sends its request then.
-    Rests,
+    SendsLate,
     /// Sends several requests at once.
     Pipelines,
 }
 
 impl ClientBehavior {
     /// Whether the end of its connection, or an error, is all that such a client may expect.
-    pub fn is_bad(self) -> bool {
-        matches!(self, ClientBehavior::Half | ClientBehavior::Pipelines)
+    pub fn violates_protocol(self) -> bool {
+        matches!(
+            self,
+            ClientBehavior::PartialLine | ClientBehavior::Pipelines
+        )
     }
 }
 
@@ -67,7 +70,7 @@
     /// A reset of the connection.
     Reset,
     /// Nothing, for as long as it waited.
-    Nothing,
+    Timeout,
 }
 
 impl Received {
@@ -89,12 +92,12 @@
     pub received: Received,
     pub received_at: Instant,
     /// When it closed, where it did before it had an answer.
-    pub left: Option<Instant>,
+    pub closed_at: Option<Instant>,
     /// How its open connection ended, where the client did not end it.
     pub ended: Option<Received>,
     pub ended_at: Option<Instant>,
     /// A line that came behind a final answer.
-    pub second: Option<String>,
+    pub second_answer: Option<String>,
 }
 
 /// Clients that come at a steady rate until they are told to end.
@@ -113,7 +116,7 @@
         slots: ProcessSlots,
         profile: SoakProfile,
     ) -> ClientLoad {
-        let source = ClientSource {
+        let generator = ClientGenerator {
             seed,
             interval: Duration::from_secs_f64(1.0 / size.rate),
             slots,
@@ -121,15 +124,15 @@
             stopped: Arc::default(),
             observations: Observations::default(),
         };
-        let (stopped, observations) = (source.stopped.clone(), source.observations.clone());
+        let (stopped, observations) = (generator.stopped.clone(), generator.observations.clone());
         let mut threads = Vec::new();
         if profile.clients == ClientMix::UntilMoved {
-            for number in 0..LASTING_PER_SLOT * size.processes as u64 {
-                let source = source.clone();
-                threads.push(thread::spawn(move || source.last(number)));
+            for number in 0..LONG_LIVED_CLIENTS_PER_SLOT * size.processes as u64 {
+                let generator = generator.clone();
+                threads.push(thread::spawn(move || generator.run_long_lived(number)));
             }
         }
-        threads.push(thread::spawn(move || source.generate()));
+        threads.push(thread::spawn(move || generator.generate()));
         ClientLoad {
             stopped,
             threads,
@@ -152,7 +155,7 @@
 
 /// What clients are started by.
 #[derive(Clone)]
-struct ClientSource {
+struct ClientGenerator {
     seed: u64,
     interval: Duration,
     slots: ProcessSlots,
@@ -161,7 +164,7 @@
     observations: Observations,
 }
 
-impl ClientSource {
+impl ClientGenerator {
     /// Starts clients until it is stopped, and waits for them.
     fn generate(&self) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ 0x5eed);
@@ -175,8 +178,8 @@
             };
             let name = format!("{:x}-{number}", self.seed);
             let client = Client::draw(&mut rng, name, slot, address, &self.profile);
-            let source = self.clone();
-            threads.push(spawn_thread(move || source.run(client)));
+            let generator = self.clone();
+            threads.push(spawn_thread(move || generator.run(client)));
         }
         for client in threads {
             client.join().expect("a client panicked");
@@ -184,21 +187,21 @@
     }
 
     /// One client that keeps a connection for the whole soak: where it is moved, it comes again.
-    fn last(&self, number: u64) {
+    fn run_long_lived(&self, number: u64) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ 0x1a57 ^ (number << 32));
-        let mut tries = 0;
+        let mut connects = 0;
         while !self.stopped.load(SeqCst) {
-            tries += 1;
+            connects += 1;
             if let Some((slot, address)) = pick_slot(&self.slots, &mut rng) {
-                let name = format!("{:x}-lasting{number}-{tries}", self.seed);
+                let name = format!("{:x}-lasting{number}-{connects}", self.seed);
                 self.run(Client {
                     behavior: ClientBehavior::Plain,
-                    span: LASTING_SPAN,
-                    line_interval: LASTING_LINE_INTERVAL,
+                    span: LONG_LIVED_HOLD_TIME,
+                    line_interval: LONG_LIVED_LINE_INTERVAL,
                     ..Client::draw(&mut rng, name, slot, address, &self.profile)
                 });
             }
-            thread::sleep(LASTING_RETRY_INTERVAL);
+            thread::sleep(LONG_LIVED_RECONNECT_INTERVAL);
         }
     }
 
@@ -233,7 +236,7 @@
     /// How long its request may wait.
     deadline: Duration,
     /// Whether it rests until the process is told to stop, if that comes in its time.
-    rests_until_stop: bool,
+    sends_after_stop: bool,
 }
 
 impl Client {
@@ -259,9 +262,9 @@
         profile: &SoakProfile,
     ) -> Client {
         let (behavior, span_millis) = match rng.random_range(0..20) {
-            0 | 1 => (ClientBehavior::Leaves, rng.random_range(0..400)),
-            2 => (ClientBehavior::Half, 0),
-            3 => (ClientBehavior::Rests, rng.random_range(1900..2150)),
+            0 | 1 => (ClientBehavior::LeavesEarly, rng.random_range(0..400)),
+            2 => (ClientBehavior::PartialLine, 0),
+            3 => (ClientBehavior::SendsLate, rng.random_range(1900..2150)),
             4 => (ClientBehavior::Pipelines, 0),
             5 => (ClientBehavior::Slow, rng.random_range(50..600)),
             _ => (ClientBehavior::Plain, rng.random_range(50..1500)),
@@ -277,7 +280,7 @@
             span: Duration::from_millis(span_millis),
             line_interval: ECHO_INTERVAL,
             deadline: profile.deadlines[class],
-            rests_until_stop: false,
+            sends_after_stop: false,
         }
     }
 
@@ -290,13 +293,16 @@
         profile: &SoakProfile,
     ) -> Client {
         let (behavior, span_millis) = match rng.random_range(0..20) {
-            0 => (ClientBehavior::Half, 0),
-            1 => (ClientBehavior::Leaves, rng.random_range(0..400)),
+            0 => (ClientBehavior::PartialLine, 0),
+            1 => (ClientBehavior::LeavesEarly, rng.random_range(0..400)),
             2 => (ClientBehavior::Pipelines, 0),
-            3..=6 => (ClientBehavior::Rests, rng.random_range(200..1800)),
+            3..=6 => (ClientBehavior::SendsLate, rng.random_range(200..1800)),
             7 => (ClientBehavior::Slow, rng.random_range(200..6000)),
             8..=13 => (ClientBehavior::Plain, rng.random_range(500..8000)),
-            _ => (ClientBehavior::Plain, LASTING_SPAN.as_millis() as u64),
+            _ => (
+                ClientBehavior::Plain,
+                LONG_LIVED_HOLD_TIME.as_millis() as u64,
+            ),
         };
         let class = rng.random_range(0..3);
         Client {
@@ -309,7 +315,7 @@
             span: Duration::from_millis(span_millis),
             line_interval: Duration::from_millis(rng.random_range(60..500)),
             deadline: profile.deadlines[class],
-            rests_until_stop: true,
+            sends_after_stop: true,
         }
     }
 
@@ -317,15 +323,15 @@
     fn run(self, slots: &ProcessSlots, stopped: &AtomicBool) -> Option<ClientObservation> {
         let mut stream = TcpStream::connect(self.address).ok()?;
         _ = stream.set_nodelay(true);
-        if self.behavior == ClientBehavior::Rests {
-            self.rest(slots);
+        if self.behavior == ClientBehavior::SendsLate {
+            self.wait_idle(slots);
         }
         self.send_request(&mut stream).ok()?;
         let mut observation = self.observation(Instant::now());
-        if self.behavior == ClientBehavior::Leaves {
+        if self.behavior == ClientBehavior::LeavesEarly {
             thread::sleep(self.span);
             drop(stream);
-            observation.left = Some(Instant::now());
+            observation.closed_at = Some(Instant::now());
             return Some(observation);
         }
         _ = stream.set_read_timeout(Some(READ_TIMEOUT));
@@ -333,11 +339,11 @@
         observation.received = receive(&mut reader);
         observation.received_at = Instant::now();
         if observation.received.starts_with("UP") {
-            observation.ended = self.hold(&mut stream, &mut reader, stopped);
+            observation.ended = self.use_connection(&mut stream, &mut reader, stopped);
             observation.ended_at = Some(Instant::now());
         } else if matches!(observation.received, Received::Line(_)) {
             if let Received::Line(second) = receive(&mut reader) {
-                observation.second = Some(second);
+                observation.second_answer = Some(second);
             }
         }
         Some(observation)
@@ -352,7 +358,7 @@
             self.deadline.as_millis()
         );
         match self.behavior {
-            ClientBehavior::Half => stream.write_all(&line.as_bytes()[..line.len() / 2]),
+            ClientBehavior::PartialLine => stream.write_all(&line.as_bytes()[..line.len() / 2]),
             ClientBehavior::Pipelines => {
                 stream.write_all(line.repeat(PIPELINED_REQUESTS).as_bytes())
             }
@@ -361,22 +367,22 @@
                 thread::sleep(SLOW_BYTE_INTERVAL);
                 Ok(())
             }),
-            ClientBehavior::Plain | ClientBehavior::Leaves | ClientBehavior::Rests => {
+            ClientBehavior::Plain | ClientBehavior::LeavesEarly | ClientBehavior::SendsLate => {
                 stream.write_all(line.as_bytes())
             }
         }
     }
 
     /// Is idle for its span, or until shortly after the process was told to stop.
-    fn rest(&self, slots: &ProcessSlots) {
+    fn wait_idle(&self, slots: &ProcessSlots) {
         let end = Instant::now() + self.span;
-        if !self.rests_until_stop {
+        if !self.sends_after_stop {
             return thread::sleep(self.span);
         }
         while Instant::now() < end {
-            thread::sleep(REST_LOOK_INTERVAL);
+            thread::sleep(STOP_POLL_INTERVAL);
             if slots[self.slot].lock().unwrap().closed.is_some() {
-                let pause = self.key % MAX_REST_AFTER_STOP_MILLIS;
+                let pause = self.key % MAX_SEND_DELAY_AFTER_STOP_MILLIS;
                 return thread::sleep(Duration::from_millis(pause));
             }
         }
@@ -390,29 +396,29 @@
             class: self.class,
             behavior: self.behavior,
             asked,
-            received: Received::Nothing,
+            received: Received::Timeout,
             received_at: asked,
-            left: None,
+            closed_at: None,
             ended: None,
             ended_at: None,
-            second: None,
+            second_answer: None,
         }
     }
 
     /// Sends lines on its open connection; returns how that ended, where the client did not end it.
-    fn hold(
+    fn use_connection(
         &self,
         stream: &mut TcpStream,
         reader: &mut BufReader<TcpStream>,
         stopped: &AtomicBool,
     ) -> Option<Received> {
         let end = Instant::now() + self.span;
-        let lasts = self.span >= LASTING_SPAN;
-        while Instant::now() < end && !(lasts && stopped.load(SeqCst)) {
+        let is_long_lived = self.span >= LONG_LIVED_HOLD_TIME;
+        while Instant::now() < end && !(is_long_lived && stopped.load(SeqCst)) {
             let sent = stream.write_all(b"hello\r\n").is_ok();
             match receive(reader) {
                 Received::Line(line) if line == "hello" => {}
-                other => return Some(other).filter(|_| sent),
+                unexpected => return Some(unexpected).filter(|_| sent),
             }
             thread::sleep(self.line_interval);
         }
@@ -427,7 +433,7 @@
         Ok(0) => Received::End,
         Ok(_) => Received::Line(line.trim_end().to_string()),
         Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-            Received::Nothing
+            Received::Timeout
         }
         Err(_) => Received::Reset,
     }
--- a/testkit/src/soak/process_group/faults.rs
+++ b/testkit/src/soak/process_group/faults.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 /// How long after a stop the front still sends clients.
-const FRONT_NOTICE_DELAY: Duration = Duration::from_millis(300);
-/// Of ten calls so many are rejected by list services under [`SoakFault::ServiceRefuses`].
+const UPSTREAM_NOTICE_DELAY: Duration = Duration::from_millis(300);
+/// Of ten calls so many are rejected by list services under [`SoakFault::ServiceRejects`].
 const REJECTED_OF_TEN: usize = 7;
 /// The end of a suspension that has not ended yet: later than any soak.
 const FAR_FUTURE: Duration = Duration::from_secs(3600);
@@ -35,22 +35,22 @@
         match *fault {
             SoakFault::Stop(slot) => self.begin_stop(slot),
             SoakFault::Replace(slot) => self.replace(slot),
-            SoakFault::ReplaceSpoilt(slot) => {
-                self.begin_syscall_faults(slot, SyscallFaultFamily::Channel);
+            SoakFault::ReplaceWithMessageFaults(slot) => {
+                self.begin_syscall_faults(slot, SyscallFaultFamily::HandoverMessages);
                 self.replace(slot);
             }
             SoakFault::Kill(slot) => self.kill(slot),
             SoakFault::Reload(slot) => self.reload(slot),
-            SoakFault::StandStill(slot) => self.begin_suspension(slot),
+            SoakFault::Suspend(slot) => self.begin_suspension(slot),
             SoakFault::StepClock(slot, seconds) => {
                 self.processes[slot].injector.step_clock(seconds);
             }
-            SoakFault::Calls(slot, family) => self.begin_syscall_faults(slot, family),
+            SoakFault::Syscalls(slot, family) => self.begin_syscall_faults(slot, family),
             SoakFault::Host(host, behavior) => self.hosts.set_behavior(host, behavior),
             SoakFault::Drain(host) => self.begin_drain(host),
             SoakFault::ServiceDown => self.services.iter().for_each(Discovery::go_down),
             SoakFault::ServiceSilent => self.services.iter().for_each(Discovery::silence_watches),
-            SoakFault::ServiceRefuses => self.reject_of_ten(REJECTED_OF_TEN),
+            SoakFault::ServiceRejects => self.reject_of_ten(REJECTED_OF_TEN),
         }
     }
 
@@ -59,17 +59,17 @@
             SoakFault::Stop(slot) => self.end_stop(slot),
             // What fell silent stays so.
             SoakFault::Replace(_) | SoakFault::StepClock(..) | SoakFault::ServiceSilent => {}
-            SoakFault::ReplaceSpoilt(slot) | SoakFault::Calls(slot, _) => {
+            SoakFault::ReplaceWithMessageFaults(slot) | SoakFault::Syscalls(slot, _) => {
                 self.end_syscall_faults(slot);
             }
             SoakFault::Kill(slot) => self.end_kill(slot),
             // The other list service takes its turn.
             SoakFault::Reload(slot) => self.reload(slot),
-            SoakFault::StandStill(slot) => self.end_suspension(slot),
+            SoakFault::Suspend(slot) => self.end_suspension(slot),
             SoakFault::Host(host, _) => self.hosts.set_behavior(host, HostBehavior::Accepts),
             SoakFault::Drain(host) => self.end_drain(host),
             SoakFault::ServiceDown => self.services.iter().for_each(Discovery::come_up),
-            SoakFault::ServiceRefuses => self.reject_of_ten(0),
+            SoakFault::ServiceRejects => self.reject_of_ten(0),
         }
     }
 
@@ -105,8 +105,8 @@
         let Some(process) = self.processes[slot].running.take() else {
             return;
         };
-        self.continue_process(slot, &process.node);
-        self.slots[slot].lock().unwrap().closed = Some(Instant::now() + FRONT_NOTICE_DELAY);
+        self.resume_process(slot, &process.node);
+        self.slots[slot].lock().unwrap().closed = Some(Instant::now() + UPSTREAM_NOTICE_DELAY);
         self.processes[slot].stopping.push(process.stop());
     }
 
@@ -126,7 +126,7 @@
         let Some(mut predecessor) = self.processes[slot].running.take() else {
             return;
         };
-        self.continue_process(slot, &predecessor.node);
+        self.resume_process(slot, &predecessor.node);
         self.start_process(slot);
         if !self.ended_unexpectedly(slot, &mut predecessor) {
             self.processes[slot].stopping.push(predecessor.stop());
@@ -185,11 +185,11 @@
 
     pub(super) fn end_suspension(&mut self, slot: usize) {
         if let Some(process) = &self.processes[slot].running {
-            self.continue_process(slot, &process.node);
+            self.resume_process(slot, &process.node);
         }
     }
 
-    fn continue_process(&self, slot: usize, node: &Node) {
+    fn resume_process(&self, slot: usize, node: &Node) {
         node.unsuspend();
         if let Some(last) = self.slots[slot].lock().unwrap().suspensions.last_mut() {
             last.to = last.to.min(Instant::now());
--- a/testkit/src/soak/process_group/health.rs
+++ b/testkit/src/soak/process_group/health.rs
@@ -10,11 +10,11 @@
 use std::time::{Duration, Instant};
 
 /// How much longer than the earliest moment of a kill a process that is told to stop may take.
-const STOP_TIME_BEYOND_KILL: Duration = Duration::from_millis(600);
+const STOP_SLACK_BEYOND_KILL: Duration = Duration::from_millis(600);
 /// Rules that a process may count as violated because it was suspended.
-const EXCUSED_BY_SUSPENSION: [&str; 2] = ["answered_late", "attempted_late"];
+const EXCUSABLE_RULES: [&str; 2] = ["answered_late", "attempted_late"];
 /// How long a node may be held up between its clock and its write, by the users' pages.
-const MAX_DELAYED_WRITE: Duration = Duration::from_millis(150);
+const MAX_WRITE_DELAY: Duration = Duration::from_millis(150);
 /// How soon after a suspension the process has logged these violations.
 const MAX_REPORT_DELAY: Duration = Duration::from_millis(1000);
 /// Log lines that are shown of a process that does not serve, or that ended unexpectedly.
@@ -23,7 +23,7 @@
 impl ProcessGroup {
     /// Waits until all processes of a slot that were told to stop have ended.
     pub(super) fn wait_for_stopped(&mut self, slot: usize) {
-        let max_stop_time = self.profile.longest_deadline() + KILL_DELAY + STOP_TIME_BEYOND_KILL;
+        let max_stop_time = self.profile.longest_deadline() + KILL_DELAY + STOP_SLACK_BEYOND_KILL;
         for StoppingProcess { mut process, since } in
             std::mem::take(&mut self.processes[slot].stopping)
         {
@@ -73,7 +73,7 @@
     /// Whether a process says with this line that it violated a rule because it was suspended: a call to send began in
     /// time by the clock that was read before it, and was made when the process continued.
     fn is_excused_by_suspension(&self, slot: usize, at: Instant, line: &str) -> bool {
-        let excusable = EXCUSED_BY_SUSPENSION.iter().any(|rule| line.contains(rule));
+        let excusable = EXCUSABLE_RULES.iter().any(|rule| line.contains(rule));
         let slot = self.slots[slot].lock().unwrap();
         excusable
             && slot
@@ -85,11 +85,11 @@
     /// Whether a process says with this line that it was late by no more than a send was delayed, in the time in which
     /// its sends were: the pages allow for 0.15 s between clock and write.
     fn is_excused_by_delay(&self, slot: usize, at: Instant, line: &str) -> bool {
-        let excusable = EXCUSED_BY_SUSPENSION.iter().any(|rule| line.contains(rule));
+        let excusable = EXCUSABLE_RULES.iter().any(|rule| line.contains(rule));
         let lateness = millis_after(line, " ms: ");
         let slot = self.slots[slot].lock().unwrap();
         excusable
-            && lateness.is_some_and(|lateness| lateness <= MAX_DELAYED_WRITE + SOCKET_SLACK)
+            && lateness.is_some_and(|lateness| lateness <= MAX_WRITE_DELAY + SOCKET_SLACK)
             && slot
                 .send_delays
                 .iter()
--- a/testkit/src/soak/process_group/mod.rs
+++ b/testkit/src/soak/process_group/mod.rs
@@ -61,7 +61,7 @@
     /// Processes that were told to stop, until they end.
     stopping: Vec<StoppingProcess>,
     /// Processes that are killed at the earliest moment after they were told to stop.
-    killed: Vec<JoinHandle<KilledProcess>>,
+    kill_threads: Vec<JoinHandle<KilledProcess>>,
     /// Idle clients that fill its descriptors.
     crowd: Option<Crowd>,
 }
@@ -114,7 +114,7 @@
             syscall_faults: Vec::new(),
             service: 0,
             stopping: Vec::new(),
-            killed: Vec::new(),
+            kill_threads: Vec::new(),
             crowd: None,
         }
     }
--- a/testkit/src/soak/process_group/restarts.rs
+++ b/testkit/src/soak/process_group/restarts.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// No signal comes so soon after a process is ready.
-const MIN_AGE: Duration = Duration::from_secs(1);
+const MIN_AGE_BEFORE_SIGNAL: Duration = Duration::from_secs(1);
 /// How long a send is delayed: less than the 0.15 s that the pages allow between clock and write.
 const SEND_DELAY: Duration = Duration::from_millis(140);
 /// One send in so many is.
@@ -48,8 +48,8 @@
             }
             RestartEvent::HostDrains(host, true) => self.begin_drain(host),
             RestartEvent::HostDrains(host, false) => self.end_drain(host),
-            RestartEvent::SendsHeldUp(slot, true) => self.begin_send_delays(slot),
-            RestartEvent::SendsHeldUp(slot, false) => self.end_send_delays(slot),
+            RestartEvent::SendsDelayed(slot, true) => self.begin_send_delays(slot),
+            RestartEvent::SendsDelayed(slot, false) => self.end_send_delays(slot),
             RestartEvent::Crowd(slot, true) => self.begin_crowd(slot),
             RestartEvent::Crowd(slot, false) => self.end_crowd(slot),
         }
@@ -57,7 +57,7 @@
 
     fn may_be_signalled(&self, slot: usize) -> bool {
         let process = self.processes[slot].running.as_ref();
-        process.is_some_and(|process| process.ready_at.elapsed() >= MIN_AGE)
+        process.is_some_and(|process| process.ready_at.elapsed() >= MIN_AGE_BEFORE_SIGNAL)
     }
 
     /// Tells the process of a slot to stop; the front sends clients for a while.
@@ -69,7 +69,7 @@
             self.reload(slot);
         }
         if let Some(process) = self.processes[slot].running.take() {
-            let closed = Instant::now() + termination.front_delay;
+            let closed = Instant::now() + termination.upstream_delay;
             self.slots[slot].lock().unwrap().closed = Some(closed);
             self.kill_after_stop(slot, process, termination);
         }
@@ -110,16 +110,18 @@
                 to: told_to_stop + lifetime,
             });
         }
-        let killer = move || kill_at(process, told_to_stop, lifetime, termination);
-        self.processes[slot].killed.push(thread::spawn(killer));
+        let kill_thread = move || kill_when_due(process, told_to_stop, lifetime, termination);
+        self.processes[slot]
+            .kill_threads
+            .push(thread::spawn(kill_thread));
     }
 
     /// Waits until all processes of a slot that were told to stop are dead.
     pub(super) fn wait_for_killed(&mut self, slot: usize) {
-        let killers: Vec<JoinHandle<KilledProcess>> =
-            self.processes[slot].killed.drain(..).collect();
-        for killer in killers {
-            let mut killed = killer.join().expect("a killer panicked");
+        let kill_threads: Vec<JoinHandle<KilledProcess>> =
+            self.processes[slot].kill_threads.drain(..).collect();
+        for kill_thread in kill_threads {
+            let mut killed = kill_thread.join().expect("a kill thread panicked");
             match killed.killed_at {
                 Some(at) => self.kill_times.push(at - killed.told_to_stop),
                 None if killed.process.node.wait().success() => self.ended_in_order += 1,
@@ -199,7 +201,7 @@
 }
 
 /// Waits until a process may be killed, and kills it. A second SIGTERM comes in between where that is so planned.
-fn kill_at(
+fn kill_when_due(
     mut process: RunningProcess,
     told_to_stop: Instant,
     lifetime: Duration,
--- a/testkit/src/soak/restarts/crowd.rs
+++ b/testkit/src/soak/restarts/crowd.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// How often the clients look whether they were shut.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How long a client waits for its connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
@@ -29,11 +29,11 @@
                 let mut clients: Vec<Option<TcpStream>> = (0..size).map(|_| None).collect();
                 while !stopped.load(SeqCst) {
                     for (number, client) in clients.iter_mut().enumerate() {
-                        if client.as_mut().is_none_or(was_shut) {
+                        if client.as_mut().is_none_or(was_closed) {
                             *client = connect(address, number % 2 == 0);
                         }
                     }
-                    thread::sleep(LOOK_INTERVAL);
+                    thread::sleep(POLL_INTERVAL);
                 }
             })
         };
@@ -53,16 +53,16 @@
     }
 }
 
-fn connect(address: SocketAddr, sends_half: bool) -> Option<TcpStream> {
+fn connect(address: SocketAddr, sends_partial_line: bool) -> Option<TcpStream> {
     let mut client = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok()?;
-    if sends_half {
+    if sends_partial_line {
         client.write_all(b"OPEN crowd").ok()?;
     }
     client.set_nonblocking(true).ok()?;
     Some(client)
 }
 
-fn was_shut(client: &mut TcpStream) -> bool {
+fn was_closed(client: &mut TcpStream) -> bool {
     let mut bytes = [0; 64];
     loop {
         match client.read(&mut bytes) {
--- a/testkit/src/soak/restarts/mod.rs
+++ b/testkit/src/soak/restarts/mod.rs
@@ -24,9 +24,9 @@
 /// How long the processes have to serve again once all is over.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
 /// A soak in which fewer than one request in so many was served is too tame.
-const MIN_SERVED_ONE_IN: u64 = 3;
+const MAX_REQUESTS_PER_SERVED: u64 = 3;
 /// A soak that judged fewer connections open at a stop than this for each stop is too tame.
-const MIN_OPEN_PER_STOP: u64 = 3;
+const MIN_OPEN_CONNECTIONS_PER_STOP: u64 = 3;
 /// The least part of its time beyond SIGTERM by which a process may be killed too early: the timer's unit.
 const KILL_TOLERANCE: Duration = Duration::from_millis(1);
 
@@ -62,7 +62,7 @@
     broken.extend(checker.violations());
     broken.extend(reload_violations(&checker));
     let figures = figures(&process_group, &checker, schedule);
-    broken.extend(tameness(&figures));
+    broken.extend(coverage_failure(&figures));
     if !broken.is_empty() {
         broken.push(format!(
             "note: threads of the test kit ran up to {:?} late",
@@ -108,12 +108,12 @@
 }
 
 /// Says so where a soak has judged too little.
-fn tameness(figures: &Map<String, Value>) -> Option<String> {
+fn coverage_failure(figures: &Map<String, Value>) -> Option<String> {
     let count = |name: &str| figures.get(name).and_then(Value::as_u64).unwrap_or(0);
-    let tame = count("stops") == 0
-        || count("open at stops") < MIN_OPEN_PER_STOP * count("stops")
-        || count("served") * MIN_SERVED_ONE_IN < count("requests");
-    tame.then(|| format!("too tame: {}", json!(figures)))
+    let is_insufficient = count("stops") == 0
+        || count("open at stops") < MIN_OPEN_CONNECTIONS_PER_STOP * count("stops")
+        || count("served") * MAX_REQUESTS_PER_SERVED < count("requests");
+    is_insufficient.then(|| format!("too tame: {}", json!(figures)))
 }
 
 /// Plays so many seeds one after the other; violations are printed with the schedule.
--- a/testkit/src/soak/restarts/schedule.rs
+++ b/testkit/src/soak/restarts/schedule.rs
@@ -11,17 +11,17 @@
 /// How long after SIGTERM and the longest deadline a process may be killed, by the protocol.
 pub const KILL_DELAY: Duration = Duration::from_millis(700);
 /// How soon after SIGTERM the front may cease to send clients, and by when it has, by the protocol.
-const FRONT_DELAY_MILLIS: std::ops::Range<u64> = 200..400;
+const UPSTREAM_DELAY_MILLIS: std::ops::Range<u64> = 200..400;
 /// A process gets no signal so soon after its start.
-const SETTLE_MILLIS: u64 = 1200;
+const MIN_AGE_BEFORE_SIGNAL_MILLIS: u64 = 1200;
 /// How much longer than that it may go on without one.
-const CALM_MILLIS: u64 = 2500;
+const SIGNAL_GAP_SPREAD_MILLIS: u64 = 2500;
 /// Within what time the signals of a series come.
-const SERIES_MILLIS: u64 = 1000;
+const SERIES_SPAN_MILLIS: u64 = 1000;
 /// How many reloads a series has.
 const RELOADS_IN_SERIES: std::ops::RangeInclusive<usize> = 2..=5;
 /// What a killed process leaves time for before the next one starts.
-const RESTART_MILLIS: u64 = 100;
+const RESTART_DELAY_MILLIS: u64 = 100;
 /// How long a fault of a host lasts: through the whole of a shutdown.
 const HOST_FAULT_MILLIS: std::ops::Range<u64> = 3000..6000;
 /// One host in so many hangs at times.
@@ -31,7 +31,7 @@
 /// In one slot of so many sends are delayed at times.
 const DELAYED_SLOT_ONE_IN: usize = 4;
 /// For how long sends of a process are delayed.
-const DELAYS_MILLIS: u64 = 4000;
+const SEND_DELAYS_SPAN_MILLIS: u64 = 4000;
 /// How long a crowd stays.
 const CROWD_MILLIS: std::ops::Range<u64> = 3000..6000;
 /// One soak in so many has a crowd.
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Termination {
     /// How long after SIGTERM the front goes on sending clients.
-    pub front_delay: Duration,
+    pub upstream_delay: Duration,
     /// Whether its settings are reloaded right before.
     pub reload_first: bool,
     /// How long after the first a second SIGTERM comes, if one does.
@@ -68,7 +68,7 @@
     /// A host drains, or is back.
     HostDrains(usize, bool),
     /// Sends of a process are delayed, or not any more.
-    SendsHeldUp(usize, bool),
+    SendsDelayed(usize, bool),
     /// Idle clients fill the descriptors of a process, or leave.
     Crowd(usize, bool),
 }
@@ -147,17 +147,17 @@
     fn draw_signals(&mut self, rng: &mut ChaCha8Rng, slot: usize, size: &SoakSize) {
         let span = size.span.as_millis() as u64;
         let is_replaced = slot % 2 == 1;
-        let mut at = SETTLE_MILLIS + rng.random_range(0..CALM_MILLIS);
+        let mut at = MIN_AGE_BEFORE_SIGNAL_MILLIS + rng.random_range(0..SIGNAL_GAP_SPREAD_MILLIS);
         while at < span {
             if rng.random_range(0..3) == 0 {
                 for _ in 0..rng.random_range(RELOADS_IN_SERIES) {
-                    let offset = rng.random_range(0..SERIES_MILLIS);
+                    let offset = rng.random_range(0..SERIES_SPAN_MILLIS);
                     self.add(at + offset, RestartEvent::Reload(slot));
                 }
-                at += SERIES_MILLIS;
+                at += SERIES_SPAN_MILLIS;
             } else {
                 let termination = draw_termination(rng);
-                let ended = at + self.stop_millis() + RESTART_MILLIS;
+                let ended = at + self.stop_millis() + RESTART_DELAY_MILLIS;
                 if is_replaced {
                     self.add(at, RestartEvent::Replace(slot, termination));
                 } else {
@@ -166,14 +166,14 @@
                 }
                 at = ended;
             }
-            at += SETTLE_MILLIS + rng.random_range(0..CALM_MILLIS);
+            at += MIN_AGE_BEFORE_SIGNAL_MILLIS + rng.random_range(0..SIGNAL_GAP_SPREAD_MILLIS);
         }
     }
 
     /// A third of the hosts hang again and again, each for longer than most shutdowns; the others drain at times.
     fn draw_host_faults(&mut self, rng: &mut ChaCha8Rng, host: usize, size: &SoakSize) {
         let span = size.span.as_millis() as u64;
-        let mut at = rng.random_range(0..CALM_MILLIS);
+        let mut at = rng.random_range(0..SIGNAL_GAP_SPREAD_MILLIS);
         while at < span {
             let (event, length): (fn(usize, bool) -> RestartEvent, u64) =
                 if host < size.hosts / HANGING_HOSTS_ONE_IN {
@@ -183,7 +183,7 @@
                 };
             self.add(at, event(host, true));
             self.add(at + length, event(host, false));
-            at += length + rng.random_range(0..2 * CALM_MILLIS);
+            at += length + rng.random_range(0..2 * SIGNAL_GAP_SPREAD_MILLIS);
         }
     }
 
@@ -192,8 +192,11 @@
         let span = size.span.as_millis() as u64;
         for slot in (0..size.processes).step_by(DELAYED_SLOT_ONE_IN) {
             let at = rng.random_range(0..span);
-            self.add(at, RestartEvent::SendsHeldUp(slot, true));
-            self.add(at + DELAYS_MILLIS, RestartEvent::SendsHeldUp(slot, false));
+            self.add(at, RestartEvent::SendsDelayed(slot, true));
+            self.add(
+                at + SEND_DELAYS_SPAN_MILLIS,
+                RestartEvent::SendsDelayed(slot, false),
+            );
         }
     }
 
@@ -216,7 +219,7 @@
 fn draw_termination(rng: &mut ChaCha8Rng) -> Termination {
     let second = rng.random_range(0..3) == 0;
     Termination {
-        front_delay: Duration::from_millis(rng.random_range(FRONT_DELAY_MILLIS)),
+        upstream_delay: Duration::from_millis(rng.random_range(UPSTREAM_DELAY_MILLIS)),
         reload_first: rng.random_range(0..3) == 0,
         second_after: second.then(|| Duration::from_millis(rng.random_range(1..600))),
     }
--- a/testkit/src/soak/soak_checker.rs
+++ b/testkit/src/soak/soak_checker.rs
@@ -6,16 +6,16 @@
 use super::process_slot::{FaultHistory, ProcessSlots};
 use super::profile::Deadlines;
 use crate::discovery::DiscoveryHistory;
-use crate::simulated::{HostBehavior, ObservedAttempt, DRAIN_GRACE, SOCKET_SLACK, WINDOW};
+use crate::simulated::{HostBehavior, ObservedAttempt, DRAIN_GRACE, REPEAT_WINDOW, SOCKET_SLACK};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 /// How late a busy machine may note what is seen here, and a process with delayed system calls may act.
 const BUSY_SLACK: Duration = Duration::from_millis(350);
 /// How soon misbehaving clients are to have their error or their end.
-const BAD_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
+const MISBEHAVING_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long after a client has closed an attempt may still begin.
-const ABANDON_TIME: Duration = Duration::from_millis(100);
+const ABANDON_TIMEOUT: Duration = Duration::from_millis(100);
 /// How long before its request what happened to a process may still concern a client.
 const FAULT_LOOKBACK: Duration = Duration::from_secs(3);
 /// How long before its request a suspension may have kept a process from reading it.
@@ -103,31 +103,31 @@
 
     /// Rule 1: one final answer, in time.
     fn check_answer(&self, client: &ClientObservation) -> Option<String> {
-        if client.behavior == ClientBehavior::Leaves || self.was_killed(client) {
+        if client.behavior == ClientBehavior::LeavesEarly || self.was_killed(client) {
             return None;
         }
-        if let Some(second) = &client.second {
+        if let Some(second) = &client.second_answer {
             return Some(format!("rule 1: {second} behind {:?}", client.received));
         }
         let took = client.received_at - client.asked;
         let suspended =
             self.was_suspended(client, client.asked - FAULT_LOOKBACK, client.received_at);
         match &client.received {
-            Received::End if client.behavior.is_bad() => {}
+            Received::End if client.behavior.violates_protocol() => {}
             Received::Line(_) => {}
             // Under a crowd a new connection may be shut unread, which resets it.
             Received::Reset if self.was_crowded(client) => {}
             // The client gave up waiting while the process was suspended, or right after.
-            Received::Nothing
+            Received::Timeout
                 if self.was_suspended(
                     client,
-                    client.received_at - BAD_CLIENT_TIMEOUT,
+                    client.received_at - MISBEHAVING_CLIENT_TIMEOUT,
                     client.received_at,
                 ) => {}
             other => return Some(format!("rule 1: no answer but {other:?} after {took:?}")),
         }
-        let timeout = if client.behavior.is_bad() {
-            BAD_CLIENT_TIMEOUT
+        let timeout = if client.behavior.violates_protocol() {
+            MISBEHAVING_CLIENT_TIMEOUT
         } else {
             self.deadlines[client.class] + SOCKET_SLACK
         };
@@ -137,7 +137,7 @@
         match &client.ended {
             None => None,
             Some(Received::Line(line)) if line == "MOVE" => None,
-            Some(Received::Nothing) if suspended => None,
+            Some(Received::Timeout) if suspended => None,
             Some(other) => Some(format!("an open connection ended with {other:?}")),
         }
     }
@@ -149,13 +149,13 @@
         attempts: &[&ObservedAttempt],
     ) -> Option<String> {
         let last = attempts.last()?;
-        if let Some(left) = client
-            .left
-            .filter(|left| last.at > *left + ABANDON_TIME + BUSY_SLACK)
+        if let Some(closed_at) = client
+            .closed_at
+            .filter(|closed_at| last.at > *closed_at + ABANDON_TIMEOUT + BUSY_SLACK)
         {
             return Some(format!(
                 "attempted {:?} after its client had gone",
-                last.at - left
+                last.at - closed_at
             ));
         }
         let slack = SOCKET_SLACK + BUSY_SLACK;
@@ -226,7 +226,7 @@
         .filter(|attempt| attempt.behavior != HostBehavior::Rejects)
         .collect();
     let first = may_have_run.first()?;
-    let window_end = first.at + WINDOW + SOCKET_SLACK + BUSY_SLACK;
+    let window_end = first.at + REPEAT_WINDOW + SOCKET_SLACK + BUSY_SLACK;
     match client.class {
         CLASS_NON_IDEMPOTENT if may_have_run.len() > 1 => {
             Some(format!("rule 2: may have run {} times", may_have_run.len()))
@@ -237,11 +237,11 @@
         CLASS_WITH_KEY
             if may_have_run
                 .iter()
-                .any(|one| one.host % 2 != first.host % 2) =>
+                .any(|attempt| attempt.host % 2 != first.host % 2) =>
         {
             Some("rule 2: left its group".into())
         }
-        CLASS_WITH_KEY if may_have_run.iter().any(|one| one.at > window_end) => {
+        CLASS_WITH_KEY if may_have_run.iter().any(|attempt| attempt.at > window_end) => {
             Some("rule 2: repeated past its window".into())
         }
         _ => None,
--- a/testkit/src/soak/soak_faults.rs
+++ b/testkit/src/soak/soak_faults.rs
@@ -17,17 +17,17 @@
     /// Another process takes over its listener and its connections.
     Replace(usize),
     /// The same, while messages between the two fail most of the time at both.
-    ReplaceSpoilt(usize),
+    ReplaceWithMessageFaults(usize),
     /// Killed, and started again.
     Kill(usize),
     /// Told to reload its settings, which name the other list service; and back.
     Reload(usize),
     /// Suspended.
-    StandStill(usize),
+    Suspend(usize),
     /// The wall clock of its machine is stepped by so many seconds.
     StepClock(usize, i64),
     /// System calls of this family fail, fall short or are held up.
-    Calls(usize, SyscallFaultFamily),
+    Syscalls(usize, SyscallFaultFamily),
     /// A host behaves in this way.
     Host(usize, HostBehavior),
     /// A host drains, and comes back.
@@ -37,7 +37,7 @@
     /// Open watches fall silent.
     ServiceSilent,
     /// The list services reject seven of ten calls.
-    ServiceRefuses,
+    ServiceRejects,
 }
 
 /// Faults of system calls that come together.
@@ -52,11 +52,11 @@
     /// Calls are interrupted.
     Interrupted,
     /// Calls move one byte.
-    Short,
+    ShortTransfers,
     /// Sends are delayed.
-    HeldUp,
+    DelayedSends,
     /// Messages between a process and its successor fail most of the time.
-    Channel,
+    HandoverMessages,
 }
 
 const FAMILIES: [SyscallFaultFamily; 7] = [
@@ -64,9 +64,9 @@
     SyscallFaultFamily::NoDescriptors,
     SyscallFaultFamily::NoRoute,
     SyscallFaultFamily::Interrupted,
-    SyscallFaultFamily::Short,
-    SyscallFaultFamily::HeldUp,
-    SyscallFaultFamily::Channel,
+    SyscallFaultFamily::ShortTransfers,
+    SyscallFaultFamily::DelayedSends,
+    SyscallFaultFamily::HandoverMessages,
 ];
 
 impl SyscallFaultFamily {
@@ -103,7 +103,7 @@
                 fails(Call::Send, Errno::INTR, 2),
                 fails(Call::Read, Errno::INTR, 2),
             ],
-            SyscallFaultFamily::Short => vec![
+            SyscallFaultFamily::ShortTransfers => vec![
                 Fault {
                     call: Call::Send,
                     outcome: Outcome::Short,
@@ -115,7 +115,7 @@
                     every: 2,
                 },
             ],
-            SyscallFaultFamily::HeldUp => {
+            SyscallFaultFamily::DelayedSends => {
                 let outcome = Outcome::Delayed(Duration::from_millis(140));
                 vec![Fault {
                     call: Call::Send,
@@ -124,7 +124,7 @@
                 }]
             }
             // Two beside each other, so that no more than one in three succeeds.
-            SyscallFaultFamily::Channel => vec![
+            SyscallFaultFamily::HandoverMessages => vec![
                 fails(Call::SendMessage, Errno::NOBUFS, 2),
                 fails(Call::SendMessage, Errno::NOMEM, 3),
                 fails(Call::ReceiveMessage, Errno::NOMEM, 2),
@@ -166,13 +166,13 @@
 }
 
 /// How long a process takes to stop, by the longest deadline.
-const STOP_MILLIS: u64 = 2800;
+const MIN_STOP_DURATION_MILLIS: u64 = 2800;
 /// How long other faults last at the least.
 const MIN_DURATION_MILLIS: u64 = 200;
 /// How much longer than the least a fault may last.
 const DURATION_SPREAD_MILLIS: u64 = 2800;
 /// A quiet time at the start, and the longest one between two faults of one stream.
-const QUIET_MILLIS: u64 = 500;
+const MAX_GAP_MILLIS: u64 = 500;
 
 impl SoakSchedule {
     /// Draws a schedule; the same seed and size draw the same.
@@ -181,12 +181,12 @@
         let span_millis = size.span.as_millis() as u64;
         let mut planned = Vec::new();
         for _ in 0..size.overlap {
-            let mut start_millis = QUIET_MILLIS + rng.random_range(0..QUIET_MILLIS);
+            let mut start_millis = MAX_GAP_MILLIS + rng.random_range(0..MAX_GAP_MILLIS);
             while start_millis < span_millis {
                 let fault = SoakSchedule::draw_fault(&mut rng, size);
                 // A process that was told to stop takes its time, and nobody is to wait for it.
                 let min_millis = match fault {
-                    SoakFault::Stop(_) => STOP_MILLIS,
+                    SoakFault::Stop(_) => MIN_STOP_DURATION_MILLIS,
                     _ => MIN_DURATION_MILLIS,
                 };
                 let duration_millis =
@@ -197,7 +197,7 @@
                     fault,
                 });
                 // The next may begin while this one lasts.
-                start_millis += rng.random_range(100..=duration_millis + QUIET_MILLIS);
+                start_millis += rng.random_range(100..=duration_millis + MAX_GAP_MILLIS);
             }
         }
         planned.sort_by_key(|planned| planned.start);
@@ -212,12 +212,12 @@
             0 | 1 => SoakFault::Stop(slot - slot % 2),
             2 => SoakFault::Replace(slot),
             // One whose listener is shared, where there is any.
-            3 => SoakFault::ReplaceSpoilt((slot | 1).min(size.processes - 1)),
+            3 => SoakFault::ReplaceWithMessageFaults((slot | 1).min(size.processes - 1)),
             4 => SoakFault::Kill(slot),
             5 | 6 => SoakFault::Reload(slot),
-            7 | 8 => SoakFault::StandStill(slot),
+            7 | 8 => SoakFault::Suspend(slot),
             9 => SoakFault::StepClock(slot, [3600, -3600, 5, -5][rng.random_range(0..4)]),
-            10..=14 => SoakFault::Calls(slot, FAMILIES[rng.random_range(0..FAMILIES.len())]),
+            10..=14 => SoakFault::Syscalls(slot, FAMILIES[rng.random_range(0..FAMILIES.len())]),
             15 => {
                 let behaviors = [
                     HostBehavior::Rejects,
@@ -229,7 +229,7 @@
             }
             16 | 17 => SoakFault::Drain(host),
             18 => SoakFault::ServiceDown,
-            _ => [SoakFault::ServiceSilent, SoakFault::ServiceRefuses][rng.random_range(0..2)]
+            _ => [SoakFault::ServiceSilent, SoakFault::ServiceRejects][rng.random_range(0..2)]
                 .clone(),
         }
     }
--- a/testkit/src/syscalls.rs
+++ b/testkit/src/syscalls.rs
@@ -94,9 +94,9 @@
     faults: Vec<CountedFault>,
     faulty_calls: u64,
     /// How far the wall clock is off.
-    step_nanos: i64,
+    clock_offset_nanos: i64,
     /// Whether the process is to be suspended.
-    paused: bool,
+    suspend_requested: bool,
     /// Whether it is.
     suspended: bool,
     exited: Option<ExitStatus>,
@@ -138,14 +138,14 @@
 
     /// Steps the wall clock of the process's machine.
     pub fn step_clock(&self, seconds: i64) {
-        self.state().step_nanos += seconds * 1_000_000_000;
+        self.state().clock_offset_nanos += seconds * 1_000_000_000;
     }
 
     /// Suspends the process at its next system call, or continues it.
-    fn pause(&self, paused: bool) {
+    fn request_suspend(&self, suspend_requested: bool) {
         let mut state = self.state();
-        state.paused = paused;
-        state.suspended &= paused;
+        state.suspend_requested = suspend_requested;
+        state.suspended &= suspend_requested;
         drop(state);
         self.0 .1.notify_all();
     }
@@ -165,14 +165,14 @@
     }
 
     /// Keeps the process stopped while it is to be suspended.
-    fn wait_while_paused(&self) {
+    fn wait_while_suspended(&self) {
         let (_, changed) = &*self.0;
-        let paused = |state: &mut State| {
-            state.suspended = state.paused;
+        let suspend_requested = |state: &mut State| {
+            state.suspended = state.suspend_requested;
             changed.notify_all();
-            state.paused
+            state.suspend_requested
         };
-        drop(changed.wait_while(self.state(), paused));
+        drop(changed.wait_while(self.state(), suspend_requested));
     }
 
     /// Waits until the process is suspended, or has ended.
@@ -203,7 +203,7 @@
         let (sender, started) = channel();
         let tracer_injector = injector.clone();
         thread::spawn(move || {
-            let filter = filter();
+            let filter = seccomp_filter();
             // SAFETY: only calls that are safe after a fork, on memory that was allocated before.
             unsafe { command.pre_exec(move || trace_me(&filter)) };
             match command.spawn() {
@@ -252,7 +252,7 @@
 
     /// Sends SIGKILL.
     pub fn kill(&self) {
-        self.injector.pause(false);
+        self.injector.request_suspend(false);
         if self.runs() {
             // SAFETY: a signal to a child that has not been waited for.
             unsafe { libc::kill(self.pid, libc::SIGKILL) };
@@ -261,7 +261,7 @@
 
     /// Suspends it. Returns once it is suspended.
     pub fn suspend(&self) {
-        self.injector.pause(true);
+        self.injector.request_suspend(true);
         // SAFETY: as above. The tracer keeps it stopped where the signal meets it.
         unsafe { libc::kill(self.pid, libc::SIGSTOP) };
         self.injector.wait_until_suspended();
@@ -269,7 +269,7 @@
 
     /// Ends [`TracedProcess::suspend`].
     pub fn unsuspend(&self) {
-        self.injector.pause(false);
+        self.injector.request_suspend(false);
     }
 }
 
@@ -292,7 +292,7 @@
 }
 
 /// Stops at the calls of [`CALLS`], and where the wall clock is read.
-fn filter() -> Vec<libc::sock_filter> {
+fn seccomp_filter() -> Vec<libc::sock_filter> {
     const NUMBER: u32 = 0;
     const FIRST_ARGUMENT: u32 = 16;
     let instruction = |code: u32, jt: u8, jf: u8, k: u32| libc::sock_filter {
@@ -330,8 +330,8 @@
 impl Tracer {
     fn run(&self) {
         // The first stop is that of its start.
-        if let Some(status) = self.stopped() {
-            return self.ended(status);
+        if let Some(status) = self.wait_for_stop() {
+            return self.record_exit(status);
         }
         let options = libc::PTRACE_O_TRACESECCOMP | libc::PTRACE_O_EXITKILL;
         // SAFETY: the process is stopped, and traced by this thread.
@@ -345,15 +345,15 @@
             // SAFETY: waits for this one process.
             while unsafe { libc::waitpid(self.pid, &mut status, libc::__WALL) } < 0 {}
             if !libc::WIFSTOPPED(status) {
-                return self.ended(ExitStatus::from_raw(status));
+                return self.record_exit(ExitStatus::from_raw(status));
             }
             signal = match (libc::WSTOPSIG(status), status >> 16) {
                 (_, libc::PTRACE_EVENT_SECCOMP) => {
-                    self.at_call();
+                    self.handle_call();
                     0
                 }
                 (libc::SIGSTOP, _) => {
-                    self.injector.wait_while_paused();
+                    self.injector.wait_while_suspended();
                     0
                 }
                 (_, event) if event != 0 => 0,
@@ -363,14 +363,14 @@
     }
 
     /// Waits until it is stopped; returns its status where it has ended instead.
-    fn stopped(&self) -> Option<ExitStatus> {
+    fn wait_for_stop(&self) -> Option<ExitStatus> {
         let mut status = 0;
         // SAFETY: waits for this one process.
         while unsafe { libc::waitpid(self.pid, &mut status, libc::__WALL) } < 0 {}
         (!libc::WIFSTOPPED(status)).then(|| ExitStatus::from_raw(status))
     }
 
-    fn ended(&self, status: ExitStatus) {
+    fn record_exit(&self, status: ExitStatus) {
         self.injector.state().exited = Some(status);
         self.injector.0 .1.notify_all();
     }
@@ -395,7 +395,7 @@
         self.set_registers(&registers);
     }
 
-    fn at_call(&self) {
+    fn handle_call(&self) {
         let mut registers = self.registers();
         let number = registers.orig_rax as libc::c_long;
         if number == libc::SYS_clock_gettime {
@@ -408,7 +408,7 @@
         if *call == Call::EpollAdd && registers.rsi == libc::EPOLL_CTL_DEL as u64 {
             return;
         }
-        if *call == Call::Open && !self.text(registers.rsi).ends_with(".json") {
+        if *call == Call::Open && !self.read_text(registers.rsi).ends_with(".json") {
             return;
         }
         match self.injector.outcome(*call) {
@@ -428,7 +428,7 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_nanos() as i64;
-        let stepped = (real + self.injector.state().step_nanos).max(0);
+        let stepped = (real + self.injector.state().clock_offset_nanos).max(0);
         self.poke(registers.rsi, (stepped / 1_000_000_000) as u64);
         self.poke(registers.rsi + 8, (stepped % 1_000_000_000) as u64);
         self.skip(registers, 0);
@@ -440,7 +440,7 @@
     }
 
     /// The text at this address, up to its terminating zero.
-    fn text(&self, mut address: u64) -> String {
+    fn read_text(&self, mut address: u64) -> String {
         let mut bytes = Vec::new();
         while bytes.len() < MAX_PATH_BYTES {
             let word = self.peek(address).to_ne_bytes();
--- a/testkit/src/two_tier_cluster.rs
+++ b/testkit/src/two_tier_cluster.rs
@@ -5,7 +5,7 @@
 use crate::program::Node;
 use crate::relay::Relay;
 use crate::simulated::{
-    HostBehavior, Hosts, InvariantChecker, CLASS_NAMES, DRAIN_GRACE, REQUEST_TIMEOUT, WINDOW,
+    HostBehavior, Hosts, InvariantChecker, CLASS_NAMES, DRAIN_GRACE, REPEAT_WINDOW, REQUEST_TIMEOUT,
 };
 use crate::Discovery;
 use serde_json::{json, Value};
@@ -56,7 +56,7 @@
         .zip(idempotencies)
         .map(|(name, idempotency)| {
             json!({"name": name, "contract_time": 500, "expiry": REQUEST_TIMEOUT.as_millis() as u64, "effect": idempotency,
-            "group": "cell", "repeat_window": WINDOW.as_millis() as u64, "payoff": 1})
+            "group": "cell", "repeat_window": REPEAT_WINDOW.as_millis() as u64, "payoff": 1})
         })
         .collect();
     json!({"name": name, "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
