--- a/testkit/src/soak/clients.rs
+++ b/testkit/src/soak/clients.rs
@@ -1,4 +1,4 @@
-//! The clients of a soak: most behave, some don't. Each records what it saw.
+//! The clients of a soak. Most follow the protocol and some violate it; each records what it observed.
 
 use super::process_slot::ProcessSlots;
 use super::profile::{ClientMix, SoakProfile};
@@ -13,46 +13,47 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Longer than any answer may take, and than a process is suspended.
+/// How long a client waits for a line. Longer than any answer may take and than any suspension of a process.
 const READ_TIMEOUT: Duration = Duration::from_secs(7);
-/// The pause between two bytes of a slow client.
+/// The pause between two bytes that a slow client sends.
 const SLOW_BYTE_INTERVAL: Duration = Duration::from_millis(2);
 /// The pause between two lines on an open connection.
 const ECHO_INTERVAL: Duration = Duration::from_millis(60);
-/// How many clients for each slot keep a connection for the whole soak.
+/// The number of clients per slot that keep a connection open for the whole soak.
 const LONG_LIVED_CLIENTS_PER_SLOT: u64 = 2;
-/// Longer than any soak of such clients.
+/// How long a long-lived client uses its connection. Longer than any soak, so that only the soak's end stops it.
 const LONG_LIVED_HOLD_TIME: Duration = Duration::from_secs(3600);
-/// The pause between two lines of such a client, by the protocol.
+/// The pause between two lines of a long-lived client, as the protocol prescribes it.
 const LONG_LIVED_LINE_INTERVAL: Duration = Duration::from_secs(2);
-/// How soon such a client comes again.
+/// The pause before a long-lived client reconnects.
 const LONG_LIVED_RECONNECT_INTERVAL: Duration = Duration::from_millis(50);
-/// How often a client that rests looks whether the process was told to stop.
+/// How often a client that sends late checks whether the process was told to stop.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How long after that it sends its request at the most.
+/// The exclusive limit on how long after that check the client sends its request, in milliseconds.
 const MAX_SEND_DELAY_AFTER_STOP_MILLIS: u64 = 150;
-/// How many requests a pipelining client sends at once.
+/// The number of copies of its request that a pipelining client sends at once.
 const PIPELINED_REQUESTS: usize = 3;
 
 /// How a client behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientBehavior {
-    /// Sends a request, waits for its answer, and sends lines on its open connection for a while.
+    /// Sends a request, waits for the answer and then sends lines on the open connection for its span.
     Plain,
-    /// The same, a byte at a time.
+    /// Behaves like `Plain`, but sends its request one byte at a time.
     Slow,
-    /// Sends a request, and closes before it has its answer.
+    /// Sends a request and closes the connection after its span without reading an answer.
     LeavesEarly,
-    /// Sends half a line, and stays.
+    /// Sends the first half of a request line and keeps the connection open.
     PartialLine,
-    /// Is idle until about the moment in which its connection is closed for that, and sends its request then.
+    /// Connects, stays idle and sends its request around the time at which the process closes idle connections, or
+    /// shortly after the process was told to stop.
     SendsLate,
-    /// Sends several requests at once.
+    /// Sends its request several times at once.
     Pipelines,
 }
 
 impl ClientBehavior {
-    /// Whether the end of its connection, or an error, is all that such a client may expect.
+    /// Returns whether the client violates the protocol, so that it may get an error or the end of its connection.
     pub fn violates_protocol(self) -> bool {
         matches!(
             self,
@@ -61,46 +62,46 @@
     }
 }
 
-/// What a client received.
+/// What a client received when it waited for a line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Received {
     Line(String),
-    /// The end of the connection.
+    /// The peer closed the connection in order.
     End,
-    /// A reset of the connection.
+    /// The connection was reset.
     Reset,
-    /// Nothing, for as long as it waited.
+    /// Nothing came within the read timeout.
     Timeout,
 }
 
 impl Received {
-    /// Whether it is a line that starts so.
+    /// Returns whether this is a line that starts with `prefix`.
     pub fn starts_with(&self, prefix: &str) -> bool {
         matches!(self, Received::Line(line) if line.starts_with(prefix))
     }
 }
 
-/// What a client saw.
+/// What a client observed.
 #[derive(Clone, Debug)]
 pub struct ClientObservation {
     pub name: String,
     pub slot: usize,
     pub class: usize,
     pub behavior: ClientBehavior,
-    /// When it had sent its request.
+    /// When the client had sent its request.
     pub asked: Instant,
     pub received: Received,
     pub received_at: Instant,
-    /// When it closed, where it did before it had an answer.
+    /// When the client closed the connection without waiting for an answer; `None` if it waited.
     pub closed_at: Option<Instant>,
-    /// How its open connection ended, where the client did not end it.
+    /// How the open connection ended; `None` if the client ended it or it was never open.
     pub ended: Option<Received>,
     pub ended_at: Option<Instant>,
-    /// A line that came behind a final answer.
+    /// A line that followed a final answer. The protocol allows none.
     pub second_answer: Option<String>,
 }
 
-/// Clients that come at a steady rate until they are told to end.
+/// Generates clients at a steady rate until [`ClientLoad::end`].
 pub struct ClientLoad {
     stopped: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Starts no more clients, and waits for those that are there.
+    /// Starts no more clients and waits until those that are running have ended.
     pub fn end(&mut self) {
         self.stopped.store(true, SeqCst);
         for thread in self.threads.drain(..) {
@@ -153,7 +154,7 @@
     }
 }
 
-/// What clients are started by.
+/// Starts clients and collects what they observe.
 #[derive(Clone)]
 struct ClientGenerator {
     seed: u64,
@@ -165,7 +166,7 @@
 }
 
 impl ClientGenerator {
-    /// Starts clients until it is stopped, and waits for them.
+    /// Starts clients until the load is stopped, then waits for them.
     fn generate(&self) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ 0x5eed);
         let (mut next, mut number, mut threads) = (Instant::now(), 0u64, Vec::new());
@@ -186,7 +187,7 @@
         }
     }
 
-    /// One client that keeps a connection for the whole soak: where it is moved, it comes again.
+    /// Runs one client that uses a connection for the whole soak and reconnects whenever its connection ends.
     fn run_long_lived(&self, number: u64) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ 0x1a57 ^ (number << 32));
         let mut connects = 0;
@@ -212,7 +213,7 @@
     }
 }
 
-/// A random slot and its address, unless the front sends no clients there.
+/// Returns a random slot and its address, or `None` if the upstream load balancer sends no clients there now.
 fn pick_slot(slots: &ProcessSlots, rng: &mut ChaCha8Rng) -> Option<(usize, SocketAddr)> {
     let number = rng.random_range(0..slots.len());
     let slot = slots[number].lock().unwrap();
@@ -229,13 +230,13 @@
     class: usize,
     behavior: ClientBehavior,
     key: u64,
-    /// How long it holds its connection, is idle, or waits before it closes.
+    /// How long the client uses its connection, stays idle or waits before it closes, depending on its behavior.
     span: Duration,
-    /// The pause between two lines on its open connection.
+    /// The pause between two lines on the open connection.
     line_interval: Duration,
-    /// How long its request may wait.
+    /// The deadline of the request, from when it is read.
     deadline: Duration,
-    /// Whether it rests until the process is told to stop, if that comes in its time.
+    /// Whether a client that sends late already sends when the process is told to stop within its span.
     sends_after_stop: bool,
 }
 
@@ -253,7 +254,7 @@
         }
     }
 
-    /// One that is gone within some seconds.
+    /// Draws a client that ends within a few seconds.
     fn draw_short(
         rng: &mut ChaCha8Rng,
         name: String,
@@ -284,7 +285,7 @@
         }
     }
 
-    /// One that may use its connection until it is told to move, or rest until a process is told to stop.
+    /// Draws a client that may use its connection until it is told to move, or send once the process was told to stop.
     fn draw_until_moved(
         rng: &mut ChaCha8Rng,
         name: String,
@@ -319,7 +320,7 @@
         }
     }
 
-    /// Returns nothing where the request could not be sent.
+    /// Returns what the client observed, or `None` if its request could not be sent.
     fn run(self, slots: &ProcessSlots, stopped: &AtomicBool) -> Option<ClientObservation> {
         let mut stream = TcpStream::connect(self.address).ok()?;
         _ = stream.set_nodelay(true);
@@ -373,7 +374,7 @@
         }
     }
 
-    /// Is idle for its span, or until shortly after the process was told to stop.
+    /// Stays idle for the span, or until shortly after the process was told to stop.
     fn wait_idle(&self, slots: &ProcessSlots) {
         let end = Instant::now() + self.span;
         if !self.sends_after_stop {
@@ -388,7 +389,7 @@
         }
     }
 
-    /// What a client saw that has only sent its request.
+    /// Returns the observation of a client that has sent its request and received nothing yet.
     fn observation(&self, asked: Instant) -> ClientObservation {
         ClientObservation {
             name: self.name.clone(),
@@ -405,7 +406,8 @@
         }
     }
 
-    /// Sends lines on its open connection; returns how that ended, where the client did not end it.
+    /// Sends lines on the open connection and expects each back. Returns how the connection ended, or `None` if the
+    /// client ended it or could not send.
     fn use_connection(
         &self,
         stream: &mut TcpStream,
@@ -426,7 +428,7 @@
     }
 }
 
-/// The next line, or what came in its place.
+/// Returns the next line, or why none came.
 fn receive(reader: &mut BufReader<TcpStream>) -> Received {
     let mut line = String::new();
     match reader.read_line(&mut line) {
--- a/testkit/src/soak/mod.rs
+++ b/testkit/src/soak/mod.rs
@@ -1,5 +1,5 @@
-//! A soak test: a few dozen processes of the program on loopback under overlapping faults, checked against the rules
-//! from the outside and by the violations that the processes count themselves. The same seed draws the same faults.
+//! Soak tests: a few dozen processes of the program run on loopback under overlapping faults. They are checked by what
+//! clients and hosts observe and by the violations that the processes count. The same seed draws the same faults.
 
 mod clients;
 mod notification;
@@ -20,31 +20,31 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How large a soak is, and what it runs.
+/// The size and the load of a soak.
 #[derive(Clone, Debug)]
 pub struct SoakSize {
-    /// Processes of the program.
+    /// The number of processes of the program.
     pub processes: usize,
-    /// Hosts that serve.
+    /// The number of hosts that serve requests.
     pub hosts: usize,
-    /// For how long faults come.
+    /// The time from the start within which faults begin.
     pub span: Duration,
-    /// Clients a second, over all processes.
+    /// The number of clients per second, over all processes.
     pub rate: f64,
-    /// Faults at a time.
+    /// The number of independent streams of faults, whose faults overlap.
     pub overlap: usize,
 }
 
-/// How long the processes have to serve again once all faults are over.
+/// How long the processes may take to serve again after all faults have ended.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Draws a schedule by this seed and plays it.
+/// Draws a schedule from `seed` and plays it.
 pub fn play(seed: u64, size: &SoakSize) -> Report {
     let schedule = SoakSchedule::draw(seed, size);
     play_schedule(&schedule, size)
 }
 
-/// Plays this schedule.
+/// Plays a schedule and returns the counts and the violations.
 pub fn play_schedule(schedule: &SoakSchedule, size: &SoakSize) -> Report {
     let profile = SoakProfile::default();
     let mut process_group = ProcessGroup::start(schedule.seed, size, profile);
@@ -73,23 +73,23 @@
     figures.insert("clients".into(), json!(soak_checker.observations.len()));
     figures.insert("served".into(), json!(soak_checker.served()));
     figures.insert("attempts".into(), json!(soak_checker.reached.len()));
-    figures.insert("troubles".into(), json!(schedule.planned.len()));
+    figures.insert("faults".into(), json!(schedule.planned.len()));
     figures.insert(
-        "calls spoilt".into(),
+        "faulty system calls".into(),
         json!(process_group.faulty_syscalls()),
     );
     Report { figures, broken }
 }
 
-/// Prints what the processes of each slot have logged where something is broken, or of all with `SOAK_VERBOSE`.
+/// Prints the logs of the slots that a violation names, or of all slots if `SOAK_VERBOSE` is set.
 fn print_logs(process_group: &ProcessGroup, broken: &[String], start: Instant) {
     for slot in 0..process_group.slots().len() {
-        let names = [format!("seat {slot}:"), format!("seat {slot},")];
+        let names = [format!("slot {slot}:"), format!("slot {slot},")];
         let is_named = |what: &String| names.iter().any(|name| what.contains(name));
         if !is_verbose() && !broken.iter().any(is_named) {
             continue;
         }
-        eprintln!("log of seat {slot}, milliseconds from the start:");
+        eprintln!("log of slot {slot}, in milliseconds from the start:");
         for (at, line) in process_group.log(slot) {
             let millis = at.saturating_duration_since(start).as_millis();
             eprintln!("  {millis:6} {line}");
@@ -97,18 +97,18 @@
     }
 }
 
-/// Whether the environment asks for each fault and all logs.
+/// Returns whether the environment asks to print each fault and all logs.
 fn is_verbose() -> bool {
     std::env::var_os("SOAK_VERBOSE").is_some()
 }
 
-/// Plays so many seeds one after the other; violations are printed with the schedule.
+/// Plays `count` consecutive seeds one after the other. Prints violations together with the schedule of their seed.
 pub fn measure(first: u64, count: u64, size: &SoakSize) -> Report {
     let (mut figures, mut broken) = (Map::new(), Vec::new());
     for seed in first..first + count {
         let found = play(seed, size);
         eprintln!(
-            "seed {seed}: {} broken, {}",
+            "seed {seed}: {} violations, {}",
             found.broken.len(),
             json!(found.figures)
         );
@@ -125,7 +125,7 @@
     Report { figures, broken }
 }
 
-/// Adds the counts of one seed to the sums.
+/// Adds the counts of one seed to the sums over all seeds.
 fn add_figures(sums: &mut Map<String, Value>, counts: Map<String, Value>) {
     for (name, count) in counts {
         let sum = sums.get(&name).and_then(Value::as_u64).unwrap_or(0);
--- a/testkit/src/soak/notification.rs
+++ b/testkit/src/soak/notification.rs
@@ -1,22 +1,24 @@
-//! From when on a process of a soak counts as notified of a drain: by what the list services wrote to it, and by the
-//! users' pages where they wrote nothing. One bound for each case, none for a whole run.
+//! Computes from when on a process of a soak counts as notified of a drain: when a list service has written it to the
+//! process, or else after the time limit documented for the process's situation. Each situation has its own limit, so
+//! that a fault excuses only what it can delay and not the rest of a run.
 
 use super::process_slot::{FaultSpan, ProcessRun};
 use crate::discovery::{CallRecord, DiscoveryHistory};
 use std::time::{Duration, Instant};
 
-/// What the service has counts as told so long after it had it and could be reached, whatever became of a call; also
-/// so long after a watch fell silent.
+/// How long after a service had a change and could be reached the process counts as notified, whatever became of its
+/// calls. Also the least time after a watch fell silent.
 const NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
-/// The same for a watch that fell silent, after its wait is over, if that is later.
+/// How long after the end of its maximum wait a watch that fell silent no longer excuses the process, if that is later
+/// than [`NOTIFICATION_TIMEOUT`] after it fell silent.
 const NOTIFICATION_TIMEOUT_AFTER_WAIT: Duration = Duration::from_secs(2);
-/// What a service has at a reload that names it counts as told so long after that.
+/// How long after a reload the process counts as notified of what the service named by the reload has.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(4);
-/// For how long after its start a process that has made no call may go by the list that it was given: the settings'
-/// time for polling.
+/// How long after its start a process that has made no call may use the list from its config: the polling time of
+/// the settings.
 const FIRST_POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// When this process counts as notified of what the services had at `announced`.
+/// Returns when the process counts as notified of what the services had at `announced`.
 pub fn notified_at(
     run: &ProcessRun,
     services: &[DiscoveryHistory; 2],
@@ -30,7 +32,7 @@
         .filter(|call| was_silent_at(call, since))
         .filter_map(silent_watch_deadline)
         .max();
-    // Both services are down together.
+    // The history of one service is enough, because both go down together.
     let reachable = services[0].reachable_from(since);
     let may_have_failed =
         has_failed_call(run, services, since) || overlaps_any(syscall_faults, since);
@@ -63,8 +65,8 @@
         .filter(move |call| call.caller == caller)
 }
 
-/// Whether a call that came within the time in which a change has to be heard, before or after `since`, had no answer
-/// and was not silent: it was refused, or broke.
+/// Returns whether a call of the process was rejected or broke, that is, got neither an answer nor silence. Only calls
+/// less than [`NOTIFICATION_TIMEOUT`] before or after `since` count.
 fn has_failed_call(run: &ProcessRun, services: &[DiscoveryHistory; 2], since: Instant) -> bool {
     let is_near = |call: &&CallRecord| {
         call.called_at <= since + NOTIFICATION_TIMEOUT
@@ -77,7 +79,7 @@
         .any(|call| call.answered_at.is_none() && call.silenced_at.is_none())
 }
 
-/// Whether a fault was on within that time before `since`, or after it.
+/// Returns whether a fault was active at most [`NOTIFICATION_TIMEOUT`] before or after `since`.
 fn overlaps_any(faults: &[FaultSpan], since: Instant) -> bool {
     faults.iter().any(|span| {
         span.from <= since + NOTIFICATION_TIMEOUT && span.to + NOTIFICATION_TIMEOUT >= since
@@ -96,7 +98,8 @@
     Some(after_wait.max(silenced + NOTIFICATION_TIMEOUT))
 }
 
-/// When the first list was written, from `since` on, by the service that the process was told to use.
+/// Returns when the service that the process was configured to use first wrote a list at or after `since`, or `None`
+/// if it wrote none.
 fn written_at(
     run: &ProcessRun,
     services: &[DiscoveryHistory; 2],
--- a/testkit/src/soak/process_group/faults.rs
+++ b/testkit/src/soak/process_group/faults.rs
@@ -1,4 +1,4 @@
-//! How each fault of a soak begins and ends, and when it was on.
+//! Begins and ends each fault of a soak and records when it was active.
 
 use super::super::is_verbose;
 use super::super::process_slot::{Drain, FaultSpan, Reload};
@@ -9,11 +9,11 @@
 use crate::simulated::HostBehavior;
 use std::time::{Duration, Instant};
 
-/// How long after a stop the front still sends clients.
+/// How long the upstream load balancer keeps sending clients to a process after it was told to stop.
 const UPSTREAM_NOTICE_DELAY: Duration = Duration::from_millis(300);
-/// Of ten calls so many are rejected by list services under [`SoakFault::ServiceRejects`].
+/// The number of calls out of ten that the list services reject under [`SoakFault::ServiceRejects`].
 const REJECTED_OF_TEN: usize = 7;
-/// The end of a suspension that has not ended yet: later than any soak.
+/// The provisional length of a fault that has not ended yet. Longer than any soak.
 const FAR_FUTURE: Duration = Duration::from_secs(3600);
 
 impl ProcessGroup {
@@ -57,13 +57,13 @@
     fn end(&mut self, fault: &SoakFault) {
         match *fault {
             SoakFault::Stop(slot) => self.end_stop(slot),
-            // What fell silent stays so.
+            // Nothing to undo: a replacement and a clock step last, and watches that fell silent stay silent.
             SoakFault::Replace(_) | SoakFault::StepClock(..) | SoakFault::ServiceSilent => {}
             SoakFault::ReplaceWithMessageFaults(slot) | SoakFault::Syscalls(slot, _) => {
                 self.end_syscall_faults(slot);
             }
             SoakFault::Kill(slot) => self.end_kill(slot),
-            // The other list service takes its turn.
+            // Each reload switches to the other list service, so a second one undoes the first.
             SoakFault::Reload(slot) => self.reload(slot),
             SoakFault::Suspend(slot) => self.end_suspension(slot),
             SoakFault::Host(host, _) => self.hosts.set_behavior(host, HostBehavior::Accepts),
@@ -93,14 +93,14 @@
         let process = &mut self.processes[slot];
         process.syscall_faults.clear();
         process.injector.set(&process.syscall_faults);
-        // The first to end ends all: the injector has none left.
+        // Ends the spans of all faults of system calls in this slot: the injector has just been cleared of all of them.
         let now = Instant::now();
         for span in &mut self.slots[slot].lock().unwrap().syscall_faults {
             span.to = span.to.min(now);
         }
     }
 
-    /// Tells the process of a slot to stop; the front still sends clients for a while.
+    /// Tells the process of a slot to stop. The upstream load balancer keeps sending clients for a while.
     fn begin_stop(&mut self, slot: usize) {
         let Some(process) = self.processes[slot].running.take() else {
             return;
@@ -110,7 +110,7 @@
         self.processes[slot].stopping.push(process.stop());
     }
 
-    /// Starts a process again once those that were told to stop have ended.
+    /// Waits until the stopping processes of a slot have ended, then starts a process if none runs.
     pub(super) fn end_stop(&mut self, slot: usize) {
         self.wait_for_stopped(slot);
         if self.processes[slot].running.is_none() {
@@ -118,7 +118,8 @@
         }
     }
 
-    /// Has another process take over from the one in this slot.
+    /// Starts a successor of the process in this slot, then tells the process to stop. Does nothing in a slot without a
+    /// shared listener.
     fn replace(&mut self, slot: usize) {
         if self.processes[slot].shared.is_none() {
             return;
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Has the process of a slot use the other list service.
+    /// Reloads the process of a slot with a config that names the other list service.
     pub(super) fn reload(&mut self, slot: usize) {
         let service = 1 - self.processes[slot].service;
         self.processes[slot].service = service;
--- a/testkit/src/soak/process_group/health.rs
+++ b/testkit/src/soak/process_group/health.rs
@@ -1,5 +1,5 @@
-//! Whether the processes of a soak end, serve and count violations as they should, by their exit, their logs and their
-//! metrics.
+//! Checks by exit statuses, logs and metrics that the processes of a soak end in time, serve again and count no
+//! violations.
 
 use super::super::restarts::KILL_DELAY;
 use super::{ProcessGroup, RunningProcess, StoppingProcess};
@@ -9,15 +9,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How much longer than the earliest moment of a kill a process that is told to stop may take.
+/// How much longer than the earliest permitted kill a process may take to end after it was told to stop.
 const STOP_SLACK_BEYOND_KILL: Duration = Duration::from_millis(600);
-/// Rules that a process may count as violated because it was suspended.
+/// Rules that a process may count as violated because it was suspended or its sends were delayed.
 const EXCUSABLE_RULES: [&str; 2] = ["answered_late", "attempted_late"];
-/// How long a node may be held up between its clock and its write, by the users' pages.
+/// How long a node may be delayed between reading its clock and writing, as documented for users.
 const MAX_WRITE_DELAY: Duration = Duration::from_millis(150);
-/// How soon after a suspension the process has logged these violations.
+/// How long after a suspension or a span of delayed sends a process may still log these violations.
 const MAX_REPORT_DELAY: Duration = Duration::from_millis(1000);
-/// Log lines that are shown of a process that does not serve, or that ended unexpectedly.
+/// The number of log lines shown of a process that does not serve or that ended unexpectedly.
 const SHOWN_LOG_LINES: usize = 30;
 
 impl ProcessGroup {
@@ -33,24 +33,24 @@
             }
             if node.runs() {
                 self.failures.push(format!(
-                    "seat {slot}: still runs {:?} after it was told to stop",
+                    "slot {slot}: still running {:?} after it was told to stop",
                     since.elapsed()
                 ));
             } else if !node.wait().success() {
                 self.failures
-                    .push(format!("seat {slot}: ended with {}", node.wait()));
+                    .push(format!("slot {slot}: ended with {}", node.wait()));
             }
             self.note_end(slot, &process);
         }
     }
 
-    /// Notes that a process has ended, and what it logged.
+    /// Records that a process has ended and checks its log.
     pub(super) fn note_end(&mut self, slot: usize, process: &RunningProcess) {
         self.slots[slot].lock().unwrap().runs[process.run].ended = Some(Instant::now());
         self.check_log(slot, &process.node);
     }
 
-    /// Notes panics and violations in the log of a process. Returns the lines that are excused.
+    /// Records panics and violations in the log of a process as failures. Returns the lines that are excused instead.
     pub(super) fn check_log(&mut self, slot: usize, node: &Node) -> Vec<String> {
         let mut excused = Vec::new();
         let lines = node.drain_log_timed();
@@ -64,14 +64,14 @@
             {
                 excused.push(line);
             } else {
-                self.failures.push(format!("seat {slot}: {line}"));
+                self.failures.push(format!("slot {slot}: {line}"));
             }
         }
         excused
     }
 
-    /// Whether a process says with this line that it violated a rule because it was suspended: a call to send began in
-    /// time by the clock that was read before it, and was made when the process continued.
+    /// Returns whether a suspension explains the violation in this line: the process read its clock in time, and was
+    /// suspended before it sent.
     fn is_excused_by_suspension(&self, slot: usize, at: Instant, line: &str) -> bool {
         let excusable = EXCUSABLE_RULES.iter().any(|rule| line.contains(rule));
         let slot = self.slots[slot].lock().unwrap();
@@ -82,8 +82,8 @@
                 .any(|span| span.from <= at && at <= span.to + MAX_REPORT_DELAY)
     }
 
-    /// Whether a process says with this line that it was late by no more than a send was delayed, in the time in which
-    /// its sends were: the pages allow for 0.15 s between clock and write.
+    /// Returns whether delayed sends explain the violation in this line: it came while sends were delayed and exceeds the
+    /// limit by no more than the 0.15 s that the documentation allows between clock and write.
     fn is_excused_by_delay(&self, slot: usize, at: Instant, line: &str) -> bool {
         let excusable = EXCUSABLE_RULES.iter().any(|rule| line.contains(rule));
         let lateness = millis_after(line, " ms: ");
@@ -96,7 +96,7 @@
                 .any(|span| span.from <= at && at <= span.to + MAX_REPORT_DELAY)
     }
 
-    /// Starts a process in each slot whose process has ended unexpectedly.
+    /// Starts a process in each slot whose process ended without being told to stop.
     pub(super) fn restart_ended(&mut self) {
         for slot in 0..self.processes.len() {
             let Some(mut process) = self.processes[slot].running.take() else {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Whether a process that nobody told to stop has ended, which is noted as a failure.
+    /// Returns whether a process that was not told to stop has ended, and records that as a failure.
     pub(super) fn ended_unexpectedly(&mut self, slot: usize, process: &mut RunningProcess) -> bool {
         if process.node.runs() {
             return false;
@@ -118,20 +118,20 @@
         self.note_end(slot, process);
         let log = self.last_lines(slot);
         self.failures.push(format!(
-            "seat {slot}: ended unasked with {}: {log:#?}",
+            "slot {slot}: ended without being told to stop, with {}: {log:#?}",
             process.node.wait()
         ));
         true
     }
 
-    /// The last lines that processes of a slot have logged.
+    /// Returns the last log lines of the processes of a slot.
     fn last_lines(&self, slot: usize) -> Vec<&str> {
         let log = &self.logs[slot];
         let shown = &log[log.len().saturating_sub(SHOWN_LOG_LINES)..];
         shown.iter().map(|(_, line)| line.as_str()).collect()
     }
 
-    /// Which processes don't serve again within this time.
+    /// Returns a description of each process that does not serve again within `timeout`.
     pub fn recovery_failures(&mut self, timeout: Duration) -> Vec<String> {
         let deadline = Instant::now() + timeout;
         (0..self.processes.len())
@@ -159,14 +159,14 @@
                 }
                 let log = self.last_lines(slot).join("\n    ");
                 return Some(format!(
-                    "seat {slot}: does not serve {timeout:?} after all troubles are over, but says {answer} at try {attempt}\n    {log}"
+                    "slot {slot}: does not serve {timeout:?} after the end of all faults: answered {answer} at attempt {attempt}\n    {log}"
                 ));
             }
             thread::sleep(Duration::from_millis(50));
         }
     }
 
-    /// The answer of the process in a slot to a request.
+    /// Returns the answer of the process in a slot to a request.
     fn request(&self, slot: usize, attempt: usize) -> String {
         let Some(process) = &self.processes[slot].running else {
             return "no process".to_string();
@@ -176,7 +176,7 @@
         client.receive_line()
     }
 
-    /// Violations that the processes themselves count, beyond those that their logs excuse.
+    /// Returns the violations that the processes count in their metrics, beyond those that are excused.
     pub fn violations(&mut self) -> Vec<String> {
         let mut violations = Vec::new();
         for slot in 0..self.processes.len() {
@@ -188,21 +188,21 @@
             let unexcused = metrics
                 .lines()
                 .filter(|metric| exceeds_excused(metric, &excused));
-            violations.extend(unexcused.map(|metric| format!("seat {slot}: {metric}")));
+            violations.extend(unexcused.map(|metric| format!("slot {slot}: {metric}")));
             self.processes[slot].running = Some(process);
         }
         violations
     }
 }
 
-/// The milliseconds behind a key in a log line.
+/// Returns the milliseconds that follow a key in a log line, or `None` if it has none.
 fn millis_after(line: &str, key: &str) -> Option<Duration> {
     let (_, rest) = line.split_once(key)?;
     let digits = rest.split(|c: char| !c.is_ascii_digit()).next()?;
     digits.parse().ok().map(Duration::from_millis)
 }
 
-/// Whether a metric counts a rule as violated more often than the excused log lines name it.
+/// Returns whether a metric counts more violations of a rule than the excused log lines name.
 fn exceeds_excused(metric: &str, excused: &[String]) -> bool {
     let Some((rule, count)) = metric
         .strip_prefix("app.violations.")
--- a/testkit/src/soak/process_group/mod.rs
+++ b/testkit/src/soak/process_group/mod.rs
@@ -1,5 +1,6 @@
-//! The processes of a soak, each in a slot, with hosts and two list services of the same content. Owns which faults were
-//! applied to them and when; what clients and hosts saw is checked elsewhere.
+//! The processes of a soak, each in a slot, together with their hosts and two list services that hold the same list.
+//! Applies faults to them and records when each was active. What clients and hosts observe is checked by the soak
+//! checker.
 
 mod faults;
 mod health;
@@ -21,12 +22,12 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use restarts::KilledProcess;
+use restarts::EndedProcess;
 
-/// The latency objective of a class whose deadline is not shorter.
+/// The latency objective of a class, in milliseconds, unless its deadline is shorter.
 const LATENCY_OBJECTIVE_MILLIS: u64 = 500;
 
-/// All processes of a soak, with what they talk to.
+/// All processes of a soak, with the hosts and list services that they use.
 pub struct ProcessGroup {
     pub checker: InvariantChecker,
     pub fault_history: FaultHistory,
@@ -36,55 +37,55 @@
     slots: ProcessSlots,
     seed: u64,
     profile: SoakProfile,
-    /// What processes did that they must not.
+    /// Descriptions of what processes did against the rules, one per entry.
     failures: Vec<String>,
-    /// By slot: what its processes have logged.
+    /// The log lines of the processes of each slot, with the time at which each was read.
     logs: Vec<Vec<(Instant, String)>>,
-    /// Processes that were started.
+    /// The number of processes started so far. The latest one's number identifies it to the list services.
     started: u64,
-    /// How long after SIGTERM processes were killed.
+    /// How long after SIGTERM each process was killed that had not ended by itself.
     kill_times: Vec<Duration>,
-    /// Processes that ended in order before they were to be killed.
+    /// The number of processes that exited successfully before they were to be killed.
     ended_in_order: u64,
 }
 
 /// The processes of one slot.
 struct ManagedProcess {
     running: Option<RunningProcess>,
-    /// Present where processes of the slot inherit the listener from each other.
+    /// Present if the processes of the slot inherit the listener from each other.
     shared: Option<SharedListener>,
     injector: SyscallInjector,
-    /// The faults of system calls that are on, also for processes that start meanwhile.
+    /// The faults of system calls that are active. They also apply to processes that start meanwhile.
     syscall_faults: Vec<Fault>,
-    /// The number of the list service that it uses.
+    /// The index of the list service that the process uses.
     service: usize,
-    /// Processes that were told to stop, until they end.
+    /// Processes that were told to stop and have not been waited for.
     stopping: Vec<StoppingProcess>,
-    /// Processes that are killed at the earliest moment after they were told to stop.
-    kill_threads: Vec<JoinHandle<KilledProcess>>,
-    /// Idle clients that fill its descriptors.
+    /// Threads that kill processes at the earliest permitted moment after they were told to stop.
+    kill_threads: Vec<JoinHandle<EndedProcess>>,
+    /// Idle clients that use up the descriptors of the process.
     crowd: Option<Crowd>,
 }
 
-/// What processes that replace each other share.
+/// The listener that processes inherit from each other, and the folder for their hot restarts.
 struct SharedListener {
     listener: TcpListener,
     folder: PathBuf,
 }
 
-/// A process that nobody has told to stop.
+/// A process, with what was recorded when it started.
 struct RunningProcess {
     node: Node,
-    /// Since when it serves.
+    /// When the process had logged that it started.
     ready_at: Instant,
-    /// Its index among the runs of its slot.
+    /// The index of the process among the runs of its slot.
     run: usize,
-    /// Where the list services listen for it.
+    /// The address of each list service that is reserved for this process.
     addresses: [SocketAddr; 2],
 }
 
 impl RunningProcess {
-    /// Tells it to stop.
+    /// Tells the process to stop.
     fn stop(self) -> StoppingProcess {
         let since = Instant::now();
         self.node.stop();
@@ -101,7 +102,7 @@
 }
 
 impl ManagedProcess {
-    /// A slot without a process. The processes of every second slot replace each other at a shared listener.
+    /// Creates a slot without a process. In odd slots, processes replace each other at a shared listener.
     fn new(slot: usize) -> Self {
         let shared = (slot % 2 == 1).then(|| SharedListener {
             listener: listener(),
@@ -155,7 +156,7 @@
         self.slots.clone()
     }
 
-    /// How many system calls were made faulty in the processes that run now.
+    /// Returns the number of faults injected into system calls, for the latest process of each slot.
     pub fn faulty_syscalls(&self) -> u64 {
         self.processes
             .iter()
@@ -163,7 +164,7 @@
             .sum()
     }
 
-    /// The configuration of a process in this slot, which calls the list service at this address.
+    /// Returns the node config of a process in this slot that uses the list service at the address `service`.
     fn node_config(&self, slot: usize, service: SocketAddr) -> Value {
         let mut node_config = two_tier_cluster::node_config(
             &format!("n{slot}"),
@@ -222,17 +223,17 @@
         });
     }
 
-    /// What happened at the list services.
+    /// Returns the histories of the two list services.
     pub fn discovery_history(&self) -> [DiscoveryHistory; 2] {
         [0, 1].map(|service: usize| self.services[service].history())
     }
 
-    /// What the processes of a slot have logged, as far as it was read.
+    /// Returns the log lines of the processes of a slot that were read so far.
     pub fn log(&self, slot: usize) -> &[(Instant, String)] {
         &self.logs[slot]
     }
 
-    /// Ends all faults; every slot has its process then.
+    /// Ends all faults. Every slot has a running process afterwards.
     pub fn clear_all_faults(&mut self) {
         for slot in 0..self.processes.len() {
             self.processes[slot].syscall_faults.clear();
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Stops all processes, and returns what any of them did that it must not.
+    /// Stops all processes. Returns what processes did against the rules since the start.
     pub fn stop_all(&mut self) -> Vec<String> {
         for process in &mut self.processes {
             if let Some(running) = process.running.take() {
--- a/testkit/src/soak/process_group/restarts.rs
+++ b/testkit/src/soak/process_group/restarts.rs
@@ -1,5 +1,5 @@
-//! How processes of a soak of restarts are told to stop, are killed at the earliest moment of the protocol, and follow
-//! each other.
+//! Plays the events of a soak of restarts: tells processes to stop, kills them at the earliest moment that the protocol
+//! permits, and starts their successors.
 
 use super::super::process_slot::FaultSpan;
 use super::super::restarts::{Crowd, RestartEvent, Termination, KILL_DELAY};
@@ -9,27 +9,27 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// No signal comes so soon after a process is ready.
+/// How long after a process is ready the protocol forbids signals to it.
 const MIN_AGE_BEFORE_SIGNAL: Duration = Duration::from_secs(1);
-/// How long a send is delayed: less than the 0.15 s that the pages allow between clock and write.
+/// How long a send is delayed: less than the 0.15 s that the documentation allows between clock and write.
 const SEND_DELAY: Duration = Duration::from_millis(140);
-/// One send in so many is.
+/// One send in this many is delayed.
 const SENDS_PER_DELAY: u64 = 40;
-/// The end of what has not ended yet: later than any soak.
+/// The provisional length of a fault that has not ended yet. Longer than any soak.
 const FAR_FUTURE: Duration = Duration::from_secs(3600);
-/// How many more idle clients come than a process may have descriptors.
+/// How many more idle clients a crowd has than the process may have descriptors.
 const CROWD_BEYOND_LIMIT: u64 = 32;
 
-/// A process that was told to stop and is dead, whether or not it ended by itself.
-pub(super) struct KilledProcess {
+/// A process that was told to stop and has ended, by itself or by SIGKILL.
+pub(super) struct EndedProcess {
     process: RunningProcess,
     told_to_stop: Instant,
-    /// When it was killed, unless it had ended.
+    /// When the process was killed; `None` if it had ended by itself.
     killed_at: Option<Instant>,
 }
 
 impl ProcessGroup {
-    /// Has an event of a soak of restarts happen.
+    /// Carries out an event of a soak of restarts.
     pub fn play(&mut self, event: &RestartEvent) {
         match *event {
             RestartEvent::Terminate(slot, termination) => self.terminate(slot, termination),
@@ -60,7 +60,7 @@
         process.is_some_and(|process| process.ready_at.elapsed() >= MIN_AGE_BEFORE_SIGNAL)
     }
 
-    /// Tells the process of a slot to stop; the front sends clients for a while.
+    /// Tells the process of a slot to stop. The upstream load balancer keeps sending clients for a while.
     fn terminate(&mut self, slot: usize, termination: Termination) {
         if !self.may_be_signalled(slot) {
             return;
@@ -77,12 +77,12 @@
 
     fn restart(&mut self, slot: usize) {
         if self.processes[slot].running.is_none() {
-            self.wait_for_killed(slot);
+            self.wait_for_kill_threads(slot);
             self.start_process(slot);
         }
     }
 
-    /// Starts the next process beside the one in this slot, which is told to stop once that one serves.
+    /// Starts a successor beside the process in this slot, and tells the process to stop once the successor serves.
     fn hand_over(&mut self, slot: usize, termination: Termination) {
         if !self.may_be_signalled(slot) {
             return;
@@ -90,14 +90,15 @@
         if termination.reload_first {
             self.reload(slot);
         }
-        self.wait_for_killed(slot);
+        self.wait_for_kill_threads(slot);
         if let Some(process) = self.processes[slot].running.take() {
             self.start_process(slot);
             self.kill_after_stop(slot, process, termination);
         }
     }
 
-    /// Sends SIGTERM, and SIGKILL at the earliest moment, by a thread of its own: nothing else is to delay it.
+    /// Sends SIGTERM, and SIGKILL at the earliest permitted moment. SIGKILL comes from a separate thread, so that other
+    /// events of the soak do not delay it.
     fn kill_after_stop(&mut self, slot: usize, process: RunningProcess, termination: Termination) {
         let lifetime = self.profile.longest_deadline() + KILL_DELAY;
         let told_to_stop = Instant::now();
@@ -116,22 +117,22 @@
             .push(thread::spawn(kill_thread));
     }
 
-    /// Waits until all processes of a slot that were told to stop are dead.
-    pub(super) fn wait_for_killed(&mut self, slot: usize) {
-        let kill_threads: Vec<JoinHandle<KilledProcess>> =
+    /// Waits until all processes of a slot that were told to stop have ended.
+    pub(super) fn wait_for_kill_threads(&mut self, slot: usize) {
+        let kill_threads: Vec<JoinHandle<EndedProcess>> =
             self.processes[slot].kill_threads.drain(..).collect();
         for kill_thread in kill_threads {
-            let mut killed = kill_thread.join().expect("a kill thread panicked");
-            match killed.killed_at {
-                Some(at) => self.kill_times.push(at - killed.told_to_stop),
-                None if killed.process.node.wait().success() => self.ended_in_order += 1,
+            let mut ended = kill_thread.join().expect("a kill thread panicked");
+            match ended.killed_at {
+                Some(at) => self.kill_times.push(at - ended.told_to_stop),
+                None if ended.process.node.wait().success() => self.ended_in_order += 1,
                 None => {
-                    let status = killed.process.node.wait();
+                    let status = ended.process.node.wait();
                     self.failures
-                        .push(format!("seat {slot}: ended with {status}"));
+                        .push(format!("slot {slot}: ended with {status}"));
                 }
             }
-            self.note_end(slot, &killed.process);
+            self.note_end(slot, &ended.process);
         }
     }
 
@@ -180,33 +181,33 @@
         }
     }
 
-    /// Ends all that a soak of restarts plays; every slot has its process then.
+    /// Ends all faults of a soak of restarts. Every slot has a running process afterwards.
     pub fn end_restarts(&mut self) {
         for slot in 0..self.processes.len() {
             self.end_crowd(slot);
-            self.wait_for_killed(slot);
+            self.wait_for_kill_threads(slot);
         }
         self.clear_all_faults();
     }
 
-    /// How long after SIGTERM processes were killed, for those that had not ended by themselves.
+    /// Returns how long after SIGTERM each process was killed that had not ended by itself.
     pub fn kill_times(&self) -> &[Duration] {
         &self.kill_times
     }
 
-    /// How many processes ended by themselves, in order, before they were to be killed.
+    /// Returns the number of processes that exited successfully before they were to be killed.
     pub fn ended_in_order(&self) -> u64 {
         self.ended_in_order
     }
 }
 
-/// Waits until a process may be killed, and kills it. A second SIGTERM comes in between where that is so planned.
+/// Waits until a process may be killed and kills it if it still runs. Sends a second SIGTERM before that if planned.
 fn kill_when_due(
     mut process: RunningProcess,
     told_to_stop: Instant,
     lifetime: Duration,
     termination: Termination,
-) -> KilledProcess {
+) -> EndedProcess {
     let sleep_until = |at: Instant| thread::sleep(at.saturating_duration_since(Instant::now()));
     if let Some(second_after) = termination.second_after {
         sleep_until(told_to_stop + second_after.min(lifetime));
@@ -219,7 +220,7 @@
     if killed_at.is_some() {
         process.node.kill();
     }
-    KilledProcess {
+    EndedProcess {
         process,
         told_to_stop,
         killed_at,
--- a/testkit/src/soak/process_slot.rs
+++ b/testkit/src/soak/process_slot.rs
@@ -1,36 +1,37 @@
-//! What clients have to know of the processes of a soak, and the checker of their past.
+//! The state of a slot that clients and the checker share: where its process listens, and the history of its processes
+//! and their faults.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// From when to when a fault was on.
+/// The time during which a fault was active. `to` lies far in the future while it has not ended.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultSpan {
     pub from: Instant,
     pub to: Instant,
 }
 
-/// A reload of a process's settings, which names a list service.
+/// A reload of the settings of a process, which names a list service.
 #[derive(Clone, Copy, Debug)]
 pub struct Reload {
     pub at: Instant,
-    /// The number of the list service that it is to use from then on.
+    /// The index of the list service that the process has to use from then on.
     pub service: usize,
 }
 
-/// One process, from its start to its end.
+/// The history of one process.
 #[derive(Clone, Debug)]
 pub struct ProcessRun {
-    /// What the list services know it by.
+    /// The caller number under which the list services record the process's calls.
     pub caller: u64,
-    /// The number of the list service that it was started with.
+    /// The index of the list service in the config that the process was started with.
     pub first_service: usize,
     pub started: Instant,
     pub ended: Option<Instant>,
     pub reloads: Vec<Reload>,
-    /// When it was told to stop.
+    /// When the process was told to stop, in a soak of restarts; `None` if it was not.
     pub told_to_stop: Option<Instant>,
 }
 
@@ -46,7 +47,7 @@
         }
     }
 
-    /// The number of the list service that it was told to use, at a moment.
+    /// Returns the index of the list service that the process was configured to use at `at`.
     pub fn service_at(&self, at: Instant) -> usize {
         let reloads = self.reloads.iter().rev();
         reloads
@@ -55,31 +56,31 @@
             .map_or(self.first_service, |reload| reload.service)
     }
 
-    /// Whether it ran at a moment, give or take this much.
+    /// Returns whether the process was running at `at`, or had ended less than `slack` before.
     pub fn ran_at(&self, at: Instant, slack: Duration) -> bool {
         self.started <= at && self.ended.is_none_or(|ended| at < ended + slack)
     }
 }
 
-/// The address of the processes that follow each other in a slot, and what was done to them.
+/// The address of the consecutive processes of a slot, and the faults that were applied to them.
 #[derive(Debug, Default)]
 pub struct ProcessSlot {
     pub address: Option<SocketAddr>,
-    /// From when on the front sends no clients to it.
+    /// From when on the upstream load balancer sends no clients to the slot; `None` if it does.
     pub closed: Option<Instant>,
-    /// The processes of it, by their start.
+    /// The processes of the slot in the order of their starts.
     pub runs: Vec<ProcessRun>,
-    /// When processes of it were killed.
+    /// When processes of the slot were killed without having been told to stop.
     pub killed: Vec<Instant>,
-    /// When processes of it were told to stop, and when each was killed for it.
+    /// From when a process was told to stop until the earliest permitted kill, for each stop of a soak of restarts.
     pub stops: Vec<FaultSpan>,
-    /// When idle clients crowded it.
+    /// When a crowd of idle clients used up the descriptors of the process.
     pub crowds: Vec<FaultSpan>,
-    /// When single sends of its process were delayed, in a soak of restarts.
+    /// When some sends of the process were delayed, in a soak of restarts.
     pub send_delays: Vec<FaultSpan>,
-    /// When its system calls were faulty.
+    /// When faults were injected into system calls of the process.
     pub syscall_faults: Vec<FaultSpan>,
-    /// When its process was suspended.
+    /// When the process was suspended.
     pub suspensions: Vec<FaultSpan>,
 }
 
@@ -88,15 +89,15 @@
 /// A drain of a host.
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
-    /// When the list services began to announce it.
+    /// When the list services began to announce the drain.
     pub announced: Instant,
-    /// When they ceased to.
+    /// When the list services announced the host as active again; `None` if they have not.
     pub revoked: Option<Instant>,
 }
 
-/// What was done to hosts.
+/// The faults that were applied to hosts.
 #[derive(Debug, Default)]
 pub struct FaultHistory {
-    /// By host.
+    /// The drains of each host, by its number.
     pub drains: HashMap<usize, Vec<Drain>>,
 }
--- a/testkit/src/soak/profile.rs
+++ b/testkit/src/soak/profile.rs
@@ -1,28 +1,28 @@
-//! What a soak plays: how its processes are configured, and how its clients behave.
+//! The profile of a soak: how its processes are configured and how its clients behave.
 
 use crate::simulated::REQUEST_TIMEOUT;
 use std::time::Duration;
 
-/// By class, in the order of [`CLASS_NAMES`](crate::simulated::CLASS_NAMES).
+/// The request deadline of each class, in the order of [`CLASS_NAMES`](crate::simulated::CLASS_NAMES).
 pub type Deadlines = [Duration; 3];
 
-/// How processes are configured and clients behave.
+/// How the processes of a soak are configured and how its clients behave.
 #[derive(Clone, Copy, Debug)]
 pub struct SoakProfile {
-    /// How long requests of each class may wait.
+    /// The request deadline of each class.
     pub deadlines: Deadlines,
-    /// How many descriptors a process may have.
+    /// The maximum number of sockets in the node config of a process.
     pub sockets: u64,
-    /// Which clients come.
+    /// The mix of client behaviors of a soak.
     pub clients: ClientMix,
 }
 
-/// Which clients come.
+/// The mix of client behaviors of a soak.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientMix {
-    /// Most behave, and hold their connection for a second or two at the most.
+    /// Most follow the protocol and use their connection for two seconds at most.
     Short,
-    /// Many use their connection until they are told to move; others rest while a process is told to stop.
+    /// Many use their connection until they are told to move, others send once their process was told to stop.
     UntilMoved,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl SoakProfile {
-    /// The longest deadline of all classes.
+    /// Returns the longest deadline of all classes.
     pub fn longest_deadline(&self) -> Duration {
         self.deadlines.into_iter().max().unwrap_or_default()
     }
--- a/testkit/src/soak/restarts/checks.rs
+++ b/testkit/src/soak/restarts/checks.rs
@@ -1,16 +1,16 @@
-//! What a soak of restarts checks beyond the rules of every soak, one sentence of the users' pages each.
+//! The checks of a soak of restarts beyond the rules of every soak. Each covers one documented guarantee.
 
 use super::super::process_slot::{ProcessRun, Reload};
 use super::super::soak_checker::SoakChecker;
 use std::time::{Duration, Instant};
 
-/// "What discovery has to tell counts as told 4 s after SIGHUP": by then a process that asks for lists has asked the
-/// service that its settings name.
+/// How long after SIGHUP a process may take to call the list service that its settings name. Documented as "What
+/// discovery has to tell counts as told 4 s after SIGHUP".
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(4);
-/// How late a busy machine may note a call.
+/// How much later than it happens a busy machine may record a call.
 const BUSY_SLACK: Duration = Duration::from_millis(350);
 
-/// Processes that did not call the list service which the last of a series of reloads named.
+/// Returns a violation for each process that did not call the list service named by the last of a series of reloads.
 pub fn reload_violations(checker: &SoakChecker<'_>) -> Vec<String> {
     let mut violations = Vec::new();
     for (number, slot) in checker.slots.iter().enumerate() {
@@ -20,7 +20,7 @@
             });
             violations.extend(missed.map(|reload| {
                 format!(
-                    "seat {number}: a process did not call service {} within {RELOAD_TIMEOUT:?} of its reload",
+                    "slot {number}: a process did not call service {} within {RELOAD_TIMEOUT:?} of its reload",
                     reload.service
                 )
             }));
@@ -29,7 +29,7 @@
     violations
 }
 
-/// Whether the process neither reloaded again nor was told to stop before it had to know the list.
+/// Returns whether the process neither reloaded again, was told to stop nor ended before the limit for this reload.
 fn is_last_of_series(run: &ProcessRun, reload: &Reload) -> bool {
     let until = reload.at + RELOAD_TIMEOUT + BUSY_SLACK;
     let goes_on = |at: Option<Instant>| at.is_none_or(|at| at > until);
@@ -45,7 +45,8 @@
     })
 }
 
-/// How many connections were open when a process was told to stop, over all stops, and how many stops there were.
+/// Returns the number of connections that were open when a process was told to stop, summed over all stops, and the
+/// number of stops.
 pub fn count_open_at_stops(checker: &SoakChecker<'_>) -> (u64, u64) {
     let (mut open, mut stops) = (0, 0);
     for (number, slot) in checker.slots.iter().enumerate() {
--- a/testkit/src/soak/restarts/crowd.rs
+++ b/testkit/src/soak/restarts/crowd.rs
@@ -1,5 +1,5 @@
-//! Idle clients that fill the descriptors of a process: they connect, half of them send half a line, and they come
-//! again as soon as they are shut.
+//! A crowd: idle clients that use up the descriptors of a process. They connect, every second one sends a partial line,
+//! and they reconnect as soon as the process closes their connection.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,19 +8,19 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// How often the clients look whether they were shut.
+/// How often the clients check whether their connections were closed.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a client waits for its connection.
+/// How long a client waits for its connection to be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A crowd at one process, until it is dropped.
+/// A crowd of idle clients at one process. They disconnect when it is dropped.
 pub struct Crowd {
     stopped: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Crowd {
-    /// So many idle clients at this address.
+    /// Starts `size` idle clients that connect to `address`.
     pub fn start(address: SocketAddr, size: usize) -> Crowd {
         let stopped = Arc::new(AtomicBool::new(false));
         let thread = {
--- a/testkit/src/soak/restarts/lateness.rs
+++ b/testkit/src/soak/restarts/lateness.rs
@@ -1,19 +1,20 @@
-//! How late the threads of the test kit itself run, so that the machine is not taken for the program.
+//! Measures how late the threads of the test kit itself run. Violations that a busy machine causes can so be told from
+//! faults of the program.
 
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// How often the thread wakes that stands for all others.
+/// The sleep time of the measuring thread, whose lateness stands for that of all threads.
 const WAKE_INTERVAL: Duration = Duration::from_millis(5);
-/// What is no lateness.
+/// The least delay that is recorded.
 const MIN_LATENESS: Duration = Duration::from_millis(20);
 
-/// When the test kit was late, and by how much.
+/// When the thread should have woken, and how much later it did.
 type Lateness = Arc<Mutex<Vec<(Instant, Duration)>>>;
 
-/// A thread that wakes all the time, and notes how late it does.
+/// A thread that wakes regularly and records how late it does, until the monitor is dropped.
 pub struct LatenessMonitor {
     stopped: Arc<AtomicBool>,
     noted: Lateness,
@@ -21,7 +22,7 @@
 }
 
 impl LatenessMonitor {
-    /// Begins to note.
+    /// Starts the thread.
     pub fn start() -> LatenessMonitor {
         let (stopped, noted) = (Arc::new(AtomicBool::new(false)), Lateness::default());
         let thread = {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// The greatest lateness up to now.
+    /// Returns the greatest lateness up to now, or zero if none was recorded.
     pub fn greatest(&self) -> Duration {
         let noted = self.noted.lock().unwrap();
         noted
--- a/testkit/src/soak/restarts/mod.rs
+++ b/testkit/src/soak/restarts/mod.rs
@@ -1,6 +1,6 @@
-//! A soak of restarts by the terms of the users' pages: clients use their connections until the process is killed, which
-//! comes at the earliest moment of the protocol; signals come in series; hosts hang through whole shutdowns; idle
-//! clients crowd a process.
+//! Soaks of restarts within the documented limits. Clients use their connections until the process is killed, which
+//! happens at the earliest moment that the protocol permits. Signals come in series, hosts hang through whole shutdowns,
+//! and idle clients use up the descriptors of a process.
 
 mod checks;
 mod crowd;
@@ -21,21 +21,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long the processes have to serve again once all is over.
+/// How long the processes may take to serve again after all events have ended.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
-/// A soak in which fewer than one request in so many was served is too tame.
+/// A soak has covered too little if fewer than one request in this many was served.
 const MAX_REQUESTS_PER_SERVED: u64 = 3;
-/// A soak that judged fewer connections open at a stop than this for each stop is too tame.
+/// A soak has covered too little if fewer connections than this were open per stop.
 const MIN_OPEN_CONNECTIONS_PER_STOP: u64 = 3;
-/// The least part of its time beyond SIGTERM by which a process may be killed too early: the timer's unit.
+/// How much earlier than the earliest permitted moment a kill may have been measured and still count: the resolution of
+/// the timer.
 const KILL_TOLERANCE: Duration = Duration::from_millis(1);
 
-/// Draws a schedule by this seed and plays it.
+/// Draws a schedule from `seed` and plays it.
 pub fn play(seed: u64, size: &SoakSize) -> Report {
     play_schedule(&RestartSchedule::draw(seed, size), size)
 }
 
-/// Plays this schedule.
+/// Plays a schedule and returns the counts and the violations.
 pub fn play_schedule(schedule: &RestartSchedule, size: &SoakSize) -> Report {
     let profile = schedule.profile();
     let lateness = LatenessMonitor::start();
@@ -73,7 +74,7 @@
     Report { figures, broken }
 }
 
-/// What was played and judged.
+/// Counts what was played and what was checked.
 fn figures(
     process_group: &ProcessGroup,
     checker: &SoakChecker<'_>,
@@ -107,22 +108,27 @@
     figures
 }
 
-/// Says so where a soak has judged too little.
+/// Returns a failure if a soak covered too few stops, open connections or served requests to be meaningful.
 fn coverage_failure(figures: &Map<String, Value>) -> Option<String> {
     let count = |name: &str| figures.get(name).and_then(Value::as_u64).unwrap_or(0);
     let is_insufficient = count("stops") == 0
         || count("open at stops") < MIN_OPEN_CONNECTIONS_PER_STOP * count("stops")
         || count("served") * MAX_REQUESTS_PER_SERVED < count("requests");
-    is_insufficient.then(|| format!("too tame: {}", json!(figures)))
+    is_insufficient.then(|| {
+        format!(
+            "too few stops, open connections or served requests: {}",
+            json!(figures)
+        )
+    })
 }
 
-/// Plays so many seeds one after the other; violations are printed with the schedule.
+/// Plays `count` consecutive seeds one after the other. Prints violations together with the schedule of their seed.
 pub fn measure(first: u64, count: u64, size: &SoakSize) -> Report {
     let (mut figures, mut broken) = (Map::new(), Vec::new());
     for seed in first..first + count {
         let found = play(seed, size);
         eprintln!(
-            "seed {seed}: {} broken, {}",
+            "seed {seed}: {} violations, {}",
             found.broken.len(),
             json!(found.figures)
         );
--- a/testkit/src/soak/restarts/schedule.rs
+++ b/testkit/src/soak/restarts/schedule.rs
@@ -1,5 +1,5 @@
-//! What happens in a soak of restarts, drawn by a seed: each process is told to stop or to reload again and again, by
-//! signals in series, while hosts hang or drain and idle clients crowd a process.
+//! The schedule of a soak of restarts, drawn from a seed. Each process is repeatedly told to stop or to reload, by signals
+//! in series, while hosts hang or drain and idle clients use up the descriptors of a process.
 
 use super::super::profile::{ClientMix, Deadlines, SoakProfile};
 use super::super::SoakSize;
@@ -8,95 +8,96 @@
 use std::fmt;
 use std::time::Duration;
 
-/// How long after SIGTERM and the longest deadline a process may be killed, by the protocol.
+/// How long after SIGTERM plus the longest deadline the protocol permits to kill a process.
 pub const KILL_DELAY: Duration = Duration::from_millis(700);
-/// How soon after SIGTERM the front may cease to send clients, and by when it has, by the protocol.
+/// How long after SIGTERM the upstream load balancer stops sending clients, in milliseconds. The protocol sets these
+/// limits.
 const UPSTREAM_DELAY_MILLIS: std::ops::Range<u64> = 200..400;
-/// A process gets no signal so soon after its start.
+/// The least time between the start of a process and a signal to it, in milliseconds.
 const MIN_AGE_BEFORE_SIGNAL_MILLIS: u64 = 1200;
-/// How much longer than that it may go on without one.
+/// How much longer than that a process may run without a signal, in milliseconds, exclusive.
 const SIGNAL_GAP_SPREAD_MILLIS: u64 = 2500;
-/// Within what time the signals of a series come.
+/// The time within which all signals of a series come, in milliseconds.
 const SERIES_SPAN_MILLIS: u64 = 1000;
-/// How many reloads a series has.
+/// The number of reloads in a series.
 const RELOADS_IN_SERIES: std::ops::RangeInclusive<usize> = 2..=5;
-/// What a killed process leaves time for before the next one starts.
+/// The pause between the latest kill of a process and the start of the next one, in milliseconds.
 const RESTART_DELAY_MILLIS: u64 = 100;
-/// How long a fault of a host lasts: through the whole of a shutdown.
+/// How long a host hangs, in milliseconds. Long enough to cover a whole shutdown.
 const HOST_FAULT_MILLIS: std::ops::Range<u64> = 3000..6000;
-/// One host in so many hangs at times.
+/// One host in this many hangs at times. The others drain.
 const HANGING_HOSTS_ONE_IN: usize = 3;
-/// How long a drain lasts.
+/// How long a drain lasts, in milliseconds.
 const DRAIN_MILLIS: std::ops::Range<u64> = 800..3000;
-/// In one slot of so many sends are delayed at times.
+/// In one slot out of this many, sends are delayed at times.
 const DELAYED_SLOT_ONE_IN: usize = 4;
-/// For how long sends of a process are delayed.
+/// How long sends of a process are delayed at a time, in milliseconds.
 const SEND_DELAYS_SPAN_MILLIS: u64 = 4000;
-/// How long a crowd stays.
+/// How long a crowd stays, in milliseconds.
 const CROWD_MILLIS: std::ops::Range<u64> = 3000..6000;
-/// One soak in so many has a crowd.
+/// Crowds come in soaks whose seed is a multiple of this.
 const CROWD_ONE_IN: u64 = 3;
-/// The descriptors of a process that a crowd comes to.
+/// The maximum number of sockets of a process in a soak with crowds.
 const CROWDED_SOCKETS: u64 = 192;
-/// Deadlines of the users' pages, in milliseconds.
+/// The documented deadlines, in milliseconds.
 const DEADLINE_MILLIS: [u64; 5] = [300, 800, 1500, 2000, 3000];
 
 /// How a process is told to stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Termination {
-    /// How long after SIGTERM the front goes on sending clients.
+    /// How long after SIGTERM the upstream load balancer keeps sending clients.
     pub upstream_delay: Duration,
-    /// Whether its settings are reloaded right before.
+    /// Whether the settings are reloaded right before.
     pub reload_first: bool,
-    /// How long after the first a second SIGTERM comes, if one does.
+    /// How long after the first SIGTERM a second one comes; `None` if only one is sent.
     pub second_after: Option<Duration>,
 }
 
-/// What happens at a moment.
+/// An event at a slot or at a host, which its number identifies. A flag says whether a fault begins or ends.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RestartEvent {
-    /// A process is told to stop, and killed at the earliest moment of the protocol.
+    /// A process is told to stop, and killed at the earliest moment that the protocol permits.
     Terminate(usize, Termination),
     /// The next process of the slot starts.
     Restart(usize),
-    /// Another process takes over from the one in this slot, which is told to stop then.
+    /// Another process takes over from the one in this slot, which is then told to stop and killed as by `Terminate`.
     Replace(usize, Termination),
-    /// The settings of a process name the other list service.
+    /// The settings of a process are reloaded and name the other list service.
     Reload(usize),
-    /// A host answers nothing from now on, or answers again.
+    /// A host stops answering, or answers again.
     HostHangs(usize, bool),
-    /// A host drains, or is back.
+    /// A host drains, or is active again.
     HostDrains(usize, bool),
-    /// Sends of a process are delayed, or not any more.
+    /// Some sends of a process are delayed from now on, or no longer.
     SendsDelayed(usize, bool),
-    /// Idle clients fill the descriptors of a process, or leave.
+    /// A crowd of idle clients uses up the descriptors of a process, or leaves.
     Crowd(usize, bool),
 }
 
-/// An event and its moment, from the start of the soak.
+/// An event and the time at which it happens.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedEvent {
-    /// When.
+    /// The time of the event from the start of the soak.
     pub at: Duration,
-    /// What.
+    /// The event.
     pub event: RestartEvent,
 }
 
-/// All that happens in a soak of restarts.
+/// All events of a soak of restarts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RestartSchedule {
-    /// What it was drawn from.
+    /// The seed from which the schedule was drawn.
     pub seed: u64,
-    /// By class.
+    /// The request deadline of each class.
     pub deadlines: Deadlines,
-    /// Whether idle clients crowd a process.
+    /// Whether crowds of idle clients come.
     pub crowded: bool,
-    /// By their moment.
+    /// The events in the order of their times.
     pub planned: Vec<PlannedEvent>,
 }
 
 impl RestartSchedule {
-    /// Draws a schedule; the same seed and size draw the same.
+    /// Draws a schedule. The same seed and size draw the same schedule.
     pub fn draw(seed: u64, size: &SoakSize) -> RestartSchedule {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let deadlines = [0; 3].map(|_: u64| {
@@ -118,7 +119,7 @@
         schedule
     }
 
-    /// How processes and clients are set up for it.
+    /// Returns how processes are configured and how clients behave under this schedule.
     pub fn profile(&self) -> SoakProfile {
         let usual = SoakProfile::default();
         SoakProfile {
@@ -137,13 +138,13 @@
         self.planned.push(PlannedEvent { at, event });
     }
 
-    /// How long a process lives at the most once it was told to stop.
+    /// Returns the longest time that a process lives after it was told to stop, in milliseconds.
     fn stop_millis(&self) -> u64 {
         let longest = self.profile().longest_deadline();
         (longest + KILL_DELAY).as_millis() as u64
     }
 
-    /// The signals of one slot, from its start to the end of the soak.
+    /// Draws the signals to one slot, from its start to the end of the soak.
     fn draw_signals(&mut self, rng: &mut ChaCha8Rng, slot: usize, size: &SoakSize) {
         let span = size.span.as_millis() as u64;
         let is_replaced = slot % 2 == 1;
@@ -170,7 +171,8 @@
         }
     }
 
-    /// A third of the hosts hang again and again, each for longer than most shutdowns; the others drain at times.
+    /// Draws the faults of a host. A third of the hosts hang repeatedly, each time for longer than most shutdowns; the
+    /// others drain at times.
     fn draw_host_faults(&mut self, rng: &mut ChaCha8Rng, host: usize, size: &SoakSize) {
         let span = size.span.as_millis() as u64;
         let mut at = rng.random_range(0..SIGNAL_GAP_SPREAD_MILLIS);
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Sends of some processes are delayed at times.
+    /// Draws when sends of some processes are delayed.
     fn draw_delays(&mut self, rng: &mut ChaCha8Rng, size: &SoakSize) {
         let span = size.span.as_millis() as u64;
         for slot in (0..size.processes).step_by(DELAYED_SLOT_ONE_IN) {
@@ -204,7 +206,8 @@
         let span = size.span.as_millis() as u64;
         let mut at = 500 + rng.random_range(0..1000);
         while at < span {
-            // Where each of hundreds of sends may be delayed, the delays of a turn would add up beyond what the pages allow.
+            // A crowd causes hundreds of sends in one turn. Were some of them delayed, the delays would add up beyond the
+            // documented 0.15 s, so crowds avoid slots with delayed sends.
             let slot = rng.random_range(0..size.processes);
             let is_delayed = slot.is_multiple_of(DELAYED_SLOT_ONE_IN);
             let slot = if is_delayed { slot + 1 } else { slot }.min(size.processes - 1);
--- a/testkit/src/soak/restarts/schedule_tests.rs
+++ b/testkit/src/soak/restarts/schedule_tests.rs
@@ -8,9 +8,9 @@
     overlap: 0,
 };
 
-/// Guards against a failing seed that can't be played again, and signals that the protocol does not allow.
+/// Guards against a failing seed that can't be reproduced, and against signals that the protocol forbids.
 #[test]
-fn a_seed_draws_the_same_again_and_no_signal_comes_in_a_process_s_first_second() {
+fn a_seed_draws_the_same_schedule_and_no_signal_in_a_process_s_first_second() {
     for seed in 0..50 {
         let drawn = RestartSchedule::draw(seed, &SIZE);
         assert_eq!(drawn, RestartSchedule::draw(seed, &SIZE));
@@ -39,9 +39,9 @@
     }
 }
 
-/// Guards against a soak that plays none of what it is for.
+/// Guards against schedules that lack the events that a soak of restarts is meant to test.
 #[test]
-fn fifty_seeds_have_stops_series_replacements_hanging_hosts_crowds_and_all_deadlines() {
+fn fifty_seeds_draw_every_kind_of_event_and_all_deadlines() {
     let drawn: Vec<RestartSchedule> = (0..50)
         .map(|seed| RestartSchedule::draw(seed, &SIZE))
         .collect();
--- a/testkit/src/soak/soak_checker.rs
+++ b/testkit/src/soak/soak_checker.rs
@@ -1,5 +1,6 @@
-//! The invariant checker of a soak: the four rules, by what clients and hosts saw. Answers owed by a process that was
-//! killed are excused, and so is lateness while a process was suspended; nothing else is.
+//! The invariant checker of a soak. It checks the rules on requests by what clients and hosts observed. Missing answers
+//! are excused if a process was killed, lateness is excused while a process was suspended, and resets are excused while
+//! a crowd uses up its descriptors.
 
 use super::clients::{ClientBehavior, ClientObservation, Received};
 use super::notification::notified_at;
@@ -10,15 +11,15 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// How late a busy machine may note what is seen here, and a process with delayed system calls may act.
+/// How late a busy machine may record an observation, and how late a process with delayed system calls may act.
 const BUSY_SLACK: Duration = Duration::from_millis(350);
-/// How soon misbehaving clients are to have their error or their end.
+/// How long a process may take to send a misbehaving client an error or to close its connection.
 const MISBEHAVING_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long after a client has closed an attempt may still begin.
+/// How long after a client has closed its connection an attempt may still begin.
 const ABANDON_TIMEOUT: Duration = Duration::from_millis(100);
-/// How long before its request what happened to a process may still concern a client.
+/// How long before its request a kill or a suspension may still affect a client.
 const FAULT_LOOKBACK: Duration = Duration::from_secs(3);
-/// How long before its request a suspension may have kept a process from reading it.
+/// How long before the request a suspension may have ended and still excuse that the request was read late.
 const READ_LOOKBACK: Duration = Duration::from_secs(1);
 
 /// The index of requests with an idempotency key in [`CLASS_NAMES`](crate::simulated::CLASS_NAMES).
@@ -26,20 +27,20 @@
 /// The index of requests that are not idempotent in [`CLASS_NAMES`](crate::simulated::CLASS_NAMES).
 const CLASS_NON_IDEMPOTENT: usize = 2;
 
-/// What was seen in a soak, and what was done in it.
+/// What clients and hosts observed in a soak, and the faults that were applied.
 pub struct SoakChecker<'a> {
     pub observations: Vec<ClientObservation>,
     pub reached: Vec<ObservedAttempt>,
     pub slots: ProcessSlots,
     pub fault_history: &'a FaultHistory,
-    /// What happened at the list services.
+    /// The histories of the two list services.
     pub services: [DiscoveryHistory; 2],
-    /// By class.
+    /// The request deadline of each class.
     pub deadlines: Deadlines,
 }
 
 impl SoakChecker<'_> {
-    /// How many clients had their connection opened.
+    /// Returns the number of clients whose connection was opened.
     pub fn served(&self) -> usize {
         self.observations
             .iter()
@@ -47,7 +48,7 @@
             .count()
     }
 
-    /// All violations of a rule, one a line.
+    /// Returns all violations of the rules, one per entry.
     pub fn violations(&self) -> Vec<String> {
         let mut by_name: HashMap<&str, Vec<&ObservedAttempt>> = HashMap::new();
         for attempt in &self.reached {
@@ -68,7 +69,7 @@
             ];
             violations.extend(found.into_iter().flatten().map(|violation| {
                 format!(
-                    "{} at seat {}, {:?}, offering {}: {violation}",
+                    "{} at slot {}, {:?}, class {}: {violation}",
                     client.name, client.slot, client.behavior, client.class
                 )
             }));
@@ -76,7 +77,7 @@
         violations
     }
 
-    /// Whether a process of its slot was killed while the client was there.
+    /// Returns whether a process of the client's slot was killed while the client used it.
     fn was_killed(&self, client: &ClientObservation) -> bool {
         let slot = self.slots[client.slot].lock().unwrap();
         let until = client.ended_at.unwrap_or(client.received_at);
@@ -85,7 +86,7 @@
             .any(|at| *at + BUSY_SLACK > client.asked - FAULT_LOOKBACK && *at < until + BUSY_SLACK)
     }
 
-    /// Whether the process of its slot was suspended at any time between these.
+    /// Returns whether the process of the client's slot was suspended at any time between `from` and `to`.
     fn was_suspended(&self, client: &ClientObservation, from: Instant, to: Instant) -> bool {
         let slot = self.slots[client.slot].lock().unwrap();
         slot.suspensions
@@ -93,7 +94,7 @@
             .any(|span| span.from < to && span.to + BUSY_SLACK > from)
     }
 
-    /// Whether idle clients crowded its slot when it asked.
+    /// Returns whether a crowd was at the client's slot while it waited for its answer.
     fn was_crowded(&self, client: &ClientObservation) -> bool {
         let slot = self.slots[client.slot].lock().unwrap();
         slot.crowds
@@ -101,13 +102,16 @@
             .any(|span| span.from <= client.received_at && client.asked <= span.to + BUSY_SLACK)
     }
 
-    /// Rule 1: one final answer, in time.
+    /// Rule 1: each request gets exactly one final answer, in time.
     fn check_answer(&self, client: &ClientObservation) -> Option<String> {
         if client.behavior == ClientBehavior::LeavesEarly || self.was_killed(client) {
             return None;
         }
         if let Some(second) = &client.second_answer {
-            return Some(format!("rule 1: {second} behind {:?}", client.received));
+            return Some(format!(
+                "rule 1: {second} received after {:?}",
+                client.received
+            ));
         }
         let took = client.received_at - client.asked;
         let suspended =
@@ -115,16 +119,20 @@
         match &client.received {
             Received::End if client.behavior.violates_protocol() => {}
             Received::Line(_) => {}
-            // Under a crowd a new connection may be shut unread, which resets it.
+            // A process without free descriptors may close a new connection before it has read from it, which resets it.
             Received::Reset if self.was_crowded(client) => {}
-            // The client gave up waiting while the process was suspended, or right after.
+            // The client's wait timed out while the process was suspended, or right after.
             Received::Timeout
                 if self.was_suspended(
                     client,
                     client.received_at - MISBEHAVING_CLIENT_TIMEOUT,
                     client.received_at,
                 ) => {}
-            other => return Some(format!("rule 1: no answer but {other:?} after {took:?}")),
+            other => {
+                return Some(format!(
+                    "rule 1: received {other:?} instead of an answer after {took:?}"
+                ))
+            }
         }
         let timeout = if client.behavior.violates_protocol() {
             MISBEHAVING_CLIENT_TIMEOUT
@@ -142,7 +150,7 @@
         }
     }
 
-    /// Rule 1: nothing is sent after the answer or the deadline, nor for a client that has closed.
+    /// Rule 1: no attempt begins after the answer, after the deadline or after the client has closed its connection.
     fn check_late_attempt(
         &self,
         client: &ClientObservation,
@@ -154,31 +162,31 @@
             .filter(|closed_at| last.at > *closed_at + ABANDON_TIMEOUT + BUSY_SLACK)
         {
             return Some(format!(
-                "attempted {:?} after its client had gone",
+                "attempted {:?} after the client closed its connection",
                 last.at - closed_at
             ));
         }
         let slack = SOCKET_SLACK + BUSY_SLACK;
         if matches!(client.received, Received::Line(_)) && last.at > client.received_at + slack {
             return Some(format!(
-                "rule 1: attempted {:?} after its answer",
+                "rule 1: attempted {:?} after the answer",
                 last.at - client.received_at
             ));
         }
-        // The time of a request counts from when it was read: a process that was suspended had not read it.
+        // The deadline of a request counts from when it was read, which a suspension delays.
         let from = client.asked - READ_LOOKBACK;
         if last.at > client.asked + self.deadlines[client.class] + slack
             && !self.was_suspended(client, from, last.at)
         {
             return Some(format!(
-                "rule 1: attempted {:?} after it asked",
+                "rule 1: attempted {:?} after the request",
                 last.at - client.asked
             ));
         }
         None
     }
 
-    /// Rule 3: no attempt reaches a host that drains, beyond the grace.
+    /// Rule 3: no attempt reaches a draining host later than the grace time after the process was notified.
     fn check_drain(
         &self,
         client: &ClientObservation,
@@ -198,15 +206,15 @@
                 + BUSY_SLACK;
             (late > allowed).then(|| {
                 format!(
-                    "rule 3: sent to host {} {late:?} after its drain",
+                    "rule 3: sent to host {} {late:?} after its drain was announced",
                     attempt.host
                 )
             })
         })
     }
 
-    /// When the processes of this slot that may have made an attempt at `at` have to know what the list services had
-    /// at `announced`: the latest of them, as nobody sees which one made it.
+    /// Returns when the processes of a slot that may have made an attempt at `at` count as notified of what the list
+    /// services had at `announced`. This is the latest such time, as the attempt does not show which process made it.
     fn notified_at(&self, slot: usize, announced: Instant, at: Instant) -> Instant {
         let slot = self.slots[slot].lock().unwrap();
         slot.runs
@@ -218,7 +226,7 @@
     }
 }
 
-/// Rule 2: a request that may have run is repeated only where, and for as long as, its class allows.
+/// Rule 2: a request that may have run is only repeated at hosts and within the time that its class allows.
 fn check_repeats(client: &ClientObservation, attempts: &[&ObservedAttempt]) -> Option<String> {
     let may_have_run: Vec<&ObservedAttempt> = attempts
         .iter()
@@ -232,17 +240,17 @@
             Some(format!("rule 2: may have run {} times", may_have_run.len()))
         }
         CLASS_NON_IDEMPOTENT if client.received.starts_with("BUSY") => {
-            Some("rule 2: dismissed though it may have run".into())
+            Some("rule 2: rejected although it may have run".into())
         }
         CLASS_WITH_KEY
             if may_have_run
                 .iter()
                 .any(|attempt| attempt.host % 2 != first.host % 2) =>
         {
-            Some("rule 2: left its group".into())
+            Some("rule 2: repeated outside its idempotency group".into())
         }
         CLASS_WITH_KEY if may_have_run.iter().any(|attempt| attempt.at > window_end) => {
-            Some("rule 2: repeated past its window".into())
+            Some("rule 2: repeated after its repeat window".into())
         }
         _ => None,
     }
--- a/testkit/src/soak/soak_faults.rs
+++ b/testkit/src/soak/soak_faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a soak, drawn by a seed: each has a beginning and a length, and several streams of them overlap.
+//! The faults of a soak, drawn from a seed. Each has a start and a duration, and several streams of them overlap.
 
 use super::SoakSize;
 use crate::simulated::HostBehavior;
@@ -9,53 +9,53 @@
 use std::fmt;
 use std::time::Duration;
 
-/// One fault, at a process by its slot, at a host, or at the list service.
+/// A fault at a process (by its slot), at a host (by its number) or at both list services.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SoakFault {
-    /// Told to stop by a signal, and started again once it has stopped.
+    /// The process is told to stop by a signal; a new one is started once it has ended.
     Stop(usize),
-    /// Another process takes over its listener and its connections.
+    /// Another process takes over the process's listener and connections.
     Replace(usize),
-    /// The same, while messages between the two fail most of the time at both.
+    /// Like `Replace`, while most of the messages between the two processes fail at both.
     ReplaceWithMessageFaults(usize),
-    /// Killed, and started again.
+    /// The process is killed; a new one is started later.
     Kill(usize),
-    /// Told to reload its settings, which name the other list service; and back.
+    /// The process reloads its settings, which name the other list service; later it reloads back.
     Reload(usize),
-    /// Suspended.
+    /// The process is suspended.
     Suspend(usize),
-    /// The wall clock of its machine is stepped by so many seconds.
+    /// The wall clock that the process reads is stepped by this many seconds.
     StepClock(usize, i64),
-    /// System calls of this family fail, fall short or are held up.
+    /// System calls of the process fail, transfer less than asked for or are delayed.
     Syscalls(usize, SyscallFaultFamily),
-    /// A host behaves in this way.
+    /// A host behaves in this way instead of accepting requests.
     Host(usize, HostBehavior),
-    /// A host drains, and comes back.
+    /// A host drains and becomes active again.
     Drain(usize),
     /// The list services are down.
     ServiceDown,
-    /// Open watches fall silent.
+    /// Watches that are open are never answered.
     ServiceSilent,
     /// The list services reject seven of ten calls.
     ServiceRejects,
 }
 
-/// Faults of system calls that come together.
+/// A set of faults of system calls that are active together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyscallFaultFamily {
-    /// Calls fail for want of memory.
+    /// Calls fail because memory is exhausted.
     NoMemory,
-    /// Calls fail for want of descriptors.
+    /// Calls fail because file descriptors or `epoll` watches are exhausted.
     NoDescriptors,
-    /// Connects fail for want of a route, a port or an address.
+    /// Connects fail because there is no route to the host or no free local address, and accepted connections are aborted.
     NoRoute,
     /// Calls are interrupted.
     Interrupted,
-    /// Calls move one byte.
+    /// Sends and receives transfer one byte.
     ShortTransfers,
     /// Sends are delayed.
     DelayedSends,
-    /// Messages between a process and its successor fail most of the time.
+    /// Most messages between a process and its successor fail.
     HandoverMessages,
 }
 
@@ -70,7 +70,7 @@
 ];
 
 impl SyscallFaultFamily {
-    /// The faults that come together.
+    /// Returns the faults of this family.
     pub fn faults(self) -> Vec<Fault> {
         let fails = |call, errno, every| Fault {
             call,
@@ -123,7 +123,7 @@
                     every: 9,
                 }]
             }
-            // Two beside each other, so that no more than one in three succeeds.
+            // Two faults per call together let at most one call in three succeed.
             SyscallFaultFamily::HandoverMessages => vec![
                 fails(Call::SendMessage, Errno::NOBUFS, 2),
                 fails(Call::SendMessage, Errno::NOMEM, 3),
@@ -134,48 +134,48 @@
     }
 }
 
-/// A fault with its time.
+/// A fault and the time during which it is active.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedFault {
-    /// When it begins, from the start of the soak.
+    /// When the fault begins, from the start of the soak.
     pub start: Duration,
-    /// How long it lasts.
+    /// How long the fault lasts.
     pub duration: Duration,
-    /// What happens.
+    /// The fault.
     pub fault: SoakFault,
 }
 
-/// A fault begins or ends.
+/// The beginning or the end of a fault.
 #[derive(Clone, Debug)]
 pub struct FaultTransition {
-    /// When, from the start.
+    /// The time from the start of the soak.
     pub at: Duration,
-    /// Whether the fault begins or ends.
+    /// Whether the fault begins; otherwise it ends.
     pub begins: bool,
-    /// Which fault.
+    /// The fault.
     pub fault: SoakFault,
 }
 
 /// All faults of a soak.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SoakSchedule {
-    /// What it was drawn from.
+    /// The seed from which the schedule was drawn.
     pub seed: u64,
-    /// The faults by the time at which they begin.
+    /// The faults in the order in which they begin.
     pub planned: Vec<PlannedFault>,
 }
 
-/// How long a process takes to stop, by the longest deadline.
+/// The least duration of a stop, in milliseconds: how long a process takes to stop with the longest deadline.
 const MIN_STOP_DURATION_MILLIS: u64 = 2800;
-/// How long other faults last at the least.
+/// The least duration of other faults, in milliseconds.
 const MIN_DURATION_MILLIS: u64 = 200;
-/// How much longer than the least a fault may last.
+/// How much longer than its least duration a fault may last, in milliseconds, exclusive.
 const DURATION_SPREAD_MILLIS: u64 = 2800;
-/// A quiet time at the start, and the longest one between two faults of one stream.
+/// The least time before the first fault, and the longest time between two faults of one stream, in milliseconds.
 const MAX_GAP_MILLIS: u64 = 500;
 
 impl SoakSchedule {
-    /// Draws a schedule; the same seed and size draw the same.
+    /// Draws a schedule. The same seed and size draw the same schedule.
     pub fn draw(seed: u64, size: &SoakSize) -> SoakSchedule {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let span_millis = size.span.as_millis() as u64;
@@ -184,7 +184,7 @@
             let mut start_millis = MAX_GAP_MILLIS + rng.random_range(0..MAX_GAP_MILLIS);
             while start_millis < span_millis {
                 let fault = SoakSchedule::draw_fault(&mut rng, size);
-                // A process that was told to stop takes its time, and nobody is to wait for it.
+                // Ending the fault waits for the process. The longer duration keeps that from delaying other faults.
                 let min_millis = match fault {
                     SoakFault::Stop(_) => MIN_STOP_DURATION_MILLIS,
                     _ => MIN_DURATION_MILLIS,
@@ -196,7 +196,7 @@
                     duration: Duration::from_millis(duration_millis),
                     fault,
                 });
-                // The next may begin while this one lasts.
+                // The next fault of the stream may begin while this one lasts.
                 start_millis += rng.random_range(100..=duration_millis + MAX_GAP_MILLIS);
             }
         }
@@ -208,10 +208,10 @@
         let slot = rng.random_range(0..size.processes);
         let host = rng.random_range(0..size.hosts);
         match rng.random_range(0..20) {
-            // Where a listener is shared the next process is there first: those are replaced, never stopped alone.
+            // Odd slots share a listener: their processes are only replaced, never stopped before a successor runs.
             0 | 1 => SoakFault::Stop(slot - slot % 2),
             2 => SoakFault::Replace(slot),
-            // One whose listener is shared, where there is any.
+            // Chooses a slot with a shared listener, if there is one.
             3 => SoakFault::ReplaceWithMessageFaults((slot | 1).min(size.processes - 1)),
             4 => SoakFault::Kill(slot),
             5 | 6 => SoakFault::Reload(slot),
@@ -234,7 +234,7 @@
         }
     }
 
-    /// All beginnings and ends in their order.
+    /// Returns the beginnings and ends of all faults in the order of their times.
     pub fn transitions(&self) -> Vec<FaultTransition> {
         let mut transitions: Vec<FaultTransition> = self
             .planned
--- a/testkit/src/soak/soak_faults_tests.rs
+++ b/testkit/src/soak/soak_faults_tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Prevents a failing seed that can't be played again, and faults that never overlap.
+/// Guards against a failing seed that can't be reproduced, and against faults that never overlap.
 #[test]
-fn a_seed_draws_the_same_again_and_its_faults_overlap() {
+fn a_seed_draws_the_same_schedule_and_its_faults_overlap() {
     let size = SoakSize {
         processes: 24,
         hosts: 8,
