--- a/testkit/src/discovery/call.rs
+++ b/testkit/src/discovery/call.rs
@@ -1,19 +1,19 @@
-//! One call to the discovery stand-in, as it was asked for.
+//! The requests that the stand-in for the discovery service reads.
 
 use std::io::{BufRead, BufReader};
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// A poll, or a watch where it names the revision that the caller has.
+/// A call for the list: a watch if it names the revision that the caller has, a poll otherwise.
 pub(super) struct Call {
     pub(super) path: String,
     pub(super) from_revision: Option<u64>,
-    /// How long a watch waits for a change.
+    /// How long a watch waits for a change; zero if the call names no time.
     pub(super) hold: Duration,
 }
 
 impl Call {
-    /// The next call on a connection, unless it ends.
+    /// Reads the next call from a connection. Returns `None` if the connection ends.
     pub(super) fn read(reader: &mut BufReader<TcpStream>) -> Option<Call> {
         let mut head = String::new();
         while !head.ends_with("\r\n\r\n") {
--- a/testkit/src/discovery/history.rs
+++ b/testkit/src/discovery/history.rs
@@ -1,24 +1,25 @@
-//! What happened at a discovery stand-in: each call with its caller, and when the service was down. A checker reads by
-//! it from when a caller counts as notified.
+//! The history of a stand-in for the discovery service: each call with its caller, and when the service was down. A
+//! checker derives from it when a caller counts as notified of a change.
 
 use std::time::{Duration, Instant};
 
-/// A call, and what became of it.
+/// A call and its outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallRecord {
-    /// The caller, as [`Discovery::listen_for`](super::Discovery::listen_for) numbers them; 0 where nobody asked for an address.
+    /// The caller's number as given to [`Discovery::listen_for`](super::Discovery::listen_for); 0 for calls to
+    /// [`Discovery::address`](super::Discovery::address).
     pub caller: u64,
-    /// When it came.
+    /// When the call came.
     pub called_at: Instant,
-    /// How long it might wait for a change.
+    /// How long the call might wait for a change; zero for a poll.
     pub max_wait: Duration,
-    /// When its answer, a list, was about to be written.
+    /// When a list was about to be written in answer; `None` if none was.
     pub answered_at: Option<Instant>,
-    /// When it fell silent.
+    /// When the call fell silent, so that it is never answered; `None` if it did not.
     pub silenced_at: Option<Instant>,
-    /// When the caller ended its connection, for a call that is silent.
+    /// When the caller closed the connection of a silent call; `None` for other calls and while it is open.
     pub closed_at: Option<Instant>,
-    /// Whether it waits now.
+    /// Whether the call is waiting for a change now.
     pub(super) waiting: bool,
 }
 
@@ -36,26 +37,27 @@
     }
 }
 
-/// A time for which the service was down.
+/// A time during which the service was down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outage {
-    /// When it began.
+    /// When the outage began.
     pub from: Instant,
-    /// When the service was back, unless it is still down.
+    /// When the service was up again; `None` if it is still down.
     pub to: Option<Instant>,
 }
 
-/// All that happened at a service.
+/// All calls to a service and all its outages.
 #[derive(Clone, Debug, Default)]
 pub struct DiscoveryHistory {
-    /// By when they came.
+    /// The calls in the order in which they came.
     pub calls: Vec<CallRecord>,
-    /// By when they began; no two overlap.
+    /// The outages in the order in which they began. No two overlap.
     pub outages: Vec<Outage>,
 }
 
 impl DiscoveryHistory {
-    /// The first moment, from `at` on, in which the service could be reached.
+    /// Returns the first moment at or after `at` at which the service could be reached, or `None` if it is still
+    /// down.
     pub fn reachable_from(&self, at: Instant) -> Option<Instant> {
         let during = |outage: &&Outage| outage.from <= at && outage.to.is_none_or(|to| at < to);
         match self.outages.iter().find(during) {
--- a/testkit/src/discovery/mod.rs
+++ b/testkit/src/discovery/mod.rs
@@ -1,6 +1,5 @@
-//! A stand-in for the discovery service: keeps a list of hosts and answers polls and watches over HTTP, as many a
-//! second as a test allows, with faults as a test sets them. It serves nothing but its list, unless a test sets another
-//! answer.
+//! A stand-in for the discovery service. It keeps a list of hosts and answers polls and watches over HTTP, at the
+//! rate and with the faults that a test sets. It answers with its list, unless a test sets another answer.
 
 mod call;
 mod history;
@@ -17,42 +16,42 @@
 use std::time::{Duration, Instant};
 
 const REJECTION: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-/// The beginning of an answer that never ends.
+/// The beginning of an answer that is never completed.
 const PARTIAL_ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n{\"revision\":";
 
 #[derive(Default)]
 struct State {
     revision: u64,
     members: Vec<Member>,
-    /// Answers given in place of the list, the next one last.
+    /// Answers given instead of the list. The next one to give is the last.
     answer_overrides: Vec<String>,
     /// When each call was answered.
     answered: Vec<Instant>,
     /// When each call came.
     called: Vec<Instant>,
-    /// What each call asked for.
+    /// The path and query of each call.
     asked: Vec<String>,
     /// When each rejected call came.
     rejected: Vec<Instant>,
     rate_limit: Option<RateLimit>,
-    /// When all accepted calls will have been worked off.
+    /// When all accepted calls will have been served; `None` before the first call under a rate limit.
     idle_from: Option<Instant>,
     down: bool,
     hang: Option<Hang>,
-    /// Of ten calls so many are rejected.
+    /// The number of calls out of ten that are rejected.
     rejected_of_ten: usize,
-    /// Grows with each start: what was begun before ends.
+    /// Incremented with each restart and outage. Calls that began before end without an answer.
     incarnation: u64,
-    /// Grows whenever watches fall silent.
+    /// Incremented whenever watches fall silent.
     silence_count: u64,
-    /// The answer to a poll for the whole list.
+    /// The last answer to a poll for the whole list.
     cached_list: Option<CachedList>,
-    /// What became of each call, and when the service was down.
+    /// The outcome of each call, and when the service was down.
     history: DiscoveryHistory,
 }
 
 struct Member {
-    /// The revision at which it changed last.
+    /// The revision of the list at which the member last changed.
     revision: u64,
     entry: Value,
 }
@@ -64,50 +63,50 @@
     max_wait: Duration,
 }
 
-/// Calls are accepted and not answered.
+/// How far calls get while the service hangs.
 #[derive(Clone, Copy, PartialEq)]
 enum Hang {
     BeforeAnswer,
-    /// With the beginning of an answer.
+    /// After the beginning of an answer.
     WithinAnswer,
 }
 
-/// The whole list as it was last written.
+/// The whole list as it was last serialized.
 struct CachedList {
     incarnation: u64,
     revision: u64,
     body: Arc<str>,
 }
 
-/// What becomes of a call.
+/// How the service replies to a call.
 enum Reply {
     Answer(String),
-    /// An answer that is not complete, behind which the connection ends.
+    /// An incomplete answer, after which the connection ends.
     BrokenAnswer(String),
-    /// The connection ends.
+    /// The service closes the connection without an answer.
     Close,
-    /// The service hangs, until it recovers or starts again.
+    /// No answer or an incomplete one, until the service stops hanging or restarts.
     Hang {
         kind: Hang,
         incarnation: u64,
     },
     /// Nothing, until the caller ends the connection.
     Silence {
-        /// The index of the call's record.
+        /// The index of the call in the history.
         record: usize,
     },
 }
 
-/// Discovery: keeps a list and answers watches on it.
+/// A discovery service that keeps a list and answers polls and watches of it. Clones share one service.
 #[derive(Clone)]
 pub struct Discovery {
-    /// Where it listens.
+    /// The address at which the service listens.
     pub address: SocketAddr,
     shared: Arc<(Mutex<State>, Condvar)>,
 }
 
 impl Discovery {
-    /// Starts an empty list service on a port of its own.
+    /// Starts a service with an empty list on an unused port.
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let discovery = Discovery {
@@ -118,7 +117,7 @@
         discovery
     }
 
-    /// Another address of the same service, whose calls are recorded as this caller's.
+    /// Opens another address of the same service and returns it. Calls to it are recorded as calls of `caller`.
     pub fn listen_for(&self, caller: u64) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -136,7 +135,7 @@
         });
     }
 
-    /// What became of each call up to now, and when the service was down.
+    /// Returns the outcome of each call up to now, and when the service was down.
     pub fn history(&self) -> DiscoveryHistory {
         self.state().history.clone()
     }
@@ -149,7 +148,8 @@
         &self.shared.1
     }
 
-    /// From now on it works calls off one by one, so many a second, and rejects those that would wait longer than this.
+    /// From now on serves calls one by one at this rate, and rejects those that would wait longer than
+    /// `max_queue_time`.
     pub fn limit_rate(&self, calls_per_second: f64, max_queue_time: Duration) {
         self.state().rate_limit = Some(RateLimit {
             time_per_call: Duration::from_secs_f64(1.0 / calls_per_second),
@@ -157,12 +157,12 @@
         });
     }
 
-    /// From now on it works calls off as fast as it can.
+    /// From now on serves calls without a rate limit.
     pub fn lift_rate_limit(&self) {
         self.state().rate_limit = None;
     }
 
-    /// It is down: watches end, and no call is answered.
+    /// Takes the service down: the connections of open watches and of new calls are closed without an answer.
     pub fn go_down(&self) {
         let mut state = self.state();
         if !std::mem::replace(&mut state.down, true) {
@@ -182,7 +182,8 @@
         }
     }
 
-    /// From now on it accepts calls and answers none, or begins an answer and goes silent; watches stay open.
+    /// From now on accepts calls and does not answer them; with `within_answer` begins an answer and never completes
+    /// it. Watches that are already waiting are not affected.
     pub fn hang(&self, within_answer: bool) {
         self.state().hang = Some(if within_answer {
             Hang::WithinAnswer
@@ -191,13 +192,13 @@
         });
     }
 
-    /// Ends [`Discovery::hang`]: the connections of calls that hung are closed.
+    /// Ends [`Discovery::hang`] and closes the connections of calls that hung.
     pub fn stop_hanging(&self) {
         self.state().hang = None;
         self.changed().notify_all();
     }
 
-    /// Watches that wait now are never answered, and stay open; later calls are answered.
+    /// Never answers the watches that wait now, but keeps their connections open. Later calls are answered.
     pub fn silence_watches(&self) {
         let mut state = self.state();
         state.silence_count += 1;
@@ -206,12 +207,12 @@
         waiting.for_each(|call| _ = call.silenced_at.get_or_insert(now));
     }
 
-    /// Rejects so many of ten calls.
+    /// From now on rejects this number of calls out of ten.
     pub fn reject_of_ten(&self, of_ten: usize) {
         self.state().rejected_of_ten = of_ten;
     }
 
-    /// It starts again with this list at this revision: all watches end at one moment, which is returned.
+    /// Restarts the service with this list at this revision. All watches end at once, at the moment that is returned.
     pub fn restart(&self, revision: u64, members: &[Value]) -> Instant {
         let mut state = self.state();
         state.incarnation += 1;
@@ -227,18 +228,18 @@
         Instant::now()
     }
 
-    /// When each call came, and when each rejected one did.
+    /// Returns when each call came, and when each rejected call came.
     pub fn seen(&self) -> (Vec<Instant>, Vec<Instant>) {
         let state = self.state();
         (state.called.clone(), state.rejected.clone())
     }
 
-    /// What each call asked for.
+    /// Returns the path and query of each call.
     pub fn asked(&self) -> Vec<String> {
         self.state().asked.clone()
     }
 
-    /// Changes one entry of the list, and notifies watches.
+    /// Adds or replaces one entry of the list and notifies watches.
     pub fn change(&self, entry: Value) {
         let mut state = self.state();
         state.revision += 1;
@@ -250,20 +251,22 @@
         self.changed().notify_all();
     }
 
-    /// Has the next calls answered so in place of the list.
+    /// Sets the answers to the next calls, given instead of the list. After an answer without a blank line, the
+    /// connection is closed.
     pub fn answer_instead(&self, answers: &[&str]) {
         let answers = answers.iter().rev();
         self.state().answer_overrides = answers.map(ToString::to_string).collect();
     }
 
-    /// Waits until so many calls have come, and says how long after the last answer each followed.
+    /// Waits until `count` calls have come. Returns for each call but the first how long after the previous answer it
+    /// came.
     pub fn calls(&self, count: usize) -> Vec<Duration> {
         let deadline = Instant::now() + MAX_WAIT;
         let mut state = self.state();
         while state.called.len() < count {
             let remaining = deadline
                 .checked_duration_since(Instant::now())
-                .expect("too few calls came");
+                .expect("too few calls came in time");
             state = self.changed().wait_timeout(state, remaining).unwrap().0;
         }
         state
@@ -309,11 +312,11 @@
         drop(self.changed().wait_while(self.state(), hangs));
     }
 
-    /// Waits for as long as a call takes, and says what becomes of it.
+    /// Waits until a call is to be answered and returns the reply to it.
     fn reply(&self, call: &Call, caller: u64) -> Reply {
         let mut state = self.state();
         let (now, incarnation) = (Instant::now(), state.incarnation);
-        // What a test sets once it has seen the call concerns later calls alone.
+        // Read before a test can see the call: faults set after that apply only to later calls.
         let record = state.record_call(call, caller, now);
         self.changed().notify_all();
         if state.down {
@@ -364,7 +367,7 @@
 }
 
 impl State {
-    /// Records that a call has come, and returns the index of its record.
+    /// Records a call and returns the index of its record.
     fn record_call(&mut self, call: &Call, caller: u64, now: Instant) -> usize {
         self.called.push(now);
         self.asked.push(call.path.clone());
@@ -373,14 +376,14 @@
         calls.len() - 1
     }
 
-    /// A list is about to be written in answer to a call.
+    /// Records that a list is about to be written in answer to a call.
     fn record_answer(&mut self, record: usize) {
         let now = Instant::now();
         self.answered.push(now);
         self.history.calls[record].answered_at = Some(now);
     }
 
-    /// Accepts a call, and returns when it will have been worked off; or notes that it is rejected.
+    /// Accepts a call and returns when it will have been served, or records a rejection and returns `None`.
     fn schedule_call(&mut self, now: Instant) -> Option<Instant> {
         let is_rejected_in_turn = self.called.len() % 10 < self.rejected_of_ten;
         let idle_from = self.idle_from.unwrap_or(now).max(now);
@@ -399,7 +402,7 @@
         Some(served_at)
     }
 
-    /// The list, or what has changed in it since a revision.
+    /// Returns the serialized list, or the members that changed after a revision.
     fn list(&mut self, from_revision: Option<u64>) -> Arc<str> {
         let Some(from) = from_revision else {
             return self.whole_list();
--- a/testkit/src/peers.rs
+++ b/testkit/src/peers.rs
@@ -1,5 +1,5 @@
-//! Scripted peers: clients and hosts that send and expect lines as a test tells them. Every wait is a read of
-//! [`MAX_WAIT`] at the longest. Peers that act by themselves are in [`crate::simulated`].
+//! Scripted peers: clients and hosts that send and expect lines as a test tells them. No read waits longer than
+//! [`MAX_WAIT`]. Peers that run on their own are in [`crate::simulated`].
 
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,10 +8,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a test waits for anything before it fails.
+/// How long a test waits for an event before it fails.
 pub const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// One end of a connection that speaks lines.
+/// One end of a connection that carries lines.
 pub struct Peer {
     /// The connection itself.
     pub stream: TcpStream,
@@ -19,7 +19,7 @@
 }
 
 impl Peer {
-    /// Speaks lines on this connection.
+    /// Wraps a connection. Reads time out after [`MAX_WAIT`].
     pub fn new(stream: TcpStream) -> Self {
         stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
         stream.set_nodelay(true).unwrap();
@@ -34,7 +34,7 @@
         Peer::new(TcpStream::connect(address).unwrap())
     }
 
-    /// Sends text as it is.
+    /// Sends text without adding a line end.
     pub fn write(&mut self, text: &str) {
         self.stream.write_all(text.as_bytes()).unwrap();
     }
@@ -44,7 +44,7 @@
         self.write(&format!("{line}\r\n"));
     }
 
-    /// The next line, or how the connection ended: `end` or `reset`.
+    /// Returns the next line without its line end, or how the connection ended: `end` or `reset`.
     pub fn receive_line(&mut self) -> String {
         let mut line = Vec::new();
         match self.reader.read_until(b'\n', &mut line) {
@@ -54,43 +54,43 @@
                 .trim_end_matches("\r\n")
                 .to_string(),
             Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => "reset".into(),
-            Err(e) => panic!("waited for a line: {e}"),
+            Err(e) => panic!("no line received: {e}"),
         }
     }
 
-    /// Expects the next line to be this one.
+    /// Asserts that the next line is `wanted`.
     pub fn expect_line(&mut self, wanted: &str) {
         assert_eq!(self.receive_line(), wanted);
     }
 
-    /// Reads so many bytes.
+    /// Reads `count` bytes.
     pub fn bytes(&mut self, count: usize) -> Vec<u8> {
         let mut all = vec![0; count];
         self.reader.read_exact(&mut all).unwrap();
         all
     }
 
-    /// Ends this side of the connection in order.
+    /// Shuts this side of the connection down for writing.
     pub fn end_sending(&self) {
         self.stream.shutdown(Shutdown::Write).unwrap();
     }
 
-    /// Ends the connection by a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         rustix::net::sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO)).unwrap();
     }
 }
 
-/// Hosts that do what the test tells them: each hands what it accepts to the test.
+/// Hosts that a test controls: each hands the connections that it accepts to the test.
 pub struct Hosts {
-    /// Where each host listens.
+    /// The address at which each host listens.
     pub addresses: Vec<SocketAddr>,
     arrivals: Receiver<(usize, Peer)>,
     sender: Sender<(usize, Peer)>,
 }
 
 impl Hosts {
-    /// Starts so many hosts.
+    /// Starts `count` hosts.
     pub fn start(count: usize) -> Self {
         let (sender, arrivals) = channel();
         let mut hosts = Hosts {
@@ -102,7 +102,7 @@
         hosts
     }
 
-    /// Starts one more.
+    /// Starts one more host.
     pub fn add(&mut self) {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let (number, sender) = (self.addresses.len(), self.sender.clone());
@@ -116,19 +116,19 @@
         });
     }
 
-    /// The next connection to any of them, and to which.
+    /// Waits for the next connection to any host. Returns the number of the host and the connection.
     pub fn accept(&self) -> (usize, Peer) {
         self.arrivals
             .recv_timeout(MAX_WAIT)
-            .expect("no connection came to a host")
+            .expect("no connection reached a host in time")
     }
 
-    /// A connection that is there, or comes very soon.
+    /// Returns the next connection if one comes within 100 ms, as [`Hosts::accept`] does, or `None`.
     pub fn accept_soon(&self) -> Option<(usize, Peer)> {
         self.arrivals.recv_timeout(Duration::from_millis(100)).ok()
     }
 
-    /// All hosts as entries of the endpoint list, active.
+    /// Returns all hosts as entries of the endpoint list, in phase `active`.
     pub fn members(&self) -> Value {
         let all = self.addresses.iter().enumerate();
         all.map(|(n, a)| member(n, &a.to_string(), "active"))
@@ -136,13 +136,13 @@
     }
 }
 
-/// A host as an entry of the endpoint list, in this phase.
+/// Returns a host as an entry of the endpoint list, in this phase.
 pub fn member(number: usize, address: &str, phase: &str) -> Value {
     json!({"id": format!("s-{number}"), "host_port": address, "locality": "a", "flavor": "m", "cell": 0,
         "phase": phase, "size": 1.0, "up_since_ms": 0})
 }
 
-/// An address at which nobody listens.
+/// Returns an address at which nothing listens.
 pub fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
         .unwrap()
@@ -150,7 +150,8 @@
         .unwrap()
 }
 
-/// A host's listener with no room: connections to it come up only once the one that is in the way, the first, was accepted.
+/// Returns a listener whose backlog is full, and the connection that fills it. Further connections are only
+/// established once that one has been accepted.
 pub fn full_listener() -> (TcpListener, TcpStream) {
     use rustix::net::{bind, listen, socket, AddressFamily, SocketType};
     let listener = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
@@ -161,10 +162,11 @@
     (listener, first)
 }
 
-/// A client's request in the text protocol.
+/// The request line of a client in the text protocol.
 pub const OPEN: &str = "OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f";
 
-/// Tries until it holds, for what shows itself by nothing that could be read.
+/// Polls a condition until it holds, and panics with `what` after [`MAX_WAIT`]. For conditions that no read can wait
+/// for.
 pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
     let until = Instant::now() + MAX_WAIT;
     while !holds() {
--- a/testkit/src/program/config.rs
+++ b/testkit/src/program/config.rs
@@ -1,15 +1,15 @@
-//! The node config that tests start from.
+//! The node config on which tests base theirs.
 
 use crate::peers::Hosts;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// The node config of a node that knows these hosts.
+/// Returns the config of a node that knows `hosts` at its start and calls discovery at `discovery`.
 pub fn node_config(hosts: &Hosts, discovery: SocketAddr) -> Value {
     node_config_of(hosts.members(), discovery)
 }
 
-/// The node config of a node that knows this list.
+/// Like [`node_config`], with these members of the endpoint list instead of hosts.
 pub fn node_config_of(members: Value, discovery: SocketAddr) -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512},
--- a/testkit/src/program/launch.rs
+++ b/testkit/src/program/launch.rs
@@ -1,4 +1,4 @@
-//! How the program is started: the commands, the files that they name, and where clients are accepted.
+//! Builds the commands that start the program and writes the config files that they name.
 
 use super::files::write_file;
 use serde_json::Value;
@@ -8,39 +8,40 @@
 
 /// The environment variable that names the file of the node config.
 const NODE_CONFIG_VARIABLE: &str = "GW_CONFIG";
-/// What stands for the file of the node config in an operator config.
+/// The placeholder for the path of the node config in an operator config.
 const NODE_CONFIG_PLACEHOLDER: &str = "PAPERS";
 
-/// The program: what `REEDFERRY_PROGRAM` names, or `reedferry` in the folder of what runs, or above that.
+/// Returns the path of the program: what `REEDFERRY_PROGRAM` names, or else `reedferry` in the folder of the running
+/// executable or in the folder above.
 ///
 /// # Panics
-/// Where there is none.
+/// Panics if there is no such file.
 pub fn path() -> PathBuf {
     if let Some(named) = std::env::var_os("REEDFERRY_PROGRAM") {
         return named.into();
     }
-    let own = std::env::current_exe().expect("no path of its own");
+    let own = std::env::current_exe().expect("the path of the running executable is unknown");
     own.ancestors()
         .skip(1)
         .take(2)
         .map(|folder| folder.join("reedferry"))
         .find(|path| path.is_file())
-        .expect("no program: build `reedferry` first")
+        .expect("program `reedferry` not found: build it first")
 }
 
-/// The program with this node config, its output kept.
+/// Returns a command that runs the program with this node config and with its output piped.
 pub fn program(node_config: &str) -> Command {
     Launch::node(&path(), node_config).command
 }
 
-/// The same, with clients accepted at the descriptor that is named so.
+/// Like [`program`], with clients accepted at the inherited descriptor `listener` and with `folder` for hot restarts.
 pub fn program_at(node_config: &str, listener: &str, folder: &Path) -> Command {
     Launch::node(&path(), node_config)
         .at(listener, folder)
         .command
 }
 
-/// A listener that programs started from here on inherit.
+/// Returns a listener that processes started from now on inherit.
 pub fn listener() -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     rustix::io::fcntl_setfd(&listener, rustix::io::FdFlags::empty()).unwrap();
@@ -51,12 +52,12 @@
 pub(super) struct Launch {
     pub command: Command,
     pub node_config_file: PathBuf,
-    /// The file of a role other than a single node.
+    /// The operator config of a role other than a single node; `None` for a single node.
     pub operator_config_file: Option<PathBuf>,
 }
 
 impl Launch {
-    /// A node with this node config.
+    /// Prepares a node with this node config.
     pub(super) fn node(program: &Path, node_config: &str) -> Self {
         let node_config_file = write_file("json", node_config);
         let mut command = Command::new(program);
@@ -68,7 +69,7 @@
         }
     }
 
-    /// The program in a role, by an operator config.
+    /// Prepares a process in a role, with this operator config.
     pub(super) fn role(
         program: &Path,
         role: &str,
@@ -90,7 +91,8 @@
         }
     }
 
-    /// Accepts clients at this descriptor, with this folder for what processes leave to their successors.
+    /// Lets the process accept clients at an inherited descriptor, with this folder for what processes leave to their
+    /// successors.
     pub(super) fn at(mut self, listener: &str, folder: &Path) -> Self {
         self.command
             .env("GW_ACCEPT_FD", listener)
@@ -98,7 +100,7 @@
         self
     }
 
-    /// Limits the process to so many descriptors.
+    /// Limits the number of descriptors of the process.
     pub(super) fn with_descriptor_limit(self, descriptors: usize) -> Self {
         let mut command = Command::new("sh");
         command
--- a/testkit/src/program/mod.rs
+++ b/testkit/src/program/mod.rs
@@ -1,5 +1,6 @@
-//! The program as a child process: started with a node config or an operator config, read by its log, signalled,
-//! suspended, and killed when it is dropped, so that none outlives the test that started it.
+//! Runs the program as a child process: starts it with a node config or an operator config, reads its log, sends it
+//! signals and suspends it. A process is killed when its handle is dropped, so that none outlives the test that
+//! started it.
 
 mod config;
 mod files;
--- a/testkit/src/program/node.rs
+++ b/testkit/src/program/node.rs
@@ -1,4 +1,4 @@
-//! A running process of the program in one role, as tests handle it.
+//! A handle to a running process of the program, in any of its roles.
 
 use super::files::unique_number;
 use super::launch::{path, Launch};
@@ -16,36 +16,36 @@
 use std::str::FromStr;
 use std::time::{Duration, Instant};
 
-/// The program as one role, running.
+/// A running process of the program in one role. It is killed and its config files are removed on drop.
 pub struct Node {
     process: Process,
     node_config_file: PathBuf,
     operator_config_file: Option<PathBuf>,
-    /// Where it accepts clients, or forwarders where it is a planner.
+    /// The address at which the process accepts clients, or forwarders if it is a planner.
     pub address: SocketAddr,
-    /// Where operators call, if they do.
+    /// The address of the operators' HTTP endpoint; `None` if the process has none.
     pub ops: Option<SocketAddr>,
     log: Log,
 }
 
 impl Node {
-    /// Starts a node with this node config.
+    /// Starts a node with this node config and waits until it has started.
     pub fn start(node_config: &Value) -> Self {
         Node::start_build(&path(), node_config)
     }
 
-    /// A node of this build of the program.
+    /// Starts a node from the executable `program`.
     pub fn start_build(program: &Path, node_config: &Value) -> Self {
         Node::run(Launch::node(program, &node_config.to_string()))
     }
 
-    /// A node whose system calls and wall clock this injector makes faulty, from its first call on.
+    /// Starts a node into whose system calls and wall clock `injector` injects faults, from the first call on.
     pub fn start_injected(node_config: &Value, injector: &SyscallInjector) -> Self {
         let launch = Launch::node(&path(), &node_config.to_string());
         Node::run_injected(launch, injector)
     }
 
-    /// The same, at a listener which the test holds.
+    /// Like [`Node::start_injected`], with a listener and a folder as in [`Node::start_at`].
     pub fn start_injected_at(
         node_config: &Value,
         listener: &TcpListener,
@@ -57,13 +57,13 @@
         Node::run_injected(launch.at(&descriptor, folder), injector)
     }
 
-    /// A node that accepts clients at a listener which the test holds, with this folder for what it leaves to its
-    /// successor.
+    /// Starts a node that accepts clients at an inherited listener of the test, with this folder for what it leaves
+    /// to its successor.
     pub fn start_at(node_config: &Value, listener: &TcpListener, folder: &Path) -> Self {
         Node::start_build_at(&path(), node_config, listener, folder)
     }
 
-    /// The same, of this build of the program.
+    /// Like [`Node::start_at`], from the executable `program`.
     pub fn start_build_at(
         program: &Path,
         node_config: &Value,
@@ -75,18 +75,19 @@
         Node::run(launch.at(&descriptor, folder))
     }
 
-    /// A node that the system allows no more than so many descriptors.
+    /// Starts a node that may have at most `descriptors` open descriptors.
     pub fn start_with_descriptor_limit(node_config: &Value, descriptors: usize) -> Self {
         let launch = Launch::node(&path(), &node_config.to_string());
         Node::run(launch.with_descriptor_limit(descriptors))
     }
 
-    /// A process of another role, by an operator config; `PAPERS` in it stands for the file of this node config.
+    /// Starts a process in another role with an operator config, in which `PAPERS` stands for the path of the file
+    /// with this node config.
     pub fn start_as(role: &str, operator_config: &str, node_config: &Value) -> Self {
         Node::start_build_as(&path(), role, operator_config, node_config)
     }
 
-    /// The same, whose system calls and wall clock this injector makes faulty.
+    /// Like [`Node::start_as`], with faults that `injector` injects into the system calls and the wall clock.
     pub fn start_as_injected(
         role: &str,
         operator_config: &str,
@@ -97,7 +98,7 @@
         Node::run_injected(launch, injector)
     }
 
-    /// A process of another role, of this build of the program.
+    /// Like [`Node::start_as`], from the executable `program`.
     pub fn start_build_as(
         program: &Path,
         role: &str,
@@ -130,7 +131,7 @@
         )
     }
 
-    /// Reads the log of a process that has just been started, until it says where it listens.
+    /// Reads the log of a process that has just been started, until it says at which address it listens.
     fn wait_for_start(
         process: Process,
         stderr: ChildStderr,
@@ -150,7 +151,7 @@
             let line = node
                 .log
                 .next()
-                .unwrap_or_else(|| panic!("it did not start; its last line: {last_line}"));
+                .unwrap_or_else(|| panic!("it did not start; last line: {last_line}"));
             if line.contains("operators") {
                 node.ops = value_after(&line, "at: ");
             } else if line.contains("started") {
@@ -161,19 +162,19 @@
         }
     }
 
-    /// Waits for a log line that holds this text.
+    /// Waits for a log line that contains `text` and returns it.
     pub fn wait_for_log(&self, text: &str) -> String {
         self.log.wait_for(text)
     }
 
-    /// A client that sends this request, under an id of its own.
+    /// Connects a client that sends this request line, with the id `9b1f` made unique.
     pub fn open(&self, line: &str) -> Peer {
         let mut client = Peer::connect(self.address);
         client.send_line(&line.replace("9b1f", &format!("9b1f{}", unique_number())));
         client
     }
 
-    /// A client whose connection is open, the number of its host, and the host's end.
+    /// Opens a connection through the node. Returns the client, the number of the host and the host's end.
     pub fn served(&self, hosts: &Hosts) -> (Peer, usize, Peer) {
         let mut client = self.open(OPEN);
         let (number, mut host) = hosts.accept();
@@ -183,7 +184,7 @@
         (client, number, host)
     }
 
-    /// An operator's call: the status of the answer, and its text.
+    /// Calls the operators' HTTP endpoint, with a method and a path. Returns the status of the response and its body.
     pub fn call(&self, call: &str) -> (u16, String) {
         send_call(
             self.ops.unwrap(),
@@ -191,7 +192,7 @@
         )
     }
 
-    /// One of the metrics that operators read.
+    /// Returns the value of a metric, by its name without the prefix `app.`.
     pub fn metric(&self, name: &str) -> i64 {
         let (status, text) = self.call("GET /status/metrics");
         assert_eq!(status, 200, "{text}");
@@ -208,31 +209,31 @@
         self.process.signal(Signal::TERM);
     }
 
-    /// The file that it was started with.
+    /// Returns the path of the file that the process was started with.
     fn config_path(&self) -> &Path {
         self.operator_config_file
             .as_ref()
             .unwrap_or(&self.node_config_file)
     }
 
-    /// Writes another text to the file that it was started with, and has it reload that.
+    /// Writes `text` to the file that the process was started with and sends SIGHUP.
     pub fn reload(&self, text: &str) {
         std::fs::write(self.config_path(), text).unwrap();
         self.process.signal(Signal::HUP);
     }
 
-    /// Writes another node config, and has it reload that.
+    /// Writes `text` to the file of the node config and sends SIGHUP.
     pub fn reload_node_config(&self, text: &str) {
         std::fs::write(&self.node_config_file, text).unwrap();
         self.process.signal(Signal::HUP);
     }
 
-    /// The text of the file that it was started with.
+    /// Returns the text of the file that the process was started with.
     pub fn config_file(&self) -> String {
         std::fs::read_to_string(self.config_path()).unwrap()
     }
 
-    /// Suspends it until [`Node::unsuspend`]. Returns once it is suspended.
+    /// Suspends the process until [`Node::unsuspend`]. Returns once it is suspended.
     pub fn suspend(&self) {
         self.process.suspend();
     }
@@ -242,42 +243,42 @@
         self.process.unsuspend();
     }
 
-    /// Kills it, and waits for its end.
+    /// Sends SIGKILL and waits for the end of the process.
     pub fn kill(&mut self) {
         self.process.kill();
     }
 
-    /// The log lines that have come and were not waited for, without waiting.
+    /// Returns the log lines that have been read and not returned yet, without waiting.
     pub fn drain_log(&self) -> Vec<String> {
         self.log.drain().map(|(_, line)| line).collect()
     }
 
-    /// The same, each with when it came.
+    /// Like [`Node::drain_log`], each line with the time at which it was read.
     pub fn drain_log_timed(&self) -> Vec<(Instant, String)> {
         self.log.drain().collect()
     }
 
-    /// Its resident memory, in bytes.
+    /// Returns the resident memory of the process, in bytes.
     pub fn memory(&self) -> usize {
         self.process.memory()
     }
 
-    /// Processor time that it has taken.
+    /// Returns the processor time that the process has used.
     pub fn cpu_time(&self) -> Duration {
         self.process.cpu_time()
     }
 
-    /// Waits for its end.
+    /// Waits for the end of the process.
     pub fn wait(&mut self) -> ExitStatus {
         self.process.wait()
     }
 
-    /// Whether it is still running.
+    /// Returns whether the process is still running.
     pub fn runs(&mut self) -> bool {
         self.process.runs()
     }
 
-    /// How many descriptors it has open.
+    /// Returns the number of open descriptors of the process.
     pub fn descriptors(&self) -> usize {
         self.process.descriptors()
     }
@@ -293,7 +294,8 @@
     }
 }
 
-/// The value behind a key in a log line, up to the next comma or space.
+/// Returns the value that follows a key in a log line, up to the next comma or space. `None` if it is absent or
+/// malformed.
 fn value_after<T: FromStr>(line: &str, key: &str) -> Option<T> {
     let (_, rest) = line.split_once(key)?;
     rest.split([',', ' ']).next()?.parse().ok()
--- a/testkit/src/program/ops_call.rs
+++ b/testkit/src/program/ops_call.rs
@@ -3,14 +3,15 @@
 use crate::peers::Peer;
 use std::net::SocketAddr;
 
-/// Sends this to where operators call, and reads the answer: its status, and its text.
+/// Sends the bytes of an HTTP request to the operators' endpoint at `at`. Returns the status of the response and its
+/// body.
 pub fn send_call(at: SocketAddr, sent: &str) -> (u16, String) {
     let mut caller = Peer::connect(at);
     caller.write(sent);
     read_response(&mut caller)
 }
 
-/// The answer to a call, read to the end of its connection: its status, and its text.
+/// Reads the response to a call up to the end of the connection. Returns its status and its body.
 pub fn read_response(caller: &mut Peer) -> (u16, String) {
     let status_line = caller.receive_line();
     let status = status_line
@@ -22,15 +23,15 @@
     (status.unwrap_or_else(|| panic!("{status_line}")), text)
 }
 
-/// Reads the headers to their end, and returns the length of what follows them.
+/// Reads the headers and returns the length of the body.
 fn content_length(caller: &mut Peer, status_line: &str) -> usize {
     let mut length = None;
     loop {
         let line = caller.receive_line();
-        // Without this, a test would never end where the answer is lost with its connection.
+        // Without this check, a test would never end if the connection closes before the response is complete.
         assert!(
             !["end", "reset"].contains(&line.as_str()),
-            "{line} in the middle of an answer: {status_line}"
+            "connection ended ({line}) within the response: {status_line}"
         );
         if line.is_empty() {
             return length.unwrap();
--- a/testkit/src/program/process.rs
+++ b/testkit/src/program/process.rs
@@ -1,4 +1,4 @@
-//! A process of the program, plain or traced, and what the system says of it.
+//! A process of the program, plain or traced, and what the system reports about it.
 
 use crate::peers::eventually;
 use crate::syscalls::TracedProcess;
@@ -6,15 +6,15 @@
 use std::process::{Child, ExitStatus};
 use std::time::Duration;
 
-/// The unit of processor times in `/proc`.
+/// The unit of processor times in `/proc`, in milliseconds.
 const MILLIS_PER_TICK: u64 = 10;
-/// Where the ticks in user mode stand in [`Process::stat`]; those in kernel mode follow them.
+/// The index of the ticks in user mode in [`Process::stat`]. Those in kernel mode follow.
 const USER_TICKS_FIELD: usize = 11;
 
-/// How a process of the program was started.
+/// A process of the program, by how it was started.
 pub(super) enum Process {
     Plain(Child),
-    /// With system calls that a test can make faulty.
+    /// Started under `ptrace`, so that faults can be injected into its system calls.
     Traced(TracedProcess),
 }
 
@@ -49,17 +49,17 @@
     }
 
     pub(super) fn signal(&self, signal: Signal) {
-        let pid = Pid::from_raw(self.id() as i32).expect("a process has a number");
+        let pid = Pid::from_raw(self.id() as i32).expect("a process id is positive");
         kill_process(pid, signal).unwrap();
     }
 
-    /// Suspends it, and returns once it is: a signal takes milliseconds on a busy machine, and what is sent meanwhile
-    /// would still be read.
+    /// Suspends the process and returns once it is suspended. On a busy machine a signal takes milliseconds to
+    /// arrive, and the process would still read what is sent meanwhile.
     pub(super) fn suspend(&self) {
         match self {
             Process::Plain(_) => {
                 self.signal(Signal::STOP);
-                eventually("the process does not stand still", || {
+                eventually("the process was not suspended in time", || {
                     self.state() == Some('T')
                 });
             }
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Its resident memory, in bytes.
+    /// Returns the resident memory of the process, in bytes.
     pub(super) fn memory(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.id())).unwrap();
         let resident = status
@@ -85,20 +85,20 @@
         kibibytes << 10
     }
 
-    /// The fields of its `/proc/PID/stat`, from its state on.
+    /// Returns the fields of `/proc/PID/stat` from the state on; none if the process is gone.
     fn stat(&self) -> Vec<String> {
         let text = std::fs::read_to_string(format!("/proc/{}/stat", self.id())).unwrap_or_default();
-        // The name may hold anything; it ends with the last bracket.
+        // The name may contain any characters; it ends with the last closing parenthesis.
         let after_name = text.rsplit(')').next().unwrap_or("");
         after_name.split_whitespace().map(str::to_string).collect()
     }
 
-    /// Whether it runs, sleeps, is suspended and so on, by the letter of the system.
+    /// Returns the letter by which the system denotes the state of the process, such as `T` for stopped.
     fn state(&self) -> Option<char> {
         self.stat().first().and_then(|state| state.chars().next())
     }
 
-    /// Processor time that it has taken, in user and in kernel mode.
+    /// Returns the processor time that the process has used in user and kernel mode.
     pub(super) fn cpu_time(&self) -> Duration {
         let ticks: u64 = self
             .stat()
@@ -110,7 +110,7 @@
         Duration::from_millis(MILLIS_PER_TICK * ticks)
     }
 
-    /// How many descriptors it has open.
+    /// Returns the number of open descriptors of the process.
     pub(super) fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.id()))
             .unwrap()
--- a/testkit/src/relay.rs
+++ b/testkit/src/relay.rs
@@ -1,5 +1,5 @@
-//! A TCP relay that a test can cut, delay and corrupt in either direction. It ends a connection only where one side
-//! did, or where it is told to.
+//! A TCP relay whose traffic a test can drop, delay and corrupt in either direction. It ends a connection only if one
+//! side has ended it or a test tells it to.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -8,14 +8,14 @@
 use std::thread;
 use std::time::Duration;
 
-/// The faults of one direction.
+/// The faults of one direction. They apply to all connections of the relay.
 #[derive(Default)]
 pub struct RelayDirection {
-    /// Bytes are dropped, and neither side learns it.
+    /// Whether bytes are dropped without either side noticing.
     pub cut: AtomicBool,
-    /// By how many milliseconds each piece is delayed.
+    /// How long each chunk is delayed, in milliseconds.
     pub delay: AtomicU64,
-    /// The next piece has its first bytes inverted.
+    /// Whether the first bytes of the next chunk are inverted, up to eight.
     pub garble: AtomicBool,
 }
 
@@ -28,20 +28,20 @@
     }
 }
 
-/// A relay from an address of its own to another one.
+/// A relay that forwards connections from its own address to a target.
 pub struct Relay {
-    /// Where it listens.
+    /// The address at which the relay listens.
     pub address: SocketAddr,
-    /// The direction from who connected to where the relay leads.
+    /// The direction from the caller to the target.
     pub up: Arc<RelayDirection>,
-    /// The direction back.
+    /// The direction from the target to the caller.
     pub down: Arc<RelayDirection>,
     to: Arc<Mutex<SocketAddr>>,
     open: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl Relay {
-    /// Starts a relay that leads to this address.
+    /// Starts a relay to a target.
     pub fn to(to: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let relay = Relay {
@@ -78,12 +78,12 @@
         relay
     }
 
-    /// Where connections lead from now on.
+    /// Sets the target of connections that come from now on.
     pub fn set_target(&self, to: SocketAddr) {
         *self.to.lock().unwrap() = to;
     }
 
-    /// Ends what is open, at both sides.
+    /// Closes all connections of the relay at both sides.
     pub fn close_all(&self) {
         for stream in self.open.lock().unwrap().drain(..) {
             _ = stream.shutdown(Shutdown::Both);
@@ -91,7 +91,7 @@
     }
 }
 
-/// Copies one direction of a connection, until either side ends.
+/// Starts a thread that copies one direction of a connection until either side ends.
 fn forward(mut from: TcpStream, mut to: TcpStream, direction: Arc<RelayDirection>) {
     thread::spawn(move || {
         let mut bytes = vec![0; 1 << 16];
--- a/testkit/src/simulated/clients.rs
+++ b/testkit/src/simulated/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that send one request each, and hold their connection for a time. Each records what it saw.
+//! Clients that send one request each and then use their connection for a time. Each records what it observed.
 
 use super::{spawn_thread, InvariantChecker, CLASS_NAMES, REQUEST_TIMEOUT};
 use rand::{Rng, SeedableRng};
@@ -10,23 +10,24 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// How long an open connection may take to send a line back.
+/// How long a client waits for a line to come back on its open connection.
 const ECHO_TIMEOUT: Duration = Duration::from_secs(3);
 /// The longest pause between two lines on an open connection.
 const MAX_ECHO_INTERVAL: Duration = Duration::from_millis(40);
 
-/// What a client saw.
+/// What a client observed.
 #[derive(Clone, Debug)]
 pub struct ClientObservation {
-    /// The request's id.
+    /// The id of the request.
     pub name: String,
-    /// Its class, an index in [`CLASS_NAMES`].
+    /// The class of the request, as an index in [`CLASS_NAMES`].
     pub class: usize,
-    /// When it was sent.
+    /// When the request was sent.
     pub asked: Instant,
-    /// All final answers, and when each came.
+    /// All final answers, and when each was received. On an open connection, each line counts as one that is neither
+    /// `MOVE` nor an echo.
     pub answers: Vec<(Instant, String)>,
-    /// Whether a line that it sent on its open connection came back.
+    /// Whether each line sent on the open connection came back; `None` if the connection was never open.
     pub echoed: Option<bool>,
 }
 
@@ -37,20 +38,20 @@
     }
 }
 
-/// Clients that are spread over addresses in turns.
+/// Starts clients that connect to a list of addresses in turn.
 pub struct Clients {
     addresses: Vec<SocketAddr>,
     checker: InvariantChecker,
     rng: ChaCha8Rng,
     threads: Vec<JoinHandle<()>>,
-    /// Clients hold their connections until this moves on.
+    /// Clients end their connections when this is incremented.
     round: Arc<AtomicU64>,
     started: usize,
     seed: u64,
 }
 
 impl Clients {
-    /// No client has come yet; `seed` draws their keys.
+    /// Creates a set without clients. Idempotency keys are drawn from `seed`.
     pub fn new(addresses: Vec<SocketAddr>, checker: &InvariantChecker, seed: u64) -> Self {
         Clients {
             addresses,
@@ -63,12 +64,13 @@
         }
     }
 
-    /// How many have come.
+    /// Returns the number of clients started so far.
     pub fn started(&self) -> usize {
         self.started
     }
 
-    /// Starts one more client, of a request class by its number, that holds its connection for so long, or until `end`.
+    /// Starts a client whose request has this class, an index in [`CLASS_NAMES`]. It uses its connection for
+    /// `hold_duration`, or until [`Clients::end`].
     pub fn start_client(&mut self, class: usize, hold_duration: Duration) {
         let address = self.addresses[self.started % self.addresses.len()];
         self.started += 1;
@@ -87,7 +89,7 @@
         }));
     }
 
-    /// Starts so many a second for so long, request classes in turns.
+    /// Starts `rate` clients per second for `span`, with the request classes in turn.
     pub fn load(&mut self, rate: f64, span: Duration, classes: &[usize], hold_duration: Duration) {
         let (start, interval) = (Instant::now(), Duration::from_secs_f64(1.0 / rate));
         let mut next = start;
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Has all clients end their open connections now, and waits for them.
+    /// Tells all clients to end their open connections and waits for them.
     pub fn end(&mut self) {
         self.round.fetch_add(1, SeqCst);
         for client in self.threads.drain(..) {
@@ -117,7 +119,7 @@
 }
 
 impl Client {
-    /// Sends the request, and holds the connection where it opens. Returns nothing where the request could not be sent.
+    /// Sends the request and uses the connection if it opens. Returns `None` if the request could not be sent.
     fn run(self, address: SocketAddr) -> Option<ClientObservation> {
         let round = self.round.load(SeqCst);
         let mut stream = TcpStream::connect(address).ok()?;
@@ -146,7 +148,7 @@
         if answer.starts_with("UP") {
             self.hold(round, &mut stream, &mut reader, &mut observation);
         } else if !answer.is_empty() {
-            // There is to be no second answer.
+            // Waits for a second answer, which the protocol forbids.
             answer.clear();
             if matches!(reader.read_line(&mut answer), Ok(1..)) {
                 observation.note_answer(&answer);
@@ -155,7 +157,7 @@
         Some(observation)
     }
 
-    /// Sends lines on the open connection and expects each back, until its time or the round is over.
+    /// Sends lines on the open connection and expects each back, until the hold time or the round ends.
     fn hold(
         &self,
         round: u64,
@@ -177,7 +179,7 @@
                     observation.note_answer(&line);
                     return;
                 }
-                // Its host, or a node that was killed, ended the connection: no line has to come back any more.
+                // The host, or a node that was killed, closed the connection, so no line has to come back.
                 Ok(0) => return,
                 Err(_) => {
                     observation.echoed = Some(!sent);
--- a/testkit/src/simulated/hosts.rs
+++ b/testkit/src/simulated/hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts that behave as a test sets them, and record each request that reaches them.
+//! Hosts whose behavior a test sets. They record each request that reaches them.
 
 use super::{echo_lines, first_line, spawn_thread, InvariantChecker};
 use serde_json::{json, Value};
@@ -9,28 +9,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a host that hangs looks whether it still does.
+/// How often a hanging host checks whether its behavior has changed.
 const HANG_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What a host does with a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[repr(u8)]
 pub enum HostBehavior {
-    /// Accepts it, and sends back what comes on the connection.
+    /// Accepts the request and sends each line back that comes on the connection.
     Accepts,
-    /// Rejects it: it has not run.
+    /// Rejects the request, which has not run.
     Rejects,
-    /// Fails it: it may have run.
+    /// Fails the request, which may have run.
     Fails,
     /// Never answers.
     Silent,
-    /// Closes the connection without an answer.
+    /// Closes the connection without answering.
     Disconnects,
-    /// Answers nothing, on connections that are open already neither.
+    /// Never answers a request, and sends nothing back on connections that are already open.
     Hangs,
 }
 
-/// All behaviors, in the order of their numbers.
+/// All behaviors in the order of their discriminants.
 const BEHAVIORS: [HostBehavior; 6] = [
     HostBehavior::Accepts,
     HostBehavior::Rejects,
@@ -40,32 +40,33 @@
     HostBehavior::Hangs,
 ];
 
-/// A request, as it reached a host.
+/// An attempt that reached a host.
 #[derive(Clone, Debug)]
 pub struct ObservedAttempt {
-    /// When it came.
+    /// When the host had read the request line.
     pub at: Instant,
-    /// The host's number.
+    /// The number of the host.
     pub host: usize,
-    /// The request's id.
+    /// The id of the request.
     pub name: String,
-    /// What the host did with it.
+    /// What the host did with the request.
     pub behavior: HostBehavior,
-    /// When the node gave it up, where the host was silent.
+    /// When the node closed the connection of an attempt that the host left unanswered; `None` for other attempts and
+    /// while the connection is open.
     pub abandoned_at: Option<Instant>,
 }
 
-/// Hosts that act by themselves. Even and odd ones are two idempotency groups.
+/// Hosts that serve on threads of their own. Hosts with even and with odd numbers form two cells.
 pub struct Hosts {
-    /// Where each host listens.
+    /// The address at which each host listens.
     pub addresses: Vec<SocketAddr>,
     behaviors: Arc<Vec<AtomicU8>>,
-    /// Connections that are open at each host.
+    /// The number of open connections at each host.
     pub open: Arc<Vec<AtomicU32>>,
 }
 
 impl Hosts {
-    /// Starts so many hosts that accept all requests.
+    /// Starts `count` hosts that accept all requests.
     pub fn start(count: usize, checker: &InvariantChecker) -> Self {
         let mut hosts = Hosts {
             addresses: Vec::new(),
@@ -91,23 +92,23 @@
         hosts
     }
 
-    /// Sets what a host does from now on.
+    /// Sets the behavior of a host from now on.
     pub fn set_behavior(&self, host: usize, behavior: HostBehavior) {
         self.behaviors[host].store(behavior as u8, SeqCst);
     }
 
-    /// Connections that are open at each host.
+    /// Returns the number of open connections at each host.
     pub fn open_connections(&self) -> Vec<u32> {
         self.open.iter().map(|open| open.load(SeqCst)).collect()
     }
 
-    /// A host as an entry of the endpoint list, in this phase.
+    /// Returns a host as an entry of the endpoint list, in this phase.
     pub fn member(&self, host: usize, phase: &str) -> Value {
         json!({"id": format!("s-{host}"), "host_port": self.addresses[host].to_string(), "locality": "a",
             "flavor": "m", "cell": host % 2, "phase": phase, "size": 1.0, "up_since_ms": 0})
     }
 
-    /// All hosts as entries of the endpoint list, active.
+    /// Returns all hosts as entries of the endpoint list, in phase `active`.
     pub fn members(&self) -> Value {
         (0..self.addresses.len())
             .map(|host| self.member(host, "active"))
@@ -115,7 +116,7 @@
     }
 }
 
-/// One host, as each of its connections knows it.
+/// The state of one host, cloned for each of its connections.
 #[derive(Clone)]
 struct Host {
     number: usize,
--- a/testkit/src/simulated/invariants.rs
+++ b/testkit/src/simulated/invariants.rs
@@ -1,5 +1,5 @@
-//! The invariant checker: what hosts and clients saw, and the four rules over it. Must not know anything that a node says
-//! of itself.
+//! The invariant checker: records what hosts and clients observed and checks the rules on requests by these records.
+//! It must not use anything that a node reports about itself.
 
 use super::{
     ClientObservation, HostBehavior, ObservedAttempt, DRAIN_GRACE, REPEAT_WINDOW, REQUEST_TIMEOUT,
@@ -14,7 +14,7 @@
 /// The index of requests that are not idempotent in [`CLASS_NAMES`](super::CLASS_NAMES).
 const CLASS_NON_IDEMPOTENT: usize = 2;
 
-/// Checks the rules by what hosts and clients saw.
+/// Checks the rules by what hosts and clients observed. Clones share one record.
 #[derive(Clone, Default)]
 pub struct InvariantChecker(Arc<Mutex<Record>>);
 
@@ -22,36 +22,36 @@
 struct Record {
     attempts: Vec<ObservedAttempt>,
     observations: Vec<ClientObservation>,
-    /// By host: the last drain.
+    /// The last drain of each host, by its number.
     drains: HashMap<usize, Drain>,
 }
 
 struct Drain {
-    /// When the list service began to say so.
+    /// When the list service was told to announce the drain.
     announced: Instant,
-    /// When it ceased to.
+    /// When the host was announced as active again; `None` if it was not.
     revoked: Option<Instant>,
 }
 
 impl InvariantChecker {
-    /// All attempts that reached hosts.
+    /// Returns all attempts that reached hosts.
     pub fn reached(&self) -> Vec<ObservedAttempt> {
         self.0.lock().unwrap().attempts.clone()
     }
 
-    /// What each client saw that has ended.
+    /// Returns what each client observed that has ended.
     pub fn observations(&self) -> Vec<ClientObservation> {
         self.0.lock().unwrap().observations.clone()
     }
 
-    /// Notes an attempt, and returns its number.
+    /// Records an attempt and returns its index.
     pub(super) fn note_attempt(&self, attempt: ObservedAttempt) -> usize {
         let mut record = self.0.lock().unwrap();
         record.attempts.push(attempt);
         record.attempts.len() - 1
     }
 
-    /// Notes that the node has given up this attempt now.
+    /// Records that the node has abandoned an attempt now.
     pub(super) fn note_abandoned(&self, attempt: usize) {
         self.0.lock().unwrap().attempts[attempt].abandoned_at = Some(Instant::now());
     }
@@ -60,7 +60,7 @@
         self.0.lock().unwrap().observations.push(observation);
     }
 
-    /// Notes that the list service was told that the host drains, or is back.
+    /// Records that the list service was told that a host drains, or that it is active again.
     pub fn note_drain(&self, host: usize, drains: bool) {
         let mut record = self.0.lock().unwrap();
         if drains {
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Each client, and how long its first attempt came after its request, where one reached a host.
+    /// Returns what each client observed, with the time from its request to its first attempt, or `None` if no
+    /// attempt reached a host.
     pub fn first_attempts(&self) -> Vec<(ClientObservation, Option<Duration>)> {
         let record = self.0.lock().unwrap();
         let mut first: HashMap<&str, Instant> = HashMap::new();
@@ -95,8 +96,8 @@
             .collect()
     }
 
-    /// All violations of a rule, one a line. Clients that still waited when they were told to end do not count;
-    /// `busy` is what a busy machine may add to the news of a drain, and to when hosts note what they see.
+    /// Returns all violations of the rules, one per entry. Only clients that have ended are checked. `busy` is how
+    /// much a busy machine may delay the announcement of a drain and what hosts record.
     pub fn broken(&self, busy: Duration) -> Vec<String> {
         let record = self.0.lock().unwrap();
         let slack = SOCKET_SLACK + busy;
@@ -125,14 +126,14 @@
 }
 
 impl Record {
-    /// Rule 3: no attempt reaches a host that drains, beyond the grace.
+    /// Rule 3: no attempt reaches a draining host after the grace time.
     fn check_drain(&self, attempt: &ObservedAttempt, slack: Duration) -> Option<String> {
         let drain = self.drains.get(&attempt.host)?;
         let violated =
             attempt.at > drain.announced + DRAIN_GRACE + slack && drain.revoked.is_none();
         violated.then(|| {
             format!(
-                "rule 3: {} reached host {} {:?} after its drain",
+                "rule 3: {} reached host {} {:?} after its drain was announced",
                 attempt.name,
                 attempt.host,
                 attempt.at - drain.announced
@@ -141,7 +142,7 @@
     }
 }
 
-/// Rule 1: each client has one answer, in time, and nothing is forwarded after it.
+/// Rule 1: each request gets exactly one answer, in time, and no attempt begins after it.
 fn check_answers(
     client: &ClientObservation,
     attempts: &[&ObservedAttempt],
@@ -149,36 +150,36 @@
 ) -> Option<String> {
     let name = &client.name;
     match &client.answers[..] {
-        [] => Some(format!("rule 1: {name} had no answer")),
+        [] => Some(format!("rule 1: {name} got no answer")),
         [(at, _)] if *at > client.asked + REQUEST_TIMEOUT + SOCKET_SLACK => Some(format!(
-            "rule 1: {name} was answered {:?} after it asked",
+            "rule 1: {name} was answered {:?} after the request",
             *at - client.asked
         )),
         [(at, answer)] => {
             let late = attempts.iter().find(|attempt| attempt.at > *at + slack)?;
             Some(format!(
-                "rule 1: {name} was sent on {:?} after {answer}",
+                "rule 1: {name} was attempted {:?} after {answer}",
                 late.at - *at
             ))
         }
-        several => Some(format!("rule 1: {name} had {} answers", several.len())),
+        several => Some(format!("rule 1: {name} got {} answers", several.len())),
     }
 }
 
-/// Open connections pass on what is sent.
+/// Checks that the open connection forwarded what was sent on it.
 fn check_echo(client: &ClientObservation) -> Option<String> {
     (client.echoed == Some(false))
-        .then(|| format!("{}: its open connection passed nothing on", client.name))
+        .then(|| format!("{}: the open connection did not return a line", client.name))
 }
 
-/// Rule 2: a request that may have run is repeated only where, and for as long as, its class allows.
+/// Rule 2: a request that may have run is only repeated at hosts and within the time that its class allows.
 fn check_repeats(
     client: &ClientObservation,
     attempts: &[&ObservedAttempt],
     slack: Duration,
 ) -> Option<String> {
     let name = &client.name;
-    // Accepted, failed, unanswered and disconnected ones may have run; rejected ones never did.
+    // Attempts that were accepted, failed, not answered or disconnected may have run. Rejected ones have not.
     let may_have_run: Vec<&ObservedAttempt> = attempts
         .iter()
         .copied()
@@ -195,27 +196,31 @@
             may_have_run.len()
         )),
         CLASS_NON_IDEMPOTENT if rejected => Some(format!(
-            "rule 2: {name} was dismissed though it may have run"
+            "rule 2: {name} was rejected although it may have run"
         )),
         CLASS_WITH_KEY
             if may_have_run
                 .iter()
                 .any(|attempt| attempt.host % 2 != first.host % 2) =>
         {
-            Some(format!("rule 2: {name} left its circle"))
+            Some(format!(
+                "rule 2: {name} was repeated outside its idempotency group"
+            ))
         }
         CLASS_WITH_KEY
             if may_have_run
                 .iter()
                 .any(|attempt| attempt.at > first.at + REPEAT_WINDOW + slack) =>
         {
-            Some(format!("rule 2: {name} went again out of its window"))
+            Some(format!(
+                "rule 2: {name} was repeated after its repeat window"
+            ))
         }
         _ => None,
     }
 }
 
-/// Rule 2: an attempt that is not answered is given up before the next one is sent.
+/// Rule 2: an unanswered attempt is abandoned before the next one is sent.
 fn check_one_at_a_time(
     client: &ClientObservation,
     attempts: &[&ObservedAttempt],
@@ -230,6 +235,6 @@
                     .abandoned_at
                     .is_none_or(|abandoned_at| abandoned_at > next.at + slack)
         })
-        .map(|_| format!("rule 2: {} had two hand-offs out", client.name))
+        .map(|_| format!("rule 2: {} had two attempts in flight", client.name))
         .collect()
 }
--- a/testkit/src/simulated/mod.rs
+++ b/testkit/src/simulated/mod.rs
@@ -1,6 +1,6 @@
-//! Hosts and clients that act by themselves, and the invariant checker. Each host behaves as a test sets it; each client
-//! sends a request, waits for its answer, and holds its connection for a time. What they saw is recorded with its
-//! time, and the four rules are checked by these records alone.
+//! Simulated hosts and clients that run on their own threads, and the invariant checker. Each host behaves as a test
+//! sets it; each client sends a request, waits for its answer and uses its connection for a time. What they observe
+//! is recorded with its time, and the rules on requests are checked by these records alone.
 
 mod clients;
 mod hosts;
@@ -17,16 +17,17 @@
 
 /// The names of the request classes: idempotent, with an idempotency key, and not idempotent.
 pub const CLASS_NAMES: [&str; 3] = ["free", "mark", "once"];
-/// What the invariant checker allows beyond the time limit of a rule, as sockets and threads take time.
+/// What the invariant checker allows beyond the time limit of a rule, because sockets and threads take time.
 pub const SOCKET_SLACK: Duration = Duration::from_millis(50);
-/// How long after the announcement of a drain a host may still be sent new requests.
+/// How long after its drain was announced a host may still be sent new requests.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(300);
-/// How long clients wait for their answer.
+/// The deadline of requests.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long an idempotency group drops repeats of a request with an idempotency key.
+/// How long after its first attempt a request with an idempotency key may be repeated, as an idempotency group drops
+/// repeats for that time.
 pub const REPEAT_WINDOW: Duration = Duration::from_secs(1);
 
-/// The stack of a thread that serves or holds one connection.
+/// The stack size of a thread that handles one connection.
 const THREAD_STACK_BYTES: usize = 128 << 10;
 
 /// Starts a thread with a small stack: tests start thousands of them.
@@ -34,10 +35,10 @@
     thread::Builder::new()
         .stack_size(THREAD_STACK_BYTES)
         .spawn(work)
-        .expect("no thread to be had")
+        .expect("cannot start a thread")
 }
 
-/// The first line that reaches a host, and the reader of what follows.
+/// Reads the first line that reaches a host. Returns it with the reader of what follows, or `None` if none came.
 pub(crate) fn first_line(stream: &TcpStream) -> Option<(BufReader<TcpStream>, String)> {
     _ = stream.set_nodelay(true);
     let mut reader = BufReader::with_capacity(512, stream.try_clone().ok()?);
@@ -45,7 +46,7 @@
     matches!(reader.read_line(&mut line), Ok(1..)).then_some((reader, line))
 }
 
-/// Sends each line back, each after this pause, until either side ends the connection.
+/// Sends each line back after calling `pause`, until either side ends the connection.
 pub(crate) fn echo_lines(
     reader: &mut BufReader<TcpStream>,
     stream: &mut TcpStream,
--- a/testkit/src/soak/clients.rs
+++ b/testkit/src/soak/clients.rs
@@ -285,7 +285,8 @@
         }
     }
 
-    /// Draws a client that may use its connection until it is told to move, or send once the process was told to stop.
+    /// Draws a client that may use its connection until it is told to move, or send once the process was told to
+    /// stop.
     fn draw_until_moved(
         rng: &mut ChaCha8Rng,
         name: String,
--- a/testkit/src/soak/mod.rs
+++ b/testkit/src/soak/mod.rs
@@ -1,5 +1,6 @@
-//! Soak tests: a few dozen processes of the program run on loopback under overlapping faults. They are checked by what
-//! clients and hosts observe and by the violations that the processes count. The same seed draws the same faults.
+//! Soak tests: a few dozen processes of the program run on loopback under overlapping faults. They are checked by
+//! what clients and hosts observe and by the violations that the processes count. The same seed draws the same
+//! faults.
 
 mod clients;
 mod notification;
@@ -61,7 +62,7 @@
     broken.extend(process_group.stop_all());
     let soak_checker = SoakChecker {
         observations: load.observations(),
-        reached: process_group.checker.reached(),
+        attempts: process_group.checker.reached(),
         slots: process_group.slots(),
         fault_history: &process_group.fault_history,
         services: process_group.discovery_history(),
@@ -72,7 +73,7 @@
     let mut figures = Map::new();
     figures.insert("clients".into(), json!(soak_checker.observations.len()));
     figures.insert("served".into(), json!(soak_checker.served()));
-    figures.insert("attempts".into(), json!(soak_checker.reached.len()));
+    figures.insert("attempts".into(), json!(soak_checker.attempts.len()));
     figures.insert("faults".into(), json!(schedule.planned.len()));
     figures.insert(
         "faulty system calls".into(),
--- a/testkit/src/soak/notification.rs
+++ b/testkit/src/soak/notification.rs
@@ -9,8 +9,8 @@
 /// How long after a service had a change and could be reached the process counts as notified, whatever became of its
 /// calls. Also the least time after a watch fell silent.
 const NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
-/// How long after the end of its maximum wait a watch that fell silent no longer excuses the process, if that is later
-/// than [`NOTIFICATION_TIMEOUT`] after it fell silent.
+/// How long after the end of its maximum wait a watch that fell silent no longer excuses the process, if that is
+/// later than [`NOTIFICATION_TIMEOUT`] after it fell silent.
 const NOTIFICATION_TIMEOUT_AFTER_WAIT: Duration = Duration::from_secs(2);
 /// How long after a reload the process counts as notified of what the service named by the reload has.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(4);
@@ -65,8 +65,8 @@
         .filter(move |call| call.caller == caller)
 }
 
-/// Returns whether a call of the process was rejected or broke, that is, got neither an answer nor silence. Only calls
-/// less than [`NOTIFICATION_TIMEOUT`] before or after `since` count.
+/// Returns whether a call of the process was rejected or broke, that is, got neither an answer nor silence. Only
+/// calls less than [`NOTIFICATION_TIMEOUT`] before or after `since` count.
 fn has_failed_call(run: &ProcessRun, services: &[DiscoveryHistory; 2], since: Instant) -> bool {
     let is_near = |call: &&CallRecord| {
         call.called_at <= since + NOTIFICATION_TIMEOUT
--- a/testkit/src/soak/notification_tests.rs
+++ b/testkit/src/soak/notification_tests.rs
@@ -34,7 +34,8 @@
         self.services[service].calls.last_mut().unwrap()
     }
 
-    /// Returns when the process counts as notified of a drain that was announced at `announced`; both in milliseconds.
+    /// Returns when the process counts as notified of a drain that was announced at `announced`; both in
+    /// milliseconds.
     fn notified(&self, announced: u64) -> u128 {
         (notified_at(&self.run, &self.services, &self.faults, self.at(announced)) - self.start)
             .as_millis()
@@ -50,7 +51,8 @@
     assert_eq!(case.notified(9558), 300 + 19_000 + 2000);
 }
 
-/// Guards against a silent watch with a short wait that excuses a process for longer than six seconds from its silence.
+/// Guards against a silent watch with a short wait that excuses a process for longer than six seconds from its
+/// silence.
 #[test]
 fn a_silent_watch_with_a_short_wait_counts_as_notified_after_six_seconds() {
     let mut case = Case::new();
@@ -95,8 +97,8 @@
     assert_eq!(case.notified(2000), 4000 + 6000);
 }
 
-/// Guards against a process that has more than four seconds after a reload, and against counting a list from the service
-/// that the reload replaced.
+/// Guards against a process that has more than four seconds after a reload, and against counting a list from the
+/// service that the reload replaced.
 #[test]
 fn a_reload_binds_four_seconds_after_it_and_excuses_nothing() {
     let mut case = Case::new();
--- a/testkit/src/soak/process_group/faults.rs
+++ b/testkit/src/soak/process_group/faults.rs
@@ -93,7 +93,8 @@
         let process = &mut self.processes[slot];
         process.syscall_faults.clear();
         process.injector.set(&process.syscall_faults);
-        // Ends the spans of all faults of system calls in this slot: the injector has just been cleared of all of them.
+        // Ends the spans of all faults of system calls in this slot: the injector has just been cleared of all of
+        // them.
         let now = Instant::now();
         for span in &mut self.slots[slot].lock().unwrap().syscall_faults {
             span.to = span.to.min(now);
@@ -118,8 +119,8 @@
         }
     }
 
-    /// Starts a successor of the process in this slot, then tells the process to stop. Does nothing in a slot without a
-    /// shared listener.
+    /// Starts a successor of the process in this slot, then tells the process to stop. Does nothing in a slot without
+    /// a shared listener.
     fn replace(&mut self, slot: usize) {
         if self.processes[slot].shared.is_none() {
             return;
--- a/testkit/src/soak/process_group/health.rs
+++ b/testkit/src/soak/process_group/health.rs
@@ -21,7 +21,8 @@
 const SHOWN_LOG_LINES: usize = 30;
 
 impl ProcessGroup {
-    /// Waits until all processes of a slot that were told to stop have ended.
+    /// Waits until all processes of a slot that were told to stop have ended. Records a failure for each that takes too
+    /// long or exits without success.
     pub(super) fn wait_for_stopped(&mut self, slot: usize) {
         let max_stop_time = self.profile.longest_deadline() + KILL_DELAY + STOP_SLACK_BEYOND_KILL;
         for StoppingProcess { mut process, since } in
@@ -82,8 +83,8 @@
                 .any(|span| span.from <= at && at <= span.to + MAX_REPORT_DELAY)
     }
 
-    /// Returns whether delayed sends explain the violation in this line: it came while sends were delayed and exceeds the
-    /// limit by no more than the 0.15 s that the documentation allows between clock and write.
+    /// Returns whether delayed sends explain the violation in this line: it came while sends were delayed and exceeds
+    /// the limit by no more than the 0.15 s that the documentation allows between clock and write.
     fn is_excused_by_delay(&self, slot: usize, at: Instant, line: &str) -> bool {
         let excusable = EXCUSABLE_RULES.iter().any(|rule| line.contains(rule));
         let lateness = millis_after(line, " ms: ");
--- a/testkit/src/soak/process_group/restarts.rs
+++ b/testkit/src/soak/process_group/restarts.rs
@@ -1,5 +1,5 @@
-//! Plays the events of a soak of restarts: tells processes to stop, kills them at the earliest moment that the protocol
-//! permits, and starts their successors.
+//! Plays the events of a soak of restarts: tells processes to stop, kills them at the earliest moment that the
+//! protocol permits, and starts their successors.
 
 use super::super::process_slot::FaultSpan;
 use super::super::restarts::{Crowd, RestartEvent, Termination, KILL_DELAY};
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Sends SIGTERM, and SIGKILL at the earliest permitted moment. SIGKILL comes from a separate thread, so that other
-    /// events of the soak do not delay it.
+    /// Sends SIGTERM, and SIGKILL at the earliest permitted moment. SIGKILL comes from a separate thread, so that
+    /// other events of the soak do not delay it.
     fn kill_after_stop(&mut self, slot: usize, process: RunningProcess, termination: Termination) {
         let lifetime = self.profile.longest_deadline() + KILL_DELAY;
         let told_to_stop = Instant::now();
--- a/testkit/src/soak/process_slot.rs
+++ b/testkit/src/soak/process_slot.rs
@@ -1,5 +1,5 @@
-//! The state of a slot that clients and the checker share: where its process listens, and the history of its processes
-//! and their faults.
+//! The state of a slot that clients and the checker share: where its process listens, and the history of its
+//! processes and their faults.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/testkit/src/soak/restarts/checks.rs
+++ b/testkit/src/soak/restarts/checks.rs
@@ -32,9 +32,11 @@
 /// Returns whether the process neither reloaded again, was told to stop nor ended before the limit for this reload.
 fn is_last_of_series(run: &ProcessRun, reload: &Reload) -> bool {
     let until = reload.at + RELOAD_TIMEOUT + BUSY_SLACK;
-    let goes_on = |at: Option<Instant>| at.is_none_or(|at| at > until);
+    let is_past_limit = |at: Option<Instant>| at.is_none_or(|at| at > until);
     let reloads_again = |other: &Reload| other.at > reload.at && other.at <= until;
-    goes_on(run.told_to_stop) && goes_on(run.ended) && !run.reloads.iter().any(reloads_again)
+    is_past_limit(run.told_to_stop)
+        && is_past_limit(run.ended)
+        && !run.reloads.iter().any(reloads_again)
 }
 
 fn has_called(checker: &SoakChecker<'_>, run: &ProcessRun, reload: &Reload) -> bool {
--- a/testkit/src/soak/restarts/crowd.rs
+++ b/testkit/src/soak/restarts/crowd.rs
@@ -1,5 +1,5 @@
-//! A crowd: idle clients that use up the descriptors of a process. They connect, every second one sends a partial line,
-//! and they reconnect as soon as the process closes their connection.
+//! A crowd: idle clients that use up the descriptors of a process. They connect, every second one sends a partial
+//! line, and they reconnect as soon as the process closes their connection.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -48,7 +48,7 @@
     fn drop(&mut self) {
         self.stopped.store(true, SeqCst);
         if let Some(thread) = self.thread.take() {
-            thread.join().expect("a crowd panicked");
+            thread.join().expect("a crowd thread panicked");
         }
     }
 }
--- a/testkit/src/soak/restarts/lateness.rs
+++ b/testkit/src/soak/restarts/lateness.rs
@@ -1,5 +1,5 @@
-//! Measures how late the threads of the test kit itself run. Violations that a busy machine causes can so be told from
-//! faults of the program.
+//! Measures how late the threads of the test kit itself run. Violations that a busy machine causes can so be told
+//! from faults of the program.
 
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
@@ -60,7 +60,7 @@
     fn drop(&mut self) {
         self.stopped.store(true, SeqCst);
         if let Some(thread) = self.thread.take() {
-            thread.join().expect("the monitor panicked");
+            thread.join().expect("the monitor thread panicked");
         }
     }
 }
--- a/testkit/src/soak/restarts/mod.rs
+++ b/testkit/src/soak/restarts/mod.rs
@@ -1,6 +1,6 @@
 //! Soaks of restarts within the documented limits. Clients use their connections until the process is killed, which
-//! happens at the earliest moment that the protocol permits. Signals come in series, hosts hang through whole shutdowns,
-//! and idle clients use up the descriptors of a process.
+//! happens at the earliest moment that the protocol permits. Signals come in series, hosts hang through whole
+//! shutdowns, and idle clients use up the descriptors of a process.
 
 mod checks;
 mod crowd;
@@ -27,8 +27,8 @@
 const MAX_REQUESTS_PER_SERVED: u64 = 3;
 /// A soak has covered too little if fewer connections than this were open per stop.
 const MIN_OPEN_CONNECTIONS_PER_STOP: u64 = 3;
-/// How much earlier than the earliest permitted moment a kill may have been measured and still count: the resolution of
-/// the timer.
+/// How much earlier than the earliest permitted moment a kill may have been measured and still count: the resolution
+/// of the timer.
 const KILL_TOLERANCE: Duration = Duration::from_millis(1);
 
 /// Draws a schedule from `seed` and plays it.
@@ -54,7 +54,7 @@
     broken.extend(process_group.stop_all());
     let checker = SoakChecker {
         observations: load.observations(),
-        reached: process_group.checker.reached(),
+        attempts: process_group.checker.reached(),
         slots: process_group.slots(),
         fault_history: &process_group.fault_history,
         services: process_group.discovery_history(),
@@ -104,7 +104,7 @@
     );
     figure("requests", checker.observations.len() as u64);
     figure("served", checker.served() as u64);
-    figure("attempts", checker.reached.len() as u64);
+    figure("attempts", checker.attempts.len() as u64);
     figures
 }
 
--- a/testkit/src/soak/restarts/schedule.rs
+++ b/testkit/src/soak/restarts/schedule.rs
@@ -1,5 +1,5 @@
-//! The schedule of a soak of restarts, drawn from a seed. Each process is repeatedly told to stop or to reload, by signals
-//! in series, while hosts hang or drain and idle clients use up the descriptors of a process.
+//! The schedule of a soak of restarts, drawn from a seed. Each process is repeatedly told to stop or to reload, by
+//! signals in series, while hosts hang or drain and idle clients use up the descriptors of a process.
 
 use super::super::profile::{ClientMix, Deadlines, SoakProfile};
 use super::super::SoakSize;
@@ -171,8 +171,8 @@
         }
     }
 
-    /// Draws the faults of a host. A third of the hosts hang repeatedly, each time for longer than most shutdowns; the
-    /// others drain at times.
+    /// Draws the faults of a host. A third of the hosts hang repeatedly, each time for longer than most shutdowns;
+    /// the others drain at times.
     fn draw_host_faults(&mut self, rng: &mut ChaCha8Rng, host: usize, size: &SoakSize) {
         let span = size.span.as_millis() as u64;
         let mut at = rng.random_range(0..SIGNAL_GAP_SPREAD_MILLIS);
@@ -206,8 +206,8 @@
         let span = size.span.as_millis() as u64;
         let mut at = 500 + rng.random_range(0..1000);
         while at < span {
-            // A crowd causes hundreds of sends in one turn. Were some of them delayed, the delays would add up beyond the
-            // documented 0.15 s, so crowds avoid slots with delayed sends.
+            // A crowd causes hundreds of sends in one turn. Were some of them delayed, the delays would add up beyond
+            // the documented 0.15 s, so crowds avoid slots with delayed sends.
             let slot = rng.random_range(0..size.processes);
             let is_delayed = slot.is_multiple_of(DELAYED_SLOT_ONE_IN);
             let slot = if is_delayed { slot + 1 } else { slot }.min(size.processes - 1);
--- a/testkit/src/soak/soak_checker.rs
+++ b/testkit/src/soak/soak_checker.rs
@@ -1,6 +1,6 @@
-//! The invariant checker of a soak. It checks the rules on requests by what clients and hosts observed. Missing answers
-//! are excused if a process was killed, lateness is excused while a process was suspended, and resets are excused while
-//! a crowd uses up its descriptors.
+//! The invariant checker of a soak. It checks the rules on requests by what clients and hosts observed. Missing
+//! answers are excused if a process was killed, lateness is excused while a process was suspended, and resets are
+//! excused while a crowd uses up its descriptors.
 
 use super::clients::{ClientBehavior, ClientObservation, Received};
 use super::notification::notified_at;
@@ -30,7 +30,7 @@
 /// What clients and hosts observed in a soak, and the faults that were applied.
 pub struct SoakChecker<'a> {
     pub observations: Vec<ClientObservation>,
-    pub reached: Vec<ObservedAttempt>,
+    pub attempts: Vec<ObservedAttempt>,
     pub slots: ProcessSlots,
     pub fault_history: &'a FaultHistory,
     /// The histories of the two list services.
@@ -51,7 +51,7 @@
     /// Returns all violations of the rules, one per entry.
     pub fn violations(&self) -> Vec<String> {
         let mut by_name: HashMap<&str, Vec<&ObservedAttempt>> = HashMap::new();
-        for attempt in &self.reached {
+        for attempt in &self.attempts {
             by_name.entry(&attempt.name).or_default().push(attempt);
         }
         let mut violations = Vec::new();
@@ -119,7 +119,8 @@
         match &client.received {
             Received::End if client.behavior.violates_protocol() => {}
             Received::Line(_) => {}
-            // A process without free descriptors may close a new connection before it has read from it, which resets it.
+            // A process without free descriptors may close a new connection before it has read from it, which resets
+            // it.
             Received::Reset if self.was_crowded(client) => {}
             // The client's wait timed out while the process was suspended, or right after.
             Received::Timeout
--- a/testkit/src/soak/soak_faults.rs
+++ b/testkit/src/soak/soak_faults.rs
@@ -47,7 +47,8 @@
     NoMemory,
     /// Calls fail because file descriptors or `epoll` watches are exhausted.
     NoDescriptors,
-    /// Connects fail because there is no route to the host or no free local address, and accepted connections are aborted.
+    /// Connects fail because there is no route to the host or no free local address, and accepted connections are
+    /// aborted.
     NoRoute,
     /// Calls are interrupted.
     Interrupted,
--- a/testkit/src/syscalls.rs
+++ b/testkit/src/syscalls.rs
@@ -1,9 +1,10 @@
-//! System calls that fail, fall short or are delayed, and a wall clock that is stepped: the program is started under
-//! `ptrace` with a seccomp filter that stops it at the calls of [`Call`], where a test says what becomes of them. Only the
-//! traced process is touched, and no rights beyond those of its user are needed.
+//! Injects faults into a process: system calls that fail, transfer less than asked for or are delayed, and steps of
+//! the wall clock. The program is started under `ptrace` with a seccomp filter that stops it at the calls of
+//! [`Call`], whose outcome a test sets. Only the traced process is affected, and no privileges beyond those of its
+//! user are needed.
 //!
-//! A call that fails is skipped: the kernel never sees it. A call that falls short is made with a smaller length. The
-//! program's vDSO is hidden from it at its start, so that its reading of the wall clock is a system call like any other.
+//! A call that is to fail is skipped, so that the kernel never sees it. A short call is made with a smaller length.
+//! The vDSO is hidden from the program at its start, so that it reads the wall clock by a system call.
 
 use rustix::io::Errno;
 use std::io;
@@ -14,7 +15,7 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// A kind of system call that can be made faulty.
+/// A kind of system call into which faults can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     /// `accept4`
@@ -23,7 +24,7 @@
     Socket,
     /// `connect`
     Connect,
-    /// `epoll_ctl`, but for removals
+    /// `epoll_ctl`, except removals
     EpollAdd,
     /// `epoll_wait` and its variants
     EpollWait,
@@ -35,7 +36,8 @@
     SendMessage,
     /// `recvmsg`
     ReceiveMessage,
-    /// Of a file of settings: none of the loader's.
+    /// `openat` of a `.json` config file. Other files are never affected, such as the libraries that the loader
+    /// opens.
     Open,
     /// `read`
     Read,
@@ -62,30 +64,30 @@
     (Call::Read, &[libc::SYS_read]),
 ];
 
-/// How soon a process is suspended.
+/// How long a process may take to be suspended.
 const MAX_SUSPEND_TIME: Duration = Duration::from_secs(10);
-/// How much of a path is read.
+/// The longest part of a path that is read, in bytes.
 const MAX_PATH_BYTES: usize = 4096;
 
-/// What becomes of a call.
+/// What a fault does to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It fails with this error.
+    /// The call fails with this error.
     Fails(Errno),
-    /// It moves one byte.
+    /// The call transfers at most one byte.
     Short,
-    /// It is made so much later.
+    /// The call is delayed by this time.
     Delayed(Duration),
 }
 
-/// One of so many calls of a kind has this outcome.
+/// A fault of every n-th call of a kind.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
-    /// Which calls.
+    /// The kind of the calls.
     pub call: Call,
-    /// What becomes of them.
+    /// What the fault does to an affected call.
     pub outcome: Outcome,
-    /// One of so many.
+    /// The fault affects every call whose number is a multiple of this; 0 counts as 1.
     pub every: u64,
 }
 
@@ -93,22 +95,23 @@
 struct State {
     faults: Vec<CountedFault>,
     faulty_calls: u64,
-    /// How far the wall clock is off.
+    /// How far the process's wall clock is ahead of the real one, in nanoseconds.
     clock_offset_nanos: i64,
-    /// Whether the process is to be suspended.
+    /// Whether a test has asked to suspend the process.
     suspend_requested: bool,
-    /// Whether it is.
+    /// Whether the process is suspended.
     suspended: bool,
     exited: Option<ExitStatus>,
 }
 
-/// A fault, and how many calls of its kind there were.
+/// A fault, and how many calls of its kind there were since it was set.
 struct CountedFault {
     fault: Fault,
     calls: u64,
 }
 
-/// How a test controls a traced process: which of its system calls are faulty, and its wall clock.
+/// Controls a traced process from a test: the faults of its system calls, its wall clock and its suspension. Clones
+/// control the same process.
 #[derive(Clone, Default)]
 pub struct SyscallInjector(Arc<(Mutex<State>, Condvar)>);
 
@@ -117,7 +120,7 @@
         self.0 .0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// From now on these faults happen, and no others.
+    /// From now on injects these faults and no others.
     pub fn set(&self, faults: &[Fault]) {
         let counted = |fault: &Fault| CountedFault {
             fault: *fault,
@@ -126,22 +129,22 @@
         self.state().faults = faults.iter().map(counted).collect();
     }
 
-    /// From now on none happen.
+    /// From now on injects no faults.
     pub fn clear(&self) {
         self.set(&[]);
     }
 
-    /// How many calls were made faulty so far.
+    /// Returns the number of calls that faults have affected so far.
     pub fn injected(&self) -> u64 {
         self.state().faulty_calls
     }
 
-    /// Steps the wall clock of the process's machine.
+    /// Steps the wall clock that the process reads. Steps add up.
     pub fn step_clock(&self, seconds: i64) {
         self.state().clock_offset_nanos += seconds * 1_000_000_000;
     }
 
-    /// Suspends the process at its next system call, or continues it.
+    /// Requests that the process stays stopped when SIGSTOP next stops it, or resumes it.
     fn request_suspend(&self, suspend_requested: bool) {
         let mut state = self.state();
         state.suspend_requested = suspend_requested;
@@ -164,7 +167,7 @@
         outcome
     }
 
-    /// Keeps the process stopped while it is to be suspended.
+    /// Keeps the process stopped while a test asks for its suspension.
     fn wait_while_suspended(&self) {
         let (_, changed) = &*self.0;
         let suspend_requested = |state: &mut State| {
@@ -175,27 +178,31 @@
         drop(changed.wait_while(self.state(), suspend_requested));
     }
 
-    /// Waits until the process is suspended, or has ended.
+    /// Waits until the process is suspended or has ended.
     fn wait_until_suspended(&self) {
         let (_, changed) = &*self.0;
         let runs = |state: &mut State| !state.suspended && state.exited.is_none();
         let waited = changed.wait_timeout_while(self.state(), MAX_SUSPEND_TIME, runs);
         let (_state, timeout) = waited.unwrap_or_else(PoisonError::into_inner);
-        assert!(!timeout.timed_out(), "the process does not stand still");
+        assert!(
+            !timeout.timed_out(),
+            "the process was not suspended in time"
+        );
     }
 }
 
-/// A process of the program whose system calls a [`SyscallInjector`] governs.
+/// A process of the program that a [`SyscallInjector`] controls.
 pub struct TracedProcess {
     pid: libc::pid_t,
     injector: SyscallInjector,
 }
 
 impl TracedProcess {
-    /// Starts the program. Its standard error has to be piped.
+    /// Starts the program, whose standard error has to be piped. A thread of its own traces the process until it
+    /// ends.
     ///
     /// # Errors
-    /// What kept the process from being started or traced.
+    /// Returns the error if the process could not be started or traced.
     pub fn start(
         mut command: Command,
         injector: &SyscallInjector,
@@ -204,7 +211,7 @@
         let tracer_injector = injector.clone();
         thread::spawn(move || {
             let filter = seccomp_filter();
-            // SAFETY: only calls that are safe after a fork, on memory that was allocated before.
+            // SAFETY: the closure only makes calls that are safe after a fork, on memory allocated before it.
             unsafe { command.pre_exec(move || trace_me(&filter)) };
             match command.spawn() {
                 Ok(mut child) => {
@@ -220,7 +227,7 @@
                 Err(error) => _ = sender.send(Err(error)),
             }
         });
-        let (pid, stderr) = started.recv().expect("the tracer ended")?;
+        let (pid, stderr) = started.recv().expect("the tracer thread ended")?;
         Ok((
             TracedProcess {
                 pid,
@@ -235,34 +242,34 @@
         self.pid as u32
     }
 
-    /// Waits for its end.
+    /// Waits for the end of the process.
     pub fn wait(&self) -> ExitStatus {
         let (_, changed) = &*self.injector.0;
         let state = changed.wait_while(self.injector.state(), |state| state.exited.is_none());
         state
             .unwrap_or_else(PoisonError::into_inner)
             .exited
-            .expect("it has exited")
+            .expect("the wait ended without an exit status")
     }
 
-    /// Whether it is still running.
+    /// Returns whether the process is still running.
     pub fn runs(&self) -> bool {
         self.injector.state().exited.is_none()
     }
 
-    /// Sends SIGKILL.
+    /// Sends SIGKILL if the process is still running.
     pub fn kill(&self) {
         self.injector.request_suspend(false);
         if self.runs() {
-            // SAFETY: a signal to a child that has not been waited for.
+            // SAFETY: sends a signal to a child that has not been waited for.
             unsafe { libc::kill(self.pid, libc::SIGKILL) };
         }
     }
 
-    /// Suspends it. Returns once it is suspended.
+    /// Suspends the process. Returns once it is suspended or has ended.
     pub fn suspend(&self) {
         self.injector.request_suspend(true);
-        // SAFETY: as above. The tracer keeps it stopped where the signal meets it.
+        // SAFETY: as above. The tracer keeps the process stopped at the point where the signal arrives.
         unsafe { libc::kill(self.pid, libc::SIGSTOP) };
         self.injector.wait_until_suspended();
     }
@@ -273,13 +280,13 @@
     }
 }
 
-/// Lets the parent trace this process, and stops it at the calls of the filter.
+/// Lets the parent trace this process and installs the seccomp filter.
 fn trace_me(filter: &[libc::sock_filter]) -> io::Result<()> {
     let program = libc::sock_fprog {
         len: filter.len() as u16,
         filter: filter.as_ptr().cast_mut(),
     };
-    // SAFETY: plain system calls on values that live here.
+    // SAFETY: these system calls only use values that outlive them.
     let failed = unsafe {
         libc::prctl(libc::PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0) != 0
             || libc::ptrace(libc::PTRACE_TRACEME, 0, 0, 0) != 0
@@ -291,7 +298,7 @@
     Ok(())
 }
 
-/// Stops at the calls of [`CALLS`], and where the wall clock is read.
+/// Returns a seccomp filter that stops the process at the calls of [`CALLS`] and at reads of the wall clock.
 fn seccomp_filter() -> Vec<libc::sock_filter> {
     const NUMBER: u32 = 0;
     const FIRST_ARGUMENT: u32 = 16;
@@ -329,7 +336,7 @@
 
 impl Tracer {
     fn run(&self) {
-        // The first stop is that of its start.
+        // The first stop is the one at `exec`.
         if let Some(status) = self.wait_for_stop() {
             return self.record_exit(status);
         }
@@ -342,7 +349,7 @@
             // SAFETY: as above.
             unsafe { libc::ptrace(libc::PTRACE_CONT, self.pid, 0, signal as usize) };
             let mut status = 0;
-            // SAFETY: waits for this one process.
+            // SAFETY: waits for this process only.
             while unsafe { libc::waitpid(self.pid, &mut status, libc::__WALL) } < 0 {}
             if !libc::WIFSTOPPED(status) {
                 return self.record_exit(ExitStatus::from_raw(status));
@@ -362,10 +369,10 @@
         }
     }
 
-    /// Waits until it is stopped; returns its status where it has ended instead.
+    /// Waits until the process is stopped. Returns its exit status if it has ended instead, `None` otherwise.
     fn wait_for_stop(&self) -> Option<ExitStatus> {
         let mut status = 0;
-        // SAFETY: waits for this one process.
+        // SAFETY: waits for this process only.
         while unsafe { libc::waitpid(self.pid, &mut status, libc::__WALL) } < 0 {}
         (!libc::WIFSTOPPED(status)).then(|| ExitStatus::from_raw(status))
     }
@@ -376,7 +383,7 @@
     }
 
     fn registers(&self) -> libc::user_regs_struct {
-        // SAFETY: all zeros are registers; the process is stopped, and traced by this thread.
+        // SAFETY: all zeros are valid registers; the process is stopped, and traced by this thread.
         unsafe {
             let mut registers: libc::user_regs_struct = std::mem::zeroed();
             libc::ptrace(libc::PTRACE_GETREGS, self.pid, 0, &mut registers);
@@ -389,7 +396,7 @@
         unsafe { libc::ptrace(libc::PTRACE_SETREGS, self.pid, 0, registers) };
     }
 
-    /// Skips the call, which then returns this.
+    /// Skips the call and makes it return `result`.
     fn skip(&self, mut registers: libc::user_regs_struct, result: i64) {
         (registers.orig_rax, registers.rax) = (u64::MAX, result as u64);
         self.set_registers(&registers);
@@ -404,7 +411,7 @@
         let Some((call, _)) = CALLS.iter().find(|(_, numbers)| numbers.contains(&number)) else {
             return;
         };
-        // Removals from an epoll set never fail for want of memory.
+        // Removals from an epoll set never fail for lack of memory.
         if *call == Call::EpollAdd && registers.rsi == libc::EPOLL_CTL_DEL as u64 {
             return;
         }
@@ -422,7 +429,7 @@
         }
     }
 
-    /// Answers a read of the wall clock with the stepped time.
+    /// Skips a read of the wall clock and returns the stepped time to the process.
     fn answer_clock_read(&self, registers: libc::user_regs_struct) {
         let real = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -435,11 +442,11 @@
     }
 
     fn peek(&self, address: u64) -> u64 {
-        // SAFETY: reads a word of the stopped process; where there is none this gives -1.
+        // SAFETY: reads a word of the stopped process; the result is -1 if the address is not mapped.
         unsafe { libc::ptrace(libc::PTRACE_PEEKDATA, self.pid, address, 0) as u64 }
     }
 
-    /// The text at this address, up to its terminating zero.
+    /// Returns the text at an address of the process, up to its terminating zero or about [`MAX_PATH_BYTES`].
     fn read_text(&self, mut address: u64) -> String {
         let mut bytes = Vec::new();
         while bytes.len() < MAX_PATH_BYTES {
@@ -458,8 +465,8 @@
         unsafe { libc::ptrace(libc::PTRACE_POKEDATA, self.pid, address, word) };
     }
 
-    /// Takes the vDSO out of what the kernel tells the process at its start: behind the arguments and the environment on
-    /// its stack.
+    /// Removes the vDSO from the auxiliary vector, which follows the arguments and the environment on the stack of
+    /// the process at its start.
     fn hide_vdso(&self) {
         let mut at = self.registers().rsp;
         let arguments = self.peek(at);
