--- a/testkit/src/discovery/mod.rs
+++ b/testkit/src/discovery/mod.rs
@@ -40,7 +40,7 @@
     hang: Option<Hang>,
     /// The number of calls out of ten that are rejected.
     rejected_of_ten: usize,
-    /// Incremented with each restart and outage. Calls that began before end without an answer.
+    /// Incremented with each restart and outage. Calls that came before end without an answer.
     incarnation: u64,
     /// Incremented whenever watches fall silent.
     silence_count: u64,
--- a/testkit/src/soak/clients.rs
+++ b/testkit/src/soak/clients.rs
@@ -29,7 +29,7 @@
 const LONG_LIVED_RECONNECT_INTERVAL: Duration = Duration::from_millis(50);
 /// How often a client that sends late checks whether the process was told to stop.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The exclusive limit on how long after that check the client sends its request, in milliseconds.
+/// The exclusive limit on how long after it noticed the stop such a client sends its request, in milliseconds.
 const MAX_SEND_DELAY_AFTER_STOP_MILLIS: u64 = 150;
 /// The number of copies of its request that a pipelining client sends at once.
 const PIPELINED_REQUESTS: usize = 3;
--- a/testkit/src/soak/notification.rs
+++ b/testkit/src/soak/notification.rs
@@ -66,7 +66,7 @@
 }
 
 /// Returns whether a call of the process was rejected or broke, that is, got neither an answer nor silence. Only
-/// calls less than [`NOTIFICATION_TIMEOUT`] before or after `since` count.
+/// calls count that may have been open within [`NOTIFICATION_TIMEOUT`] of `since`.
 fn has_failed_call(run: &ProcessRun, services: &[DiscoveryHistory; 2], since: Instant) -> bool {
     let is_near = |call: &&CallRecord| {
         call.called_at <= since + NOTIFICATION_TIMEOUT
--- a/testkit/src/soak/notification_tests.rs
+++ b/testkit/src/soak/notification_tests.rs
@@ -100,7 +100,7 @@
 /// Guards against a process that has more than four seconds after a reload, and against counting a list from the
 /// service that the reload replaced.
 #[test]
-fn a_reload_binds_four_seconds_after_it_and_excuses_nothing() {
+fn a_process_counts_as_notified_four_seconds_after_a_reload() {
     let mut case = Case::new();
     let silenced = case.at(999);
     case.call(0, 300, 19_000).silenced_at = Some(silenced);
--- a/testkit/src/soak/process_group/health.rs
+++ b/testkit/src/soak/process_group/health.rs
@@ -21,8 +21,8 @@
 const SHOWN_LOG_LINES: usize = 30;
 
 impl ProcessGroup {
-    /// Waits until all processes of a slot that were told to stop have ended. Records a failure for each that takes too
-    /// long or exits without success.
+    /// Waits until all processes of a slot that were told to stop have ended. Records a failure for each that takes
+    /// too long or exits without success.
     pub(super) fn wait_for_stopped(&mut self, slot: usize) {
         let max_stop_time = self.profile.longest_deadline() + KILL_DELAY + STOP_SLACK_BEYOND_KILL;
         for StoppingProcess { mut process, since } in
--- a/testkit/src/soak/process_slot.rs
+++ b/testkit/src/soak/process_slot.rs
@@ -66,7 +66,7 @@
 #[derive(Debug, Default)]
 pub struct ProcessSlot {
     pub address: Option<SocketAddr>,
-    /// From when on the upstream load balancer sends no clients to the slot; `None` if it does.
+    /// From when on the upstream load balancer sends no clients to the slot; `None` while it does.
     pub closed: Option<Instant>,
     /// The processes of the slot in the order of their starts.
     pub runs: Vec<ProcessRun>,
--- a/testkit/src/soak/restarts/lateness.rs
+++ b/testkit/src/soak/restarts/lateness.rs
@@ -1,4 +1,4 @@
-//! Measures how late the threads of the test kit itself run. Violations that a busy machine causes can so be told
+//! Measures how late the threads of the test kit itself run, so that violations caused by a busy machine can be told
 //! from faults of the program.
 
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
--- a/testkit/src/soak/restarts/mod.rs
+++ b/testkit/src/soak/restarts/mod.rs
@@ -114,12 +114,7 @@
     let is_insufficient = count("stops") == 0
         || count("open at stops") < MIN_OPEN_CONNECTIONS_PER_STOP * count("stops")
         || count("served") * MAX_REQUESTS_PER_SERVED < count("requests");
-    is_insufficient.then(|| {
-        format!(
-            "too few stops, open connections or served requests: {}",
-            json!(figures)
-        )
-    })
+    is_insufficient.then(|| format!("covered too little: {}", json!(figures)))
 }
 
 /// Plays `count` consecutive seeds one after the other. Prints violations together with the schedule of their seed.
--- a/testkit/src/soak/soak_checker.rs
+++ b/testkit/src/soak/soak_checker.rs
@@ -1,6 +1,6 @@
 //! The invariant checker of a soak. It checks the rules on requests by what clients and hosts observed. Missing
-//! answers are excused if a process was killed, lateness is excused while a process was suspended, and resets are
-//! excused while a crowd uses up its descriptors.
+//! answers are excused if a process was killed, late or missing answers and late attempts if it was suspended, and
+//! resets while a crowd uses up its descriptors.
 
 use super::clients::{ClientBehavior, ClientObservation, Received};
 use super::notification::notified_at;
@@ -131,7 +131,7 @@
                 ) => {}
             other => {
                 return Some(format!(
-                    "rule 1: received {other:?} instead of an answer after {took:?}"
+                    "rule 1: {other:?} instead of an answer after {took:?}"
                 ))
             }
         }
