--- a/node/tests/replication.rs
+++ b/node/tests/replication.rs
@@ -68,7 +68,7 @@
         };
         let mut fleet = Fleet::new(nodes, service.address, OPTIONS)
             .with_view(fleet_view)
-            .class(idempotency, retention);
+            .with_effect(idempotency, retention);
         fleet.start(&(0..nodes).collect::<Vec<_>>(), &[member], 1);
         assert!(fleet.agrees_within(PERIOD * 60).is_some());
         // Replicas do not vote until the retention has passed since their start.
--- a/node/tests/upgrade.rs
+++ b/node/tests/upgrade.rs
@@ -84,12 +84,12 @@
     let mut fleet = build(Fleet::new(nodes, service.address, options).with_view(fleet_view));
     let (even, odd): (Vec<usize>, Vec<usize>) = (0..nodes).partition(|node| node % 2 == 0);
     fleet.start(&even, known, 1);
-    fleet = fleet.of(previous_build());
+    fleet = fleet.with_program(previous_build());
     fleet.start(&odd, known, 1);
     assert!(
         fleet.agrees_within(PERIOD * 60).is_some(),
         "views differ: {:?}",
-        fleet.held()
+        fleet.views()
     );
     fleet
 }
@@ -104,7 +104,7 @@
         assert!(
             fleet.agrees_within(PERIOD * 60).is_some(),
             "views differ after a node was killed: {:?}",
-            fleet.held()
+            fleet.views()
         );
     }
 }
@@ -142,7 +142,7 @@
     let service = Discovery::start();
     service.change(member.clone());
     let mut fleet = mixed_fleet(6, &service, &[member], |fleet| {
-        fleet.class("single_shot", Some(RECORD_LIFETIME))
+        fleet.with_effect("single_shot", Some(RECORD_LIFETIME))
     });
     // A replica does not vote until a record's lifetime has passed since its start.
     thread::sleep(RECORD_LIFETIME + PERIOD);
