--- a/node/tests/clocks.rs
+++ b/node/tests/clocks.rs
@@ -88,7 +88,7 @@
         Duration::from_secs(60),
     );
     eventually("the long connections are open", || {
-        hosts.standing().iter().sum::<u32>() as usize >= OPEN_CONNECTIONS * 9 / 10
+        hosts.open_connections().iter().sum::<u32>() as usize >= OPEN_CONNECTIONS * 9 / 10
     });
     let mut new = hosts.member(2, "active");
     new["up_since_ms"] = json!(wall_clock_ms(host_offset));
--- a/testkit/src/two_tier_cluster.rs
+++ b/testkit/src/two_tier_cluster.rs
@@ -5,7 +5,7 @@
 use crate::program::Node;
 use crate::relay::Relay;
 use crate::simulated::{
-    HostBehavior, Hosts, InvariantChecker, CLASS_NAMES, DRAIN_GRACE, REQUEST_TIMEOUT, WINDOW,
+    HostBehavior, Hosts, InvariantChecker, CLASS_NAMES, DRAIN_GRACE, REPEAT_WINDOW, REQUEST_TIMEOUT,
 };
 use crate::Discovery;
 use serde_json::{json, Value};
@@ -56,7 +56,7 @@
         .zip(idempotencies)
         .map(|(name, idempotency)| {
             json!({"name": name, "contract_time": 500, "expiry": REQUEST_TIMEOUT.as_millis() as u64, "effect": idempotency,
-            "group": "cell", "repeat_window": WINDOW.as_millis() as u64, "payoff": 1})
+            "group": "cell", "repeat_window": REPEAT_WINDOW.as_millis() as u64, "payoff": 1})
         })
         .collect();
     json!({"name": name, "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
@@ -144,7 +144,7 @@
         );
         let planner = Node::start_as("plan", &operator_config, &node_config);
         for relays in &self.relays {
-            relays[index].lead_to(planner.address);
+            relays[index].set_target(planner.address);
         }
         self.planners[index] = Some(planner);
     }
@@ -175,7 +175,7 @@
 
     /// Makes discovery announce that a host drains, or that it is ready again.
     pub fn set_draining(&self, host: usize, draining: bool) {
-        self.checker.drains(host, draining);
+        self.checker.note_drain(host, draining);
         let phase = if draining { "leaving" } else { "active" };
         self.discovery.change(self.hosts.member(host, phase));
     }
@@ -192,7 +192,8 @@
             relay.up.clear();
             relay.down.clear();
         }
-        (0..self.hosts.addresses.len()).for_each(|host| self.hosts.go(host, HostBehavior::Accepts));
+        (0..self.hosts.addresses.len())
+            .for_each(|host| self.hosts.set_behavior(host, HostBehavior::Accepts));
     }
 
     /// Injects a fault of this kind, and returns its description. `a` and `b` are random numbers that select the
@@ -245,7 +246,7 @@
                     HostBehavior::Silent,
                     HostBehavior::Disconnects,
                 ];
-                self.hosts.go(host, behaviors[b % 4]);
+                self.hosts.set_behavior(host, behaviors[b % 4]);
                 format!("host {host} fails in way {}", b % 4)
             }
             _ => {
