--- a/node/tests/shared/mod.rs
+++ b/node/tests/shared/mod.rs
@@ -1,35 +1,36 @@
-//! What trials of retries share: connections that come up late, and the class of the requests.
+//! Helpers for the tests of retries: the request class, and hosts whose connections are established late.
 
 use reedferry_testkit::{Node, Peer};
 use serde_json::{json, Value};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// For how long a connection that comes up late is waited for: the system asks for a connection again a
-/// second after the first time.
+/// How long tests wait for a late connection. The operating system repeats an unanswered connection request
+/// after one second.
 pub const LATE_CONNECTION_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// The request class of the trials, but for what a trial sets itself.
+/// Returns the request class `chat` with the given idempotency, idempotency group and latency objective.
 pub fn request_class(idempotency: &str, group: &str, latency_objective_ms: f64) -> Value {
     json!({"name": "chat", "contract_time": latency_objective_ms, "expiry": 6000.0,
         "effect": idempotency, "group": group, "payoff": 1.0, "repeat_window": 6000.0})
 }
 
-/// Waits until the node has read all that came before, and has begun the connections that it chose.
+/// Waits until the node has read everything that was sent to it before, and has started the connections to the
+/// hosts that it chose.
 pub fn wait_until_read(node: &Node) {
     let mut other = Peer::connect(node.address);
     other.send_line("PING");
     other.expect_line("PONG");
 }
 
-/// Lets a jammed listener accept again, and answers the request that comes on a late connection, if one does
-/// before the deadline.
+/// Frees a listener whose queue is full and accepts the request that arrives on a late connection. Returns the
+/// connection, or `None` if no request arrives before the deadline.
 pub fn answer_late_request(
     listener: &TcpListener,
-    first: TcpStream,
+    queued_connection: TcpStream,
     deadline: Instant,
 ) -> Option<Peer> {
-    drop(first);
+    drop(queued_connection);
     drop(listener.accept().unwrap());
     listener.set_nonblocking(true).unwrap();
     while Instant::now() < deadline {
--- a/node/tests/sockets.rs
+++ b/node/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! The program itself, started and spoken to over sockets, among scripted stand-ins for all that it
-//! meets.
+//! Tests of one process of the program over sockets. Clients, hosts, the discovery service and peers are
+//! scripted by the test.
 
 use reedferry_testkit::*;
 use serde_json::{json, Value};
@@ -8,10 +8,11 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-fn start(hosts: &Hosts, adjust: impl FnOnce(&mut Value)) -> (Node, Discovery) {
+/// Starts a discovery service and a node that knows the hosts and runs with the changed configuration.
+fn start(hosts: &Hosts, change_config: impl FnOnce(&mut Value)) -> (Node, Discovery) {
     let discovery = Discovery::start();
     let mut node_config = node_config(hosts, discovery.address);
-    adjust(&mut node_config);
+    change_config(&mut node_config);
     (Node::start(&node_config), discovery)
 }
 
@@ -52,8 +53,8 @@
 }
 
 #[test]
-fn ends_are_passed_on_in_kind() {
-    // More than one, as a host that broke a connection is left alone for a while.
+fn an_end_or_reset_on_one_side_is_relayed_to_the_other_side() {
+    // Several hosts, as a host that broke a connection gets no new one for a while.
     let hosts = Hosts::start(3);
     let (node, _) = start(&hosts, |_| {});
     let (mut client, _, host) = node.served(&hosts);
@@ -72,10 +73,10 @@
 }
 
 #[test]
-fn what_one_host_rejects_or_breaks_goes_to_another() {
+fn a_request_that_one_host_rejects_or_breaks_is_sent_to_another() {
     for answer in ["BUSY\r\n", "ERR\r\n", "", "what\r\n", "UP"] {
         let mut hosts = Hosts::start(3);
-        // At one of the three nobody listens.
+        // Nobody listens at one of the three addresses.
         hosts.addresses[0] = nowhere();
         let (node, _) = start(&hosts, |_| {});
         let mut client = node.open(OPEN);
@@ -92,15 +93,15 @@
 }
 
 #[test]
-fn what_no_host_accepts_is_rejected_at_once_with_a_retry_after() {
+fn a_request_that_no_host_accepts_is_rejected_at_once_with_a_retry_after() {
     let mut hosts = Hosts::start(2);
     hosts.addresses = vec![nowhere(), nowhere()];
     let (node, _) = start(&hosts, |_| {});
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut client = node.open(OPEN);
     let answer = client.receive_line();
     let wait: u64 = answer.strip_prefix("BUSY ").unwrap().parse().unwrap();
-    assert!((250..=1000).contains(&wait) && began.elapsed() < Duration::from_secs(1));
+    assert!((250..=1000).contains(&wait) && started_at.elapsed() < Duration::from_secs(1));
     client.expect_line("end");
 }
 
@@ -115,7 +116,7 @@
     host.receive_line();
     host.end_sending();
     client.expect_line("ERR");
-    // What never ran may go again.
+    // A request that the host rejected has not run, and is sent again.
     let mut client = node.open(OPEN);
     let (_, mut host) = hosts.accept();
     host.receive_line();
@@ -127,15 +128,15 @@
 }
 
 #[test]
-fn an_attempt_at_a_silent_host_times_out_and_its_client_may_leave() {
+fn an_attempt_at_a_silent_host_ends_in_time_or_when_its_client_leaves() {
     let hosts = Hosts::start(2);
     let (node, _) = start(&hosts, |_| {});
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut client = node.open(&OPEN.replace("d=2000", "d=400"));
     let (_, mut host) = hosts.accept();
     host.receive_line();
     assert!(client.receive_line().starts_with("BUSY"));
-    assert!(began.elapsed() < Duration::from_millis(466));
+    assert!(started_at.elapsed() < Duration::from_millis(466));
     host.expect_line("end");
     let client = node.open(OPEN);
     let (_, mut host) = hosts.accept();
@@ -157,8 +158,8 @@
         &hosts.addresses[number].to_string(),
         "leaving",
     ));
-    // Served at the other one, since the node knows of the drain.
-    eventually("new ones go on to the host that leaves", || {
+    // Waits until the node knows of the drain: then new clients are served by the other host.
+    eventually("new clients still go to the draining host", || {
         let mut client = node.open(OPEN);
         let (at, mut host) = hosts.accept();
         host.send_line("BUSY");
@@ -180,25 +181,25 @@
     let hosts = Hosts::start(1);
     let (mut node, _) = start(&hosts, |_| {});
     let all: Vec<_> = (0..12).map(|_| node.served(&hosts)).collect();
-    let began = Instant::now();
+    let started_at = Instant::now();
     node.stop();
     node.wait_for_log("shutting down requests=12");
     let mut late = node.open(OPEN);
     assert!(late.receive_line().starts_with("BUSY"));
     for (mut client, _, mut host) in all {
         client.expect_line("MOVE");
-        // Served for another third of the time that is left.
-        assert!(began.elapsed() > Duration::from_millis(780));
+        // A client is still served for the first third of the remaining time.
+        assert!(started_at.elapsed() > Duration::from_millis(780));
         client.expect_line("end");
         host.expect_line("end");
     }
-    assert!(began.elapsed() < Duration::from_millis(2700));
+    assert!(started_at.elapsed() < Duration::from_millis(2700));
     assert!(node.wait().success());
-    assert!(began.elapsed() >= Duration::from_millis(2700));
+    assert!(started_at.elapsed() >= Duration::from_millis(2700));
 }
 
 #[test]
-fn connections_from_before_the_start_go_back_to_their_host() {
+fn clients_that_name_their_host_are_placed_on_that_host_alone() {
     let mut hosts = Hosts::start(3);
     let (node, discovery) = start(&hosts, |_| {});
     for wanted in [2, 0, 1] {
@@ -207,14 +208,14 @@
         assert_eq!(number, wanted);
         host.receive_line();
         host.send_line("BUSY");
-        // It is retried there, and nowhere else.
+        // The rejected request is retried on the same host and on no other.
         let (number, mut host) = hosts.accept();
         assert_eq!(number, wanted);
         host.receive_line();
         host.send_line("UP 5");
         client.expect_line("UP 5");
     }
-    // One that the known list does not name yet is waited for, as long as the client waits.
+    // A client of a host that is not listed yet waits for that host until its own deadline.
     node.open(&format!("{OPEN},at=s-9").replace("d=2000", "d=300"))
         .expect_line("ERR");
     let mut client = node.open(&format!("{OPEN},at=s-3"));
@@ -227,27 +228,27 @@
     client.expect_line("UP 6");
 }
 
-/// Within this time of connecting every bad client is to have its answer, or the end.
+/// The time after connecting within which every invalid client receives an answer or the end of its connection.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one scenario: all kinds of bad clients at one node"
+    reason = "one scenario: all kinds of invalid clients at one node"
 )]
-fn bad_clients_are_rejected_in_time_and_none_is_served() {
+fn malformed_and_idle_clients_are_rejected_in_time_and_reach_no_host() {
     let hosts = Hosts::start(2);
     let (mut node, _) = start(&hosts, |p| {
         p["limits"] = json!({"memory_mb": 32, "sockets": 256});
     });
     let (mut client, _, mut host) = node.served(&hosts);
-    let mut held = node.open("OPEN feed 7f3a c=chat,t=acme,d=2000");
-    let (_, mut holder) = hosts.accept();
-    assert!(holder.receive_line().starts_with("OPEN feed "));
-    holder.send_line("UP 1");
-    held.expect_line("UP 1");
-    let began = Instant::now();
-    // Those that send nothing, or half of something, and never leave.
+    let mut held_client = node.open("OPEN feed 7f3a c=chat,t=acme,d=2000");
+    let (_, mut held_host) = hosts.accept();
+    assert!(held_host.receive_line().starts_with("OPEN feed "));
+    held_host.send_line("UP 1");
+    held_client.expect_line("UP 1");
+    let started_at = Instant::now();
+    // Clients that send nothing, part of a line, or only a ping, and stay connected.
     let silent: Vec<Peer> = ["", "OP", "OPEN a b c=chat,t=acme,d=2000", "PING\r\n"]
         .iter()
         .cycle()
@@ -282,65 +283,65 @@
         &pings,
     ];
     for line in lines {
-        // The same again as soon as it is rejected.
+        // The same line again on a new connection as soon as the first is rejected.
         for _ in 0..2 {
-            let began = Instant::now();
+            let started_at = Instant::now();
             let mut bad = Peer::connect(node.address);
             bad.send_line(line);
             while bad.receive_line() == "PONG" {}
-            assert!(began.elapsed() < ANSWER_TIMEOUT, "{line}");
+            assert!(started_at.elapsed() < ANSWER_TIMEOUT, "{line}");
         }
     }
     let mut bytes = Peer::connect(node.address);
     std::io::Write::write_all(&mut bytes.stream, b"OPEN \xff\xfe a c=chat,d=1\r\n").unwrap();
     bytes.expect_line("ERR");
     drop(Peer::connect(node.address));
-    // One that sends more while its first line waits for an answer: its attempt ends, and so does
-    // it.
-    let mut talks = node.open(OPEN);
-    let (_, mut taker) = hosts.accept();
-    taker.receive_line();
-    talks.send_line("and another thing");
-    talks.expect_line("ERR");
-    taker.expect_line("end");
+    // A client that sends more before its first line is answered receives an error, and its attempt
+    // is cancelled.
+    let mut early_sender = node.open(OPEN);
+    let (_, mut early_sender_host) = hosts.accept();
+    early_sender_host.receive_line();
+    early_sender.send_line("and another thing");
+    early_sender.expect_line("ERR");
+    early_sender_host.expect_line("end");
     for mut peer in silent {
         while peer.receive_line() == "PONG" {}
-        assert!(began.elapsed() < ANSWER_TIMEOUT);
+        assert!(started_at.elapsed() < ANSWER_TIMEOUT);
     }
     node.wait_for_log("clients rejected");
-    // Nothing of all that reached a host, and the others are served.
+    // None of these clients reached a host, and the open connections still work.
     assert!(hosts.accept_soon().is_none());
-    held.send_line("still");
-    holder.expect_line("still");
+    held_client.send_line("still");
+    held_host.expect_line("still");
     client.send_line("still");
     host.expect_line("still");
     assert!(node.runs());
 }
 
 #[test]
-fn an_answer_arrives_though_sixty_megabytes_are_left_unread() {
+fn a_client_receives_its_error_after_sending_sixty_excess_megabytes() {
     let hosts = Hosts::start(1);
     let (node, _) = start(&hosts, |p| p["limits"]["memory_mb"] = json!(32));
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut bad = Peer::connect(node.address);
-    let piece = vec![b'k'; 1 << 20];
+    let megabyte = vec![b'k'; 1 << 20];
     for _ in 0..60 {
-        std::io::Write::write_all(&mut bad.stream, &piece).unwrap();
+        std::io::Write::write_all(&mut bad.stream, &megabyte).unwrap();
     }
     bad.expect_line("ERR");
-    assert!(began.elapsed() < 2 * ANSWER_TIMEOUT);
-    // While another sends without end, usual ones are served, and its connection is closed.
+    assert!(started_at.elapsed() < 2 * ANSWER_TIMEOUT);
+    // While one client sends without end, valid clients are served, and its connection is closed.
     let mut endless = Peer::connect(node.address);
     endless.write("x");
-    let sender =
-        std::thread::spawn(
-            move || while std::io::Write::write_all(&mut endless.stream, &piece).is_ok() {},
-        );
+    let sender = std::thread::spawn(move || {
+        while std::io::Write::write_all(&mut endless.stream, &megabyte).is_ok() {}
+    });
     for _ in 0..20 {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let (client, _, mut host) = node.served(&hosts);
-        assert!(began.elapsed() < Duration::from_millis(500));
-        // The client ends first: where both end within one turn of the node, the only host counts as broken.
+        assert!(started_at.elapsed() < Duration::from_millis(500));
+        // The client ends first: if both ended within one turn of the node, the node would count the only
+        // host as broken.
         drop(client);
         assert!(["end", "reset"].contains(&host.receive_line().as_str()));
     }
@@ -348,7 +349,7 @@
 }
 
 #[test]
-fn hundreds_of_idle_clients_take_no_descriptor_that_others_need() {
+fn hundreds_of_idle_clients_leave_enough_descriptors_for_active_ones() {
     let hosts = Hosts::start(1);
     let (node, _) = start(&hosts, |p| {
         p["limits"] = json!({"memory_mb": 32, "sockets": 256});
@@ -357,11 +358,11 @@
     let mut silent = Vec::new();
     for n in 0..40 {
         silent.extend((0..15).map(|_| Peer::connect(node.address)));
-        let began = Instant::now();
+        let started_at = Instant::now();
         served.push(node.served(&hosts));
         assert!(
-            began.elapsed() < Duration::from_secs(1),
-            "the {n}th waits for the silent"
+            started_at.elapsed() < Duration::from_secs(1),
+            "client {n} was delayed by the idle clients"
         );
         assert!(node.descriptors() <= 256);
     }
@@ -372,19 +373,19 @@
 }
 
 #[test]
-fn overlong_lines_of_open_connections_end_their_own_connection_alone() {
+fn an_overlong_line_closes_only_the_connection_it_arrived_on() {
     let hosts = Hosts::start(2);
     let (mut node, _) = start(&hosts, |_| {});
     let (mut client, _, mut host) = node.served(&hosts);
     let long = "x".repeat(5000);
     let (mut other, _, mut bad) = node.served(&hosts);
     bad.write(&long);
-    eventually("an over-long line ends its connection", || {
+    eventually("an overlong line did not end its connection", || {
         other.receive_line() == "reset"
     });
     let (mut bad, _, mut other) = node.served(&hosts);
     bad.write(&long);
-    eventually("an over-long line ends its connection", || {
+    eventually("an overlong line did not end its connection", || {
         other.receive_line() == "reset"
     });
     client.send_line("still");
@@ -396,7 +397,7 @@
 fn the_watch_is_renewed_at_once_and_retried_when_it_fails() {
     let mut hosts = Hosts::start(1);
     let (node, discovery) = start(&hosts, |_| {});
-    // One call that waits, and no other before it.
+    // Exactly one watch waits, and no call came before it.
     discovery.calls(1);
     discovery.change(member(7, "127.0.0.1:9", "active"));
     let gaps = discovery.calls(2);
@@ -404,7 +405,8 @@
         gaps.iter().all(|g| *g < Duration::from_millis(200)),
         "{gaps:?}"
     );
-    // Cut, garbled, refused: each ends one call, and none the node.
+    // A rejection, two truncated answers and one in another protocol: each fails one call, and the node
+    // goes on.
     let (head, cut) = (
         "HTTP/1.1 200 OK\r\n",
         "{\"revision\":9,\"complete\":true,\"members\":[",
@@ -421,7 +423,7 @@
     discovery.change(member(0, &hosts.addresses[0].to_string(), "left"));
     discovery.change(member(1, &hosts.addresses[1].to_string(), "active"));
     node.wait_for_log("watch begun");
-    eventually("the new host is never used", || {
+    eventually("the new host is not used", || {
         let _client = node.open(OPEN);
         let (at, mut host) = hosts.accept();
         host.send_line("BUSY");
@@ -429,10 +431,11 @@
     });
 }
 
-/// Guards against a wait at a service that has restarted; and one by a node that was rejected, and
-/// is accountable for what it missed though nothing tells it whether the watch that waits is heard.
+/// Guards against a node that, after its call was rejected or the service restarted, starts with a
+/// watch that waits. The node has to act on changes that it may have missed, and while a watch waits it
+/// cannot tell whether the service has received it.
 #[test]
-fn a_node_that_was_rejected_or_whose_watch_broke_first_polls_without_waiting() {
+fn after_a_rejection_or_a_broken_watch_the_next_call_does_not_wait() {
     let hosts = Hosts::start(1);
     let discovery = Discovery::start();
     discovery.reject_of_ten(10);
@@ -444,17 +447,17 @@
     discovery.calls(before + 2);
     discovery.restart(0, &[]);
     discovery.calls(before + 4);
-    let held: Vec<bool> = discovery.asked()[before..]
+    let may_wait: Vec<bool> = discovery.asked()[before..]
         .iter()
         .map(|a| !a.ends_with("hold_ms=1"))
         .collect();
-    assert_eq!(held[..4], [false, true, false, true]);
+    assert_eq!(may_wait[..4], [false, true, false, true]);
 }
 
-/// Guards against a draining host that gets new work again by changes from before what is known; a
-/// node ended, or left without a list, by one odd answer.
+/// Guards against new requests for a draining host after a list with an older revision arrived, and
+/// against a node that exits or loses its list because of one invalid answer.
 #[test]
-fn odd_lists_fail_alone_and_no_drain_is_forgotten() {
+fn an_invalid_list_fails_only_its_own_call_and_drains_stay_known() {
     let mut hosts = Hosts::start(1);
     hosts.add();
     let (mut node, discovery) = start(&hosts, |_| {});
@@ -486,12 +489,12 @@
     let served: Vec<_> = (0..6).map(|_| node.served(&hosts)).collect();
     assert!(
         served.iter().all(|(_, at, _)| *at == 1),
-        "new work for a host that drains"
+        "new requests went to a draining host"
     );
-    // No host is listed: each client is told so at once, until one is.
+    // While no host is listed, each client is rejected at once.
     discovery.answer_instead(&[&list(50, true, "")]);
     discovery.change(member(8, "127.0.0.1:9", "left"));
-    eventually("an empty list is not taken up", || {
+    eventually("the empty list was not applied", || {
         node.open(OPEN).receive_line().starts_with("BUSY")
     });
     discovery.answer_instead(&[&list(
@@ -500,7 +503,7 @@
         &member(1, &addresses[1], "active").to_string(),
     )]);
     discovery.change(member(8, "127.0.0.1:9", "left"));
-    eventually("the host is never used again", || {
+    eventually("the host was not used again", || {
         let _client = node.open(OPEN);
         hosts.accept_soon().is_some()
     });
@@ -508,13 +511,13 @@
 }
 
 #[test]
-fn a_reloaded_config_leads_to_another_list_service_and_cuts_nothing() {
+fn a_reload_switches_the_discovery_service_and_keeps_open_connections() {
     let mut hosts = Hosts::start(1);
     let (mut node, old) = start(&hosts, |_| {});
     (0..50).for_each(|n| old.change(member(9, "127.0.0.1:9", ["leaving", "active"][n % 2])));
     old.calls(2);
     let (mut client, _, mut host) = node.served(&hosts);
-    // A bad file is one line, and the node stays with the service it followed.
+    // An invalid file causes one log line, and the node keeps following the same service.
     let mut node_config = node_config(&hosts, old.address);
     for bad in ["", "{\"name\": \"n0\", \"lis", "[]"] {
         node.reload(bad);
@@ -522,7 +525,7 @@
     }
     old.change(member(8, "127.0.0.1:9", "active"));
     node.wait_for_log("name: s-8");
-    // The new service counts from one again, and lists another host in place of the old ones.
+    // The new service starts at revision 1 again and lists another host instead of the old ones.
     let new = Discovery::start();
     hosts.add();
     new.change(member(1, &hosts.addresses[1].to_string(), "active"));
@@ -538,7 +541,7 @@
     assert!(others.iter().all(|(_, at, _)| *at == 1));
     client.send_line("still");
     host.expect_line("still");
-    // What comes next is followed, over and over, and so is a signal to stop right behind it.
+    // Changes are still followed after 20 more reloads, and a stop signal right after a reload is handled.
     (0..20).for_each(|_| node.reload(&node_config.to_string()));
     new.change(member(7, "127.0.0.1:9", "active"));
     node.wait_for_log("name: s-7");
@@ -557,26 +560,26 @@
 }
 
 #[test]
-fn pushed_changes_are_watched_for_without_being_asked() {
+fn with_pushed_lists_the_node_calls_discovery_on_its_own() {
     let hosts = Hosts::start(1);
     let (_node, discovery) = start(&hosts, |p| p["settings"]["registry_mode"] = json!("pushed"));
     discovery.calls(1);
 }
 
-/// Settings of a deployment whose hosts report their load to probes.
-fn by_probe(node_config: &mut Value, fields: &[&str]) {
+/// Sets the configuration of a deployment whose hosts report these load metrics to probes.
+fn report_load_to_probes(node_config: &mut Value, fields: &[&str]) {
     node_config["settings"]["reporting"] = json!({"fields": fields, "via": "pull"});
 }
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
-fn what_a_probe_reports_is_gossiped_and_what_peers_report_decides() {
+fn probed_load_is_gossiped_and_gossiped_load_decides_placement() {
     let hosts = Hosts::start(2);
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
     peer.set_read_timeout(Some(MAX_WAIT)).unwrap();
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     let mut node_config = node_config(&hosts, nowhere());
-    by_probe(&mut node_config, &["util", "x0"]);
+    report_load_to_probes(&mut node_config, &["util", "x0"]);
     node_config["settings"]["policy_limits"]["peers"] = json!(true);
     node_config["settings"]["balancers"] = json!(2);
     let operator_config = format!(
@@ -584,22 +587,23 @@
         peer.local_addr().unwrap()
     );
     let node = Node::start_as("node", &operator_config, &node_config);
-    // Whichever of the two is probed first is full, and the peer is told of it.
+    // The host that is probed first reports that it is full, and the peer receives this by gossip.
     let (first, mut probe) = hosts.accept();
     probe.expect_line("STATS");
     probe.send_line("PONG util=1,x0=1.5");
     let mut message = [0; 512];
     let (length, at) = peer.recv_from(&mut message).unwrap();
     assert_eq!((length, message[0], message[4]), (5, 1, 96));
-    // What the peer reports of it counts; datagrams of unknown nodes, or of no known form, do not.
+    // Datagrams from unknown senders and malformed ones are dropped; reports of the peer count.
     stranger.send_to(&message[..5], at).unwrap();
     node.wait_for_log("message dropped");
-    for poor in [&[][..], &[1], &[9; 300], &[2, 1, 2, 3, 4]] {
-        peer.send_to(poor, at).unwrap();
+    for malformed in [&[][..], &[1], &[9; 300], &[2, 1, 2, 3, 4]] {
+        peer.send_to(malformed, at).unwrap();
     }
-    let looked = Cell::new(false);
-    // Where the next client is served, and stays; further probes may come between.
-    let mut stay = Vec::new();
+    let first_was_probed = Cell::new(false);
+    // Returns the host that serves the next client, whose connection stays open. Answers the probes that
+    // arrive in between.
+    let mut open_connections = Vec::new();
     let mut serving = || {
         let mut client = node.open(OPEN);
         loop {
@@ -607,10 +611,10 @@
             if host.receive_line() != "STATS" {
                 host.send_line("UP 77aa");
                 client.expect_line("UP 77aa");
-                stay.push((client, host));
+                open_connections.push((client, host));
                 return on;
             }
-            looked.set(looked.get() || on == first);
+            first_was_probed.set(first_was_probed.get() || on == first);
             host.send_line(if on == first {
                 "PONG util=1,x0=1.5"
             } else {
@@ -619,12 +623,11 @@
         }
     };
     assert!((0..4).all(|_| serving() != first));
-    // Guards against the rest of a flood that came at once, left unread: its last message counts
-    // before the node polls there again by itself, or does so the second time on a machine that is
-    // very slow.
+    // Guards against datagrams of a burst that are left unread: the last of them has to count before the
+    // node next probes that host itself. A very slow machine may need the second try.
     message[4] = 0;
-    let heard = (0..2).any(|_| {
-        looked.set(false);
+    let gossip_counted = (0..2).any(|_| {
+        first_was_probed.set(false);
         node.suspend();
         for _ in 0..150 {
             peer.send_to(&[9], at).unwrap();
@@ -635,26 +638,27 @@
             if serving() == first {
                 return true;
             }
-            if looked.get() {
+            if first_was_probed.get() {
                 return false;
             }
         }
     });
-    assert!(heard, "the last message of a flood was left lying");
+    assert!(gossip_counted, "the last datagram of a burst was not read");
 }
 
-/// Guards against a node that starts with a mix of two shapes of deployment, or switches to one.
+/// Guards against a node that starts with, or switches to, settings that contradict each other because they mix two
+/// kinds of deployment.
 #[test]
-fn a_mix_of_two_deployment_shapes_is_rejected_at_start_and_on_reload() {
+fn inconsistent_settings_are_rejected_at_start_and_on_reload() {
     let hosts = Hosts::start(1);
     let good = node_config(&hosts, nowhere());
-    type Mix = (&'static str, fn(&mut Value));
-    let mixes: [Mix; 4] = [
+    type InvalidSetting = (&'static str, fn(&mut Value));
+    let invalid_settings: [InvalidSetting; 4] = [
         ("reporting.via", |p| {
-            by_probe(p, &["x0"]);
+            report_load_to_probes(p, &["x0"]);
             p["settings"]["policy_limits"]["may_probe"] = json!(false);
         }),
-        ("reporting.fields", |p| by_probe(p, &["qps"])),
+        ("reporting.fields", |p| report_load_to_probes(p, &["qps"])),
         ("policy_limits.peers", |p| {
             p["settings"]["policy_limits"]["peers"] = json!(true);
         }),
@@ -663,14 +667,14 @@
         }),
     ];
     let node = Node::start(&good);
-    for (key, mix) in mixes {
+    for (key, invalidate) in invalid_settings {
         let mut node_config = good.clone();
-        mix(&mut node_config);
+        invalidate(&mut node_config);
         let ended = program(&node_config.to_string()).output().unwrap();
-        let said = String::from_utf8(ended.stderr).unwrap();
+        let stderr = String::from_utf8(ended.stderr).unwrap();
         assert!(
-            ended.status.code() == Some(1) && said.lines().count() == 1 && said.contains(key),
-            "{said}"
+            ended.status.code() == Some(1) && stderr.lines().count() == 1 && stderr.contains(key),
+            "{stderr}"
         );
         node.reload(&node_config.to_string());
         assert!(node
@@ -678,7 +682,7 @@
             .contains(key));
     }
     node.served(&hosts);
-    // `check` says the same without starting.
+    // The `check` command reports the same error without starting a node.
     let folder = std::env::temp_dir().join(format!("reedferry-mix-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let mut node_config = good.clone();
@@ -692,19 +696,19 @@
         .output()
         .unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
-    let said = String::from_utf8(ended.stderr).unwrap();
+    let stderr = String::from_utf8(ended.stderr).unwrap();
     assert!(
-        ended.status.code() == Some(1) && said.contains("node.toml:2: policy_limits.peers"),
-        "{said}"
+        ended.status.code() == Some(1) && stderr.contains("node.toml:2: policy_limits.peers"),
+        "{stderr}"
     );
-    assert_eq!(said.lines().count(), 1);
+    assert_eq!(stderr.lines().count(), 1);
 }
 
 #[test]
-fn hosts_whose_load_comes_by_probes_are_probed_and_avoided_when_full() {
+fn hosts_that_report_load_to_probes_are_probed_and_relieved_when_full() {
     let hosts = Hosts::start(1);
     let (node, _) = start(&hosts, |p| {
-        by_probe(p, &["x0", "x1"]);
+        report_load_to_probes(p, &["x0", "x1"]);
     });
     let (mut client, _, mut serving) = node.served(&hosts);
     serving.send_line("LOAD 500000");
@@ -718,73 +722,75 @@
 }
 
 #[test]
-fn a_client_of_a_host_that_falls_silent_is_migrated_within_seven_seconds() {
+fn a_client_of_a_host_that_stops_answering_is_migrated_within_seven_seconds() {
     let hosts = Hosts::start(1);
     let (node, _) = start(&hosts, |_| {});
     let mut client = node.open(OPEN);
     let (_, mut host) = hosts.accept();
     host.receive_line();
-    // The load comes in one piece with the answer and counts all the same.
+    // The load report counts even though it arrives in one segment with the answer.
     host.write("UP 1\r\nLOAD 2500000\r\n");
     client.expect_line("UP 1");
     client.expect_line("LOAD 2500000");
-    let began = Instant::now();
+    let started_at = Instant::now();
     client.send_line("anyone?");
     client.expect_line("MOVE");
     client.expect_line("end");
-    assert!(began.elapsed() < Duration::from_secs(7));
+    assert!(started_at.elapsed() < Duration::from_secs(7));
 }
 
 #[test]
-fn a_connection_stopped_within_a_line_is_closed_in_time_and_its_host_keeps_the_others() {
+fn a_connection_stalled_within_a_line_is_closed_and_its_host_keeps_others() {
     let hosts = Hosts::start(1);
     let (node, _) = start(&hosts, |_| {});
-    let (mut well, _, mut answers) = node.served(&hosts);
-    let (mut stuck, _, mut halts) = node.served(&hosts);
-    halts.write("half");
-    assert_eq!(stuck.bytes(4), b"half");
-    let began = Instant::now();
-    stuck.send_line("anyone?");
-    let ends = std::thread::spawn(move || {
-        stuck.receive_line();
-        began.elapsed()
+    let (mut healthy_client, _, mut healthy_host) = node.served(&hosts);
+    let (mut stalled_client, _, mut stalled_host) = node.served(&hosts);
+    stalled_host.write("half");
+    assert_eq!(stalled_client.bytes(4), b"half");
+    let started_at = Instant::now();
+    stalled_client.send_line("anyone?");
+    let stalled_client_reader = std::thread::spawn(move || {
+        stalled_client.receive_line();
+        started_at.elapsed()
     });
-    while !ends.is_finished() {
-        well.send_line("there?");
-        answers.expect_line("there?");
-        answers.send_line("here");
-        // Neither migrated nor closed, as the host is healthy.
-        well.expect_line("here");
+    while !stalled_client_reader.is_finished() {
+        healthy_client.send_line("there?");
+        healthy_host.expect_line("there?");
+        healthy_host.send_line("here");
+        // The connection is neither migrated nor closed, as its host is healthy.
+        healthy_client.expect_line("here");
     }
-    assert!(ends.join().unwrap() < Duration::from_secs(7));
+    assert!(stalled_client_reader.join().unwrap() < Duration::from_secs(7));
 }
 
 #[test]
-fn at_the_descriptor_limit_all_are_answered_and_none_is_lost() {
+fn at_the_descriptor_limit_clients_are_answered_and_no_descriptor_leaks() {
     let hosts = Hosts::start(1);
     let (node, discovery) = start(&hosts, |p| p["limits"]["sockets"] = json!(96));
-    crowd(node, &hosts, &discovery);
+    assert_answers_at_descriptor_limit(node, &hosts, &discovery);
 }
 
 #[test]
-fn all_are_answered_where_the_system_allows_fewer_descriptors_than_the_config() {
+fn clients_are_answered_when_the_system_limit_is_below_the_configured_one() {
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
-    crowd(
+    assert_answers_at_descriptor_limit(
         Node::start_with_descriptor_limit(&node_config(&hosts, discovery.address), 96),
         &hosts,
         &discovery,
     );
 }
 
-/// Opens more connections than 96 descriptors carry.
-fn crowd(mut node: Node, hosts: &Hosts, discovery: &Discovery) {
+/// Opens more connections than 96 descriptors allow. Asserts that each client is answered, that the node stays
+/// within the limit and that no descriptor leaks.
+fn assert_answers_at_descriptor_limit(mut node: Node, hosts: &Hosts, discovery: &Discovery) {
     discovery.calls(1);
     let before = node.descriptors();
     let mut served = Vec::new();
     let mut refused = 0;
     for _ in 0..60 {
         let mut client = node.open(OPEN);
-        // The host answers whoever comes; a client that is rejected never gets there.
+        // The host accepts every request that reaches it. A rejected client never reaches it, so the first
+        // read times out quickly.
         let answer = {
             client
                 .stream
@@ -814,14 +820,14 @@
     );
     drop(served);
     node.wait_for_log("descriptors to spare again");
-    eventually("descriptors are lost", || {
+    eventually("descriptors leaked", || {
         node.descriptors() <= before + refused
     });
     assert!(node.runs());
 }
 
 #[test]
-fn a_slow_reader_holds_up_only_itself_and_loses_nothing() {
+fn a_slow_reader_delays_no_other_client_and_loses_no_data() {
     let hosts = Hosts::start(1);
     let (node, _) = start(&hosts, |_| {});
     let (mut slow, _, host) = node.served(&hosts);
@@ -839,7 +845,7 @@
     other.expect_line("quick");
     assert!(
         !writer.is_finished(),
-        "the node took in twenty megabytes for one client"
+        "the node buffered twenty megabytes for one client"
     );
     for n in 0..lines {
         assert_eq!(slow.bytes(1000), line.as_bytes(), "line {n}");
@@ -849,7 +855,7 @@
 }
 
 #[test]
-fn a_bad_config_is_one_plain_line_and_no_start() {
+fn an_invalid_config_prints_one_error_line_and_prevents_the_start() {
     let hosts = Hosts::start(1);
     let good = node_config(&hosts, nowhere());
     let mut all = vec!["".to_string(), "{".into(), "{}".into(), "[1]".into()];
@@ -860,7 +866,7 @@
         ("/settings/offerings", json!([])),
         ("/settings/offerings/0/effect", json!("odd")),
         ("/known/members/0/phase", json!("asleep")),
-        // Guards against a list beyond the bound that is cut off in silence.
+        // Guards against a list above the limit that is truncated without an error.
         (
             "/known/members",
             json!(vec![member(0, "127.0.0.1:9", "active"); 65_537]),
@@ -872,12 +878,12 @@
     }
     for text in all {
         let output = program(&text).output().unwrap();
-        let said = String::from_utf8(output.stderr).unwrap();
+        let stderr = String::from_utf8(output.stderr).unwrap();
         assert!(
-            !output.status.success() && said.starts_with("reedferry: "),
-            "{text}: {said}"
+            !output.status.success() && stderr.starts_with("reedferry: "),
+            "{text}: {stderr}"
         );
-        assert_eq!(said.trim_end().lines().count(), 1, "{said}");
+        assert_eq!(stderr.trim_end().lines().count(), 1, "{stderr}");
     }
     let output = program("").env_remove("GW_CONFIG").output().unwrap();
     assert_eq!(
@@ -886,38 +892,45 @@
     );
 }
 
-/// Guards against lists, fleets or lines of the log that are cut off at some bound.
+/// Guards against endpoint lists, fleets or log lines that are truncated at some limit.
 #[test]
-fn eleven_hundred_hosts_in_a_fleet_of_eleven_hundred_nodes_are_all_known() {
-    const MANY: usize = 1100;
+fn a_node_in_a_fleet_of_eleven_hundred_knows_eleven_hundred_hosts() {
+    const HOST_COUNT: usize = 1100;
     let hosts = Hosts::start(2);
-    let named = |n: usize, phase: &str| {
+    let listed_member = |n: usize, phase: &str| {
         member(
             n,
-            &hosts.addresses[usize::from(n + 1 == MANY)].to_string(),
+            &hosts.addresses[usize::from(n + 1 == HOST_COUNT)].to_string(),
             phase,
         )
     };
     let discovery = Discovery::start();
-    (0..MANY).for_each(|n| discovery.change(named(n, "active")));
+    (0..HOST_COUNT).for_each(|n| discovery.change(listed_member(n, "active")));
     let mut node_config = node_config(&hosts, discovery.address);
     node_config["known"] = json!({"revision": 0, "complete": true, "members": []});
-    node_config["settings"]["balancers"] = json!(MANY);
-    node_config["settings"]["index"] = json!(MANY - 1);
+    node_config["settings"]["balancers"] = json!(HOST_COUNT);
+    node_config["settings"]["index"] = json!(HOST_COUNT - 1);
     node_config["settings"]["contract"]["ask_within"] = json!(200.0);
     let node = Node::start(&node_config);
     discovery.calls(2);
-    let mut held = vec![node.served(&hosts)];
-    assert_eq!(held[0].1, 0, "one of eleven hundred is the last");
-    // All but the last go, each by a change of its own.
-    (0..MANY - 1).for_each(|n| discovery.change(named(n, "leaving")));
-    eventually("the last is never found", || {
-        held.push(node.served(&hosts));
-        held.last().is_some_and(|(_, at, _)| *at == 1)
+    let mut open_connections = vec![node.served(&hosts)];
+    assert_eq!(
+        open_connections[0].1, 0,
+        "the first request went to the last of eleven hundred hosts"
+    );
+    // All hosts but the last drain, each by a change of its own.
+    (0..HOST_COUNT - 1).for_each(|n| discovery.change(listed_member(n, "leaving")));
+    eventually("the last host is not used", || {
+        open_connections.push(node.served(&hosts));
+        open_connections.last().is_some_and(|(_, at, _)| *at == 1)
     });
     for _ in 0..20 {
-        held.push(node.served(&hosts));
+        open_connections.push(node.served(&hosts));
     }
-    assert!(held.iter().rev().take(20).all(|(_, at, _)| *at == 1));
+    assert!(open_connections
+        .iter()
+        .rev()
+        .take(20)
+        .all(|(_, at, _)| *at == 1));
     assert!(node.memory() < 32 << 20, "{} bytes", node.memory());
 }
