--- a/node/tests/silence.rs
+++ b/node/tests/silence.rs
@@ -1,6 +1,6 @@
-//! Several processes of the program beside a list service whose watches fall silent, break or are
-//! spoilt, while hosts drain under load. Checked by what hosts and the list service saw, against
-//! when each node counts as told.
+//! Tests of several node processes under load while hosts drain and the watches at the discovery service
+//! fall silent, break or are answered with invalid data. The checks compare what hosts and the service saw
+//! with the time at which each node counts as notified, whether or not the change reached it.
 
 use reedferry_testkit::program::node_config_of;
 use reedferry_testkit::simulated::{
@@ -17,37 +17,38 @@
     Duration::from_millis(n)
 }
 
-/// What a busy machine adds to what is seen from outside.
+/// The delay that a busy machine may add to the observed times.
 const BUSY_MACHINE_DELAY: Duration = Duration::from_millis(250);
 const NODES: usize = 6;
 const HOSTS: usize = 4;
-/// Hosts that drain.
+/// The number of hosts that drain, the first of all.
 const DRAINING_HOSTS: usize = 1;
 
-/// A list service, hosts and processes that follow it. Their indices are the last of many, as those
-/// watch for shorter times.
+/// A discovery service, hosts, and node processes that follow the service. The processes have the highest
+/// indices of a larger fleet, as the watches of those wait for shorter times.
 struct Site {
     service: Discovery,
     checker: InvariantChecker,
     hosts: Hosts,
     nodes: Vec<Node>,
-    /// Which clients belong to which run of [`Site::load`], by their names.
-    named: Cell<u64>,
+    /// The seed of the next run of [`Site::load`]. Seeds are part of the clients' names, and tell the clients of
+    /// one node from those of another.
+    next_seed: Cell<u64>,
 }
 
 impl Site {
-    fn new(mode: &str, nodes: usize, of: usize) -> Self {
-        let site = Site::with(Discovery::start(), mode, nodes, of, 10_000.0);
+    fn new(mode: &str, nodes: usize, fleet_size: usize) -> Self {
+        let site = Site::with_poll_interval(Discovery::start(), mode, nodes, fleet_size, 10_000.0);
         site.service.calls(nodes);
         site
     }
 
-    /// A site whose settings have nodes poll within so many milliseconds.
-    fn with(
+    /// Starts a site whose nodes poll at the latest after `max_poll_interval` milliseconds.
+    fn with_poll_interval(
         service: Discovery,
         mode: &str,
         nodes: usize,
-        of: usize,
+        fleet_size: usize,
         max_poll_interval: f64,
     ) -> Self {
         let checker = InvariantChecker::default();
@@ -56,8 +57,8 @@
             let mut node_config = node_config_of(hosts.members(), service.address);
             node_config["name"] = json!(format!("n{node}"));
             let settings = &mut node_config["settings"];
-            settings["balancers"] = json!(of);
-            settings["index"] = json!(of - nodes + node);
+            settings["balancers"] = json!(fleet_size);
+            settings["index"] = json!(fleet_size - nodes + node);
             settings["registry_mode"] = json!(mode);
             settings["contract"]["ask_within"] = json!(max_poll_interval);
             settings["offerings"][0]["name"] = json!("free");
@@ -69,13 +70,13 @@
             checker,
             hosts,
             nodes,
-            named: Cell::new(0),
+            next_seed: Cell::new(0),
         }
     }
 
-    /// By when each node counts as told of what a silence from then on hides, by the wait that it
-    /// asked for.
-    fn told(&self, silent: Instant) -> Vec<Instant> {
+    /// Returns when each node counts as notified of changes that it misses because its watch is silent since
+    /// `silenced_at`. This depends on the wait that the watch requested.
+    fn notified_at(&self, silenced_at: Instant) -> Vec<Instant> {
         let calls: Vec<(Instant, String)> = self
             .service
             .seen()
@@ -89,14 +90,15 @@
                 .and_then(|ms| ms.parse().ok())
                 .unwrap_or(0)
         };
-        // Nodes that come later in the fleet wait less.
-        let mut out: Vec<(u64, Instant)> =
+        // Nodes with a higher index request shorter waits.
+        let mut watches: Vec<(u64, Instant)> =
             calls.iter().map(|(at, path)| (wait(path), *at)).collect();
-        out.sort();
-        let out = &out[out.len() - self.nodes.len()..];
-        out.iter()
+        watches.sort();
+        let watches = &watches[watches.len() - self.nodes.len()..];
+        watches
+            .iter()
             .rev()
-            .map(|(wait, at)| (*at + ms(wait + 2000)).max(silent + ms(6000)))
+            .map(|(wait, at)| (*at + ms(wait + 2000)).max(silenced_at + ms(6000)))
             .collect()
     }
 
@@ -104,16 +106,17 @@
         self.service.change(self.hosts.member(host, "leaving"));
     }
 
-    /// Clients at each node until then; returns what reached hosts that drain, node by node.
+    /// Starts clients at each node until the given time. Returns, per node, when their requests reached draining
+    /// hosts.
     fn load(&self, until: Instant) -> Vec<Vec<Instant>> {
-        let from = self
-            .named
-            .replace(self.named.get() + self.nodes.len() as u64);
+        let first_seed = self
+            .next_seed
+            .replace(self.next_seed.get() + self.nodes.len() as u64);
         thread::scope(|scope| {
             for (n, node) in self.nodes.iter().enumerate() {
                 let (address, checker) = (node.address, &self.checker);
                 scope.spawn(move || {
-                    let mut clients = Clients::new(vec![address], checker, from + n as u64);
+                    let mut clients = Clients::new(vec![address], checker, first_seed + n as u64);
                     clients.load(
                         8.0,
                         until.saturating_duration_since(Instant::now()),
@@ -131,46 +134,49 @@
             .iter()
             .filter(|one| one.host < DRAINING_HOSTS)
         {
-            let named = one
+            let client_seed = one
                 .name
                 .split('-')
                 .next()
                 .and_then(|n| usize::from_str_radix(n, 16).ok());
-            reached[named.unwrap() % self.nodes.len()].push(one.at);
+            reached[client_seed.unwrap() % self.nodes.len()].push(one.at);
         }
         reached
     }
 }
 
-/// Guards against a watch that has fallen silent given up at the very moment from which the node is
-/// accountable for what it missed, and renewed seconds later; nodes that all call then, at a
-/// service that takes a few calls a second.
+/// Guards against a node that gives up a silent watch only when it already counts as notified of what it
+/// missed, and renews it seconds later. All nodes call again together then, and the service accepts only a
+/// few calls per second.
 #[test]
-fn all_watches_fall_silent_together_and_a_host_drains_right_after() {
+fn a_drain_right_after_all_watches_fall_silent_is_honored_in_time() {
     thread::scope(|scope| {
         for mode in ["on_request", "pushed"] {
             scope.spawn(move || {
                 let site = Site::new(mode, NODES, 2 * NODES);
                 site.service.limit_rate(2.0, ms(1000));
                 site.service.silence_watches();
-                let silent = Instant::now();
+                let silenced_at = Instant::now();
                 (0..DRAINING_HOSTS).for_each(|host| site.drain(host));
-                let told = site.told(silent);
-                let last = *told.iter().max().unwrap();
+                let notified_at = site.notified_at(silenced_at);
+                let last = *notified_at.iter().max().unwrap();
                 let reached = site.load(last + ms(2000));
                 assert!(
                     reached.iter().any(|node| !node.is_empty()),
-                    "{mode}: too tame"
+                    "{mode}: no request reached a draining host"
                 );
-                for (node, (reached, told)) in reached.iter().zip(&told).enumerate() {
+                for (node, (reached, notified_at)) in reached.iter().zip(&notified_at).enumerate() {
                     let late = reached.iter().filter(|at| {
-                        **at > *told + DRAIN_GRACE + SOCKET_SLACK + BUSY_MACHINE_DELAY
+                        **at > *notified_at + DRAIN_GRACE + SOCKET_SLACK + BUSY_MACHINE_DELAY
                     });
                     assert_eq!(
                         late.count(),
                         0,
                         "{mode}, node {node}: {:?}",
-                        reached.last().unwrap().saturating_duration_since(*told)
+                        reached
+                            .last()
+                            .unwrap()
+                            .saturating_duration_since(*notified_at)
                     );
                 }
                 let calls = site.service.seen().0.len();
@@ -185,15 +191,15 @@
     });
 }
 
-/// Guards against a list that came garbled, or from before what is known, and the drain that
-/// follows it known seconds later than it counts as told; one such answer that ends more than its
-/// own call.
+/// Guards against a node that, after an unreadable list or one with an older revision, learns of the next
+/// drain seconds after it counts as notified of it, and against such an answer failing more than its own
+/// call.
 #[test]
-fn a_spoilt_list_is_polled_again_at_once_whoever_polls_it() {
+fn an_unreadable_or_older_list_is_requested_again_at_once_in_both_modes() {
     let head = |length: usize| format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
     let body = r#"{"revision":9,"complete":true,"members":[{"id":"s-0","phase":"#;
     let whole = |body: &str| head(body.len()) + body;
-    let injected = [
+    let invalid_answers = [
         whole(&format!("{body}\"resting\"}}]}}")),
         whole(&format!("{body}\"active\"}}")),
         whole(&body.replace('{', "\u{1}")),
@@ -203,12 +209,12 @@
     ];
     thread::scope(|scope| {
         for mode in ["on_request", "pushed"] {
-            let injected = &injected;
+            let invalid_answers = &invalid_answers;
             scope.spawn(move || {
-                for (n, injected) in injected.iter().enumerate() {
-                    // The last of a hundred: a node that polls for itself waits longest there.
+                for (n, invalid_answer) in invalid_answers.iter().enumerate() {
+                    // The last of a hundred nodes: a node that polls on its own has the longest interval there.
                     let site = Site::new(mode, 1, 100);
-                    site.service.answer_instead(&[injected]);
+                    site.service.answer_instead(&[invalid_answer]);
                     site.service.change(site.hosts.member(HOSTS - 1, "active"));
                     site.service.calls(2);
                     site.drain(0);
@@ -227,20 +233,20 @@
     });
 }
 
-/// Guards against a node that notices seconds late that a service is back, for whose list it is
-/// accountable from that moment on.
+/// Guards against a node that notices seconds late that the service is back. It counts as notified of the
+/// service's list from the moment of that return.
 #[test]
-fn pushed_lists_are_received_as_soon_as_their_service_is_back() {
+fn pushed_lists_are_received_as_soon_as_the_service_is_back() {
     for hangs in [false, true] {
         let site = Site::new("pushed", 3, 3);
-        let down = Instant::now();
+        let down_since = Instant::now();
         site.service.go_down();
         if hangs {
-            // It takes calls and sends nothing.
+            // The service accepts calls and sends nothing.
             site.service.come_up();
             site.service.hang(false);
         }
-        site.load(down + ms(4500));
+        site.load(down_since + ms(4500));
         site.service.come_up();
         site.service.stop_hanging();
         site.drain(0);
@@ -254,29 +260,29 @@
     }
 }
 
-/// Guards against a service that ends every watch at once with nothing, called as fast as it
-/// answers.
+/// Guards against a node that calls a service as fast as it answers when it ends every watch at once
+/// without a change.
 #[test]
-fn watches_that_end_at_once_with_nothing_cause_no_call_storm() {
+fn watches_that_end_at_once_without_changes_cause_no_call_storm() {
     let body = r#"{"revision":3,"complete":false,"members":[]}"#;
-    let nothing = format!(
+    let empty_list = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     );
     for mode in ["on_request", "pushed"] {
         let site = Site::new(mode, 1, 1);
-        site.service.answer_instead(&vec![&nothing[..]; 100_000]);
+        site.service.answer_instead(&vec![&empty_list[..]; 100_000]);
         site.service.change(site.hosts.member(0, "active"));
         let calls = site.service.seen().0.len();
         site.load(Instant::now() + ms(2500));
         let calls = site.service.seen().0.len() - calls;
         assert!((2..=14).contains(&calls), "{mode}: {calls} calls");
-        // A host goes leaving, active and leaving again, and that is noticed all the same.
+        // The node still notices when a host changes to leaving, active and leaving again.
         site.service.answer_instead(&[]);
         for phase in ["leaving", "active", "leaving"] {
             site.service.change(site.hosts.member(0, phase));
         }
-        eventually("the drain is never heard of", || {
+        eventually("the node did not learn of the drain", || {
             let before = site.checker.reached().len();
             site.load(Instant::now() + ms(700));
             site.checker.reached()[before..]
@@ -286,10 +292,10 @@
     }
 }
 
-/// Guards against clients that came while a process was stopped, sent to a host by a list from
-/// before.
+/// Guards against sending clients that arrived while a process was suspended to a host that drained in the
+/// meantime, by the list from before the suspension.
 #[test]
-fn a_process_that_was_stopped_reads_its_list_before_it_serves() {
+fn a_process_resumed_after_a_suspension_reads_its_list_before_it_serves() {
     for mode in ["on_request", "pushed"] {
         let site = Site::new(mode, 1, 1);
         let node = &site.nodes[0];
@@ -320,9 +326,10 @@
     }
 }
 
-/// Guards against an answer that begins and never ends, waited for as long as a watch without news.
+/// Guards against a node that waits for the rest of an incomplete answer as long as for a watch without
+/// changes.
 #[test]
-fn a_list_that_begins_and_never_ends_is_polled_again_in_time() {
+fn an_answer_that_begins_and_never_ends_is_requested_again_in_time() {
     for mode in ["on_request", "pushed"] {
         let site = Site::new(mode, 1, 1);
         site.service
@@ -341,17 +348,21 @@
             one.at > begun + ms(6000) + DRAIN_GRACE + SOCKET_SLACK + BUSY_MACHINE_DELAY
         });
         assert_eq!(late.len(), 0, "{mode}");
-        assert!(!before.is_empty(), "{mode}: too tame");
+        assert!(
+            !before.is_empty(),
+            "{mode}: no request reached a draining host"
+        );
     }
 }
 
-/// Guards against a line that starts late to a host that began to drain meanwhile.
+/// Guards against sending a request on a connection that was requested before its host began to drain and
+/// established after the drain grace.
 #[test]
-fn a_connection_established_after_the_drain_is_not_written_to() {
+fn a_connection_established_after_the_drain_grace_is_not_written_to() {
     let (listener, _first) = full_listener();
     let service = Discovery::start();
-    let named = |phase: &str| member(0, &listener.local_addr().unwrap().to_string(), phase);
-    let mut node_config = node_config_of(json!([named("active")]), service.address);
+    let listed_member = |phase: &str| member(0, &listener.local_addr().unwrap().to_string(), phase);
+    let mut node_config = node_config_of(json!([listed_member("active")]), service.address);
     let settings = &mut node_config["settings"];
     settings["policy_limits"]["connect_timeout"] = json!(5000.0);
     settings["offerings"][0]["contract_time"] = json!(5000.0);
@@ -359,56 +370,60 @@
     let node = Node::start(&node_config);
     service.calls(1);
     let mut client = node.open(&OPEN.replace("d=2000", "d=8000"));
-    // A node that answers this has read that.
+    // Once the node answers this client, it has read the request before.
     let mut other = Peer::connect(node.address);
     other.send_line("PING");
     other.expect_line("PONG");
-    service.change(named("leaving"));
-    let told = Instant::now();
-    eventually("no time passes", || {
-        told.elapsed() > DRAIN_GRACE + SOCKET_SLACK + ms(50)
+    service.change(listed_member("leaving"));
+    let drain_announced = Instant::now();
+    eventually("the drain grace did not pass", || {
+        drain_announced.elapsed() > DRAIN_GRACE + SOCKET_SLACK + ms(50)
     });
     listener.set_nonblocking(true).unwrap();
-    let mut up = Vec::new();
-    // The system asks for the connection again a second after the first time.
-    eventually("no connection came up late", || {
-        up.extend(listener.accept().ok());
-        up.len() == 2
+    let mut established = Vec::new();
+    // The operating system repeats the connection request after one second.
+    eventually("no connection was established late", || {
+        established.extend(listener.accept().ok());
+        established.len() == 2
     });
-    let late = up.pop().unwrap().0;
+    let late = established.pop().unwrap().0;
     late.set_nonblocking(false).unwrap();
     assert!(
         ["end", "reset"].contains(&Peer::new(late).receive_line().as_str()),
-        "a line came"
+        "a request was sent"
     );
     assert!(client.receive_line().starts_with("BUSY"));
 }
 
-/// Guards against new work for a host that drains, by a node whose watch fell silent and whose next
-/// calls a busy service rejected until it was accountable for what it had missed; and one that
-/// serves no more when it has heard.
+/// Guards against new attempts at a draining host by a node whose watch fell silent and whose next calls
+/// were rejected by a busy service until it counted as notified; and against a node that stays closed to new
+/// requests after it has received the list.
 #[test]
 fn a_node_whose_list_may_be_stale_starts_no_attempt_until_it_is_current() {
     let site = Site::new("on_request", 1, 1000);
     site.service.silence_watches();
-    let silent = Instant::now();
+    let silenced_at = Instant::now();
     site.service.reject_of_ten(10);
     (0..HOSTS - 1).for_each(|host| site.drain(host));
-    let told = site.told(silent)[0];
-    site.load(told + ms(2000));
-    let late =
-        |one: &&ObservedAttempt| one.at > told + DRAIN_GRACE + SOCKET_SLACK + BUSY_MACHINE_DELAY;
+    let notified_at = site.notified_at(silenced_at)[0];
+    site.load(notified_at + ms(2000));
+    let late = |one: &&ObservedAttempt| {
+        one.at > notified_at + DRAIN_GRACE + SOCKET_SLACK + BUSY_MACHINE_DELAY
+    };
     let reached = site.checker.reached();
-    assert!(reached.iter().any(|one| one.host == 0), "too tame");
+    assert!(
+        reached.iter().any(|one| one.host == 0),
+        "no request reached a draining host"
+    );
     assert_eq!(
         reached.iter().filter(late).count(),
         0,
-        "while it could not know"
+        "attempts while the list may have been stale"
     );
     assert_eq!(
         site.checker.broken(ms(60_000)),
         Vec::<String>::new(),
-        "answered all the same"
+        "violations while the list was stale"
     );
     site.service.reject_of_ten(0);
     site.nodes[0].wait_for_log("watch begun");
@@ -421,32 +436,33 @@
     );
 }
 
-/// The term that goes before all others: what the service had and could be reached for counts as
-/// told so long after.
+/// A node counts as notified of a change at the latest this long after the service has it and can be
+/// reached, even if an earlier wait would allow more.
 const NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// What a watch comes to while a host drains, and how long the service goes on failing after it.
+/// How a watch ends while a host drains, and whether the service rejects the calls after it for a while.
 const WATCH_FAILURES: [&str; 4] = ["reset", "reset, then busy", "busy", "garbled, then busy"];
 
-/// Guards against a node whose watch was reset or rejected and not silent, and that calls again by
-/// the schedule of settings that leave it a minute; new work for a host that drained meanwhile.
+/// Guards against a node whose watch was reset or rejected rather than silent, and that calls again only
+/// after the minute that its settings allow between polls. It would start attempts at a host that has
+/// drained by then.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
-fn however_a_watch_ends_nothing_new_goes_out_six_seconds_after_a_drain() {
+fn however_a_watch_ends_no_attempt_reaches_a_drained_host_late() {
     thread::scope(|scope| {
-        for (mode, ends) in ["on_request", "pushed"]
+        for (mode, failure) in ["on_request", "pushed"]
             .into_iter()
             .flat_map(|m| WATCH_FAILURES.map(|e| (m, e)))
         {
             scope.spawn(move || {
-                // The last of hundreds, which call in turn.
-                let site = Site::with(Discovery::start(), mode, 3, 300, 60_000.0);
+                // The last of hundreds of nodes, which call one after the other.
+                let site = Site::with_poll_interval(Discovery::start(), mode, 3, 300, 60_000.0);
                 site.service.calls(3);
-                let busy = ends.contains("busy");
-                if busy {
+                let rejects = failure.contains("busy");
+                if rejects {
                     site.service.reject_of_ten(10);
                 }
-                match ends {
+                match failure {
                     "busy" => site.service.change(site.hosts.member(HOSTS - 1, "active")),
                     "garbled, then busy" => {
                         site.service.answer_instead(&[
@@ -464,7 +480,7 @@
                 }
                 let ended = Instant::now();
                 (0..DRAINING_HOSTS).for_each(|host| site.drain(host));
-                if busy {
+                if rejects {
                     site.load(ended + ms(4500));
                     site.service.reject_of_ten(0);
                 }
@@ -486,17 +502,17 @@
                 assert_eq!(
                     reached.iter().flatten().filter(late).count(),
                     0,
-                    "{mode}, {ends}: {last:?}"
+                    "{mode}, {failure}: {last:?}"
                 );
                 assert_eq!(
                     site.checker.broken(ms(60_000)),
                     Vec::<String>::new(),
-                    "{mode}, {ends}"
+                    "{mode}, {failure}"
                 );
                 let calls = site.service.seen().0.len();
-                assert!(calls <= 3 * 20, "{mode}, {ends}: {calls} calls");
-                // It serves on once it has heard.
-                eventually("shut for ever", || {
+                assert!(calls <= 3 * 20, "{mode}, {failure}: {calls} calls");
+                // The nodes serve again once they have received the list.
+                eventually("the nodes stay closed to new requests", || {
                     let before = site.checker.reached().len();
                     site.load(Instant::now() + ms(300));
                     site.checker.reached().len() > before
@@ -506,29 +522,34 @@
     });
 }
 
-/// Guards against processes that start while the list service is down and is back with a host that
-/// drains; and while it is down, a tier that serves nobody, or storms the service at its return.
+/// Guards against processes that start while the discovery service is down and learn too late of a drain
+/// that it announces at its return; and against processes that serve nobody during the outage, or all call
+/// at once at its end.
 #[test]
 fn processes_that_start_with_the_service_down_learn_of_a_drain_at_its_return() {
     for (mode, nodes) in [("on_request", 1), ("pushed", 6), ("on_request", 40)] {
         let service = Discovery::start();
         service.go_down();
-        let site = Site::with(service, mode, nodes, nodes, 60_000.0);
+        let site = Site::with_poll_interval(service, mode, nodes, nodes, 60_000.0);
         let started = Instant::now();
         site.load(started + ms(3000));
         assert!(
             !site.checker.reached().is_empty(),
-            "{mode}, {nodes}: nobody is served"
+            "{mode}, {nodes} nodes: no client was served"
         );
         site.service.limit_rate(10.0, ms(2000));
         let before = site.service.seen().0.len();
         site.drain(0);
         site.service.come_up();
-        let back = Instant::now();
-        let reached =
-            site.load(back + NOTIFICATION_TIMEOUT + DRAIN_GRACE + BUSY_MACHINE_DELAY + ms(1500));
+        let back_since = Instant::now();
+        let reached = site
+            .load(back_since + NOTIFICATION_TIMEOUT + DRAIN_GRACE + BUSY_MACHINE_DELAY + ms(1500));
         let late = |at: &&Instant| {
-            **at > back + NOTIFICATION_TIMEOUT + DRAIN_GRACE + SOCKET_SLACK + BUSY_MACHINE_DELAY
+            **at > back_since
+                + NOTIFICATION_TIMEOUT
+                + DRAIN_GRACE
+                + SOCKET_SLACK
+                + BUSY_MACHINE_DELAY
         };
         assert_eq!(
             reached.iter().flatten().filter(late).count(),
@@ -548,37 +569,43 @@
     }
 }
 
-/// Guards against a node whose first call was rejected and whose next, a watch that waits, fell
-/// silent before it was ever answered: closed to new work for seconds though the service is
-/// healthy, and then open though it has heard nothing.
+/// Guards against a node whose first call was rejected and whose next call, a watch that waits, fell silent
+/// before any answer. Such a node was closed to new requests for seconds though the service was healthy, and
+/// then served without having received a list.
 #[test]
-fn a_watch_that_falls_silent_before_it_was_ever_answered_hides_nothing() {
+fn a_watch_silenced_before_its_first_answer_leaves_the_node_serving() {
     thread::scope(|scope| {
         for mode in ["on_request", "pushed"] {
             scope.spawn(move || {
                 let service = Discovery::start();
                 service.reject_of_ten(10);
-                let site = Site::with(service, mode, 1, 1, 10_000.0);
+                let site = Site::with_poll_interval(service, mode, 1, 1, 10_000.0);
                 site.nodes[0].wait_for_log("status 503");
-                let turned = site.service.seen().0.len();
+                let call_count = site.service.seen().0.len();
                 site.service.reject_of_ten(0);
-                // Whatever call gets through, those that wait by then are never answered.
-                let seen = |calls: usize| {
+                // Waits until a call is accepted, then leaves all waiting calls without an answer.
+                let enough_accepted = |calls: usize| {
                     site.service.seen().0.len() - site.service.seen().1.len() >= calls
                 };
-                eventually("no call gets through", || seen(1));
+                eventually("no call was accepted", || enough_accepted(1));
                 site.service.silence_watches();
-                let silent = Instant::now();
-                site.load(silent + NOTIFICATION_TIMEOUT + DRAIN_GRACE + ms(700));
+                let silenced_at = Instant::now();
+                site.load(silenced_at + NOTIFICATION_TIMEOUT + DRAIN_GRACE + ms(700));
                 let before = site.checker.reached().len();
                 site.load(Instant::now() + ms(1000));
-                assert!(site.checker.reached().len() > before, "{mode}: shut");
+                assert!(
+                    site.checker.reached().len() > before,
+                    "{mode}: closed to new requests"
+                );
                 let asked = site.service.asked();
-                let first = asked
+                let first_watch_path = asked
                     .iter()
-                    .skip(turned.min(asked.len() - 1))
+                    .skip(call_count.min(asked.len() - 1))
                     .find(|path| path.contains("hold_ms"));
-                assert!(first.unwrap().ends_with("hold_ms=1"), "{mode}: {asked:?}");
+                assert!(
+                    first_watch_path.unwrap().ends_with("hold_ms=1"),
+                    "{mode}: {asked:?}"
+                );
                 assert_eq!(
                     site.checker.broken(ms(60_000)),
                     Vec::<String>::new(),
@@ -589,45 +616,49 @@
     });
 }
 
-/// Guards against a process whose lists are pushed and that calls for them only at its first sweep:
-/// what it missed counts as told from its start.
+/// Guards against a process in pushed mode that calls the service only in its first sweep. It counts
+/// as notified of the service's list from its start.
 #[test]
-fn a_pushed_list_is_requested_before_anybody_is_served() {
-    // Nobody answers there; a call lies in its queue.
+fn a_pushed_list_is_requested_before_the_process_reports_its_start() {
+    // The listener answers nothing; a call waits in its queue.
     let service = TcpListener::bind("127.0.0.1:0").unwrap();
     service.set_nonblocking(true).unwrap();
     let checker = InvariantChecker::default();
     let hosts = Hosts::start(1, &checker);
     let mut node_config = node_config_of(hosts.members(), service.local_addr().unwrap());
     node_config["settings"]["registry_mode"] = json!("pushed");
-    // It has begun once its first line is read.
+    // Returns once the process has logged its first line.
     let _node = Node::start(&node_config);
-    assert!(service.accept().is_ok(), "not called");
+    assert!(
+        service.accept().is_ok(),
+        "the process did not call the service"
+    );
 }
 
-/// Guards against a node that hears all a slow service has to tell, a few seconds late, and rejects
-/// everybody for as long as its settings leave it to poll.
+/// Guards against a node that receives every list of a slow service a few seconds late, and rejects all
+/// clients until the next poll that its settings allow.
 #[test]
-fn a_service_slower_than_its_calls_are_waited_for_is_heard_all_the_same() {
+fn clients_are_served_though_the_service_answers_after_the_call_timeout() {
     let service = Discovery::start();
     service.limit_rate(0.4, Duration::from_secs(600));
-    let site = Site::with(service, "on_request", 1, 1000, 60_000.0);
-    // The watch is silent beyond its wait, as its answer comes late by what the service takes.
+    let site = Site::with_poll_interval(service, "on_request", 1, 1000, 60_000.0);
+    // The watch counts as failed: the slow service answers it long after its wait is over.
     site.nodes[0].wait_for_log("discovery call failed");
     let until = Instant::now() + ms(12_000);
     site.drain(0);
     let drained = Instant::now();
     site.load(until);
     let reached = site.checker.reached();
-    let second = |after: u64| drained + ms(1000 * after)..drained + ms(1000 * (after + 1));
-    for after in 0..12 {
+    let nth_second =
+        |seconds: u64| drained + ms(1000 * seconds)..drained + ms(1000 * (seconds + 1));
+    for seconds in 0..12 {
         let count = reached
             .iter()
-            .filter(|one| second(after).contains(&one.at))
+            .filter(|one| nth_second(seconds).contains(&one.at))
             .count();
         assert!(
             count > 0,
-            "nothing reached any host {after} s after the watch failed"
+            "no request reached a host {seconds} s after the watch failed"
         );
     }
     let late = reached.iter().filter(|one| {
@@ -635,26 +666,27 @@
             && one.at
                 > drained + NOTIFICATION_TIMEOUT + DRAIN_GRACE + SOCKET_SLACK + BUSY_MACHINE_DELAY
     });
-    assert_eq!(late.count(), 0, "a host that had drained");
+    assert_eq!(late.count(), 0, "attempts at a drained host");
 }
 
-/// Guards against clients sent to a host that drains, by a new process that waits for a pushed list
-/// longer than the grace: what its service has counts as told from the process's first moment.
+/// Guards against a new process that serves clients by its configured list, and sends them to draining
+/// hosts, while it waits for a pushed list longer than the drain grace. It counts as notified of the service's
+/// list from its start.
 #[test]
 fn a_new_process_waits_for_a_pushed_list_before_it_starts_any_attempt() {
     let service = Discovery::start();
-    // Each call takes it a second.
+    // The service takes one second per call.
     service.limit_rate(1.0, Duration::from_secs(60));
     let checker = InvariantChecker::default();
     let hosts = Hosts::start(HOSTS, &checker);
-    // All but the last drain.
+    // All hosts but the last drain.
     (0..HOSTS - 1).for_each(|host| service.change(hosts.member(host, "leaving")));
     service.change(hosts.member(HOSTS - 1, "active"));
     let mut node_config = node_config_of(hosts.members(), service.address);
     node_config["settings"]["registry_mode"] = json!("pushed");
     node_config["settings"]["offerings"][0]["name"] = json!("free");
     let node = Node::start(&node_config);
-    // Not from before it was started: a busy machine takes its time with that.
+    // Taken after the start, which may take long on a busy machine.
     let started = Instant::now();
     let mut clients = Clients::new(vec![node.address], &checker, 1);
     clients.load(60.0, ms(2500), &[0], ms(20));
@@ -667,10 +699,10 @@
         .filter(late)
         .filter(|one| one.host < HOSTS - 1)
         .collect();
-    let after: Vec<Duration> = to_drained.iter().map(|one| one.at - started).collect();
+    let delays: Vec<Duration> = to_drained.iter().map(|one| one.at - started).collect();
     assert!(
-        after.is_empty(),
-        "hosts that drained before the process began: {after:?}, {:?}",
+        delays.is_empty(),
+        "attempts at hosts that drained before the process started: {delays:?}, {:?}",
         node.drain_log()
     );
     assert_eq!(checker.broken(ms(60_000)), Vec::<String>::new());
@@ -678,13 +710,16 @@
         .iter()
         .filter(|one| one.at > started + ms(1500))
         .count();
-    assert!(served > 30, "{served} once the list had come");
+    assert!(
+        served > 30,
+        "only {served} requests served after the list had arrived"
+    );
 }
 
-/// Guards against a new process of no use for as long as the service that has its list is down or
+/// Guards against a new process that rejects all clients for as long as the discovery service is down or
 /// silent.
 #[test]
-fn a_new_process_serves_soon_though_its_pushed_list_does_not_come() {
+fn a_new_process_serves_soon_though_its_pushed_list_does_not_arrive() {
     for hangs in [false, true] {
         let service = Discovery::start();
         match hangs {
@@ -701,16 +736,16 @@
         let mut clients = Clients::new(vec![node.address], &checker, 1);
         clients.load(20.0, ms(4000), &[0], ms(20));
         clients.end();
-        let soon = if hangs { ms(2500) } else { ms(200) };
+        let served_after = if hangs { ms(2500) } else { ms(200) };
         let reached = checker.reached();
-        for from in [soon, ms(3000)] {
+        for from in [served_after, ms(3000)] {
             let within = |one: &&ObservedAttempt| {
                 (started + from..started + from + ms(1000)).contains(&one.at)
             };
             let count = reached.iter().filter(within).count();
             assert!(
                 count > 10,
-                "hangs {hangs}: {count} in the second after {from:?}"
+                "hangs: {hangs}: {count} requests served in the second after {from:?}"
             );
         }
     }
