--- a/node/tests/local_faults.rs
+++ b/node/tests/local_faults.rs
@@ -1,5 +1,6 @@
-//! Faults of the own machine: system calls that fail for want of memory, descriptors, ports or a route, are interrupted, fall short
-//! or are delayed. No request loses its answer by them, no host is ejected, and no signal or settings are missed.
+//! Tests with injected faults of the local machine: system calls fail for lack of memory, descriptors, ports or a route, are
+//! interrupted, transfer only a part, or are delayed. Every request still gets an answer, no host is ejected, and no signal or
+//! reload is lost.
 
 use reedferry_testkit::syscalls::{Call, Fault, Outcome, SyscallInjector};
 use reedferry_testkit::*;
@@ -11,7 +12,8 @@
 
 const CLIENTS: usize = 60;
 
-fn fails(call: Call, errno: Errno, every: u64) -> Fault {
+/// Returns a fault in which one of `every` calls of this kind fails with this error.
+fn failing(call: Call, errno: Errno, every: u64) -> Fault {
     Fault {
         call,
         outcome: Outcome::Fails(errno),
@@ -19,8 +21,8 @@
     }
 }
 
-/// A host that accepts each request at once, and sends back each line.
-fn echo(mut host: Peer) {
+/// Serves one connection as a host that accepts the request at once and echoes each line.
+fn spawn_echo_host(mut host: Peer) {
     thread::spawn(move || {
         if !host.receive_line().starts_with("OPEN") {
             return;
@@ -35,20 +37,20 @@
     });
 }
 
-/// The next connection to a listener, which has to come in time.
+/// Returns the next connection to a listener. Panics if none arrives in time.
 fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
-    let mut came = None;
-    eventually("no connection came", || {
-        came = listener.accept().ok();
-        came.is_some()
+    let mut accepted = None;
+    eventually("no connection arrived", || {
+        accepted = listener.accept().ok();
+        accepted.is_some()
     });
-    let (stream, _) = came.unwrap();
+    let (stream, _) = accepted.unwrap();
     stream.set_nonblocking(false).unwrap();
     stream
 }
 
-/// A node with three hosts that accept each request.
+/// A node with three hosts that accept each request, and an injector of faults into its system calls.
 struct Site {
     node: Node,
     injector: SyscallInjector,
@@ -66,7 +68,7 @@
         let mut node_config = node_config(&hosts, discovery.address);
         node_config["ops"] = json!("127.0.0.1:0");
         thread::spawn(move || loop {
-            echo(hosts.accept().1);
+            spawn_echo_host(hosts.accept().1);
         });
         injector.set(faults);
         let node = Node::start_injected(&node_config, &injector);
@@ -78,8 +80,8 @@
         }
     }
 
-    /// What so many clients hear, one after the other.
-    fn heard(&self) -> Vec<String> {
+    /// Opens [`CLIENTS`] clients one after the other, and returns the answer that each received.
+    fn answers_to_clients(&self) -> Vec<String> {
         let ask = |_| {
             let mut client = self.node.open(OPEN);
             client.receive_line()
@@ -88,26 +90,26 @@
     }
 }
 
-/// Prevents that connections are closed without an answer, and all hosts ejected, for a transient fault of the own machine.
+/// Guards against connections closed without an answer, and hosts ejected, because of a transient fault of the local machine.
 #[test]
-fn local_faults_cost_no_request_its_answer() {
-    // The least share that is served: what never came to a host may be refused.
-    for (fault, least) in [
-        (fails(Call::EpollAdd, Errno::NOMEM, 5), 0.7),
-        (fails(Call::EpollAdd, Errno::NOSPC, 3), 0.5),
-        (fails(Call::Send, Errno::NOBUFS, 7), 1.0),
-        (fails(Call::Send, Errno::NOMEM, 2), 1.0),
-        (fails(Call::Receive, Errno::NOMEM, 5), 1.0),
-        (fails(Call::Connect, Errno::NETUNREACH, 3), 0.9),
-        (fails(Call::Connect, Errno::HOSTUNREACH, 3), 0.9),
-        (fails(Call::Connect, Errno::ADDRNOTAVAIL, 3), 0.9),
-        (fails(Call::Connect, Errno::AGAIN, 3), 0.9),
-        (fails(Call::Socket, Errno::NFILE, 3), 0.9),
-        (fails(Call::Socket, Errno::NOBUFS, 3), 0.9),
-        (fails(Call::Accept, Errno::CONNABORTED, 2), 1.0),
-        (fails(Call::Accept, Errno::NFILE, 3), 1.0),
-        (fails(Call::Accept, Errno::PROTO, 3), 1.0),
-        (fails(Call::EpollWait, Errno::INTR, 2), 1.0),
+fn every_request_is_answered_while_system_calls_fail() {
+    // Each fault with the least share of requests that is served: a request that never reached a host may be rejected.
+    for (fault, min_served_share) in [
+        (failing(Call::EpollAdd, Errno::NOMEM, 5), 0.7),
+        (failing(Call::EpollAdd, Errno::NOSPC, 3), 0.5),
+        (failing(Call::Send, Errno::NOBUFS, 7), 1.0),
+        (failing(Call::Send, Errno::NOMEM, 2), 1.0),
+        (failing(Call::Receive, Errno::NOMEM, 5), 1.0),
+        (failing(Call::Connect, Errno::NETUNREACH, 3), 0.9),
+        (failing(Call::Connect, Errno::HOSTUNREACH, 3), 0.9),
+        (failing(Call::Connect, Errno::ADDRNOTAVAIL, 3), 0.9),
+        (failing(Call::Connect, Errno::AGAIN, 3), 0.9),
+        (failing(Call::Socket, Errno::NFILE, 3), 0.9),
+        (failing(Call::Socket, Errno::NOBUFS, 3), 0.9),
+        (failing(Call::Accept, Errno::CONNABORTED, 2), 1.0),
+        (failing(Call::Accept, Errno::NFILE, 3), 1.0),
+        (failing(Call::Accept, Errno::PROTO, 3), 1.0),
+        (failing(Call::EpollWait, Errno::INTR, 2), 1.0),
         (
             Fault {
                 call: Call::Send,
@@ -127,27 +129,35 @@
     ] {
         let site = Site::start(&[]);
         site.injector.set(&[fault]);
-        let heard = site.heard();
-        let count = |word: &str| heard.iter().filter(|said| said.starts_with(word)).count();
+        let answers = site.answers_to_clients();
+        let count = |prefix: &str| {
+            answers
+                .iter()
+                .filter(|answer| answer.starts_with(prefix))
+                .count()
+        };
         let (up, busy) = (count("UP"), count("BUSY"));
-        assert!(site.injector.injected() > 5, "{fault:?}: too tame");
-        assert_eq!(up + busy, CLIENTS, "{fault:?}: {heard:?}");
         assert!(
-            up as f64 >= least * CLIENTS as f64,
-            "{fault:?}: {up} served, {busy} refused"
+            site.injector.injected() > 5,
+            "{fault:?}: too few faults were injected"
+        );
+        assert_eq!(up + busy, CLIENTS, "{fault:?}: {answers:?}");
+        assert!(
+            up as f64 >= min_served_share * CLIENTS as f64,
+            "{fault:?}: {up} served, {busy} rejected"
         );
         site.injector.clear();
         assert!(
             site.node.open(OPEN).receive_line().starts_with("UP"),
-            "{fault:?}: a host is left out for it"
+            "{fault:?}: a host was ejected"
         );
         assert_eq!(site.node.metric("violations.unanswered"), 0, "{fault:?}");
     }
 }
 
-/// Prevents that open connections are cut off, as a line can't be read or sent at once.
+/// Guards against open connections closed because a line can't be read or sent at the first try.
 #[test]
-fn open_connections_outlast_local_faults() {
+fn open_connections_survive_failing_system_calls() {
     for (call, errno) in [
         (Call::Send, Errno::NOBUFS),
         (Call::Send, Errno::NOMEM),
@@ -156,7 +166,7 @@
         let site = Site::start(&[]);
         let mut client = site.node.open(OPEN);
         client.expect_line("UP 1");
-        site.injector.set(&[fails(call, errno, 3)]);
+        site.injector.set(&[failing(call, errno, 3)]);
         for n in 0..40 {
             let line = format!("line {n}");
             client.send_line(&line);
@@ -164,22 +174,22 @@
         }
         assert!(
             site.injector.injected() > 10,
-            "{call:?} {errno:?}: too tame"
+            "{call:?} {errno:?}: too few faults were injected"
         );
     }
 }
 
-/// Prevents that a process ends at its start, or never handles a signal or takes up its settings, for a transient fault.
+/// Guards against a process that exits at its start, or loses a signal or a reload, because of a transient fault.
 #[test]
-fn a_start_signals_and_settings_outlast_local_faults() {
+fn starts_signals_and_reloads_survive_failing_system_calls() {
     for fault in [
-        fails(Call::Open, Errno::NFILE, 2),
-        fails(Call::Socket, Errno::NOBUFS, 2),
-        fails(Call::EpollAdd, Errno::NOMEM, 2),
-        fails(Call::Read, Errno::INTR, 2),
-        fails(Call::Receive, Errno::NOMEM, 2),
+        failing(Call::Open, Errno::NFILE, 2),
+        failing(Call::Socket, Errno::NOBUFS, 2),
+        failing(Call::EpollAdd, Errno::NOMEM, 2),
+        failing(Call::Read, Errno::INTR, 2),
+        failing(Call::Receive, Errno::NOMEM, 2),
     ] {
-        // The loader of the system's libraries reads too, and ends a program for that.
+        // The dynamic loader reads too, and aborts the program if a read fails.
         let at_start: &[Fault] = if fault.call == Call::Read {
             &[]
         } else {
@@ -190,15 +200,15 @@
             site.node.open(OPEN).receive_line().starts_with("UP"),
             "{fault:?}"
         );
-        let other = Discovery::start();
-        site.node_config["discovery"] = json!(other.address.to_string());
+        let new_discovery = Discovery::start();
+        site.node_config["discovery"] = json!(new_discovery.address.to_string());
         let before = Instant::now();
-        // The first try after this fails, whatever came before.
+        // Every call fails for now, so that the first try certainly does.
         site.injector.set(&[Fault { every: 1, ..fault }]);
         site.node.reload(&site.node_config.to_string());
         thread::sleep(Duration::from_millis(300));
         site.injector.set(&[fault]);
-        other.calls(1);
+        new_discovery.calls(1);
         assert!(
             before.elapsed() < Duration::from_secs(4),
             "{fault:?}: {:?}",
@@ -218,22 +228,29 @@
     }
 }
 
-/// Prevents that two processes go on with a connection, or that it is migrated, as a message between both can't be sent or read at
-/// once.
+/// Guards against a connection that both processes continue, or that is migrated, because a message between predecessor and
+/// successor can't be sent or read at the first try.
 #[test]
-fn a_hot_restart_outlasts_local_faults() {
+fn a_hot_restart_survives_failing_system_calls_in_either_process() {
     for call in [Call::SendMessage, Call::ReceiveMessage] {
-        for injects_into_next in [true, false] {
+        for injects_into_successor in [true, false] {
             let (hosts, discovery) = (Hosts::start(2), Discovery::start());
             let node_config = node_config(&hosts, discovery.address);
             let (held, folder) = (listener(), folder());
-            let (before, next) = (SyscallInjector::default(), SyscallInjector::default());
-            let mut predecessor = Node::start_injected_at(&node_config, &held, &folder, &before);
+            let (predecessor_faults, successor_faults) =
+                (SyscallInjector::default(), SyscallInjector::default());
+            let mut predecessor =
+                Node::start_injected_at(&node_config, &held, &folder, &predecessor_faults);
             predecessor.address = held.local_addr().unwrap();
             let mut open: Vec<_> = (0..20).map(|_| predecessor.served(&hosts)).collect();
-            let injected = if injects_into_next { &next } else { &before };
-            injected.set(&[fails(call, Errno::NOBUFS, 2)]);
-            let mut successor = Node::start_injected_at(&node_config, &held, &folder, &next);
+            let injector = if injects_into_successor {
+                &successor_faults
+            } else {
+                &predecessor_faults
+            };
+            injector.set(&[failing(call, Errno::NOBUFS, 2)]);
+            let mut successor =
+                Node::start_injected_at(&node_config, &held, &folder, &successor_faults);
             predecessor.stop();
             assert!(predecessor.wait().success());
             for (n, (client, _, host)) in open.iter_mut().enumerate() {
@@ -244,34 +261,37 @@
                     client.expect_line(&line);
                 }
             }
-            assert!(injected.injected() > 5, "{call:?}: too tame");
+            assert!(
+                injector.injected() > 5,
+                "{call:?}: too few faults were injected"
+            );
             successor.kill();
             std::fs::remove_dir_all(&folder).unwrap();
         }
     }
 }
 
-/// Prevents a line after the drain grace by a process that is delayed before it writes it.
+/// Guards against a request sent after the drain grace by a process that is delayed right before it writes.
 #[test]
-fn a_process_that_is_delayed_before_it_writes_keeps_to_the_drain_grace() {
-    let (listener, first) = full_listener();
+fn a_process_delayed_before_it_writes_keeps_to_the_drain_grace() {
+    let (listener, queued_connection) = full_listener();
     let (discovery, injector) = (Discovery::start(), SyscallInjector::default());
     let late = |phase| member(5, &listener.local_addr().unwrap().to_string(), phase);
     let mut node_config = program::node_config_of(json!([late("active")]), discovery.address);
     node_config["settings"]["policy_limits"]["connect_timeout"] = json!(5000.0);
     node_config["settings"]["offerings"][0]["expiry"] = json!(6000.0);
     node_config["settings"]["offerings"][0]["contract_time"] = json!(6000.0);
-    // The system asks for a connection again a second after the first time, which is then in the last part of the grace.
+    // The operating system repeats the connection request after one second, which is in the last part of this grace.
     node_config["settings"]["contract"]["drain_grace"] = json!(1000.0);
     let node = Node::start_injected(&node_config, &injector);
     discovery.calls(1);
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     let mut client = node.open(&OPEN.replace("d=2000", "d=6000"));
     thread::sleep(Duration::from_millis(60));
     discovery.change(late("leaving"));
-    let told = Instant::now();
-    eventually("the watch goes on", || discovery.asked().len() >= 2);
-    drop(first);
+    let drain_announced = Instant::now();
+    eventually("the watch was not renewed", || discovery.asked().len() >= 2);
+    drop(queued_connection);
     drop(accept(&listener));
     injector.set(&[Fault {
         call: Call::Send,
@@ -280,11 +300,11 @@
     }]);
     let mut host = Peer::new(accept(&listener));
     assert!(
-        asked.elapsed() > Duration::from_millis(850),
-        "too tame: {:?}",
-        asked.elapsed()
+        requested_at.elapsed() > Duration::from_millis(850),
+        "the late connection came too early: {:?}",
+        requested_at.elapsed()
     );
-    let (line, late) = (host.receive_line(), told.elapsed());
+    let (line, late) = (host.receive_line(), drain_announced.elapsed());
     assert!(
         !line.starts_with("OPEN") || late < Duration::from_millis(1050),
         "{line}, {late:?} after the drain"
@@ -292,13 +312,14 @@
     assert!(client.receive_line().starts_with("BUSY"));
 }
 
-/// Prevents an attempt after the request's deadline, as the process stood still while the connection to the host was established.
+/// Guards against an attempt after the request's deadline by a process that was delayed while the connection to the host was
+/// established.
 #[test]
-fn no_attempt_begins_after_the_deadline_where_the_process_stood_still() {
-    let (listener, first) = full_listener();
+fn no_attempt_begins_after_the_deadline_when_the_process_was_delayed() {
+    let (listener, queued_connection) = full_listener();
     let discovery = Discovery::start();
-    let late = member(5, &listener.local_addr().unwrap().to_string(), "active");
-    let mut node_config = program::node_config_of(json!([late]), discovery.address);
+    let listed_host = member(5, &listener.local_addr().unwrap().to_string(), "active");
+    let mut node_config = program::node_config_of(json!([listed_host]), discovery.address);
     node_config["settings"]["policy_limits"]["connect_timeout"] = json!(5000.0);
     node_config["settings"]["offerings"][0]["contract_time"] = json!(2000.0);
     let injector = SyscallInjector::default();
@@ -306,22 +327,23 @@
     discovery.calls(1);
     let mut client = node.open(OPEN);
     let mut other = Peer::connect(node.address);
-    // The first answer may go out in the turn in which the request is read, before the host is called.
+    // The first answer may be sent in the turn that reads the request, before the connection to the host is started; the
+    // second is sent in a later turn.
     for _ in 0..2 {
         other.send_line("PING");
         other.expect_line("PONG");
     }
-    // Held up right before it waits: what is ready then is seen before what is due. A process that a signal stops is woken
-    // with nothing ready, and sees what is due first.
-    let held = Outcome::HeldUp(Duration::from_millis(3000));
+    // Delays the process right before it waits for events, so that it handles ready connections before due timers. A process
+    // suspended by a signal would wake with nothing ready, and handle the due timers first.
+    let delay = Outcome::HeldUp(Duration::from_millis(3000));
     injector.set(&[Fault {
         call: Call::EpollWait,
-        outcome: held,
+        outcome: delay,
         every: 1,
     }]);
-    // Wakes it where it waits already. Its answer is not waited for: it may be held up before that.
+    // Wakes the process if it already waits. The answer is not awaited, as the process may be delayed before it.
     other.send_line("PING");
-    drop(first);
+    drop(queued_connection);
     drop(accept(&listener));
     let stream = accept(&listener);
     injector.clear();
@@ -330,51 +352,54 @@
     assert!(client.receive_line().starts_with("BUSY"));
 }
 
-/// Prevents that a client which stopped within its line, and whose time is up as the process stands still, gets no error.
+/// Guards against a client without an error that stopped within its line and whose time ran out while the process was
+/// suspended.
 #[test]
-fn clients_that_stop_within_a_line_have_their_error_though_the_process_stands_still_meanwhile() {
+fn clients_that_stop_within_a_line_get_an_error_after_a_suspension() {
     let (hosts, discovery) = (Hosts::start(1), Discovery::start());
     let (held, folder) = (listener(), folder());
     let node_config = node_config(&hosts, discovery.address);
     let mut node =
         Node::start_injected_at(&node_config, &held, &folder, &SyscallInjector::default());
     node.address = held.local_addr().unwrap();
-    let from = Instant::now();
+    let started_at = Instant::now();
     let mut clients = Vec::new();
     for n in 0..60u64 {
         thread::sleep(
-            (from + Duration::from_millis(10 * n)).saturating_duration_since(Instant::now()),
+            (started_at + Duration::from_millis(10 * n)).saturating_duration_since(Instant::now()),
         );
         let mut client = Peer::connect(node.address);
         client.write("OPEN half");
         clients.push((Instant::now(), client));
     }
-    thread::sleep((from + Duration::from_millis(2300)).saturating_duration_since(Instant::now()));
+    thread::sleep(
+        (started_at + Duration::from_millis(2300)).saturating_duration_since(Instant::now()),
+    );
     node.suspend();
     thread::sleep(Duration::from_millis(2300));
     node.unsuspend();
-    let on = Instant::now();
-    for (asked, client) in &mut clients {
+    let resumed_at = Instant::now();
+    for (connected_at, client) in &mut clients {
         client.expect_line("ERR");
         assert!(
-            on.elapsed() < Duration::from_secs(1),
+            resumed_at.elapsed() < Duration::from_secs(1),
             "{:?}, {:?}",
-            on.elapsed(),
-            asked.elapsed()
+            resumed_at.elapsed(),
+            connected_at.elapsed()
         );
     }
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Prevents that operators' requests get no response, for a transient fault of the own machine.
+/// Guards against operators' requests without a response because of a transient fault of the local machine.
 #[test]
-fn operators_requests_outlast_local_faults() {
+fn operator_requests_survive_failing_system_calls() {
     for fault in [
-        fails(Call::EpollAdd, Errno::NOMEM, 2),
-        fails(Call::Receive, Errno::NOMEM, 2),
-        fails(Call::Send, Errno::NOBUFS, 2),
-        fails(Call::Accept, Errno::NFILE, 2),
-        fails(Call::Accept, Errno::PROTO, 2),
+        failing(Call::EpollAdd, Errno::NOMEM, 2),
+        failing(Call::Receive, Errno::NOMEM, 2),
+        failing(Call::Send, Errno::NOBUFS, 2),
+        failing(Call::Accept, Errno::NFILE, 2),
+        failing(Call::Accept, Errno::PROTO, 2),
         Fault {
             call: Call::Send,
             outcome: Outcome::Short,
@@ -389,30 +414,33 @@
         let site = Site::start(&[]);
         site.injector.set(&[fault]);
         for _ in 0..20 {
-            let asked = Instant::now();
+            let asked_at = Instant::now();
             let (status, text) = site.node.call("GET /status");
             assert_eq!((status, text.as_str()), (200, "ready\n"), "{fault:?}");
-            // A call and what its answer waits for: two rounds of looks.
+            // Allows for the call and for two sweeps that its answer may wait for.
             assert!(
-                asked.elapsed() < Duration::from_secs(1),
+                asked_at.elapsed() < Duration::from_secs(1),
                 "{fault:?}: {:?}",
-                asked.elapsed()
+                asked_at.elapsed()
             );
         }
-        assert!(site.injector.injected() > 5, "{fault:?}: too tame");
+        assert!(
+            site.injector.injected() > 5,
+            "{fault:?}: too few faults were injected"
+        );
     }
 }
 
-/// Prevents that an answer which takes more than one call to send comes in part or not at all, to a client that has ended its sending
-/// or one that is idle while descriptors are short.
+/// Guards against an answer that takes more than one call to send and arrives only in part or not at all. The clients have
+/// ended their sending direction, or are idle while the node has too few descriptors.
 #[test]
-fn answers_are_whole_though_they_take_several_calls_to_send() {
-    let short = Fault {
+fn answers_that_take_several_send_calls_arrive_whole() {
+    let short_write = Fault {
         call: Call::Send,
         outcome: Outcome::Short,
         every: 1,
     };
-    for fault in [short, fails(Call::Send, Errno::NOBUFS, 2)] {
+    for fault in [short_write, failing(Call::Send, Errno::NOBUFS, 2)] {
         let (hosts, discovery, injector) = (
             Hosts::start(1),
             Discovery::start(),
@@ -431,16 +459,19 @@
             injector.clear();
         }
         injector.set(&[fault]);
-        let crowd: Vec<Peer> = (0..90).map(|_| Peer::connect(node.address)).collect();
-        for mut client in crowd {
+        let excess_clients: Vec<Peer> = (0..90).map(|_| Peer::connect(node.address)).collect();
+        for mut client in excess_clients {
             client.expect_line("BUSY");
         }
-        assert!(injector.injected() > 20, "{fault:?}: too tame");
+        assert!(
+            injector.injected() > 20,
+            "{fault:?}: too few faults were injected"
+        );
     }
 }
 
-/// Prevents final answers that are later than allowed on sockets, as a process that is woken a little late has left itself next to
-/// no time before the deadline.
+/// Guards against final answers after the time that is allowed on sockets: a process that leaves itself next to no time before
+/// the deadline answers late when it is woken a little late.
 #[test]
 fn final_answers_are_in_time_though_the_process_is_woken_late() {
     let (hosts, discovery, injector) = (
@@ -454,12 +485,12 @@
     let node = Node::start_injected(&node_config, &injector);
     let mut clients = Vec::new();
     for n in 0..8 {
-        // Each at another distance from the next look round.
+        // Starts each request at another distance from the next sweep.
         thread::sleep(Duration::from_millis(23));
         let line = OPEN.replace("9b1f", &format!("9b{n}"));
         clients.push(node.open(&line));
     }
-    let silent: Vec<_> = clients.iter().map(|_| hosts.accept()).collect();
+    let silent_hosts: Vec<_> = clients.iter().map(|_| hosts.accept()).collect();
     injector.set(&[Fault {
         call: Call::EpollWait,
         outcome: Outcome::HeldUp(Duration::from_millis(75)),
@@ -468,7 +499,7 @@
     clients
         .iter_mut()
         .for_each(|client| client.expect_line("ERR"));
-    assert!(injector.injected() > 5, "too tame");
+    assert!(injector.injected() > 5, "too few faults were injected");
     injector.clear();
     assert_eq!(
         node.metric("violations.answered_late"),
@@ -476,5 +507,5 @@
         "{:#?}",
         node.drain_log()
     );
-    drop(silent);
+    drop(silent_hosts);
 }
--- a/node/tests/sockets.rs
+++ b/node/tests/sockets.rs
@@ -786,7 +786,7 @@
     discovery.calls(1);
     let before = node.descriptors();
     let mut served = Vec::new();
-    let mut refused = 0;
+    let mut rejected = 0;
     for _ in 0..60 {
         let mut client = node.open(OPEN);
         // The host accepts every request that reaches it. A rejected client never reaches it, so the first
@@ -806,7 +806,7 @@
         };
         match answer.as_str() {
             "UP 1" => {}
-            busy if busy.starts_with("BUSY") => refused += 1,
+            busy if busy.starts_with("BUSY") => rejected += 1,
             other => panic!("{other}"),
         }
         assert!(node.descriptors() <= 96);
@@ -814,14 +814,14 @@
     }
     node.wait_for_log("out of descriptors");
     assert!(
-        served.len() >= 20 && refused >= 10,
-        "{} served, {refused} refused",
+        served.len() >= 20 && rejected >= 10,
+        "{} served, {rejected} rejected",
         served.len()
     );
     drop(served);
     node.wait_for_log("descriptors to spare again");
     eventually("descriptors leaked", || {
-        node.descriptors() <= before + refused
+        node.descriptors() <= before + rejected
     });
     assert!(node.runs());
 }
