--- a/node/tests/fleet_recovery.rs
+++ b/node/tests/fleet_recovery.rs
@@ -1,5 +1,5 @@
-//! Fleets that start, restart and recover beside one discovery service and hosts that warm up, with faults put in between
-//! them; checked by what hosts, clients and the service saw.
+//! Tests of fleets that start, restart and recover with one discovery service and hosts that warm up, while nodes and
+//! the service fail. The checks use what hosts, clients and the service saw.
 
 use reedferry_testkit::fleet::{
     one_test_at_a_time, Fleet, FleetOptions, ReturningClients, WarmingHosts,
@@ -15,20 +15,23 @@
     Duration::from_millis(n)
 }
 
-/// A discovery service, hosts and a fleet. One at a time: each starts dozens of processes and checks times.
+/// A discovery service, hosts and a fleet. Only one exists at a time, as each starts dozens of processes and its tests
+/// check times.
 struct Site {
     service: Discovery,
     hosts: WarmingHosts,
+    /// The endpoint list that the service holds.
     list: Vec<Value>,
     fleet: Fleet,
-    from: Instant,
-    _turn: MutexGuard<'static, ()>,
+    /// When the test's clock started.
+    clock_start: Instant,
+    _lock: MutexGuard<'static, ()>,
 }
 
 impl Site {
-    /// The service answers so many calls a second.
+    /// Creates a site whose service answers at most `rate` calls per second.
     fn new(nodes: usize, rate: f64) -> Self {
-        let turn = one_test_at_a_time();
+        let lock = one_test_at_a_time();
         let (service, hosts) = (Discovery::start(), WarmingHosts::new(FleetOptions::TRIAL));
         service.limit_rate(rate, ms(1000));
         let fleet = Fleet::new(nodes, service.address, FleetOptions::TRIAL);
@@ -37,13 +40,13 @@
             hosts,
             list: Vec::new(),
             fleet,
-            from: Instant::now(),
-            _turn: turn,
+            clock_start: Instant::now(),
+            _lock: lock,
         }
     }
 
-    /// Hosts start and are listed.
-    fn hosts(&mut self, count: usize, cold: bool) -> Range<usize> {
+    /// Starts hosts, cold or warm, adds them to the list, and returns their numbers.
+    fn start_hosts(&mut self, count: usize, cold: bool) -> Range<usize> {
         let which = self.hosts.start(count, cold);
         for member in self.hosts.members(which.clone()) {
             self.service.change(member.clone());
@@ -52,22 +55,24 @@
         which
     }
 
-    fn drains(&mut self, host: usize) {
+    /// Changes a host in the list to draining.
+    fn set_draining(&mut self, host: usize) {
         self.list[host] = self.hosts.member(host, "leaving");
         self.hosts.drains(host);
         self.service.change(self.list[host].clone());
     }
 
-    /// Nodes start at once, and remember the list where they are told to; the clock is set to this.
+    /// Starts these nodes together and restarts the test's clock. With `remember`, their configuration contains the
+    /// list.
     fn start(&mut self, which: Range<usize>, remember: bool) {
         let known = if remember { &self.list[..] } else { &[] };
-        self.from = Instant::now();
+        self.clock_start = Instant::now();
         self.fleet
             .start(&which.collect::<Vec<_>>(), known, known.len() as u64);
     }
 
-    /// One client at each node.
-    fn one_each(&self, seed: u64) -> ReturningClients {
+    /// Starts one client at each node.
+    fn one_client_per_node(&self, seed: u64) -> ReturningClients {
         let addresses = self.fleet.addresses();
         ReturningClients::come(
             addresses.len(),
@@ -78,255 +83,287 @@
         )
     }
 
-    /// Clients that the front deals out, until they stand.
+    /// Starts clients that the front distributes over the nodes, and waits until all are connected.
     fn returning_clients(&self, count: usize, seed: u64) -> ReturningClients {
         let returning_clients =
             ReturningClients::come(count, &self.fleet.front, ms(500), None, seed);
-        eventually("all stand", || returning_clients.standing() == count);
+        eventually("not all clients are connected", || {
+            returning_clients.standing() == count
+        });
         returning_clients
     }
 
-    fn at(&self, after: u64) {
-        thread::sleep((self.from + ms(after)).saturating_duration_since(Instant::now()));
+    /// Sleeps until this many milliseconds after the start of the test's clock.
+    fn sleep_until(&self, after_ms: u64) {
+        thread::sleep((self.clock_start + ms(after_ms)).saturating_duration_since(Instant::now()));
     }
 
-    fn calls(&self) -> usize {
+    /// Returns the number of calls that the service has received.
+    fn call_count(&self) -> usize {
         self.service.seen().0.len()
     }
 
-    fn assert_nothing_broken(&self, mut returning_clients: ReturningClients) {
+    /// Ends the clients, and asserts that neither they nor the hosts saw a violation of a rule.
+    fn assert_no_violation(&self, mut returning_clients: ReturningClients) {
         returning_clients.end();
-        let mut broken = self.hosts.broken(ms(300));
-        broken.extend(self.fleet.broken(&returning_clients));
-        assert!(broken.is_empty(), "{broken:#?}");
+        let mut violations = self.hosts.broken(ms(300));
+        violations.extend(self.fleet.broken(&returning_clients));
+        assert!(violations.is_empty(), "{violations:#?}");
     }
 }
 
-/// Prevents a discovery service that all nodes of a site call in the same second when it is restarted.
+/// Guards against a discovery service that all nodes of a site call within the same second when the site is restarted.
 #[test]
-fn forty_nodes_that_know_nothing_call_a_service_no_faster_than_it_answers() {
+fn forty_nodes_without_a_list_call_the_service_no_faster_than_it_answers() {
     let mut site = Site::new(40, 24.0);
-    site.hosts(4, false);
+    site.start_hosts(4, false);
     site.start(0..40, false);
-    let returning_clients = site.one_each(1);
-    eventually("each node serves", || returning_clients.standing() == 40);
-    let took = site.from.elapsed();
-    site.at(6500);
-    let (called, turned_away) = site.service.seen();
-    site.assert_nothing_broken(returning_clients);
+    let returning_clients = site.one_client_per_node(1);
+    eventually("not every node serves a client", || {
+        returning_clients.standing() == 40
+    });
+    let took = site.clock_start.elapsed();
+    site.sleep_until(6500);
+    let (calls, rejected) = site.service.seen();
+    site.assert_no_violation(returning_clients);
     assert!(
-        turned_away.len() <= 4,
-        "{} of {} calls turned away",
-        turned_away.len(),
-        called.len()
+        rejected.len() <= 4,
+        "{} of {} calls were rejected",
+        rejected.len(),
+        calls.len()
     );
-    assert!(called.len() <= 88, "{} calls of 40 nodes", called.len());
-    assert!(took <= ms(3500), "the last node served after {took:?}");
+    assert!(calls.len() <= 88, "{} calls of 40 nodes", calls.len());
+    assert!(took <= ms(3500), "the last node served only after {took:?}");
 }
 
-/// Prevents a node alone that waits for a slot.
+/// Guards against a single node that waits for a time slot before its first call, although no other node calls.
 #[test]
-fn a_single_node_that_knows_nothing_serves_at_once() {
+fn a_single_node_without_a_list_serves_at_once() {
     let mut site = Site::new(1, 40.0);
-    site.hosts(2, false);
+    site.start_hosts(2, false);
     site.start(0..1, false);
-    let returning_clients = site.one_each(8);
-    eventually("it serves", || returning_clients.standing() == 1);
-    let took = site.from.elapsed();
-    assert!(took <= ms(1500), "it served after {took:?}");
-    site.assert_nothing_broken(returning_clients);
+    let returning_clients = site.one_client_per_node(8);
+    eventually("the node does not serve", || {
+        returning_clients.standing() == 1
+    });
+    let took = site.clock_start.elapsed();
+    assert!(took <= ms(1500), "the node served only after {took:?}");
+    site.assert_no_violation(returning_clients);
 }
 
-/// Prevents nodes that wait for each other, or call faster and faster, where nobody knows anything and the service is
-/// down and then rejects most calls.
+/// Guards against nodes without a list that wait for each other, or call ever faster, while the service is down and
+/// then rejects nine of ten calls.
 #[test]
-fn nobody_knows_anything_and_the_service_is_down_and_then_rejects_nine_of_ten_calls() {
+fn nodes_without_a_list_serve_soon_after_an_outage_and_rejected_calls() {
     let mut site = Site::new(20, 40.0);
     site.service.go_down();
-    site.hosts(4, false);
+    site.start_hosts(4, false);
     site.start(0..20, false);
-    let returning_clients = site.one_each(2);
+    let returning_clients = site.one_client_per_node(2);
     for node in site.fleet.nodes.iter().flatten() {
         node.wait_for_log("discovery call failed");
     }
-    site.at(3500);
-    let down = site.calls();
-    // Each once in its turn, and then every second or so.
+    site.sleep_until(3500);
+    let calls_while_down = site.call_count();
+    // Each node calls once in its time slot, and then about once per second.
     assert!(
-        (20..=90).contains(&down),
-        "{down} calls of 20 nodes in 3.5 s"
+        (20..=90).contains(&calls_while_down),
+        "{calls_while_down} calls of 20 nodes in 3.5 s"
     );
     assert_eq!(returning_clients.standing(), 0);
     site.service.reject_of_ten(9);
     site.service.come_up();
-    site.at(5500);
+    site.sleep_until(5500);
     site.service.reject_of_ten(0);
-    let well = Instant::now();
-    eventually("each node serves", || returning_clients.standing() == 20);
-    let took = well.elapsed();
+    let recovered_at = Instant::now();
+    eventually("not every node serves a client", || {
+        returning_clients.standing() == 20
+    });
+    let took = recovered_at.elapsed();
     assert!(
         took <= ms(2500),
-        "the last node served {took:?} after the service was well"
+        "the last node served {took:?} after the service had recovered"
     );
-    site.assert_nothing_broken(returning_clients);
+    site.assert_no_violation(returning_clients);
 }
 
-/// Prevents hosts that are all new overloaded by nodes that are all new, and clients rejected for longer than the hosts
-/// take to warm up.
+/// Guards against cold hosts overloaded by nodes that all start at once, and against clients rejected for longer than
+/// the hosts take to warm up.
 #[test]
-fn all_nodes_and_all_hosts_are_cold_together() {
+fn cold_nodes_serve_all_clients_on_cold_hosts_without_overload() {
     let mut site = Site::new(20, 40.0);
-    site.hosts(6, true);
+    site.start_hosts(6, true);
     site.start(0..20, false);
     let returning_clients = site.returning_clients(90, 6);
-    let took = site.from.elapsed();
-    site.assert_nothing_broken(returning_clients);
-    assert!(took <= ms(8000), "the last client stood after {took:?}");
+    let took = site.clock_start.elapsed();
+    site.assert_no_violation(returning_clients);
+    assert!(
+        took <= ms(8000),
+        "the last client was connected only after {took:?}"
+    );
 }
 
-/// Prevents a list that takes nodes so long to read, or the service to write, that they poll again and again.
+/// Guards against a list that takes so long to read or to write that nodes request it again and again.
 #[test]
-fn a_list_of_five_thousand_hosts_is_polled_by_many_nodes() {
+fn fourteen_nodes_read_a_list_of_five_thousand_hosts_with_few_calls() {
     let mut site = Site::new(14, 1e6);
-    site.hosts(4, false);
-    let named = |n: usize| {
+    site.start_hosts(4, false);
+    let listed_host = |n: usize| {
         let mut member = site.hosts.member(n % 4, "active");
         member["id"] = format!("s-{n}").into();
         member
     };
-    let list: Vec<Value> = (0..5000).map(named).collect();
+    let list: Vec<Value> = (0..5000).map(listed_host).collect();
     site.service.restart(1, &list);
     site.start(0..14, false);
-    let returning_clients = site.one_each(7);
-    // How soon hangs on what writes the list here.
-    eventually("each node serves", || returning_clients.standing() == 14);
-    site.at(6500);
-    let calls = site.calls();
-    site.assert_nothing_broken(returning_clients);
-    assert!(calls <= 31, "{calls} calls of 14 nodes");
+    let returning_clients = site.one_client_per_node(7);
+    // The time is not checked: it depends on how fast the test's service writes the list.
+    eventually("not every node serves a client", || {
+        returning_clients.standing() == 14
+    });
+    site.sleep_until(6500);
+    let call_count = site.call_count();
+    site.assert_no_violation(returning_clients);
+    assert!(call_count <= 31, "{call_count} calls of 14 nodes");
 }
 
-/// Prevents new hosts left nearly empty in a release, as nodes that are restarted meanwhile count them as hosts like
-/// the rest, of which they use few; and cold hosts overloaded, drains not heeded, clients left without an answer,
-/// or nodes that stay with a service that has moved.
+/// Guards against new hosts that stay nearly empty during a release because restarted nodes, which use only few hosts,
+/// treat them like the others. Also guards against overloaded cold hosts, ignored drains, clients without an answer,
+/// and nodes that stay with a discovery service that has moved.
 #[test]
-fn all_nodes_are_restarted_in_turn_while_half_of_the_hosts_are_replaced_and_the_service_moves() {
+fn a_rolling_restart_during_a_host_replacement_fills_the_new_hosts() {
     let mut site = Site::new(20, 1e6);
-    site.hosts(12, false);
+    site.start_hosts(12, false);
     site.start(0..20, true);
     let returning_clients = site.returning_clients(240, 3);
-    let new = site.hosts(12, true);
-    let from = Instant::now();
+    let new_hosts = site.start_hosts(12, true);
+    let restart_began = Instant::now();
     let mut stopped: Vec<Node> = Vec::new();
     for step in 0..10 {
         thread::sleep(
-            (from + ms(200 + 300 * step as u64)).saturating_duration_since(Instant::now()),
+            (restart_began + ms(200 + 300 * step as u64)).saturating_duration_since(Instant::now()),
         );
-        let both = 2 * step..2 * step + 2;
+        let restarted = 2 * step..2 * step + 2;
         stopped.extend(
-            both.clone()
+            restarted
+                .clone()
                 .filter_map(|node| site.fleet.stop(node, ms(100))),
         );
-        // They remember the last list, and hear of what follows from the service.
-        site.start(both, true);
+        // The restarted nodes know the current list, and receive later changes from the service.
+        site.start(restarted, true);
         if step == 5 {
-            let old = std::mem::replace(&mut site.service, Discovery::start());
+            let old_service = std::mem::replace(&mut site.service, Discovery::start());
             site.service.restart(40, &site.list);
             site.fleet
                 .move_discovery(site.service.address, &site.list, 24);
-            old.go_down();
+            old_service.go_down();
         }
         if step % 2 == 1 && step < 9 {
-            site.drains(step / 2);
+            site.set_draining(step / 2);
         }
     }
-    thread::sleep((from + ms(6500)).saturating_duration_since(Instant::now()));
-    let (there, all) = (
-        site.hosts.standing(new.clone()),
-        site.hosts.standing(0..new.end),
+    thread::sleep((restart_began + ms(6500)).saturating_duration_since(Instant::now()));
+    let (on_new_hosts, on_all_hosts) = (
+        site.hosts.standing(new_hosts.clone()),
+        site.hosts.standing(0..new_hosts.end),
+    );
+    site.assert_no_violation(returning_clients);
+    // Twelve of the twenty hosts that remain are new.
+    assert!(
+        2 * on_new_hosts >= on_all_hosts,
+        "{on_new_hosts} of {on_all_hosts} connections are at the new hosts"
     );
-    site.assert_nothing_broken(returning_clients);
-    // They are twelve of the twenty hosts that stay.
-    assert!(2 * there >= all, "{there} of {all} at the new hosts");
 }
 
-/// Prevents new work for hosts that drain, by a discovery service that restarts with an older list, half as long and the
-/// rest in pieces, where all watches end at one moment; and nodes that all call it again in step.
+/// Guards against new requests for draining hosts when the discovery service restarts with an older list of half of the
+/// hosts and announces the others one by one later. All watches end together then, so this also guards against nodes
+/// that call again all at once.
 #[test]
-fn the_discovery_service_restarts_with_an_older_list_of_half_of_the_hosts() {
+fn drains_stay_known_when_discovery_restarts_with_an_older_shorter_list() {
     let mut site = Site::new(16, 1e6);
-    site.hosts(6, false);
+    site.start_hosts(6, false);
     site.start(0..16, true);
     let returning_clients = site.returning_clients(96, 5);
     for host in [0, 1] {
         site.service.change(site.hosts.member(host, "leaving"));
         site.hosts.drains(host);
     }
-    // They leave evenly over the longest expiry.
-    eventually("the hosts that drain are empty", || {
+    // The clients of draining hosts are migrated evenly over the longest expiry of the request classes.
+    eventually("the draining hosts still have connections", || {
         site.hosts.standing(0..2) == 0
     });
-    // It knows of 0 to 2 alone, and not that two of them drain.
-    let before = site.calls();
-    site.from = site.service.restart(3, &site.list[..3]);
+    // The new list contains only hosts 0 to 2, all as active, though two of them drain.
+    let before = site.call_count();
+    site.clock_start = site.service.restart(3, &site.list[..3]);
     for node in site.fleet.nodes.iter().flatten() {
         assert!(node
             .wait_for_log("an older list")
             .contains("drains kept: 2"));
     }
-    let took = site.from.elapsed();
+    let took = site.clock_start.elapsed();
     assert!(
         took <= ms(3000),
-        "the last node had the list after {took:?}"
+        "the last node read the list only after {took:?}"
     );
     let called = site.service.seen().0;
-    let soon = called[before..]
+    let early_calls = called[before..]
         .iter()
-        .filter(|t| **t < site.from + ms(300))
+        .filter(|t| **t < site.clock_start + ms(300))
         .count();
-    assert!(soon <= 10, "{soon} of 16 called in the first moment");
-    // The clients of half of the nodes come again to the rest, which have no other word than that list.
+    assert!(
+        early_calls <= 10,
+        "{early_calls} of 16 nodes called within 300 ms"
+    );
+    // The clients of half of the nodes reconnect to the other half, which has only that list.
     for node in 0..8 {
         drop(site.fleet.stop(node, ms(50)));
     }
-    eventually("all stand again", || returning_clients.standing() == 96);
-    let calls = site.calls() - before;
-    assert!(calls <= 16 * 4, "{calls} calls of 16 nodes");
-    let pieces = site.hosts.arrived(4).len();
+    eventually("not all clients are connected again", || {
+        returning_clients.standing() == 96
+    });
+    let call_count = site.call_count() - before;
+    assert!(call_count <= 16 * 4, "{call_count} calls of 16 nodes");
+    let connections_before = site.hosts.arrived(4).len();
     site.list[3..]
         .iter()
         .for_each(|member| site.service.change(member.clone()));
     drop(site.fleet.stop(8, ms(50)));
-    eventually("hosts that the pieces named are used again", || {
-        site.hosts.arrived(4).len() > pieces
-    });
-    site.assert_nothing_broken(returning_clients);
+    eventually(
+        "hosts that were announced one by one are not used again",
+        || site.hosts.arrived(4).len() > connections_before,
+    );
+    site.assert_no_violation(returning_clients);
 }
 
-/// Prevents cold hosts overloaded, and clients lost, when most of a fleet dies and all its clients come to nodes
-/// that know nothing of any host, some of which stall meanwhile.
+/// Guards against overloaded cold hosts and lost clients when most nodes of a fleet die and their clients reconnect to
+/// nodes that know nothing of the hosts' load, while some other nodes stall.
 #[test]
-fn seven_of_ten_nodes_are_killed_and_started_again_while_their_clients_come_back() {
+fn clients_reconnect_without_overload_after_seven_of_ten_nodes_are_killed() {
     let mut site = Site::new(20, 40.0);
-    site.hosts(8, false);
+    site.start_hosts(8, false);
     site.start(0..20, true);
     let returning_clients = site.returning_clients(160, 4);
-    site.hosts(4, true);
-    let from = Instant::now();
+    site.start_hosts(4, true);
+    let killed_at = Instant::now();
     (0..14).for_each(|node| site.fleet.kill(node, ms(300)));
     thread::sleep(ms(300));
     (14..16).for_each(|node| site.fleet.suspend(node));
     for step in 0..7 {
         thread::sleep(
-            (from + ms(500 + 200 * step as u64)).saturating_duration_since(Instant::now()),
+            (killed_at + ms(500 + 200 * step as u64)).saturating_duration_since(Instant::now()),
         );
         site.start(2 * step..2 * step + 2, true);
     }
-    thread::sleep((from + ms(3300)).saturating_duration_since(Instant::now()));
+    thread::sleep((killed_at + ms(3300)).saturating_duration_since(Instant::now()));
     (14..16).for_each(|node| site.fleet.unsuspend(node));
-    eventually("all stand again", || returning_clients.standing() == 160);
-    let took = from.elapsed();
-    thread::sleep((from + ms(6000)).saturating_duration_since(Instant::now()));
-    site.assert_nothing_broken(returning_clients);
-    assert!(took <= ms(12_000), "all stood again after {took:?}");
+    eventually("not all clients are connected again", || {
+        returning_clients.standing() == 160
+    });
+    let took = killed_at.elapsed();
+    thread::sleep((killed_at + ms(6000)).saturating_duration_since(Instant::now()));
+    site.assert_no_violation(returning_clients);
+    assert!(
+        took <= ms(12_000),
+        "all clients were connected again only after {took:?}"
+    );
 }
--- a/node/tests/two_tier.rs
+++ b/node/tests/two_tier.rs
@@ -1,5 +1,5 @@
-//! Forwarders and planners as processes, among simulated hosts and clients, with faults injected from outside.
-//! The rules are judged by what hosts and clients saw.
+//! Tests of forwarder and planner processes with simulated hosts and clients, and faults injected from outside.
+//! The rules are checked by what hosts and clients saw.
 
 use reedferry_testkit::program::{path, Node};
 use reedferry_testkit::simulated::{Clients, HostBehavior};
@@ -12,38 +12,41 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How long clients hold their connections.
+/// How long most clients hold their connections.
 const HOLD_TIME: Duration = Duration::from_millis(400);
-/// How late an update of discovery may reach a planner here, on a busy machine.
+/// The longest that a discovery update may take to reach a planner on a busy machine.
 const DISCOVERY_DELAY: Duration = Duration::from_millis(150);
 
-/// Runs the tests one at a time: each starts several processes and judges by time. Without this, verdicts would depend
-/// on how many tests run beside each other.
-fn exclusive() -> MutexGuard<'static, ()> {
-    static TURN: Mutex<()> = Mutex::new(());
-    TURN.lock().unwrap_or_else(PoisonError::into_inner)
+/// Runs the tests one at a time. Each starts several processes and checks times, which would depend on how many tests
+/// run in parallel.
+fn one_test_at_a_time() -> MutexGuard<'static, ()> {
+    static LOCK: Mutex<()> = Mutex::new(());
+    LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
+/// Returns a client generator that spreads clients over all forwarders.
 fn new_clients(cluster: &TwoTierCluster, seed: u64) -> Clients {
     Clients::new(cluster.client_addresses(), &cluster.checker, seed)
 }
 
-fn assert_no_violation(cluster: &TwoTierCluster, what: &str) {
+fn assert_no_violation(cluster: &TwoTierCluster, situation: &str) {
     let violations = cluster.checker.broken(DISCOVERY_DELAY);
-    assert!(violations.is_empty(), "{what}: {violations:#?}");
+    assert!(violations.is_empty(), "{situation}: {violations:#?}");
 }
 
+/// Returns the number of clients whose first answer starts with `prefix`.
 fn count_answers(cluster: &TwoTierCluster, prefix: &str) -> usize {
     cluster
         .checker
         .observations()
         .iter()
-        .filter(|l| {
-            l.answers
+        .filter(|client| {
+            client
+                .answers
                 .first()
                 .is_some_and(|(_, answer)| answer.starts_with(prefix))
         })
@@ -51,8 +54,8 @@
 }
 
 #[test]
-fn a_planner_is_killed_under_load_and_every_request_has_one_answer_in_time() {
-    let _guard = exclusive();
+fn after_a_planner_is_killed_under_load_each_request_gets_one_timely_answer() {
+    let _guard = one_test_at_a_time();
     let mut cluster = TwoTierCluster::start(3, 2, 4, 1);
     let mut clients = new_clients(&cluster, 1);
     clients.load(200.0, ms(700), &[0, 1, 2], HOLD_TIME);
@@ -61,29 +64,37 @@
     let killed = Instant::now();
     clients.load(200.0, ms(1500), &[0, 1, 2], HOLD_TIME);
     clients.end();
-    assert_no_violation(&cluster, "killed");
-    let all = cluster.checker.first_attempts();
-    let (count, up) = (all.len(), count_answers(&cluster, "UP"));
-    assert!(up * 100 >= count * 90, "{up} of {count} served");
-    let latest = all.iter().filter_map(|(_, took)| *took).max().unwrap();
-    assert!(latest < ms(700), "a first hand-off after {latest:?}");
-    // A second after the death decisions take their usual time.
-    let late = |l: &reedferry_testkit::simulated::ClientObservation, took: Duration| {
-        l.asked > killed + ms(1000) && took > ms(50)
+    assert_no_violation(&cluster, "after a planner was killed");
+    let first_attempts = cluster.checker.first_attempts();
+    let (count, served) = (first_attempts.len(), count_answers(&cluster, "UP"));
+    assert!(served * 100 >= count * 90, "{served} of {count} served");
+    let latest = first_attempts
+        .iter()
+        .filter_map(|(_, took)| *took)
+        .max()
+        .unwrap();
+    assert!(
+        latest < ms(700),
+        "a first attempt began only after {latest:?}"
+    );
+    // From one second after the planner's death, decisions take their usual time again.
+    let is_slow_after_recovery = |client: &reedferry_testkit::simulated::ClientObservation,
+                                  took: Duration| {
+        client.asked > killed + ms(1000) && took > ms(50)
     };
-    let slow = all
+    let slow = first_attempts
         .iter()
-        .filter(|(l, took)| took.is_some_and(|t| late(l, t)))
+        .filter(|(client, took)| took.is_some_and(|took| is_slow_after_recovery(client, took)))
         .count();
     assert!(
         slow * 20 <= count,
-        "{slow} of {count} slow a second after the death"
+        "{slow} of {count} requests were slow from one second after the death"
     );
 }
 
 #[test]
-fn nothing_that_a_planner_decided_before_a_pause_of_two_seconds_is_carried_out_late() {
-    let _guard = exclusive();
+fn decisions_from_before_a_two_second_planner_pause_are_not_applied_late() {
+    let _guard = one_test_at_a_time();
     let cluster = TwoTierCluster::start(3, 2, 4, 2);
     let mut clients = new_clients(&cluster, 2);
     clients.load(100.0, ms(300), &[0, 1, 2], HOLD_TIME);
@@ -95,21 +106,21 @@
         clients.load(100.0, ms(500), &[0, 1, 2], HOLD_TIME);
     }
     clients.end();
-    assert_no_violation(&cluster, "stood still");
-    let (count, up) = (
+    assert_no_violation(&cluster, "after planners were paused");
+    let (count, served) = (
         cluster.checker.observations().len(),
         count_answers(&cluster, "UP"),
     );
-    assert!(up * 100 >= count * 90, "{up} of {count} served");
+    assert!(served * 100 >= count * 90, "{served} of {count} served");
 }
 
 #[test]
-fn without_planners_open_connections_continue_and_new_requests_are_rejected_at_once() {
-    let _guard = exclusive();
+fn without_planners_connections_continue_and_requests_are_rejected_at_once() {
+    let _guard = one_test_at_a_time();
     let mut cluster = TwoTierCluster::start(2, 2, 3, 3);
     let mut open_clients = new_clients(&cluster, 3);
     (0..200).for_each(|_| open_clients.come(0, Duration::from_secs(30)));
-    eventually("some connections are open", || {
+    eventually("not all connections were opened", || {
         cluster.hosts.standing().iter().sum::<u32>() == 200
     });
     (0..2).for_each(|n| cluster.kill_planner(n));
@@ -119,19 +130,19 @@
     clients.end();
     let observations = cluster.checker.observations();
     assert_eq!(observations.len(), 40);
-    for one in &observations {
-        let (at, said) = &one.answers[0];
+    for observation in &observations {
+        let (answered_at, answer) = &observation.answers[0];
         assert!(
-            said.starts_with("BUSY ") && *at < one.asked + ms(100),
-            "{one:?}"
+            answer.starts_with("BUSY ") && *answered_at < observation.asked + ms(100),
+            "{observation:?}"
         );
     }
     assert_eq!(
         cluster.hosts.standing().iter().sum::<u32>(),
         200,
-        "open connections continue"
+        "open connections ended"
     );
-    // Back at once, with empty memories.
+    // Restarts both planners, which have no state from before.
     (0..2).for_each(|n| cluster.start_planner(n));
     for forwarder in &cluster.forwarders {
         forwarder.wait_for_log("no planner available");
@@ -140,13 +151,13 @@
     clients.load(100.0, ms(500), &[0, 1, 2], HOLD_TIME);
     clients.end();
     open_clients.end();
-    assert_no_violation(&cluster, "all gone and back");
+    assert_no_violation(&cluster, "after all planners were restarted");
     assert!(count_answers(&cluster, "UP") >= 200 + 45);
 }
 
 #[test]
-fn a_drain_that_forwarders_cannot_be_told_of_is_honored_all_the_same() {
-    let _guard = exclusive();
+fn a_drain_is_honored_when_planners_cannot_reach_the_forwarders() {
+    let _guard = one_test_at_a_time();
     use std::sync::atomic::Ordering::SeqCst;
     let mut cluster = TwoTierCluster::start(2, 2, 3, 5);
     let mut clients = new_clients(&cluster, 5);
@@ -155,7 +166,7 @@
         .relays
         .iter()
         .flatten()
-        .for_each(|r| r.down.cut.store(true, SeqCst));
+        .for_each(|relay| relay.down.cut.store(true, SeqCst));
     cluster.set_draining(0, true);
     clients.load(200.0, ms(700), &[0], HOLD_TIME);
     cluster.heal();
@@ -163,14 +174,17 @@
     let after = Instant::now();
     clients.load(100.0, ms(300), &[0], HOLD_TIME);
     clients.end();
-    assert_no_violation(&cluster, "drained");
+    assert_no_violation(&cluster, "after the drain");
     let reached = cluster.checker.reached();
-    assert!(reached.iter().any(|r| r.host == 0) && reached.iter().any(|r| r.at > after));
+    assert!(
+        reached.iter().any(|attempt| attempt.host == 0)
+            && reached.iter().any(|attempt| attempt.at > after)
+    );
 }
 
 #[test]
-fn planners_and_forwarders_are_restarted_one_after_the_other_under_load() {
-    let _guard = exclusive();
+fn planner_restarts_and_a_forwarder_shutdown_under_load_break_no_rule() {
+    let _guard = one_test_at_a_time();
     let mut cluster = TwoTierCluster::start(3, 2, 4, 6);
     let mut clients = new_clients(&cluster, 6);
     for n in 0..2 {
@@ -183,16 +197,16 @@
         clients.load(150.0, ms(300), &[0, 1, 2], HOLD_TIME);
     }
     clients.end();
-    assert_no_violation(&cluster, "planners restarted");
-    let (count, up) = (
+    assert_no_violation(&cluster, "after planners were restarted");
+    let (count, served) = (
         cluster.checker.observations().len(),
         count_answers(&cluster, "UP"),
     );
-    assert!(up * 100 >= count * 95, "{up} of {count} served");
-    // A forwarder that is asked to stop rejects new requests, migrates open connections, and ends by itself.
+    assert!(served * 100 >= count * 95, "{served} of {count} served");
+    // A forwarder that is asked to stop rejects new requests, migrates its open connections, and exits.
     let mut open_clients = new_clients(&cluster, 7);
     (0..30).for_each(|_| open_clients.come(0, Duration::from_secs(30)));
-    eventually("some connections are open", || {
+    eventually("not all connections were opened", || {
         cluster.hosts.standing().iter().sum::<u32>() == 30
     });
     let forwarder = &mut cluster.forwarders[0];
@@ -204,32 +218,32 @@
     assert!(forwarder.wait().success());
     assert_eq!(cluster.hosts.standing().iter().sum::<u32>(), 20);
     open_clients.end();
-    assert_no_violation(&cluster, "a forwarder stopped");
+    assert_no_violation(&cluster, "after a forwarder stopped");
 }
 
 #[test]
-fn a_changed_list_of_planners_is_reloaded_and_a_wrong_one_is_one_log_line() {
-    let _guard = exclusive();
+fn a_changed_planner_list_is_reloaded_and_an_invalid_lease_is_logged() {
+    let _guard = one_test_at_a_time();
     let mut cluster = TwoTierCluster::start(1, 2, 3, 8);
     let forwarder = &cluster.forwarders[0];
-    let before = forwarder.config_file();
-    forwarder.reload(&before.replace("lease = \"250ms\"", "lease = \"900ms\""));
+    let config = forwarder.config_file();
+    forwarder.reload(&config.replace("lease = \"250ms\"", "lease = \"900ms\""));
     forwarder.wait_for_log("lease is 900ms, not between");
-    let first = before.find("[[planner]]").unwrap();
-    let one = &before[first..];
-    let second = first + one[1..].find("[[planner]]").unwrap() + 1;
+    let first_planner = config.find("[[planner]]").unwrap();
+    let planner_list = &config[first_planner..];
+    let second_planner = first_planner + planner_list[1..].find("[[planner]]").unwrap() + 1;
     let mut clients = new_clients(&cluster, 8);
     clients.load(100.0, ms(300), &[0], Duration::from_secs(20));
-    cluster.forwarders[0].reload(&before[..second]);
+    cluster.forwarders[0].reload(&config[..second_planner]);
     cluster.forwarders[0].wait_for_log("configuration reloaded");
-    // The second planner may stop now: nobody follows it any more, whoever was followed before.
-    eventually("p0 alone is followed", || {
+    // The second planner is no longer followed, whichever was before, so its shutdown ends at once.
+    eventually("the second planner is still followed", || {
         cluster.planners[1].as_mut().unwrap().stop();
         wait_until(ms(3000), || !cluster.planners[1].as_mut().unwrap().runs()).is_some()
     });
     clients.load(100.0, ms(500), &[0], HOLD_TIME);
     clients.end();
-    assert_no_violation(&cluster, "another list");
+    assert_no_violation(&cluster, "after the planner list changed");
     assert_eq!(
         count_answers(&cluster, "UP"),
         cluster.checker.observations().len()
@@ -237,19 +251,19 @@
 }
 
 #[test]
-fn strangers_at_a_planner_are_disconnected_with_one_log_line_and_no_memory() {
-    let _guard = exclusive();
+fn strangers_at_a_planner_are_disconnected_and_logged_and_take_no_memory() {
+    let _guard = one_test_at_a_time();
     let cluster = TwoTierCluster::start(1, 1, 2, 9);
     let planner = cluster.planners[0].as_ref().unwrap();
-    let mut older = vec![10, 0, 0, 0];
-    older.extend_from_slice(b"rfLK\0\0aaaa");
+    let mut hello_of_version_0 = vec![10, 0, 0, 0];
+    hello_of_version_0.extend_from_slice(b"rfLK\0\0aaaa");
     let before = planner.memory();
-    let all: [(&[u8], &str); 3] = [
+    let invalid_greetings: [(&[u8], &str); 3] = [
         (&[0xff; 4096], "frame too long"),
-        (&older, "unsupported protocol version 0"),
+        (&hello_of_version_0, "unsupported protocol version 0"),
         (b"GET / HTTP/1.1\r\nHost: here\r\n\r\n", "frame too long"),
     ];
-    for (bytes, why) in all {
+    for (bytes, reason) in invalid_greetings {
         let mut stream = TcpStream::connect(planner.address).unwrap();
         stream.write_all(bytes).unwrap();
         stream
@@ -257,9 +271,9 @@
             .unwrap();
         let mut rest = Vec::new();
         _ = stream.read_to_end(&mut rest);
-        planner.wait_for_log(why);
+        planner.wait_for_log(reason);
     }
-    // One that sends nothing is not waited for either.
+    // A connection that sends nothing is closed as well.
     let mut stream = TcpStream::connect(planner.address).unwrap();
     stream
         .set_read_timeout(Some(Duration::from_secs(5)))
@@ -274,9 +288,9 @@
 }
 
 #[test]
-fn pairs_of_faults_drawn_by_seed_break_no_rule() {
-    let _guard = exclusive();
-    // Each seed draws a trial of its own; it is in the message.
+fn random_pairs_of_faults_break_no_rule() {
+    let _guard = one_test_at_a_time();
+    // Each seed draws its own pair of faults, and is part of the failure message.
     let seeds: Vec<u64> = (0..8).collect();
     std::thread::scope(|scope| {
         for chunk in seeds.chunks(4) {
@@ -289,6 +303,7 @@
     });
 }
 
+/// Runs a cluster under load with two faults drawn by this seed, and checks the rules.
 fn random_faults(seed: u64) {
     let mut cluster = TwoTierCluster::start(3, 2, 4, 100 + seed);
     let mut clients = new_clients(&cluster, 100 + seed);
@@ -317,14 +332,14 @@
 }
 
 #[test]
-fn a_host_that_breaks_off_non_idempotent_requests_gets_each_once() {
-    let _guard = exclusive();
+fn a_non_idempotent_request_that_its_host_breaks_off_is_sent_only_once() {
+    let _guard = one_test_at_a_time();
     let cluster = TwoTierCluster::start(1, 1, 3, 20);
     (0..3).for_each(|h| cluster.hosts.go(h, HostBehavior::Disconnects));
     let mut clients = new_clients(&cluster, 20);
     (0..10).for_each(|_| clients.come(2, HOLD_TIME));
     clients.end();
-    assert_no_violation(&cluster, "broken off");
+    assert_no_violation(&cluster, "after hosts broke off requests");
     assert_eq!(
         (
             count_answers(&cluster, "ERR"),
@@ -335,8 +350,8 @@
 }
 
 #[test]
-fn the_check_command_says_what_is_wrong_and_where_without_starting() {
-    let _guard = exclusive();
+fn the_check_command_reports_an_error_and_its_line_without_starting() {
+    let _guard = one_test_at_a_time();
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy");
     let check = |file: &std::path::Path| {
         Command::new(path())
@@ -345,13 +360,14 @@
             .output()
             .unwrap()
     };
-    let good = check(&folder.join("forward.example.toml"));
+    let valid = check(&folder.join("forward.example.toml"));
     assert!(
-        good.status.success()
-            && String::from_utf8_lossy(&good.stdout).contains("in order, for `reedferry forward`")
+        valid.status.success()
+            && String::from_utf8_lossy(&valid.stdout).contains("in order, for `reedferry forward`")
     );
     let text = std::fs::read_to_string(folder.join("forward.example.toml")).unwrap();
-    let wrong = std::env::temp_dir().join(format!("reedferry-check-{}.toml", std::process::id()));
+    let invalid_file =
+        std::env::temp_dir().join(format!("reedferry-check-{}.toml", std::process::id()));
     let node_config = folder
         .join("node_config.example.json")
         .display()
@@ -359,14 +375,14 @@
     let text = text
         .replace("node_config.example.json", &node_config)
         .replace("lease = \"250ms\"", "lease = \"300ms\"");
-    std::fs::write(&wrong, text).unwrap();
-    let bad = check(&wrong);
-    let said = String::from_utf8_lossy(&bad.stderr).to_string();
-    std::fs::remove_file(&wrong).unwrap();
-    assert_eq!(bad.status.code(), Some(1));
+    std::fs::write(&invalid_file, text).unwrap();
+    let invalid = check(&invalid_file);
+    let stderr = String::from_utf8_lossy(&invalid.stderr).to_string();
+    std::fs::remove_file(&invalid_file).unwrap();
+    assert_eq!(invalid.status.code(), Some(1));
     assert!(
-        said.contains(".toml:9: lease is 300ms, not between 40ms and 299ms"),
-        "{said}"
+        stderr.contains(".toml:9: lease is 300ms, not between 40ms and 299ms"),
+        "{stderr}"
     );
     assert_eq!(
         Command::new(path())
@@ -379,12 +395,12 @@
     );
 }
 
-/// Prevents an answer from being late because a forwarder's turn goes on with all that is ready, each write of which may
-/// block it.
+/// Guards against a late answer when a forwarder handles everything that is ready within one turn, and each of its
+/// writes may block.
 #[test]
-fn a_forwarder_answers_in_time_though_each_turn_has_much_to_do() {
+fn a_forwarder_answers_in_time_when_a_turn_has_many_slow_writes() {
     const ACTIVE_CLIENTS: usize = 60;
-    let _guard = exclusive();
+    let _guard = one_test_at_a_time();
     let (cluster, injector) = (
         TwoTierCluster::start(1, 1, 1, 8),
         SyscallInjector::default(),
@@ -401,30 +417,30 @@
     let open = |n: usize| {
         let mut client = Peer::connect(forwarder.address);
         client.send_line(&format!("OPEN c{n} {n:x} c=free,t=acme,d=2000"));
-        let said = client.receive_line();
-        assert!(said.starts_with("UP"), "{said}");
+        let answer = client.receive_line();
+        assert!(answer.starts_with("UP"), "{answer}");
         client
     };
     let mut active_clients: Vec<Peer> = (0..ACTIVE_CLIENTS).map(open).collect();
     cluster.hosts.go(0, HostBehavior::Silent);
-    let mut waiting = Peer::connect(forwarder.address);
-    waiting.send_line("OPEN late 7f c=once,t=acme,d=1000");
-    let asked = Instant::now();
-    _ = wait_until(ms(1000), || asked.elapsed() >= ms(500));
+    let mut waiting_client = Peer::connect(forwarder.address);
+    waiting_client.send_line("OPEN late 7f c=once,t=acme,d=1000");
+    let requested_at = Instant::now();
+    _ = wait_until(ms(1000), || requested_at.elapsed() >= ms(500));
     injector.set(&[Fault {
         call: Call::Send,
         outcome: Outcome::HeldUp(ms(100)),
         every: 2,
     }]);
-    // All their lines lie ready in the moment in which the answer is due.
-    _ = wait_until(ms(1000), || asked.elapsed() >= ms(900));
+    // The lines of all active clients are ready to be read when the answer is due.
+    _ = wait_until(ms(1000), || requested_at.elapsed() >= ms(900));
     active_clients
         .iter_mut()
         .for_each(|client| client.send_line("hello"));
-    let said = waiting.receive_line();
-    let took = asked.elapsed();
+    let answer = waiting_client.receive_line();
+    let took = requested_at.elapsed();
     injector.clear();
-    assert_eq!(said, "ERR");
-    // One turn more, its own sending, and what the first turn had begun.
-    assert!(took < ms(1450), "{said} after {took:?}");
+    assert_eq!(answer, "ERR");
+    // Allows for one more turn, the sending of the answer, and the write that the first turn had begun.
+    assert!(took < ms(1450), "{answer} after {took:?}");
 }
