--- a/node/tests/membership.rs
+++ b/node/tests/membership.rs
@@ -55,7 +55,7 @@
 /// Guards against deaths that some members never learn of, and against running members declared dead with them.
 #[test]
 fn tables_converge_after_one_half_and_nearly_all_of_twenty_nodes_die() {
-    let _turn = one_test_at_a_time();
+    let _lock = one_test_at_a_time();
     let (_service, mut fleet) = converged_fleet(20, 1);
     fleet.kill(7, Duration::ZERO);
     assert_converges(&fleet, 11, "after one death");
@@ -80,7 +80,7 @@
 /// Guards against partitions that do not merge, and against members declared dead because single links are cut.
 #[test]
 fn partitions_merge_and_single_cut_links_cause_no_false_death() {
-    let _turn = one_test_at_a_time();
+    let _lock = one_test_at_a_time();
     let (_service, fleet) = converged_fleet(20, 2);
     for (periods, parts) in [(20, 2), (30, 3)] {
         fleet.fleet_view().network.split(|node| node % parts);
@@ -109,7 +109,7 @@
 /// that returns after a long stall without a new version; and against a restart taken for a death.
 #[test]
 fn packet_loss_short_stalls_and_a_restart_cause_no_false_death() {
-    let _turn = one_test_at_a_time();
+    let _lock = one_test_at_a_time();
     let (_service, mut fleet) = converged_fleet(12, 3);
     let delay = PERIOD / 10;
     fleet.fleet_view().network.set(|_, _| LinkFaults {
@@ -153,7 +153,7 @@
 /// processes that stay under one name.
 #[test]
 fn strangers_change_no_table_and_the_later_process_under_a_name_is_kept() {
-    let _turn = one_test_at_a_time();
+    let _lock = one_test_at_a_time();
     let service = Discovery::start();
     let fleet_view = FleetView {
         network: FaultyNetwork::new(7, 4),
@@ -242,7 +242,7 @@
 /// changes at once.
 #[test]
 fn two_hundred_nodes_converge_with_two_seeds_dead_and_after_half_die() {
-    let _turn = one_test_at_a_time();
+    let _lock = one_test_at_a_time();
     let service = Discovery::start();
     let period = PERIOD * 2;
     let fleet_view = FleetView {
@@ -291,7 +291,7 @@
 /// are restarted in turn.
 #[test]
 fn a_rolling_restart_under_load_loses_no_client_and_raises_no_suspicion() {
-    let _turn = one_test_at_a_time();
+    let _lock = one_test_at_a_time();
     let (service, hosts) = (Discovery::start(), WarmingHosts::new(FleetOptions::TRIAL));
     let list = hosts.members(hosts.start(6, false));
     list.iter()
@@ -390,7 +390,7 @@
 /// node that continues after a stall with probe targets that others have taken over.
 #[test]
 fn each_host_is_probed_once_a_round_while_nodes_die_and_stall() {
-    let _turn = one_test_at_a_time();
+    let _lock = one_test_at_a_time();
     let (service, hosts) = (Discovery::start(), WarmingHosts::new(FleetOptions::TRIAL));
     let list = hosts.members(hosts.start(8, false));
     list.iter()
@@ -446,7 +446,7 @@
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn quota_of_dead_nodes_is_lent_only_by_a_majority_and_never_used_twice() {
-    let _turn = one_test_at_a_time();
+    let _lock = one_test_at_a_time();
     let (service, hosts) = (Discovery::start(), WarmingHosts::new(FleetOptions::TRIAL));
     let mut list = hosts.members(hosts.start(4, false));
     list.iter()
@@ -527,7 +527,7 @@
 /// flips bits in messages, which members once accepted.
 #[test]
 fn random_schedules_of_two_overlapping_faults_break_no_invariant() {
-    let _turn = one_test_at_a_time();
+    let _lock = one_test_at_a_time();
     for seed in [31, 2, 5] {
         let schedule = FaultSchedule::draw(seed, 8, 2);
         let violations = play(&schedule, None);
@@ -538,7 +538,7 @@
 /// Guards against renamed keys of `/status/fleet`, which operators' tools read.
 #[test]
 fn the_fleet_status_for_operators_keeps_its_json_keys() {
-    let _turn = one_test_at_a_time();
+    let _lock = one_test_at_a_time();
     let (_service, fleet) = converged_fleet(2, 9);
     let status = fleet.status(0).unwrap();
     let keys = |value: &serde_json::Value| {
