--- a/node/tests/fleet_recovery.rs
+++ b/node/tests/fleet_recovery.rs
@@ -297,7 +297,7 @@
     site.clock_start = site.service.restart(3, &site.list[..3]);
     for node in site.fleet.nodes.iter().flatten() {
         assert!(node
-            .wait_for_log("an older list")
+            .wait_for_log("received an older list")
             .contains("drains kept: 2"));
     }
     let took = site.clock_start.elapsed();
--- a/node/tests/sockets.rs
+++ b/node/tests/sockets.rs
@@ -483,7 +483,7 @@
         &list(9, false, "{\"id\":7,\"phase\":[]}"),
     ]);
     discovery.change(member(8, "127.0.0.1:9", "left"));
-    node.wait_for_log("a revision that runs backwards");
+    node.wait_for_log("changes with an older revision");
     node.wait_for_log("discovery call failed");
     node.wait_for_log("watch begun");
     let served: Vec<_> = (0..6).map(|_| node.served(&hosts)).collect();
@@ -819,7 +819,7 @@
         served.len()
     );
     drop(served);
-    node.wait_for_log("descriptors to spare again");
+    node.wait_for_log("descriptor shortage ended");
     eventually("descriptors leaked", || {
         node.descriptors() <= before + rejected
     });
--- a/node/tests/two_tier.rs
+++ b/node/tests/two_tier.rs
@@ -363,7 +363,7 @@
     let valid = check(&folder.join("forward.example.toml"));
     assert!(
         valid.status.success()
-            && String::from_utf8_lossy(&valid.stdout).contains("in order, for `reedferry forward`")
+            && String::from_utf8_lossy(&valid.stdout).contains("valid for `reedferry forward`")
     );
     let text = std::fs::read_to_string(folder.join("forward.example.toml")).unwrap();
     let invalid_file =
