--- a/node/tests/fleet_recovery.rs
+++ b/node/tests/fleet_recovery.rs
@@ -58,7 +58,7 @@
     /// Changes a host in the list to draining.
     fn set_draining(&mut self, host: usize) {
         self.list[host] = self.hosts.member(host, "leaving");
-        self.hosts.drains(host);
+        self.hosts.note_drain(host);
         self.service.change(self.list[host].clone());
     }
 
@@ -74,7 +74,7 @@
     /// Starts one client at each node.
     fn one_client_per_node(&self, seed: u64) -> ReturningClients {
         let addresses = self.fleet.addresses();
-        ReturningClients::come(
+        ReturningClients::start(
             addresses.len(),
             &self.fleet.front,
             Duration::ZERO,
@@ -86,9 +86,9 @@
     /// Starts clients that the front distributes over the nodes, and waits until all are connected.
     fn returning_clients(&self, count: usize, seed: u64) -> ReturningClients {
         let returning_clients =
-            ReturningClients::come(count, &self.fleet.front, ms(500), None, seed);
+            ReturningClients::start(count, &self.fleet.front, ms(500), None, seed);
         eventually("not all clients are connected", || {
-            returning_clients.standing() == count
+            returning_clients.connected() == count
         });
         returning_clients
     }
@@ -105,9 +105,9 @@
 
     /// Ends the clients, and asserts that neither they nor the hosts saw a violation of a rule.
     fn assert_no_violation(&self, mut returning_clients: ReturningClients) {
-        returning_clients.end();
-        let mut violations = self.hosts.broken(ms(300));
-        violations.extend(self.fleet.broken(&returning_clients));
+        returning_clients.stop();
+        let mut violations = self.hosts.violations(ms(300));
+        violations.extend(self.fleet.violations(&returning_clients));
         assert!(violations.is_empty(), "{violations:#?}");
     }
 }
@@ -120,7 +120,7 @@
     site.start(0..40, false);
     let returning_clients = site.one_client_per_node(1);
     eventually("not every node serves a client", || {
-        returning_clients.standing() == 40
+        returning_clients.connected() == 40
     });
     let took = site.clock_start.elapsed();
     site.sleep_until(6500);
@@ -144,7 +144,7 @@
     site.start(0..1, false);
     let returning_clients = site.one_client_per_node(8);
     eventually("the node does not serve", || {
-        returning_clients.standing() == 1
+        returning_clients.connected() == 1
     });
     let took = site.clock_start.elapsed();
     assert!(took <= ms(1500), "the node served only after {took:?}");
@@ -170,14 +170,14 @@
         (20..=90).contains(&calls_while_down),
         "{calls_while_down} calls of 20 nodes in 3.5 s"
     );
-    assert_eq!(returning_clients.standing(), 0);
+    assert_eq!(returning_clients.connected(), 0);
     site.service.reject_of_ten(9);
     site.service.come_up();
     site.sleep_until(5500);
     site.service.reject_of_ten(0);
     let recovered_at = Instant::now();
     eventually("not every node serves a client", || {
-        returning_clients.standing() == 20
+        returning_clients.connected() == 20
     });
     let took = recovered_at.elapsed();
     assert!(
@@ -219,7 +219,7 @@
     let returning_clients = site.one_client_per_node(7);
     // The time is not checked: it depends on how fast the test's service writes the list.
     eventually("not every node serves a client", || {
-        returning_clients.standing() == 14
+        returning_clients.connected() == 14
     });
     site.sleep_until(6500);
     let call_count = site.call_count();
@@ -264,8 +264,8 @@
     }
     thread::sleep((restart_began + ms(6500)).saturating_duration_since(Instant::now()));
     let (on_new_hosts, on_all_hosts) = (
-        site.hosts.standing(new_hosts.clone()),
-        site.hosts.standing(0..new_hosts.end),
+        site.hosts.open_connections(new_hosts.clone()),
+        site.hosts.open_connections(0..new_hosts.end),
     );
     site.assert_no_violation(returning_clients);
     // Twelve of the twenty hosts that remain are new.
@@ -286,11 +286,11 @@
     let returning_clients = site.returning_clients(96, 5);
     for host in [0, 1] {
         site.service.change(site.hosts.member(host, "leaving"));
-        site.hosts.drains(host);
+        site.hosts.note_drain(host);
     }
     // The clients of draining hosts are migrated evenly over the longest expiry of the request classes.
     eventually("the draining hosts still have connections", || {
-        site.hosts.standing(0..2) == 0
+        site.hosts.open_connections(0..2) == 0
     });
     // The new list contains only hosts 0 to 2, all as active, though two of them drain.
     let before = site.call_count();
@@ -319,18 +319,18 @@
         drop(site.fleet.stop(node, ms(50)));
     }
     eventually("not all clients are connected again", || {
-        returning_clients.standing() == 96
+        returning_clients.connected() == 96
     });
     let call_count = site.call_count() - before;
     assert!(call_count <= 16 * 4, "{call_count} calls of 16 nodes");
-    let connections_before = site.hosts.arrived(4).len();
+    let connections_before = site.hosts.arrivals(4).len();
     site.list[3..]
         .iter()
         .for_each(|member| site.service.change(member.clone()));
     drop(site.fleet.stop(8, ms(50)));
     eventually(
         "hosts that were announced one by one are not used again",
-        || site.hosts.arrived(4).len() > connections_before,
+        || site.hosts.arrivals(4).len() > connections_before,
     );
     site.assert_no_violation(returning_clients);
 }
@@ -357,7 +357,7 @@
     thread::sleep((killed_at + ms(3300)).saturating_duration_since(Instant::now()));
     (14..16).for_each(|node| site.fleet.unsuspend(node));
     eventually("not all clients are connected again", || {
-        returning_clients.standing() == 160
+        returning_clients.connected() == 160
     });
     let took = killed_at.elapsed();
     thread::sleep((killed_at + ms(6000)).saturating_duration_since(Instant::now()));
--- a/node/tests/membership.rs
+++ b/node/tests/membership.rs
@@ -4,7 +4,7 @@
 use reedferry_testkit::fleet::{
     one_test_at_a_time, Fleet, FleetOptions, ReturningClients, WarmingHosts,
 };
-use reedferry_testkit::fleet_view::{started, FleetView};
+use reedferry_testkit::fleet_view::{start_fleet, FleetView};
 use reedferry_testkit::network::{FaultyNetwork, LinkFaults};
 use reedferry_testkit::schedule::{play, FaultSchedule};
 use reedferry_testkit::{eventually, Discovery};
@@ -19,7 +19,7 @@
 
 /// Starts a fleet with a discovery service of its own, and waits until the member tables agree.
 fn converged_fleet(nodes: usize, seed: u64) -> (Discovery, Fleet) {
-    let (service, fleet) = started(nodes, PERIOD, seed);
+    let (service, fleet) = start_fleet(nodes, PERIOD, seed);
     assert_converges(&fleet, 20, "at the start");
     (service, fleet)
 }
@@ -30,7 +30,7 @@
     assert!(
         took.is_some(),
         "member tables differ {when}: {:?}",
-        fleet.held()
+        fleet.views()
     );
 }
 
@@ -83,7 +83,7 @@
     let _lock = one_test_at_a_time();
     let (_service, fleet) = converged_fleet(20, 2);
     for (periods, parts) in [(20, 2), (30, 3)] {
-        fleet.fleet_view().network.split(|node| node % parts);
+        fleet.fleet_view().network.partition(|node| node % parts);
         thread::sleep(PERIOD * periods);
         fleet.fleet_view().network.heal();
         assert_converges(&fleet, 10, "after a partition");
@@ -91,16 +91,19 @@
     fleet
         .fleet_view()
         .network
-        .split(|node| usize::from(node == 19));
+        .partition(|node| usize::from(node == 19));
     thread::sleep(PERIOD * 30);
     fleet.fleet_view().network.heal();
     assert_converges(&fleet, 10, "after one node was isolated");
     fleet.members_declared_dead();
     let is_cut = |from, to| (from, to) == (3, 4) || (from, to) == (4, 3) || (from, to) == (7, 8);
-    fleet.fleet_view().network.set(|from, to| LinkFaults {
-        cut: is_cut(from, to),
-        ..LinkFaults::default()
-    });
+    fleet
+        .fleet_view()
+        .network
+        .set_faults(|from, to| LinkFaults {
+            cut: is_cut(from, to),
+            ..LinkFaults::default()
+        });
     thread::sleep(PERIOD * 40);
     assert_eq!(lines_on_false_deaths(&fleet, &[]), [""; 0]);
 }
@@ -112,7 +115,7 @@
     let _lock = one_test_at_a_time();
     let (_service, mut fleet) = converged_fleet(12, 3);
     let delay = PERIOD / 10;
-    fleet.fleet_view().network.set(|_, _| LinkFaults {
+    fleet.fleet_view().network.set_faults(|_, _| LinkFaults {
         loss: 0.2,
         duplicate: 0.1,
         delay,
@@ -217,7 +220,7 @@
     fleet.nodes[0]
         .as_ref()
         .unwrap()
-        .wait_for_log("unsupported version");
+        .wait_for_log("unsupported version, or not a membership message");
     assert_converges(fleet, 5, "after messages of another version");
 }
 
@@ -304,9 +307,9 @@
     let mut fleet = Fleet::new(10, service.address, FleetOptions::TRIAL).with_view(fleet_view);
     fleet.start(&(0..10).collect::<Vec<_>>(), &list, 6);
     let mut returning_clients =
-        ReturningClients::come(60, &fleet.front, Duration::from_millis(500), None, 5);
+        ReturningClients::start(60, &fleet.front, Duration::from_millis(500), None, 5);
     eventually("not all clients are connected", || {
-        returning_clients.standing() == 60
+        returning_clients.connected() == 60
     });
     assert_converges(&fleet, 20, "at the start");
     let restart_began = Instant::now();
@@ -325,11 +328,11 @@
     assert_converges(&fleet, 10, "after all were restarted");
     assert!(restart_began.elapsed() < Duration::from_secs(60));
     eventually("not all clients are connected again", || {
-        returning_clients.standing() == 60
+        returning_clients.connected() == 60
     });
-    returning_clients.end();
-    assert_eq!(hosts.broken(Duration::from_millis(300)), [""; 0]);
-    assert_eq!(fleet.broken(&returning_clients), [""; 0]);
+    returning_clients.stop();
+    assert_eq!(hosts.violations(Duration::from_millis(300)), [""; 0]);
+    assert_eq!(fleet.violations(&returning_clients), [""; 0]);
     let log_lines = fleet
         .nodes
         .iter()
@@ -358,7 +361,7 @@
 fn count_probes(hosts: &WarmingHosts, from: Instant, rounds: u32) -> ProbeCounts {
     thread::sleep((from + PROBE_ROUND * rounds).saturating_duration_since(Instant::now()));
     let probes_of = |host: usize| -> Vec<Instant> {
-        let probes = hosts.probed(host).into_iter();
+        let probes = hosts.probes(host).into_iter();
         probes.filter(|at| *at >= from).collect()
     };
     let in_round = |probes: &[Instant], start: Instant| {
@@ -459,7 +462,7 @@
     let mut fleet = Fleet::new(6, service.address, FleetOptions::TRIAL).with_view(fleet_view);
     fleet.start(&(0..6).collect::<Vec<_>>(), &list, 4);
     let mut returning_clients =
-        ReturningClients::come(60, &fleet.front, Duration::from_millis(300), None, 7);
+        ReturningClients::start(60, &fleet.front, Duration::from_millis(300), None, 7);
     assert_converges(&fleet, 20, "at the start");
     let mut add_cold_hosts = |count: usize| {
         for member in hosts.members(hosts.start(count, true)) {
@@ -484,7 +487,7 @@
         5.5,
         "the lent half of the dead node's quota is not used",
     );
-    fleet.fleet_view().network.split(|node| node % 2);
+    fleet.fleet_view().network.partition(|node| node % 2);
     // Neither three of six nodes nor two are a majority.
     expect_used_quota(
         &fleet,
@@ -499,7 +502,7 @@
     fleet
         .fleet_view()
         .network
-        .split(|node| usize::from(node < 2));
+        .partition(|node| usize::from(node < 2));
     fleet.resize_cluster(0..2, 4, &known, 7);
     expect_used_quota(
         &fleet,
@@ -516,11 +519,11 @@
     );
     assert!(max_used <= 6.0 + 1e-6, "{max_used} of 6 shares were used");
     eventually("not all clients are connected", || {
-        returning_clients.standing() == 60
+        returning_clients.connected() == 60
     });
-    returning_clients.end();
-    assert_eq!(hosts.broken(Duration::from_millis(300)), [""; 0]);
-    assert_eq!(fleet.broken(&returning_clients), [""; 0]);
+    returning_clients.stop();
+    assert_eq!(hosts.violations(Duration::from_millis(300)), [""; 0]);
+    assert_eq!(fleet.violations(&returning_clients), [""; 0]);
 }
 
 /// Guards against a violated invariant, lost clients or tables that never agree while two faults overlap. Seed 31
--- a/node/tests/sockets.rs
+++ b/node/tests/sockets.rs
@@ -596,7 +596,7 @@
     assert_eq!((length, message[0], message[4]), (5, 1, 96));
     // Datagrams from unknown senders and malformed ones are dropped; reports of the peer count.
     stranger.send_to(&message[..5], at).unwrap();
-    node.wait_for_log("message dropped");
+    node.wait_for_log("gossip message dropped");
     for malformed in [&[][..], &[1], &[9; 300], &[2, 1, 2, 3, 4]] {
         peer.send_to(malformed, at).unwrap();
     }
