--- a/node/src/connections/closing.rs
+++ b/node/src/connections/closing.rs
@@ -49,7 +49,7 @@
         let connection = &mut self.slab[slot];
         if connection.awaits_answer() && connection.client.is_some() {
             let outcome = if rejected {
-                RequestOutcome::Refused
+                RequestOutcome::Rejected
             } else {
                 RequestOutcome::Failed
             };
--- a/node/src/context/mod.rs
+++ b/node/src/context/mod.rs
@@ -83,11 +83,11 @@
 }
 
 impl Context {
-    /// Begins a turn at `now`, after a wait that began at `wait_started`, and returns when the previous turn began. `behind` tells
-    /// whether the previous turn left ready sockets unserved.
-    pub fn begin_turn(&mut self, wait_started: Nanos, now: Nanos, behind: bool) -> Nanos {
+    /// Begins a turn at `now`, after a wait that began at `wait_started`, and returns when the previous turn began. `has_unserved`
+    /// tells whether the previous turn left ready sockets unserved.
+    pub fn begin_turn(&mut self, wait_started: Nanos, now: Nanos, has_unserved: bool) -> Nanos {
         let previous = std::mem::replace(&mut self.now, now);
-        if !behind {
+        if !has_unserved {
             self.caught_up = previous;
         }
         self.hosts
--- a/node/src/context/shutdown.rs
+++ b/node/src/context/shutdown.rs
@@ -19,10 +19,10 @@
 
 impl Context {
     /// Begins the shutdown of this process, and returns the event for the balancer. The shutdown may take as long as the longest
-    /// timeout of a request, up to [`MAX_REQUEST_GRACE`], plus `beyond`.
-    pub fn begin_shutdown(&mut self, beyond: Nanos, connections: usize) -> Event {
+    /// timeout of a request, up to [`MAX_REQUEST_GRACE`], plus `margin`.
+    pub fn begin_shutdown(&mut self, margin: Nanos, connections: usize) -> Event {
         let request_grace = self.settings.max_request_timeout.min(MAX_REQUEST_GRACE);
-        let duration = request_grace + beyond;
+        let duration = request_grace + margin;
         self.may_end_at = Some(self.now + duration);
         // The deadline forces the migration of clients whose host stopped within a line, or whose migration began too late.
         // Otherwise these clients would still be connected when the process is killed.
--- a/node/src/operators/metrics.rs
+++ b/node/src/operators/metrics.rs
@@ -40,7 +40,7 @@
     /// The request was connected to a host.
     Served,
     /// The request was rejected, and the client may retry it.
-    Refused,
+    Rejected,
     /// The request failed.
     Failed,
 }
@@ -97,7 +97,7 @@
         };
         match outcome {
             RequestOutcome::Served => outcomes.served += 1,
-            RequestOutcome::Refused => outcomes.rejected += 1,
+            RequestOutcome::Rejected => outcomes.rejected += 1,
             RequestOutcome::Failed => outcomes.failed += 1,
         }
     }
--- a/node/src/operators/metrics_tests.rs
+++ b/node/src/operators/metrics_tests.rs
@@ -7,7 +7,7 @@
     let mut metrics = Metrics::default();
     metrics.add_classes(&["chat".into(), "a.b:c|d e".into(), "chat".into()]);
     metrics.record_outcome("chat", RequestOutcome::Served);
-    metrics.record_outcome("chat", RequestOutcome::Refused);
+    metrics.record_outcome("chat", RequestOutcome::Rejected);
     metrics.record_outcome("a.b:c|d e", RequestOutcome::Failed);
     metrics.record_outcome("unknown", RequestOutcome::Failed);
     metrics.record_attempt();
--- a/node/src/operators/operator_config/fleet.rs
+++ b/node/src/operators/operator_config/fleet.rs
@@ -90,13 +90,13 @@
     Ok(ReplicationConfig {
         retention: source.duration(
             "life",
-            section.record_lifetime.as_ref(),
+            section.retention.as_ref(),
             60 * SECOND,
             SECOND..=3600 * SECOND,
         )?,
         majority_timeout: source.duration(
             "within",
-            section.quorum_timeout.as_ref(),
+            section.majority_timeout.as_ref(),
             50 * MILLI,
             5 * MILLI..=SECOND,
         )?,
--- a/node/src/operators/operator_config/sections.rs
+++ b/node/src/operators/operator_config/sections.rs
@@ -61,9 +61,9 @@
 #[serde(expecting = "struct WardSheet")]
 pub(super) struct ReplicationSection {
     #[serde(rename = "life")]
-    pub record_lifetime: Option<Spanned<String>>,
+    pub retention: Option<Spanned<String>>,
     #[serde(rename = "within")]
-    pub quorum_timeout: Option<Spanned<String>>,
+    pub majority_timeout: Option<Spanned<String>>,
     #[serde(rename = "most")]
     pub max_records: Option<Spanned<usize>>,
 }
--- a/node/src/ready.rs
+++ b/node/src/ready.rs
@@ -15,7 +15,7 @@
 
 impl Ready {
     /// Returns whether the previous turn left ready sockets unserved.
-    pub fn is_behind(&self) -> bool {
+    pub fn has_unserved(&self) -> bool {
         !self.0.is_empty()
     }
 
--- a/node/src/ready_tests.rs
+++ b/node/src/ready_tests.rs
@@ -25,7 +25,7 @@
     );
     // A turn that began long ago serves nothing more.
     assert!(ready.next(clock.read() - 2 * MAX_TURN, &clock).is_none());
-    assert!(ready.is_behind());
+    assert!(ready.has_unserved());
     ready.add(vec![ready_at(4), ready_at(2)]);
     ready.order_by(|readiness| u8::from(readiness.token.slot != 4));
     let now = clock.read();
@@ -33,5 +33,5 @@
         .map(|readiness| readiness.token.slot)
         .collect();
     assert_eq!(rest, [4, 2, 3]);
-    assert!(!ready.is_behind());
+    assert!(!ready.has_unserved());
 }
--- a/node/src/roles/forward.rs
+++ b/node/src/roles/forward.rs
@@ -38,9 +38,9 @@
 }
 
 /// Runs a forwarder until it has shut down. Returns an error if it cannot start or cannot use the poller.
-pub fn run(config_path: &Path, start: Signals) -> Result<(), String> {
+pub fn run(config_path: &Path, signals: Signals) -> Result<(), String> {
     let clock = Clock::start();
-    let (mut process, backlog) = ForwarderProcess::start(config_path, start, &clock)?;
+    let (mut process, backlog) = ForwarderProcess::start(config_path, signals, &clock)?;
     loop {
         process.run_turn();
         backlog.drain();
@@ -58,7 +58,7 @@
 impl ForwarderProcess {
     fn start(
         config_path: &Path,
-        start: Signals,
+        signals: Signals,
         clock: &Clock,
     ) -> Result<(Self, LogBacklog), String> {
         let OperatorConfig {
@@ -74,7 +74,7 @@
                 role.command()
             ));
         };
-        let (mut context, backlog) = Context::open(&node_config, clock, &start)?;
+        let (mut context, backlog) = Context::open(&node_config, clock, &signals)?;
         let listener = context.listen(&node_config.listen, context::LISTENER)?;
         let listen = listener.local_address().unwrap_or(node_config.listen);
         info!(context.log, "started"; "listen" => %listen, "role" => "forward", "planners" => planners.len(),
@@ -100,8 +100,8 @@
             connections: Connections::default(),
             planner_sockets: LinkConnections::default(),
             listener,
-            stop_signal: start.stop,
-            reload_signal: start.reload,
+            stop_signal: signals.stop,
+            reload_signal: signals.reload,
             config_path: config_path.to_path_buf(),
             role_config,
             planners,
@@ -125,8 +125,8 @@
     fn wait(&mut self, clock: &Clock) -> Result<(), Errno> {
         self.arm_deadline();
         let mut ready = Vec::new();
-        let is_behind = self.ready.is_behind();
-        let at_once = is_behind
+        let has_unserved = self.ready.has_unserved();
+        let at_once = has_unserved
             || !self.context.events.is_empty()
             || self.connections.has_runnable()
             || self.planner_sockets.more_to_read;
@@ -135,7 +135,7 @@
             .poller
             .wait(wait_started, at_once, &mut ready)?;
         self.context
-            .begin_turn(wait_started, clock.read(), is_behind);
+            .begin_turn(wait_started, clock.read(), has_unserved);
         self.ready.add(ready);
         while let Some(readiness) = self.ready.next(self.context.now, clock) {
             self.handle_readiness(readiness);
--- a/node/src/roles/hot_restart/messages.rs
+++ b/node/src/roles/hot_restart/messages.rs
@@ -34,7 +34,7 @@
     /// The address of the discovery service whose endpoint list the predecessor watched.
     pub discovery: SocketAddr,
     /// How far the predecessor's clock is ahead of the machine's monotonic clock, in nanoseconds.
-    pub clock_ahead: Nanos,
+    pub clock_offset: Nanos,
     /// The revision of the endpoint list, or `None` if the predecessor had none.
     pub revision: Option<u64>,
     /// The hosts of the endpoint list.
--- a/node/src/roles/hot_restart/messages_bytes_tests.rs
+++ b/node/src/roles/hot_restart/messages_bytes_tests.rs
@@ -106,7 +106,7 @@
     ];
     let state = TransferredState {
         discovery: "127.0.0.1:8500".parse().unwrap(),
-        clock_ahead: 8,
+        clock_offset: 8,
         revision: Some(41),
         members: vec![member()],
         classes: vec!["chat".into(), "pay".into()],
--- a/node/src/roles/hot_restart/mod.rs
+++ b/node/src/roles/hot_restart/mod.rs
@@ -113,7 +113,7 @@
         if let Some(state) = &state {
             // Aligns this clock with the predecessor's, because the transferred state contains times. Otherwise those times
             // would be wrong if the wall clock was stepped between the two starts.
-            clock.set_offset(state.clock_ahead);
+            clock.set_offset(state.clock_offset);
             (context.now, context.start) = (clock.read(), clock.read());
         }
         self.listen_for_successor(context);
--- a/node/src/roles/hot_restart/predecessor.rs
+++ b/node/src/roles/hot_restart/predecessor.rs
@@ -18,7 +18,7 @@
 /// The maximum length of the encoded state, in bytes.
 const MAX_STATE_BYTES: usize = 4 << 20;
 /// The maximum number of messages read in one turn. Each hands over one connection, except for late chunks of the state.
-const MAX_ADOPTED_PER_TURN: usize = 64;
+const MAX_MESSAGES_PER_TURN: usize = 64;
 /// The maximum number of descriptors of a connection: the client's socket and the host's.
 const MAX_DESCRIPTORS_PER_CONNECTION: usize = 2;
 
@@ -96,14 +96,14 @@
         self.generation == token.generation
     }
 
-    /// Adopts the connections that have arrived. Reads at most [`MAX_ADOPTED_PER_TURN`] messages per call.
+    /// Adopts the connections that have arrived. Reads at most [`MAX_MESSAGES_PER_TURN`] messages per call.
     pub fn adopt_connections(
         &mut self,
         context: &mut Context,
         connections: &mut Connections,
     ) -> Result<(), ChannelError> {
         let mut buffer = vec![0; channel::MAX_MESSAGE_BYTES];
-        for _ in 0..MAX_ADOPTED_PER_TURN {
+        for _ in 0..MAX_MESSAGES_PER_TURN {
             self.reply(context, connections)?;
             connections.free_descriptors(context, MAX_DESCRIPTORS_PER_CONNECTION);
             let (length, sockets) = match context
--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -45,9 +45,9 @@
 }
 
 /// Runs a planner until it has shut down. Returns an error if it cannot start or cannot use the poller.
-pub fn run(config_path: &Path, start: Signals) -> Result<(), String> {
+pub fn run(config_path: &Path, signals: Signals) -> Result<(), String> {
     let clock = Clock::start();
-    let (mut process, backlog) = PlannerProcess::start(config_path, start, &clock)?;
+    let (mut process, backlog) = PlannerProcess::start(config_path, signals, &clock)?;
     loop {
         process.run_turn();
         backlog.drain();
@@ -84,7 +84,7 @@
 impl PlannerProcess {
     fn start(
         config_path: &Path,
-        start: Signals,
+        signals: Signals,
         clock: &Clock,
     ) -> Result<(Self, LogBacklog), String> {
         let OperatorConfig {
@@ -100,7 +100,7 @@
                 role.command()
             ));
         };
-        let (mut context, backlog) = Context::open(&node_config, clock, &start)?;
+        let (mut context, backlog) = Context::open(&node_config, clock, &signals)?;
         let listener = context.listen(&role_config.listen, context::LINK_LISTENER)?;
         let listen = listener.local_address().unwrap_or(role_config.listen);
         let mut actions = Vec::new();
@@ -127,8 +127,8 @@
             probes: Probes::default(),
             forwarder_sockets: LinkConnections::default(),
             listener,
-            stop_signal: start.stop,
-            reload_signal: start.reload,
+            stop_signal: signals.stop,
+            reload_signal: signals.reload,
             config_path: config_path.to_path_buf(),
             role_config,
             planner_count: planners.len(),
--- a/node/src/roles/standalone/event_loop.rs
+++ b/node/src/roles/standalone/event_loop.rs
@@ -39,9 +39,9 @@
 
     /// Waits for the poller, and returns the time at which the previous turn began.
     fn poll(&mut self, clock: &Clock) -> Result<Nanos, Errno> {
-        let is_behind = self.ready.is_behind();
+        let has_unserved = self.ready.has_unserved();
         let at_once =
-            is_behind || !self.context.events.is_empty() || self.connections.has_runnable();
+            has_unserved || !self.context.events.is_empty() || self.connections.has_runnable();
         let mut ready = Vec::new();
         let wait_started = clock.read();
         self.context
@@ -49,7 +49,7 @@
             .wait(wait_started, at_once, &mut ready)?;
         let previous_turn = self
             .context
-            .begin_turn(wait_started, clock.read(), is_behind);
+            .begin_turn(wait_started, clock.read(), has_unserved);
         self.ready.add(ready);
         if let Some(fleet) = &mut self.fleet {
             fleet.refresh_quota(&mut self.context);
@@ -146,7 +146,7 @@
         if self.hot_restart.take_state_request() {
             let state = TransferredState {
                 discovery: self.node_config.discovery,
-                clock_ahead: context.clock.offset(),
+                clock_offset: context.clock.offset(),
                 revision: self.discovery.revision(),
                 members: context.hosts.members(),
                 classes: context.settings.classes.clone(),
