--- a/node/src/connections/listener.rs
+++ b/node/src/connections/listener.rs
@@ -57,7 +57,7 @@
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             // Evicts an idle connection when descriptors are short. Without this, hundreds of clients that
             // connect and send nothing would keep others out. If all idle connections are too young to be
-            // evicted, the clients behind them wait in the queue of the socket until the next sweep.
+            // evicted, new clients wait in the backlog of the listening socket until the next sweep.
             if !context.budget.has_capacity(1)
                 && !self.evict_idle(context, MIN_IDLE_AGE)
                 && context.budget.nearly_exhausted()
--- a/node/src/connections/mod.rs
+++ b/node/src/connections/mod.rs
@@ -1,6 +1,6 @@
 //! Client connections and their host connections, from the first line until both are closed. This module owns
-//! the sockets and the bytes in transit between them. It reports events to the decision module and performs
-//! the actions that come back.
+//! the sockets and the bytes in transit between them. It reports events to the decision module, which is the
+//! balancer of a node or the core of a forwarder, and performs the actions that come back.
 //!
 //! A client is accepted ([`listener`], [`idle`]), sends its first line ([`first_line`]) and waits for the
 //! answer ([`waiting_client`]) while attempts are made ([`attempts`], [`attempt_progress`], [`reconnect`]).
--- a/node/src/context/components.rs
+++ b/node/src/context/components.rs
@@ -37,7 +37,7 @@
 pub const SUCCESSOR: u8 = 16;
 /// The channel to the predecessor process.
 pub const PREDECESSOR: u8 = 17;
-/// The timer of the fleet view.
+/// The timer of the fleet membership.
 pub const FLEET_TIMER: u8 = 18;
 /// The timer of replicated requests.
 pub const REPLICATION_TIMER: u8 = 19;
--- a/node/src/context/mod.rs
+++ b/node/src/context/mod.rs
@@ -64,7 +64,8 @@
     pub log: Logger,
     /// The generation of the last token that was created.
     pub last_generation: u32,
-    /// The earliest moment at which the process may end; `None` unless it has been asked to stop.
+    /// The earliest moment at which a node or forwarder may end, or the latest at which a planner ends; `None` unless the process
+    /// has been asked to stop.
     pub may_end_at: Option<Nanos>,
     /// When a node in standby must have migrated its last client; `None` if the node is not in standby.
     pub standby_deadline: Option<Nanos>,
--- a/node/src/discovery/call.rs
+++ b/node/src/discovery/call.rs
@@ -166,7 +166,7 @@
             match connection.socket.send(&self.request[self.written..]) {
                 Ok(count) => self.written += count,
                 Err(Errno::NOTCONN) => break,
-                // The next sweep writes on, even if the poller reports nothing.
+                // The next sweep writes the rest, even if the poller reports nothing.
                 Err(error) if classify_io(error) != IoFailure::Disconnected => break,
                 Err(error) => return Err(CallError::Send(error)),
             }
--- a/node/src/discovery/hosts_tests.rs
+++ b/node/src/discovery/hosts_tests.rs
@@ -74,7 +74,7 @@
             "at {now}"
         );
     }
-    // A single unanswered line may be lost, and lines older than an answered one are.
+    // A single unanswered line may have been lost, and lines older than an answered one do not count.
     let mut hosts = hosts_with_one_answer();
     hosts.record_unanswered(0, START + 250 * MILLI, START + 10_000 * MILLI);
     assert_eq!(report(&mut hosts, START + 660 * MILLI), None);
--- a/node/src/discovery/message_latency.rs
+++ b/node/src/discovery/message_latency.rs
@@ -133,7 +133,8 @@
             .last_answer
             .filter(|last| last.sent_at + last.latency + LAST_ANSWER_LIFETIME > now)
             .map_or(0, |last| last.latency);
-        // An unanswered line may be due to a pause or a hang, so it has to be older than an answered one to count.
+        // An unanswered line may be due to a pause or a hang, so it counts only from `HUNG_TIMEOUT` on. The latency of an
+        // answered line counts at once.
         let worst = last.max(if unanswered_for > HUNG_TIMEOUT {
             unanswered_for
         } else {
--- a/node/src/discovery/staleness.rs
+++ b/node/src/discovery/staleness.rs
@@ -48,7 +48,8 @@
 /// The time that each node of the fleet adds to every node's retry interval, so that the call rate of the whole
 /// fleet stays within what the service can handle.
 const RETRY_INTERVAL_PER_NODE: Nanos = 10 * MILLI;
-/// The retry interval while the node already accepts no new work, so that a later call misses nothing more.
+/// The retry interval while the node already accepts no new work, so that a later call misses nothing more. Also the
+/// longest backoff after rejected calls and malformed lists while lists are pushed.
 const MAX_RETRY_INTERVAL: Nanos = SECOND;
 /// The retry interval while the service may be down for long.
 const OUTAGE_RETRY_INTERVAL: Nanos = 5 * SECOND / 2;
--- a/node/src/discovery/zones.rs
+++ b/node/src/discovery/zones.rs
@@ -1,6 +1,6 @@
 //! The index of each zone: its position in the settings, its number if the settings name no zones, or else an
 //! index of its own. Without the last kind, two zones that the settings don't name would count as one, and the
-//! retry of a request could be sent to another zone, which drops it.
+//! retry of a request could be sent to another zone than the one whose hosts drop it as a duplicate.
 
 use std::collections::HashMap;
 
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -23,7 +23,8 @@
 
 /// The interval of a role's sweep over its connections.
 const SWEEP_INTERVAL: Nanos = 100 * MILLI;
-/// How much longer than the longest timeout of a request a process that was asked to stop may run before it is killed.
+/// How long a process that was asked to stop may run before it is killed, in addition to the longest timeout of a request, of which
+/// at most 3 s count.
 const SHUTDOWN_MARGIN: Nanos = 700 * MILLI;
 
 /// Balances long-lived connections. Without a command, runs a standalone node that is configured by the file that GW_CONFIG names.
--- a/node/src/operators/api/connection.rs
+++ b/node/src/operators/api/connection.rs
@@ -25,7 +25,7 @@
 /// A connection of an operator. It carries one request.
 pub(super) struct Connection {
     pub socket: Socket,
-    /// The generation of the connection's poll token, which is unique among the owners of a slot.
+    /// The generation of the connection's poller token, which is unique among the owners of a slot.
     pub generation: u32,
     /// The time at which the current stage began.
     pub stage_started_at: Nanos,
--- a/node/src/operators/api/mod.rs
+++ b/node/src/operators/api/mod.rs
@@ -68,7 +68,7 @@
         })
     }
 
-    /// Accepts pending connections. Evicts one first wherever the maximum is open.
+    /// Accepts pending connections. While the maximum is open, evicts one connection before each that it accepts.
     pub fn accept(&mut self, context: &mut Context) {
         for _ in 0..MAX_ACCEPTED_PER_TURN {
             if self.connections.len() >= MAX_CONNECTIONS {
--- a/node/src/operators/counters.rs
+++ b/node/src/operators/counters.rs
@@ -55,18 +55,19 @@
 /// The reason why a client's connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
-    /// The client was sent its last line, and then closed the connection or exceeded a limit on lingering.
+    /// The client was sent its last line, and then closed the connection, exceeded a limit on lingering, or held a descriptor while
+    /// these were nearly exhausted.
     Answered,
     /// The client closed the connection before it sent a request or while the request waited, or the host did not end the
     /// connection in time after the client's half-close.
     ClientEnded,
-    /// The connection to the client broke.
+    /// The connection to the client broke, or the client sent a line that is too long on the open connection.
     ClientBroke,
-    /// The host closed or broke the open connection.
+    /// The host's side of the open connection broke. If the host closes it in order, the reason is [`CloseReason::Answered`].
     HostBroke,
     /// The host stopped sending in the middle of a line, and the client had to be migrated.
     HostStalled,
-    /// The client or the host sent a line that is too long.
+    /// The host sent a line that is too long.
     Malformed,
     /// The connection had no request, and another one needed its descriptor.
     Evicted,
--- a/node/src/operators/metrics.rs
+++ b/node/src/operators/metrics.rs
@@ -48,11 +48,11 @@
 /// The current values of the gauges.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Gauges {
-    /// The number of requests that wait for their outcome.
+    /// The number of requests of connected clients that wait for their answer or are open.
     pub in_flight: usize,
     /// The number of hosts on the endpoint list.
     pub hosts_known: usize,
-    /// The number of these hosts that receive no new requests.
+    /// The number of these hosts that are not ready, are ejected, or deliver messages late.
     pub hosts_excluded: usize,
 }
 
--- a/node/src/operators/node_config.rs
+++ b/node/src/operators/node_config.rs
@@ -110,7 +110,7 @@
     pub name: String,
     /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// The address of the discovery service.
+    /// The address of the list service.
     pub discovery: SocketAddr,
     /// The address at which operators connect; `None` disables the operators' API.
     pub ops: Option<SocketAddr>,
@@ -120,7 +120,7 @@
     pub memory: usize,
     /// The maximum number of descriptors.
     pub sockets: usize,
-    /// The last known endpoint list, as JSON in the format of the discovery service; empty if there is none.
+    /// The last known endpoint list, as JSON in the format of the list service; empty if there is none.
     pub known: Vec<u8>,
     /// The settings of the decision core.
     pub balancer_settings: BalancerSettings,
--- a/node/src/peers/attempt_history.rs
+++ b/node/src/peers/attempt_history.rs
@@ -33,8 +33,8 @@
     pub history: AttemptHistory,
     /// The start time of the first attempt that may have run, by this node's clock.
     pub possible_run_at: Nanos,
-    /// The number of that attempt, counted from 1, or 0 if another node started it. Only meaningful while `may_have_run` is
-    /// set.
+    /// The number of that attempt, counted from 1, or 0 if it was started before this node acquired the request. Only
+    /// meaningful while `may_have_run` is set.
     possible_run_attempt: u32,
 }
 
--- a/node/src/peers/membership.rs
+++ b/node/src/peers/membership.rs
@@ -293,7 +293,7 @@
         }
     }
 
-    /// Whether this node and all known members are configured with this cluster size.
+    /// Returns whether this node and all known members are configured with this cluster size.
     pub fn agrees_on_cluster_size(&self, cluster_size: u32) -> bool {
         self.membership.info().cluster_size == cluster_size
             && self.membership.agrees_on_cluster_size()
--- a/node/src/peers/replication.rs
+++ b/node/src/peers/replication.rs
@@ -52,7 +52,7 @@
 struct Counters {
     /// Attempts whose record was committed.
     committed: u64,
-    /// Requests acquired after attempts of another node or an earlier process.
+    /// Requests acquired whose record contained earlier attempts.
     taken_over: u64,
     /// Requests rejected here.
     rejected: u64,
--- a/node/src/roles/forward.rs
+++ b/node/src/roles/forward.rs
@@ -112,7 +112,7 @@
         Ok((process, backlog))
     }
 
-    /// Whether this process was asked to stop, the earliest time to end has come and no connection is left.
+    /// Returns whether this process was asked to stop, the earliest time to end has come and no connection is left.
     fn has_shut_down(&self) -> bool {
         let now = self.context.now;
         self.context
--- a/node/src/roles/hot_restart/messages.rs
+++ b/node/src/roles/hot_restart/messages.rs
@@ -31,7 +31,7 @@
 /// The state that a process transfers to its successor.
 #[derive(Serialize, Deserialize)]
 pub struct TransferredState {
-    /// The address of the discovery service whose endpoint list the predecessor watched.
+    /// The address of the list service whose endpoint list the predecessor watched.
     pub discovery: SocketAddr,
     /// How far the predecessor's clock is ahead of the machine's monotonic clock, in nanoseconds.
     pub clock_offset: Nanos,
@@ -41,7 +41,7 @@
     pub members: Vec<Member>,
     /// The names of the request classes, in the order to which the class indices in `inherited` refer.
     pub classes: Vec<String>,
-    /// The request classes in use by open connections, with their names.
+    /// The request classes of pending and open requests, with their names.
     pub referenced_classes: Vec<(String, RequestClass)>,
     /// The exported state of the decision core.
     pub inherited: InheritedState,
--- a/node/src/roles/hot_restart/mod.rs
+++ b/node/src/roles/hot_restart/mod.rs
@@ -317,17 +317,17 @@
         }
     }
 
-    /// Whether a successor is connected, to which this process can hand over its connections.
+    /// Returns whether a successor is connected, to which this process can hand over its connections.
     pub fn has_successor(&self) -> bool {
         self.successor.is_some()
     }
 
-    /// Whether this process can receive no more clients, neither from a shared listener nor from a predecessor.
+    /// Returns whether this process can receive no more clients, neither from a shared listener nor from a predecessor.
     pub fn receives_no_more_clients(&self) -> bool {
         self.listener_is_shared && self.listener.is_none() && self.predecessor.is_none()
     }
 
-    /// Whether the successor has requested this process's state since the last call.
+    /// Returns whether the successor has requested this process's state since the last call.
     pub fn take_state_request(&mut self) -> bool {
         self.successor
             .as_mut()
--- a/node/src/roles/hot_restart/predecessor.rs
+++ b/node/src/roles/hot_restart/predecessor.rs
@@ -41,7 +41,7 @@
 /// The process that this one replaces.
 pub(super) struct Predecessor {
     channel: Socket,
-    /// The generation of the channel's poll token, which tells it from earlier channels.
+    /// The generation of the channel's poller token, which tells it from earlier channels.
     generation: u32,
     /// `None` if every connection received was replied to.
     pending_reply: Option<PendingReply>,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Whether a poll token belongs to this channel.
+    /// Returns whether a poller token belongs to this channel.
     pub fn matches_token(&self, token: PollToken) -> bool {
         self.generation == token.generation
     }
--- a/node/src/roles/hot_restart/successor.rs
+++ b/node/src/roles/hot_restart/successor.rs
@@ -30,7 +30,7 @@
 /// The process that is to replace this one.
 pub(super) struct Successor {
     channel: Socket,
-    /// The generation of the channel's poll token, which tells it from earlier channels.
+    /// The generation of the channel's poller token, which tells it from earlier channels.
     generation: u32,
     /// The encoded messages that are not sent yet.
     outgoing: VecDeque<Vec<u8>>,
@@ -64,12 +64,12 @@
         }
     }
 
-    /// Whether a poll token belongs to this channel and not to that of an earlier successor.
+    /// Returns whether a poller token belongs to this channel and not to that of an earlier successor.
     pub fn matches_token(&self, token: PollToken) -> bool {
         self.generation == token.generation
     }
 
-    /// Whether the successor has requested the state since the last call.
+    /// Returns whether the successor has requested the state since the last call.
     pub fn take_state_request(&mut self) -> bool {
         std::mem::take(&mut self.state_requested)
     }
@@ -198,8 +198,8 @@
         Ok(())
     }
 
-    /// Whether the successor took too long to acknowledge a connection, or the remaining time before the shutdown deadline is
-    /// reserved for migrations.
+    /// Returns whether the successor took too long to acknowledge a connection, or the remaining time before the shutdown deadline
+    /// is reserved for migrations.
     pub fn is_overdue(&self, context: &Context) -> bool {
         let unacknowledged = self
             .in_transit
--- a/node/src/roles/plan.rs
+++ b/node/src/roles/plan.rs
@@ -38,7 +38,7 @@
     role_config: PlannerOptions,
     /// The number of configured planners.
     planner_count: usize,
-    /// The address of the discovery service in use.
+    /// The address of the list service in use.
     discovery_address: SocketAddr,
     /// The actions that are not carried out yet.
     actions: Vec<PlannerAction>,
@@ -138,7 +138,8 @@
         Ok((process, backlog))
     }
 
-    /// Whether this process was asked to stop, and either no forwarder follows it any more or [`SHUTDOWN_TIMEOUT`] has passed.
+    /// Returns whether this process was asked to stop, and either no forwarder follows it any more or [`SHUTDOWN_TIMEOUT`] has
+    /// passed.
     fn has_shut_down(&self) -> bool {
         let now = self.context.now;
         let has_no_followers = now >= self.context.start && self.planner.follower_count() == 0;
@@ -327,7 +328,7 @@
         }
     }
 
-    /// Reloads the operator's file if a signal asks for it. Only the address of the discovery service can change while a planner
+    /// Reloads the operator's file if a signal asks for it. Only the address of the list service can change while a planner
     /// runs.
     fn reload_config_if_asked(&mut self) {
         if !self.reload_signal.take() {
--- a/node/src/roles/standalone/event_loop.rs
+++ b/node/src/roles/standalone/event_loop.rs
@@ -287,7 +287,8 @@
         self.announce(MemberState::Leaving);
     }
 
-    /// Whether this node was asked to stop, has no connections left and either may end by now or can receive no more clients.
+    /// Returns whether this node was asked to stop, has no connections left, and has either reached the earliest time to end or can
+    /// receive no more clients.
     pub(super) fn has_stopped(&self) -> bool {
         let may_end =
             |from: Nanos| self.context.now >= from || self.hot_restart.receives_no_more_clients();
--- a/node/src/roles/standalone/startup.rs
+++ b/node/src/roles/standalone/startup.rs
@@ -167,7 +167,7 @@
 }
 
 /// Applies the predecessor's hosts and statistics, and returns the revision from which the endpoint list is watched. Returns
-/// `None` if the predecessor had no revision or used another discovery service.
+/// `None` if the predecessor had no revision or used another list service.
 fn apply_inherited_state(
     context: &mut Context,
     node_config: &NodeConfig,
