--- a/node/tests/hot_restart.rs
+++ b/node/tests/hot_restart.rs
@@ -291,8 +291,8 @@
 fn every_client_gets_one_answer_during_hot_restarts_under_load() {
     let checker = InvariantChecker::default();
     let hosts = simulated::Hosts::start(5, &checker);
-    hosts.go(3, HostBehavior::Fails);
-    hosts.go(4, HostBehavior::Silent);
+    hosts.set_behavior(3, HostBehavior::Fails);
+    hosts.set_behavior(4, HostBehavior::Silent);
     let discovery = Discovery::start();
     let class = |name: &str, idempotency: &str, group: &str| {
         json!({"name": name, "contract_time": 200.0, "expiry": 2000.0, "effect": idempotency, "group": group,
--- a/node/tests/operator_api.rs
+++ b/node/tests/operator_api.rs
@@ -137,12 +137,17 @@
             431,
         ),
     ] {
-        assert_eq!(ask(at, &sent).0, status, "{}", &sent[..sent.len().min(60)]);
+        assert_eq!(
+            send_call(at, &sent).0,
+            status,
+            "{}",
+            &sent[..sent.len().min(60)]
+        );
     }
     // None of them had an effect, and the API still answers.
     assert_eq!(node.call("GET /status?x=1").0, 200);
     let with_body = head("POST /active", "Content-Length: 5\r\nX-Odd: \"a:b\"\r\n") + "hello";
-    assert_eq!(ask(at, &with_body), (200, "active\n".into()));
+    assert_eq!(send_call(at, &with_body), (200, "active\n".into()));
 }
 
 /// Guards against callers that never finish their request and keep operators from being answered, and against a request that is lost
@@ -163,7 +168,7 @@
     {
         slow.write(byte);
     }
-    assert_eq!(answered(&mut slow).0, 200);
+    assert_eq!(read_response(&mut slow).0, 200);
     let requested_at = Instant::now();
     assert_eq!(node.call("GET /status").0, 200);
     assert!(requested_at.elapsed() < SECOND);
@@ -174,7 +179,7 @@
     assert_eq!(node.call("GET /status").0, 200);
     let mut late = Peer::connect(at);
     late.write("GET /status HTTP/1.1\r\n");
-    assert_eq!(answered(&mut late).0, 408);
+    assert_eq!(read_response(&mut late).0, 408);
     eventually("all descriptors are released", || node.descriptors() < 16);
 }
 
@@ -267,7 +272,7 @@
     let hosts = Hosts::start(1);
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     for ops in [taken.local_addr().unwrap().to_string(), "nowhere".into()] {
-        let mut node_config = node_config(&hosts, nowhere());
+        let mut node_config = node_config(&hosts, unused_address());
         node_config["ops"] = json!(ops);
         let output = program(&node_config.to_string()).output().unwrap();
         let errors = String::from_utf8(output.stderr).unwrap();
--- a/node/tests/process_stalls.rs
+++ b/node/tests/process_stalls.rs
@@ -121,7 +121,7 @@
 fn clients_are_served_right_after_the_process_was_delayed_repeatedly() {
     let fixture = Fixture::start();
     let open_traffic = fixture.open_traffic();
-    let delay = Outcome::HeldUp(Duration::from_millis(140));
+    let delay = Outcome::Delayed(Duration::from_millis(140));
     fixture.injector.set(&[Fault {
         call: Call::Send,
         outcome: delay,
@@ -162,7 +162,7 @@
     let requested_at = Instant::now();
     let (_, mut silent) = hosts.accept();
     assert!(silent.receive_line().starts_with("OPEN"));
-    let delay = Outcome::HeldUp(Duration::from_millis(100));
+    let delay = Outcome::Delayed(Duration::from_millis(100));
     injector.set(&[Fault {
         call: Call::Send,
         outcome: delay,
--- a/node/tests/reload.rs
+++ b/node/tests/reload.rs
@@ -49,7 +49,7 @@
 /// class, so that a partial reload would be noticed.
 fn invalid_files(node_config: &Value) -> Vec<String> {
     let mut other = node_config.clone();
-    other["discovery"] = json!(nowhere().to_string());
+    other["discovery"] = json!(unused_address().to_string());
     other["settings"]["offerings"] = json!([class("talk", "free")]);
     let complete = other.to_string();
     let cut_short = (0..complete.len())
--- a/testkit/src/soak/clients.rs
+++ b/testkit/src/soak/clients.rs
@@ -1,4 +1,4 @@
-//! The clients of a soak: most behave, some don't. Each records what it saw.
+//! The clients of a soak. Most follow the protocol and some violate it; each records what it observed.
 
 use super::process_slot::ProcessSlots;
 use super::profile::{ClientMix, SoakProfile};
@@ -13,91 +13,95 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Longer than any answer may take, and than a process is suspended.
+/// How long a client waits for a line. Longer than any answer may take and than any suspension of a process.
 const READ_TIMEOUT: Duration = Duration::from_secs(7);
-/// The pause between two bytes of a slow client.
+/// The pause between two bytes that a slow client sends.
 const SLOW_BYTE_INTERVAL: Duration = Duration::from_millis(2);
 /// The pause between two lines on an open connection.
 const ECHO_INTERVAL: Duration = Duration::from_millis(60);
-/// How many clients for each slot keep a connection for the whole soak.
-const LASTING_PER_SLOT: u64 = 2;
-/// Longer than any soak of such clients.
-const LASTING_SPAN: Duration = Duration::from_secs(3600);
-/// The pause between two lines of such a client, by the protocol.
-const LASTING_LINE_INTERVAL: Duration = Duration::from_secs(2);
-/// How soon such a client comes again.
-const LASTING_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// How often a client that rests looks whether the process was told to stop.
-const REST_LOOK_INTERVAL: Duration = Duration::from_millis(5);
-/// How long after that it sends its request at the most.
-const MAX_REST_AFTER_STOP_MILLIS: u64 = 150;
-/// How many requests a pipelining client sends at once.
+/// The number of clients per slot that keep a connection open for the whole soak.
+const LONG_LIVED_CLIENTS_PER_SLOT: u64 = 2;
+/// How long a long-lived client uses its connection. Longer than any soak, so that only the soak's end stops it.
+const LONG_LIVED_HOLD_TIME: Duration = Duration::from_secs(3600);
+/// The pause between two lines of a long-lived client, as the protocol prescribes it.
+const LONG_LIVED_LINE_INTERVAL: Duration = Duration::from_secs(2);
+/// The pause before a long-lived client reconnects.
+const LONG_LIVED_RECONNECT_INTERVAL: Duration = Duration::from_millis(50);
+/// How often a client that sends late checks whether the process was told to stop.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The exclusive limit on how long after it noticed the stop such a client sends its request, in milliseconds.
+const MAX_SEND_DELAY_AFTER_STOP_MILLIS: u64 = 150;
+/// The number of copies of its request that a pipelining client sends at once.
 const PIPELINED_REQUESTS: usize = 3;
 
 /// How a client behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientBehavior {
-    /// Sends a request, waits for its answer, and sends lines on its open connection for a while.
+    /// Sends a request, waits for the answer and then sends lines on the open connection for its span.
     Plain,
-    /// The same, a byte at a time.
+    /// Behaves like `Plain`, but sends its request one byte at a time.
     Slow,
-    /// Sends a request, and closes before it has its answer.
-    Leaves,
-    /// Sends half a line, and stays.
-    Half,
-    /// Is idle until about the moment in which its connection is closed for that, and sends its request then.
-    Rests,
-    /// Sends several requests at once.
+    /// Sends a request and closes the connection after its span without reading an answer.
+    LeavesEarly,
+    /// Sends the first half of a request line and keeps the connection open.
+    PartialLine,
+    /// Connects, stays idle and sends its request around the time at which the process closes idle connections, or
+    /// shortly after the process was told to stop.
+    SendsLate,
+    /// Sends its request several times at once.
     Pipelines,
 }
 
 impl ClientBehavior {
-    /// Whether the end of its connection, or an error, is all that such a client may expect.
-    pub fn is_bad(self) -> bool {
-        matches!(self, ClientBehavior::Half | ClientBehavior::Pipelines)
+    /// Returns whether the client violates the protocol, so that it may get an error or the end of its connection.
+    pub fn violates_protocol(self) -> bool {
+        matches!(
+            self,
+            ClientBehavior::PartialLine | ClientBehavior::Pipelines
+        )
     }
 }
 
-/// What a client received.
+/// What a client received when it waited for a line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Received {
     Line(String),
-    /// The end of the connection.
+    /// The peer closed the connection in order.
     End,
-    /// A reset of the connection.
+    /// The connection was reset.
     Reset,
-    /// Nothing, for as long as it waited.
-    Nothing,
+    /// Nothing came within the read timeout.
+    Timeout,
 }
 
 impl Received {
-    /// Whether it is a line that starts so.
+    /// Returns whether this is a line that starts with `prefix`.
     pub fn starts_with(&self, prefix: &str) -> bool {
         matches!(self, Received::Line(line) if line.starts_with(prefix))
     }
 }
 
-/// What a client saw.
+/// What a client observed.
 #[derive(Clone, Debug)]
 pub struct ClientObservation {
     pub name: String,
     pub slot: usize,
     pub class: usize,
     pub behavior: ClientBehavior,
-    /// When it had sent its request.
+    /// When the client had sent its request.
     pub asked: Instant,
     pub received: Received,
     pub received_at: Instant,
-    /// When it closed, where it did before it had an answer.
-    pub left: Option<Instant>,
-    /// How its open connection ended, where the client did not end it.
+    /// When the client closed the connection without waiting for an answer; `None` if it waited.
+    pub closed_at: Option<Instant>,
+    /// How the open connection ended; `None` if the client ended it or it was never open.
     pub ended: Option<Received>,
     pub ended_at: Option<Instant>,
-    /// A line that came behind a final answer.
-    pub second: Option<String>,
+    /// A line that followed a final answer. The protocol allows none.
+    pub second_answer: Option<String>,
 }
 
-/// Clients that come at a steady rate until they are told to end.
+/// Generates clients at a steady rate until [`ClientLoad::end`].
 pub struct ClientLoad {
     stopped: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
@@ -113,7 +117,7 @@
         slots: ProcessSlots,
         profile: SoakProfile,
     ) -> ClientLoad {
-        let source = ClientSource {
+        let generator = ClientGenerator {
             seed,
             interval: Duration::from_secs_f64(1.0 / size.rate),
             slots,
@@ -121,15 +125,15 @@
             stopped: Arc::default(),
             observations: Observations::default(),
         };
-        let (stopped, observations) = (source.stopped.clone(), source.observations.clone());
+        let (stopped, observations) = (generator.stopped.clone(), generator.observations.clone());
         let mut threads = Vec::new();
         if profile.clients == ClientMix::UntilMoved {
-            for number in 0..LASTING_PER_SLOT * size.processes as u64 {
-                let source = source.clone();
-                threads.push(thread::spawn(move || source.last(number)));
+            for number in 0..LONG_LIVED_CLIENTS_PER_SLOT * size.processes as u64 {
+                let generator = generator.clone();
+                threads.push(thread::spawn(move || generator.run_long_lived(number)));
             }
         }
-        threads.push(thread::spawn(move || source.generate()));
+        threads.push(thread::spawn(move || generator.generate()));
         ClientLoad {
             stopped,
             threads,
@@ -137,7 +141,7 @@
         }
     }
 
-    /// Starts no more clients, and waits for those that are there.
+    /// Starts no more clients and waits until those that are running have ended.
     pub fn end(&mut self) {
         self.stopped.store(true, SeqCst);
         for thread in self.threads.drain(..) {
@@ -150,9 +154,9 @@
     }
 }
 
-/// What clients are started by.
+/// Starts clients and collects what they observe.
 #[derive(Clone)]
-struct ClientSource {
+struct ClientGenerator {
     seed: u64,
     interval: Duration,
     slots: ProcessSlots,
@@ -161,8 +165,8 @@
     observations: Observations,
 }
 
-impl ClientSource {
-    /// Starts clients until it is stopped, and waits for them.
+impl ClientGenerator {
+    /// Starts clients until the load is stopped, then waits for them.
     fn generate(&self) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ 0x5eed);
         let (mut next, mut number, mut threads) = (Instant::now(), 0u64, Vec::new());
@@ -175,30 +179,30 @@
             };
             let name = format!("{:x}-{number}", self.seed);
             let client = Client::draw(&mut rng, name, slot, address, &self.profile);
-            let source = self.clone();
-            threads.push(spawn_thread(move || source.run(client)));
+            let generator = self.clone();
+            threads.push(spawn_thread(move || generator.run(client)));
         }
         for client in threads {
             client.join().expect("a client panicked");
         }
     }
 
-    /// One client that keeps a connection for the whole soak: where it is moved, it comes again.
-    fn last(&self, number: u64) {
+    /// Runs one client that uses a connection for the whole soak and reconnects whenever its connection ends.
+    fn run_long_lived(&self, number: u64) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ 0x1a57 ^ (number << 32));
-        let mut tries = 0;
+        let mut connects = 0;
         while !self.stopped.load(SeqCst) {
-            tries += 1;
+            connects += 1;
             if let Some((slot, address)) = pick_slot(&self.slots, &mut rng) {
-                let name = format!("{:x}-lasting{number}-{tries}", self.seed);
+                let name = format!("{:x}-lasting{number}-{connects}", self.seed);
                 self.run(Client {
                     behavior: ClientBehavior::Plain,
-                    span: LASTING_SPAN,
-                    line_interval: LASTING_LINE_INTERVAL,
+                    span: LONG_LIVED_HOLD_TIME,
+                    line_interval: LONG_LIVED_LINE_INTERVAL,
                     ..Client::draw(&mut rng, name, slot, address, &self.profile)
                 });
             }
-            thread::sleep(LASTING_RETRY_INTERVAL);
+            thread::sleep(LONG_LIVED_RECONNECT_INTERVAL);
         }
     }
 
@@ -209,7 +213,7 @@
     }
 }
 
-/// A random slot and its address, unless the front sends no clients there.
+/// Returns a random slot and its address, or `None` if the upstream load balancer sends no clients there now.
 fn pick_slot(slots: &ProcessSlots, rng: &mut ChaCha8Rng) -> Option<(usize, SocketAddr)> {
     let number = rng.random_range(0..slots.len());
     let slot = slots[number].lock().unwrap();
@@ -226,14 +230,14 @@
     class: usize,
     behavior: ClientBehavior,
     key: u64,
-    /// How long it holds its connection, is idle, or waits before it closes.
+    /// How long the client uses its connection, stays idle or waits before it closes, depending on its behavior.
     span: Duration,
-    /// The pause between two lines on its open connection.
+    /// The pause between two lines on the open connection.
     line_interval: Duration,
-    /// How long its request may wait.
+    /// The deadline of the request, from when it is read.
     deadline: Duration,
-    /// Whether it rests until the process is told to stop, if that comes in its time.
-    rests_until_stop: bool,
+    /// Whether a client that sends late already sends when the process is told to stop within its span.
+    sends_after_stop: bool,
 }
 
 impl Client {
@@ -250,7 +254,7 @@
         }
     }
 
-    /// One that is gone within some seconds.
+    /// Draws a client that ends within a few seconds.
     fn draw_short(
         rng: &mut ChaCha8Rng,
         name: String,
@@ -259,9 +263,9 @@
         profile: &SoakProfile,
     ) -> Client {
         let (behavior, span_millis) = match rng.random_range(0..20) {
-            0 | 1 => (ClientBehavior::Leaves, rng.random_range(0..400)),
-            2 => (ClientBehavior::Half, 0),
-            3 => (ClientBehavior::Rests, rng.random_range(1900..2150)),
+            0 | 1 => (ClientBehavior::LeavesEarly, rng.random_range(0..400)),
+            2 => (ClientBehavior::PartialLine, 0),
+            3 => (ClientBehavior::SendsLate, rng.random_range(1900..2150)),
             4 => (ClientBehavior::Pipelines, 0),
             5 => (ClientBehavior::Slow, rng.random_range(50..600)),
             _ => (ClientBehavior::Plain, rng.random_range(50..1500)),
@@ -277,11 +281,12 @@
             span: Duration::from_millis(span_millis),
             line_interval: ECHO_INTERVAL,
             deadline: profile.deadlines[class],
-            rests_until_stop: false,
+            sends_after_stop: false,
         }
     }
 
-    /// One that may use its connection until it is told to move, or rest until a process is told to stop.
+    /// Draws a client that may use its connection until it is told to move, or send once the process was told to
+    /// stop.
     fn draw_until_moved(
         rng: &mut ChaCha8Rng,
         name: String,
@@ -290,13 +295,16 @@
         profile: &SoakProfile,
     ) -> Client {
         let (behavior, span_millis) = match rng.random_range(0..20) {
-            0 => (ClientBehavior::Half, 0),
-            1 => (ClientBehavior::Leaves, rng.random_range(0..400)),
+            0 => (ClientBehavior::PartialLine, 0),
+            1 => (ClientBehavior::LeavesEarly, rng.random_range(0..400)),
             2 => (ClientBehavior::Pipelines, 0),
-            3..=6 => (ClientBehavior::Rests, rng.random_range(200..1800)),
+            3..=6 => (ClientBehavior::SendsLate, rng.random_range(200..1800)),
             7 => (ClientBehavior::Slow, rng.random_range(200..6000)),
             8..=13 => (ClientBehavior::Plain, rng.random_range(500..8000)),
-            _ => (ClientBehavior::Plain, LASTING_SPAN.as_millis() as u64),
+            _ => (
+                ClientBehavior::Plain,
+                LONG_LIVED_HOLD_TIME.as_millis() as u64,
+            ),
         };
         let class = rng.random_range(0..3);
         Client {
@@ -309,23 +317,23 @@
             span: Duration::from_millis(span_millis),
             line_interval: Duration::from_millis(rng.random_range(60..500)),
             deadline: profile.deadlines[class],
-            rests_until_stop: true,
+            sends_after_stop: true,
         }
     }
 
-    /// Returns nothing where the request could not be sent.
+    /// Returns what the client observed, or `None` if its request could not be sent.
     fn run(self, slots: &ProcessSlots, stopped: &AtomicBool) -> Option<ClientObservation> {
         let mut stream = TcpStream::connect(self.address).ok()?;
         _ = stream.set_nodelay(true);
-        if self.behavior == ClientBehavior::Rests {
-            self.rest(slots);
+        if self.behavior == ClientBehavior::SendsLate {
+            self.wait_idle(slots);
         }
         self.send_request(&mut stream).ok()?;
         let mut observation = self.observation(Instant::now());
-        if self.behavior == ClientBehavior::Leaves {
+        if self.behavior == ClientBehavior::LeavesEarly {
             thread::sleep(self.span);
             drop(stream);
-            observation.left = Some(Instant::now());
+            observation.closed_at = Some(Instant::now());
             return Some(observation);
         }
         _ = stream.set_read_timeout(Some(READ_TIMEOUT));
@@ -333,11 +341,11 @@
         observation.received = receive(&mut reader);
         observation.received_at = Instant::now();
         if observation.received.starts_with("UP") {
-            observation.ended = self.hold(&mut stream, &mut reader, stopped);
+            observation.ended = self.use_connection(&mut stream, &mut reader, stopped);
             observation.ended_at = Some(Instant::now());
         } else if matches!(observation.received, Received::Line(_)) {
             if let Received::Line(second) = receive(&mut reader) {
-                observation.second = Some(second);
+                observation.second_answer = Some(second);
             }
         }
         Some(observation)
@@ -352,7 +360,7 @@
             self.deadline.as_millis()
         );
         match self.behavior {
-            ClientBehavior::Half => stream.write_all(&line.as_bytes()[..line.len() / 2]),
+            ClientBehavior::PartialLine => stream.write_all(&line.as_bytes()[..line.len() / 2]),
             ClientBehavior::Pipelines => {
                 stream.write_all(line.repeat(PIPELINED_REQUESTS).as_bytes())
             }
@@ -361,28 +369,28 @@
                 thread::sleep(SLOW_BYTE_INTERVAL);
                 Ok(())
             }),
-            ClientBehavior::Plain | ClientBehavior::Leaves | ClientBehavior::Rests => {
+            ClientBehavior::Plain | ClientBehavior::LeavesEarly | ClientBehavior::SendsLate => {
                 stream.write_all(line.as_bytes())
             }
         }
     }
 
-    /// Is idle for its span, or until shortly after the process was told to stop.
-    fn rest(&self, slots: &ProcessSlots) {
+    /// Stays idle for the span, or until shortly after the process was told to stop.
+    fn wait_idle(&self, slots: &ProcessSlots) {
         let end = Instant::now() + self.span;
-        if !self.rests_until_stop {
+        if !self.sends_after_stop {
             return thread::sleep(self.span);
         }
         while Instant::now() < end {
-            thread::sleep(REST_LOOK_INTERVAL);
+            thread::sleep(STOP_POLL_INTERVAL);
             if slots[self.slot].lock().unwrap().closed.is_some() {
-                let pause = self.key % MAX_REST_AFTER_STOP_MILLIS;
+                let pause = self.key % MAX_SEND_DELAY_AFTER_STOP_MILLIS;
                 return thread::sleep(Duration::from_millis(pause));
             }
         }
     }
 
-    /// What a client saw that has only sent its request.
+    /// Returns the observation of a client that has sent its request and received nothing yet.
     fn observation(&self, asked: Instant) -> ClientObservation {
         ClientObservation {
             name: self.name.clone(),
@@ -390,29 +398,30 @@
             class: self.class,
             behavior: self.behavior,
             asked,
-            received: Received::Nothing,
+            received: Received::Timeout,
             received_at: asked,
-            left: None,
+            closed_at: None,
             ended: None,
             ended_at: None,
-            second: None,
+            second_answer: None,
         }
     }
 
-    /// Sends lines on its open connection; returns how that ended, where the client did not end it.
-    fn hold(
+    /// Sends lines on the open connection and expects each back. Returns how the connection ended, or `None` if the
+    /// client ended it or could not send.
+    fn use_connection(
         &self,
         stream: &mut TcpStream,
         reader: &mut BufReader<TcpStream>,
         stopped: &AtomicBool,
     ) -> Option<Received> {
         let end = Instant::now() + self.span;
-        let lasts = self.span >= LASTING_SPAN;
-        while Instant::now() < end && !(lasts && stopped.load(SeqCst)) {
+        let is_long_lived = self.span >= LONG_LIVED_HOLD_TIME;
+        while Instant::now() < end && !(is_long_lived && stopped.load(SeqCst)) {
             let sent = stream.write_all(b"hello\r\n").is_ok();
             match receive(reader) {
                 Received::Line(line) if line == "hello" => {}
-                other => return Some(other).filter(|_| sent),
+                unexpected => return Some(unexpected).filter(|_| sent),
             }
             thread::sleep(self.line_interval);
         }
@@ -420,14 +429,14 @@
     }
 }
 
-/// The next line, or what came in its place.
+/// Returns the next line, or why none came.
 fn receive(reader: &mut BufReader<TcpStream>) -> Received {
     let mut line = String::new();
     match reader.read_line(&mut line) {
         Ok(0) => Received::End,
         Ok(_) => Received::Line(line.trim_end().to_string()),
         Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-            Received::Nothing
+            Received::Timeout
         }
         Err(_) => Received::Reset,
     }
