--- a/node/src/discovery/message_latency.rs
+++ b/node/src/discovery/message_latency.rs
@@ -39,7 +39,7 @@
     last_timely_send: Nanos,
     oldest_unanswered: Option<Nanos>,
     unanswered: u32,
-    /// Whether the last report was due to a slow host.
+    /// Whether the latency was above the slow threshold when it was last evaluated. One more report follows once it is not.
     reported_slow: bool,
     reported_hung: bool,
     reported_at: Nanos,
