--- a/node/src/context/mod.rs
+++ b/node/src/context/mod.rs
@@ -64,7 +64,8 @@
     pub log: Logger,
     /// The generation of the last token that was created.
     pub last_generation: u32,
-    /// The earliest moment at which the process may end; `None` unless it has been asked to stop.
+    /// The earliest moment at which a node or forwarder may end, or the latest at which a planner ends; `None` unless the process
+    /// has been asked to stop.
     pub may_end_at: Option<Nanos>,
     /// When a node in standby must have migrated its last client; `None` if the node is not in standby.
     pub standby_deadline: Option<Nanos>,
@@ -83,11 +84,11 @@
 }
 
 impl Context {
-    /// Begins a turn at `now`, after a wait that began at `wait_started`, and returns when the previous turn began. `behind` tells
-    /// whether the previous turn left ready sockets unserved.
-    pub fn begin_turn(&mut self, wait_started: Nanos, now: Nanos, behind: bool) -> Nanos {
+    /// Begins a turn at `now`, after a wait that began at `wait_started`, and returns when the previous turn began. `has_unserved`
+    /// tells whether the previous turn left ready sockets unserved.
+    pub fn begin_turn(&mut self, wait_started: Nanos, now: Nanos, has_unserved: bool) -> Nanos {
         let previous = std::mem::replace(&mut self.now, now);
-        if !behind {
+        if !has_unserved {
             self.caught_up = previous;
         }
         self.hosts
--- a/node/src/operators/metrics.rs
+++ b/node/src/operators/metrics.rs
@@ -40,7 +40,7 @@
     /// The request was connected to a host.
     Served,
     /// The request was rejected, and the client may retry it.
-    Refused,
+    Rejected,
     /// The request failed.
     Failed,
 }
@@ -48,11 +48,11 @@
 /// The current values of the gauges.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Gauges {
-    /// The number of requests that wait for their outcome.
+    /// The number of requests of connected clients that wait for their answer or are open.
     pub in_flight: usize,
     /// The number of hosts on the endpoint list.
     pub hosts_known: usize,
-    /// The number of these hosts that receive no new requests.
+    /// The number of these hosts that are not ready, are ejected, or deliver messages late.
     pub hosts_excluded: usize,
 }
 
@@ -97,7 +97,7 @@
         };
         match outcome {
             RequestOutcome::Served => outcomes.served += 1,
-            RequestOutcome::Refused => outcomes.rejected += 1,
+            RequestOutcome::Rejected => outcomes.rejected += 1,
             RequestOutcome::Failed => outcomes.failed += 1,
         }
     }
