--- a/node/tests/soak.rs
+++ b/node/tests/soak.rs
@@ -26,7 +26,7 @@
                 .unwrap_or(0)
         };
         assert!(
-            count("served") > 100 && count("faulty system calls") > 20,
+            count("served") > 100 && count("calls spoilt") > 20,
             "too few requests or faults: {:?}",
             report.figures
         );
--- a/testkit/src/soak/mod.rs
+++ b/testkit/src/soak/mod.rs
@@ -74,9 +74,9 @@
     figures.insert("clients".into(), json!(soak_checker.observations.len()));
     figures.insert("served".into(), json!(soak_checker.served()));
     figures.insert("attempts".into(), json!(soak_checker.attempts.len()));
-    figures.insert("faults".into(), json!(schedule.planned.len()));
+    figures.insert("troubles".into(), json!(schedule.planned.len()));
     figures.insert(
-        "faulty system calls".into(),
+        "calls spoilt".into(),
         json!(process_group.faulty_syscalls()),
     );
     Report { figures, broken }
