--- a/adapter/src/batch.rs
+++ b/adapter/src/batch.rs
@@ -20,10 +20,10 @@
 const LOAD_KNOWN_FLAG: u16 = 1;
 /// The flag of a request that arrives in the middle of its stream.
 const MID_STREAM_FLAG: u16 = 8;
-/// The load of a request is given in milliseconds of work per second, and the decision module
-/// expects cores.
+/// The load of a request is given in milliseconds of work per second, and the decision core
+/// expects processor cores.
 const LOAD_UNITS_PER_CORE: f64 = 1e3;
-/// Measured load is given in millionths of a core.
+/// Measured load is given in millionths of a processor core.
 const MEASURED_UNITS_PER_CORE: f64 = 1e6;
 
 /// The header of a batch.
@@ -62,7 +62,7 @@
 /// The operation that a record requests.
 #[derive(Debug)]
 pub enum Command<'a> {
-    /// Starts an instance of the decision module.
+    /// Starts an instance of the decision core.
     Start {
         /// The seed of the instance's random numbers.
         seed: u64,
@@ -73,7 +73,7 @@
     Stop,
     /// Passes an event to an instance.
     Event(Event),
-    /// Does nothing: the record holds a measurement that the decision module does not use.
+    /// Does nothing: the record holds a measurement that the decision core does not use.
     Ignore,
 }
 
@@ -244,7 +244,7 @@
 }
 
 /// Decodes a measurement on an open connection, or returns `None` for a kind that the decision
-/// module does not use.
+/// core does not use.
 fn decode_measurement(record: &[u8], id: RequestId) -> Option<Event> {
     let value = f32_at(record, 17);
     match record[16] {
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs instances of the decision module for a simulator. The adapter reads batches of events from
+//! Runs instances of the decision core for a simulator. The adapter reads batches of events from
 //! standard input and writes a reply with the resulting actions to standard output for each batch.
 
 mod batch;
@@ -92,7 +92,7 @@
     Ok(())
 }
 
-/// The running instances of the decision module, by the simulator's instance numbers.
+/// The running instances of the decision core, by the simulator's instance numbers.
 #[derive(Default)]
 struct Instances {
     balancers: HashMap<u32, Balancer>,
--- a/adapter/src/reply.rs
+++ b/adapter/src/reply.rs
@@ -55,7 +55,7 @@
                 self.records.extend(timer.to_be_bytes());
             }
             Action::PollEndpoints => {}
-            // Requests all changes from now on.
+            // The kind of the watch: all changes from now on.
             Action::WatchEndpoints => self.records.push(1),
             Action::Probe { host } => self.records.extend(host_bytes(*host)),
             Action::Gossip { message } => {
--- a/adapter/tests/size.rs
+++ b/adapter/tests/size.rs
@@ -90,8 +90,8 @@
     replies
 }
 
-/// Guards against a limit that cuts off endpoint lists or fleets, and against a node whose index is
-/// beyond such a limit being mistaken for another node.
+/// Guards against a fixed limit on the number of hosts or nodes. Such a limit would truncate endpoint
+/// lists, and a node whose index is beyond it would be mistaken for another node.
 #[test]
 fn eleven_hundred_hosts_and_nodes_are_all_known() {
     let settings = settings();
--- a/runtime/src/errors.rs
+++ b/runtime/src/errors.rs
@@ -11,8 +11,8 @@
 pub enum IoFailure {
     /// No bytes can be transferred now; the poller reports when they can.
     WouldBlock,
-    /// This machine lacked a resource. The connection remains established, but the poller may not
-    /// report when to retry.
+    /// This machine lacked a resource. The connection remains established, but the poller does not
+    /// necessarily report when to retry.
     LocalResources,
     /// The connection has ended.
     Disconnected,
--- a/settings/src/reload.rs
+++ b/settings/src/reload.rs
@@ -22,7 +22,7 @@
                 missing_key(value, newer_value).map(|rest| format!("{key}.{rest}"))
             })
         }
-        // All entries of an array have the same keys, so that the first one serves as the example for each newer entry.
+        // All entries of an array have the same keys, so the first one serves as the example for each newer entry.
         (Value::Array(current), Value::Array(newer)) => {
             let example = current.first()?;
             newer.iter().enumerate().find_map(|(index, entry)| {
--- a/testkit/src/coldstart/scenario.rs
+++ b/testkit/src/coldstart/scenario.rs
@@ -28,7 +28,7 @@
     pub calls_by_second: Vec<usize>,
     /// By second: the number of connections with a request that reached hosts.
     pub attempts_by_second: Vec<usize>,
-    /// The times from the start of the list service to the first connection of each client, in ascending order. Clients
+    /// The times from when the list service is up to the first connection of each client, in ascending order. Clients
     /// without a connection are left out.
     pub first_clients: Vec<Duration>,
     pub violations: Vec<String>,
@@ -151,7 +151,7 @@
     thread::sleep(size.down.saturating_sub(start.elapsed()));
     scenario.service.come_up();
     let service_up = start + size.down;
-    // Three times as long as a service takes that rejects half of the calls.
+    // Three times as long as a service takes that rejects half of the calls, plus 10 s.
     let time_limit = Duration::from_secs_f64(6.0 * size.nodes as f64 / size.rate + 10.0);
     while returning_clients.connected() < clients && Instant::now() < service_up + time_limit {
         thread::sleep(Duration::from_millis(20));
--- a/testkit/src/discovery/mod.rs
+++ b/testkit/src/discovery/mod.rs
@@ -23,7 +23,7 @@
 struct State {
     revision: u64,
     members: Vec<Member>,
-    /// Answers given instead of the list. The next one to give is the last.
+    /// Answers given instead of the list, in reverse order: the last entry is the next answer.
     answer_overrides: Vec<String>,
     /// When each call was answered.
     answered: Vec<Instant>,
@@ -316,7 +316,8 @@
     fn reply(&self, call: &Call, caller: u64) -> Reply {
         let mut state = self.state();
         let (now, incarnation) = (Instant::now(), state.incarnation);
-        // Read before a test can see the call: faults set after that apply only to later calls.
+        // The state stays locked until the call is rejected, hangs or is scheduled. A rate limit, a hang or a rejection
+        // that a test sets after it has seen the call therefore applies only to later calls.
         let record = state.record_call(call, caller, now);
         self.changed().notify_all();
         if state.down {
--- a/testkit/src/fleet/options.rs
+++ b/testkit/src/fleet/options.rs
@@ -11,7 +11,7 @@
     pub warm_up_initial_share: f64,
     /// The window in which connections to a host are counted to find an overload.
     pub overload_window: Duration,
-    /// The multiple of its current capacity that a host bears within one window.
+    /// The multiple of `current capacity * overload_window / warm_up` that a host bears within one window.
     pub overload_factor: f64,
     /// The longest interval between two calls of one node to the list service.
     pub max_poll_interval: Duration,
@@ -20,8 +20,9 @@
 }
 
 impl FleetOptions {
-    /// The options of tests with more than ten nodes. A warm host bears six times its capacity, while nodes count on
-    /// four times only: with small numbers, chance and a busy machine make connections arrive in bunches.
+    /// The options of tests with more than ten nodes. The warm capacity is about six times the mean number of
+    /// connections per host in these tests, while nodes count on four times the mean only: with small numbers, chance
+    /// and a busy machine make connections arrive in bunches.
     pub const TRIAL: FleetOptions = FleetOptions {
         warm_up: Duration::from_secs(5),
         warm_up_initial_share: 0.2,
--- a/testkit/src/main.rs
+++ b/testkit/src/main.rs
@@ -154,7 +154,7 @@
     /// How long faults are injected, in seconds.
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(1..=3600))]
     seconds: u64,
-    /// The number of faults that are active at a time.
+    /// The number of independent streams of faults, whose faults overlap.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=10))]
     overlap: u64,
     /// New clients per second.
--- a/testkit/src/relay.rs
+++ b/testkit/src/relay.rs
@@ -16,7 +16,7 @@
     /// How long each chunk is delayed, in milliseconds.
     pub delay: AtomicU64,
     /// Whether the first bytes of the next chunk are inverted, up to eight.
-    pub garble: AtomicBool,
+    pub corrupt: AtomicBool,
 }
 
 impl RelayDirection {
@@ -24,7 +24,7 @@
     pub fn clear(&self) {
         self.cut.store(false, SeqCst);
         self.delay.store(0, SeqCst);
-        self.garble.store(false, SeqCst);
+        self.corrupt.store(false, SeqCst);
     }
 }
 
@@ -103,7 +103,7 @@
             if direction.cut.load(SeqCst) {
                 continue;
             }
-            if direction.garble.swap(false, SeqCst) {
+            if direction.corrupt.swap(false, SeqCst) {
                 bytes[..count.min(8)]
                     .iter_mut()
                     .for_each(|byte| *byte = !*byte);
--- a/testkit/src/simulated/clients.rs
+++ b/testkit/src/simulated/clients.rs
@@ -24,8 +24,8 @@
     pub class: usize,
     /// When the request was sent.
     pub asked: Instant,
-    /// All final answers, and when each was received. On an open connection, each line counts as one that is neither
-    /// `MOVE` nor an echo.
+    /// All final answers, and when each was received. On an open connection, each line that is neither an echo nor
+    /// `MOVE` counts as an answer.
     pub answers: Vec<(Instant, String)>,
     /// Whether each line sent on the open connection came back; `None` if the connection was never open.
     pub echoed: Option<bool>,
--- a/testkit/src/simulated/mod.rs
+++ b/testkit/src/simulated/mod.rs
@@ -23,8 +23,8 @@
 pub const DRAIN_GRACE: Duration = Duration::from_millis(300);
 /// The deadline of requests.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long after its first attempt a request with an idempotency key may be repeated, as an idempotency group drops
-/// repeats for that time.
+/// How long after its first attempt that may have run a request with an idempotency key may be repeated, as an
+/// idempotency group drops repeats for that time.
 pub const REPEAT_WINDOW: Duration = Duration::from_secs(1);
 
 /// The stack size of a thread that handles one connection.
--- a/testkit/src/soak/notification.rs
+++ b/testkit/src/soak/notification.rs
@@ -6,11 +6,11 @@
 use crate::discovery::{CallRecord, DiscoveryHistory};
 use std::time::{Duration, Instant};
 
-/// How long after a service had a change and could be reached the process counts as notified, whatever became of its
-/// calls. Also the least time after a watch fell silent.
+/// How long after a service had a change and could be reached a process whose calls may have failed counts as notified.
+/// A watch that fell silent excuses the process for at least this long.
 const NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
-/// How long after the end of its maximum wait a watch that fell silent no longer excuses the process, if that is
-/// later than [`NOTIFICATION_TIMEOUT`] after it fell silent.
+/// A watch that fell silent excuses the process until this long after the end of its maximum wait, or until
+/// [`NOTIFICATION_TIMEOUT`] after it fell silent if that is later.
 const NOTIFICATION_TIMEOUT_AFTER_WAIT: Duration = Duration::from_secs(2);
 /// How long after a reload the process counts as notified of what the service named by the reload has.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(4);
@@ -65,8 +65,8 @@
         .filter(move |call| call.caller == caller)
 }
 
-/// Returns whether a call of the process was rejected or broke, that is, got neither an answer nor silence. Only
-/// calls count that may have been open within [`NOTIFICATION_TIMEOUT`] of `since`.
+/// Returns whether a call of the process was neither answered nor silenced: it was rejected, broke or is still open.
+/// Only calls count that may have been open within [`NOTIFICATION_TIMEOUT`] of `since`.
 fn has_failed_call(run: &ProcessRun, services: &[DiscoveryHistory; 2], since: Instant) -> bool {
     let is_near = |call: &&CallRecord| {
         call.called_at <= since + NOTIFICATION_TIMEOUT
--- a/testkit/src/soak/process_group/health.rs
+++ b/testkit/src/soak/process_group/health.rs
@@ -84,7 +84,8 @@
     }
 
     /// Returns whether delayed sends explain the violation in this line: it came while sends were delayed and exceeds
-    /// the limit by no more than the 0.15 s that the documentation allows between clock and write.
+    /// the limit by no more than the 0.15 s that the documentation allows between clock and write, plus
+    /// [`SOCKET_SLACK`].
     fn is_excused_by_delay(&self, slot: usize, at: Instant, line: &str) -> bool {
         let excusable = EXCUSABLE_RULES.iter().any(|rule| line.contains(rule));
         let lateness = millis_after(line, " ms: ");
--- a/testkit/src/soak/process_group/restarts.rs
+++ b/testkit/src/soak/process_group/restarts.rs
@@ -17,7 +17,7 @@
 const SENDS_PER_DELAY: u64 = 40;
 /// The provisional length of a fault that has not ended yet. Longer than any soak.
 const FAR_FUTURE: Duration = Duration::from_secs(3600);
-/// How many more idle clients a crowd has than the process may have descriptors.
+/// How many more idle clients a crowd has than the node config allows sockets.
 const CROWD_BEYOND_LIMIT: u64 = 32;
 
 /// A process that was told to stop and has ended, by itself or by SIGKILL.
--- a/testkit/src/soak/restarts/lateness.rs
+++ b/testkit/src/soak/restarts/lateness.rs
@@ -8,7 +8,7 @@
 
 /// The sleep time of the measuring thread, whose lateness stands for that of all threads.
 const WAKE_INTERVAL: Duration = Duration::from_millis(5);
-/// The least delay that is recorded.
+/// The least lateness that is recorded.
 const MIN_LATENESS: Duration = Duration::from_millis(20);
 
 /// When the thread should have woken, and how much later it did.
--- a/testkit/src/soak/restarts/schedule.rs
+++ b/testkit/src/soak/restarts/schedule.rs
@@ -23,7 +23,7 @@
 const RELOADS_IN_SERIES: std::ops::RangeInclusive<usize> = 2..=5;
 /// The pause between the latest kill of a process and the start of the next one, in milliseconds.
 const RESTART_DELAY_MILLIS: u64 = 100;
-/// How long a host hangs, in milliseconds. Long enough to cover a whole shutdown.
+/// How long a host hangs, in milliseconds. Longer than most shutdowns.
 const HOST_FAULT_MILLIS: std::ops::Range<u64> = 3000..6000;
 /// One host in this many hangs at times. The others drain.
 const HANGING_HOSTS_ONE_IN: usize = 3;
--- a/testkit/src/soak/soak_faults.rs
+++ b/testkit/src/soak/soak_faults.rs
@@ -172,7 +172,8 @@
 const MIN_DURATION_MILLIS: u64 = 200;
 /// How much longer than its least duration a fault may last, in milliseconds, exclusive.
 const DURATION_SPREAD_MILLIS: u64 = 2800;
-/// The least time before the first fault, and the longest time between two faults of one stream, in milliseconds.
+/// The least time before the first fault, and the longest time from the end of a fault to the start of the next one in
+/// the same stream, in milliseconds.
 const MAX_GAP_MILLIS: u64 = 500;
 
 impl SoakSchedule {
@@ -209,7 +210,7 @@
         let slot = rng.random_range(0..size.processes);
         let host = rng.random_range(0..size.hosts);
         match rng.random_range(0..20) {
-            // Odd slots share a listener: their processes are only replaced, never stopped before a successor runs.
+            // The processes of an odd slot share a listener. A stop without a successor is drawn for even slots only.
             0 | 1 => SoakFault::Stop(slot - slot % 2),
             2 => SoakFault::Replace(slot),
             // Chooses a slot with a shared listener, if there is one.
--- a/testkit/src/syscalls.rs
+++ b/testkit/src/syscalls.rs
@@ -237,7 +237,7 @@
         ))
     }
 
-    /// The process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.pid as u32
     }
--- a/testkit/src/two_tier/mod.rs
+++ b/testkit/src/two_tier/mod.rs
@@ -136,7 +136,7 @@
         let max_wait_millis = max_wait.as_secs_f64() * 1e3;
         self.figure("planner_longest_wait_at_their_end_ms", max_wait_millis);
         self.expect(
-            "no request waits for a lease while 100,000 open connections end",
+            "no request waits as long as a lease while 100,000 open connections end",
             max_wait < LEASE,
         );
         self.expect(
--- a/testkit/src/two_tier_cluster.rs
+++ b/testkit/src/two_tier_cluster.rs
@@ -173,7 +173,7 @@
         self.forwarders.iter().map(|f| f.address).collect()
     }
 
-    /// Makes discovery announce that a host drains, or that it is ready again.
+    /// Makes discovery announce that a host drains, or that it is active again.
     pub fn set_draining(&self, host: usize, draining: bool) {
         self.checker.note_drain(host, draining);
         let phase = if draining { "leaving" } else { "active" };
@@ -232,7 +232,7 @@
                 format!("messages of planner {planner} delayed")
             }
             6 => {
-                relay.down.garble.store(true, SeqCst);
+                relay.down.corrupt.store(true, SeqCst);
                 format!("link {forwarder}-{planner} corrupted")
             }
             7 => {
