--- a/testkit/src/soak/clients.rs
+++ b/testkit/src/soak/clients.rs
@@ -236,7 +236,8 @@
     line_interval: Duration,
     /// The deadline of the request, from when it is read.
     deadline: Duration,
-    /// Whether a client that sends late already sends when the process is told to stop within its span.
+    /// Whether a client that sends late sends its request earlier, shortly after the process is told to stop, if that
+    /// happens within its span.
     sends_after_stop: bool,
 }
 
