--- a/control-plane/src/codec.rs
+++ b/control-plane/src/codec.rs
@@ -15,8 +15,8 @@
 pub const MAX_BODY_BYTES: usize = 32 << 10;
 const MAGIC: [u8; 4] = *b"rfLK";
 const LENGTH_BYTES: usize = 4;
-/// The maximum length of an encoded message, in bytes. It is sized for a name, or a list of hosts, with the numbers that
-/// accompany them.
+/// The maximum length of an encoded message, in bytes. A longer message is left out of the frame, for example a
+/// fallback plan of 200 hosts with 64-bit ids.
 const MAX_MESSAGE_BYTES: usize = 2048;
 /// The number of sent bytes at which the writer's buffer is compacted, and the capacity that an empty buffer keeps at
 /// most.
@@ -114,7 +114,7 @@
     }
 
     /// Encodes a value into `scratch` and returns its bytes, or no bytes if they exceed [`MAX_MESSAGE_BYTES`]. The
-    /// message types fail to encode for no other reason, and their names and lists are bounded in length.
+    /// message types fail to encode for no other reason.
     pub(crate) fn encode<'a>(scratch: &'a mut Vec<u8>, value: &impl Serialize) -> &'a [u8] {
         scratch.resize(MAX_MESSAGE_BYTES, 0);
         postcard::to_slice(value, scratch).map_or(&[], |bytes| bytes)
--- a/control-plane/src/fallback_plan.rs
+++ b/control-plane/src/fallback_plan.rs
@@ -1,7 +1,7 @@
-//! Fallback plans, by which a forwarder places requests while its planner is too slow to be asked. A planner counts
-//! the recent choices of its decision core as [`PlacementShares`] and sends them as weights. A forwarder draws hosts
-//! from these weights in a [`FallbackPlan`]. Neither side scores hosts: a plan repeats the core's recent choices and
-//! expires with the lease of the planner that sent it.
+//! Fallback plans, by which a forwarder places requests that its planner cannot decide in time. A planner counts the
+//! recent choices of its decision core as [`PlacementShares`] and sends them as weights. A forwarder draws hosts from
+//! these weights in a [`FallbackPlan`]. Neither side scores hosts: a plan repeats the core's recent choices and expires
+//! with the lease of the planner that sent it.
 //!
 //! Invariants: a plan contains no host that is warming up, and places no more requests than its allowance.
 
--- a/control-plane/src/forwarder/events.rs
+++ b/control-plane/src/forwarder/events.rs
@@ -121,7 +121,8 @@
         }
     }
 
-    /// Reports the end of a request to the planner if the planner knows it, after which the planner no longer does.
+    /// Reports to the planner that a request is over if the planner knows it, and marks the request as unknown to the
+    /// planner. The forwarder may keep the request and ask for a new decision on it.
     fn report_request_over(&mut self, id: u64, outcome: AttemptOutcome) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
--- a/control-plane/src/forwarder/planner_selection.rs
+++ b/control-plane/src/forwarder/planner_selection.rs
@@ -89,7 +89,7 @@
     }
 
     /// Marks all requests as unknown to the planner and restarts the state sync, because the planner that is followed
-    /// has changed.
+    /// has changed. Without a planner, the previous fallback plan stays in use until its lease ends.
     pub(super) fn reset_planner_state(&mut self) {
         let unreported = self.requests.reset_planner_state();
         self.state_sync = StateSync {
--- a/control-plane/src/messages.rs
+++ b/control-plane/src/messages.rs
@@ -264,7 +264,7 @@
         /// The version of the endpoint list to which the sent hosts belong.
         list_version: u64,
     },
-    /// Replaces the fallback plan, by which the forwarder places requests while the planner is too slow to be asked.
+    /// Replaces the fallback plan, by which the forwarder places requests that the planner cannot decide in time.
     Plan {
         /// The hosts with their weights.
         hosts: Vec<HostWeight>,
--- a/control-plane/src/pending_request.rs
+++ b/control-plane/src/pending_request.rs
@@ -9,8 +9,8 @@
     permission, AttemptOutcome, BalancerSettings, HostId, IncomingRequest, Nanos, RequestClass,
 };
 
-/// The maximum number of tried hosts that are remembered, which is more than the number of attempts that any settings
-/// allow.
+/// The maximum number of tried hosts that are remembered; those of later attempts are not. It must not exceed
+/// [`MAX_TRIED_HOSTS`](crate::messages::MAX_TRIED_HOSTS), above which a planner closes the session.
 const MAX_REMEMBERED_HOSTS: usize = 16;
 
 /// The progress of a request towards an open connection.
--- a/control-plane/src/planner/cleanup.rs
+++ b/control-plane/src/planner/cleanup.rs
@@ -35,7 +35,8 @@
         }
     }
 
-    /// Ends the following of this planner by a forwarder. Queued requests are removed, and the others become orphans.
+    /// Records that a forwarder no longer follows this planner. The records of its queued requests are removed, and the
+    /// others become orphans.
     pub(super) fn unfollow(&mut self, key: usize) {
         let session = &mut self.sessions[key];
         session.state_sync_until = None;
--- a/control-plane/src/planner/mod.rs
+++ b/control-plane/src/planner/mod.rs
@@ -41,10 +41,10 @@
 const MAX_BACKLOG_BYTES: usize = 4 << 20;
 /// The time after which a connection without a greeting is closed.
 const GREETING_TIMEOUT: Nanos = SECOND;
-/// The maximum time to the next turn while requests are queued or orphans are left, and otherwise.
+/// The maximum time to the next turn: the first while requests are queued or orphans are left, the second otherwise.
 const BUSY_TURN_INTERVAL: Nanos = MILLI;
 const IDLE_TURN_INTERVAL: Nanos = 25 * MILLI;
-/// The factor by which the overload factor of the decision cores is reduced. A forwarder may start an attempt up to
+/// The factor by which the overload factor of the decision cores is multiplied. A forwarder may start an attempt up to
 /// one lease after the decision, so the attempts of three slow-start slots of a host can fall into one overload
 /// window, where only those of two slots can at a single node.
 const SLOW_START_OVERLAP: f64 = 2.0 / 3.0;
