--- a/membership/src/event.rs
+++ b/membership/src/event.rs
@@ -74,7 +74,7 @@
         /// The new address.
         to: SocketAddr,
     },
-    /// Other members declared this member dead, which voids the leases it holds.
+    /// Other members declared this member dead, so they may have taken over its shards.
     DeclaredDead,
     /// This member was not run for this long, in nanoseconds, so others may have taken over its shards.
     Stalled(Nanos),
--- a/membership/src/failure_detector.rs
+++ b/membership/src/failure_detector.rs
@@ -196,8 +196,8 @@
                 self.detector.improve_local_health();
                 continue;
             }
-            // Helpers that are known as healthy but did not report either suggest that this member is the one that
-            // receives nothing.
+            // If healthy helpers have not reported either, it may be this member that receives nothing, so its local
+            // health degrades by their number.
             let is_healthy = |id: &&u64| self.table.is_healthy(**id);
             let silent = probe.helpers.iter().filter(is_healthy).count() as u32;
             self.detector
@@ -356,7 +356,8 @@
         }
     }
 
-    /// Lets a few of the members that learn of a suspicion probe the suspect next, so that they judge for themselves.
+    /// Decides at random whether this member probes a new suspect next. The probability is such that
+    /// [`MEAN_SUSPICION_CHECKS`] members of the fleet do so on average.
     pub(crate) fn maybe_check_suspect(&mut self, id: u64) {
         let others = self.table.alive_count().saturating_sub(2).max(1) as f64;
         let is_chosen = self.random.fraction() < MEAN_SUSPICION_CHECKS / others;
--- a/membership/src/message.rs
+++ b/membership/src/message.rs
@@ -56,8 +56,8 @@
     pub info: MemberInfo,
     pub version: MemberVersion,
     pub state: MemberState,
-    /// The id of the latest member that raised or confirmed the suspicion, or of the one that concluded the death; 0 if
-    /// it is unknown, and in other states.
+    /// The id of the latest member that raised or confirmed the suspicion; 0 if it is unknown. Messages carry 0 for
+    /// members that are not suspect.
     pub accuser: u64,
 }
 
--- a/membership/src/quota.rs
+++ b/membership/src/quota.rs
@@ -1,5 +1,6 @@
-//! Lending of slow-start quota. Every member has an equal share. It always keeps a fixed fraction of its own; the rest,
-//! and the shares of dead members, may only be used under a lease that a majority has granted.
+//! Lending of slow-start quota. Every member has an equal share. It may use a fixed fraction of its own without a
+//! lease, or less while members disagree on the cluster size. The rest, and the shares of dead members, may only be
+//! used under a lease that a majority has granted.
 
 use crate::event::Action;
 use crate::member::{LeaseHolder, MemberInfo, MemberState, Nanos};
--- a/membership/src/quota_leases.rs
+++ b/membership/src/quota_leases.rs
@@ -5,8 +5,8 @@
 use crate::member::{LeaseHolder, Nanos};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The inverse of the maximum clock drift: the clocks of two machines drift apart by less than one part in 16.
-const MAX_CLOCK_DRIFT: Nanos = 16;
+/// The clocks of two machines drift apart by less than one part in this number.
+const CLOCK_DRIFT_DIVISOR: Nanos = 16;
 /// How many times a lease is renewed within its length.
 const RENEWALS_PER_LEASE: Nanos = 3;
 
@@ -120,7 +120,7 @@
         };
         // The lease is counted from the request, which was sent before the grant began, and shortened by the clock
         // drift. Without this, a late answer would extend the lease beyond the end of the grant.
-        let expires_at = requested_at + self.length - self.length / MAX_CLOCK_DRIFT;
+        let expires_at = requested_at + self.length - self.length / CLOCK_DRIFT_DIVISOR;
         for share in shares.iter().filter(|_| member_index < self.cluster_size) {
             if let Some(grants) = self.wanted.get_mut(share) {
                 let expiry = grants.entry(member_index).or_insert(expires_at);
--- a/membership/src/sharding.rs
+++ b/membership/src/sharding.rs
@@ -49,7 +49,7 @@
             .map(|member| member.info.member_index)
     }
 
-    /// Iterates over the members that use this member's cluster size.
+    /// Iterates over the other members that use this member's cluster size, dead ones included.
     fn peers(&self) -> impl Iterator<Item = &Member> {
         let cluster_size = self.table.me.info.cluster_size;
         self.others()
--- a/membership/src/simulation.rs
+++ b/membership/src/simulation.rs
@@ -99,7 +99,7 @@
 }
 
 impl Simulation {
-    /// Creates `count` members. They all know each other already if `settled` is true; otherwise each knows only its
+    /// Creates `count` members. They all know each other already if `preloaded` is true; otherwise each knows only its
     /// seeds.
     pub fn new(count: usize, preloaded: bool, seed: u64) -> Simulation {
         let mut nodes: Vec<Membership> = (0..count)
--- a/membership/src/suspicion.rs
+++ b/membership/src/suspicion.rs
@@ -64,7 +64,8 @@
             .unwrap_or(0)
     }
 
-    /// Returns a function that computes when a suspicion expires, for `alive` members that are not dead.
+    /// Returns a function that computes when a suspicion expires. `alive` is the number of members that are not dead,
+    /// this one included.
     fn expiry(&self, alive: usize, period: Nanos) -> impl Fn(&Suspicion) -> Nanos {
         let min_timeout = (2.0 + (alive as f64).log2() / 4.0) * period as f64;
         // The number of members that can still confirm a suspicion. Suspects are not waited for.
--- a/model-checker/src/lib.rs
+++ b/model-checker/src/lib.rs
@@ -40,7 +40,7 @@
     pub states: usize,
     /// The number of steps from the initial state to the last visited one.
     pub depth: usize,
-    /// Whether no state within the depth bound was left out.
+    /// Whether all states within the depth bound were visited.
     pub complete: bool,
 }
 
--- a/replication/src/coordinator.rs
+++ b/replication/src/coordinator.rs
@@ -131,8 +131,9 @@
         ReplicaRequest::Prepare { key, ballot }
     }
 
-    /// Commits a record of a request, before anything runs on the strength of it. Returns the message to send to the
-    /// request's replicas, or `None` if this member does not own the request.
+    /// Starts to commit a record of a request. An attempt that the record describes may be sent only after
+    /// [`Outcome::Committed`]. Returns the message to send to the request's replicas, or `None` if this member does not
+    /// own the request.
     pub fn commit(
         &mut self,
         now: Nanos,
@@ -190,7 +191,7 @@
     }
 
     /// Handles a member's response. Responses that are late, for another ballot or not from a replica of the request
-    /// are ignored.
+    /// are ignored, except that any higher ballot in a rejection raises the number of this member's next ballot.
     pub fn handle(
         &mut self,
         now: Nanos,
--- a/replication/src/model_tests.rs
+++ b/replication/src/model_tests.rs
@@ -1,6 +1,6 @@
-//! Model checks one non-idempotent request that its client sends to two members, with three replicas that are members
-//! as well: explores every order in which messages arrive, are lost or are duplicated, with one restart without state
-//! and one pause.
+//! Model checks a non-idempotent request that its client sends to two of three members, all of which are replicas:
+//! explores every order in which messages arrive, are lost or are duplicated, with one restart without state and one
+//! pause.
 
 use super::*;
 use reedferry_membership::Nanos;
