--- a/node/src/operators/api/mod.rs
+++ b/node/src/operators/api/mod.rs
@@ -1,6 +1,6 @@
-//! The operators' API: HTTP/1.1, one request to a connection. This module owns the listener for operators, its few connections with
-//! descriptors and buffers of their own, and their timeouts. It must never decide anything, wait for a caller, or look into the
-//! decision core: a whole request is given to the event loop, which has it answered.
+//! The operators' API: HTTP/1.1 with one request per connection. This module owns the listener for operators, at most 16
+//! connections with their own descriptors and buffers, and their timeouts. It must never decide anything, block on a caller, or
+//! access the decision core: it passes each complete request to the event loop, which gives the response.
 
 mod connection;
 mod request;
@@ -19,20 +19,20 @@
 use slog::info;
 use std::net::SocketAddr;
 
-/// Connections at a time.
+/// The maximum number of open connections.
 const MAX_CONNECTIONS: usize = 16;
-/// Connections accepted at once.
+/// The maximum number of connections accepted in one turn of the event loop.
 const MAX_ACCEPTED_PER_TURN: usize = 64;
-/// How long a request may take to come whole, and how long the caller may take to read the response.
+/// The time within which a complete request must arrive, and that within which the caller must read the response.
 const CALL_TIMEOUT: Nanos = 2 * SECOND;
-/// How long a caller has after its response to end the connection.
+/// The time that a caller has to close the connection after its response.
 const LINGER_TIMEOUT: Nanos = SECOND;
 
-/// The connection that a request came on, until its response.
+/// Identifies the connection on which a request arrived, so that the response reaches the same caller.
 #[derive(Clone, Copy, Debug)]
 pub struct Caller {
     slot: usize,
-    stamp: u32,
+    generation: u32,
 }
 
 /// The server of the operators' API.
@@ -41,12 +41,12 @@
     budget: DescriptorBudget,
     pool: BufferPool,
     connections: Slab<Connection>,
-    /// Whole requests, in the order in which they came.
+    /// The complete requests that the event loop has not taken yet, in the order of arrival.
     requests: Vec<(Caller, ApiRequest)>,
 }
 
 impl OperatorApi {
-    /// Listens for operators, with descriptors that clients can't use up.
+    /// Listens for operators, with descriptors that are reserved so that clients cannot exhaust them.
     pub fn open(context: &mut Context, address: &SocketAddr) -> Result<OperatorApi, FatalError> {
         let cannot_listen = |error| FatalError::ListenForOperators {
             address: *address,
@@ -55,8 +55,8 @@
         let budget = context.budget.split_off(MAX_CONNECTIONS + 1);
         let listener =
             retry_for(START_TIMEOUT, || budget.listen(address)).map_err(cannot_listen)?;
-        let watch = || context.poller.register(&listener, token(OPS_LISTENER));
-        retry_for(START_TIMEOUT, watch).map_err(cannot_listen)?;
+        let register = || context.poller.register(&listener, token(OPS_LISTENER));
+        retry_for(START_TIMEOUT, register).map_err(cannot_listen)?;
         let at = listener.local_address().unwrap_or(*address);
         info!(context.log, "operators"; "at" => %at);
         Ok(OperatorApi {
@@ -68,7 +68,7 @@
         })
     }
 
-    /// Accepts the connections that wait at the listener.
+    /// Accepts pending connections. While the maximum is open, evicts one connection before each that it accepts.
     pub fn accept(&mut self, context: &mut Context) {
         for _ in 0..MAX_ACCEPTED_PER_TURN {
             if self.connections.len() >= MAX_CONNECTIONS {
@@ -90,66 +90,68 @@
             };
             let slot = self.connections.insert(Connection {
                 socket,
-                stamp: context.next_generation(),
-                since: context.now,
+                generation: context.next_generation(),
+                stage_started_at: context.now,
                 stage: Stage::ReadingHead(head),
-                is_watched: false,
+                is_registered: false,
             });
-            self.watch(context, slot);
-            // What has come with it is read at once. Without this, it could be evicted unread by those behind it.
+            self.register(context, slot);
+            // Reads at once what has already arrived. Otherwise a later connection could evict this one before its request was
+            // read.
             self.read(context, slot);
         }
-        // More may wait.
+        // More connections may be pending, so the poller has to report the listener again.
         _ = context
             .poller
             .update_registration(&self.listener, token(OPS_LISTENER));
     }
 
-    /// Has the poller report a connection, from now or from the next sweep on.
-    fn watch(&mut self, context: &mut Context, slot: usize) {
+    /// Registers a connection with the poller. If that fails, the next sweep tries again.
+    fn register(&mut self, context: &mut Context, slot: usize) {
         let connection = &mut self.connections[slot];
         let token = PollToken {
             component: OPS,
             slot: slot as u32,
-            generation: connection.stamp,
+            generation: connection.generation,
         };
-        connection.is_watched = context.poller.register(&connection.socket, token).is_ok();
-        if !connection.is_watched {
+        connection.is_registered = context.poller.register(&connection.socket, token).is_ok();
+        if !connection.is_registered {
             context.record_transient_failure("epoll_ctl");
         }
     }
 
-    /// Goes on with connections that the poller may not report: they are not watched, or a read or write failed for a moment.
-    fn serve_all(&mut self, context: &mut Context) {
+    /// Continues all connections, because the poller does not report those that are not registered, or whose last read or write
+    /// failed with a transient error.
+    fn resume_all(&mut self, context: &mut Context) {
         let slots: Vec<usize> = self.connections.iter().map(|(slot, _)| slot).collect();
         for slot in slots {
-            if !self.connections[slot].is_watched {
-                self.watch(context, slot);
+            if !self.connections[slot].is_registered {
+                self.register(context, slot);
             }
             self.write(context, slot);
             self.read(context, slot);
         }
     }
 
-    /// Drops the connection that has its response, or else the one that has taken longest over its request.
+    /// Removes the connection that was sent its whole response first, or else the one whose current stage began first.
     fn evict(&mut self) {
         let has_response = |connection: &Connection| matches!(connection.stage, Stage::Lingering);
-        // Of those accepted in one turn the stamp tells which came first. Without it, the last would go where its slot is the
-        // lowest.
-        let first = self
+        // The generation orders the connections that were accepted in one turn. Without it, the lowest slot would be removed, even
+        // if its connection is the newest.
+        let victim = self
             .connections
             .iter()
-            .min_by_key(|(_, c)| (!has_response(c), c.since, c.stamp));
-        if let Some(slot) = first.map(|(slot, _)| slot) {
+            .min_by_key(|(_, c)| (!has_response(c), c.stage_started_at, c.generation));
+        if let Some(slot) = victim.map(|(slot, _)| slot) {
             self.connections.remove(slot);
         }
     }
 
-    /// Handles what the poller reports of a connection.
+    /// Handles the readiness of a connection. A report for an earlier connection in the same slot is ignored.
     pub fn on_ready(&mut self, context: &mut Context, ready: Readiness) {
         let slot = ready.token.slot as usize;
         let connection = self.connections.get(slot);
-        if connection.is_none_or(|connection| connection.stamp != ready.token.generation) {
+        if connection.is_none_or(|connection| connection.generation != ready.token.generation) {
             return;
         }
         if ready.writable {
@@ -160,23 +162,25 @@
         }
     }
 
-    /// The next whole request.
+    /// Takes the next complete request, or returns `None` if there is none.
     pub fn next_request(&mut self) -> Option<(Caller, ApiRequest)> {
         (!self.requests.is_empty()).then(|| self.requests.remove(0))
     }
 
-    /// Gives a request its response.
+    /// Responds to a request. Does nothing if its connection has ended.
     pub fn respond(&mut self, context: &mut Context, to: Caller, response: &ApiResponse) {
         let Some(connection) = self.connections.get_mut(to.slot) else {
             return;
         };
-        if connection.stamp == to.stamp && matches!(connection.stage, Stage::AwaitingResponse) {
+        if connection.generation == to.generation
+            && matches!(connection.stage, Stage::AwaitingResponse)
+        {
             connection.respond(response.to_bytes(""), context.now);
             self.write(context, to.slot);
         }
     }
 
-    /// Reads all that has come on a connection.
+    /// Reads all available input of a connection, and queues its request once that is complete.
     fn read(&mut self, context: &mut Context, slot: usize) {
         while let Some(connection) = self.connections.get_mut(slot) {
             let progress = connection.receive();
@@ -191,10 +195,14 @@
                 self.write(context, slot);
                 continue;
             }
-            if let Stage::ReadingBody { request, left: 0 } = connection.stage {
+            if let Stage::ReadingBody {
+                request,
+                pending: 0,
+            } = connection.stage
+            {
                 let caller = Caller {
                     slot,
-                    stamp: connection.stamp,
+                    generation: connection.generation,
                 };
                 connection.stage = Stage::AwaitingResponse;
                 self.requests.push((caller, request));
@@ -202,7 +210,7 @@
         }
     }
 
-    /// Writes as much of a response as the connection takes.
+    /// Writes as much of a response as the socket accepts.
     fn write(&mut self, context: &mut Context, slot: usize) {
         if let Some(connection) = self.connections.get_mut(slot) {
             if connection.send(context.now) == Progress::Ended {
@@ -211,14 +219,14 @@
         }
     }
 
-    /// Goes on with all connections and ends what has taken too long.
+    /// Continues all connections, ends those whose time is over, and accepts new ones.
     pub fn sweep(&mut self, context: &mut Context) {
         let now = context.now;
-        self.serve_all(context);
+        self.resume_all(context);
         let overdue: Vec<usize> = self
             .connections
             .iter()
-            .filter(|(_, connection)| now >= connection.since + CALL_TIMEOUT)
+            .filter(|(_, connection)| now >= connection.stage_started_at + CALL_TIMEOUT)
             .map(|(slot, _)| slot)
             .collect();
         for slot in overdue {
@@ -228,7 +236,7 @@
                 Stage::ReadingHead(_) | Stage::ReadingBody { .. }
             );
             if is_reading {
-                let response = ApiResponse::new(408, "no whole call in time\n");
+                let response = ApiResponse::new(408, "request not complete within 2 s\n");
                 connection.respond(response.to_bytes(""), now);
                 self.write(context, slot);
             } else {
@@ -236,7 +244,8 @@
             }
         }
         self.connections.retain(|_, connection| {
-            !matches!(connection.stage, Stage::Lingering) || now < connection.since + LINGER_TIMEOUT
+            !matches!(connection.stage, Stage::Lingering)
+                || now < connection.stage_started_at + LINGER_TIMEOUT
         });
         self.accept(context);
     }
--- a/node/src/operators/operator_config/fleet.rs
+++ b/node/src/operators/operator_config/fleet.rs
@@ -1,8 +1,8 @@
-//! The section of a fleet: where its members reach this node, and how they keep records for each other.
+//! Checks the section `[fleet]`: the address at which members reach this node, the seeds, and the replication of requests.
 
 use super::error::{OperatorConfigError, Problem};
 use super::sections::{FleetSection, ReplicationSection};
-use super::source::ListSource;
+use super::source::SourceFile;
 use crate::operators::node_config::NodeConfig;
 use crate::peers::FleetConfig;
 use crate::peers::ReplicationConfig;
@@ -10,15 +10,15 @@
 use std::net::SocketAddr;
 use toml::Spanned;
 
-/// The configuration of the fleet that a node takes part in.
+/// Returns the configuration of the fleet of which a node is a member.
 pub(super) fn fleet_config(
-    source: &ListSource,
+    source: &SourceFile,
     section: &Spanned<FleetSection>,
     node_config: &NodeConfig,
 ) -> Result<FleetConfig, OperatorConfigError> {
     let (span, section) = (section.span(), section.get_ref());
     if !node_config.balancer_settings.gossip_enabled {
-        return Err(source.error(&span, Problem::FleetWithoutLeave));
+        return Err(source.error(&span, Problem::FleetWithoutGossip));
     }
     let address = source.address("address", &section.address)?;
     let listen = match &section.listen {
@@ -58,21 +58,25 @@
     })
 }
 
+/// Returns whether an address has a port and a host.
 fn is_reachable(address: SocketAddr) -> bool {
     address.port() != 0 && !address.ip().is_unspecified()
 }
 
+/// Returns the addresses of the seeds, which must be reachable, unique and of the same family as this node's address.
 fn seeds(
-    source: &ListSource,
+    source: &SourceFile,
     section: &FleetSection,
-    own: SocketAddr,
+    own_address: SocketAddr,
 ) -> Result<Vec<SocketAddr>, OperatorConfigError> {
     let mut seeds = Vec::new();
     for seed in &section.seeds {
         let address = source.address("seed", seed)?;
-        if !is_reachable(address) || address.is_ipv4() != own.is_ipv4() || seeds.contains(&address)
+        if !is_reachable(address)
+            || address.is_ipv4() != own_address.is_ipv4()
+            || seeds.contains(&address)
         {
-            return Err(source.error(&seed.span(), Problem::BadSeed(address)));
+            return Err(source.error(&seed.span(), Problem::InvalidSeed(address)));
         }
         seeds.push(address);
     }
@@ -80,19 +84,19 @@
 }
 
 fn replication_config(
-    source: &ListSource,
+    source: &SourceFile,
     section: &ReplicationSection,
 ) -> Result<ReplicationConfig, OperatorConfigError> {
     Ok(ReplicationConfig {
         retention: source.duration(
             "life",
-            section.record_lifetime.as_ref(),
+            section.retention.as_ref(),
             60 * SECOND,
             SECOND..=3600 * SECOND,
         )?,
         majority_timeout: source.duration(
             "within",
-            section.quorum_timeout.as_ref(),
+            section.majority_timeout.as_ref(),
             50 * MILLI,
             5 * MILLI..=SECOND,
         )?,
